--- a/Makefile
+++ b/Makefile
@@ -6,10 +6,10 @@
 .PHONY: demo demo-gatekeeper test
 
 demo: .venv/lab-ready
-	$(PY) -m ashlift lab system scenarios/system-demo.txt --report lab-system.html
+	$(PY) -m ashlift.gatekeeper lab system scenarios/system-demo.txt --report lab-system.html
 
 demo-gatekeeper: .venv/lab-ready
-	$(PY) -m ashlift lab run scenarios/demo.sexp --history lab-demo.jsonl --report lab-demo.html
+	$(PY) -m ashlift.gatekeeper lab run scenarios/demo.sexp --history lab-demo.jsonl --report lab-demo.html
 
 .venv/lab-ready: requirements.txt requirements-lab.txt requirements-system.txt
 	python3 -m venv .venv
--- a/ashlift/__init__.py
+++ b/ashlift/__init__.py
@@ -1,3 +1,3 @@
-"""ashlift: the gatekeeper on real sockets, round the decisions of mintfront."""
+"""ashlift: a global load balancer. Importing the package loads nothing else of it."""
 
 __version__ = "0.2.0"
--- a/toolbox/base.py
+++ b/ashlift/cli/base.py
@@ -5,9 +5,9 @@
 from cleo.commands.command import Command
 from cleo.io.outputs.output import Type
 
-from jig import configuration
-from toolbox import sources
-from workbench.faults import Fault
+from ashlift.config import operator_config as configuration
+from ashlift.cli import sources
+from ashlift.errors import Fault
 
 DIFFERENT = 1
 FAILED = 2
--- a/toolbox/changing.py
+++ b/ashlift/cli/changing.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import Any, Final
 
-from toolbox import sources
-from toolbox.tenants import Held, Standing, standing
-from workbench.faults import INVALID, REFUSED, UNANSWERED, Fault
+from ashlift.cli import sources
+from ashlift.cli.tenants import Held, Standing, standing
+from ashlift.errors import INVALID, REFUSED, UNANSWERED, Fault
 
 CALLS_MOST: Final = 40  # of one order
 PAUSE_S: Final = (0.1, 1.0)  # between two calls: at first, at most
--- a/toolbox/commands.py
+++ b/ashlift/cli/commands.py
@@ -10,14 +10,16 @@
 from cleo.helpers import argument, option
 
 from ashlift import __version__
-from jig import configuration, settings
-from toolbox import showing, sources
-from toolbox.base import DIFFERENT, Tool, entries
-from toolbox.members import MembersAdd, MembersRemove, MembersReplace, MembersStore
-from toolbox.planning import PlanCapacity, PlanChange, PlanRollout
-from toolbox.routes import COMMANDS
-from toolbox.tenant_commands import TenantAdd, TenantPlan, TenantRemove, TenantStatus
-from workbench.faults import INVALID, Fault
+from ashlift.config import operator_config as configuration
+from ashlift.config import settings
+from ashlift.cli import showing
+from ashlift.cli import sources
+from ashlift.cli.base import DIFFERENT, Tool, entries
+from ashlift.cli.members import MembersAdd, MembersRemove, MembersReplace, MembersStore
+from ashlift.cli.planning import PlanCapacity, PlanChange, PlanRollout
+from ashlift.cli.routes import COMMANDS
+from ashlift.cli.tenant_commands import TenantAdd, TenantPlan, TenantRemove, TenantStatus
+from ashlift.errors import INVALID, Fault
 
 
 class Check(Tool):
@@ -117,7 +119,7 @@
 
 
 def application() -> Application:
-    made = Application("toolbox", __version__)
+    made = Application("ashlift.cli", __version__)
     looking: list[Tool] = [Check(), Status(), Members(), ConfigShow(), ConfigDiff()]
     planning: list[Tool] = [PlanCapacity(), PlanRollout(), PlanChange(), *(one() for one in COMMANDS)]
     looking += [MembersStore(), MembersRemove(), MembersReplace(), MembersAdd()]
--- a/toolbox/members.py
+++ b/ashlift/cli/members.py
@@ -5,9 +5,11 @@
 
 from cleo.helpers import argument, option
 
-from toolbox import showing, sources
-from toolbox.base import Tool
-from workbench.faults import INVALID, Fault
+from ashlift.cli import showing
+
+from ashlift.cli import sources
+from ashlift.cli.base import Tool
+from ashlift.errors import INVALID, Fault
 
 WAIT_S = 3.0
 
@@ -44,9 +46,11 @@
     waits = [f"{ip} votes on until {len(voters)} others do"] if do == "replace" else []
     left = len(voters) - (do == "remove")
     return [
-        *handed, *waits, f"{ip} votes no more, and learns on until it is switched off",
+        *handed,
+        *waits,
+        f"{ip} votes no more, and learns on until it is switched off",
         f"{left} voters then, of whom {left // 2 + 1} must be up",
-    ]  # fmt: skip
+    ]
 
 
 class _Change(Tool):
--- a/toolbox/planners.py
+++ b/ashlift/cli/planners.py
@@ -9,8 +9,8 @@
 
 from attrs import define, frozen
 
-from jig.tables import Route, Table
-from workbench.faults import INVALID, Fault
+from ashlift.config.routing_table import Route, Table
+from ashlift.errors import INVALID, Fault
 
 
 @frozen
--- a/toolbox/planning.py
+++ b/ashlift/cli/planning.py
@@ -5,13 +5,13 @@
 import attrs
 from cleo.helpers import argument, option
 
-from jig import configuration
-from jig.tables import Table
-from toolbox import sources
-from toolbox.base import DIFFERENT, Tool, entries
-from toolbox.planners import Asked, Fate, Part, Recorded, Station, capacity, change, rollout
-from toolbox.showing import rows_of, table
-from workbench.faults import INVALID, Fault
+from ashlift.config import operator_config as configuration
+from ashlift.config.routing_table import Table
+from ashlift.cli import sources
+from ashlift.cli.base import DIFFERENT, Tool, entries
+from ashlift.cli.planners import Asked, Fate, Part, Recorded, Station, capacity, change, rollout
+from ashlift.cli.showing import rows_of, table
+from ashlift.errors import INVALID, Fault
 
 EVEN = 1e-9
 
@@ -62,15 +62,28 @@
             return self.fail([asked])
         regions = {str(row.get("zone")): str(row.get("region")) for row in rows_of(answer, "gatekeepers")}
         stations = [
-            Station(str(row["id"]), str(row["service"]), str(row["zone"]), regions.get(str(row["zone"]), ""),
-                    int(row["capacity"]))
-            for row in rows_of(answer, "workers") if row.get("state") == "ready"
-        ]  # fmt: skip
+            Station(
+                str(row["id"]),
+                str(row["service"]),
+                str(row["zone"]),
+                regions.get(str(row["zone"]), ""),
+                int(row["capacity"]),
+            )
+            for row in rows_of(answer, "workers")
+            if row.get("state") == "ready"
+        ]
         rows = [
-            {"lost": one.lost, "route": one.route, "service": one.service, "workers": one.workers,
-             "asked": one.asked, "carried": one.carried, "refused": max(0.0, one.refused)}
+            {
+                "lost": one.lost,
+                "route": one.route,
+                "service": one.service,
+                "workers": one.workers,
+                "asked": one.asked,
+                "carried": one.carried,
+                "refused": max(0.0, one.refused),
+            }
             for one in capacity(stations, known, asked)
-        ]  # fmt: skip
+        ]
         quotas = sum(tenant.rate for tenant in known.tenants.values())
         open_ = sorted(name for name, tenant in known.tenants.items() if not tenant.rate)
         self.tell(table(["lost", "route", "service", "workers", "asked", "carried", "refused"], rows))
@@ -95,14 +108,21 @@
         if not str(self.option("most")).isdigit():
             return self.fail([Fault(INVALID, "--most wants a whole number")])
         if what == "core":
-            parts = [Part(str(row["ip"]), str(row["ip"]), "core", row["ip"] == answer.get("leader"))
-                     for row in rows_of(answer, "members")]  # fmt: skip
+            parts = [
+                Part(str(row["ip"]), str(row["ip"]), "core", row["ip"] == answer.get("leader"))
+                for row in rows_of(answer, "members")
+            ]
         elif what == "gatekeepers":
-            parts = [Part(str(row["node"]), str(row["zone"]), "gatekeepers")
-                     for row in rows_of(answer, "gatekeepers")]  # fmt: skip
+            parts = [
+                Part(str(row["node"]), str(row["zone"]), "gatekeepers")
+                for row in rows_of(answer, "gatekeepers")
+            ]
         else:
-            parts = [Part(str(row["id"]), str(row["zone"]), what)
-                     for row in rows_of(answer, "workers") if row.get("service") == what]  # fmt: skip
+            parts = [
+                Part(str(row["id"]), str(row["zone"]), what)
+                for row in rows_of(answer, "workers")
+                if row.get("service") == what
+            ]
         if not parts:
             return self.fail([Fault(INVALID, f"{what}: there are none")])
         batches = rollout(parts, int(self.option("most")), what == "core")
@@ -168,8 +188,10 @@
             return self.fail([requests])
         found = change(Table.build(current), Table.build(following), requests)
         moved = {key: count for key, count in found.items() if key[1] != key[2]}
-        rows = [{"route": route, "requests": count, "now": told(before), "then": told(after)}
-                for (route, before, after), count in sorted(moved.items())]  # fmt: skip
+        rows = [
+            {"route": route, "requests": count, "now": told(before), "then": told(after)}
+            for (route, before, after), count in sorted(moved.items())
+        ]
         self.tell(table(["route", "requests", "now", "then"], rows))
         self.tell([f"{sum(moved.values())} of {sum(found.values())} requests would fare otherwise"])
         return DIFFERENT if moved else 0
@@ -177,4 +199,3 @@
 
 def told(fate: Fate) -> str:
     return f"goes to {', '.join(fate[1:])}" if fate[0] == "goes" else ": ".join(fate)
-
--- a/toolbox/routes.py
+++ b/ashlift/cli/routes.py
@@ -8,9 +8,11 @@
 
 from cleo.helpers import argument, option
 
-from toolbox import showing, sources
-from toolbox.base import FAILED, Tool
-from workbench.faults import INVALID, REFUSED, Fault
+from ashlift.cli import showing
+
+from ashlift.cli import sources
+from ashlift.cli.base import FAILED, Tool
+from ashlift.errors import INVALID, REFUSED, Fault
 
 WAITS: Final = 3  # an edit or an order's word is not in force: it waits, or has to be looked at again
 ADDRESS: Final = argument("address", "A Control address, such as 10.0.0.4:8200.")
@@ -53,7 +55,7 @@
         option("withdraw", None, "Take the route out.", flag=True),
         option("id", None, "The id of an edit that got no clear answer, to ask for it again.", flag=False),
         WHO,
-    ]  # fmt: skip
+    ]
 
     def handle(self) -> int:
         file, name = self.option("file"), self.argument("name")
@@ -99,7 +101,7 @@
         option("on", None, "The version that `route proposals` showed.", flag=False),
         option("over", None, "Also if the route has changed since the edit was made.", flag=True),
         WHO,
-    ]  # fmt: skip
+    ]
 
     def handle(self) -> int:
         if not self.option("on"):
--- a/toolbox/showing.py
+++ b/ashlift/cli/showing.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any
 
-from jig.configuration import current_version
+from ashlift.config.operator_config import current_version
 
 ORDER = ("zone", "service", "node", "id", "ip")
 Rows = Sequence[Mapping[str, Any]]
@@ -83,10 +83,13 @@
     core, gatekeepers = rows_of(answer, "members"), rows_of(answer, "gatekeepers")
     more = sorted({key for row in core for key in row} - {"ip"})
     return [
-        "core", *table(["ip", *more], core),
-        "gatekeepers", *table(["node", "zone", "region", "front", "ready", "since"], gatekeepers),
-        "workers", *table(["id", "service", "zone", "state", "warm"], rows_of(answer, "workers")),
-    ]  # fmt: skip
+        "core",
+        *table(["ip", *more], core),
+        "gatekeepers",
+        *table(["node", "zone", "region", "front", "ready", "since"], gatekeepers),
+        "workers",
+        *table(["id", "service", "zone", "state", "warm"], rows_of(answer, "workers")),
+    ]
 
 
 def differences(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[str]:
@@ -142,8 +145,10 @@
 
 def both(answer: Mapping[str, Any]) -> list[str]:
     """A route that is not what an edit was made on."""
-    shown = [f"  {name:<11}{_text(answer.get(key))}" for name, key in
-             (("made on", "base"), ("edit", "yours"), ("now", "theirs"))]  # fmt: skip
+    shown = [
+        f"  {name:<11}{_text(answer.get(key))}"
+        for name, key in (("made on", "base"), ("edit", "yours"), ("now", "theirs"))
+    ]
     return [f"conflict: {cell(answer.get('reason'))}", *shown]
 
 
--- a/toolbox/sources.py
+++ b/ashlift/cli/sources.py
@@ -7,7 +7,7 @@
 from typing import Any, Final
 from urllib.parse import urlsplit
 
-from workbench.faults import INVALID, REFUSED, UNANSWERED, UNREACHED, Fault
+from ashlift.errors import INVALID, REFUSED, UNANSWERED, UNREACHED, Fault
 
 WAIT_S: Final = 5.0  # for each step of a call
 REDIRECTS: Final = 2
@@ -72,9 +72,14 @@
 
 
 def _ask(
-    target: Address, method: str, path: str, asked: str,
-    body: bytes | None = None, headers: Mapping[str, str] | None = None, wait: float = WAIT_S,
-) -> tuple[int, str, bytes] | Fault:  # fmt: skip
+    target: Address,
+    method: str,
+    path: str,
+    asked: str,
+    body: bytes | None = None,
+    headers: Mapping[str, str] | None = None,
+    wait: float = WAIT_S,
+) -> tuple[int, str, bytes] | Fault:
     """Status, `Location` and body."""
     way = http.client.HTTPConnection(*target, timeout=wait)
     try:
--- a/toolbox/tenant_commands.py
+++ b/ashlift/cli/tenant_commands.py
@@ -5,12 +5,15 @@
 from attrs import frozen
 from cleo.helpers import argument, option
 
-from jig import configuration
-from jig.tables import Table
-from toolbox import changing, showing, sources, tenants
-from toolbox.tenants import TENANTS, Held, Standing
-from toolbox.base import DIFFERENT, Tool, entries
-from workbench.faults import INVALID, Fault
+from ashlift.config import operator_config as configuration
+from ashlift.config.routing_table import Table
+from ashlift.cli import changing
+from ashlift.cli import showing
+from ashlift.cli import sources
+from ashlift.cli import tenants
+from ashlift.cli.tenants import TENANTS, Held, Standing
+from ashlift.cli.base import DIFFERENT, Tool, entries
+from ashlift.errors import INVALID, Fault
 
 ADDRESS = argument("address", "A Control address, such as 10.0.0.4:8200.")
 FILE = argument("file", "JSON: the tenant, with its routes and services if it brings any, as Objects.")
@@ -57,12 +60,19 @@
         """Who is in touch, and what each holds."""
         rows = [
             {
-                "node": one.node, "zone": one.zone, "region": one.region, "ready": one.ready,
-                "holds": "not known" if one.index is None else f"index {one.index}" if one in late
-                else now.version, "heard": one.heard,
+                "node": one.node,
+                "zone": one.zone,
+                "region": one.region,
+                "ready": one.ready,
+                "holds": "not known"
+                if one.index is None
+                else f"index {one.index}"
+                if one in late
+                else now.version,
+                "heard": one.heard,
             }
             for one in now.gatekeepers
-        ]  # fmt: skip
+        ]
         silent = [f"no answer from core machine {place}" for place in now.silent]
         return [*showing.table(["node", "zone", "region", "ready", "holds", "heard"], rows), *silent]
 
--- a/toolbox/tenants.py
+++ b/ashlift/cli/tenants.py
@@ -6,9 +6,9 @@
 
 from attrs import frozen
 
-from jig import configuration
-from jig.tables import Route, Table, Tenant
-from workbench.faults import INVALID, Fault
+from ashlift.config import operator_config as configuration
+from ashlift.config.routing_table import Route, Table, Tenant
+from ashlift.errors import INVALID, Fault
 
 Json = dict[str, Any]
 TENANTS: Final = "Tenants/"
@@ -57,9 +57,13 @@
             index, version = answer["index"], answer["version"]
         for row in answer.get("gatekeepers", ()):
             one = Held(
-                row["node"], row.get("zone", ""), row.get("region", ""), row.get("ready") is True,
-                row.get("index"), row.get("heard"),
-            )  # fmt: skip
+                row["node"],
+                row.get("zone", ""),
+                row.get("region", ""),
+                row.get("ready") is True,
+                row.get("index"),
+                row.get("heard"),
+            )
             other = held.get(one.node)
             if other is None or _heard(one) < _heard(other):
                 held[one.node] = one
--- a/jig/times.py
+++ b/ashlift/config/durations.py
@@ -3,7 +3,7 @@
 import re
 from typing import Any
 
-from workbench.faults import INVALID, Fault
+from ashlift.errors import INVALID, Fault
 
 _TIME = re.compile(r"\s*(\d{1,15}(?:\.\d{0,30})?(?:[eE][+-]?\d{1,2})?)\s*(ms|s)\s*", re.ASCII)
 
--- a/jig/configuration.py
+++ b/ashlift/config/operator_config.py
@@ -13,9 +13,9 @@
 
 import attrs
 
-from jig.reading import Flaw, structure
-from jig.tables import SHAPES, RouteShape, ServiceShape, TenantShape, host_of, split_of
-from workbench.faults import INVALID, Fault
+from ashlift.config.structuring import Flaw, structure
+from ashlift.config.routing_table import SHAPES, RouteShape, ServiceShape, TenantShape, host_of, split_of
+from ashlift.errors import INVALID, Fault
 
 STALE: Final = "stale"  # it builds on a version that is not the current one
 FIRST: Final = "00000000"
--- a/jig/tables.py
+++ b/ashlift/config/routing_table.py
@@ -1,6 +1,6 @@
 """What a configuration says, ready for use: routes by host and prefix, tenants by key, services, limits.
 
-The shapes of the operator's objects stand here: `jig.configuration` checks with them.
+The shapes of the operator's objects stand here: `ashlift.config.operator_config` checks with them.
 """
 
 import math
@@ -9,7 +9,7 @@
 
 import attrs
 
-from jig.reading import Amount, Count, Flaw, Seconds, Texts, Weights, structure
+from ashlift.config.structuring import Amount, Count, Flaw, Seconds, Texts, Weights, structure
 
 LAST_RANK: Final = 9  # of a route that tells no priority (0 is highest)
 T = TypeVar("T")
@@ -58,8 +58,11 @@
 
 
 SHAPES: Final[dict[str, type[Any]]] = {
-    "Routes": RouteShape, "Services": ServiceShape, "Tenants": TenantShape, "Limits": Limits,
-}  # fmt: skip
+    "Routes": RouteShape,
+    "Services": ServiceShape,
+    "Tenants": TenantShape,
+    "Limits": Limits,
+}
 
 
 @attrs.frozen
@@ -117,10 +120,18 @@
     split = tuple(pair for pair in split_of(shape) if pair[1] > 0)
     aim = shape.target_latency or shape.timeout or 1.0
     return Route(
-        name, host_of(shape.host), shape.path_prefix, shape.route_type == "idempotent", shape.timeout or None,
-        aim, shape.priority, split, max(1, shape.max_attempts),
-        shape.anonymous, frozenset(shape.home_regions),
-    )  # fmt: skip
+        name,
+        host_of(shape.host),
+        shape.path_prefix,
+        shape.route_type == "idempotent",
+        shape.timeout or None,
+        aim,
+        shape.priority,
+        split,
+        max(1, shape.max_attempts),
+        shape.anonymous,
+        frozenset(shape.home_regions),
+    )
 
 
 def _service(name: str, value: Any) -> Service:
--- a/jig/settings.py
+++ b/ashlift/config/settings.py
@@ -8,8 +8,8 @@
 
 import attrs
 
-from jig.reading import Amount, Count, Endpoint, Ports, Seconds, Texts, structure
-from workbench.faults import INVALID, Fault
+from ashlift.config.structuring import Amount, Count, Endpoint, Ports, Seconds, Texts, structure
+from ashlift.errors import INVALID, Fault
 
 
 @attrs.frozen
--- a/jig/reading.py
+++ b/ashlift/config/structuring.py
@@ -14,8 +14,8 @@
 from cattrs import ClassValidationError, Converter
 from cattrs.gen import make_dict_structure_fn, override
 
-from jig.times import parse_time
-from workbench.faults import Fault
+from ashlift.config.durations import parse_time
+from ashlift.errors import Fault
 
 T = TypeVar("T")
 Seconds = Annotated[float, "s"]  # written as a time
@@ -145,10 +145,20 @@
     made = Converter(detailed_validation=True)
     made.register_structure_hook_factory(attrs.has, _table)
     hooks: list[tuple[Any, Callable[[Any, Any], Any]]] = [
-        (str, _text), (bool, _flag), (float, _number), (int, _whole),
-        (Seconds, _seconds), (Amount, _amount), (Count, _count), (Texts, _texts), (Endpoint, _endpoint),
-        (tuple[Endpoint, ...], _endpoints), (Ports, _ports), (Weights, _weights), (dict[str, str], _words),
-    ]  # fmt: skip
+        (str, _text),
+        (bool, _flag),
+        (float, _number),
+        (int, _whole),
+        (Seconds, _seconds),
+        (Amount, _amount),
+        (Count, _count),
+        (Texts, _texts),
+        (Endpoint, _endpoint),
+        (tuple[Endpoint, ...], _endpoints),
+        (Ports, _ports),
+        (Weights, _weights),
+        (dict[str, str], _words),
+    ]
     for wanted, hook in hooks:
         if wanted in (str, bool, float, int):  # these go by class, before all that goes by a predicate
             made.register_structure_hook(wanted, hook)
--- a/vise/__main__.py
+++ b/ashlift/configstore/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m vise`: the store. Its settings file is named by ASHLIFT_SETTINGS."""
+"""`python3 -m ashlift.configstore`: the store. Its settings file is named by ASHLIFT_SETTINGS."""
 
 import os
 import signal
@@ -6,26 +6,27 @@
 
 import gevent
 
-from jig import settings
-from vise.daemon import Daemon, stop_on_broken
-from workbench.events import ERROR, SETTINGS_BAD, STARTED, STOPPING, set_up, tell
+from ashlift.config import settings
+from ashlift.configstore.server import Daemon, stop_on_broken
+from ashlift.events import ERROR, SETTINGS_BAD, STARTED, STOPPING, set_up, tell
 
 PATH = "/etc/ashlift/settings.toml"
+DATA_FOLDER = "vise"  # under DataDirectory; disks written before the program was renamed stay readable
 
 
 def main() -> int:
     found = settings.read(os.environ.get("ASHLIFT_SETTINGS", PATH))
     if not isinstance(found, settings.Settings):
-        set_up("vise", "?")
+        set_up("configstore", "?")
         for fault in found:
             tell(SETTINGS_BAD, level=ERROR, fault=fault.detail)
         return 78
-    set_up("vise", found.node_name)
+    set_up("configstore", found.node_name)
     if found.data_directory is None:
         tell(SETTINGS_BAD, level=ERROR, fault="DataDirectory: is missing: the store needs a disk")
         return 78
     stop_on_broken(gevent.get_hub())
-    daemon = Daemon(found, os.path.join(found.data_directory, "vise"))
+    daemon = Daemon(found, os.path.join(found.data_directory, DATA_FOLDER))
 
     def leave() -> None:
         tell(STOPPING)
--- a/vise/mending.py
+++ b/ashlift/configstore/catch_up.py
@@ -12,9 +12,9 @@
 import cbor2
 from attrs import define, field
 
-from vise.changes import Changes
-from vise.interface import CHUNK, DELTA, PARTS, RANGES, State, TermIndex
-from vise.seat import pack
+from ashlift.configstore.change_log import Changes
+from ashlift.configstore.messages import CHUNK, DELTA, PARTS, RANGES, State, TermIndex
+from ashlift.configstore.replica_state import pack
 
 CHUNK_LEAST: Final = CHUNK // 16
 RAW: Final = 2  # bytes of a map for each of a call: it is compressed to half at least
--- a/vise/changes.py
+++ b/ashlift/configstore/change_log.py
@@ -6,7 +6,7 @@
 
 from typing import Final
 
-from vise.ranges import RangedMap, range_of
+from ashlift.configstore.ranged_map import RangedMap, range_of
 
 GONE_MOST = 4096  # keys that went; each change lets one `Taken/` go: some 4,000 changes
 RUNS_MOST: Final = 64  # runs of states of one term, each following the one before
--- a/vise/orders.py
+++ b/ashlift/configstore/commands.py
@@ -3,9 +3,9 @@
 from collections.abc import Mapping
 from typing import Any, Final
 
-from jig import configuration
-from vise.interface import Fence, Settled, Work
-from workbench.faults import INVALID, Fault
+from ashlift.config import operator_config as configuration
+from ashlift.configstore.messages import Fence, Settled, Work
+from ashlift.errors import INVALID, Fault
 
 TAKEN: Final = "Taken/"  # + version: the mark of the call that brought it, for equal resends
 TAKEN_MOST: Final = 512  # a day's changes and more
@@ -43,7 +43,7 @@
 
 
 def _edited(current: Mapping[str, Any], order: Any) -> Work | Settled:
-    from mitre import settling  # seldom needed
+    from ashlift.route_reconciliation import merging as settling  # seldom needed
 
     made = settling.decide(current, order)
     return Work(*made) if made.set or made.gone else Settled(made.answer)
--- a/vise/news.py
+++ b/ashlift/configstore/committed_state.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
-from vise.changes import Changes
-from vise.interface import State, TermIndex
-from vise.ranges import RangedMap
+from ashlift.configstore.change_log import Changes
+from ashlift.configstore.messages import State, TermIndex
+from ashlift.configstore.ranged_map import RangedMap
 
 
 class News:
--- a/vise/leading.py
+++ b/ashlift/configstore/leader.py
@@ -6,17 +6,42 @@
 
 from attrs import define
 
-from vise import events, membership
-from vise.interface import (
-    BEHIND, CALL_S, EARLY_S, HANDING_S, HEARTBEAT_S, LEARNER, OLD, PROMOTE, ROUNDS_S, UNHEARD_S,
-    WAITING_MOST, YES, Fence, Settled, State, Work,
-)  # fmt: skip
-from vise.membership import (
-    LEARNERS, MEMBERS, MOVE_S, Membership, View, entry, named, next_change, quorum, refusal,
-)  # fmt: skip
-from vise.mending import Copy, Mending
-from vise.seat import Seat, pack
-from workbench.faults import LATE, UNANSWERED, UNREACHED, UNREADY, Fault
+from ashlift.configstore import events
+
+from ashlift.configstore import membership
+from ashlift.configstore.messages import (
+    BEHIND,
+    CALL_S,
+    EARLY_S,
+    HANDING_S,
+    HEARTBEAT_S,
+    LEARNER,
+    OLD,
+    PROMOTE,
+    ROUNDS_S,
+    UNHEARD_S,
+    WAITING_MOST,
+    YES,
+    Fence,
+    Settled,
+    State,
+    Work,
+)
+from ashlift.configstore.membership import (
+    LEARNERS,
+    MEMBERS,
+    MOVE_S,
+    Membership,
+    View,
+    entry,
+    named,
+    next_change,
+    quorum,
+    refusal,
+)
+from ashlift.configstore.catch_up import Copy, Mending
+from ashlift.configstore.replica_state import Seat, pack
+from ashlift.errors import LATE, UNANSWERED, UNREACHED, UNREADY, Fault
 
 Decide = Callable[[Mapping[str, Any], Any], Work | Settled]
 LEARNER_S = 3.0  # a learner that has not asked again, nor answered, for so long is not called any more
@@ -298,14 +323,19 @@
             told, peer, mine = entry(map, ip) or {}, self._peer(ip), ip == self.seat.me
             voter = MEMBERS + ip in map
             do = told.get("leaving", membership.REMOVE)
-            rows.append({
-                "ip": ip, "role": "voter" if voter else "held learner" if told.get("held") else "learner",
-                "leaving": told.get("leaving"), "life": told.get("life"), "leads": mine,
-                "behind": 0 if mine else max(0, self.naming.term_index[1] - peer.match),
-                "unheard": 0.0 if mine else round(now - self._spoke(ip), 1),
-                "counts": voter and (mine or peer.learning is None),
-                "stays": refusal(map, ip, views, tolerated, do) if voter else None,
-            })  # fmt: skip
+            rows.append(
+                {
+                    "ip": ip,
+                    "role": "voter" if voter else "held learner" if told.get("held") else "learner",
+                    "leaving": told.get("leaving"),
+                    "life": told.get("life"),
+                    "leads": mine,
+                    "behind": 0 if mine else max(0, self.naming.term_index[1] - peer.match),
+                    "unheard": 0.0 if mine else round(now - self._spoke(ip), 1),
+                    "counts": voter and (mine or peer.learning is None),
+                    "stays": refusal(map, ip, views, tolerated, do) if voter else None,
+                }
+            )
         return rows
 
     def _change_of_members(self) -> Work | None:
@@ -315,9 +345,10 @@
         lost = any(self._spoke(ip) <= now - MOVE_S for ip in members if ip != self.seat.me)
         goes = [ip for ip in members if map[MEMBERS + ip].get("leaving")]
         lives = {
-            ip: peer.learning[0] for ip, peer in self.peers.items()
+            ip: peer.learning[0]
+            for ip, peer in self.peers.items()
             if peer.learning and (told := entry(map, ip)) is not None and told.get("life") != peer.learning[0]
-        }  # fmt: skip
+        }
         if lives:
             return self._name(lives)
         if not (lost or goes or asked or self._learners()):
@@ -422,9 +453,10 @@
         self.handed, self.handed_at = True, self.seat.now
         fresh = self.seat.now - UNHEARD_S
         able = [
-            (peer.match, peer.round, ip) for ip in self._members()
+            (peer.match, peer.round, ip)
+            for ip in self._members()
             if ip != self.seat.me and (peer := self._peer(ip)).learning is None and peer.heard_at > fresh
-        ]  # fmt: skip
+        ]
         if able:
             successor = max(able)[2]
             self.seat.tell(events.HANDED_ON, ip=successor, term=self.term)
--- a/vise/membership.py
+++ b/ashlift/configstore/membership.py
@@ -11,7 +11,7 @@
 
 from attrs import frozen
 
-from vise.interface import Settled, Work
+from ashlift.configstore.messages import Settled, Work
 
 MEMBERS: Final = "Members/"
 LEARNERS: Final = "Learners/"
@@ -117,7 +117,7 @@
 
 
 def decide(map: Mapping[str, Any], order: Membership, views: Views, tolerated: int) -> Work | Settled:
-    """An operator's order on the leader's newest map. Answers as `vise.orders.decide` gives them."""
+    """An operator's order on the leader's newest map. Answers as `configstore.commands.decide` gives them."""
     ip, voter = order.ip, map.get(MEMBERS + order.ip)
     done = {"status": 200}
     if order.do == ADD:
@@ -160,9 +160,10 @@
     voters = named(map, MEMBERS)
     new = {LEARNERS + ip: {"life": life} for ip, life in asked.items() if entry(map, ip) is None}
     silent = [
-        LEARNERS + ip for ip in named(map, LEARNERS)
+        LEARNERS + ip
+        for ip in named(map, LEARNERS)
         if ip not in asked and not map[LEARNERS + ip].get("held") and views.get(ip, NEVER).unheard >= LOST_S
-    ]  # fmt: skip
+    ]
     if new or silent:
         return Work(new, silent, None)  # no quorum depends on learners: all at once
     for ip in leaving(map):
@@ -176,8 +177,10 @@
         ip = waiting[0]  # the others alone can commit it: it lowers nothing that may be lost
         return Work({MEMBERS + ip: {"life": views[ip].life}}, [LEARNERS + ip], None)
     after = MOVE_S if waiting else LOST_S
-    lost = sorted((ip for ip in voters if ip != me and views.get(ip, NEVER).unheard >= after),
-                  key=lambda ip: (-views.get(ip, NEVER).unheard, ip))  # fmt: skip
+    lost = sorted(
+        (ip for ip in voters if ip != me and views.get(ip, NEVER).unheard >= after),
+        key=lambda ip: (-views.get(ip, NEVER).unheard, ip),
+    )
     longer = sum(views.get(ip, NEVER).unheard >= GONE_S for ip in lost)
     if len(voters) % 2 and not waiting and longer < 2:
         return None  # nothing is gained by one of an odd number
--- a/vise/interface.py
+++ b/ashlift/configstore/messages.py
@@ -4,7 +4,7 @@
 
 from attrs import frozen
 
-from vise.ranges import RangedMap
+from ashlift.configstore.ranged_map import RangedMap
 
 TermIndex = tuple[int, int]  # which accepted map is newer
 Event = Any  # one of the events below
--- a/vise/drafts.py
+++ b/ashlift/configstore/pending_edits.py
@@ -5,18 +5,18 @@
 
 import cbor2
 
-from mitre.edits import Book, Edit, join, read_edit
-from mitre.settling import CONFLICT, SETTLED
-from vise import events
-from workbench.events import WARNING, tell
-from workbench.faults import INVALID, REFUSED, Fault
+from ashlift.route_reconciliation.edits import Book, Edit, join, read_edit
+from ashlift.route_reconciliation.merging import CONFLICT, SETTLED
+from ashlift.configstore import events
+from ashlift.events import WARNING, tell
+from ashlift.errors import INVALID, REFUSED, Fault
 
 MOST: Final = 256  # edits
 NAME: Final = "edits"
 
 
 class Records(Protocol):
-    """A shelf, as `vise.shelf` has it."""
+    """A shelf, as `ashlift.configstore.snapshot_storage` has it."""
 
     def read(self) -> dict[str, bytes] | Fault | None: ...
 
@@ -66,9 +66,11 @@
     """The shelf of what waits. `map`: index and committed map, as known here."""
 
     def __init__(
-        self, shelf: Records, map: Callable[[], tuple[int, Mapping[str, Any]]],
+        self,
+        shelf: Records,
+        map: Callable[[], tuple[int, Mapping[str, Any]]],
         tell: Callable[..., None] = tell,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._shelf, self._map, self.tell = shelf, map, tell
         found = shelf.read()
         if isinstance(found, Fault):
@@ -104,8 +106,14 @@
                     why = outcome["why"]
                     self.tell(events.EDIT_WAITS, level=WARNING, id=edit.id, route=edit.name, why=why)
                 else:
-                    self.tell(events.EDIT_SETTLED, id=edit.id, route=edit.name, outcome=outcome["outcome"],
-                         version=outcome["version"], lost_to=outcome["lost_to"])  # fmt: skip
+                    self.tell(
+                        events.EDIT_SETTLED,
+                        id=edit.id,
+                        route=edit.name,
+                        outcome=outcome["outcome"],
+                        version=outcome["version"],
+                        lost_to=outcome["lost_to"],
+                    )
         self._keep(self.waiting.without(map))
 
     def _keep(self, book: dict[str, Edit] | Fault) -> Fault | None:
--- a/vise/ranges.py
+++ b/ashlift/configstore/ranged_map.py
@@ -120,6 +120,7 @@
         """The ranges that differ from another map's digests; all, if they are no digests."""
         mine = self.digests()
         return [
-            number for number in range(RANGES)
+            number
+            for number in range(RANGES)
             if mine[number * SHORT : (number + 1) * SHORT] != digests[number * SHORT : (number + 1) * SHORT]
-        ]  # fmt: skip
+        ]
--- a/vise/agreement.py
+++ b/ashlift/configstore/replica.py
@@ -1,8 +1,8 @@
 """One member of the store: events in, effects out. Invariants and their tests: docs/design/store.md.
 
 A member is a non-voting learner (nothing of it counts), or follows, tries to be elected, or leads
-(`vise.leading`). Its durable state is `vote` and `state`; `Seat.keep` makes a change durable and only
-then goes on. While a Keep is out, events wait.
+(`configstore.leader`). Its durable state is `vote` and `state`; `Seat.keep` makes a change durable and
+only then goes on. While a Keep is out, events wait.
 """
 
 import random
@@ -11,18 +11,43 @@
 
 from attrs import define, field
 
-from vise import events
-from vise.changes import Changes
-from vise.interface import (
-    BEHIND, CALL_S, DELTA, PARTS, RANGES, ELECTION_S, FIRST_S, HANDING_S, HEARTBEAT_S, PROMOTE, MUTE_S,
-    LEARNER, OLD,
-    UNHEARD_S, YES, Answered, Called, Effect, Event, Gone, Keep, Kept, Leave, Read, State, Submit, Tick, Vote,
-)  # fmt: skip
-from vise.leading import Decide, Lead
-from vise.ranges import RangedMap
-from vise.membership import MEMBERS, displaced, life_fits, lives, quorum
-from vise.seat import Broken, Seat, unpack
-from workbench.faults import INVALID, REFUSED, UNREADY, Fault
+from ashlift.configstore import events
+from ashlift.configstore.change_log import Changes
+from ashlift.configstore.messages import (
+    BEHIND,
+    CALL_S,
+    DELTA,
+    PARTS,
+    RANGES,
+    ELECTION_S,
+    FIRST_S,
+    HANDING_S,
+    HEARTBEAT_S,
+    PROMOTE,
+    MUTE_S,
+    LEARNER,
+    OLD,
+    UNHEARD_S,
+    YES,
+    Answered,
+    Called,
+    Effect,
+    Event,
+    Gone,
+    Keep,
+    Kept,
+    Leave,
+    Read,
+    State,
+    Submit,
+    Tick,
+    Vote,
+)
+from ashlift.configstore.leader import Decide, Lead
+from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.membership import MEMBERS, displaced, life_fits, lives, quorum
+from ashlift.configstore.replica_state import Broken, Seat, unpack
+from ashlift.errors import INVALID, REFUSED, UNREADY, Fault
 
 JOIN_S = 0.5  # between two calls of one that is no voter
 LONELY_S = 3.0  # a voter that nobody leads for so long asks whether it is one still
@@ -48,9 +73,15 @@
     """`vote` and `state`: what the disk holds, None: nothing was ever there, Fault: it cannot be read."""
 
     def __init__(
-        self, me: str, seeds: list[str], bootstrap: bool, vote: Vote | Fault | None,
-        state: State | Fault | None, decide: Decide, chance: random.Random,
-    ) -> None:  # fmt: skip
+        self,
+        me: str,
+        seeds: list[str],
+        bootstrap: bool,
+        vote: Vote | Fault | None,
+        state: State | Fault | None,
+        decide: Decide,
+        chance: random.Random,
+    ) -> None:
         held_vote = vote if isinstance(vote, Vote) else Vote(0, None, False)
         held = state if isinstance(state, State) else State((0, 0), RangedMap())
         voter = held_vote.voter and isinstance(state, State)
@@ -282,8 +313,14 @@
         self.lead.begin()
 
     def _request_vote(
-        self, ref: Any, term: int, candidate: str, last_term: int, index: int, pre: bool,
-    ) -> None:  # fmt: skip
+        self,
+        ref: Any,
+        term: int,
+        candidate: str,
+        last_term: int,
+        index: int,
+        pre: bool,
+    ) -> None:
         if not self.vote.voter:
             return self.reply(ref, Fault(UNREADY, "learner"))
         fit = (last_term, index) >= self.term_index
@@ -437,9 +474,10 @@
     def _displaced(self) -> bool:
         """Whether the map that it holds is committed, and says that nothing of this disk counts."""
         return (
-            self.vote.voter and self.news.term_index == self.term_index
+            self.vote.voter
+            and self.news.term_index == self.term_index
             and displaced(self.state.entries.map, self.me, self.vote.life)
-        )  # fmt: skip
+        )
 
     def _learn(self, term: int, commit: int) -> None:
         """A leader proposes one at a time: what it proposed up to its `commit` is committed."""
@@ -456,4 +494,3 @@
             if round_ <= proved and known and echo in self._tokens:
                 self.proven(self._tokens[echo])
         self._echoes = [one for one in self._echoes if one[0] > proved]
-
--- a/vise/seat.py
+++ b/ashlift/configstore/replica_state.py
@@ -7,11 +7,11 @@
 
 import cbor2
 
-from vise.changes import Changes
-from vise.interface import Effect, Keep, Reply, Send, State, Tell, TermIndex, Vote
-from vise.membership import MEMBERS, named
-from vise.news import News
-from vise.ranges import RangedMap
+from ashlift.configstore.change_log import Changes
+from ashlift.configstore.messages import Effect, Keep, Reply, Send, State, Tell, TermIndex, Vote
+from ashlift.configstore.membership import MEMBERS, named
+from ashlift.configstore.committed_state import News
+from ashlift.configstore.ranged_map import RangedMap
 
 WRITE_MOST_S = 0.4  # a slower disk is not waited for by others
 
--- a/vise/daemon.py
+++ b/ashlift/configstore/server.py
@@ -11,24 +11,40 @@
 import gevent
 from gevent.event import AsyncResult, Event
 
-from jig.settings import Settings
-from vise import events
-from vise.agreement import Member
-from vise.interface import (
-    CALL_S, Answered, Called, Effect, Gone, Keep, Kept, Leave, Read, Reply, Send, Settled, State, Submit,
-    Tell, Tick, Vote, Work,
-)  # fmt: skip
-from vise.membership import Membership
-from vise.orders import decide, read_fence
-from vise.ranges import RangedMap
-from vise.shelf import Shelf
-from workbench.bench import Callers, serve
-from workbench.events import BROKEN, CRITICAL, ERROR, WARNING, tell
-from workbench.faults import INVALID, UNANSWERED, UNREACHED, UNREADY, Fault
-from workbench.pieces import Cutter
+from ashlift.config.settings import Settings
+from ashlift.configstore import events
+from ashlift.configstore.replica import Member
+from ashlift.configstore.messages import (
+    CALL_S,
+    Answered,
+    Called,
+    Effect,
+    Gone,
+    Keep,
+    Kept,
+    Leave,
+    Read,
+    Reply,
+    Send,
+    Settled,
+    State,
+    Submit,
+    Tell,
+    Tick,
+    Vote,
+    Work,
+)
+from ashlift.configstore.membership import Membership
+from ashlift.configstore.commands import decide, read_fence
+from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.snapshot_storage import Shelf
+from ashlift.rpc.transport import Callers, serve
+from ashlift.events import BROKEN, CRITICAL, ERROR, WARNING, tell
+from ashlift.errors import INVALID, UNANSWERED, UNREACHED, UNREADY, Fault
+from ashlift.rpc.fragmentation import Cutter
 
 if TYPE_CHECKING:
-    from vise.drafts import Drafts
+    from ashlift.configstore.pending_edits import Drafts
 
 STEP_S = 0.15  # longest sleep between two looks at the clock
 SEEK_S = 0.5  # how long an order or a read waits for a leader
@@ -99,7 +115,7 @@
 
 
 class Daemon:
-    """Serves `submit`, `read`, `watch` to pegboards, and what members ask: see `methods`."""
+    """Serves `submit`, `read`, `watch` to registries, and what members ask: see `methods`."""
 
     def __init__(self, settings: Settings, folder: str, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock, self.port = clock, settings.internal_ports[0]
@@ -211,7 +227,7 @@
         except gevent.Timeout:
             return Fault(UNANSWERED, f"{timeout:g} s")
 
-    # ---- calls of pegboards
+    # ---- calls of registries
     def submit(self, body: Any) -> Any:
         """`{kind, if_match, body, fence}` -> `{status, reason?, index}`; a Fault: no clear answer."""
         fence = read_fence(body)
@@ -243,7 +259,7 @@
 
     def _waiting(self) -> "Drafts":
         if self._drafts is None:
-            from vise.drafts import NAME, Drafts  # no route is edited on most systems
+            from ashlift.configstore.pending_edits import NAME, Drafts  # no route is edited on most systems
 
             self._drafts = Drafts(Shelf(self._folder, NAME), self._committed)
             gevent.spawn(self._merge, self._drafts)
@@ -281,7 +297,7 @@
     def watch(self, body: Any) -> Any:
         """`{have, wait, part}` -> `{index, set, gone, full, age, term, leader, round}`, once there is more
         than `have`; `round`: the newest known, with its term. Who tells a `part` can join pieces: a large one
-        comes as `workbench.pieces` tells it."""
+        comes as `ashlift.rpc.fragmentation` tells it."""
         try:
             have, wait = int(body["have"]), min(float(body["wait"]), WATCH_MOST_S)
         except (LookupError, TypeError, ValueError):
@@ -294,9 +310,10 @@
         known = age if age != float("inf") else None
         told = {"age": known, "term": self.member.vote.term, "leader": self.member.leader}
         return {
-            **watched(self._cutter, news.since(have), body, self.clock()), **told,
+            **watched(self._cutter, news.since(have), body, self.clock()),
+            **told,
             "round": [*self.member.round_known()],
-        }  # fmt: skip
+        }
 
 
 def stop_on_broken(hub: Any) -> None:
--- a/vise/shelf.py
+++ b/ashlift/configstore/snapshot_storage.py
@@ -16,7 +16,7 @@
 
 import cbor2
 
-from workbench.faults import INVALID, REFUSED, Fault
+from ashlift.errors import INVALID, REFUSED, Fault
 
 _HEAD: Final = "head"  # the record with `[number, digest]`
 _NAMES: Final = ("a", "b")
--- /dev/null
+++ b/ashlift/gatekeeper/__init__.py
@@ -0,0 +1,1 @@
+"""The gatekeeper in service: the decisions of `admission` on real sockets."""
--- a/ashlift/__main__.py
+++ b/ashlift/gatekeeper/__main__.py
@@ -11,27 +11,27 @@
 import gevent
 from gevent.event import Event
 
-from ashlift import logs
-from ashlift.clock import UnixClock
-from ashlift.config import Config, ConfigError, OwnSettingsError, load, load_anew
-from ashlift.jobs import Clock, Counter, HandsWritten
-from ashlift.metrics import Metrics
-from ashlift.net.counter import TextCounter
-from ashlift.net.front import Front
-from ashlift.net.machine_list import MachineList
-from ashlift.net.nodes import Limits, NodePool
-from ashlift.operations.door import Door
-from ashlift.operations.life import Life
-from ashlift.operations.operator import Operator
-from ashlift.operations.siblings import Marks
-from ashlift.operations.store import HandStore
-from ashlift.owner import Owner
-from mintfront.control import Gateway
-from mintfront.interface import Sharing
+from ashlift.gatekeeper import logs
+from ashlift.gatekeeper.clock import UnixClock
+from ashlift.gatekeeper.config import Config, ConfigError, OwnSettingsError, load, load_anew
+from ashlift.gatekeeper.jobs import Clock, Counter, HandsWritten
+from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.net.counter import TextCounter
+from ashlift.gatekeeper.net.front import Front
+from ashlift.gatekeeper.net.machine_list import MachineList
+from ashlift.gatekeeper.net.nodes import Limits, NodePool
+from ashlift.gatekeeper.operations.door import Door
+from ashlift.gatekeeper.operations.life import Life
+from ashlift.gatekeeper.operations.operator import Operator
+from ashlift.gatekeeper.operations.siblings import Marks
+from ashlift.gatekeeper.operations.store import HandStore
+from ashlift.gatekeeper.owner import Owner
+from ashlift.gatekeeper.admission.control import Gateway
+from ashlift.gatekeeper.admission.interface import Sharing
 
 if TYPE_CHECKING:
-    from ashlift.ratelimit.server import RateLimitFront
-    from ashlift.streams.passage import Desk
+    from ashlift.gatekeeper.ratelimit.server import RateLimitFront
+    from ashlift.gatekeeper.streams.passage import Desk
 
 log = logging.getLogger("ashlift")
 GRACE_S = 0.7  # after SIGTERM new connections and requests keep coming for about so long
@@ -50,42 +50,71 @@
         inbox = self.owner.inbox
         self.machines = MachineList(config.discovery, config.zones, inbox, self.metrics)
         self.desk = self._new_desk()
-        self.nodes = NodePool(self.machines, Limits(config.dial_ms, config.idle_ms, config.node_links),
-                              self.clock, inbox, self.metrics, self.desk, config.spill_bytes)  # fmt: skip
+        self.nodes = NodePool(
+            self.machines,
+            Limits(config.dial_ms, config.idle_ms, config.node_links),
+            self.clock,
+            inbox,
+            self.metrics,
+            self.desk,
+            config.spill_bytes,
+        )
         self.counter: TextCounter | None = None
         self.ratelimit: RateLimitFront | None = None
         port: Counter | None = None
         serving, asking = config.own.ratelimit.server, config.own.ratelimit.client
         if serving.listen or asking.address:  # loaded only when on: gRPC takes 20 MB and threads of its own
-            from ashlift.ratelimit.bridge import Bridge
+            from ashlift.gatekeeper.ratelimit.bridge import Bridge
 
             bridge = Bridge()
         if serving.listen:
-            from ashlift.ratelimit import server
+            from ashlift.gatekeeper.ratelimit import server
 
-            self.ratelimit = server.RateLimitFront(serving.domain, config.names, bridge, self.clock, inbox,
-                                                   self.metrics)  # fmt: skip
+            self.ratelimit = server.RateLimitFront(
+                serving.domain, config.names, bridge, self.clock, inbox, self.metrics
+            )
         if asking.address and config.settings.counter:
-            from ashlift.ratelimit.client import GrpcCounter
-
-            port = GrpcCounter(asking.address, asking.domain, config.settings.counter_timeout_ms,
-                               bridge, self.clock, inbox, self.metrics)  # fmt: skip
+            from ashlift.gatekeeper.ratelimit.client import GrpcCounter
+
+            port = GrpcCounter(
+                asking.address,
+                asking.domain,
+                config.settings.counter_timeout_ms,
+                bridge,
+                self.clock,
+                inbox,
+                self.metrics,
+            )
         elif config.counter is not None:
-            port = self.counter = TextCounter(config.counter, config.settings.counter_timeout_ms,
-                                              self.clock, inbox, self.metrics)  # fmt: skip
+            port = self.counter = TextCounter(
+                config.counter, config.settings.counter_timeout_ms, self.clock, inbox, self.metrics
+            )
         self.life = Life()
-        self.front = Front(config.names, config.client_links, config.idle_links,
-                           lambda: self.life.up(self.machines.listed()), self.clock, inbox, self.metrics,
-                           self.desk)  # fmt: skip
+        self.front = Front(
+            config.names,
+            config.client_links,
+            config.idle_links,
+            lambda: self.life.up(self.machines.listed()),
+            self.clock,
+            inbox,
+            self.metrics,
+            self.desk,
+        )
         # The operators' door, where the configuration names one; what is out by hand passes through TMPDIR.
         self.door = Door(inbox, self.metrics) if config.mgmt is not None else None
         folder = Path(tempfile.gettempdir())
         self.hands = HandStore(folder / f"ashlift-{config.name}.handouts.json", config.name)
         # Where the socket is inherited a successor may run beside this process: they split the ceilings.
         self.marks = Marks(folder, config.name) if config.inherited_fd is not None else None
-        self.operator = Operator(config.name, classes, self.life, self.machines,
-                                 self.hands if self.door is not None else None, self.front.standby,
-                                 lambda: dict(self.metrics.counts))  # fmt: skip
+        self.operator = Operator(
+            config.name,
+            classes,
+            self.life,
+            self.machines,
+            self.hands if self.door is not None else None,
+            self.front.standby,
+            lambda: dict(self.metrics.counts),
+        )
         self.owner.connect(self.nodes, port, self.operator)
         self._running: list[gevent.Greenlet[..., None]] = []
         self.ratelimit_port = 0
@@ -98,12 +127,17 @@
         streaming = self.config.own.streaming
         if not streaming.enabled:
             return None
-        from ashlift.streams.passage import Desk
+        from ashlift.gatekeeper.streams.passage import Desk
 
         desk = Desk(streaming, self.config.names.classes)
         for name in desk.unknown:
-            logs.tell(log, logging.WARNING, "streaming.class_unknown", name=name,
-                      what="not among the platform's classes: nothing of it is streamed")  # fmt: skip
+            logs.tell(
+                log,
+                logging.WARNING,
+                "streaming.class_unknown",
+                name=name,
+                what="not among the platform's classes: nothing of it is streamed",
+            )
         return desk
 
     def start(self) -> tuple[str, int]:
@@ -201,7 +235,7 @@
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        from ashlift.cli import ashlift  # click: loaded where there is a command line to read
+        from ashlift.gatekeeper.cli import ashlift  # click: loaded where there is a command line to read
 
         ashlift(prog_name="ashlift")
     sys.exit(main())
--- a/mintfront/__init__.py
+++ b/ashlift/gatekeeper/admission/__init__.py
@@ -1,13 +1,13 @@
 """mintfront: decisions of gateways that hold customers to their quotas before a shared back end.
 
-Whoever needs only the windows (`mintfront.window`) does not load the gateway with them.
+Whoever needs only the windows (`ashlift.gatekeeper.admission.window`) does not load the gateway with them.
 """
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from mintfront.control import Gateway
+    from ashlift.gatekeeper.admission.control import Gateway
 
 __all__ = ["Bucket", "Gateway"]
 
@@ -24,7 +24,7 @@
 
 def __getattr__(name: str) -> Any:
     if name == "Gateway":
-        from mintfront.control import Gateway
+        from ashlift.gatekeeper.admission.control import Gateway
 
         return Gateway
     raise AttributeError(name)
--- a/mintfront/control.py
+++ b/ashlift/gatekeeper/admission/control.py
@@ -9,15 +9,15 @@
 
 import math
 
-from mintfront.counter import CALLS_GROUP, CALLS_MOST, CALLS_SAVED, PACK, STEP_MS, Counter
-from mintfront.interface import (
-    Action, Admit, Cancel, ClientLeft, Counted, Effect, Event, Fail, Outcome, Probed, Refuse, Request, Result,
-    Send, ServerList, Settings, SetTimer, Sharing, StreamStarted, Subscribe, Timer,
-)  # fmt: skip
-from mintfront.overload import PRESSED
-from mintfront.quota import HARD_FACTOR, HEARD_KEPT
-from mintfront.servers import HANG_PASSED, LIST_PAUSE_MS, Servers
-from mintfront.state import Attempt, Customer, Live, ServerView
+from ashlift.gatekeeper.admission.counter import CALLS_GROUP, CALLS_MOST, CALLS_SAVED, PACK, STEP_MS, Counter
+from ashlift.gatekeeper.admission.interface import Action, Admit, Cancel, ClientLeft, Counted, Effect, Event
+from ashlift.gatekeeper.admission.interface import Fail, Outcome, Probed, Refuse, Request, Result, Send
+from ashlift.gatekeeper.admission.interface import ServerList, Settings, SetTimer, Sharing, StreamStarted
+from ashlift.gatekeeper.admission.interface import Subscribe, Timer
+from ashlift.gatekeeper.admission.overload import PRESSED
+from ashlift.gatekeeper.admission.quota import HARD_FACTOR, HEARD_KEPT
+from ashlift.gatekeeper.admission.servers import HANG_PASSED, LIST_PAUSE_MS, Servers
+from ashlift.gatekeeper.admission.state import Attempt, Customer, Live, ServerView
 
 BLIND_WINDOWS = 0.5  # windows after which a request waits for the count that it has just caused
 IDLE_MS = 30_000.0  # ms without a request until a customer is forgotten: its window and ceiling are full
--- a/mintfront/counter.py
+++ b/ashlift/gatekeeper/admission/counter.py
@@ -2,10 +2,10 @@
 
 import math
 
-from mintfront import window
-from mintfront.interface import Counted, Result
-from mintfront.quota import Quota
-from mintfront.state import Customer
+from ashlift.gatekeeper.admission import window
+from ashlift.gatekeeper.admission.interface import Counted, Result
+from ashlift.gatekeeper.admission.quota import Quota
+from ashlift.gatekeeper.admission.state import Customer
 
 NEAR = 0.3  # x soft limit: from this use on a customer's counts can soon change a decision
 NEAR_MS = 200.0  # ms between a near customer's counter calls: few requests pass unseen meanwhile
--- a/mintfront/interface.py
+++ b/ashlift/gatekeeper/admission/interface.py
@@ -218,8 +218,18 @@
     parts: int
 
 
-Event = (ServerList | Request | Outcome | StreamStarted | ClientLeft | Timer | Probed | Counted | PeerNote
-         | Sharing)  # fmt: skip
+Event = (
+    ServerList
+    | Request
+    | Outcome
+    | StreamStarted
+    | ClientLeft
+    | Timer
+    | Probed
+    | Counted
+    | PeerNote
+    | Sharing
+)
 
 
 # ---- actions
--- a/mintfront/overload.py
+++ b/ashlift/gatekeeper/admission/overload.py
@@ -2,8 +2,8 @@
 
 import math
 
-from mintfront.interface import Plan, Request
-from mintfront.state import Desk
+from ashlift.gatekeeper.admission.interface import Plan, Request
+from ashlift.gatekeeper.admission.state import Desk
 
 PRESSED = 0.4  # mean latency over aim: above this, many of the answers come too late
 START_EACH = 4.0  # attempts a server, all gateways together, at the start: more is found out step by step
--- a/mintfront/quota.py
+++ b/ashlift/gatekeeper/admission/quota.py
@@ -2,8 +2,8 @@
 
 import math
 
-from mintfront import window
-from mintfront.state import Customer, Desk, Live, Tally
+from ashlift.gatekeeper.admission import window
+from ashlift.gatekeeper.admission.state import Customer, Desk, Live, Tally
 
 HARD_FACTOR = 3.0  # x soft limit: up to it a spike goes on at the quota's rate by chance, beyond it in bursts
 FADE_WINDOWS = 2.0  # windows after which a reading says nothing: most customers are calm most of the time
@@ -93,4 +93,3 @@
         if now - customer.open_read_at > OPEN_STALE_MS or not self.settings.counter:
             return not most or customer.open + 1 <= max(1.0, most * customer.share / self.parts)
         return not most or customer.open + customer.open_far < most
-
--- a/mintfront/servers.py
+++ b/ashlift/gatekeeper/admission/servers.py
@@ -3,11 +3,10 @@
 import math
 import zlib
 
-from mintfront.interface import (
-    Effect, KeyScope, Outcome, Probe, Probed, Result, Server, ServerList, ServerState,
-)  # fmt: skip
-from mintfront.overload import Overload
-from mintfront.state import Attempt, Live, ServerView
+from ashlift.gatekeeper.admission.interface import Effect, KeyScope, Outcome, Probe, Probed, Result, Server
+from ashlift.gatekeeper.admission.interface import ServerList, ServerState
+from ashlift.gatekeeper.admission.overload import Overload
+from ashlift.gatekeeper.admission.state import Attempt, Live, ServerView
 
 SUBSET = 8  # servers that a gateway with little traffic goes by: often enough seen to be judged
 COVER = 12  # gateways that go by one server: their uneven traffic evens out over so many
--- a/mintfront/state.py
+++ b/ashlift/gatekeeper/admission/state.py
@@ -7,8 +7,17 @@
 import zlib
 from dataclasses import dataclass, field
 
-from mintfront import Bucket
-from mintfront.interface import Action, Count, Plan, Request, Server, SetTimer, Settings, StreamStarted
+from ashlift.gatekeeper.admission import Bucket
+from ashlift.gatekeeper.admission.interface import (
+    Action,
+    Count,
+    Plan,
+    Request,
+    Server,
+    SetTimer,
+    Settings,
+    StreamStarted,
+)
 
 
 @dataclass(slots=True, eq=False)
@@ -46,8 +55,9 @@
 class Customer:
     """What this gateway knows of one customer: its window, its counts on the way, its ceiling store."""
 
-    def __init__(self, name: str, plan: Plan, set_size: int, now: float, booted: float,
-                 quantum: float) -> None:  # fmt: skip
+    def __init__(
+        self, name: str, plan: Plan, set_size: int, now: float, booted: float, quantum: float
+    ) -> None:
         self.name, self.plan, self.share, self.seen = name, plan, 1.0 / set_size, now
         self.window = 1000.0 * plan.burst / plan.rate if plan.rate > 0 else 1000.0
         self.buckets: dict[int, Bucket] = {}  # by number since the clock's start
@@ -234,8 +244,9 @@
         self.timers[token] = live.ask.request
         self.actions.append(SetTimer(token, after))
 
-    def _count(self, customer: Customer, kind: str, epoch: int, parts: tuple[int, int], amount: int,
-               life: float) -> None:  # fmt: skip
+    def _count(
+        self, customer: Customer, kind: str, epoch: int, parts: tuple[int, int], amount: int, life: float
+    ) -> None:
         """Call the counter under the name of this kind and epoch; `parts` wait for the answer."""
         name = zlib.crc32(f"{kind}{epoch}".encode(), customer.phase) << 20 | customer.phase & 0xFFFFF
         customer.calling = (name, *parts)
--- a/mintfront/window.py
+++ b/ashlift/gatekeeper/admission/window.py
@@ -1,9 +1,9 @@
 """The limiter's arithmetic: counts in short buckets, and the three regimes over their sums. Times are ms.
 
-Pure: the gateway of the present platform and the system's limiter (`gauge.limits`) both stand on it.
+Pure: the gateway of the present platform and the system's limiter (`traffic.rate_limiter`) both stand on it.
 """
 
-from mintfront import Bucket
+from ashlift.gatekeeper.admission import Bucket
 
 BUCKET_MS = 125.0  # ms, width of a window's buckets: eight in the last second
 
@@ -34,8 +34,9 @@
     bucket.accepted += accepted
 
 
-def spread(buckets: dict[int, Bucket], since: float, now: float, window: float,
-           total: float, accepted: float) -> None:  # fmt: skip
+def spread(
+    buckets: dict[int, Bucket], since: float, now: float, window: float, total: float, accepted: float
+) -> None:
     """Lay what is told of the others evenly over the time it comes from, at most the window."""
     first, last = int(since // BUCKET_MS), int(now // BUCKET_MS)
     for at in range(max(first, last - int(window / BUCKET_MS)), last + 1):
--- a/mintfront/wirehost.py
+++ b/ashlift/gatekeeper/admission/wirehost.py
@@ -1,7 +1,7 @@
 """Adapter: the operators' JSON wire on standard input and output, one Gateway for each instance.
 
-It translates and nothing more. `python -m mintfront.wirehost` exits with 0 at the end of input, and with
-1 and one line on standard error when a line cannot be read or the settings cannot be right.
+It translates and nothing more. `python -m ashlift.gatekeeper.admission.wirehost` exits with 0 at the end of
+input, and with 1 and one line on standard error when a line cannot be read or the settings cannot be right.
 """
 
 import json
@@ -10,16 +10,22 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from mintfront import interface as i
-from mintfront.control import Gateway
+from ashlift.gatekeeper.admission import interface as i
+from ashlift.gatekeeper.admission.control import Gateway
 
 EFFECTS = {"pure": i.Effect.PURE, "token": i.Effect.KEYED, "side_effect": i.Effect.UNSAFE}
 SCOPES = {"all": i.KeyScope.ALL, "zone": i.KeyScope.ZONE, "cell": i.KeyScope.CELL}
 STATES = {"ready": i.ServerState.READY, "draining": i.ServerState.DRAINING, "gone": i.ServerState.GONE}
 RESULTS = {
-    200: i.Result.OK, 502: i.Result.ERROR, 429: i.Result.FULL, 408: i.Result.TIMEOUT,
-    521: i.Result.CONNECT_FAILED, 520: i.Result.RESET, 444: i.Result.CANCELLED, 409: i.Result.MOOT,
-}  # fmt: skip
+    200: i.Result.OK,
+    502: i.Result.ERROR,
+    429: i.Result.FULL,
+    408: i.Result.TIMEOUT,
+    521: i.Result.CONNECT_FAILED,
+    520: i.Result.RESET,
+    444: i.Result.CANCELLED,
+    409: i.Result.MOOT,
+}
 
 Json = dict[str, Any]
 
@@ -143,28 +149,40 @@
 
 def _server(row: Json) -> i.Server:
     return i.Server(
-        name=row["Server"], state=STATES[row["StageState"]], cell=row.get("Cell", 0),
-        zone=row.get("Campus", 0), size=float(row.get("Nominal", 1)),
+        name=row["Server"],
+        state=STATES[row["StageState"]],
+        cell=row.get("Cell", 0),
+        zone=row.get("Campus", 0),
+        size=float(row.get("Nominal", 1)),
         ready_at_ms=float(row.get("ReadyAtMs", 0.0)),
-    )  # fmt: skip
+    )
 
 
 def _request(body: Json) -> i.Event:
     return i.Request(
-        request=body["RequestId"], request_class=body.get("TierClass", 0), plan=body.get("Contract", 0),
-        customer=body.get("Customer", ""), patience_ms=float(body["PatienceLeftMs"]),
-        units=float(body.get("SizeUnits", 1)), set_size=max(1, int(body.get("SetSize", 1))),
+        request=body["RequestId"],
+        request_class=body.get("TierClass", 0),
+        plan=body.get("Contract", 0),
+        customer=body.get("Customer", ""),
+        patience_ms=float(body["PatienceLeftMs"]),
+        units=float(body.get("SizeUnits", 1)),
+        set_size=max(1, int(body.get("SetSize", 1))),
         retry=bool(body.get("Retry", False)),
-    )  # fmt: skip
+    )
 
 
 def _outcome(body: Json) -> i.Event:
     return i.Outcome(
-        request=body["RequestId"], attempt=body.get("N", 0), server=body["Server"], result=_result(body),
-        waited_ms=float(body.get("WaitTimeMs", 0.0)), final=bool(body.get("Final", False)),
+        request=body["RequestId"],
+        attempt=body.get("N", 0),
+        server=body["Server"],
+        result=_result(body),
+        waited_ms=float(body.get("WaitTimeMs", 0.0)),
+        final=bool(body.get("Final", False)),
         use_percent=float(body["QuotaUse"] - 1) if body.get("QuotaUse") else None,
-        units=float(body["FinalUnits"]) if body.get("FinalUnits") else None, load=_load(body),
-    )  # fmt: skip
+        units=float(body["FinalUnits"]) if body.get("FinalUnits") else None,
+        load=_load(body),
+    )
 
 
 READERS: dict[str, Callable[[Json], i.Event]] = {
--- a/ashlift/cli.py
+++ b/ashlift/gatekeeper/cli.py
@@ -8,11 +8,11 @@
 import click
 
 from ashlift import __version__
-from ashlift.settings.model import OwnSettings
-from ashlift.settings.reader import SettingsError, Spot
-from ashlift.settings.schema import Loaded, Slot, load, nearest, show, slots, walk
+from ashlift.gatekeeper.settings.model import OwnSettings
+from ashlift.gatekeeper.settings.reader import SettingsError, Spot
+from ashlift.gatekeeper.settings.schema import Loaded, Slot, load, nearest, show, slots, walk
 
-SHIPPED = Path(__file__).parent.parent / "deploy" / "ashlift.sexp"
+SHIPPED = Path(__file__).parents[2] / "deploy" / "ashlift.sexp"
 FILE = click.Path(dir_okay=False, path_type=Path)
 
 
@@ -26,14 +26,19 @@
 
 
 @ashlift.command()
-@click.option("--settings", type=FILE, envvar="GW_SETTINGS", show_envvar=True,
-              help="Our own settings; the checkout's deploy/ashlift.sexp if none is named.")  # fmt: skip
+@click.option(
+    "--settings",
+    type=FILE,
+    envvar="GW_SETTINGS",
+    show_envvar=True,
+    help="Our own settings; the checkout's deploy/ashlift.sexp if none is named.",
+)
 def serve(settings: Path | None) -> None:
     """Run one gatekeeper until SIGTERM.
 
     GW_CONFIG names the platform's JSON file; GW_NAME, GW_LISTEN and GW_DISCOVERY go before what it says.
     """
-    from ashlift.__main__ import main  # the daemon's parts: no other command needs them
+    from ashlift.gatekeeper.__main__ import main  # the daemon's parts: no other command needs them
 
     path = settings or (SHIPPED if SHIPPED.exists() else None)
     if path is not None:
@@ -101,16 +106,23 @@
             click.echo(f"  {name:22} {inner.about.text}")
         return
     click.echo(f"  type     {_type(slot)}")
-    bounds = [f"at {word} {show(slot, limit)}" for word, limit in
-              (("least", slot.about.least), ("most", slot.about.most)) if limit is not None]  # fmt: skip
+    bounds = [
+        f"at {word} {show(slot, limit)}"
+        for word, limit in (("least", slot.about.least), ("most", slot.about.most))
+        if limit is not None
+    ]
     if bounds:
         click.echo(f"  bounds   {', '.join(bounds)}")
     click.echo(f"  default  {show(slot, slot.default)}")
 
 
 def _type(slot: Slot) -> str:
-    unit = {"bytes": "bytes, as in 256KiB", "rate": "bytes a second, as in 8KiB/s",
-            "time": "a time, as in 250ms or 2s", "address": "host:port"}.get(slot.about.unit)  # fmt: skip
+    unit = {
+        "bytes": "bytes, as in 256KiB",
+        "rate": "bytes a second, as in 8KiB/s",
+        "time": "a time, as in 250ms or 2s",
+        "address": "host:port",
+    }.get(slot.about.unit)
     if unit:
         return unit
     names = {bool: "true or false", int: "a whole number", float: "a number", str: "text"}
@@ -124,7 +136,7 @@
 
 
 def _moments(text: str, parts: int) -> tuple[tuple[Any, ...], ...]:
-    """"1@2.5" or "1@1-3", comma-separated: a gatekeeper's number, then seconds."""
+    """ "1@2.5" or "1@1-3", comma-separated: a gatekeeper's number, then seconds."""
     found: list[tuple[Any, ...]] = []
     for item in filter(None, text.split(",")):
         try:
@@ -144,8 +156,13 @@
 @click.option("--nodes", type=click.IntRange(1, 60), default=4, show_default=True)
 @click.option("--seconds", type=click.FloatRange(0.5, 120), default=5.0, show_default=True)
 @click.option("--seed", type=int, default=None, help="The scenario's own, or 1.")
-@click.option("--work-ms", type=click.FloatRange(0, 10_000), default=2.0, show_default=True,
-              help="A node's time for a job.")  # fmt: skip
+@click.option(
+    "--work-ms",
+    type=click.FloatRange(0, 10_000),
+    default=2.0,
+    show_default=True,
+    help="A node's time for a job.",
+)
 @click.option("--kill", default="", help="Gatekeepers killed: G@S, comma-separated, as 1@2.5.")
 @click.option("--cut-counter", default="", help="Gatekeepers cut from the counter: G@FROM-TO, as 2@1-3.")
 @click.option("--restart", default="", help="Gatekeepers started anew where they are gone: G@S, as 1@4.")
@@ -153,38 +170,65 @@
 @click.option("--history", type=FILE, default=Path("lab-history.jsonl"), show_default=True)
 @click.option("--results", type=FILE, default=Path("lab-results.sqlite"), show_default=True)
 @click.option("--report", "report_to", type=FILE, default=None, help="Write the run's HTML report here.")
-@click.option("--allowed", type=click.FloatRange(min=0), default=None,
-              help="Units beyond a firm's bucket the checker lets pass; the scenario's, or twice the burst.")
-def lab_run(scenario: Path | None, gatekeepers: int, nodes: int, seconds: float, seed: int | None,
-            work_ms: float, kill: str, cut_counter: str, restart: str, pause: str, history: Path,
-            results: Path, report_to: Path | None, allowed: float | None) -> None:  # fmt: skip
+@click.option(
+    "--allowed",
+    type=click.FloatRange(min=0),
+    default=None,
+    help="Units beyond a firm's bucket the checker lets pass; the scenario's, or twice the burst.",
+)
+def lab_run(
+    scenario: Path | None,
+    gatekeepers: int,
+    nodes: int,
+    seconds: float,
+    seed: int | None,
+    work_ms: float,
+    kill: str,
+    cut_counter: str,
+    restart: str,
+    pause: str,
+    history: Path,
+    results: Path,
+    report_to: Path | None,
+    allowed: float | None,
+) -> None:
     """Run real gatekeeper processes before our stand-ins, with faults, check the history they made and
-    keep it in the results. A SCENARIO file (S-expressions: ashlift_lab/scenario.py) takes the options'
+    keep it in the results. A SCENARIO file (S-expressions: ashlift/lab/scenario.py) takes the options'
     place."""
     import dataclasses
     import time as clock
 
-    from ashlift_lab.checker import check
-    from ashlift_lab.history import read
-    from ashlift_lab.run import LabError, Run, commit
-    from ashlift_lab.scenario import Scenario, ScenarioError, load
+    from ashlift.lab.checker import check
+    from ashlift.lab.history import read
+    from ashlift.lab.run import LabError, Run, commit
+    from ashlift.lab.scenario import Scenario, ScenarioError, load
 
     try:
         if scenario is not None:
             text = scenario.read_text(encoding="utf-8")
             plan = load(text, str(scenario))
         else:
-            plan = Scenario(gatekeepers, nodes, seconds, work_ms=work_ms, kills=_moments(kill, 1),
-                            restarts=_moments(restart, 1), pauses=_moments(pause, 2),
-                            counter_cuts=_moments(cut_counter, 2))  # fmt: skip
+            plan = Scenario(
+                gatekeepers,
+                nodes,
+                seconds,
+                work_ms=work_ms,
+                kills=_moments(kill, 1),
+                restarts=_moments(restart, 1),
+                pauses=_moments(pause, 2),
+                counter_cuts=_moments(cut_counter, 2),
+            )
             text = repr(plan)
         if seed is not None:
             plan = dataclasses.replace(plan, seed=seed)
         began = clock.strftime("%Y-%m-%dT%H:%M:%S")
         with open(history, "w", encoding="utf-8") as out:
             run = Run(plan, out, progress=_progress(plan.seconds))
-            click.echo(f"lab: {plan.name}, {plan.gatekeepers} gatekeepers, {plan.nodes} nodes, "
-                       f"{plan.seconds:g} s, seed {plan.seed}; logs in {run.folder}", err=True)  # fmt: skip
+            click.echo(
+                f"lab: {plan.name}, {plan.gatekeepers} gatekeepers, {plan.nodes} nodes, "
+                f"{plan.seconds:g} s, seed {plan.seed}; logs in {run.folder}",
+                err=True,
+            )
             run.play()
         click.echo("", err=True)
     except (LabError, ScenarioError) as error:
@@ -196,8 +240,16 @@
     for verdict in verdicts:
         click.echo(verdict.line())
     store = _results(results)
-    number = store.store(recorded, verdicts, name=plan.name, began=began, git=commit(), seed=plan.seed,
-                         scenario=text, allows=plan.firms * plan.quota)  # fmt: skip
+    number = store.store(
+        recorded,
+        verdicts,
+        name=plan.name,
+        began=began,
+        git=commit(),
+        seed=plan.seed,
+        scenario=text,
+        allows=plan.firms * plan.quota,
+    )
     click.echo(f"history: {history}; run {number} in {results}")
     if report_to is not None:
         _write_report(store, number, report_to)
@@ -211,8 +263,8 @@
 @click.option("--report", type=FILE, default=None, help="Write the run's HTML report here.")
 @click.option("--keep", is_flag=True, help="Leave the folder of settings, disks and logs.")
 def lab_system(scene: Path, seed: int | None, results: Path, report: Path | None, keep: bool) -> None:
-    """Play a SCENE of the whole system (dovetail/scene.py) as real processes on loopback."""
-    from ashlift_lab.system import cli  # the system's libraries are loaded by the lab alone
+    """Play a SCENE of the whole system (ashlift/simulation/scene.py) as real processes on loopback."""
+    from ashlift.lab.system import cli  # the system's libraries are loaded by the lab alone
 
     sys.exit(cli.system(scene, seed, results, report, keep))
 
@@ -225,7 +277,7 @@
 @click.option("--shrink", is_flag=True, help="Shorten and print what fails.")
 def lab_sim(scene: Path, seeds: int, first: int | None, results: Path | None, shrink: bool) -> None:
     """Play a SCENE of the whole system on simulated time, with many seeds."""
-    from ashlift_lab.system import cli
+    from ashlift.lab.system import cli
 
     sys.exit(cli.sim(scene, seeds, first, results, shrink))
 
@@ -238,13 +290,13 @@
 
 
 def _results(path: Path) -> Any:
-    from ashlift_lab.results import Results  # hdrhistogram is loaded by the lab alone
+    from ashlift.lab.results import Results  # hdrhistogram is loaded by the lab alone
 
     return Results(path)
 
 
 def _write_report(store: Any, number: int, path: Path) -> None:
-    from ashlift_lab.report import page
+    from ashlift.lab.report import page
 
     path.write_text(page(store, number), encoding="utf-8")
     click.echo(f"report: {path.resolve()}")
@@ -260,7 +312,7 @@
 
 
 def _summary(store: Any, number: int) -> Any:
-    from ashlift_lab.results import ResultsError
+    from ashlift.lab.results import ResultsError
 
     try:
         return store.summary(number)
@@ -276,9 +328,11 @@
     for number in store.ids():
         one = store.summary(number)
         share = one.admitted / one.asked if one.asked else 0.0
-        click.echo(f"{one.id:4}  {one.name:20} {one.began}  {one.git:10} seed {one.seed:<6} "
-                   f"{one.asked:6} jobs {share:6.1%} admitted  p99 {one.percentile_ms(99):8.1f} ms  "
-                   f"{'ok' if one.ok else 'BREACH'}")  # fmt: skip
+        click.echo(
+            f"{one.id:4}  {one.name:20} {one.began}  {one.git:10} seed {one.seed:<6} "
+            f"{one.asked:6} jobs {share:6.1%} admitted  p99 {one.percentile_ms(99):8.1f} ms  "
+            f"{'ok' if one.ok else 'BREACH'}"
+        )
 
 
 @lab_group.command("show")
@@ -309,7 +363,7 @@
 def lab_compare(first: str, second: str, results: Path) -> None:
     """Kept runs side by side, with B over A. A and B are each a run, or several as 3-7: then least, median
     and most are told, and whether the two spreads meet."""
-    from ashlift_lab.compare import lines
+    from ashlift.lab.compare import lines
 
     store = _kept(results)
     groups = [[_summary(store, number) for number in _numbers(text)] for text in (first, second)]
@@ -337,12 +391,17 @@
 
 @lab_group.command("check")
 @click.argument("history", type=FILE)
-@click.option("--allowed", type=click.FloatRange(min=0), default=0.0, show_default=True,
-              help="Units a firm may be served beyond its token bucket: the stated bound for the faults.")
+@click.option(
+    "--allowed",
+    type=click.FloatRange(min=0),
+    default=0.0,
+    show_default=True,
+    help="Units a firm may be served beyond its token bucket: the stated bound for the faults.",
+)
 def lab_check(history: Path, allowed: float) -> None:
     """Check a recorded HISTORY (JSON lines): one verdict line an invariant; exits with 1 on any breach."""
-    from ashlift_lab.checker import check  # the lab is never loaded by the daemon or the other commands
-    from ashlift_lab.history import HistoryError, read
+    from ashlift.lab.checker import check  # the lab is never loaded by the daemon or the other commands
+    from ashlift.lab.history import HistoryError, read
 
     try:
         with open(history, encoding="utf-8") as file:
--- a/ashlift/config.py
+++ b/ashlift/gatekeeper/config.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 from typing import Any
 
-from ashlift.net.machine_list import parse_address
-from ashlift.settings.model import OwnSettings
-from mintfront.interface import Settings
-from mintfront.wirehost import WireError, number, read_settings, rows, table
+from ashlift.gatekeeper.net.machine_list import parse_address
+from ashlift.gatekeeper.settings.model import OwnSettings
+from ashlift.gatekeeper.admission.interface import Settings
+from ashlift.gatekeeper.admission.wirehost import WireError, number, read_settings, rows, table
 
 RESERVE = 40  # descriptors kept for the list, the counter, the gRPC front, files and the runtime
 IDLE_SHARE = 0.125  # of all descriptors: client connections on which nothing is open
@@ -96,13 +96,15 @@
     """Our own settings: of the file that GW_SETTINGS names. With none named all is off, and nothing that
     reads such files is loaded: the platform's memory is short."""
     if env.get("GW_RATELIMIT"):
-        raise ConfigError("GW_RATELIMIT is not read any more: write (ratelimit ...) into the file that "
-                          "GW_SETTINGS names; deploy/ashlift.sexp shows the form")  # fmt: skip
+        raise ConfigError(
+            "GW_RATELIMIT is not read any more: write (ratelimit ...) into the file that "
+            "GW_SETTINGS names; deploy/ashlift.sexp shows the form"
+        )
     path = env.get("GW_SETTINGS")
     if not path:
         return OwnSettings()
-    from ashlift.settings.reader import SettingsError
-    from ashlift.settings.schema import load as load_file
+    from ashlift.gatekeeper.settings.reader import SettingsError
+    from ashlift.gatekeeper.settings.schema import load as load_file
 
     try:
         return load_file(Path(path)).settings
@@ -169,8 +171,11 @@
         seed=seed,
         settings=settings,
         names=Names(
-            _names(rows(facts, "Categories"), "Categories"), _names(rows(facts, "Plans"), "Plans"),
-            settings.max_units, settings.group_size, tuple(one.give_up_ms for one in settings.classes),
+            _names(rows(facts, "Categories"), "Categories"),
+            _names(rows(facts, "Plans"), "Plans"),
+            settings.max_units,
+            settings.group_size,
+            tuple(one.give_up_ms for one in settings.classes),
         ),
         zones=tuple(str(zone) for zone in facts.get("Zones") or ()),
         idle_ms=number(site, "Limits.", "IdleCloseMs", 1.0) if "IdleCloseMs" in site else 15_000.0,
@@ -183,4 +188,4 @@
         inherited_fd=inherited,
         spill_bytes=spill,
         mgmt=_address("GW_MGMT", mgmt) if (mgmt := env.get("GW_MGMT") or found.get("mgmt")) else None,
-    )  # fmt: skip
+    )
--- a/ashlift/jobs.py
+++ b/ashlift/gatekeeper/jobs.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from mintfront.interface import Counted, Result, ServerList, Sharing, Timer
+from ashlift.gatekeeper.admission.interface import Counted, Result, ServerList, Sharing, Timer
 
 
 class Verdict(Enum):
@@ -28,7 +28,6 @@
     cause: Any = None  # why the last claim failed, in the words of the adapters
 
 
-
 @dataclass(slots=True, eq=False)
 class Job:
     """One request for the core, whichever front or record it came from.
@@ -121,8 +120,20 @@
     out: dict[str, float]
 
 
-Message = (Job | Left | ClaimEnded | BodyBegun | Headed | Delivered | Command | HandsWritten | Counted
-           | ServerList | Timer | Sharing)  # fmt: skip
+Message = (
+    Job
+    | Left
+    | ClaimEnded
+    | BodyBegun
+    | Headed
+    | Delivered
+    | Command
+    | HandsWritten
+    | Counted
+    | ServerList
+    | Timer
+    | Sharing
+)
 
 
 class Inbox(Protocol):
--- a/ashlift/logs.py
+++ b/ashlift/gatekeeper/logs.py
@@ -4,7 +4,7 @@
 import sys
 from typing import Any
 
-from ashlift.settings.model import Logging
+from ashlift.gatekeeper.settings.model import Logging
 
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
@@ -49,14 +49,19 @@
             found.update(args[0].fields)
         return found
 
-    renderer: Any = structlog.processors.JSONRenderer() if as_json else structlog.processors.KeyValueRenderer(
-        key_order=["timestamp", "level", "logger", "event"]
-    )  # fmt: skip
+    renderer: Any = (
+        structlog.processors.JSONRenderer()
+        if as_json
+        else structlog.processors.KeyValueRenderer(key_order=["timestamp", "level", "logger", "event"])
+    )
     return structlog.stdlib.ProcessorFormatter(
         pass_foreign_args=True,
         foreign_pre_chain=[
-            structlog.stdlib.add_log_level, structlog.stdlib.add_logger_name, unpack,
-            structlog.processors.TimeStamper(fmt="iso", utc=True), structlog.processors.format_exc_info,
+            structlog.stdlib.add_log_level,
+            structlog.stdlib.add_logger_name,
+            unpack,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.format_exc_info,
         ],
         processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, renderer],
-    )  # fmt: skip
+    )
--- a/ashlift/net/counter.py
+++ b/ashlift/gatekeeper/net/counter.py
@@ -10,10 +10,10 @@
 from gevent import socket
 from gevent.event import Event
 
-from ashlift.calls import SILENT_MS, Call, Calls, Patience
-from ashlift.jobs import Clock, Inbox
-from ashlift.metrics import Metrics
-from mintfront.interface import Result
+from ashlift.gatekeeper.calls import SILENT_MS, Call, Calls, Patience
+from ashlift.gatekeeper.jobs import Clock, Inbox
+from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.admission.interface import Result
 
 log = logging.getLogger("ashlift.counter")
 CONNECT_S = 0.25
@@ -31,8 +31,9 @@
 class TextCounter:
     """Calls are queued, written together, and ended by their answer or their own timer."""
 
-    def __init__(self, address: tuple[str, int], timeout_ms: float, clock: Clock, inbox: Inbox,
-                 metrics: Metrics) -> None:  # fmt: skip
+    def __init__(
+        self, address: tuple[str, int], timeout_ms: float, clock: Clock, inbox: Inbox, metrics: Metrics
+    ) -> None:
         self._address, self._clock, self._metrics = address, clock, metrics
         self._calls = Calls(timeout_ms, clock, inbox, metrics)
         self._unsent: deque[_Call] = deque()
--- a/ashlift/net/front/__init__.py
+++ b/ashlift/gatekeeper/net/front/__init__.py
@@ -5,6 +5,6 @@
 on it, `listener` knows them all.
 """
 
-from ashlift.net.front.listener import Front
+from ashlift.gatekeeper.net.front.listener import Front
 
 __all__ = ["Front"]
--- a/ashlift/net/front/answers.py
+++ b/ashlift/gatekeeper/net/front/answers.py
@@ -2,8 +2,8 @@
 
 from http import HTTPStatus
 
-from ashlift.jobs import Answer, Verdict
-from ashlift.net.front.asked import BadRequestError
+from ashlift.gatekeeper.jobs import Answer, Verdict
+from ashlift.gatekeeper.net.front.asked import BadRequestError
 
 REASON = {Verdict.REFUSED: HTTPStatus.TOO_MANY_REQUESTS, Verdict.FAILED: HTTPStatus.BAD_GATEWAY}
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
--- a/ashlift/net/front/asked.py
+++ b/ashlift/gatekeeper/net/front/asked.py
@@ -5,13 +5,13 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from ashlift.config import Names, customer_name
-from ashlift.jobs import Answer, Job
-from ashlift.net.nodes import Cargo
+from ashlift.gatekeeper.config import Names, customer_name
+from ashlift.gatekeeper.jobs import Answer, Job
+from ashlift.gatekeeper.net.nodes import Cargo
 
 if TYPE_CHECKING:
-    from ashlift.streams.heads import Body
-    from ashlift.streams.passage import Passage, Terms
+    from ashlift.gatekeeper.streams.heads import Body
+    from ashlift.gatekeeper.streams.passage import Passage, Terms
 
 # Headers that mean something here: repeated, nobody can tell which one holds.
 ONCE = {b"x-qos", b"api-plan", b"api-customer", b"api-terms", b"x-trace-id", b"x-expires-in", b"x-second-try"}
@@ -79,5 +79,16 @@
         patience = min(patience, passage.terms.set.head)
     body = b"".join(asked.body) if passage is None else b""
     cargo = Cargo(asked.method, asked.target, trace, body, passage)
-    return Job(kind, plan, customer, patience, asked.came_ms, reply, cargo, units, spread,
-               retry=headers.get(b"x-second-try") == b"1", streamed=passage is not None)  # fmt: skip
+    return Job(
+        kind,
+        plan,
+        customer,
+        patience,
+        asked.came_ms,
+        reply,
+        cargo,
+        units,
+        spread,
+        retry=headers.get(b"x-second-try") == b"1",
+        streamed=passage is not None,
+    )
--- a/ashlift/net/front/connection.py
+++ b/ashlift/gatekeeper/net/front/connection.py
@@ -13,14 +13,14 @@
 from gevent.event import Event
 from gevent.queue import SimpleQueue
 
-from ashlift.config import Names
-from ashlift.jobs import Answer, Clock, Delivered, Inbox, Job, Left, Verdict
-from ashlift.metrics import Metrics
-from ashlift.net.front.answers import CONTINUE, render
-from ashlift.net.front.asked import Asked, BadRequestError, job_of
-from ashlift.net.front.reader import RequestReader
-from ashlift.net.links import quiet
-from ashlift.operations.figures import answered
+from ashlift.gatekeeper.config import Names
+from ashlift.gatekeeper.jobs import Answer, Clock, Delivered, Inbox, Job, Left, Verdict
+from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.net.front.answers import CONTINUE, render
+from ashlift.gatekeeper.net.front.asked import Asked, BadRequestError, job_of
+from ashlift.gatekeeper.net.front.reader import RequestReader
+from ashlift.gatekeeper.net.links import quiet
+from ashlift.gatekeeper.operations.figures import answered
 
 WAITING_MOST = 4  # requests read ahead on one connection: clients send one at a time
 SILENT_S = 2.2  # a connection on which nothing was ever asked ends then: its sender is owed a word within 3 s
@@ -282,8 +282,8 @@
 
     def _pass(self, asked: Asked, opening: Any, keep: bool) -> bool:
         """Write an answer that was too long to hold as it comes (`net/spill.py`); whether to go on."""
-        from ashlift.net.front.streaming import flow
-        from ashlift.streams.heads import Framing
+        from ashlift.gatekeeper.net.front.streaming import flow
+        from ashlift.gatekeeper.streams.heads import Framing
 
         # To a client of HTTP/1.0 a chunked body ends with the connection.
         keep = keep and not (asked.minor == 0 and opening.head.body.framing is Framing.CHUNKED)
--- a/ashlift/net/front/listener.py
+++ b/ashlift/gatekeeper/net/front/listener.py
@@ -8,13 +8,13 @@
 from gevent import socket
 from gevent.event import Event
 
-from ashlift.config import Names
-from ashlift.jobs import Clock, Inbox
-from ashlift.metrics import Metrics
-from ashlift.net.front.connection import Connection
+from ashlift.gatekeeper.config import Names
+from ashlift.gatekeeper.jobs import Clock, Inbox
+from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.net.front.connection import Connection
 
 if TYPE_CHECKING:
-    from ashlift.streams.passage import Desk
+    from ashlift.gatekeeper.streams.passage import Desk
 
 FULL_S = 0.02  # when all places are taken by jobs, one is looked for so often
 BACKLOG = 1024
@@ -38,8 +38,17 @@
 class Front:
     """Listens, and knows every open client connection. `desk` is None where nothing is streamed."""
 
-    def __init__(self, names: Names, most: int, idle_most: int, ready: Callable[[], bool], clock: Clock,
-                 inbox: Inbox, metrics: Metrics, desk: "Desk | None" = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        names: Names,
+        most: int,
+        idle_most: int,
+        ready: Callable[[], bool],
+        clock: Clock,
+        inbox: Inbox,
+        metrics: Metrics,
+        desk: "Desk | None" = None,
+    ) -> None:
         self.names, self.ready, self.clock, self.inbox, self.metrics = names, ready, clock, inbox, metrics
         self.closing = False
         self.traces: set[bytes] = set()  # of open jobs
@@ -49,7 +58,7 @@
         self._connections: set[Connection] = set()
         self._new: Callable[[socket.socket], Connection] = lambda sock: Connection(self, sock)
         if desk is not None:  # loaded only where the settings turn it on
-            from ashlift.net.front.streaming import StreamConnection
+            from ashlift.gatekeeper.net.front.streaming import StreamConnection
 
             here = desk
             self._new = lambda sock: StreamConnection(self, sock, here)
--- a/ashlift/net/front/reader.py
+++ b/ashlift/gatekeeper/net/front/reader.py
@@ -6,10 +6,10 @@
 
 import httptools
 
-from ashlift.net.front.asked import ONCE, Asked, BadRequestError
+from ashlift.gatekeeper.net.front.asked import ONCE, Asked, BadRequestError
 
 if TYPE_CHECKING:
-    from ashlift.streams.passage import Terms
+    from ashlift.gatekeeper.streams.passage import Terms
 
 HEAD_MOST = 16 * 1024  # bytes of request line and headers
 BODY_MOST = 64 * 1024  # of a body that is not streamed
@@ -22,8 +22,12 @@
     `terms` tells of a target whether its class streams; None where nothing does.
     """
 
-    def __init__(self, began: Callable[[], None], arrived: Callable[[Asked], None],
-                 terms: "Callable[[bytes], Terms | None] | None") -> None:  # fmt: skip
+    def __init__(
+        self,
+        began: Callable[[], None],
+        arrived: Callable[[Asked], None],
+        terms: "Callable[[bytes], Terms | None] | None",
+    ) -> None:
         self._began, self._arrived, self._terms = began, arrived, terms
         self.asked: Asked | None = None  # being read
         self._fed = 0  # bytes since the last request's end
@@ -91,7 +95,7 @@
             self._streamed(asked, terms)
 
     def _streamed(self, asked: Asked, terms: "Terms") -> None:
-        from ashlift.streams.heads import Body, Framing, FramingError, body_of
+        from ashlift.gatekeeper.streams.heads import Body, Framing, FramingError, body_of
 
         try:
             asked.framing = body_of([*asked.headers.items()]) or Body(Framing.NONE)
--- a/ashlift/net/front/streaming.py
+++ b/ashlift/gatekeeper/net/front/streaming.py
@@ -13,22 +13,22 @@
 
 from gevent import socket
 
-from ashlift import logs
-from ashlift.jobs import Delivered, Left, Verdict
-from ashlift.net.front.answers import CONTINUE
-from ashlift.net.front.asked import Asked, BadRequestError
-from ashlift.net.front.connection import Connection, Owner
-from ashlift.net.front.reader import RequestReader
-from ashlift.net.links import hung_up
-from ashlift.streams.faults import BrokenOffError, Fault
-from ashlift.streams.heads import Framing, passing
-from ashlift.streams.pace import Lag, Pace
-from ashlift.streams.passage import Desk, Opening, Terms
-from ashlift.streams.pipe import EndedError
-from ashlift.streams.pump import LagError, Sink, Source
+from ashlift.gatekeeper import logs
+from ashlift.gatekeeper.jobs import Delivered, Left, Verdict
+from ashlift.gatekeeper.net.front.answers import CONTINUE
+from ashlift.gatekeeper.net.front.asked import Asked, BadRequestError
+from ashlift.gatekeeper.net.front.connection import Connection, Owner
+from ashlift.gatekeeper.net.front.reader import RequestReader
+from ashlift.gatekeeper.net.links import hung_up
+from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
+from ashlift.gatekeeper.streams.heads import Framing, passing
+from ashlift.gatekeeper.streams.pace import Lag, Pace
+from ashlift.gatekeeper.streams.passage import Desk, Opening, Terms
+from ashlift.gatekeeper.streams.pipe import EndedError
+from ashlift.gatekeeper.streams.pump import LagError, Sink, Source
 
 if TYPE_CHECKING:
-    from ashlift.streams.passage import Passage
+    from ashlift.gatekeeper.streams.passage import Passage
 
 log = logging.getLogger("ashlift.streams")
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: what is closed then is reset
@@ -243,9 +243,13 @@
         why = fault.label if fault is not None else "-"
         self._front.metrics.add(f"streams.failed.{why}" if how == "failed" else f"streams.{how}")
         logs.tell(
-            log, logging.INFO, "stream.ended", trace=asked.headers.get(b"x-trace-id", b"").decode("latin-1"),
-            how=how, reason=why,
+            log,
+            logging.INFO,
+            "stream.ended",
+            trace=asked.headers.get(b"x-trace-id", b"").decode("latin-1"),
+            how=how,
+            reason=why,
             up=passage.upload.got_bytes if passage.upload is not None else 0,
             down=passage.answer.got_bytes if passage.answer is not None else 0,
             ms=round(self._front.clock.now() - self._began),
-        )  # fmt: skip
+        )
--- a/ashlift/net/machine_list.py
+++ b/ashlift/gatekeeper/net/machine_list.py
@@ -11,10 +11,10 @@
 from gevent import socket
 from gevent.event import Event
 
-from ashlift.jobs import Inbox
-from ashlift.metrics import Metrics
-from ashlift.operations.handouts import HandOuts
-from mintfront.interface import Server, ServerList, ServerState
+from ashlift.gatekeeper.jobs import Inbox
+from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.operations.handouts import HandOuts
+from ashlift.gatekeeper.admission.interface import Server, ServerList, ServerState
 
 log = logging.getLogger("ashlift.machine_list")
 SILENT_S = 5.0  # without even an empty line, which come every 2 s: the watch is dead though nobody said so
@@ -44,8 +44,9 @@
 class MachineList:
     """Keeps the list for the node adapter and tells the owner of changes."""
 
-    def __init__(self, discovery: tuple[str, int], zones: tuple[str, ...], inbox: Inbox,
-                 metrics: Metrics) -> None:  # fmt: skip
+    def __init__(
+        self, discovery: tuple[str, int], zones: tuple[str, ...], inbox: Inbox, metrics: Metrics
+    ) -> None:
         self._discovery, self._zones, self._inbox, self._metrics = discovery, zones, inbox, metrics
         self._index = 0
         self._watching: gevent.Greenlet[..., None] | None = None
@@ -117,8 +118,13 @@
         address = ("", 0) if state is ServerState.GONE else parse_address(row["hostPort"])
         # Size is left at 1: the settings say that weights tell nothing. `startedAtMs` is Unix time, and so
         # is the module's clock.
-        server = Server(row["instanceId"], state, int(row.get("cell") or 0), zone,
-                        ready_at_ms=float(row.get("startedAtMs") or 0.0))  # fmt: skip
+        server = Server(
+            row["instanceId"],
+            state,
+            int(row.get("cell") or 0),
+            zone,
+            ready_at_ms=float(row.get("startedAtMs") or 0.0),
+        )
         return Machine(address, server)
 
     def move(self, discovery: tuple[str, int]) -> None:
--- a/ashlift/net/nodes.py
+++ b/ashlift/gatekeeper/net/nodes.py
@@ -8,16 +8,16 @@
 import gevent
 from gevent import socket
 
-from ashlift.jobs import ClaimEnded, Clock, Inbox, Job
-from ashlift.metrics import Metrics
-from ashlift.net.links import quiet
-from ashlift.net.machine_list import MachineList
-from ashlift.net.replies import Reply, SpoiltAnswerError
-from ashlift.operations.figures import RELAYED
-from mintfront.interface import Result
+from ashlift.gatekeeper.jobs import ClaimEnded, Clock, Inbox, Job
+from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.net.links import quiet
+from ashlift.gatekeeper.net.machine_list import MachineList
+from ashlift.gatekeeper.net.replies import Reply, SpoiltAnswerError
+from ashlift.gatekeeper.operations.figures import RELAYED
+from ashlift.gatekeeper.admission.interface import Result
 
 if TYPE_CHECKING:
-    from ashlift.streams.passage import Desk, Passage
+    from ashlift.gatekeeper.streams.passage import Desk, Passage
 
 IDLE_EACH = 64  # idle connections kept to one node
 SWEEP_S = 1.0
@@ -77,8 +77,16 @@
 class NodePool:
     """Starts claims, each in a greenlet of its own, and owns every connection to a node."""
 
-    def __init__(self, machines: MachineList, limits: Limits, clock: Clock, inbox: Inbox, metrics: Metrics,
-                 desk: "Desk | None" = None, spill_bytes: int = 8 << 20) -> None:  # fmt: skip
+    def __init__(
+        self,
+        machines: MachineList,
+        limits: Limits,
+        clock: Clock,
+        inbox: Inbox,
+        metrics: Metrics,
+        desk: "Desk | None" = None,
+        spill_bytes: int = 8 << 20,
+    ) -> None:
         self._machines, self._limits, self._clock = machines, limits, clock
         self._inbox, self._metrics = inbox, metrics
         self._idle: dict[End, deque[Link]] = {}
@@ -89,12 +97,13 @@
 
     def _spill_desk(self) -> "Desk":
         if self.desk is None:
-            from ashlift.streams.passage import Desk
-            from ashlift.settings.model import Streaming
+            from ashlift.gatekeeper.streams.passage import Desk
+            from ashlift.gatekeeper.settings.model import Streaming
 
             most = self._spill_bytes
-            self.desk = Desk(Streaming(enabled=True, buffer_bytes=most,
-                                       stream_buffer_bytes=min(256 << 10, most // 8)), {})  # fmt: skip
+            self.desk = Desk(
+                Streaming(enabled=True, buffer_bytes=most, stream_buffer_bytes=min(256 << 10, most // 8)), {}
+            )
         return self.desk
 
     def start(self, job: Job, attempt: int, server: str, timeout_ms: float) -> None:
@@ -155,7 +164,7 @@
                 return Result.MOOT, b""
             left = claim.timeout_ms - (self._clock.now() - began)
             if claim.job.cargo.passage is not None:
-                from ashlift.net.stream_claim import StreamClaim  # loaded where there are streams
+                from ashlift.gatekeeper.net.stream_claim import StreamClaim  # loaded where there are streams
 
                 streaming = StreamClaim(claim, link.sock, timer, self._clock, self._inbox, self._metrics)
                 result, keep = streaming.run(machine.address, left)
@@ -179,9 +188,15 @@
         cargo: Cargo = claim.job.cargo
         length = b"Content-Length: %d\r\n" % len(cargo.body) if cargo.body or cargo.method != b"GET" else b""
         return b"%b %b HTTP/1.1\r\nHost: %b:%d\r\nX-Trace-Id: %b\r\nX-Expires-In: %.3f\r\n%b\r\n%b" % (
-            cargo.method, cargo.target, address[0].encode(), address[1], cargo.trace,
-            max(0.001, left_ms / 1000), length, cargo.body,
-        )  # fmt: skip
+            cargo.method,
+            cargo.target,
+            address[0].encode(),
+            address[1],
+            cargo.trace,
+            max(0.001, left_ms / 1000),
+            length,
+            cargo.body,
+        )
 
     def _read(self, claim: Claim, sock: socket.socket, timer: gevent.Timeout) -> tuple[Result, bytes, bool]:
         """Result, body, and whether the connection may be used again. An answer too long to hold passes on
@@ -195,7 +210,7 @@
                 return Result.RESET, b"", False
             reply.feed(data)
             if reply.long:
-                from ashlift.net.spill import pass_on  # loaded with the first answer that needs it
+                from ashlift.gatekeeper.net.spill import pass_on  # loaded with the first answer that needs it
 
                 # Guards against a node that looks slow for the length of its answer: what counts is its head.
                 claim.waited_ms = self._clock.now() - claim.began
--- a/ashlift/net/replies.py
+++ b/ashlift/gatekeeper/net/replies.py
@@ -37,8 +37,12 @@
     @property
     def long(self) -> bool:
         """A node's 200 that is too long to hold: its body passes on as it comes."""
-        return self.headed and not self.done and self.code == 200 and (
-            self.size > SPILL or (self.length is not None and self.length > SPILL))  # fmt: skip
+        return (
+            self.headed
+            and not self.done
+            and self.code == 200
+            and (self.size > SPILL or (self.length is not None and self.length > SPILL))
+        )
 
     @property
     def to_close(self) -> bool:
--- a/ashlift/net/spill.py
+++ b/ashlift/gatekeeper/net/spill.py
@@ -8,18 +8,18 @@
 
 import contextlib
 
-from ashlift.jobs import Headed, Inbox
-from ashlift.metrics import Metrics
-from ashlift.net.nodes import Claim
-from ashlift.net.replies import Reply, SpoiltAnswerError
-from ashlift.settings.model import StreamClass
-from ashlift.streams.faults import BrokenOffError, Fault
-from ashlift.streams.heads import ANSWER_HEADERS, REQUEST_HEADERS, Body, Framing, Head, passing
-from ashlift.streams.pace import Lag, Pace
-from ashlift.streams.passage import Desk, Opening, Terms
-from ashlift.streams.pipe import EndedError, Pipe
-from ashlift.streams.pump import LagError, Source
-from mintfront.interface import Result
+from ashlift.gatekeeper.jobs import Headed, Inbox
+from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.net.nodes import Claim
+from ashlift.gatekeeper.net.replies import Reply, SpoiltAnswerError
+from ashlift.gatekeeper.settings.model import StreamClass
+from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
+from ashlift.gatekeeper.streams.heads import ANSWER_HEADERS, REQUEST_HEADERS, Body, Framing, Head, passing
+from ashlift.gatekeeper.streams.pace import Lag, Pace
+from ashlift.gatekeeper.streams.passage import Desk, Opening, Terms
+from ashlift.gatekeeper.streams.pipe import EndedError, Pipe
+from ashlift.gatekeeper.streams.pump import LagError, Source
+from ashlift.gatekeeper.admission.interface import Result
 
 # A node that is slow but gives is not cut off: it may stall for longer than a client waits for a first byte.
 TERMS = Terms(StreamClass(stall=4_000.0), REQUEST_HEADERS, ANSWER_HEADERS)
@@ -27,8 +27,9 @@
 LAG = {Lag.STALLED: Fault.NODE_STALLED, Lag.SLOW: Fault.NODE_SLOW}
 
 
-def pass_on(claim: Claim, sock: object, reply: Reply, timer: object, desk: Desk, inbox: Inbox,
-            metrics: Metrics) -> tuple[Result, bool]:  # fmt: skip
+def pass_on(
+    claim: Claim, sock: object, reply: Reply, timer: object, desk: Desk, inbox: Inbox, metrics: Metrics
+) -> tuple[Result, bool]:
     """Pass the rest of a long answer on; the claim's result, and whether its connection may be used again.
 
     `reply` holds the head and what came of the body so far; `timer` is the claim's, which ends here: the
--- a/ashlift/net/stream_claim.py
+++ b/ashlift/gatekeeper/net/stream_claim.py
@@ -11,20 +11,28 @@
 import gevent
 import httptools
 
-from ashlift.jobs import BodyBegun, Clock, Headed, Inbox
-from ashlift.metrics import Metrics
-from ashlift.net.nodes import Cargo, Claim
-from ashlift.net.replies import HEAD_MOST, SpoiltAnswerError
-from ashlift.operations.figures import RELAYED
-from ashlift.streams.faults import BrokenOffError, Fault
-from ashlift.streams.heads import (
-    Body, Framing, FramingError, Head, Headers, answer_body, framing_line, lines, passing,
-)  # fmt: skip
-from ashlift.streams.pace import Lag, Pace
-from ashlift.streams.passage import Opening, Passage
-from ashlift.streams.pipe import EndedError, Pipe
-from ashlift.streams.pump import LagError, Sink, Source
-from mintfront.interface import Result
+from ashlift.gatekeeper.jobs import BodyBegun, Clock, Headed, Inbox
+from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.net.nodes import Cargo, Claim
+from ashlift.gatekeeper.net.replies import HEAD_MOST, SpoiltAnswerError
+from ashlift.gatekeeper.operations.figures import RELAYED
+from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
+from ashlift.gatekeeper.streams.heads import (
+    Body,
+    Framing,
+    FramingError,
+    Head,
+    Headers,
+    answer_body,
+    framing_line,
+    lines,
+    passing,
+)
+from ashlift.gatekeeper.streams.pace import Lag, Pace
+from ashlift.gatekeeper.streams.passage import Opening, Passage
+from ashlift.gatekeeper.streams.pipe import EndedError, Pipe
+from ashlift.gatekeeper.streams.pump import LagError, Sink, Source
+from ashlift.gatekeeper.admission.interface import Result
 
 LAG = {Lag.STALLED: Fault.NODE_STALLED, Lag.SLOW: Fault.NODE_SLOW}
 CHUNK_COST = 16  # bytes of framing for each byte of a body, beyond HEAD_MOST: tiny chunks, no more
@@ -106,8 +114,9 @@
 class StreamClaim:
     """One attempt to pass a job's bodies on. `timer` is the claim's, for all until its answer's head."""
 
-    def __init__(self, claim: Claim, sock: Any, timer: Any, clock: Clock, inbox: Inbox,
-                 metrics: Metrics) -> None:  # fmt: skip
+    def __init__(
+        self, claim: Claim, sock: Any, timer: Any, clock: Clock, inbox: Inbox, metrics: Metrics
+    ) -> None:
         self._claim, self._sock, self._timer, self._clock = claim, sock, timer, clock
         self._inbox, self._metrics = inbox, metrics
         self._cargo: Cargo = claim.job.cargo
@@ -150,9 +159,14 @@
         if not framing and cargo.method not in (b"GET", b"HEAD"):
             framing = b"Content-Length: 0\r\n"
         return b"%b %b HTTP/1.1\r\nHost: %b\r\nX-Trace-Id: %b\r\nX-Expires-In: %.3f\r\n%b%b\r\n" % (
-            cargo.method, cargo.target, host, cargo.trace, max(0.001, left_ms / 1000),
-            lines(passage.headers), framing,
-        )  # fmt: skip
+            cargo.method,
+            cargo.target,
+            host,
+            cargo.trace,
+            max(0.001, left_ms / 1000),
+            lines(passage.headers),
+            framing,
+        )
 
     # ---- the request's body
 
@@ -219,8 +233,12 @@
         if early:
             passage.stop_upload(Fault.EARLY_ANSWER)
         announced = next((v for n, v in reply.headers if n == b"content-length"), None)
-        head = Head(reply.status, passing(reply.headers, passage.terms.answer_headers), body,
-                    announced if self._cargo.method == b"HEAD" else None)  # fmt: skip
+        head = Head(
+            reply.status,
+            passing(reply.headers, passage.terms.answer_headers),
+            body,
+            announced if self._cargo.method == b"HEAD" else None,
+        )
         answer = passage.begin_answer()
         opening = Opening(head, passage)
         self._inbox.put(Headed(claim.job.number, claim.attempt, opening))
--- a/ashlift/operations/calls.py
+++ b/ashlift/gatekeeper/operations/calls.py
@@ -52,7 +52,7 @@
     for prefix, kind in WORKERS.items():
         if path.startswith(prefix):
             try:
-                worker = unquote(path[len(prefix):], errors="strict")  # fmt: skip
+                worker = unquote(path[len(prefix) :], errors="strict")
             except UnicodeDecodeError:
                 raise CallError(HTTPStatus.BAD_REQUEST, "a worker's id that is no UTF-8") from None
             if not worker or "/" in worker or len(worker) > WORKER_MOST or not worker.isprintable():
--- a/ashlift/operations/door.py
+++ b/ashlift/gatekeeper/operations/door.py
@@ -15,10 +15,10 @@
 from gevent import socket
 from gevent.event import AsyncResult
 
-from ashlift.jobs import Command, Inbox
-from ashlift.metrics import Metrics
-from ashlift.operations.calls import Call, CallError, route
-from ashlift.operations.operator import JSON, Said
+from ashlift.gatekeeper.jobs import Command, Inbox
+from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.operations.calls import Call, CallError, route
+from ashlift.gatekeeper.operations.operator import JSON, Said
 
 READ_S = 0.5  # from the accept to the end of a call
 OWNER_S = 0.3  # for the owner's word
@@ -114,7 +114,12 @@
         """Write the answer and close; the rest of what was sent is not read."""
         allow = b"" if not said.allow else b"Allow: %b\r\n" % ", ".join(said.allow).encode()
         head = b"HTTP/1.1 %d %b\r\nContent-Type: %b\r\nContent-Length: %d\r\n%bConnection: close\r\n\r\n" % (
-            said.status, said.status.phrase.encode(), said.kind.encode(), len(said.body), allow)  # fmt: skip
+            said.status,
+            said.status.phrase.encode(),
+            said.kind.encode(),
+            len(said.body),
+            allow,
+        )
         with contextlib.suppress(OSError, gevent.Timeout), gevent.Timeout(WRITE_S):
             sock.sendall(head + said.body)
             sock.shutdown(socket.SHUT_WR)
@@ -154,4 +159,3 @@
         self.head += more
         if self.head > HEAD_MOST:
             raise CallError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the call's head is too long")
-
--- a/ashlift/operations/figures.py
+++ b/ashlift/gatekeeper/operations/figures.py
@@ -6,11 +6,15 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from ashlift.jobs import Verdict
+from ashlift.gatekeeper.jobs import Verdict
 
 # The word of each final answer, by class: served, refused and failed.
-WORDS = {Verdict.SERVED: "fulfilled", Verdict.PASSED: "fulfilled", Verdict.REFUSED: "throttled",
-         Verdict.FAILED: "faulted"}  # fmt: skip
+WORDS = {
+    Verdict.SERVED: "fulfilled",
+    Verdict.PASSED: "fulfilled",
+    Verdict.REFUSED: "throttled",
+    Verdict.FAILED: "faulted",
+}
 RELAYED = "svc.relayed"  # claims whose request was written whole to an execute node
 UNSAFE = str.maketrans({":": "_", "|": "_", "\n": "_", "\r": "_", " ": "_", "@": "_", "#": "_"})
 
@@ -31,10 +35,18 @@
 
 def lines(counts: Mapping[str, int], classes: Iterable[str], gauges: Gauges) -> bytes:
     """Every count of every class, 0 where nothing happened yet, then the gauges; one statsd line each."""
-    names = [answered(verdict, kind) for kind in classes for verdict in (Verdict.SERVED, Verdict.REFUSED,
-                                                                         Verdict.FAILED)]  # fmt: skip
+    names = [
+        answered(verdict, kind)
+        for kind in classes
+        for verdict in (Verdict.SERVED, Verdict.REFUSED, Verdict.FAILED)
+    ]
     out = [f"{name}:{counts.get(name, 0)}|c" for name in [*names, RELAYED]]
-    out += [f"svc.{name}:{value}|g" for name, value in
-            (("open_requests", gauges.open_requests), ("registry_entries", gauges.registry_entries),
-             ("out_of_rotation", gauges.out_of_rotation))]  # fmt: skip
+    out += [
+        f"svc.{name}:{value}|g"
+        for name, value in (
+            ("open_requests", gauges.open_requests),
+            ("registry_entries", gauges.registry_entries),
+            ("out_of_rotation", gauges.out_of_rotation),
+        )
+    ]
     return "".join(line + "\n" for line in out).encode()
--- a/ashlift/operations/handouts.py
+++ b/ashlift/gatekeeper/operations/handouts.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from mintfront.interface import Server, ServerState
+from ashlift.gatekeeper.admission.interface import Server, ServerState
 
 FORMAT = 1  # of the file; one of another format is not read
 
@@ -70,8 +70,9 @@
 
 def encode(gatekeeper: str, out: dict[str, float], now: float) -> bytes:
     """The file's bytes."""
-    return json.dumps({"format": FORMAT, "gatekeeper": gatekeeper, "written_ms": now, "out_by_hand": out},
-                      sort_keys=True).encode()  # fmt: skip
+    return json.dumps(
+        {"format": FORMAT, "gatekeeper": gatekeeper, "written_ms": now, "out_by_hand": out}, sort_keys=True
+    ).encode()
 
 
 def decode(data: bytes, gatekeeper: str) -> dict[str, float]:
--- a/ashlift/operations/operator.py
+++ b/ashlift/gatekeeper/operations/operator.py
@@ -10,10 +10,10 @@
 from http import HTTPStatus
 from typing import Any, Protocol
 
-from ashlift.operations.calls import Call, Kind
-from ashlift.operations.figures import Gauges, lines
-from ashlift.operations.life import Life, PhaseError
-from mintfront.interface import Server
+from ashlift.gatekeeper.operations.calls import Call, Kind
+from ashlift.gatekeeper.operations.figures import Gauges, lines
+from ashlift.gatekeeper.operations.life import Life, PhaseError
+from ashlift.gatekeeper.admission.interface import Server
 
 JSON = "application/json"
 TEXT = "text/plain; charset=utf-8"
@@ -53,8 +53,16 @@
 class Operator:
     """Answers the door's calls. `drain(True)` turns the front to a drain, `drain(False)` back."""
 
-    def __init__(self, name: str, classes: Iterable[str], life: Life, rotation: Rotation, store: Store | None,
-                 drain: Callable[[bool], None], counts: Callable[[], dict[str, int]]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        name: str,
+        classes: Iterable[str],
+        life: Life,
+        rotation: Rotation,
+        store: Store | None,
+        drain: Callable[[bool], None],
+        counts: Callable[[], dict[str, int]],
+    ) -> None:
         self._name, self._classes, self.life, self._rotation = name, tuple(classes), life, rotation
         self._store, self._drain, self._counts = store, drain, counts
 
@@ -95,10 +103,14 @@
         return self._said(HTTPStatus.OK, phase=self.life.phase.value)
 
     def _status(self, gauges: Gauges) -> dict[str, Any]:
-        return {"gatekeeper": self._name, "phase": self.life.phase.value,
-                "out_by_hand": sorted(self._rotation.out_by_hand()), "open_requests": gauges.open_requests,
-                "registry_entries": gauges.registry_entries,
-                "out_of_rotation": gauges.out_of_rotation}  # fmt: skip
+        return {
+            "gatekeeper": self._name,
+            "phase": self.life.phase.value,
+            "out_by_hand": sorted(self._rotation.out_by_hand()),
+            "open_requests": gauges.open_requests,
+            "registry_entries": gauges.registry_entries,
+            "out_of_rotation": gauges.out_of_rotation,
+        }
 
     @staticmethod
     def _said(status: HTTPStatus, **fields: Any) -> Said:
--- a/ashlift/operations/store.py
+++ b/ashlift/gatekeeper/operations/store.py
@@ -13,8 +13,8 @@
 
 import gevent
 
-from ashlift import logs
-from ashlift.operations.handouts import StateError, decode, encode
+from ashlift.gatekeeper import logs
+from ashlift.gatekeeper.operations.handouts import StateError, decode, encode
 
 log = logging.getLogger("ashlift.operations")
 POLL_S = 0.2  # between looks at the file: the other process's changes hold here within so long
--- a/ashlift/owner.py
+++ b/ashlift/gatekeeper/owner.py
@@ -5,17 +5,29 @@
 
 from gevent.queue import SimpleQueue
 
-from ashlift.jobs import (
-    Answer, BodyBegun, ClaimEnded, Clock, Command, Counter, Delivered, HandsWritten, Headed, Job, Left,
-    Message, Nodes, Verdict,
-)  # fmt: skip
-from ashlift.metrics import Metrics
-from ashlift.operations.figures import Gauges, answered
-from mintfront import interface as i
-from mintfront.control import Gateway
+from ashlift.gatekeeper.jobs import (
+    Answer,
+    BodyBegun,
+    ClaimEnded,
+    Clock,
+    Command,
+    Counter,
+    Delivered,
+    HandsWritten,
+    Headed,
+    Job,
+    Left,
+    Message,
+    Nodes,
+    Verdict,
+)
+from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.operations.figures import Gauges, answered
+from ashlift.gatekeeper.admission import interface as i
+from ashlift.gatekeeper.admission.control import Gateway
 
 if TYPE_CHECKING:
-    from ashlift.operations.operator import Operator
+    from ashlift.gatekeeper.operations.operator import Operator
 
 log = logging.getLogger("ashlift.owner")
 
@@ -23,8 +35,9 @@
 class Owner:
     """Feeds the Gateway in order and does what it says. Nothing else touches the Gateway."""
 
-    def __init__(self, gateway: Gateway, clock: Clock, metrics: Metrics,
-                 classes: tuple[str, ...] = ()) -> None:  # fmt: skip
+    def __init__(
+        self, gateway: Gateway, clock: Clock, metrics: Metrics, classes: tuple[str, ...] = ()
+    ) -> None:
         self._gateway, self._clock, self._metrics = gateway, clock, metrics
         self._classes = classes or tuple(str(kind) for kind in range(len(gateway.settings.classes)))
         self._operator: Operator | None = None
@@ -35,8 +48,9 @@
         self._nodes: Nodes | None = None
         self._counter: Counter | None = None
 
-    def connect(self, nodes: Nodes | None, counter: Counter | None,
-                operator: "Operator | None" = None) -> None:  # fmt: skip
+    def connect(
+        self, nodes: Nodes | None, counter: Counter | None, operator: "Operator | None" = None
+    ) -> None:
         """Name the ports; they in turn were given the inbox. `operator` answers the door's calls."""
         self._nodes, self._counter, self._operator = nodes, counter, operator
 
@@ -123,10 +137,17 @@
         # The client counts from when it sent: what the job lay unread is off its patience.
         left = max(0.0, job.patience_ms - (self._clock.now() - job.came_ms))
         return i.Request(
-            job.number, job.kind, job.plan, job.customer, left, job.units, job.set_size, job.retry,
+            job.number,
+            job.kind,
+            job.plan,
+            job.customer,
+            left,
+            job.units,
+            job.set_size,
+            job.retry,
             admit_only=job.cargo is None,
             streamed=job.streamed,
-        )  # fmt: skip
+        )
 
     def _outcome(self, ended: ClaimEnded) -> i.Outcome:
         served, job = ended.result is i.Result.OK, self._jobs.get(ended.number)
--- a/ashlift/ratelimit/client.py
+++ b/ashlift/gatekeeper/ratelimit/client.py
@@ -9,12 +9,12 @@
 from envoy.service.ratelimit.v3 import rls_pb2, rls_pb2_grpc
 from envoy.type.v3 import ratelimit_unit_pb2
 
-from ashlift.calls import Call, Calls, Patience
-from ashlift.jobs import Clock, Inbox
-from ashlift.metrics import Metrics
-from ashlift.ratelimit.bridge import Bridge
-from ashlift.ratelimit.messages import set_hits
-from mintfront.interface import Result
+from ashlift.gatekeeper.calls import Call, Calls, Patience
+from ashlift.gatekeeper.jobs import Clock, Inbox
+from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.ratelimit.bridge import Bridge
+from ashlift.gatekeeper.ratelimit.messages import set_hits
+from ashlift.gatekeeper.admission.interface import Result
 
 MOST = 9_999_999  # no total is higher: the limit asked for, so that what is left tells the total
 OPTIONS = [
@@ -35,8 +35,16 @@
 class GrpcCounter:
     """One call of the service for each call of the counter; ended by its answer or its own timer."""
 
-    def __init__(self, address: str, domain: str, timeout_ms: float, bridge: Bridge, clock: Clock,
-                 inbox: Inbox, metrics: Metrics) -> None:  # fmt: skip
+    def __init__(
+        self,
+        address: str,
+        domain: str,
+        timeout_ms: float,
+        bridge: Bridge,
+        clock: Clock,
+        inbox: Inbox,
+        metrics: Metrics,
+    ) -> None:
         self._address, self._domain, self._bridge = address, domain, bridge
         self._clock, self._metrics = clock, metrics
         self._calls, self._patience = Calls(timeout_ms, clock, inbox, metrics), Patience(timeout_ms)
--- a/ashlift/ratelimit/server.py
+++ b/ashlift/gatekeeper/ratelimit/server.py
@@ -16,11 +16,11 @@
 from envoy.extensions.common.ratelimit.v3 import ratelimit_pb2
 from envoy.service.ratelimit.v3 import rls_pb2, rls_pb2_grpc
 
-from ashlift.config import Names, customer_name
-from ashlift.jobs import Answer, Clock, Inbox, Job, Left, Verdict
-from ashlift.metrics import Metrics
-from ashlift.ratelimit.bridge import Bridge
-from ashlift.ratelimit.messages import is_negative
+from ashlift.gatekeeper.config import Names, customer_name
+from ashlift.gatekeeper.jobs import Answer, Clock, Inbox, Job, Left, Verdict
+from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.ratelimit.bridge import Bridge
+from ashlift.gatekeeper.ratelimit.messages import is_negative
 
 WORKERS = 16  # calls waiting for the owner at once: each waits a few ms at most, unless held for a count
 QUEUED_MOST = 256  # calls beyond that are turned away at once
@@ -43,8 +43,9 @@
 class RateLimitFront(rls_pb2_grpc.RateLimitServiceServicer):  # type: ignore[misc]
     """Turns calls into jobs, and answers into responses, in gRPC's threads."""
 
-    def __init__(self, domain: str, names: Names, bridge: Bridge, clock: Clock, inbox: Inbox,
-                 metrics: Metrics) -> None:  # fmt: skip
+    def __init__(
+        self, domain: str, names: Names, bridge: Bridge, clock: Clock, inbox: Inbox, metrics: Metrics
+    ) -> None:
         self._domain, self._names, self._bridge, self._clock = domain, names, bridge, clock
         self._inbox, self._metrics = inbox, metrics
         self._server: grpc.Server | None = None
@@ -52,9 +53,10 @@
     def listen(self, address: str) -> int:
         """Start; the port is told for where the address leaves it open."""
         self._server = grpc.server(
-            ThreadPoolExecutor(WORKERS, "ratelimit"), maximum_concurrent_rpcs=QUEUED_MOST,
+            ThreadPoolExecutor(WORKERS, "ratelimit"),
+            maximum_concurrent_rpcs=QUEUED_MOST,
             options=[("grpc.so_reuseport", 0), ("grpc.max_receive_message_length", 64 * 1024)],
-        )  # fmt: skip
+        )
         rls_pb2_grpc.add_RateLimitServiceServicer_to_server(self, self._server)
         port = self._server.add_insecure_port(address)
         self._server.start()
@@ -67,8 +69,11 @@
             while not stopped.is_set():
                 gevent.sleep(0.01)
 
-    def ShouldRateLimit(self, request: rls_pb2.RateLimitRequest,  # noqa: N802
-                        context: grpc.ServicerContext) -> rls_pb2.RateLimitResponse:  # fmt: skip
+    def ShouldRateLimit(  # noqa: N802  (the name in the protocol)
+        self,
+        request: rls_pb2.RateLimitRequest,
+        context: grpc.ServicerContext,
+    ) -> rls_pb2.RateLimitResponse:
         answers: list[Future[Answer]] = []
         left = context.time_remaining()
         try:
@@ -118,8 +123,9 @@
 
     # ---- reading a call
 
-    def _jobs(self, request: rls_pb2.RateLimitRequest, left_s: float | None,
-              answers: list[Future[Answer]]) -> list[Job]:  # fmt: skip
+    def _jobs(
+        self, request: rls_pb2.RateLimitRequest, left_s: float | None, answers: list[Future[Answer]]
+    ) -> list[Job]:
         if request.domain != self._domain:
             raise AskError(f"domain: not known here: {request.domain!r}")
         if not 1 <= len(request.descriptors) <= DESCRIPTORS_MOST:
@@ -129,8 +135,14 @@
             for at, one in enumerate(request.descriptors)
         ]
 
-    def _job(self, where: str, one: ratelimit_pb2.RateLimitDescriptor, shared: int, left_s: float | None,
-             answers: list[Future[Answer]]) -> Job:  # fmt: skip
+    def _job(
+        self,
+        where: str,
+        one: ratelimit_pb2.RateLimitDescriptor,
+        shared: int,
+        left_s: float | None,
+        answers: list[Future[Answer]],
+    ) -> Job:
         entries: dict[str, str] = {}
         for at, entry in enumerate(one.entries):
             if entry.key not in ENTRIES or entry.key in entries:
@@ -159,5 +171,14 @@
         patience = give_up_ms if left_s is None else min(give_up_ms, 1000 * left_s)
         answer: Future[Answer] = Future()
         answers.append(answer)
-        return Job(kind, plan, firm, patience, self._clock.now(), partial(_settle, answer), None,
-                   float(units or 1), int(spread))  # fmt: skip
+        return Job(
+            kind,
+            plan,
+            firm,
+            patience,
+            self._clock.now(),
+            partial(_settle, answer),
+            None,
+            float(units or 1),
+            int(spread),
+        )
--- a/ashlift/settings/model.py
+++ b/ashlift/gatekeeper/settings/model.py
@@ -32,21 +32,46 @@
     """How the bodies of one class of requests are passed on."""
 
     name: Annotated[str, About("the class, as the platform's settings name it")] = ""
-    head: Annotated[float, About("longest wait for the answer's head once the request is written whole",
-                                 "time", 1.0, 3_600_000.0)] = 3_000.0  # fmt: skip
-    stall: Annotated[float, About("longest time for which the side that is waited for moves no byte, in each "
-                                  "direction by itself", "time", 10.0, 3_600_000.0)] = 2_000.0  # fmt: skip
-    least_rate: Annotated[float, About("bytes a second that the side that is waited for moves at least, as a "
-                                       "mean over rate-span of waiting; 0: no limit", "rate", 0.0)] = 0.0
-    rate_span: Annotated[float, About("the waiting over which least-rate is taken", "time", 100.0,
-                                      3_600_000.0)] = 10_000.0  # fmt: skip
-    total: Annotated[float, About("longest time of one job from its head to its last byte; 0: no limit",
-                                  "time", 0.0, 86_400_000.0)] = 3_600_000.0  # fmt: skip
+    head: Annotated[
+        float,
+        About(
+            "longest wait for the answer's head once the request is written whole", "time", 1.0, 3_600_000.0
+        ),
+    ] = 3_000.0
+    stall: Annotated[
+        float,
+        About(
+            "longest time for which the side that is waited for moves no byte, in each direction by itself",
+            "time",
+            10.0,
+            3_600_000.0,
+        ),
+    ] = 2_000.0
+    least_rate: Annotated[
+        float,
+        About(
+            "bytes a second that the side that is waited for moves at least, as a "
+            "mean over rate-span of waiting; 0: no limit",
+            "rate",
+            0.0,
+        ),
+    ] = 0.0
+    rate_span: Annotated[
+        float, About("the waiting over which least-rate is taken", "time", 100.0, 3_600_000.0)
+    ] = 10_000.0
+    total: Annotated[
+        float,
+        About(
+            "longest time of one job from its head to its last byte; 0: no limit", "time", 0.0, 86_400_000.0
+        ),
+    ] = 3_600_000.0
     longest: Annotated[int, About("longest body, each way", "bytes", 0)] = 4 * GIB
-    request_headers: Annotated[tuple[str, ...], About(
-        "headers of a request that an execute node gets besides the usual ones")] = ()  # fmt: skip
-    answer_headers: Annotated[tuple[str, ...], About(
-        "headers of an answer that a client gets besides the usual ones")] = ()  # fmt: skip
+    request_headers: Annotated[
+        tuple[str, ...], About("headers of a request that an execute node gets besides the usual ones")
+    ] = ()
+    answer_headers: Annotated[
+        tuple[str, ...], About("headers of an answer that a client gets besides the usual ones")
+    ] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,17 +79,28 @@
     """Bodies passed on as they arrive."""
 
     enabled: Annotated[bool, About("whether bodies are streamed at all")] = False
-    buffer_bytes: Annotated[int, About("bytes that all streams together hold at most", "bytes",
-                                       64 * KIB)] = 8 * MIB  # fmt: skip
-    stream_buffer_bytes: Annotated[int, About("bytes that one direction of one stream holds at most", "bytes",
-                                              2 * LEAST_LEASE)] = 256 * KIB  # fmt: skip
-    most_streams: Annotated[int, About("streamed jobs at once; beyond them the answer is 503", "", 1,
-                                       100_000)] = 200  # fmt: skip
-    retry_after: Annotated[float, About("advice to who is turned away for most-streams; drawn from this to "
-                                        "twice as much", "time", 1.0)] = 1_000.0  # fmt: skip
-    linger_bytes: Annotated[int, About("bytes of a request that are thrown away, within a second, after an "
-                                       "answer that did not wait for them", "bytes",
-                                       0)] = 64 * MIB  # fmt: skip
+    buffer_bytes: Annotated[int, About("bytes that all streams together hold at most", "bytes", 64 * KIB)] = (
+        8 * MIB
+    )
+    stream_buffer_bytes: Annotated[
+        int, About("bytes that one direction of one stream holds at most", "bytes", 2 * LEAST_LEASE)
+    ] = 256 * KIB
+    most_streams: Annotated[
+        int, About("streamed jobs at once; beyond them the answer is 503", "", 1, 100_000)
+    ] = 200
+    retry_after: Annotated[
+        float,
+        About("advice to who is turned away for most-streams; drawn from this to twice as much", "time", 1.0),
+    ] = 1_000.0
+    linger_bytes: Annotated[
+        int,
+        About(
+            "bytes of a request that are thrown away, within a second, after an "
+            "answer that did not wait for them",
+            "bytes",
+            0,
+        ),
+    ] = 64 * MIB
     classes: Annotated[tuple[StreamClass, ...], About("one for each class that streams")] = field(
         default=(), metadata={"key": "class"}
     )
@@ -82,8 +118,9 @@
 class RateLimitClient:
     """A gRPC rate limit service that keeps the quota counts."""
 
-    address: Annotated[str, About("host:port of the service; empty: the platform's text counter",
-                                  "address")] = ""  # fmt: skip
+    address: Annotated[
+        str, About("host:port of the service; empty: the platform's text counter", "address")
+    ] = ""
     domain: Annotated[str, About("the domain of the counts there")] = "availability-counts"
 
 
@@ -99,8 +136,9 @@
 class Logging:
     """The log on standard error."""
 
-    form: Annotated[Literal["plain", "key-value", "json"], About(
-        "plain lines, key=value for a terminal, or JSON lines")] = "plain"  # fmt: skip
+    form: Annotated[
+        Literal["plain", "key-value", "json"], About("plain lines, key=value for a terminal, or JSON lines")
+    ] = "plain"
     level: Annotated[Literal["debug", "info", "warning", "error"], About("least level that is written")] = (
         "info"
     )
--- a/ashlift/settings/schema.py
+++ b/ashlift/gatekeeper/settings/schema.py
@@ -12,19 +12,38 @@
 
 import msgspec
 
-from ashlift.settings.model import LEAST_LEASE, About, OwnSettings
-from ashlift.settings.reader import Fault, Items, SettingsError, Spot, Word, read
-
-SIZES: dict[str, float] = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30,
-                          "kB": 10**3, "MB": 10**6, "GB": 10**9}  # fmt: skip
+from ashlift.gatekeeper.settings.model import LEAST_LEASE, About, OwnSettings
+from ashlift.gatekeeper.settings.reader import Fault, Items, SettingsError, Spot, Word, read
+
+SIZES: dict[str, float] = {
+    "B": 1,
+    "KiB": 1 << 10,
+    "MiB": 1 << 20,
+    "GiB": 1 << 30,
+    "kB": 10**3,
+    "MB": 10**6,
+    "GB": 10**9,
+}
 TIMES: dict[str, float] = {"ms": 1.0, "s": 1e3, "min": 60e3, "h": 3_600e3}
 UNITS = {"bytes": SIZES, "rate": SIZES, "time": TIMES}
 NUMBER = re.compile(r"(-?\d+(?:\.\d+)?)([A-Za-z/]*)\Z")
 # Headers that speak of one connection or of the framing: never passed on, whatever the settings say.
-HOP_BY_HOP = frozenset({
-    "connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te",
-    "trailer", "transfer-encoding", "upgrade", "content-length", "host", "expect",
-})  # fmt: skip
+HOP_BY_HOP = frozenset(
+    {
+        "connection",
+        "keep-alive",
+        "proxy-authenticate",
+        "proxy-authorization",
+        "proxy-connection",
+        "te",
+        "trailer",
+        "transfer-encoding",
+        "upgrade",
+        "content-length",
+        "host",
+        "expect",
+    }
+)
 HEADER = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
 
 
@@ -194,8 +213,9 @@
     if slot.about.unit in ("bytes", "rate") and isinstance(value, int | float):
         name, size = max(
             ((n, s) for n, s in SIZES.items() if n.endswith("iB") and value and value % s == 0),
-            key=lambda pair: pair[1], default=("B", 1),
-        )  # fmt: skip
+            key=lambda pair: pair[1],
+            default=("B", 1),
+        )
         return f"{value / size:.15g}{name}" + ("/s" if slot.about.unit == "rate" else "")
     if slot.about.unit == "time" and isinstance(value, int | float):
         return f"{value / 1000:.15g}s" if value >= 1000 else f"{value:.15g}ms"
@@ -237,9 +257,12 @@
     least = 2 * streaming.most_streams * LEAST_LEASE
     if least + 2 * LEAST_LEASE > streaming.buffer_bytes:
         spot = places.get("streaming.buffer-bytes") or places.get("streaming.most-streams") or Spot(1, 1)
-        yield Fault(spot, "streaming.buffer-bytes",
-                    f"too small for most-streams {streaming.most_streams}: each holds {2 * LEAST_LEASE} "
-                    f"bytes at least, so {least + 2 * LEAST_LEASE} are needed")  # fmt: skip
+        yield Fault(
+            spot,
+            "streaming.buffer-bytes",
+            f"too small for most-streams {streaming.most_streams}: each holds {2 * LEAST_LEASE} "
+            f"bytes at least, so {least + 2 * LEAST_LEASE} are needed",
+        )
     for key, address, domain in (
         ("server", limits.server.listen, limits.server.domain),
         ("client", limits.client.address, limits.client.domain),
--- a/ashlift/streams/budget.py
+++ b/ashlift/gatekeeper/streams/budget.py
@@ -9,7 +9,7 @@
 
 from collections import deque
 
-from ashlift.settings.model import LEAST_LEASE
+from ashlift.gatekeeper.settings.model import LEAST_LEASE
 
 TURN = 1 << 20  # bytes that all busy shares together move in one turn of the loop: small jobs wait no longer
 LEAST_SLICE = 16 << 10  # of a bulk stream, however many are busy: smaller ones cost more than they spare
--- a/ashlift/streams/faults.py
+++ b/ashlift/gatekeeper/streams/faults.py
@@ -4,7 +4,7 @@
 from enum import Enum
 from http import HTTPStatus
 
-from mintfront.interface import Result
+from ashlift.gatekeeper.admission.interface import Result
 
 
 @dataclass(frozen=True, slots=True)
--- a/ashlift/streams/heads.py
+++ b/ashlift/gatekeeper/streams/heads.py
@@ -12,16 +12,40 @@
 Headers = list[tuple[bytes, bytes]]
 
 # What describes a body or how to ask for one: the settings can widen these, never by hop-by-hop headers.
-REQUEST_HEADERS = frozenset({
-    b"accept", b"accept-encoding", b"accept-language", b"content-type", b"content-encoding",
-    b"content-language", b"if-match", b"if-none-match", b"if-modified-since", b"if-unmodified-since",
-    b"if-range", b"range",
-})  # fmt: skip
-ANSWER_HEADERS = frozenset({
-    b"accept-ranges", b"age", b"cache-control", b"content-disposition", b"content-encoding",
-    b"content-language", b"content-location", b"content-range", b"content-type", b"etag", b"expires",
-    b"last-modified", b"location", b"vary",
-})  # fmt: skip
+REQUEST_HEADERS = frozenset(
+    {
+        b"accept",
+        b"accept-encoding",
+        b"accept-language",
+        b"content-type",
+        b"content-encoding",
+        b"content-language",
+        b"if-match",
+        b"if-none-match",
+        b"if-modified-since",
+        b"if-unmodified-since",
+        b"if-range",
+        b"range",
+    }
+)
+ANSWER_HEADERS = frozenset(
+    {
+        b"accept-ranges",
+        b"age",
+        b"cache-control",
+        b"content-disposition",
+        b"content-encoding",
+        b"content-language",
+        b"content-location",
+        b"content-range",
+        b"content-type",
+        b"etag",
+        b"expires",
+        b"last-modified",
+        b"location",
+        b"vary",
+    }
+)
 
 
 class Framing(Enum):
--- a/ashlift/streams/passage.py
+++ b/ashlift/gatekeeper/streams/passage.py
@@ -6,10 +6,10 @@
 
 from gevent.event import Event
 
-from ashlift.settings.model import StreamClass, Streaming
-from ashlift.streams.faults import Fault
-from ashlift.streams.heads import ANSWER_HEADERS, REQUEST_HEADERS, Body, Framing, Head, Headers
-from ashlift.streams.pipe import Pipe, Pool
+from ashlift.gatekeeper.settings.model import StreamClass, Streaming
+from ashlift.gatekeeper.streams.faults import Fault
+from ashlift.gatekeeper.streams.heads import ANSWER_HEADERS, REQUEST_HEADERS, Body, Framing, Head, Headers
+from ashlift.gatekeeper.streams.pipe import Pipe, Pool
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,11 +90,13 @@
         self.unknown = [one.name for one in settings.classes if one.name.encode() not in kinds]
         self._terms = {
             one.name.encode(): Terms(
-                one, REQUEST_HEADERS | {name.encode() for name in one.request_headers},
+                one,
+                REQUEST_HEADERS | {name.encode() for name in one.request_headers},
                 ANSWER_HEADERS | {name.encode() for name in one.answer_headers},
             )
-            for one in settings.classes if one.name.encode() in kinds
-        }  # fmt: skip
+            for one in settings.classes
+            if one.name.encode() in kinds
+        }
 
     def terms(self, target: bytes) -> Terms | None:
         """The terms of the class that a request's target names, if that class streams."""
--- a/ashlift/streams/pipe.py
+++ b/ashlift/gatekeeper/streams/pipe.py
@@ -5,8 +5,8 @@
 
 from gevent.event import Event
 
-from ashlift.streams.budget import Budget, Share
-from ashlift.streams.faults import BrokenOffError, Fault
+from ashlift.gatekeeper.streams.budget import Budget, Share
+from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
 
 
 GONE_S = 0.05  # between two looks at a source that waits for room
@@ -193,5 +193,3 @@
         """Guards against memory that grows: the pool knows a pipe for as long as bytes may pass there."""
         if (self.fault is not None or self.ended) and not self.held:
             self._pool.pipes.pop(self._share, None)
-
-
--- a/ashlift/streams/pump.py
+++ b/ashlift/gatekeeper/streams/pump.py
@@ -16,8 +16,8 @@
 import gevent
 from gevent import socket
 
-from ashlift.streams.pace import Lag, Pace
-from ashlift.streams.pipe import EndedError, Pipe, Slice
+from ashlift.gatekeeper.streams.pace import Lag, Pace
+from ashlift.gatekeeper.streams.pipe import EndedError, Pipe, Slice
 
 Read = Callable[[memoryview], tuple[bytes, bool]]
 ANY = 1 << 30  # bytes wanted where only a parser knows how many there are
--- a/ashlift_lab/checker.py
+++ b/ashlift/lab/checker.py
@@ -19,7 +19,7 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from ashlift_lab.history import History
+from ashlift.lab.history import History
 
 
 @dataclass(frozen=True)
@@ -46,10 +46,13 @@
             lost.append(job.job)
     told = ", ".join(f"{name} {count}" for name, count in sorted(killed.items()))
     text = f"{len(history.jobs)} jobs; open at a kill: {told or 'none'}"
-    faults = [f"{len(lost)} unanswered (first {lost[:3]})" if lost else "",
-              f"{len(doubled)} answered twice (first {doubled[:3]})" if doubled else "",
-              f"{len(history.strays)} answers to no job (first at line {history.strays[0][0]})"
-              if history.strays else ""]  # fmt: skip
+    faults = [
+        f"{len(lost)} unanswered (first {lost[:3]})" if lost else "",
+        f"{len(doubled)} answered twice (first {doubled[:3]})" if doubled else "",
+        f"{len(history.strays)} answers to no job (first at line {history.strays[0][0]})"
+        if history.strays
+        else "",
+    ]
     breaches = "; ".join(fault for fault in faults if fault)
     return Verdict("one_answer", not breaches, f"{text}; {breaches}" if breaches else text)
 
--- a/ashlift_lab/compare.py
+++ b/ashlift/lab/compare.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Sequence
 from statistics import median
 
-from ashlift_lab.results import Summary
+from ashlift.lab.results import Summary
 
 MEASURES: dict[str, Callable[[Summary], float]] = {
     "jobs": lambda one: one.asked,
--- a/ashlift_lab/faults.py
+++ b/ashlift/lab/faults.py
@@ -91,5 +91,7 @@
 
     def shaded(self) -> list[tuple[float, float, str]]:
         """(begin, end, text) of each fault, for a history and a report."""
-        return [(fault.begin, fault.end, f"{fault.state.kind} {','.join(sorted(map(str, fault.ways)))}")
-                for fault in self.faults]  # fmt: skip
+        return [
+            (fault.begin, fault.end, f"{fault.state.kind} {','.join(sorted(map(str, fault.ways)))}")
+            for fault in self.faults
+        ]
--- a/ashlift_lab/history.py
+++ b/ashlift/lab/history.py
@@ -76,8 +76,11 @@
         kind = _get(at, row, "kind", str)
         if kind == "plan":
             name = str(_get(at, row, "name", str))
-            history.plans[name] = Plan(name, float(_get(at, row, "rate", number)),  # type: ignore[arg-type]
-                                       float(_get(at, row, "burst", number)))  # type: ignore[arg-type]  # fmt: skip
+            history.plans[name] = Plan(
+                name,
+                float(_get(at, row, "rate", number)),  # type: ignore[arg-type]
+                float(_get(at, row, "burst", number)),  # type: ignore[arg-type]
+            )
             continue
         if kind == "seen":
             way, what = str(_get(at, row, "way", str)), str(_get(at, row, "what", str))
@@ -91,9 +94,14 @@
             plan = str(_get(at, row, "plan", str))
             if plan not in history.plans:
                 raise HistoryError(f"{at}: plan: {plan!r} is no plan named before it")
-            history.jobs[job] = Job(job, str(_get(at, row, "firm", str)), plan,
-                                    float(_get(at, row, "units", number)),  # type: ignore[arg-type]
-                                    str(_get(at, row, "gatekeeper", str)), t)  # fmt: skip
+            history.jobs[job] = Job(
+                job,
+                str(_get(at, row, "firm", str)),
+                plan,
+                float(_get(at, row, "units", number)),  # type: ignore[arg-type]
+                str(_get(at, row, "gatekeeper", str)),
+                t,
+            )
         elif kind == "answered":
             job = str(_get(at, row, "job", str))
             status = int(_get(at, row, "status", int))  # type: ignore[call-overload]
--- a/ashlift_lab/proxy.py
+++ b/ashlift/lab/proxy.py
@@ -21,7 +21,7 @@
 import gevent
 from gevent import socket
 
-from ashlift_lab.faults import Schedule, Way
+from ashlift.lab.faults import Schedule, Way
 
 CHUNK = 65536
 WATCH_S = 0.05  # between looks for a cut that began: what stands is reset within so long
@@ -43,8 +43,15 @@
 class Link:
     """What both kinds of link share: the two ways, the far end, the schedule and its clock."""
 
-    def __init__(self, near: str, far: str, target: tuple[str, int], schedule: Schedule, seed: int,
-                 clock: Callable[[], float]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        near: str,
+        far: str,
+        target: tuple[str, int],
+        schedule: Schedule,
+        seed: int,
+        clock: Callable[[], float],
+    ) -> None:
         self.out, self.back = Way(near, far), Way(far, near)
         self._target, self._schedule, self._random = _loopback(target), schedule, random.Random(seed)
         self._clock, self._began = clock, clock()
@@ -62,9 +69,16 @@
 class TcpLink(Link):
     """Between `near` and `far`, which listens at `target`; listens itself at `listen` (port 0: any)."""
 
-    def __init__(self, near: str, far: str, target: tuple[str, int], schedule: Schedule, seed: int,
-                 listen: tuple[str, int] = ("127.0.0.1", 0),
-                 clock: Callable[[], float] = time.monotonic) -> None:  # fmt: skip
+    def __init__(
+        self,
+        near: str,
+        far: str,
+        target: tuple[str, int],
+        schedule: Schedule,
+        seed: int,
+        listen: tuple[str, int] = ("127.0.0.1", 0),
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
         super().__init__(near, far, target, schedule, seed, clock)
         self._listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -114,8 +128,9 @@
         gevent.spawn(self._pump, near, far, self.out, pair)
         gevent.spawn(self._pump, far, near, self.back, pair)
 
-    def _pump(self, source: socket.socket, sink: socket.socket, way: Way,
-              pair: tuple[socket.socket, socket.socket]) -> None:  # fmt: skip
+    def _pump(
+        self, source: socket.socket, sink: socket.socket, way: Way, pair: tuple[socket.socket, socket.socket]
+    ) -> None:
         try:
             while True:
                 data = source.recv(CHUNK)
@@ -166,9 +181,16 @@
     """Datagrams between `near` and `far` (which listens at `target`): the near end sends to `address`;
     what the far end answers goes back to whoever sent last. Each datagram asks the schedule for its way."""
 
-    def __init__(self, near: str, far: str, target: tuple[str, int], schedule: Schedule, seed: int,
-                 listen: tuple[str, int] = ("127.0.0.1", 0),
-                 clock: Callable[[], float] = time.monotonic) -> None:  # fmt: skip
+    def __init__(
+        self,
+        near: str,
+        far: str,
+        target: tuple[str, int],
+        schedule: Schedule,
+        seed: int,
+        listen: tuple[str, int] = ("127.0.0.1", 0),
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
         super().__init__(near, far, target, schedule, seed, clock)
         self._near_side = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._near_side.bind(_loopback(listen))
@@ -177,8 +199,10 @@
         self.address: tuple[str, int] = self._near_side.getsockname()
         self._near: tuple[str, int] | None = None
         self._held: dict[Way, bytes] = {}
-        self._running = [gevent.spawn(self._relay, self._near_side, self.out),
-                         gevent.spawn(self._relay, self._far_side, self.back)]  # fmt: skip
+        self._running = [
+            gevent.spawn(self._relay, self._near_side, self.out),
+            gevent.spawn(self._relay, self._far_side, self.back),
+        ]
 
     def _relay(self, source: socket.socket, way: Way) -> None:
         sink = self._far_side if way is self.out else self._near_side
--- a/ashlift_lab/report.py
+++ b/ashlift/lab/report.py
@@ -13,7 +13,7 @@
 from collections import defaultdict
 from typing import Any
 
-from ashlift_lab.results import Results, Summary
+from ashlift.lab.results import Results, Summary
 
 HATCHES = ["//", "\\\\", "xx", "..", "++", "--"]
 
@@ -27,9 +27,14 @@
 def _shade(axes: Any, faults: list[tuple[float, float, str, list[str]]]) -> None:
     for at, (begin, until, what, ways) in enumerate(faults):
         links = all(way.partition(">")[2] for way in ways)  # else what befell machines
-        axes.axvspan(begin / 1000, until / 1000, facecolor="none", edgecolor="0.6",
-                     hatch=HATCHES[at % len(HATCHES)],
-                     label=f"{what} ({len(ways)} ways)" if links else what)  # fmt: skip
+        axes.axvspan(
+            begin / 1000,
+            until / 1000,
+            facecolor="none",
+            edgecolor="0.6",
+            hatch=HATCHES[at % len(HATCHES)],
+            label=f"{what} ({len(ways)} ways)" if links else what,
+        )
 
 
 def charts(detail: dict[str, Any], summary: Summary, quota: float) -> list[tuple[str, str]]:
@@ -60,17 +65,32 @@
     pyplot.close(figure)
 
     names = sorted(lanes) or ["g0"]
-    figure, rows = pyplot.subplots(len(names), 1, figsize=(8, 1.2 * len(names) + 0.5), sharex=True,
-                                   squeeze=False)  # fmt: skip
-    marks = {"paused": "v", "resumed": "^", "killed": "x", "restarted": "o", "terminated": "s",
-             "started": "o", "frozen": "v", "thawed": "^"}  # fmt: skip
+    figure, rows = pyplot.subplots(
+        len(names), 1, figsize=(8, 1.2 * len(names) + 0.5), sharex=True, squeeze=False
+    )
+    marks = {
+        "paused": "v",
+        "resumed": "^",
+        "killed": "x",
+        "restarted": "o",
+        "terminated": "s",
+        "started": "o",
+        "frozen": "v",
+        "thawed": "^",
+    }
     for row, name in zip(rows[:, 0], names, strict=True):
         lane = lanes[name]
         row.step(seconds, [lane.get(s, 0) for s in seconds], where="post", color="black")
         for t, keeper, what in detail["processes"]:
             if keeper == name:
-                row.plot([t / 1000], [0], marker=marks.get(what.split()[-1], "*"), color="black",
-                         linestyle="none", label=what)  # fmt: skip
+                row.plot(
+                    [t / 1000],
+                    [0],
+                    marker=marks.get(what.split()[-1], "*"),
+                    color="black",
+                    linestyle="none",
+                    label=what,
+                )
         _shade(row, [f for f in detail["faults"] if any(name in way.split(">") for way in f[3])])
         row.set_ylabel(name, rotation=0, labelpad=14)
         handles, labels = row.get_legend_handles_labels()
@@ -106,8 +126,13 @@
         axes.axhline(height, color="0.8", linewidth=0.5)
         for number, (at, what) in enumerate(rows[name]):
             axes.plot([at], [height], marker="|", color="black", linestyle="none")
-            axes.annotate(what, (at, height), xytext=(2, (3, -9)[number % 2]), textcoords="offset points",
-                          fontsize="xx-small")  # fmt: skip
+            axes.annotate(
+                what,
+                (at, height),
+                xytext=(2, (3, -9)[number % 2]),
+                textcoords="offset points",
+                fontsize="xx-small",
+            )
     axes.set_yticks(range(len(names)), names)
     axes.set_ylim(-0.7, len(names) - 0.3)
     axes.set_xlabel("s of the run")
@@ -128,10 +153,12 @@
         f"<h2>{html.escape(title)}</h2><img alt='{html.escape(title)}' src='data:image/png;base64,{png}'>"
         for title, png in charts(detail, summary, summary.allows)
     )
-    head = (f"run {summary.id}: {summary.name}, seed {summary.seed}, commit {summary.git}, "
-            f"began {summary.began}; "
-            f"{summary.asked} jobs, {summary.admitted} admitted, {summary.refused} refused, "
-            f"{summary.unanswered} unanswered; p99 {summary.percentile_ms(99):.1f} ms")  # fmt: skip
+    head = (
+        f"run {summary.id}: {summary.name}, seed {summary.seed}, commit {summary.git}, "
+        f"began {summary.began}; "
+        f"{summary.asked} jobs, {summary.admitted} admitted, {summary.refused} refused, "
+        f"{summary.unanswered} unanswered; p99 {summary.percentile_ms(99):.1f} ms"
+    )
     return (
         "<!doctype html><html><head><meta charset='utf-8'>"
         f"<title>ashlift lab run {summary.id}</title>"
--- a/ashlift_lab/results.py
+++ b/ashlift/lab/results.py
@@ -21,8 +21,8 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from ashlift_lab.checker import Verdict
-from ashlift_lab.history import History
+from ashlift.lab.checker import Verdict
+from ashlift.lab.history import History
 
 LATENCY_MOST_US = 60_000_000  # a minute: nothing is answered later
 DIGITS = 3
@@ -95,23 +95,44 @@
     def close(self) -> None:
         self.db.close()
 
-    def store(self, history: History, verdicts: list[Verdict], *, name: str, began: str, git: str, seed: int,
-              scenario: str, allows: float) -> int:  # fmt: skip
+    def store(
+        self,
+        history: History,
+        verdicts: list[Verdict],
+        *,
+        name: str,
+        began: str,
+        git: str,
+        seed: int,
+        scenario: str,
+        allows: float,
+    ) -> int:
         """Keeps one run; returns its id."""
         encoded = latency(history).encode().decode("ascii")
         with self.db:
             cursor = self.db.execute(
                 "insert into runs (name, began, git, seed, scenario, verdicts, ok, latency, allows) "
                 "values (?, ?, ?, ?, ?, ?, ?, ?, ?)",
-                (name, began, git, seed, scenario, json.dumps([[v.name, v.ok, v.text] for v in verdicts]),
-                 int(all(v.ok for v in verdicts)), encoded, allows),
-            )  # fmt: skip
+                (
+                    name,
+                    began,
+                    git,
+                    seed,
+                    scenario,
+                    json.dumps([[v.name, v.ok, v.text] for v in verdicts]),
+                    int(all(v.ok for v in verdicts)),
+                    encoded,
+                    allows,
+                ),
+            )
             run = int(cursor.lastrowid or 0)
             self.db.executemany(
                 "insert into seconds values (?, ?, ?, ?, ?, ?, ?)",
-                [(run, second, keeper, row["asked"], row["admitted"], row["refused"], row["unanswered"])
-                 for (second, keeper), row in sorted(per_second(history).items())],
-            )  # fmt: skip
+                [
+                    (run, second, keeper, row["asked"], row["admitted"], row["refused"], row["unanswered"])
+                    for (second, keeper), row in sorted(per_second(history).items())
+                ],
+            )
             self.db.executemany(
                 "insert into faults values (?, ?, ?, ?, ?)",
                 [(run, begin, until, what, json.dumps(ways)) for begin, until, what, ways in history.faults],
@@ -139,8 +160,20 @@
         ).fetchone()
         number, name, began, git, seed, ok, encoded, allows = found
         asked, admitted, refused, unanswered = totals
-        return Summary(number, name, began, git, seed, ok == 1, asked, admitted, refused, unanswered,
-                       HdrHistogram.decode(encoded), allows)  # fmt: skip
+        return Summary(
+            number,
+            name,
+            began,
+            git,
+            seed,
+            ok == 1,
+            asked,
+            admitted,
+            refused,
+            unanswered,
+            HdrHistogram.decode(encoded),
+            allows,
+        )
 
     def detail(self, run: int) -> dict[str, Any]:
         """Everything kept of one run: scenario, verdicts, seconds, faults, processes."""
@@ -150,10 +183,18 @@
         return {
             "scenario": scenario,
             "verdicts": json.loads(verdicts),
-            "seconds": query("select second, gatekeeper, asked, admitted, refused, unanswered from seconds "
-                             "where run = ? order by second, gatekeeper", (run,)).fetchall(),
-            "faults": [(b, u, w, json.loads(ways)) for b, u, w, ways in
-                       query("select begin, until, what, ways from faults where run = ?", (run,))],
-            "processes": query("select t, gatekeeper, what from processes where run = ? order by t",
-                               (run,)).fetchall(),
-        }  # fmt: skip
+            "seconds": query(
+                "select second, gatekeeper, asked, admitted, refused, unanswered from seconds "
+                "where run = ? order by second, gatekeeper",
+                (run,),
+            ).fetchall(),
+            "faults": [
+                (b, u, w, json.loads(ways))
+                for b, u, w, ways in query(
+                    "select begin, until, what, ways from faults where run = ?", (run,)
+                )
+            ],
+            "processes": query(
+                "select t, gatekeeper, what from processes where run = ? order by t", (run,)
+            ).fetchall(),
+        }
--- a/ashlift_lab/run.py
+++ b/ashlift/lab/run.py
@@ -27,14 +27,14 @@
 import gevent
 from gevent import socket, subprocess
 
-from ashlift_lab.faults import Schedule
-from ashlift_lab.proxy import TcpLink
-from ashlift_lab.scenario import Scenario
-from ashlift_lab.standins import Counter, MachineList, Node
+from ashlift.lab.faults import Schedule
+from ashlift.lab.proxy import TcpLink
+from ashlift.lab.scenario import Scenario
+from ashlift.lab.standins import Counter, MachineList, Node
 
 START_S = 20.0  # for a gatekeeper to say where it listens
 STOP_S = 3.0
-ROOT = Path(__file__).resolve().parent.parent  # the checkout: the gatekeepers run its code
+ROOT = Path(__file__).resolve().parents[2]  # the checkout: the gatekeepers run its code
 ANSWER_S = 5.0  # a job's patience is 2 s; what is not answered in this long is not answered
 
 
@@ -45,21 +45,54 @@
 def facts(scenario: Scenario, me: int) -> dict[str, Any]:
     """The platform's settings of one gatekeeper of the run."""
     return {
-        "Categories": [{"Name": "availability-check", "Effect": "pure", "GiveUpMs": 2000.0, "TargetMs": 600.0,
-                        "LateShare": 0.0, "Value": 3.0}],
+        "Categories": [
+            {
+                "Name": "availability-check",
+                "Effect": "pure",
+                "GiveUpMs": 2000.0,
+                "TargetMs": 600.0,
+                "LateShare": 0.0,
+                "Value": 3.0,
+            }
+        ],
         "Discovery": "automatic",
-        "FamilyInfo": {"MayCount": True, "CountFee": 0.02, "CounterTimeoutMs": 30, "MaxUnits": 1,
-                       "MeterMs": 0},
-        "GroupSize": scenario.gatekeepers, "Me": me, "TickMs": 4.0, "Zone": 1, "Unheard": {"of": 1},
+        "FamilyInfo": {
+            "MayCount": True,
+            "CountFee": 0.02,
+            "CounterTimeoutMs": 30,
+            "MaxUnits": 1,
+            "MeterMs": 0,
+        },
+        "GroupSize": scenario.gatekeepers,
+        "Me": me,
+        "TickMs": 4.0,
+        "Zone": 1,
+        "Unheard": {"of": 1},
         "Zones": ["memphis-dc"],
-        "Limits": {"Cancel": True, "MaxRetryAfterMs": 2000.0, "Probing": True, "RetryAfter": True,
-                   "TryLimit": 3},
-        "Plans": [{"Name": "basic", "CeilingRate": 0.0, "CeilingSlack": 0.0, "HardBurst": 0.0, "MaxOut": 0,
-                   "MostAtOnce": scenario.burst, "OverWorth": 0.0, "OverrunCost": 1.0, "Pays": 0.8,
-                   "QuotaRate": scenario.quota}],
+        "Limits": {
+            "Cancel": True,
+            "MaxRetryAfterMs": 2000.0,
+            "Probing": True,
+            "RetryAfter": True,
+            "TryLimit": 3,
+        },
+        "Plans": [
+            {
+                "Name": "basic",
+                "CeilingRate": 0.0,
+                "CeilingSlack": 0.0,
+                "HardBurst": 0.0,
+                "MaxOut": 0,
+                "MostAtOnce": scenario.burst,
+                "OverWorth": 0.0,
+                "OverrunCost": 1.0,
+                "Pays": 0.8,
+                "QuotaRate": scenario.quota,
+            }
+        ],
         "Report": {"Fields": [], "Via": "none"},
         "Rules": {"ColdFrom": 0.18, "ColdMs": 17000.0, "FallMultiple": 2.0, "TipAfterMs": 3000.0},
-    }  # fmt: skip
+    }
 
 
 @dataclass
@@ -107,8 +140,9 @@
                 to_nodes = {f"n{n}": link(g, f"n{n}", node.address).address for n, node in enumerate(nodes)}
                 listings.append(MachineList(to_nodes))
                 listing = link(g, "list", listings[-1].address)
-                self.gatekeepers.append(self._start(g, link(g, "counter", counter.address).address,
-                                                    listing.address))  # fmt: skip
+                self.gatekeepers.append(
+                    self._start(g, link(g, "counter", counter.address).address, listing.address)
+                )
             for keeper in self.gatekeepers:
                 keeper.front = self._listening(keeper)
             self.began = time.monotonic()
@@ -116,8 +150,15 @@
                 each.begin(self.began)
             for fault in schedule.faults:
                 ways = sorted(map(str, fault.ways))
-                self.record({"kind": "fault", "t": fault.begin, "until": fault.end, "what": fault.state.kind,
-                             "ways": ways})  # fmt: skip
+                self.record(
+                    {
+                        "kind": "fault",
+                        "t": fault.begin,
+                        "until": fault.end,
+                        "what": fault.state.kind,
+                        "ways": ways,
+                    }
+                )
             doing = {"kill": self._kill, "term": self._term, "restart": self._restart, "pause": self._pause}
             acts = [gevent.spawn_later(s, doing[what], g) for s, what, g in sc.acts()]
             acts += [gevent.spawn_later(end, self._resume, g) for g, _, end in sc.pauses]
@@ -139,9 +180,15 @@
 
     def _start(self, g: int, counter: tuple[str, int], listing: tuple[str, int]) -> Gatekeeper:
         name = f"g{g}"
-        config = {"name": name, "listen": f"127.0.0.1:{_free_port()}", "discovery": "{}:{}".format(*listing),
-                  "counter": "{}:{}".format(*counter), "seed": str(self.scenario.seed * 100 + g),
-                  "limits": {"sockets": 256}, "settings": facts(self.scenario, g)}  # fmt: skip
+        config = {
+            "name": name,
+            "listen": f"127.0.0.1:{_free_port()}",
+            "discovery": "{}:{}".format(*listing),
+            "counter": "{}:{}".format(*counter),
+            "seed": str(self.scenario.seed * 100 + g),
+            "limits": {"sockets": 256},
+            "settings": facts(self.scenario, g),
+        }
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(config))
         log = self.folder / f"{name}.log"
@@ -151,7 +198,7 @@
         env = {**os.environ, "GW_CONFIG": str(path), "TMPDIR": str(self.folder)}
         with open(log, "ab") as err:
             return subprocess.Popen(
-                [sys.executable, "-m", "ashlift"], env=env, stdout=err, stderr=err, cwd=ROOT
+                [sys.executable, "-m", "ashlift.gatekeeper"], env=env, stdout=err, stderr=err, cwd=ROOT
             )
 
     def _listening(self, keeper: Gatekeeper, before: int = 0) -> tuple[str, int]:
@@ -215,15 +262,26 @@
         gevent.killall(jobs)
 
     def _job(self, job: str, firm: str, keeper: Gatekeeper) -> None:
-        head = (f"GET /availability-check/memphis?day=7 HTTP/1.1\r\nHost: lab\r\nX-Trace-Id: {job}\r\n"
-                f"X-Qos: availability-check\r\nApi-Plan: basic\r\nApi-Customer: {firm}\r\n"
-                f"X-Expires-In: 2.000\r\n"
-                f"Api-Terms: units=1,spread={len(self.gatekeepers)},first=0\r\n\r\n").encode()  # fmt: skip
+        head = (
+            f"GET /availability-check/memphis?day=7 HTTP/1.1\r\nHost: lab\r\nX-Trace-Id: {job}\r\n"
+            f"X-Qos: availability-check\r\nApi-Plan: basic\r\nApi-Customer: {firm}\r\n"
+            f"X-Expires-In: 2.000\r\n"
+            f"Api-Terms: units=1,spread={len(self.gatekeepers)},first=0\r\n\r\n"
+        ).encode()
         try:
             with socket.create_connection(keeper.front, timeout=ANSWER_S) as sock:
                 sock.sendall(head)
-                self.record({"kind": "asked", "t": self.now_ms(), "job": job, "firm": firm, "plan": "basic",
-                             "units": 1, "gatekeeper": keeper.name})  # fmt: skip
+                self.record(
+                    {
+                        "kind": "asked",
+                        "t": self.now_ms(),
+                        "job": job,
+                        "firm": firm,
+                        "plan": "basic",
+                        "units": 1,
+                        "gatekeeper": keeper.name,
+                    }
+                )
                 answer = _read_head(sock)
         except OSError:
             return  # refused before it was asked, or left without an answer: the checker sees which
@@ -279,16 +337,21 @@
     lines = data.split(b"\r\n\r\n", 1)[0].decode("latin-1").split("\r\n")
     status = int(lines[0].split()[1])
     advice = [line.split(":", 1)[1] for line in lines[1:] if line.lower().startswith("retry-after:")]
-    after = next((float(value) for value in advice),
-                 None)  # fmt: skip
+    after = next((float(value) for value in advice), None)
     return status, after
 
 
 def commit() -> str:
     """The checkout's commit, short, with `+` where it has changes; `unknown` outside git."""
     try:
-        found = subprocess.run(["git", "describe", "--always", "--dirty=+"], cwd=ROOT, capture_output=True,
-                               text=True, timeout=5, check=True)  # fmt: skip
+        found = subprocess.run(
+            ["git", "describe", "--always", "--dirty=+"],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=5,
+            check=True,
+        )
     except (OSError, subprocess.SubprocessError):
         return "unknown"
     return found.stdout.strip() or "unknown"
--- a/ashlift_lab/scenario.py
+++ b/ashlift/lab/scenario.py
@@ -22,10 +22,10 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-from ashlift.settings.reader import Fault as Flaw
-from ashlift.settings.reader import Items, Spot, Word, read
+from ashlift.gatekeeper.settings.reader import Fault as Flaw
+from ashlift.gatekeeper.settings.reader import Items, Spot, Word, read
 
-from ashlift_lab.faults import Fault, FaultError, State, Way, partition
+from ashlift.lab.faults import Fault, FaultError, State, Way, partition
 
 JOBS_MOST = 20_000
 SECONDS_MOST = 120.0
@@ -78,13 +78,24 @@
 
     def ends(self) -> list[str]:
         """Every end a link joins: gatekeepers, nodes, the counter and the machine list."""
-        return [*(f"g{g}" for g in range(self.gatekeepers)), *(f"n{n}" for n in range(self.nodes)),
-                "counter", "list"]  # fmt: skip
+        return [
+            *(f"g{g}" for g in range(self.gatekeepers)),
+            *(f"n{n}" for n in range(self.nodes)),
+            "counter",
+            "list",
+        ]
 
     def all_faults(self) -> list[Fault]:
         """The faults on links, the counter cuts of the command line first."""
-        cuts = [Fault(frozenset({Way(f"g{g}", "counter"), Way("counter", f"g{g}")}), a * 1000, b * 1000,
-                      State("cut")) for g, a, b in self.counter_cuts]  # fmt: skip
+        cuts = [
+            Fault(
+                frozenset({Way(f"g{g}", "counter"), Way("counter", f"g{g}")}),
+                a * 1000,
+                b * 1000,
+                State("cut"),
+            )
+            for g, a, b in self.counter_cuts
+        ]
         return [*cuts, *self.faults]
 
     def acts(self) -> list[tuple[float, Act, int]]:
@@ -112,8 +123,16 @@
     acts: dict[str, list[tuple[float, ...]]] = field(default_factory=dict)
 
 
-NUMBERS = {"gatekeepers": int, "nodes": int, "seed": int, "firms": int, "rate": float, "quota": float,
-           "burst": float, "allowed": float}  # fmt: skip
+NUMBERS = {
+    "gatekeepers": int,
+    "nodes": int,
+    "seed": int,
+    "firms": int,
+    "rate": float,
+    "quota": float,
+    "burst": float,
+    "allowed": float,
+}
 TIMES = {"seconds": 1.0, "work": 1000.0}  # key -> factor from seconds to the field's unit
 FIELD = {"work": "work_ms"}
 KINDS = {"cut", "drop", "delay", "duplicate", "reorder"}
@@ -207,8 +226,11 @@
         form.acts.setdefault(field_name, []).append((who, *times))
         return
     if key != "partition" and key not in KINDS:
-        raise _at(item.spot, where, "no such fault: partition, cut, drop, delay, duplicate, reorder, "
-                                    "kill, term, restart, pause")  # fmt: skip
+        raise _at(
+            item.spot,
+            where,
+            "no such fault: partition, cut, drop, delay, duplicate, reorder, kill, term, restart, pause",
+        )
     if len(args) < 4:
         raise _at(item.spot, where, "wants FROM UNTIL and what it is between")
     begin, end = (seconds(arg, where) * 1000 for arg in args[:2])
@@ -238,8 +260,13 @@
         if isinstance(arg, Word) and arg.text == "rest":
             rest = True
         elif isinstance(arg, Items):
-            sides.append({_end(Word(end, False, word.spot), where, ends)
-                          for word in arg.items for end in _range(_plain(word), where)})  # fmt: skip
+            sides.append(
+                {
+                    _end(Word(end, False, word.spot), where, ends)
+                    for word in arg.items
+                    for end in _range(_plain(word), where)
+                }
+            )
         else:
             raise _at(arg.spot, where, "a side is (END ...) or rest")
     if rest:
--- a/ashlift_lab/standins.py
+++ b/ashlift/lab/standins.py
@@ -49,9 +49,19 @@
         self.address: tuple[str, int] = self._server.address  # type: ignore[assignment]
 
     def listing(self) -> bytes:
-        instances = [{"instanceId": name, "hostPort": "{}:{}".format(*address), "zone": "memphis-dc",
-                      "machineType": "m", "cell": 1, "lifecycle": "ready", "weight": 1.0, "startedAtMs": 0}
-                     for name, address in sorted(self.nodes.items())]  # fmt: skip
+        instances = [
+            {
+                "instanceId": name,
+                "hostPort": "{}:{}".format(*address),
+                "zone": "memphis-dc",
+                "machineType": "m",
+                "cell": 1,
+                "lifecycle": "ready",
+                "weight": 1.0,
+                "startedAtMs": 0,
+            }
+            for name, address in sorted(self.nodes.items())
+        ]
         return json.dumps({"generation": 1, "reset": True, "instances": instances}).encode() + b"\n"
 
     def _serve(self, sock: Any, _: Any) -> None:
--- a/ashlift_lab/system/cli.py
+++ b/ashlift/lab/system/cli.py
@@ -6,13 +6,13 @@
 
 import click
 
-from ashlift_lab.report import page
-from ashlift_lab.results import Results
-from ashlift_lab.run import commit
-from ashlift_lab.system.runs import StoppedError, processes, simulated
-from ashlift_lab.system.world import unfit
-from dovetail.chance import shrunk
-from dovetail.scene import Scene, read_file
+from ashlift.lab.report import page
+from ashlift.lab.results import Results
+from ashlift.lab.run import commit
+from ashlift.lab.system.runs import StoppedError, processes, simulated
+from ashlift.lab.system.world import unfit
+from ashlift.simulation.chance import shrunk
+from ashlift.simulation.scene import Scene, read_file
 
 FULL_S = 0.5  # later than this, what a scene expects by a time tells little
 
@@ -34,9 +34,12 @@
     kept, failed = Results(results), False
     for one in found:
         plan = one.plan
-        click.echo(f"{one.title}: {plan.core} core machines, {plan.edge} gatekeepers, "
-                   f"{plan.workers} workers of each service, {plan.rate:g} requests a second, "
-                   f"{plan.until:g} s", err=True)  # fmt: skip
+        click.echo(
+            f"{one.title}: {plan.core} core machines, {plan.edge} gatekeepers, "
+            f"{plan.workers} workers of each service, {plan.rate:g} requests a second, "
+            f"{plan.until:g} s",
+            err=True,
+        )
         began = time.strftime("%Y-%m-%dT%H:%M:%S")
         try:
             played = processes(
@@ -55,8 +58,10 @@
         for verdict in played.verdicts:
             click.echo(verdict.line())
         if played.lag > FULL_S:
-            click.echo(f"the machine is full: this process came {played.lag:.2f} s late, and what the scene "
-                       "expects by a time may have failed for that")  # fmt: skip
+            click.echo(
+                f"the machine is full: this process came {played.lag:.2f} s late, and what the scene "
+                "expects by a time may have failed for that"
+            )
         number = played.keep(kept, commit(), began, "processes")
         click.echo(f"run {number} in {results}, {played.took:.1f} s")
         failed = failed or not played.ok
@@ -77,8 +82,10 @@
             played = simulated(one, seed)
             breaches = [verdict.text for verdict in played.verdicts if not verdict.ok]
             number = f", run {played.keep(kept, git, began, 'sim')}" if kept else ""
-            click.echo(f"{one.title}, seed {seed}: {'; '.join(breaches) or 'well'} "
-                       f"({played.history.end:g} s in {played.took:.2f} s{number})")  # fmt: skip
+            click.echo(
+                f"{one.title}, seed {seed}: {'; '.join(breaches) or 'well'} "
+                f"({played.history.end:g} s in {played.took:.2f} s{number})"
+            )
             sys.stdout.flush()
             failed = failed or not played.ok
             if shrink and not played.ok:
--- a/ashlift_lab/system/clients.py
+++ b/ashlift/lab/system/clients.py
@@ -1,16 +1,16 @@
-"""Clients of one zone on real sockets: what they want and when they ask again is `dovetail.people.Crowd`."""
+"""Clients of one zone on real sockets: what they want, and when, is `simulation.people.Crowd`."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
 
 import gevent
 
-from ashlift_lab.system.places import FRONT
-from ashlift_lab.system.wire import exchange, request_head
-from ashlift_lab.system.yard import asked, print_of
-from dovetail.history import HOST, Request
-from dovetail.people import CONNECT_S, Crowd, Errand
-from workbench.faults import UNREACHED, Fault
+from ashlift.lab.system.places import FRONT
+from ashlift.lab.system.wire import exchange, request_head
+from ashlift.lab.system.yard import asked, print_of
+from ashlift.simulation.history import HOST, Request
+from ashlift.simulation.people import CONNECT_S, Crowd, Errand
+from ashlift.errors import UNREACHED, Fault
 
 REQUESTS_MOST = 20_000  # of a run
 
@@ -31,9 +31,14 @@
         request.life = self._life(request.gate)
         method, target, body = asked(request)
         head = request_head(
-            method.decode(), target.decode(), HOST, body, X_Attempt_Id=attempt,
-            X_Time_Remaining=str(round(left * 1000)), Authorization=f"Bearer {request.key}",
-        )  # fmt: skip
+            method.decode(),
+            target.decode(),
+            HOST,
+            body,
+            X_Attempt_Id=attempt,
+            X_Time_Remaining=str(round(left * 1000)),
+            Authorization=f"Bearer {request.key}",
+        )
 
         def read() -> None:
             request.taken = loop.now
--- a/ashlift_lab/system/kept.py
+++ b/ashlift/lab/system/kept.py
@@ -2,13 +2,13 @@
 
 import math
 
-from ashlift_lab.checker import Verdict
-from ashlift_lab.history import History as LabHistory
-from ashlift_lab.history import Job, Plan
-from dovetail.checks import Breach
-from dovetail.history import History
-from dovetail.rules import WORDS
-from dovetail.scene import Failed
+from ashlift.lab.checker import Verdict
+from ashlift.lab.history import History as LabHistory
+from ashlift.lab.history import Job, Plan
+from ashlift.simulation.checks import Breach
+from ashlift.simulation.history import History
+from ashlift.simulation.rules import WORDS
+from ashlift.simulation.scene import Failed
 
 MS = 1000.0
 SEEN_S = 0.1  # shorter troubles are no span to be drawn
--- a/ashlift_lab/system/places.py
+++ b/ashlift/lab/system/places.py
@@ -10,9 +10,9 @@
 
 import attrs
 
-from dovetail.world import CORE, EDGE, HEARTBEAT, ZONES, Plan
-from jig.reading import Seconds
-from jig.settings import Bounds
+from ashlift.simulation.world import CORE, EDGE, HEARTBEAT, ZONES, Plan
+from ashlift.config.structuring import Seconds
+from ashlift.config.settings import Bounds
 
 FRONT, READINESS, CONTROL, DIRECTORY = 8206, 8201, 8200, 8209
 WORKER_PORT = 8080
@@ -65,8 +65,16 @@
                 yield Wire(near.name, far.name, (far.ip, near.low + port), (far.ip, far.low + port))
 
 
-def settings(place: Place, machines: list[Place], seeds: list[str], folder: str, bounds: Bounds, first: bool,
-             zones: Mapping[str, str] = ZONES, heartbeat: float = HEARTBEAT) -> str:  # fmt: skip
+def settings(
+    place: Place,
+    machines: list[Place],
+    seeds: list[str],
+    folder: str,
+    bounds: Bounds,
+    first: bool,
+    zones: Mapping[str, str] = ZONES,
+    heartbeat: float = HEARTBEAT,
+) -> str:
     """The settings file (TOML) of a machine's programs; `first`: at the very first start of all."""
     at = {one.name: one.ip for one in machines}
     core = place.kind == CORE
--- a/ashlift_lab/system/programs.py
+++ b/ashlift/lab/system/programs.py
@@ -8,12 +8,12 @@
 
 from gevent import subprocess
 
-ROOT = Path(__file__).resolve().parent.parent.parent  # the checkout: the programs run its code
+ROOT = Path(__file__).resolve().parents[3]  # the checkout: the programs run its code
 STOP_S = 2.0
 
 
 class Program:
-    """One of `vise`, `pegboard`, `lathe` on a machine; `life` counts its starts."""
+    """One of `configstore`, `registry`, `proxy` on a machine; `life` counts its starts."""
 
     def __init__(self, machine: str, kind: str, settings: Path, log: Path) -> None:
         self.machine, self.kind = machine, kind
@@ -38,9 +38,14 @@
         env = {**os.environ, "ASHLIFT_SETTINGS": str(self._settings)}
         with open(self._log, "ab") as log:
             self._process = subprocess.Popen(
-                [sys.executable, "-m", self.kind], env=env, stdout=log, stderr=log, cwd=ROOT,
-                stdin=subprocess.DEVNULL, start_new_session=True,  # Ctrl-C is for us, who end them
-            )  # fmt: skip
+                [sys.executable, "-m", f"ashlift.{self.kind}"],
+                env=env,
+                stdout=log,
+                stderr=log,
+                cwd=ROOT,
+                stdin=subprocess.DEVNULL,
+                start_new_session=True,  # Ctrl-C is for us, who end them
+            )
 
     def signal(self, number: signal.Signals) -> None:
         if self._process is not None and self.up:
@@ -68,7 +73,7 @@
     """End all, those that are frozen too."""
     for one in programs:
         one.signal(signal.SIGCONT)
-        one.signal(signal.SIGTERM if one.kind != "lathe" else signal.SIGKILL)  # a proxy leaves for Grace
+        one.signal(signal.SIGTERM if one.kind != "proxy" else signal.SIGKILL)  # a proxy leaves for Grace
     for one in programs:
         if one._process is not None:
             try:
--- a/ashlift_lab/system/runs.py
+++ b/ashlift/lab/system/runs.py
@@ -9,14 +9,14 @@
 import gevent
 from attrs import define, evolve
 
-from ashlift_lab.checker import Verdict
-from ashlift_lab.results import Results
-from ashlift_lab.system.kept import Did, as_lab, lines
-from ashlift_lab.system.world import ProcessWorld
-from dovetail.history import History
-from dovetail.rules import verdicts
-from dovetail.scene import Line, Play, Scene
-from dovetail.world import World
+from ashlift.lab.checker import Verdict
+from ashlift.lab.results import Results
+from ashlift.lab.system.kept import Did, as_lab, lines
+from ashlift.lab.system.world import ProcessWorld
+from ashlift.simulation.history import History
+from ashlift.simulation.rules import verdicts
+from ashlift.simulation.scene import Line, Play, Scene
+from ashlift.simulation.world import World
 
 
 class StoppedError(Exception):
@@ -43,9 +43,15 @@
         plan = evolve(self.scene.plan, seed=self.seed)
         lab = as_lab(self.history, self.did, plan.rate)
         return results.store(
-            lab, self.verdicts, name=f"{kind}: {self.scene.title.partition(':')[0]}", began=began, git=git,
-            seed=self.seed, scenario=evolve(self.scene, plan=plan).text(), allows=0.0,
-        )  # fmt: skip
+            lab,
+            self.verdicts,
+            name=f"{kind}: {self.scene.title.partition(':')[0]}",
+            began=began,
+            git=git,
+            seed=self.seed,
+            scenario=evolve(self.scene, plan=plan).text(),
+            allows=0.0,
+        )
 
 
 def simulated(scene: Scene, seed: int) -> Played:
--- a/ashlift_lab/system/wire.py
+++ b/ashlift/lab/system/wire.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 as clients, workers and the operator speak it, and the clock of a run: under the same roles that
 `dovetail` plays on simulated time.
 
-`Clock` stands in for `dovetail.engine.Loop` and `Calls` for `Net`: the same steps (beats, look-ups, orders)
+`Clock` stands in for `simulation.engine.Loop` and `Calls` for `Net`: the same steps (beats, look-ups, orders)
 run on them, but time passes by itself and each call is an exchange on a real socket.
 """
 
@@ -15,11 +15,11 @@
 import gevent
 from gevent import socket
 
-from ashlift.net.replies import Reply, SpoiltAnswerError
-from ashlift_lab.system.places import CONTROL, DIRECTORY, Place
-from dovetail.engine import Future, Process
-from dovetail.history import HOST
-from workbench.faults import UNANSWERED, UNREACHED, Fault
+from ashlift.gatekeeper.net.replies import Reply, SpoiltAnswerError
+from ashlift.lab.system.places import CONTROL, DIRECTORY, Place
+from ashlift.simulation.engine import Future, Process
+from ashlift.simulation.history import HOST
+from ashlift.errors import UNANSWERED, UNREACHED, Fault
 
 Address = tuple[str, int]
 TARGETS = {"put": "PUT", "patch": "PATCH", "evacuate": "POST", "restore": "DELETE"}
@@ -75,8 +75,14 @@
             self.broken.append(traceback.format_exc())
 
 
-def exchange(address: Address, head: bytes, body: bytes, timeout: float,
-             sent: Callable[[], None] | None = None, dial: float | None = None) -> Reply | Fault:  # fmt: skip
+def exchange(
+    address: Address,
+    head: bytes,
+    body: bytes,
+    timeout: float,
+    sent: Callable[[], None] | None = None,
+    dial: float | None = None,
+) -> Reply | Fault:
     """One call on a connection of its own; `sent` is called once all is written; `dial`: s to connect.
 
     UNREACHED: there was no connection; UNANSWERED with detail `late`: time is over; else it was closed.
@@ -123,10 +129,10 @@
     def __init__(self, machines: list[Place]) -> None:
         self.at = {one.name: one.ip for one in machines}
         self.names = {one.ip: one.name for one in machines}
-        self.machines: dict[str, Any] = {}  # name -> dovetail.engine.Machine
+        self.machines: dict[str, Any] = {}  # name -> ashlift.simulation.engine.Machine
 
     def call(self, caller: Process, to: str, kind: str, method: str, body: Any, timeout: float) -> Future:
-        """As `dovetail.engine.Net.call`, for what callers from outside may call."""
+        """As `ashlift.simulation.engine.Net.call`, for what callers from outside may call."""
         future = Future()
         gevent.spawn(lambda: future.set(self._call(to, method, body, timeout)))
         return future
@@ -138,8 +144,9 @@
         verb, target, value, headers = spoken(method, body)
         data = b"" if value is None else json.dumps(value).encode()
         port = DIRECTORY if method == "lookup" else CONTROL
-        answer = exchange((self.at[to], port), request_head(verb, target, self.at[to], data, **headers), data,
-                          timeout)  # fmt: skip
+        answer = exchange(
+            (self.at[to], port), request_head(verb, target, self.at[to], data, **headers), data, timeout
+        )
         if isinstance(answer, Fault):
             return answer
         return self._understood(method, answer)
@@ -170,12 +177,23 @@
             return "GET", f"/lookup?Name={HOST}&Region={region}&Zone={zone}", None, {}
         case "beat":
             name, told = body
-            node = {"Service": told["service"], "ConfigVersion": told["version"], "Zone": told["zone"],
-                    "Capacity": told["capacity"]}  # fmt: skip
-            status = {"State": told["state"], "CallSeq": told["seq"],
-                      "WarmupLeft": f"{round(told['warm'] * 1000)}ms"}  # fmt: skip
-            return "PUT", f"/instances/{name}", {"Address": told["address"], "NodeInfo": node,
-                                                 "Status": status}, {}  # fmt: skip
+            node = {
+                "Service": told["service"],
+                "ConfigVersion": told["version"],
+                "Zone": told["zone"],
+                "Capacity": told["capacity"],
+            }
+            status = {
+                "State": told["state"],
+                "CallSeq": told["seq"],
+                "WarmupLeft": f"{round(told['warm'] * 1000)}ms",
+            }
+            return (
+                "PUT",
+                f"/instances/{name}",
+                {"Address": told["address"], "NodeInfo": node, "Status": status},
+                {},
+            )
         case "delete":
             return "DELETE", f"/instances/{body}", None, {}
         case "config":
--- a/ashlift_lab/system/world.py
+++ b/ashlift/lab/system/world.py
@@ -1,4 +1,4 @@
-"""A world of real processes, as `dovetail.scene.Play` plays scenes in it.
+"""A world of real processes, as `ashlift.simulation.scene.Play` plays scenes in it.
 
 The programs of the checkout run as processes on loopback; workers, clients and operators are ours, in this
 process. Links between machines pass through our own proxies, which hold what a cut stops. What a scene may
@@ -19,22 +19,27 @@
 import gevent
 from gevent import socket
 
-from ashlift_lab.faults import Fault as LinkFault
-from ashlift_lab.faults import Schedule, State, Way
-from ashlift_lab.proxy import TcpLink
-from ashlift_lab.system import places
-from ashlift_lab.system.clients import WireCrowd
-from ashlift_lab.system.programs import Program, stop
-from ashlift_lab.system.wire import Calls, Clock, exchange, request_head
-from ashlift_lab.system.yard import WireYard
-from dovetail.engine import Loop, Machine, Net
-from dovetail.scene import Scene
-from dovetail.workers import Yard
-from dovetail.world import BACK_S, CORE, EDGE, HEARTBEAT, ZONES, Plan, Stage
-from workbench.faults import Fault
-
-KINDS = {"vise": ["vise"], "pegboard": ["pegboard"], "lathe": ["lathe"], "core": ["vise", "pegboard"],
-         "all": ["vise", "pegboard", "lathe"]}  # fmt: skip
+from ashlift.lab.faults import Fault as LinkFault
+from ashlift.lab.faults import Schedule, State, Way
+from ashlift.lab.proxy import TcpLink
+from ashlift.lab.system import places
+from ashlift.lab.system.clients import WireCrowd
+from ashlift.lab.system.programs import Program, stop
+from ashlift.lab.system.wire import Calls, Clock, exchange, request_head
+from ashlift.lab.system.yard import WireYard
+from ashlift.simulation.engine import Loop, Machine, Net
+from ashlift.simulation.scene import Scene
+from ashlift.simulation.workers import Yard
+from ashlift.simulation.world import BACK_S, CORE, EDGE, HEARTBEAT, ZONES, Plan, Stage
+from ashlift.errors import Fault
+
+KINDS = {
+    "configstore": ["configstore"],
+    "registry": ["registry"],
+    "proxy": ["proxy"],
+    "core": ["configstore", "registry"],
+    "all": ["configstore", "registry", "proxy"],
+}
 START_S = 30.0  # for all programs to listen
 SECONDS_MOST = 120.0  # of a scene
 RATE_MOST = 300.0  # requests a second
@@ -101,7 +106,7 @@
             self.wires.append(link)
         for place in self.places:
             self._write(place, True)
-            kinds = KINDS["core"] if place.kind == CORE else KINDS["lathe"]
+            kinds = KINDS["core"] if place.kind == CORE else KINDS["proxy"]
             for kind in kinds:
                 log = self.folder / f"{kind}@{place.name}.log"
                 program = Program(place.name, kind, self._path(place), log)
@@ -116,8 +121,9 @@
         self.populate()
 
     def furnished(self) -> Yard:
-        self.wire_yard = WireYard(self.loop, self.net, self.history, self.core, HEARTBEAT, self.bounds.drain,
-                                  self._net_number)  # fmt: skip
+        self.wire_yard = WireYard(
+            self.loop, self.net, self.history, self.core, HEARTBEAT, self.bounds.drain, self._net_number
+        )
         return self.wire_yard
 
     def _path(self, place: places.Place) -> Path:
@@ -137,7 +143,7 @@
         until = time.monotonic() + START_S
         for (name, kind), program in self.programs.items():
             place = self._at[name]
-            port = {"vise": place.low, "pegboard": places.CONTROL, "lathe": places.FRONT}[kind]
+            port = {"configstore": place.low, "registry": places.CONTROL, "proxy": places.FRONT}[kind]
             while True:
                 try:
                     socket.create_connection((place.ip, port), timeout=1.0).close()
@@ -175,11 +181,13 @@
         requests = self.history.requests
         served = sum(200 <= one.status < 300 for one in requests)
         refused = sum(one.status in (429, 503) for one in requests)
-        return (f"{self.clock.now:5.1f} / {self.plan.until:g} s  requests {len(requests)}  served {served}  "
-                f"refused {refused}")  # fmt: skip
+        return (
+            f"{self.clock.now:5.1f} / {self.plan.until:g} s  requests {len(requests)}  served {served}  "
+            f"refused {refused}"
+        )
 
     def _life(self, name: str) -> int:
-        return self.programs[name, "lathe"].life
+        return self.programs[name, "proxy"].life
 
     # ---- looking, by what the registries say of themselves
     def _status(self, name: str) -> dict[str, Any]:
@@ -193,8 +201,9 @@
     def versions(self) -> dict[str, int]:
         """The version that each running core machine says."""
         told = {name: self._status(name).get("version") or 0 for name in self.core if self.runs(name)}
-        return {name: int(version, 16) if isinstance(version, str) else version
-                for name, version in told.items()}  # fmt: skip
+        return {
+            name: int(version, 16) if isinstance(version, str) else version for name, version in told.items()
+        }
 
     def crews(self) -> dict[str, dict[str, bool]]:
         return {
@@ -205,8 +214,9 @@
 
     def leader(self) -> str | None:
         found = [self._status(name) for name in self.core if self.runs(name)]
-        best = max((one for one in found if one.get("leader")), key=lambda one: one.get("term") or 0,
-                   default=None)  # fmt: skip
+        best = max(
+            (one for one in found if one.get("leader")), key=lambda one: one.get("term") or 0, default=None
+        )
         return self.calls.names.get(best["leader"]) if best else None
 
     def leads(self) -> bool:
@@ -289,8 +299,13 @@
                 self._start(program)
 
     def cut(self, ones: list[str], others: list[str], both: bool = True) -> None:
-        pairs = [(a, b) for one in ones for other in others if one != other
-                 for a, b in [(one, other), *([(other, one)] if both else [])]]  # fmt: skip
+        pairs = [
+            (a, b)
+            for one in ones
+            for other in others
+            if one != other
+            for a, b in [(one, other), *([(other, one)] if both else [])]
+        ]
         self.cuts.update(pairs)
         self._links({*ones, *others}, "cut")
 
--- a/ashlift_lab/system/yard.py
+++ b/ashlift/lab/system/yard.py
@@ -1,4 +1,4 @@
-"""Workers on real sockets: what a worker does is `dovetail.workers.Worker`; here are its connections.
+"""Workers on real sockets: what a worker does is `simulation.workers.Worker`; here are its connections.
 
 A worker listens at a loopback address of its own, takes requests as PROTOCOL.md says, and every arrival goes
 into the history by the request's `X-Attempt-Id`. An id that no client sent, or another method, path or body
@@ -14,12 +14,12 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from ashlift_lab.system.places import WORKER_PORT
-from dovetail.engine import Loop, Net
-from dovetail.history import Arrival, History, Request, Stray
-from dovetail.keeper import Try
-from dovetail.workers import Worker, Yard
-from lathe.links import Ended, Outcome
+from ashlift.lab.system.places import WORKER_PORT
+from ashlift.simulation.engine import Loop, Net
+from ashlift.simulation.history import Arrival, History, Request, Stray
+from ashlift.simulation.keeper import Try
+from ashlift.simulation.workers import Worker, Yard
+from ashlift.proxy.upstream import Ended, Outcome
 
 BODY_BYTES = 200  # of an answer
 LEFT_S = 30.0  # where a request does not say how long its client waits
@@ -151,8 +151,16 @@
 class WireYard(Yard):
     """All workers with their sockets; `sent`: the requests of all clients by attempt id."""
 
-    def __init__(self, loop: Loop, net: Net, history: History, boards: list[str], heartbeat: float,
-                 drain_s: float, net_number: int) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        net: Net,
+        history: History,
+        boards: list[str],
+        heartbeat: float,
+        drain_s: float,
+        net_number: int,
+    ) -> None:
         super().__init__(loop, net, history, boards, heartbeat, drain_s)
         self.sent: dict[str, Request] = {}
         self.lines: dict[str, set[Line]] = {}  # by worker
@@ -166,8 +174,16 @@
         high, low = divmod(self._addresses, 250)
         return f"127.{self._net}.{10 + high}.{low + 1}:{WORKER_PORT}"
 
-    def add(self, service: str, zone: str, region: str, capacity: int, latency: float, cold_s: float,
-            address: str | None = None) -> Worker:  # fmt: skip
+    def add(
+        self,
+        service: str,
+        zone: str,
+        region: str,
+        capacity: int,
+        latency: float,
+        cold_s: float,
+        address: str | None = None,
+    ) -> Worker:
         worker = super().add(service, zone, region, capacity, latency, cold_s, address)
         host, _, port = worker.address.rpartition(":")
         lines = self.lines[worker.id] = set()
--- a/lathe/__main__.py
+++ b/ashlift/proxy/__main__.py
@@ -1,4 +1,4 @@
-"""The proxy's process: settings, parts, signals. `python3 -m lathe`, settings by ASHLIFT_SETTINGS."""
+"""The proxy's process: settings, parts, signals. `python3 -m ashlift.proxy`, settings by ASHLIFT_SETTINGS."""
 
 import gc
 import os
@@ -11,16 +11,24 @@
 import gevent
 from gevent.event import Event
 
-from jig import settings as jig_settings
-from jig.tables import Limits, Tenant
-from lathe import events
-from lathe.desk import Desk
-from lathe.front import Front, serve_readiness
-from lathe.gate import Gate
-from lathe.news import News
-from workbench.events import (
-    BROKEN, CRITICAL, ERROR, SETTINGS_BAD, SETTINGS_READ, STARTED, STOPPING, set_up, tell,
-)  # fmt: skip
+from ashlift.config import settings as jig_settings
+from ashlift.config.routing_table import Limits, Tenant
+from ashlift.proxy import events
+from ashlift.proxy.request_handler import Desk
+from ashlift.proxy.server import Front, serve_readiness
+from ashlift.proxy.request_router import Gate
+from ashlift.proxy.configuration_updates import News
+from ashlift.events import (
+    BROKEN,
+    CRITICAL,
+    ERROR,
+    SETTINGS_BAD,
+    SETTINGS_READ,
+    STARTED,
+    STOPPING,
+    set_up,
+    tell,
+)
 
 PATH = "/etc/ashlift/settings.toml"
 LOOK_S = 1.0  # between looks at the settings file
@@ -145,9 +153,9 @@
     read = jig_settings.read(path)
     if isinstance(read, list):
         for fault in read:
-            print(f"lathe: {fault.detail}", file=sys.stderr)
+            print(f"proxy: {fault.detail}", file=sys.stderr)
         return 2
-    set_up("lathe", read.node_name)
+    set_up("proxy", read.node_name)
     gc.freeze()
     return Program(path, read).run()
 
--- a/lathe/ledger.py
+++ b/ashlift/proxy/cluster_view.py
@@ -13,15 +13,15 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from gauge.unheard import Behind
-from jig.tables import Table
-from workbench.bench import Address, parse_address
+from ashlift.traffic.unreported_usage import Behind
+from ashlift.config.routing_table import Table
+from ashlift.rpc.sources import OPERATOR_SOURCE
+from ashlift.rpc.transport import Address, parse_address
 
-SILENT_S = 5.0  # a source that no pegboard names for so long is dropped
+SILENT_S = 5.0  # a source that no registry names for so long is dropped
 VOUCH_S = 3.0  # a session's lease, and the way to another registry: a gatekeeper that runs has called by then
 HELD_MOST_S = 10.0  # so long is kept who is named no more, while registries start again and again
 NAMED_S = 1.5  # a source named within it stands: what was said there of load and failures counts
-WORD = "vise"  # the source of the operator's word
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 class Source:
     version: int = 0
     records: dict[str, Any] = field(default_factory=dict)
-    named: float = 0.0  # when a pegboard last named it
+    named: float = 0.0  # when a registry last named it
     born: float = -math.inf  # when its registry started, as far as told
 
 
@@ -79,7 +79,7 @@
         """The vector of versions that a pull names."""
         vector = {name: source.version for name, source in self.sources.items()}
         if self.index:
-            vector[WORD] = self.index
+            vector[OPERATOR_SOURCE] = self.index
         return vector
 
     def age(self, now: float) -> float:
@@ -90,7 +90,7 @@
         """Take the answer of a pull sent at `sent`."""
         change = Change()
         for name, news in answer["sources"].items():
-            if name == WORD:
+            if name == OPERATOR_SOURCE:
                 self._word(news, change)
             else:
                 self._source(name, news, now, change)
@@ -154,8 +154,16 @@
         if key[0] != "w":
             return value
         address, ready = parse_address(value["address"]), value["state"] == "ready"
-        return Worker(key[2:], value["service"], value["zone"], address, value["capacity"], ready,
-                      value["seq"], now + value["warm"])  # fmt: skip
+        return Worker(
+            key[2:],
+            value["service"],
+            value["zone"],
+            address,
+            value["capacity"],
+            ready,
+            value["seq"],
+            now + value["warm"],
+        )
 
     def _merge_workers(self, now: float) -> bool:
         best: dict[str, Worker] = {}
