--- a/tests/test_ratelimit.py
+++ b/tests/gatekeeper/test_ratelimit.py
@@ -11,22 +11,30 @@
 from gevent import socket
 from gevent.queue import SimpleQueue
 
-from ashlift.__main__ import Gatekeeper
-from ashlift.clock import UnixClock
-from ashlift.metrics import Metrics
-from ashlift.ratelimit.bridge import Bridge
-from ashlift.ratelimit.client import GrpcCounter, ask, read_error, read_response
-from ashlift.ratelimit.messages import is_negative
-from ashlift.settings.model import OwnSettings, RateLimit, RateLimitClient, RateLimitServer
-from mintfront.interface import Counted, Result
-from tests.play import config, instance
-from tests.standins import GrpcCounts, ManualClock, Node, TextCounts, in_thread
+from ashlift.gatekeeper.__main__ import Gatekeeper
+from ashlift.gatekeeper.clock import UnixClock
+from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.ratelimit.bridge import Bridge
+from ashlift.gatekeeper.ratelimit.client import GrpcCounter, ask, read_error, read_response
+from ashlift.gatekeeper.ratelimit.messages import is_negative
+from ashlift.gatekeeper.settings.model import OwnSettings, RateLimit, RateLimitClient, RateLimitServer
+from ashlift.gatekeeper.admission.interface import Counted, Result
+from tests.gatekeeper.play import config, instance
+from tests.gatekeeper.standins import GrpcCounts, ManualClock, Node, TextCounts, in_thread
 
 OK, OVER = rls_pb2.RateLimitResponse.OK, rls_pb2.RateLimitResponse.OVER_LIMIT
 PREMIER: dict[str, Any] = {
-    "Name": "premier", "QuotaRate": 5.0, "MostAtOnce": 10.0, "CeilingRate": 10.0, "HardBurst": 20.0,
-    "CeilingSlack": 2.0, "MaxOut": 0, "OverWorth": 0.0, "OverrunCost": 0.8, "Pays": 1.4,
-}  # fmt: skip
+    "Name": "premier",
+    "QuotaRate": 5.0,
+    "MostAtOnce": 10.0,
+    "CeilingRate": 10.0,
+    "HardBurst": 20.0,
+    "CeilingSlack": 2.0,
+    "MaxOut": 0,
+    "OverWorth": 0.0,
+    "OverrunCost": 0.8,
+    "Pays": 1.4,
+}
 BASIC = PREMIER | {"Name": "basic", "QuotaRate": 1.0, "MostAtOnce": 4.0, "CeilingRate": 0.0, "HardBurst": 0.0}
 
 
@@ -43,9 +51,11 @@
         for me in range(size):
             changes = {
                 "known": {"generation": 1, "instances": [instance("n1", self.node.address)]},
-                "settings.Plans": [BASIC, PREMIER], "settings.GroupSize": max(2, size), "settings.Me": me,
+                "settings.Plans": [BASIC, PREMIER],
+                "settings.GroupSize": max(2, size),
+                "settings.Me": me,
                 **settings,
-            }  # fmt: skip
+            }
             found = config({"d": "127.0.0.1:9", "k": counts.address, "n1": self.node.address}, changes)
             limits = RateLimit(RateLimitServer("127.0.0.1:0"), RateLimitClient(grpc_address, "counts"))
             gate = Gatekeeper(replace(found, own=OwnSettings(ratelimit=limits)), self.clocks[me])
@@ -79,18 +89,26 @@
     def http(self, at: int, firm: int, plan: str, spread: int = 2) -> str:
         """One job of the platform's; its status and advice."""
         self.traces += 1
-        self.clients[at].sendall((
-            "GET /availability-check/x HTTP/1.1\r\nX-Qos: availability-check\r\nX-Expires-In: 9\r\n"
-            f"X-Trace-Id: {plan}.{firm}.{self.traces}\r\nApi-Plan: {plan}\r\nApi-Customer: {firm:016x}\r\n"
-            f"Api-Terms: units=1,spread={spread},first=0\r\n\r\n"
-        ).encode())  # fmt: skip
+        self.clients[at].sendall(
+            (
+                "GET /availability-check/x HTTP/1.1\r\nX-Qos: availability-check\r\nX-Expires-In: 9\r\n"
+                f"X-Trace-Id: {plan}.{firm}.{self.traces}\r\nApi-Plan: {plan}\r\n"
+                f"Api-Customer: {firm:016x}\r\n"
+                f"Api-Terms: units=1,spread={spread},first=0\r\n\r\n"
+            ).encode()
+        )
         with gevent.Timeout(20):
             head, _, _ = self.clients[at].recv(65536).decode().partition("\r\n\r\n")
         advice = head.partition("Retry-After: ")[2]
         return f"{head.split()[1]} {advice}".strip()
 
-    def grpc(self, *descriptors: dict[str, str], timeout: float = 10.0, domain: str = "availability-lookup",
-             hits: int = 0) -> Any:  # fmt: skip
+    def grpc(
+        self,
+        *descriptors: dict[str, str],
+        timeout: float = 10.0,
+        domain: str = "availability-lookup",
+        hits: int = 0,
+    ) -> Any:
         """One call of a real client to our service."""
         request = rls_pb2.RateLimitRequest(domain=domain, hits_addend=hits)
         for entries in descriptors:
@@ -205,14 +223,15 @@
 @pytest.mark.parametrize(
     ("descriptors", "domain", "named"),
     [
-        ([FIRM], "elsewhere", "domain"), ([], "availability-lookup", "descriptors"),
+        ([FIRM], "elsewhere", "domain"),
+        ([], "availability-lookup", "descriptors"),
         ([FIRM | {"plan": "unheard"}], "availability-lookup", r"descriptors\[0\].*plan"),
         ([FIRM, {"plan": "basic"}], "availability-lookup", r"descriptors\[1\].*firm"),
         ([FIRM | {"spread": "9"}], "availability-lookup", "spread"),
         ([FIRM | {"odd": "1"}], "availability-lookup", "key"),
         ([FIRM | {"class": "odd"}], "availability-lookup", "class"),
     ],
-)  # fmt: skip
+)
 def test_what_cannot_be_right_names_the_field(
     loopback: Callable[..., Loopback], descriptors: list[dict[str, str]], domain: str, named: str
 ) -> None:
@@ -270,11 +289,14 @@
 @pytest.mark.parametrize(
     ("code", "result"),
     [
-        (grpc.StatusCode.RESOURCE_EXHAUSTED, Result.FULL), (grpc.StatusCode.UNAVAILABLE, Result.TIMEOUT),
-        (grpc.StatusCode.INTERNAL, Result.TIMEOUT), (grpc.StatusCode.UNKNOWN, Result.TIMEOUT),
-        (grpc.StatusCode.DEADLINE_EXCEEDED, Result.TIMEOUT), (grpc.StatusCode.ABORTED, Result.TIMEOUT),
+        (grpc.StatusCode.RESOURCE_EXHAUSTED, Result.FULL),
+        (grpc.StatusCode.UNAVAILABLE, Result.TIMEOUT),
+        (grpc.StatusCode.INTERNAL, Result.TIMEOUT),
+        (grpc.StatusCode.UNKNOWN, Result.TIMEOUT),
+        (grpc.StatusCode.DEADLINE_EXCEEDED, Result.TIMEOUT),
+        (grpc.StatusCode.ABORTED, Result.TIMEOUT),
     ],
-)  # fmt: skip
+)
 def test_a_failed_call_is_doubtful_unless_it_is_clear(code: grpc.StatusCode, result: Result) -> None:
     counts = GrpcCounts()
     counts.error = code
--- a/tests/test_rules.py
+++ b/tests/gatekeeper/test_rules.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from mintfront import interface as i
-from tests.helpers import BASE, KEYED, PROVES_NOT_RUN, Driver, answers, counts, sends
+from ashlift.gatekeeper.admission import interface as i
+from tests.gatekeeper.helpers import BASE, KEYED, PROVES_NOT_RUN, Driver, answers, counts, sends
 
 MAYBE_RAN = (i.Result.ERROR, i.Result.TIMEOUT, i.Result.RESET, i.Result.CANCELLED)
 
@@ -165,10 +165,14 @@
     number, out = gate.ask()
     gate.end(number, sends(out)[0].server, i.Result.OK)
     for event in (
-        i.Outcome(number, 0, "s0", i.Result.OK, 5.0, final=True), i.Outcome(999, 3, "zz", i.Result.FULL, 1.0),
-        i.ClientLeft(number), i.Timer(98765), i.Counted(5, i.Result.OK, 1.0, 7.0),
-        i.Probed("zz", i.Result.OK, 1.0), i.StreamStarted(77, 0),
-    ):  # fmt: skip
+        i.Outcome(number, 0, "s0", i.Result.OK, 5.0, final=True),
+        i.Outcome(999, 3, "zz", i.Result.FULL, 1.0),
+        i.ClientLeft(number),
+        i.Timer(98765),
+        i.Counted(5, i.Result.OK, 1.0, 7.0),
+        i.Probed("zz", i.Result.OK, 1.0),
+        i.StreamStarted(77, 0),
+    ):
         assert gate.do(event) == []
 
 
--- a/tests/test_scale.py
+++ b/tests/gatekeeper/test_scale.py
@@ -3,16 +3,14 @@
 from collections import Counter
 from dataclasses import replace
 
-from mintfront import interface as i
-from tests.helpers import BASE, Driver, answers, sends
+from ashlift.gatekeeper.admission import interface as i
+from tests.gatekeeper.helpers import BASE, Driver, answers, sends
 
 FREE = replace(BASE, plans=(i.Plan(),))
 
 
 def group(size: int, servers: int, settings: i.Settings = FREE) -> list[Driver]:
-    return [
-        Driver(replace(settings, group_size=size, me=me), seed=me, servers=servers) for me in range(size)
-    ]
+    return [Driver(replace(settings, group_size=size, me=me), seed=me, servers=servers) for me in range(size)]
 
 
 def test_each_gateway_of_a_large_group_goes_by_few_servers_and_all_servers_by_as_many() -> None:
--- a/tests/test_settings.py
+++ b/tests/gatekeeper/test_settings.py
@@ -10,11 +10,11 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from ashlift import config as configuration
-from ashlift.cli import SHIPPED, ashlift
-from ashlift.settings.model import MIB, OwnSettings, StreamClass, Streaming
-from ashlift.settings.reader import Fault, Items, SettingsError, Word, read
-from ashlift.settings.schema import check, show, slots, walk
+from ashlift.gatekeeper import config as configuration
+from ashlift.gatekeeper.cli import SHIPPED, ashlift
+from ashlift.gatekeeper.settings.model import MIB, OwnSettings, StreamClass, Streaming
+from ashlift.gatekeeper.settings.reader import Fault, Items, SettingsError, Word, read
+from ashlift.gatekeeper.settings.schema import check, show, slots, walk
 
 
 def faults(text: str) -> list[str]:
@@ -73,13 +73,17 @@
         ("", "f:1:1: the file ends within a list: a ) is missing"),
         ("(other)", "f:1:1: a settings file begins with (ashlift"),
         ("(ashlift " + "(" * 40, "f:1:1: lists more than 32 deep"),
-        ("(ashlift (streaming (most-streams 200) (buffer-bytes 1MiB)))",
-         "f:1:41: streaming.buffer-bytes: too small for most-streams 200: "
-         "each holds 8192 bytes at least, so 1646592 are needed"),
-        ('(ashlift (ratelimit (server (listen 127.0.0.1:1) (domain ""))))',
-         "f:1:51: ratelimit.server.domain: empty, though the address is given"),
+        (
+            "(ashlift (streaming (most-streams 200) (buffer-bytes 1MiB)))",
+            "f:1:41: streaming.buffer-bytes: too small for most-streams 200: "
+            "each holds 8192 bytes at least, so 1646592 are needed",
+        ),
+        (
+            '(ashlift (ratelimit (server (listen 127.0.0.1:1) (domain ""))))',
+            "f:1:51: ratelimit.server.domain: empty, though the address is given",
+        ),
     ],
-)  # fmt: skip
+)
 def test_a_form_that_cannot_be_right_is_told_with_its_place(text: str, told: str) -> None:
     assert faults(text) == [told]
 
@@ -159,7 +163,7 @@
     platform.write_text('{"settings": {}}')
     env = os.environ | {"GW_CONFIG": str(platform), "GW_SETTINGS": str(own)}
     for words in ([], ["serve"]):
-        command = [sys.executable, "-m", "ashlift", *words]
+        command = [sys.executable, "-m", "ashlift.gatekeeper", *words]
         ended = subprocess.run(command, env=env, capture_output=True, text=True, check=False)
         assert ended.returncode == 2
         assert [line.split(" ")[0] for line in ended.stderr.splitlines()] == [f"{own}:1:11:", f"{own}:2:3:"]
--- a/tests/test_spill.py
+++ b/tests/gatekeeper/test_spill.py
@@ -7,18 +7,20 @@
 from gevent import socket
 from gevent.queue import SimpleQueue
 
-from ashlift.__main__ import Gatekeeper
-from ashlift.clock import UnixClock
-from ashlift.jobs import ClaimEnded, Headed, Job
-from ashlift.metrics import Metrics
-from ashlift.net.machine_list import MachineList
-from ashlift.net.nodes import Cargo, Limits, NodePool
-from ashlift.net.replies import SPILL
-from mintfront.interface import Result
-from tests.play import config, instance, listen
-
-JOB = (b"GET /availability-check HTTP/1.%d\r\nX-Qos: availability-check\r\nX-Trace-Id: %b\r\n"
-       b"Api-Plan: basic\r\nApi-Customer: 07\r\nX-Expires-In: 5\r\n\r\n")  # fmt: skip
+from ashlift.gatekeeper.__main__ import Gatekeeper
+from ashlift.gatekeeper.clock import UnixClock
+from ashlift.gatekeeper.jobs import ClaimEnded, Headed, Job
+from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.net.machine_list import MachineList
+from ashlift.gatekeeper.net.nodes import Cargo, Limits, NodePool
+from ashlift.gatekeeper.net.replies import SPILL
+from ashlift.gatekeeper.admission.interface import Result
+from tests.gatekeeper.play import config, instance, listen
+
+JOB = (
+    b"GET /availability-check HTTP/1.%d\r\nX-Qos: availability-check\r\nX-Trace-Id: %b\r\n"
+    b"Api-Plan: basic\r\nApi-Customer: 07\r\nX-Expires-In: 5\r\n\r\n"
+)
 
 
 class Taken:
@@ -85,8 +87,12 @@
     node = listen()
     gate, front = gatekeeper(node)
     body = b"x" * (SPILL + 1)
-    serving = gevent.spawn(serve_once, node, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                           + b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body))  # fmt: skip
+    serving = gevent.spawn(
+        serve_once,
+        node,
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        + b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body),
+    )
     with socket.create_connection(front) as client:
         client.sendall(JOB % (0, b"t1"))
         taken = take(client)
--- a/tests/test_stream_program.py
+++ b/tests/gatekeeper/test_stream_program.py
@@ -14,17 +14,16 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from ashlift import logs
-from ashlift.__main__ import Gatekeeper
-from ashlift.settings.model import Logging
-from tests.play import config
+from ashlift.gatekeeper import logs
+from ashlift.gatekeeper.__main__ import Gatekeeper
+from ashlift.gatekeeper.settings.model import Logging
+from tests.gatekeeper.play import config
 
 numbers = itertools.count()
 NOWHERE = {"d": "127.0.0.1:9", "k": "127.0.0.1:9", "n1": "127.0.0.1:9"}
 OWN = "(streaming (enabled true) (class availability-check (head 200ms) {}))"
 
 
-
 # ---- the program, with peers that misbehave
 
 
@@ -106,12 +105,16 @@
 
 @pytest.mark.parametrize(
     ("script", "status", "got", "why"),
-    [((30.0,), b"504", 0, "head_late"), ((HEAD, b"x" * 50, 30.0), b"200", 50, "node_stalled"),
-     ((HEAD, b"x" * 99, 30.0), b"200", 99, "node_stalled"),
-     ((HEAD, b"x" * 50, 0.05, "close"), b"200", 50, "node_reset"),
-     ((b"HTTP/1.1 200 OK\r\n\r\nabc", "close"), b"502", 0, "node_spoilt"), ((b"nonsense\r\n",), b"502", 0,
-     "node_spoilt"), ((b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",), b"502", 0, "node_error")],
-)  # fmt: skip
+    [
+        ((30.0,), b"504", 0, "head_late"),
+        ((HEAD, b"x" * 50, 30.0), b"200", 50, "node_stalled"),
+        ((HEAD, b"x" * 99, 30.0), b"200", 99, "node_stalled"),
+        ((HEAD, b"x" * 50, 0.05, "close"), b"200", 50, "node_reset"),
+        ((b"HTTP/1.1 200 OK\r\n\r\nabc", "close"), b"502", 0, "node_spoilt"),
+        ((b"nonsense\r\n",), b"502", 0, "node_spoilt"),
+        ((b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",), b"502", 0, "node_error"),
+    ],
+)
 def test_whatever_a_node_does_there_is_one_final_answer(
     script: Any, status: bytes, got: int, why: str
 ) -> None:
@@ -199,7 +202,7 @@
 def test_sigterm_lets_short_streams_end_and_cuts_the_others_so_that_it_shows(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("ashlift.__main__.DRAIN_S", 0.6)
+    monkeypatch.setattr("ashlift.gatekeeper.__main__.DRAIN_S", 0.6)
     node = Peer(HEAD, b"x" * 50, 0.1, b"x" * 50)
     endless = Peer(HEAD, *(step for _ in range(90) for step in (b"x", 0.05)))
     for peer, size, counted in ((node, 100, "streams.served"), (endless, None, "streams.failed.shutdown")):
@@ -267,9 +270,13 @@
             sock.close()
         until(lambda: at_rest(gate) and not gate.front.open)
     counts = gate.metrics.counts
-    assert counts["streams.left"] + counts["streams.served"] + counts["streams.refused"] + sum(
-        n for key, n in counts.items() if key.startswith("streams.failed.")
-    ) == counts["jobs.taken"]  # fmt: skip
+    assert (
+        counts["streams.left"]
+        + counts["streams.served"]
+        + counts["streams.refused"]
+        + sum(n for key, n in counts.items() if key.startswith("streams.failed."))
+        == counts["jobs.taken"]
+    )
     assert not gate.nodes._claims
     gate.stop(0.0)
     node.server.stop()
--- a/tests/test_streams.py
+++ b/tests/gatekeeper/test_streams.py
@@ -14,18 +14,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ashlift.net.stream_claim import StreamReply
-from ashlift.settings.model import LEAST_LEASE, Streaming
-from ashlift.streams import pump
-from ashlift.streams.budget import Budget, Share
-from ashlift.streams.faults import Fault
-from ashlift.streams.heads import Body, Framing, FramingError, body_of
-from ashlift.streams.pace import Lag, Pace
-from ashlift.streams.passage import Desk
-from ashlift.streams.pipe import Pipe, Pool
-from tests.helpers import Driver, answers, sends
-from mintfront import interface as i
-from tests.play import config, listen
+from ashlift.gatekeeper.net.stream_claim import StreamReply
+from ashlift.gatekeeper.settings.model import LEAST_LEASE, Streaming
+from ashlift.gatekeeper.streams import pump
+from ashlift.gatekeeper.streams.budget import Budget, Share
+from ashlift.gatekeeper.streams.faults import Fault
+from ashlift.gatekeeper.streams.heads import Body, Framing, FramingError, body_of
+from ashlift.gatekeeper.streams.pace import Lag, Pace
+from ashlift.gatekeeper.streams.passage import Desk
+from ashlift.gatekeeper.streams.pipe import Pipe, Pool
+from tests.gatekeeper.helpers import Driver, answers, sends
+from ashlift.gatekeeper.admission import interface as i
+from tests.gatekeeper.play import config, listen
 
 numbers = itertools.count()
 NOWHERE = {"d": "127.0.0.1:9", "k": "127.0.0.1:9", "n1": "127.0.0.1:9"}
@@ -128,20 +128,26 @@
 
 @pytest.mark.parametrize(
     ("headers", "body"),
-    [([], None), ([(b"content-length", b"0")], Body(Framing.NONE)),
-     ([(b"content-length", b"7")], Body(Framing.LENGTH, 7)),
-     ([(b"transfer-encoding", b"Chunked")], Body(Framing.CHUNKED))],
-)  # fmt: skip
+    [
+        ([], None),
+        ([(b"content-length", b"0")], Body(Framing.NONE)),
+        ([(b"content-length", b"7")], Body(Framing.LENGTH, 7)),
+        ([(b"transfer-encoding", b"Chunked")], Body(Framing.CHUNKED)),
+    ],
+)
 def test_a_head_tells_where_its_body_ends(headers: Any, body: Body | None) -> None:
     assert body_of(headers) == body
 
 
 @pytest.mark.parametrize(
     "headers",
-    [[(b"content-length", b"1"), (b"content-length", b"2")], [(b"content-length", b"+1")],
-     [(b"content-length", b"1"), (b"transfer-encoding", b"chunked")],
-     [(b"transfer-encoding", b"gzip, chunked")]],
-)  # fmt: skip
+    [
+        [(b"content-length", b"1"), (b"content-length", b"2")],
+        [(b"content-length", b"+1")],
+        [(b"content-length", b"1"), (b"transfer-encoding", b"chunked")],
+        [(b"transfer-encoding", b"gzip, chunked")],
+    ],
+)
 def test_a_head_that_says_it_in_two_ways_is_refused(headers: Any) -> None:
     with pytest.raises(FramingError):
         body_of(headers)
@@ -182,9 +188,13 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.binary(max_size=60_000), st.lists(st.integers(1, 9_000), max_size=12),
-       st.none() | st.lists(st.integers(1, 9_000), max_size=12), st.booleans(),
-       st.integers(0, 99))  # fmt: skip
+@given(
+    st.binary(max_size=60_000),
+    st.lists(st.integers(1, 9_000), max_size=12),
+    st.none() | st.lists(st.integers(1, 9_000), max_size=12),
+    st.booleans(),
+    st.integers(0, 99),
+)
 def test_any_body_in_any_cuts_arrives_byte_for_byte(
     body: bytes, cuts: list[int], chunks: list[int] | None, chunked: bool, seed: int
 ) -> None:
@@ -333,9 +343,10 @@
 
 def test_a_spent_body_is_not_sent_again_and_its_failure_is_told_as_one() -> None:
     for spent, result, told in (
-        (False, i.Result.RESET, i.Send), (True, i.Result.RESET, i.Fail),
+        (False, i.Result.RESET, i.Send),
+        (True, i.Result.RESET, i.Fail),
         (True, i.Result.CONNECT_FAILED, i.Refuse),
-    ):  # fmt: skip
+    ):
         driver = Driver()
         number, actions = driver.ask(streamed=True)
         server = sends(actions)[0].server
--- a/tests/test_wirehost.py
+++ b/tests/gatekeeper/test_wirehost.py
@@ -7,22 +7,35 @@
 
 import pytest
 
-from mintfront import control
-from mintfront.wirehost import Host, WireError, main, read_settings
+from ashlift.gatekeeper.admission import control
+from ashlift.gatekeeper.admission.wirehost import Host, WireError, main, read_settings
 
 FACTS: dict[str, Any] = {
     "Categories": [{"Effect": "pure", "GiveUpMs": 2000.0, "TargetMs": 600.0, "LateShare": 0.0, "Value": 3.0}],
     "Discovery": "automatic",
     "FamilyInfo": {"MayCount": True, "CountFee": 0.02, "CounterTimeoutMs": 30, "MaxUnits": 1, "MeterMs": 0},
-    "GroupSize": 3, "Me": 0, "TickMs": 4.0, "Zone": 1, "Unheard": {"of": 1},
+    "GroupSize": 3,
+    "Me": 0,
+    "TickMs": 4.0,
+    "Zone": 1,
+    "Unheard": {"of": 1},
     "Limits": {"Cancel": True, "MaxRetryAfterMs": 2000.0, "Probing": True, "RetryAfter": True, "TryLimit": 4},
-    "Plans": [{
-        "CeilingRate": 0.0, "CeilingSlack": 0.0, "HardBurst": 0.0, "MaxOut": 0, "MostAtOnce": 2.0,
-        "OverWorth": 0.0, "OverrunCost": 1.0, "Pays": 0.8, "QuotaRate": 0.64,
-    }],
+    "Plans": [
+        {
+            "CeilingRate": 0.0,
+            "CeilingSlack": 0.0,
+            "HardBurst": 0.0,
+            "MaxOut": 0,
+            "MostAtOnce": 2.0,
+            "OverWorth": 0.0,
+            "OverrunCost": 1.0,
+            "Pays": 0.8,
+            "QuotaRate": 0.64,
+        }
+    ],
     "Report": {"Fields": [], "Via": "none"},
     "Rules": {"ColdFrom": 0.18, "ColdMs": 17000.0, "FallMultiple": 2.0, "TipAfterMs": 3000.0},
-}  # fmt: skip
+}
 
 
 def batch(now: float, *events: dict[str, Any]) -> str:
@@ -55,12 +68,17 @@
 @pytest.mark.parametrize(
     ("path", "value", "named"),
     [
-        (("Plans",), [], "Plans"), (("Plans",), None, "Plans"), (("GroupSize",), 0, "GroupSize"),
-        (("Plans", 0, "QuotaRate"), -1, "QuotaRate"), (("Categories", 0, "TargetMs"), None, "TargetMs"),
-        (("Rules", "ColdFrom"), 1.5, "ColdFrom"), (("Plans", 0, "MostAtOnce"), 0, "MostAtOnce"),
-        (("Categories", 0, "Effect"), "odd", "Effect"), (("Limits", "TryLimit"), "x", "TryLimit"),
+        (("Plans",), [], "Plans"),
+        (("Plans",), None, "Plans"),
+        (("GroupSize",), 0, "GroupSize"),
+        (("Plans", 0, "QuotaRate"), -1, "QuotaRate"),
+        (("Categories", 0, "TargetMs"), None, "TargetMs"),
+        (("Rules", "ColdFrom"), 1.5, "ColdFrom"),
+        (("Plans", 0, "MostAtOnce"), 0, "MostAtOnce"),
+        (("Categories", 0, "Effect"), "odd", "Effect"),
+        (("Limits", "TryLimit"), "x", "TryLimit"),
     ],
-)  # fmt: skip
+)
 def test_settings_that_cannot_be_right_name_the_key(path: tuple[Any, ...], value: Any, named: str) -> None:
     facts = copy.deepcopy(FACTS)
     at: Any = facts
--- a/trials/test_lab_system.py
+++ b/tests/lab/test_system.py
@@ -7,22 +7,22 @@
 from attrs import evolve
 from ward import test
 
-from ashlift_lab.compare import lines as compare
-from ashlift_lab.results import Results
-from ashlift_lab.system import places, wire
-from ashlift_lab.system.kept import as_lab, lines
-from ashlift_lab.system.runs import simulated
-from ashlift_lab.system.world import unfit
-from ashlift_lab.system.yard import asked
-from dovetail.rules import WORDS, verdicts
-from dovetail.scene import Play, read, read_file
-from dovetail.world import ZONES, Plan
-from jig import settings
-from jig.settings import Bounds
-from pegboard.records import read_beat
-from workbench.faults import Fault
-
-DEMO = Path(__file__).parent.parent / "scenarios" / "system-demo.txt"
+from ashlift.lab.compare import lines as compare
+from ashlift.lab.results import Results
+from ashlift.lab.system import places, wire
+from ashlift.lab.system.kept import as_lab, lines
+from ashlift.lab.system.runs import simulated
+from ashlift.lab.system.world import unfit
+from ashlift.lab.system.yard import asked
+from ashlift.simulation.rules import WORDS, verdicts
+from ashlift.simulation.scene import Play, read, read_file
+from ashlift.simulation.world import ZONES, Plan
+from ashlift.config import settings
+from ashlift.config.settings import Bounds
+from ashlift.registry.records import read_beat
+from ashlift.errors import Fault
+
+DEMO = Path(__file__).parents[2] / "scenarios" / "system-demo.txt"
 BOUNDS = Bounds(revocation_strict=True, drain=2.5)
 
 
@@ -54,8 +54,16 @@
 
 @test("the lab's workers and operator speak as the pages say")
 def _() -> None:
-    told = {"service": "fleet", "address": "127.9.9.9:8080", "zone": "z1", "capacity": 4, "state": "ready",
-            "seq": 3, "warm": 1.25, "version": "v1"}  # fmt: skip
+    told = {
+        "service": "fleet",
+        "address": "127.9.9.9:8080",
+        "zone": "z1",
+        "capacity": 4,
+        "state": "ready",
+        "seq": 3,
+        "warm": 1.25,
+        "version": "v1",
+    }
     verb, target, body, _ = wire.spoken("beat", ("fleet-1", told))
     beat = read_beat(json.dumps(body).encode(), 10.0)
     assert (verb, target) == ("PUT", "/instances/fleet-1")
@@ -82,10 +90,10 @@
     history = play.world.history
     told = lines(verdicts(history, play.world.bounds, play.world.zones), play.failed)
     assert len(told) == len(WORDS) + 1 and all(one.ok for one in told)
-    lab = as_lab(history, [(10.0, "edge-2", "lathe killed")], 40.0)
+    lab = as_lab(history, [(10.0, "edge-2", "proxy killed")], 40.0)
     assert len(lab.jobs) > 800 and sum(bool(job.answers) for job in lab.jobs.values()) > 0.95 * len(lab.jobs)
     words = [what for _, _, what in lab.processes]
-    assert {"version 4 taken", "leaves", "lathe killed"} <= {*words}
+    assert {"version 4 taken", "leaves", "proxy killed"} <= {*words}
     troubles = {what: (since, until) for since, until, what, _ in lab.faults}
     assert troubles["trouble: core-1, core-2, core-3"] == (14000.0, 18000.0)
     assert troubles["trouble: edge-2"][0] == 10000.0
--- a/trials/test_answers_bytes.py
+++ b/tests/proxy/test_answer_bytes.py
@@ -6,8 +6,8 @@
 from gevent.pool import Pool
 from ward import each, test
 
-from trials.between import AGAIN, BACK, HALVE, HOLD, THERE, Between
-from trials.gatekeeper import BODY, WAYS, Client, Request, Site
+from tests.support.between import AGAIN, BACK, HALVE, HOLD, THERE, Between
+from tests.support.gatekeeper import BODY, WAYS, Client, Request, Site
 
 SILENT = (HOLD, HALVE)  # kinds of trouble that leave somebody waiting
 REQUEST, ANSWER = 210, 135  # bytes, and some more than there are
--- a/trials/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -13,22 +13,37 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule, run_state_machine_as_test
 from ward import each, test
 
-from lathe import front
-from lathe.answering import WorkerReply
-from lathe.asking import RequestReader
-from lathe.gate import Gate
-from lathe.links import Links
-from lathe.rests import Rests
-from trials.between import AGAIN, HOST, Between
-from trials.gatekeeper import (
-    BODY, ENOUGH_S, MOODS, TOO_LONG, WAYS, Client, Gatekeeper, History, Site, answer, said,
-)  # fmt: skip
-from trials.planted import found, planted
+from ashlift.proxy import server as front
+from ashlift.proxy.responses import WorkerReply
+from ashlift.proxy.request_reader import RequestReader
+from ashlift.proxy.request_router import Gate
+from ashlift.proxy.upstream import Links
+from ashlift.proxy.idle_connections import Rests
+from tests.support.between import AGAIN, HOST, Between
+from tests.support.gatekeeper import (
+    BODY,
+    ENOUGH_S,
+    MOODS,
+    TOO_LONG,
+    WAYS,
+    Client,
+    Gatekeeper,
+    History,
+    Site,
+    answer,
+    said,
+)
+from tests.support.planted import found, planted
 
 HOW = settings(
-    max_examples=15, stateful_step_count=10, deadline=None, derandomize=True, database=None,
-    report_multiple_bugs=False, suppress_health_check=list(HealthCheck),
-)  # fmt: skip
+    max_examples=15,
+    stateful_step_count=10,
+    deadline=None,
+    derandomize=True,
+    database=None,
+    report_multiple_bugs=False,
+    suppress_health_check=list(HealthCheck),
+)
 
 
 @test("answers: {mood}")
@@ -81,15 +96,22 @@
     def mood(self, which: int, mood: str) -> None:
         self.site.workers.moods[[*self.site.routes["0"]][which]] = mood
 
-    @rule(which=st.integers(0, 2), many=st.integers(1, 3), repeatable=st.booleans(), chunked=st.booleans(),
-          pieces=st.lists(st.integers(0, 300), max_size=3))  # fmt: skip
+    @rule(
+        which=st.integers(0, 2),
+        many=st.integers(1, 3),
+        repeatable=st.booleans(),
+        chunked=st.booleans(),
+        pieces=st.lists(st.integers(0, 300), max_size=3),
+    )
     def ask(self, which: int, many: int, repeatable: bool, chunked: bool, pieces: list[int]) -> None:
         client = self.clients[which]
         if client is None or client.ended:
             client = self.clients[which] = Client(self.site.history, self.ways[2].address)
         path = "/look/0/x" if repeatable else "/hold/0/x"
-        asked = [self.site.history.request(path, repeatable, BODY, chunked=chunked, remaining=100)
-                 for _ in range(many)]  # fmt: skip
+        asked = [
+            self.site.history.request(path, repeatable, BODY, chunked=chunked, remaining=100)
+            for _ in range(many)
+        ]
         leaving = gevent.spawn_later(0.5, client.leave)
         client.ask(*asked, pieces=pieces)
         leaving.kill()
@@ -361,26 +383,55 @@
 
 
 BREACHES: dict[str, tuple[Callable[..., Any], str, str, Callable[[], None]]] = {
-    "an idle connection after a reset, for a POST":
-        (Rests.most, "self._sure if", "self._sure if repeatable and", forgotten),
-    "a resend after silence":
-        (Gate.pick, "(live.may_run and not live.route.repeatable)", "False", moody("ran and resets")),
-    "the id is not compared":
-        (Links._read, "reply.one(ATTEMPT) == attempt", "True", moody("a second answer later")),
-    "refused, though it may have run":
-        (Gate._give_up, "live.may_run or live.out", "False", moody("ran and resets")),
-    "a worker's own 503 is passed on":
-        (WorkerReply.sound, "or self.status in PROMISES", "", moody("a false promise")),
-    "an answer without the worker's seal is passed on":
-        (WorkerReply.sound, "bool(self.one(SEAL)) and ", "", moody("no seal")),
+    "an idle connection after a reset, for a POST": (
+        Rests.most,
+        "self._sure if",
+        "self._sure if repeatable and",
+        forgotten,
+    ),
+    "a resend after silence": (
+        Gate.pick,
+        "(live.may_run and not live.route.repeatable)",
+        "False",
+        moody("ran and resets"),
+    ),
+    "the id is not compared": (
+        Links._read,
+        "reply.one(ATTEMPT) == attempt",
+        "True",
+        moody("a second answer later"),
+    ),
+    "refused, though it may have run": (
+        Gate._give_up,
+        "live.may_run or live.out",
+        "False",
+        moody("ran and resets"),
+    ),
+    "a worker's own 503 is passed on": (
+        WorkerReply.sound,
+        "or self.status in PROMISES",
+        "",
+        moody("a false promise"),
+    ),
+    "an answer without the worker's seal is passed on": (
+        WorkerReply.sound,
+        "bool(self.one(SEAL)) and ",
+        "",
+        moody("no seal"),
+    ),
     "an answer that was cut is passed on": (
-        Links._read, "    return None, 0.0\n            reply.feed",
+        Links._read,
+        "    return None, 0.0\n            reply.feed",
         "    reply.status, reply.done = reply.code, True\n                break\n            reply.feed",
         moody("short"),
     ),
-    "kept after an answer that came early":
-        (Links.exchange, "keep_s = 0.0  # who answers", "pass  # who answers", hasty),
-}  # fmt: skip
+    "kept after an answer that came early": (
+        Links.exchange,
+        "keep_s = 0.0  # who answers",
+        "pass  # who answers",
+        hasty,
+    ),
+}
 
 
 @test("answers, planted: {name}: found")
--- a/trials/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -4,20 +4,33 @@
 
 from ward import each, test
 
-from jig.tables import Route
-from lathe.crew import Crew
-from lathe.ledger import Worker
-from pegboard.records import Worker as Told
-from pegboard.registry import Registry, Self
-
-LOOK = Route(name="look", host="h", prefix="/", repeatable=True, timeout=3.0, aim=0.8, priority=2,
-             split=(("board", 1),), attempts=2, anonymous=True, homes=frozenset())  # fmt: skip
+from ashlift.config.routing_table import Route
+from ashlift.proxy.load_balancer import Crew
+from ashlift.proxy.cluster_view import Worker
+from ashlift.registry.records import Worker as Told
+from ashlift.registry.registry import Registry, Self
+
+LOOK = Route(
+    name="look",
+    host="h",
+    prefix="/",
+    repeatable=True,
+    timeout=3.0,
+    aim=0.8,
+    priority=2,
+    split=(("board", 1),),
+    attempts=2,
+    anonymous=True,
+    homes=frozenset(),
+)
 
 
 def crew() -> Crew:
     made = Crew("z1", {"z1": "r1", "z2": "r2"}, random.Random(5))
-    made.know(Worker(name, "board", zone, ("127.0.0.1", 9), 6, True, 1, 0.0)
-              for name, zone in (("a1", "z1"), ("a2", "z1"), ("b1", "z2"), ("b2", "z2")))  # fmt: skip
+    made.know(
+        Worker(name, "board", zone, ("127.0.0.1", 9), 6, True, 1, 0.0)
+        for name, zone in (("a1", "z1"), ("a2", "z1"), ("b1", "z2"), ("b2", "z2"))
+    )
     for at in range(60):
         made.answered(0.1 * at, made.views["a1"], LOOK, 0.2, 500)
     return made
@@ -25,8 +38,10 @@
 
 def share_far(made: Crew, now: float, for_s: float = 1.0) -> float:
     """Of 200 requests within `for_s`."""
-    firsts = [made.order(now + for_s * at / 200, made.open("board", (), ()), LOOK)[0].worker.zone
-              for at in range(200)]  # fmt: skip
+    firsts = [
+        made.order(now + for_s * at / 200, made.open("board", (), ()), LOOK)[0].worker.zone
+        for at in range(200)
+    ]
     return firsts.count("z2") / len(firsts)
 
 
--- a/trials/test_lathe_pulling.py
+++ b/tests/proxy/test_registry_client.py
@@ -5,13 +5,14 @@
 
 from ward import raises, test
 
-from jig.settings import Settings, parse
-from lathe.gate import Gate
-from lathe.pulling import AVOID_S, Pulling
-from pegboard.registry import Registry, Self
-from workbench.bench import ANSWERS, DIAL_S, MORE_S, Patience, pack
-from workbench.faults import UNANSWERED, UNREACHED, Fault
-from workbench.pieces import opened
+from ashlift.rpc.sources import OPERATOR_SOURCE
+from ashlift.config.settings import Settings, parse
+from ashlift.proxy.request_router import Gate
+from ashlift.proxy.registry_client import AVOID_S, Pulling
+from ashlift.registry.registry import Registry, Self
+from ashlift.rpc.transport import ANSWERS, DIAL_S, MORE_S, Patience, pack
+from ashlift.errors import UNANSWERED, UNREACHED, Fault
+from ashlift.rpc.fragmentation import opened
 
 NEAR, NEXT, FAR = "10.1.0.1", "10.2.0.1", "10.3.0.1"
 TEXT = f"""NodeName = "edge-1"
@@ -88,13 +89,13 @@
     packer.watched({"index": 7, "full": True, "set": word, "gone": [], "age": 0.0}, 0.0, 0.0)
     body = {"have": {}, "zone": "a", "region": "r"}
     plain, packed = packer.answer(body, 0.0, 0.0), packer.answer({**body, "packs": True}, 0.0, 0.0)
-    packed["sources"]["vise"] = opened(told := packed["sources"]["vise"])
+    packed["sources"][OPERATOR_SOURCE] = opened(told := packed["sources"][OPERATOR_SOURCE])
     assert packed["sources"] == plain["sources"]
-    packed["sources"]["vise"] = told
+    packed["sources"][OPERATOR_SOURCE] = told
     assert 8 * len(pack(ANSWERS, packed)) < len(pack(ANSWERS, plain))
-    packed["sources"]["vise"]["pack"] = packed["sources"]["vise"]["pack"][:-9]
+    packed["sources"][OPERATOR_SOURCE]["pack"] = packed["sources"][OPERATOR_SOURCE]["pack"][:-9]
     with raises(ValueError):
-        opened(packed["sources"]["vise"])
+        opened(packed["sources"][OPERATOR_SOURCE])
 
 
 @test("an answer is waited for while its bytes come, and no longer than it may take")
--- a/trials/test_gate.py
+++ b/tests/proxy/test_request_router.py
@@ -4,10 +4,10 @@
 
 from ward import each, test
 
-from lathe.answering import WorkerReply
-from trials.gate_scenes import Play, scenes
+from ashlift.proxy.responses import WorkerReply
+from tests.support.request_router_scenarios import Play, scenes
 
-TITLES, LINES = zip(*scenes(Path(__file__).parent / "scenes" / "gate.txt"), strict=True)
+TITLES, LINES = zip(*scenes(Path(__file__).parent.parent / "scenarios" / "request_router.txt"), strict=True)
 
 
 @test("gate: {title}")
--- a/trials/test_staleness.py
+++ b/tests/proxy/test_staleness.py
@@ -4,8 +4,8 @@
 
 from ward import each, raises, test
 
-from dovetail.members import World
-from dovetail.sworn import Wrong
+from ashlift.simulation.members import World
+from ashlift.simulation.sworn import Wrong
 
 MEMBERS = 5
 
--- a/trials/test_orders_answered.py
+++ b/tests/registry/test_command_answers.py
@@ -9,13 +9,13 @@
 from gevent import socket
 from ward import each, test
 
-from pegboard.door import Door
-from pegboard.resources import Config
-from pegboard.store import Store
-from trials.between import BACK, HOST, KINDS, THERE, Between
-from trials.gatekeeper import ENOUGH_S, TOO_LONG
-from workbench.bench import Callers, serve
-from workbench.faults import UNREADY, Fault
+from ashlift.registry.http_server import Door
+from ashlift.registry.resources import Config
+from ashlift.registry.store_client import Store
+from tests.support.between import BACK, HOST, KINDS, THERE, Between
+from tests.support.gatekeeper import ENOUGH_S, TOO_LONG
+from ashlift.rpc.transport import Callers, serve
+from ashlift.errors import UNREADY, Fault
 
 STEP = 11  # bytes between two tries of a trouble: test_frames tries each
 MOST = 150  # and some more than a call and its answer have
--- a/trials/test_pegboard_parts.py
+++ b/tests/registry/test_parts.py
@@ -8,20 +8,20 @@
 
 from ward import each, test
 
-from jig.settings import Settings
-from pegboard.door import Answer, Door, Request, _Reading
-from pegboard.records import Worker, read_beat
-from pegboard.lookup import LOOKS_MOST
-from pegboard.loops import CALLERS_FEW, GATHER_S, PEERS_FEW, WAIT_S, spread
-from pegboard.registry import Registry, Self
-from pegboard.resources import Config, Evacuation, Instances
-from pegboard.source import TOMBS, Source
-from pegboard.store import Store
-from vise.interface import State
-from vise.news import News
-from vise.ranges import RangedMap
-from workbench.bench import Callers
-from workbench.faults import INVALID, UNANSWERED, UNREACHED, UNREADY, Fault
+from ashlift.config.settings import Settings
+from ashlift.registry.http_server import Answer, Door, Request, _Reading
+from ashlift.registry.records import Worker, read_beat
+from ashlift.registry.endpoint_directory import LOOKS_MOST
+from ashlift.registry.server import CALLERS_FEW, GATHER_S, PEERS_FEW, WAIT_S, spread
+from ashlift.registry.registry import Registry, Self
+from ashlift.registry.resources import Config, Evacuation, Instances
+from ashlift.registry.replicated_source import TOMBS, Source
+from ashlift.registry.store_client import Store
+from ashlift.configstore.messages import State
+from ashlift.configstore.committed_state import News
+from ashlift.configstore.ranged_map import RangedMap
+from ashlift.rpc.transport import Callers
+from ashlift.errors import INVALID, UNANSWERED, UNREACHED, UNREADY, Fault
 
 
 def take(asker: tuple[int, dict[str, Any]], source: Source) -> tuple[int, dict[str, Any]]:
@@ -121,9 +121,19 @@
 def _(
     old: str = each("", "8080", '"z"', "4,", "ready", "1500ms", '"NodeInfo"', "}}", '"s"', ":2}"),
     new: str = each("", "0", "5", "-4,", "idle", "soon", '"Node"', "}", "NaN", ":true}"),
-    wrong: str = each("", "no port", "texts", "whole numbers", "no State", "no time", "NodeInfo is missing",
-                      "is no JSON", "NaN is no JSON", "whole numbers"),
-) -> None:  # fmt: skip
+    wrong: str = each(
+        "",
+        "no port",
+        "texts",
+        "whole numbers",
+        "no State",
+        "no time",
+        "NodeInfo is missing",
+        "is no JSON",
+        "NaN is no JSON",
+        "whole numbers",
+    ),
+) -> None:
     found = read_beat(BEAT.decode().replace(old, new, 1).encode() if old else BEAT, 10.0)
     if wrong:
         assert isinstance(found, Fault) and wrong in found.detail, found
@@ -307,7 +317,7 @@
 
     settings = Settings(node_name="n", ip="own", internal_ports=(1, 2), seeds=(), zones={"za": "ra"})
     way = Sure("own", 7600, list, Callers())
-    with patch("pegboard.door.time", clock), patch("pegboard.resources.time", clock):
+    with patch("ashlift.registry.http_server.time", clock), patch("ashlift.registry.resources.time", clock):
         door = Door(("127.0.0.1", 0), {"evacuation": Evacuation(way, lambda: settings)})
         match story:
             case "fresh":
--- a/trials/test_routes.py
+++ b/tests/registry/test_routes.py
@@ -12,17 +12,17 @@
 from cleo.testers.application_tester import ApplicationTester
 from ward import fixture, test
 
-from pegboard.door import Request
-from pegboard.registry import Registry, Self
-from pegboard.routes import Desk, Proposals, Routes
-from toolbox import sources
-from toolbox.commands import application
-from trials.test_mitre import BASE, FIRST, Map, route
-from vise.drafts import NAME, Drafts
-from vise.interface import Work
-from vise.orders import decide
-from vise.shelf import Shelf
-from workbench.faults import UNANSWERED, UNREADY, Fault
+from ashlift.registry.http_server import Request
+from ashlift.registry.registry import Registry, Self
+from ashlift.registry.route_resources import Desk, Proposals, Routes
+from ashlift.cli import sources
+from ashlift.cli.commands import application
+from tests.route_reconciliation.test_merging import BASE, FIRST, Map, route
+from ashlift.configstore.pending_edits import NAME, Drafts
+from ashlift.configstore.messages import Work
+from ashlift.configstore.commands import decide
+from ashlift.configstore.snapshot_storage import Shelf
+from ashlift.errors import UNANSWERED, UNREADY, Fault
 
 ORDER = route("c", "/hold/", "non_idempotent")
 
@@ -170,7 +170,7 @@
 @test("a shelf that is full refuses, and what is no edit is no call")
 def _(core: Core = core) -> None:
     core.fault = Fault(UNREADY, "no leader")
-    with patch("vise.drafts.MOST", 1):
+    with patch("ashlift.configstore.pending_edits.MOST", 1):
         assert core.edit("hold", ORDER, "p1")[0] == 3
         code, told = core.edit("hold", ORDER, "p2")
         assert code == 2 and "no store has kept it" in told
--- a/trials/test_pegboard_scenes.py
+++ b/tests/registry/test_scenarios.py
@@ -1,19 +1,19 @@
 """Plays scenes/pegboard_*.txt: registries swap on simulated time, gatekeepers pull with the proxy's ledger.
 
-  start NAME ZONE REGION     a registry (again: a new incarnation); all are members, at the IPs of their names
-  stop NAME | cut A B | join A B | sleep NAME | wake NAME
-  edge NAME ZONE REGION AT [unready]    a gatekeeper that pulls from the registry AT; `quit NAME` ends it
-  count EDGE TENANT TOTAL DECLINED | again EDGE     counts for its next pull | the last pull comes once more
-  beat AT ID seq=N [state=draining] [warm=S]        `late` after it: it must not be taken
-  delete AT ID
-  run S                      s go by: steps of 10 ms, pulls and swaps every 50 ms, ticks every 250 ms
-  check EDGE worker ID ready|draining|gone|none     what a gatekeeper believes
-  check EDGE sum TENANT TOTAL DECLINED
-  check AT lookup ZONE REGION FRONT... | unready
-  check AT answers EDGE full|difference|nothing      what the registry would tell a gatekeeper of `vise`
-  word AT INDEX AGE KEY=VALUE...                     a store's answer to watch; KEY= takes the key out
-  check AT age S|none
-  check AT alone yes|no                              whether it has lost sight of most others
+start NAME ZONE REGION     a registry (again: a new incarnation); all are members, at the IPs of their names
+stop NAME | cut A B | join A B | sleep NAME | wake NAME
+edge NAME ZONE REGION AT [unready]    a gatekeeper that pulls from the registry AT; `quit NAME` ends it
+count EDGE TENANT TOTAL DECLINED | again EDGE     counts for its next pull | the last pull comes once more
+beat AT ID seq=N [state=draining] [warm=S]        `late` after it: it must not be taken
+delete AT ID
+run S                      s go by: steps of 10 ms, pulls and swaps every 50 ms, ticks every 250 ms
+check EDGE worker ID ready|draining|gone|none     what a gatekeeper believes
+check EDGE sum TENANT TOTAL DECLINED
+check AT lookup ZONE REGION FRONT... | unready
+check AT answers EDGE full|difference|nothing      what the registry would tell a gatekeeper of `vise`
+word AT INDEX AGE KEY=VALUE...                     a store's answer to watch; KEY= takes the key out
+check AT age S|none
+check AT alone yes|no                              whether it has lost sight of most others
 """
 
 import random
@@ -22,12 +22,13 @@
 
 from ward import each, test
 
-from lathe.ledger import Ledger
-from pegboard.records import GONE, Worker
-from pegboard.registry import Registry, Self
-from workbench.faults import Fault
+from ashlift.rpc.sources import OPERATOR_SOURCE
+from ashlift.proxy.cluster_view import Ledger
+from ashlift.registry.records import GONE, Worker
+from ashlift.registry.registry import Registry, Self
+from ashlift.errors import Fault
 
-SCENES = sorted((Path(__file__).parent / "scenes").glob("pegboard_*.txt"))
+SCENES = sorted((Path(__file__).parent.parent / "scenarios").glob("registry_*.txt"))
 STEP = 0.01
 
 
@@ -35,8 +36,12 @@
     def __init__(self, name: str, zone: str, region: str) -> None:
         self.name = name
         self.body: dict[str, Any] = {
-            "node": name, "incarnation": "x", "zone": zone, "region": region, "front": name,
-        }  # fmt: skip
+            "node": name,
+            "incarnation": "x",
+            "zone": zone,
+            "region": region,
+            "front": name,
+        }
         self.ledger, self.at, self.number, self.counts = Ledger(), "", 0, dict[str, list[int]]()
 
 
@@ -154,7 +159,7 @@
         assert (["unready"] if isinstance(found, Fault) else sorted(found)) == sorted(fronts), str(found)
 
     def _check_answers(self, at: str, edge: str, wanted: str) -> None:
-        told = self.all[at].word.since(self.edges[edge].ledger.have().get("vise"))
+        told = self.all[at].word.since(self.edges[edge].ledger.have().get(OPERATOR_SOURCE))
         assert ("nothing" if told is None else "full" if told.full else "difference") == wanted, str(told)
 
     def _check_alone(self, at: str, wanted: str) -> None:
--- a/trials/test_soft_state.py
+++ b/tests/registry/test_soft_state.py
@@ -7,12 +7,12 @@
 from attrs import define
 from ward import each, test
 
-from dovetail.scene import Play, read
-from gauge.limits import Limiter
-from gauge.unheard import Behind
-from lathe.ledger import HELD_MOST_S, VOUCH_S, Ledger
-from lathe.pulling import STALE_S
-from trials.gauge_play import Bounds
+from ashlift.simulation.scene import Play, read
+from ashlift.traffic.rate_limiter import Limiter
+from ashlift.traffic.unreported_usage import Behind
+from ashlift.proxy.cluster_view import HELD_MOST_S, VOUCH_S, Ledger
+from ashlift.proxy.registry_client import STALE_S
+from tests.support.rate_limiter_play import Bounds
 
 CORE = ("core-1", "core-2", "core-3")
 # Every tenant asks 0.69 of its quota.
@@ -52,15 +52,15 @@
 
 @test("all registries start again, {order}, a second between two: gatekeepers go on as before")
 def _(order: tuple[str, ...] = each(*permutations(CORE))) -> None:  # noqa: B008
-    lines = [f"at 10 kill pegboard {name} for {0.2 + 1.2 * at}" for at, name in enumerate(order)]
+    lines = [f"at 10 kill registry {name} for {0.2 + 1.2 * at}" for at, name in enumerate(order)]
     found = seen(["quota 28", *lines], 10.0, 17.0)
     assert (found.members, found.workers) == (8, 18) and found.refused < 0.02 and found.served > 0.97, found
 
 
 @test("the same, half of the gatekeepers have just been killed")
 def _() -> None:
-    lines = ["quota 40", "at 8.5 kill lathe edge-1 edge-2 edge-3 edge-4 for 60"]
-    lines += ["at 10 kill pegboard core-1 for 0.2", "at 10 kill pegboard core-2 core-3 for 1.6"]
+    lines = ["quota 40", "at 8.5 kill proxy edge-1 edge-2 edge-3 edge-4 for 60"]
+    lines += ["at 10 kill registry core-1 for 0.2", "at 10 kill registry core-2 core-3 for 1.6"]
     found = seen(lines, 10.0, 17.0)
     assert found.members >= 4 and found.workers == 18 and found.refused < 0.01 and found.served > 0.96, found
 
@@ -74,20 +74,27 @@
 
 @test("two of three are away, and all gatekeepers go to the third")
 def _() -> None:
-    found = seen(["at 10 kill pegboard core-1 core-3 for 2.5"], 10.0, 17.0)
+    found = seen(["at 10 kill registry core-1 core-3 for 2.5"], 10.0, 17.0)
     assert (found.members, found.workers) == (8, 18) and found.refused < 0.05, found
 
 
 @test("all registries are away for {away} s and know nothing then: members and workers stay known")
 def _(away: float = each(3.0, 5.5)) -> None:
-    found = seen(["quota 40", f"at 7 kill pegboard * for {away}"], 7 + away, 17.0)
+    found = seen(["quota 40", f"at 7 kill registry * for {away}"], 7 + away, 17.0)
     assert (found.members, found.workers) == (8, 18) and found.refused < 0.03, found
 
 
 def _answer(ran: float, *named: str, alive: str = "p#2", **news: Any) -> dict[str, Any]:
     """Of a registry that has run `ran` s and names these gatekeepers and workers."""
-    worker = {"service": "s", "zone": "z", "address": "127.0.0.1:9", "capacity": 2, "seq": 1, "warm": 0.0,
-              "state": "ready"}  # fmt: skip
+    worker = {
+        "service": "s",
+        "zone": "z",
+        "address": "127.0.0.1:9",
+        "capacity": 2,
+        "seq": 1,
+        "warm": 0.0,
+        "state": "ready",
+    }
     records = {key: worker if key[0] == "w" else {"ready": True} for key in named}
     source = {"version": int(1000 * ran), "full": True, "set": records | news, "gone": [], "run": ran}
     return {"sources": {alive: source}, "alive": [alive], "age": 0.1, "held": 0.0, "ran": ran}
@@ -174,8 +181,16 @@
         """Status of a beat, whether look-ups are answered, whether its proof is one to stay with."""
         now, registry = board.clock(), board.registry
         age = registry.age(now)
-        fields = {"service": "fleet", "address": "10.9.0.1:80", "zone": "z4", "capacity": 1, "state": "ready",
-                  "seq": int(1000 * world.loop.now), "warm": 0.0, "version": "v"}  # fmt: skip
+        fields = {
+            "service": "fleet",
+            "address": "10.9.0.1:80",
+            "zone": "z4",
+            "capacity": 1,
+            "state": "ready",
+            "seq": int(1000 * world.loop.now),
+            "warm": 0.0,
+            "version": "v",
+        }
         answers = isinstance(registry.lookup("z4", "r1", now), list)
         return board._beat(("probe", fields))[0], answers, age is not None and age <= STALE_S
 
@@ -205,6 +220,6 @@
 
 @test("rules hold while all registries are away and workers come, cold, or lose answers ({what})")
 def _(what: str = each("add fleet z{} cold 8", "chill fleet-{} 8", "sick fleet-{} 0.5")) -> None:
-    lines = ["rate 200", "quota 120", "workers 6", "at 7 kill pegboard * for 5.5"]
+    lines = ["rate 200", "quota 120", "workers 6", "at 7 kill registry * for 5.5"]
     found = seen([*lines, *(f"at 11.5 {what.format(at)}" for at in range(1, 7))], 12.5, 17.0)
     assert found.members == 8 and found.refused < 0.05, found
--- a/trials/test_mitre.py
+++ b/tests/route_reconciliation/test_merging.py
@@ -8,10 +8,10 @@
 from hypothesis import strategies as some
 from ward import each, test
 
-from jig import configuration
-from mitre import settling
-from mitre.clock import AHEAD_MS, NEVER, SLACK_MS, Clock, Stamp
-from mitre.edits import Edit, join, read_edit, why_not
+from ashlift.config import operator_config as configuration
+from ashlift.route_reconciliation import merging as settling
+from ashlift.route_reconciliation.hybrid_clock import AHEAD_MS, NEVER, SLACK_MS, Clock, Stamp
+from ashlift.route_reconciliation.edits import Edit, join, read_edit, why_not
 
 Map = dict[str, Any]
 quick = settings(max_examples=80, deadline=None, derandomize=True, database=None)
@@ -76,8 +76,11 @@
     lambda name, text, stamp, auto: Edit(
         f"{name}{stamp}", name, text, BASE.get(f"Routes/{name}"), "00000001", stamp, "w", stamp.node, auto
     ),
-    some.sampled_from("xyz"), texts, stamps, some.just(True) | some.booleans(),
-)  # fmt: skip
+    some.sampled_from("xyz"),
+    texts,
+    stamps,
+    some.just(True) | some.booleans(),
+)
 books = some.lists(edits, max_size=6).map(lambda found: join(*({one.id: one} for one in found)))
 
 
@@ -120,8 +123,11 @@
 
 # What one side may do: a route goes elsewhere, is withdrawn, a new one takes a place, or that of the first.
 STEPS: dict[str, tuple[str, Any]] = {
-    "move": ("x", "c"), "withdraw": ("x", None), "add": ("y", "b"), "drop": ("y", None),
-}  # fmt: skip
+    "move": ("x", "c"),
+    "withdraw": ("x", None),
+    "add": ("y", "b"),
+    "drop": ("y", None),
+}
 
 
 def step(what: str, ms: int, node: str) -> Edit:
@@ -147,8 +153,13 @@
                 change = configuration.apply(map, "patch", version, _patch(one, int(version, 16) + 1))
                 assert isinstance(change, configuration.Change)
                 map = {key: value for key, value in map.items() if key not in change.gone} | change.set
-        mark = repr(sorted((key, map[key], map.get(key.replace("Routes/", "Edited/"), {}).get("stamp"))
-                           for key in map if key.startswith("Routes/")))  # fmt: skip
+        mark = repr(
+            sorted(
+                (key, map[key], map.get(key.replace("Routes/", "Edited/"), {}).get("stamp"))
+                for key in map
+                if key.startswith("Routes/")
+            )
+        )
         if mark in seen:
             continue
         seen.add(mark)
@@ -236,8 +247,9 @@
     assert ordered(BASE, "confirm", body, "00000009")[1]["status"] == 412
     after, answer = ordered(BASE, "confirm", body, "00000001")
     assert answer["status"] == 200 and after["Version"] == "00000002" and after["Routes/hold"] == one.text
-    assert after["Edited/hold"]["log"][-1] | {"by": "boss", "who": "clerk", "version": "00000002"} == (
-        after["Edited/hold"]["log"][-1]
+    assert (
+        after["Edited/hold"]["log"][-1] | {"by": "boss", "who": "clerk", "version": "00000002"}
+        == (after["Edited/hold"]["log"][-1])
     )
     again = ordered(after, "confirm", body, "00000001")
     assert again[0] == after and again[1]["outcome"] == "in force"
@@ -282,8 +294,14 @@
 def _() -> None:
     good = edit("x", route("b"), 5).wire()
     assert read_edit(good) == edit("x", route("b"), 5)
-    wrong: list[Map] = [{"stamp": [1]}, {"text": 3}, {"name": ""}, {"odd": 1}, {"auto": "yes"},
-                        {"text": {"Host": "h" * 9000}}]  # fmt: skip
+    wrong: list[Map] = [
+        {"stamp": [1]},
+        {"text": 3},
+        {"name": ""},
+        {"odd": 1},
+        {"auto": "yes"},
+        {"text": {"Host": "h" * 9000}},
+    ]
     for bad in (None, {}, [1], *(good | one for one in wrong)):
         assert not read_edit(bad)
         assert settling.decide(BASE, {"kind": "edit", "body": {"edit": bad}}).answer["status"] == 400
--- a/trials/test_pieces.py
+++ b/tests/rpc/test_fragmentation.py
@@ -6,18 +6,19 @@
 import cbor2
 from ward import each, raises, test
 
-from jig.settings import Settings, parse
-from lathe.__main__ import Program
-from lathe.gate import Gate
-from lathe.pulling import ANSWER_S, MOST_S, STALE_S, WAIT_S, Pulling
-from pegboard.registry import Registry, Self
-from trials.test_lathe_pulling import TEXT
-from vise.daemon import watched
-from vise.interface import State
-from vise.news import News
-from vise.ranges import RangedMap
-from workbench.faults import UNANSWERED, Fault
-from workbench.pieces import KEPT_MOST, PIECE, Cutter, Joiner
+from ashlift.rpc.sources import OPERATOR_SOURCE
+from ashlift.config.settings import Settings, parse
+from ashlift.proxy.__main__ import Program
+from ashlift.proxy.request_router import Gate
+from ashlift.proxy.registry_client import ANSWER_S, MOST_S, STALE_S, WAIT_S, Pulling
+from ashlift.registry.registry import Registry, Self
+from tests.proxy.test_registry_client import TEXT
+from ashlift.configstore.server import watched
+from ashlift.configstore.messages import State
+from ashlift.configstore.committed_state import News
+from ashlift.configstore.ranged_map import RangedMap
+from ashlift.errors import UNANSWERED, Fault
+from ashlift.rpc.fragmentation import KEPT_MOST, PIECE, Cutter, Joiner
 
 LINE = 2e6 / 8  # bytes a second of a gatekeeper's line
 TRIP_S = 0.04
@@ -121,7 +122,11 @@
 def _() -> None:
     one = pulling(1)
     good = {"sources": {}, "alive": [], "age": 0.1, "held": 0.0, "controls": ["10.1.0.1"], "members": 1}
-    for sources in ({"vise": {"version": 1, "full": True, "pack": b"none"}}, None, {"vise": {"part": b""}}):
+    for sources in (
+        {OPERATOR_SOURCE: {"version": 1, "full": True, "pack": b"none"}},
+        None,
+        {"vise": {"part": b""}},
+    ):
         call = one.begin(10.0)
         assert call is not None
         assert not one.ended(call, 10.0, {**good, "sources": sources})
--- a/trials/test_frames.py
+++ b/tests/rpc/test_transport.py
@@ -14,11 +14,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule, run_state_machine_as_test
 from ward import each, raises, test
 
-from trials.between import BACK, CUT, DOUBLE, HALVE, HOLD, HOST, KINDS, RESET, THERE, Between
-from trials.planted import found, planted
-from workbench import bench
-from workbench.bench import ANSWERS, CALLS, FRAME_MOST, Caller, Frames, pack, serve
-from workbench.faults import INVALID, REFUSED, UNANSWERED, UNKNOWN, UNREACHED, Fault
+from tests.support.between import BACK, CUT, DOUBLE, HALVE, HOLD, HOST, KINDS, RESET, THERE, Between
+from tests.support.planted import found, planted
+from ashlift.rpc import transport
+from ashlift.rpc.transport import ANSWERS, CALLS, FRAME_MOST, Caller, Frames, pack, serve
+from ashlift.errors import INVALID, REFUSED, UNANSWERED, UNKNOWN, UNREACHED, Fault
 
 BYTES = 36  # of a small call, and more than its answer has
 QUICK_S = 0.03  # a call that nobody answers
@@ -26,14 +26,19 @@
 TOO_LONG = AssertionError("it should have come long ago")
 
 
-def listening(server: StreamServer) -> bench.Address:
+def listening(server: StreamServer) -> transport.Address:
     return HOST, server.server_port or 0
 
 
 HOW = settings(
-    max_examples=25, stateful_step_count=12, deadline=None, derandomize=True, database=None,
-    report_multiple_bugs=False, suppress_health_check=list(HealthCheck),
-)  # fmt: skip
+    max_examples=25,
+    stateful_step_count=12,
+    deadline=None,
+    derandomize=True,
+    database=None,
+    report_multiple_bugs=False,
+    suppress_health_check=list(HealthCheck),
+)
 
 
 class Peer:
@@ -110,8 +115,10 @@
     def trouble(self, way: str, at: int, kind: str) -> None:
         self.between.arm(way, at, kind)
 
-    @rule(methods=st.lists(st.sampled_from(("echo", "echo", "refuse", "late")), min_size=1, max_size=4),
-          size=st.sampled_from((0, 30, 70_000)))  # fmt: skip
+    @rule(
+        methods=st.lists(st.sampled_from(("echo", "echo", "refuse", "late")), min_size=1, max_size=4),
+        size=st.sampled_from((0, 30, 70_000)),
+    )
     def calls(self, methods: list[str], size: int) -> None:
         quiet = not self.between.troubles and "late" not in methods
         within = ENOUGH_S if quiet and self.between.struck == 0 else QUICK_S
@@ -190,8 +197,10 @@
 
 
 @test("frames: a connection {kind} at every byte of two calls and answers, {way}")
-def _(kind: str = each(CUT, RESET, HOLD, HALVE, DOUBLE, CUT, RESET, HOLD, HALVE, DOUBLE),
-      way: str = each(*[THERE] * 5, *[BACK] * 5)) -> None:  # fmt: skip
+def _(
+    kind: str = each(CUT, RESET, HOLD, HALVE, DOUBLE, CUT, RESET, HOLD, HALVE, DOUBLE),
+    way: str = each(*[THERE] * 5, *[BACK] * 5),
+) -> None:
     runs = [gevent.spawn(struck, way, at, kind) for at in range(BYTES)]
     gevent.joinall(runs, raise_error=True)
     assert min(run.get() for run in runs) >= 1
@@ -265,13 +274,13 @@
 def _() -> None:
     server = serve((HOST, 0), {"large": lambda _: b"x" * (FRAME_MOST - 100), "echo": lambda body: body})
     ends: list[socket.socket] = []
-    tune = bench.tune
-    bench.tune = ends.append  # type: ignore[assignment]
+    tune = transport.tune
+    transport.tune = ends.append  # type: ignore[assignment]
     try:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.connect(listening(server))
-        with planted(bench.write, "SILENT_S) ->", "0.05) ->"), gevent.Timeout(ENOUGH_S, TOO_LONG):
+        with planted(transport.write, "SILENT_S) ->", "0.05) ->"), gevent.Timeout(ENOUGH_S, TOO_LONG):
             sock.sendall(pack(CALLS, [1, "large", None]) + pack(CALLS, [2, "echo", "two"]))
             while not ends:
                 gevent.idle()
@@ -280,7 +289,7 @@
             while ends[0].fileno() >= 0:
                 gevent.idle()
     finally:
-        bench.tune = tune
+        transport.tune = tune
     kept = b""
     with suppress(OSError):
         while data := sock.recv(1 << 20):
@@ -318,10 +327,12 @@
 
     server = serve((HOST, 0), {"echo": echo})
     frames = {
-        "number again": [[5, "echo", 1], [5, "echo", 2]], "number below": [[5, "echo", 1], [4, "echo", 2]],
-        "two words": [[5, "echo", 1], [6, "echo"]], "no number": [[5, "echo", 1], ["6", "echo", 2]],
+        "number again": [[5, "echo", 1], [5, "echo", 2]],
+        "number below": [[5, "echo", 1], [4, "echo", 2]],
+        "two words": [[5, "echo", 1], [6, "echo"]],
+        "no number": [[5, "echo", 1], ["6", "echo", 2]],
         "a list for a method": [[5, "echo", 1], [6, ["echo"], 2]],
-    }[what]  # fmt: skip
+    }[what]
     sock = socket.create_connection(listening(server))
     sock.sendall(pack(CALLS, frames[0]))
     cutter = Frames(ANSWERS)
@@ -337,10 +348,12 @@
 @test("frames: what cannot be an answer ends the connection, and all its calls are in doubt: {what}")
 def _(what: str = each("of no call yet", "half", "a wrong check", "a call", "words for a fault")) -> None:
     answer = {
-        "of no call yet": pack(ANSWERS, [9, "x"]), "half": pack(ANSWERS, [1, "x"])[:-1],
-        "a wrong check": pack(ANSWERS, [1, "x"])[:-1] + b"y", "a call": pack(CALLS, [1, "x"]),
+        "of no call yet": pack(ANSWERS, [9, "x"]),
+        "half": pack(ANSWERS, [1, "x"])[:-1],
+        "a wrong check": pack(ANSWERS, [1, "x"])[:-1] + b"y",
+        "a call": pack(CALLS, [1, "x"]),
         "words for a fault": pack(ANSWERS, [1, None, 7, 8]),
-    }[what]  # fmt: skip
+    }[what]
 
     def connection(sock: socket.socket, _: Any) -> None:
         sock.recv(65536)
@@ -420,17 +433,27 @@
 
 
 BREACHES: dict[str, tuple[Callable[..., Any], str, str, Callable[[], None]]] = {
-    "the connection is kept after a write that was given up":
-        (Caller.call, "self._end(line)  # half a frame may be out", "pass", mixed),
+    "the connection is kept after a write that was given up": (
+        Caller.call,
+        "self._end(line)  # half a frame may be out",
+        "pass",
+        mixed,
+    ),
     "the check is not compared": (Frames.feed, "zlib.crc32(value, self._way) != check", "False", changed),
     "a number may come again": (serve, "if number > newest", "if True", doubled),
-    "sent is told as not sent":
-        (Caller.call, "UNANSWERED if line else UNREACHED, f", "UNREACHED, f", play_once),
+    "sent is told as not sent": (
+        Caller.call,
+        "UNANSWERED if line else UNREACHED, f",
+        "UNREACHED, f",
+        play_once,
+    ),
     "any answer is anybody's": (
-        Caller._answered, "waiting = line.waiting.pop(number, None)",
-        "waiting = line.waiting.popitem()[1] if line.waiting else None", play_once,
+        Caller._answered,
+        "waiting = line.waiting.pop(number, None)",
+        "waiting = line.waiting.popitem()[1] if line.waiting else None",
+        play_once,
     ),
-}  # fmt: skip
+}
 
 
 @test("frames, planted: {name}: found")
--- a/trials/test_orders_scenes.py
+++ b/tests/simulation/test_command_scenarios.py
@@ -4,10 +4,10 @@
 
 from ward import each, test
 
-from dovetail.scene import Play, read_file
-from trials.mutants import GUARDS, mutated
+from ashlift.simulation.scene import Play, read_file
+from tests.support.mutants import GUARDS, mutated
 
-FOLDER = Path(__file__).parent / "scenes"
+FOLDER = Path(__file__).parent.parent / "scenarios"
 SCENES = {scene.title: scene for path in sorted(FOLDER.glob("orders_*.txt")) for scene in read_file(path)}
 
 
--- a/trials/test_system_core_scenes.py
+++ b/tests/simulation/test_core_scenarios.py
@@ -2,8 +2,8 @@
 
 from ward import each, test
 
-from dovetail.scene import Play, read_file
-from trials.test_system_scenes import CORE, FOLDER
+from ashlift.simulation.scene import Play, read_file
+from tests.simulation.test_system_scenarios import CORE, FOLDER
 
 SCENES = {scene.title: scene for name in CORE for scene in read_file(FOLDER / name)}
 
--- a/trials/test_explore.py
+++ b/tests/simulation/test_explore.py
@@ -3,10 +3,10 @@
 from attrs import evolve
 from ward import each, test
 
-from dovetail.cell import forked, known
-from dovetail.explore import CASES, explore
-from dovetail.moves import begun, coming, steps
-from trials.mutants import mutated
+from ashlift.simulation.cell import forked, known
+from ashlift.simulation.explore import CASES, explore
+from ashlift.simulation.moves import begun, coming, steps
+from tests.support.mutants import mutated
 
 
 @test("explored, one trouble at every step: {case}")
@@ -17,9 +17,12 @@
 
 
 BROKEN = {
-    "elected by one": "change", "committed by one": "closing", "read before a commit of the term": "closing",
-    "confirmed by one": "leaders", "orders have no fence": "late",
-}  # fmt: skip
+    "elected by one": "change",
+    "committed by one": "closing",
+    "read before a commit of the term": "closing",
+    "confirmed by one": "leaders",
+    "orders have no fence": "late",
+}
 
 
 @test("explored, {broken}: found")
--- a/trials/test_system_checks.py
+++ b/tests/simulation/test_invariants.py
@@ -6,12 +6,12 @@
 
 from ward import each, test
 
-from dovetail.checks import Judge
-from dovetail.history import Arrival, History, Order, Reading, Request, Stray, WorkerLife
-from dovetail.people import change, edited, patched
-from dovetail.rules import WORDS, explained, judge, verdicts
-from dovetail.world import ZONES, Plan, first_configuration
-from jig.settings import Bounds
+from ashlift.simulation.checks import Judge
+from ashlift.simulation.history import Arrival, History, Order, Reading, Request, Stray, WorkerLife
+from ashlift.simulation.people import change, edited, patched
+from ashlift.simulation.rules import WORDS, explained, judge, verdicts
+from ashlift.simulation.world import ZONES, Plan, first_configuration
+from ashlift.config.settings import Bounds
 
 BOUNDS = Bounds(revocation_strict=True)
 
@@ -35,17 +35,26 @@
         return made
 
     def ask(
-        self, at: float, path: str, worker: str = "", status: int = 200, key: str = "t1-a",
-        gate: str = "edge-1", ran: bool = True, tenant: str = "t1", code: int = 0,
-    ) -> Request:  # fmt: skip
+        self,
+        at: float,
+        path: str,
+        worker: str = "",
+        status: int = 200,
+        key: str = "t1-a",
+        gate: str = "edge-1",
+        ran: bool = True,
+        tenant: str = "t1",
+        code: int = 0,
+    ) -> Request:
         one = self.history.request(path, path.startswith("/look"), key, "z1", "r1", at)
         one.gate, one.taken, one.status, one.ended = gate, at, status, at + 0.2
         if worker:
             self.more(one, at + 0.1, worker, ran, tenant, code)
         return one
 
-    def more(self, one: Request, at: float, worker: str, ran: bool = True, tenant: str = "t1",
-             code: int = 0) -> None:  # fmt: skip
+    def more(
+        self, one: Request, at: float, worker: str, ran: bool = True, tenant: str = "t1", code: int = 0
+    ) -> None:
         service = self.history.workers[worker].service
         one.arrivals.append(Arrival(at, worker, service, tenant, one.gate, ran, code))
 
@@ -208,20 +217,37 @@
 
 
 PLANTED: dict[str, tuple[str, Callable[[Made, bool], None]]] = {
-    "twice": ("TWICE", twice), "refused": ("REFUSED", refused), "route": ("ROUTE", route),
+    "twice": ("TWICE", twice),
+    "refused": ("REFUSED", refused),
+    "route": ("ROUTE", route),
     "tenant": ("ROUTE", tenant),
     "stopped": ("STOPPED", stopped),
-    "denied": ("DENIED", denied), "stale": ("CONFIG", stale), "stale key": ("CONFIG", stale_key),
-    "downgraded": ("CONFIG", downgraded), "raced": ("CONFIG", raced), "revoked": ("CONFIG", revoked),
-    "read back": ("CONFIG", read_back), "read other": ("CONFIG", read_other),
-    "read refused": ("CONFIG", read_refused), "lost": ("LOST", lost), "drain": ("DRAIN", drain),
-    "evacuated": ("EVAC", evacuated), "budget": ("BUDGET", budget), "quota": ("QUOTA", quota),
-    "failback": ("FAILBACK", failback), "home": ("HOME", home), "spun": ("Fault", spun),
-    "mixed": ("MIXED", mixed), "mixed failure": ("MIXED", mixed_failure), "stray": ("UNASKED", stray),
-    "stranger": ("UNASKED", tenant), "cut off": ("LOST", cut_off),
-    "cut off leaving": ("LOST", cut_off_leaving), "recovered": ("RECOVER", recovered),
+    "denied": ("DENIED", denied),
+    "stale": ("CONFIG", stale),
+    "stale key": ("CONFIG", stale_key),
+    "downgraded": ("CONFIG", downgraded),
+    "raced": ("CONFIG", raced),
+    "revoked": ("CONFIG", revoked),
+    "read back": ("CONFIG", read_back),
+    "read other": ("CONFIG", read_other),
+    "read refused": ("CONFIG", read_refused),
+    "lost": ("LOST", lost),
+    "drain": ("DRAIN", drain),
+    "evacuated": ("EVAC", evacuated),
+    "budget": ("BUDGET", budget),
+    "quota": ("QUOTA", quota),
+    "failback": ("FAILBACK", failback),
+    "home": ("HOME", home),
+    "spun": ("Fault", spun),
+    "mixed": ("MIXED", mixed),
+    "mixed failure": ("MIXED", mixed_failure),
+    "stray": ("UNASKED", stray),
+    "stranger": ("UNASKED", tenant),
+    "cut off": ("LOST", cut_off),
+    "cut off leaving": ("LOST", cut_off_leaving),
+    "recovered": ("RECOVER", recovered),
     "slighted": ("CONFIG", slighted),
-}  # fmt: skip
+}
 
 
 @test("dovetail's checkers: {name} is caught, and only when it is there")
--- a/trials/test_linear.py
+++ b/tests/simulation/test_linearizability.py
@@ -5,7 +5,7 @@
 
 from ward import each, test
 
-from dovetail.linear import DOUBT, STALE, TAKEN, Call, Change, items, unexplained
+from ashlift.simulation.linear import DOUBT, STALE, TAKEN, Call, Change, items, unexplained
 
 # One call a word: `w1@0-1:200` writes version 1 on 0 (`w3on1@...` on another base), `p2` patches, `r1` reads,
 # `w2b` writes something else as version 2; `?`: in doubt. `+z@0-1` evacuates z, `-z@0-?2` takes it back, in
@@ -107,8 +107,9 @@
             changes.append(change)
         calls.append(
             Call(begun, math.inf, change)
-            if kind == "d" else Call(begun, ended, change, TAKEN if fits else STALE)
-        )  # fmt: skip
+            if kind == "d"
+            else Call(begun, ended, change, TAKEN if fits else STALE)
+        )
     return calls
 
 
--- a/trials/test_system_scenes.py
+++ b/tests/simulation/test_system_scenarios.py
@@ -6,13 +6,13 @@
 
 from ward import each, raises, test
 
-from dovetail import worst
-from dovetail.chance import drawn, shrunk
-from dovetail.figures import failed_over, served_again
-from dovetail.people import Errand, Want
-from dovetail.scene import Line, Play, read, read_file
+from ashlift.simulation import worst
+from ashlift.simulation.chance import drawn, shrunk
+from ashlift.simulation.figures import failed_over, served_again
+from ashlift.simulation.people import Errand, Want
+from ashlift.simulation.scene import Line, Play, read, read_file
 
-FOLDER = Path(__file__).parent / "scenes"
+FOLDER = Path(__file__).parent.parent / "scenarios"
 CORE = ("system_core.txt", "system_soft.txt")  # as many again: in a file, so in a process, of their own
 FILES = [path for path in sorted(FOLDER.glob("system_*.txt")) if path.name not in CORE]
 SCENES = {scene.title: scene for path in FILES for scene in read_file(path)}
@@ -61,7 +61,7 @@
 
 @test("a failing schedule is shortened to what it needs, and reads back from its text")
 def _() -> None:
-    lines = ["until 8", "at 6 load 0.5", "at 6.1 kill lathe edge-1", "at 6.5 expect acked 9", "at 7 load 1"]
+    lines = ["until 8", "at 6 load 0.5", "at 6.1 kill proxy edge-1", "at 6.5 expect acked 9", "at 7 load 1"]
     scene = read("\n".join(["# fails", *lines]))[0]
     short = shrunk(scene, 1)
     assert short.lines == (Line(6.5, ("expect", "acked", "9")),)
--- a/trials/jig_play.py
+++ b/tests/support/config_play.py
@@ -15,11 +15,11 @@
 from pathlib import Path
 from typing import Any
 
-from jig.configuration import Change, apply, whole
-from jig.tables import Table
-from workbench.faults import Fault
+from ashlift.config.operator_config import Change, apply, whole
+from ashlift.config.routing_table import Table
+from ashlift.errors import Fault
 
-SCENES = Path(__file__).parent / "scenes"
+SCENES = Path(__file__).parent.parent / "scenarios"
 Json = dict[str, Any]
 FOREIGN = {"Members/10.0.0.1": {}, "Evacuations/a": 1, "Taken/00000001": "d"}
 
@@ -44,9 +44,12 @@
         assert int(shown["ConfigVersion"], 16) == int(body["ConfigVersion"], 16) == self.table.version
         if kind == "put":
             assert json.dumps({**shown, "ConfigVersion": ""}) == json.dumps(
-                {**{key: one for key, one in body.items() if key not in ("ConfigVersion", "Objects")},
-                 "ConfigVersion": "", "Objects": [_ordered(one) for one in body["Objects"]]}
-            )  # fmt: skip
+                {
+                    **{key: one for key, one in body.items() if key not in ("ConfigVersion", "Objects")},
+                    "ConfigVersion": "",
+                    "Objects": [_ordered(one) for one in body["Objects"]],
+                }
+            )
         return got
 
 
--- a/trials/gatekeeper.py
+++ b/tests/support/gatekeeper.py
@@ -18,14 +18,15 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from jig.settings import Settings, parse
-from jig.tables import Limits
-from lathe.asking import Asked, RequestReader
-from lathe.desk import Desk
-from lathe.front import Front
-from lathe.gate import Gate
-from trials.between import AGAIN, BACK, CUT, HALVE, HOLD, HOST, LINGER, RESET, THERE, Between
-from workbench.bench import Address
+from ashlift.rpc.sources import OPERATOR_SOURCE
+from ashlift.config.settings import Settings, parse
+from ashlift.config.routing_table import Limits
+from ashlift.proxy.request_reader import Asked, RequestReader
+from ashlift.proxy.request_handler import Desk
+from ashlift.proxy.server import Front
+from ashlift.proxy.request_router import Gate
+from tests.support.between import AGAIN, BACK, CUT, HALVE, HOLD, HOST, LINGER, RESET, THERE, Between
+from ashlift.rpc.transport import Address
 
 LARGE = 12 << 20  # bytes: more than the kernel takes for somebody who does not read
 ENOUGH_S = 5.0  # for what is answered, on a busy machine: never waited for
@@ -50,10 +51,26 @@
 """
 # What a worker does with a request. Those that begin with "not" have not run it.
 MOODS = (
-    "well", "not: full", "fails", "a second answer at once", "a second answer later", "continue first",
-    "closing", "no length", "short", "mute", "noise", "noise behind", "no seal", "encoded", "a false promise",
-    "not: hangs up", "ran and resets", "not: resets when kept", "not: another's id",
-)  # fmt: skip
+    "well",
+    "not: full",
+    "fails",
+    "a second answer at once",
+    "a second answer later",
+    "continue first",
+    "closing",
+    "no length",
+    "short",
+    "mute",
+    "noise",
+    "noise behind",
+    "no seal",
+    "encoded",
+    "a false promise",
+    "not: hangs up",
+    "ran and resets",
+    "not: resets when kept",
+    "not: another's id",
+)
 
 
 @dataclass
@@ -250,8 +267,14 @@
         self.version = 0
         word: dict[str, Any] = {"Version": "00000001"}
         for name in routes:
-            shape = {"Host": "h.example", "Timeout": "9s", "TargetLatency": "40ms", "Service": f"s-{name}",
-                     "MaxAttempts": 2, "Anonymous": True}  # fmt: skip
+            shape = {
+                "Host": "h.example",
+                "Timeout": "9s",
+                "TargetLatency": "40ms",
+                "Service": f"s-{name}",
+                "MaxAttempts": 2,
+                "Anonymous": True,
+            }
             for kind, repeats in (("look", "idempotent"), ("hold", "non_idempotent")):
                 route = {**shape, "PathPrefix": f"/{kind}/{name}/", "RouteType": repeats}
                 word[f"Routes/{kind}-{name}"] = route
@@ -263,13 +286,27 @@
         """News: these workers, and no others."""
         self.version += 1
         records = {
-            f"w/{id}": {"service": f"s-{name}", "zone": "z1", "address": f"{host}:{port}", "capacity": 64,
-                        "seq": self.version, "warm": 0.0, "state": "ready"}
-            for name, workers in routes.items() for id, (host, port) in workers.items()
-        }  # fmt: skip
-        told = {"vise": {"version": 1, "full": True, "set": self._word, "gone": []},
-                "p#1": {"version": self.version, "full": True, "gone": [],
-                        "set": {**records, "g/edge-1": {"ready": True}}}}  # fmt: skip
+            f"w/{id}": {
+                "service": f"s-{name}",
+                "zone": "z1",
+                "address": f"{host}:{port}",
+                "capacity": 64,
+                "seq": self.version,
+                "warm": 0.0,
+                "state": "ready",
+            }
+            for name, workers in routes.items()
+            for id, (host, port) in workers.items()
+        }
+        told = {
+            OPERATOR_SOURCE: {"version": 1, "full": True, "set": self._word, "gone": []},
+            "p#1": {
+                "version": self.version,
+                "full": True,
+                "gone": [],
+                "set": {**records, "g/edge-1": {"ready": True}},
+            },
+        }
         now = time.monotonic()
         change = self.gate.ledger.take(now, now, {"sources": told, "alive": ["p#1"], "age": 0.0, "held": 0.0})
         self.gate.news(now, change)
@@ -358,8 +395,9 @@
         self.history = History()
         ids = f"i{next(NUMBERS)}-"
         self.workers = Workers(self.history, ids)
-        self.links = {(number, place): Between(self.workers.address)
-                      for number in range(most) for place in range(each)}  # fmt: skip
+        self.links = {
+            (number, place): Between(self.workers.address) for number in range(most) for place in range(each)
+        }
         self.routes: dict[str, dict[str, Address]] = {str(number): {} for number in range(most)}
         for (number, place), link in self.links.items():
             self.routes[str(number)][f"{ids}{number}-{place}"] = link.address
--- a/trials/known_red.py
+++ b/tests/support/known_failures.py
@@ -1,11 +1,11 @@
 """Which tests may fail in CI: those named in KNOWN-RED.txt, and no others.
 
-A line there is `TEST | CAUSE | ISSUE`, TEST as it is told below: of ward `trials/test_X.py: title` (with
-its number if it has several cases alike), of pytest `tests/test_y.py: name`.
-
-`python -m trials.known_red LIST REPORTS` judges what a run has left in the folder REPORTS: `*.tsv`, lines of
-outcome and test (written by the hook below, which ward calls), and `*.xml` of pytest; `exits`: a command's
-exit status and its test file.
+A line there is `TEST | CAUSE | ISSUE`, TEST as it is told below: of ward
+`tests/PACKAGE/test_X.py: title` (with its number if it has several cases alike), of pytest
+`tests/gatekeeper/test_y.py: name`.
+`python -m tests.support.known_failures LIST REPORTS` judges what a run has left in the folder REPORTS:
+`*.tsv`, lines of outcome and test (written by the hook below, which ward calls), and `*.xml` of pytest;
+`exits`: a command's exit status and its test file.
 """
 
 import os
@@ -34,7 +34,8 @@
     """Of a ward test."""
     file = Path(test.path)
     number = f" [{test.param_meta.instance_index + 1}]" if test.param_meta.group_size > 1 else ""
-    return f"{file.parent.name}/{file.name}: {' '.join(test.description.split())}{number}"
+    place = file.relative_to(Path.cwd()) if file.is_relative_to(Path.cwd()) else file
+    return f"{place}: {' '.join(test.description.split())}{number}"
 
 
 def from_pytest(text: str) -> dict[str, bool]:
--- a/trials/mutants.py
+++ b/tests/support/mutants.py
@@ -1,7 +1,7 @@
 """Single lines of the store's core changed so that an invariant breaks: what the explorer must find; and of
 what guards orders: what the scenes of orders must find.
 
-`python -m trials.mutants MOST CELLS [NAME...]` looks for each in all cases.
+`python -m tests.support.mutants MOST CELLS [NAME...]` looks for each in all cases.
 """
 
 import inspect
@@ -11,14 +11,14 @@
 from contextlib import contextmanager
 from typing import Any
 
-from dovetail import board
-from dovetail.explore import CASES, explore
-from jig import configuration
-from pegboard.asking import Asking
-from vise import orders
-from vise.agreement import Member
-from vise.leading import Lead
-from vise.mending import Mending
+from ashlift.simulation import board
+from ashlift.simulation.explore import CASES, explore
+from ashlift.config import operator_config as configuration
+from ashlift.registry.http_requests import Asking
+from ashlift.configstore import commands as orders
+from ashlift.configstore.replica import Member
+from ashlift.configstore.leader import Lead
+from ashlift.configstore.catch_up import Mending
 
 # name: where, what stands there, what stands there instead
 MUTANTS: dict[str, tuple[Any, str, str, str]] = {
@@ -28,18 +28,26 @@
     "a round begun before the read": (Lead, "read", "self.round + 1", "self.round"),
     "read before a commit of the term": (Lead, "_confirm", "not self.commit or ", ""),
     "a 412 without a round": (
-        Lead, "_advance", "self.waiting.append((self.round + 1, ref, outcome.answer))",
+        Lead,
+        "_advance",
+        "self.waiting.append((self.round + 1, ref, outcome.answer))",
         "self.seat.reply(ref, {**outcome.answer, 'index': self.commit})",
     ),
     "an older map is voted for": (Member, "_request_vote", "(last_term, index) >= self.term_index", "True"),
     "two votes in a term": (Member, "_request_vote", "self.vote.voted_for == candidate", "True"),
     "a vote said though the disk refused": (
-        Member, "_request_vote", "if ok else Fault(REFUSED, \"disk\")", "",
+        Member,
+        "_request_vote",
+        'if ok else Fault(REFUSED, "disk")',
+        "",
     ),
     "a yes though the disk refused": (Member, "_append", "if not ok:", "if False:"),
     "a leader goes on though its disk refused": (Lead, "_proposed", "if not ok:", "if False:"),
     "the leader counts before it has kept": (
-        Lead, "_holds", "self.seat.term_index == self.naming.term_index", "True",
+        Lead,
+        "_holds",
+        "self.seat.term_index == self.naming.term_index",
+        "True",
     ),
     "a learner is counted": (Lead, "_holds", "peer.learning is None and ", ""),
     "a learner confirms": (Lead, "_answered_round", "0 if peer.learning else peer.round", "peer.round"),
@@ -47,21 +55,35 @@
     "a lost disk counts": (Member, "_become_learner", "voter=False", "voter=True"),
     "promoted without a commit after": (Lead, "_learner", "(incarnation, newest + 1)", "(incarnation, 0)"),
     "promoted in any life": (
-        Member, "_promoted", "rest[0] == self.incarnation and ", "",
+        Member,
+        "_promoted",
+        "rest[0] == self.incarnation and ",
+        "",
     ),
     "promoted with what is not committed": (
-        Lead, "_learner", "<= index <= self.commit", "<= index",
+        Lead,
+        "_learner",
+        "<= index <= self.commit",
+        "<= index",
     ),
     "promoted with what was committed before": (
-        Lead, "_learner", "peer.learning[1] <= index <= self.commit", "index <= self.commit",
+        Lead,
+        "_learner",
+        "peer.learning[1] <= index <= self.commit",
+        "index <= self.commit",
     ),
     "a later state taken for committed": (
-        Member, "_learn", "self.term_index[1] <= commit", "self.term_index[1] <= commit + 1",
+        Member,
+        "_learn",
+        "self.term_index[1] <= commit",
+        "self.term_index[1] <= commit + 1",
     ),
     "not mute": (Member, "_become_learner", "self.now + MUTE_S", "self.now"),
     "late votes count": (
-        Member, "_voted",
-        "self.now - event.sent_at >= CALL_S or self.now - attempt.started >= CALL_S", "False",
+        Member,
+        "_voted",
+        "self.now - event.sent_at >= CALL_S or self.now - attempt.started >= CALL_S",
+        "False",
     ),
     "late yeses count": (Lead, "answered", "or self.seat.now - sent_at >= CALL_S", ""),
     "an older leader is heard": (Member, "_append", "if term < self.vote.term:", "if False:"),
@@ -69,75 +91,119 @@
     "a digest not compared": (Member, "_received", "entries.digest() == digest", "True"),
     "proven before it is confirmed": (Member, "_renew", "round_ <= proved and ", ""),
     "proven without the commit": (
-        Member, "_renew", "commit and term_index >= (self.vote.term, commit)", "True",
+        Member,
+        "_renew",
+        "commit and term_index >= (self.vote.term, commit)",
+        "True",
     ),
     "learnt by index alone": (
-        Member, "_learn", "self.term_index[0] == term and ", "",
+        Member,
+        "_learn",
+        "self.term_index[0] == term and ",
+        "",
     ),
     "a proposal before the term's first is committed": (Lead, "_advance", "and self.commit and", "and"),
     "in doubt told as not begun": (Lead, "end", "Fault(UNANSWERED,", "Fault(UNREADY,"),
     "a quorum of the old members": (
-        Lead, "_count", "members = self._members()",
+        Lead,
+        "_count",
+        "members = self._members()",
         "members = self.seat.members(self.seat.news.state) or self._members()",
     ),
     "a learner that counts": (
-        Lead, "_count", "for ip in members)", "for ip in [*members, *self._learners()])",
+        Lead,
+        "_count",
+        "for ip in members)",
+        "for ip in [*members, *self._learners()])",
     ),
     "a removed one is asked": (
-        Member, "_ask", "for ip in attempt.members:", "for ip in {*attempt.members, *self.seeds}:",
+        Member,
+        "_ask",
+        "for ip in attempt.members:",
+        "for ip in {*attempt.members, *self.seeds}:",
     ),
     "whoever votes counts": (Member, "_elected", "attempt.votes & {*attempt.members}", "attempt.votes"),
     "an old disk votes": (
-        Member, "_voted", "attempt.members.get(event.peer) not in (None, *life)", "False",
+        Member,
+        "_voted",
+        "attempt.members.get(event.peer) not in (None, *life)",
+        "False",
     ),
     "a removed one stands": (
-        Member, "_stands", "life_fits(self.state.entries.map, self.me, self.vote.life)", "True",
+        Member,
+        "_stands",
+        "life_fits(self.state.entries.map, self.me, self.vote.life)",
+        "True",
     ),
     "orders have no fence": (Lead, "_advance", "fence is not None and self._late(fence, outcome)", "False"),
     "two proposals at a time": (Lead, "_advance", "not self.under_way and ", ""),
-}  # fmt: skip
-# These break no invariant: one that was away does not catch up (`trials/test_catching_up.py`).
+}
+# These break no invariant: one that was away does not catch up (`tests/configstore/test_catch_up.py`).
 LATE: dict[str, tuple[Any, str, str, str]] = {
     "promoted only with the newest": (
-        Lead, "_learner", "<= index <= self.commit", "<= index == newest == self.commit",
+        Lead,
+        "_learner",
+        "<= index <= self.commit",
+        "<= index == newest == self.commit",
     ),
     "taken for there because it was sent": (
-        Mending, "_parts", "elif sent[1] == entries.digest_in(digests, one):", "else:",
+        Mending,
+        "_parts",
+        "elif sent[1] == entries.digest_in(digests, one):",
+        "else:",
     ),
-}  # fmt: skip
+}
 EIGHT = "eight operators on one base all the time, answers lost before and after the commit, resends anywhere"
 # What guards orders against calls that come late or again, and the scene (`scenes/orders_*.txt`) that finds
 # a breach of it.
 GUARDS: dict[str, tuple[Any, str, str, str, str]] = {
     "an order of any age is begun": (
-        Lead, "_late", "began is None or self.seat.now - began >= fence.left", "False",
+        Lead,
+        "_late",
+        "began is None or self.seat.now - began >= fence.left",
+        "False",
         "an evacuation that its operator has given up does not come into force 20 s later",
     ),
     "an order is begun whatever has changed since": (
-        Lead, "_late", "self.seat.news.touched(key, fence.known)", "False",
+        Lead,
+        "_late",
+        "self.seat.news.touched(key, fence.known)",
+        "False",
         "taken back within the second: a call held up for half of it is void, and so are its copies at other "
         "stores",
     ),
     "a registry vouches for any call": (
-        board.Board, "_order", 'self.written if body["kind"] in ("evacuate", "restore") else None', "None",
+        board.Board,
+        "_order",
+        'self.written if body["kind"] in ("evacuate", "restore") else None',
+        "None",
         "an evacuation held up between the operator and a registry",
     ),
     "a registry vouches for what came while it was frozen": (
-        board.Board, "_order", 'self.written if body["kind"] in ("evacuate", "restore") else None', "None",
+        board.Board,
+        "_order",
+        'self.written if body["kind"] in ("evacuate", "restore") else None',
+        "None",
         "an evacuation in the buffers of a frozen registry, given up by its operator",
     ),
     "a silent store is waited for alone": (
-        Asking, "due", "now + HEDGE_S", "self.until",
+        Asking,
+        "due",
+        "now + HEDGE_S",
+        "self.until",
         "a machine hears the leader and cannot call it: every order is passed on within a second",
     ),
     "what was taken is not known again": (orders, "_configured", "_mark(taken) == mark", "False", EIGHT),
     "a record of another order counts": (orders, "_configured", "_mark(taken) == mark", "True", EIGHT),
     "no base is compared": (configuration, "apply", "base != now", "False", EIGHT),
     "a refusal is forgotten before its base comes": (
-        orders, "_stale", "base < now", "True",
+        orders,
+        "_stale",
+        "base < now",
+        "True",
         "refused before its base came: the same order is refused for good, whoever sends it again",
     ),
-}  # fmt: skip
+}
 
 
 @contextmanager
--- a/trials/gauge_play.py
+++ b/tests/support/rate_limiter_play.py
@@ -3,7 +3,7 @@
 A scene is a text file, a line a word and its figures:
   gatekeepers N | pegboards N | rate R BURST | usual R | seconds S | skew A (0 even) | clump N (at once)
   wave SHARE PERIOD_S | hot AT FOR X | cut AT FOR COUNT | kill AT DOWN_S SHARE | quota AT R BURST
-  split AT FOR COUNT (so many pegboards are cut from the others) | dark AT FOR (no pegboard; then all anew)
+  split AT FOR COUNT (so many pegboards are cut from the others) | dark AT FOR (no registry; then all anew)
 Figures of a play: the worst window over the bound, the share refused while calm, hot let in over rate, and
 let in in the first second of it over rate.
 """
@@ -13,11 +13,11 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from gauge.limits import Counts, Limiter
+from ashlift.traffic.rate_limiter import Counts, Limiter
 
 TICK = 0.02
 EVENTS = ("hot", "cut", "kill", "quota", "split", "dark")
-SCENES = Path(__file__).parent / "scenes"
+SCENES = Path(__file__).parent.parent / "scenarios"
 LEASE, FENCE, PULL = 2.0, 5.0, 0.25
 
 
@@ -76,13 +76,15 @@
         self.rate, self.burst = self.steady["rate"]
         skew = get("skew", [0.0])[0]
         count, boards = int(self.steady["gatekeepers"][0]), int(get("pegboards", [3])[0])
-        # Sums as a pegboard knows them, by source.
+        # Sums as a registry knows them, by source.
         self.boards: list[dict[str, Counts]] = [
-            {f"p{at}#0": {} for at in range(boards)} for _ in range(boards)]  # fmt: skip
+            {f"p{at}#0": {} for at in range(boards)} for _ in range(boards)
+        ]
         self.life = 0  # of the pegboards
         self.swap_at = [self.rng.random() * PULL for _ in range(boards)]
-        self.gates = [self._start(0.0, self.rng.gammavariate(1 / skew, skew) if skew else 1.0)
-                      for _ in range(count)]  # fmt: skip
+        self.gates = [
+            self._start(0.0, self.rng.gammavariate(1 / skew, skew) if skew else 1.0) for _ in range(count)
+        ]
         self.passed: list[float] = []
         self.worst, self.dark_until = 0.0, 0.0
         self.calm = [0, 0]
@@ -111,8 +113,12 @@
                     self._pull(now, at, gate)
             self._arrivals(now)
             now += TICK
-        return Figures(max(self.worst, self._worst()), self.calm[1] / max(1, self.calm[0]),
-                       self.hot[0] / max(1.0, self.hot[1] * self.rate), self.onset / self.rate)  # fmt: skip
+        return Figures(
+            max(self.worst, self._worst()),
+            self.calm[1] / max(1, self.calm[0]),
+            self.hot[0] / max(1.0, self.hot[1] * self.rate),
+            self.onset / self.rate,
+        )
 
     def _happen(self, now: float) -> None:
         for word, figures in self.events:
@@ -143,8 +149,11 @@
         index = at % len(self.boards)
         board, source = self.boards[index], f"p{index}#{self.life}"
         gate.limiter.confirmed(gate.asked)
-        changed = {name: {t: s for t, s in sums.items() if gate.told.get(name, {}).get(t) != s}
-                   for name, sums in board.items() if name not in gate.told or gate.told[name] != sums}
+        changed = {
+            name: {t: s for t, s in sums.items() if gate.told.get(name, {}).get(t) != s}
+            for name, sums in board.items()
+            if name not in gate.told or gate.told[name] != sums
+        }
         gate.limiter.heard(now, changed)
         gate.told = {name: dict(sums) for name, sums in board.items()}
         gate.heard_at = gate.seen_at = now
@@ -169,9 +178,12 @@
 
     def _fenced(self, now: float, at: int, gate: Gatekeeper) -> bool:
         """Whether it has had no proof from more than half of the core for too long."""
-        minor = any(word == "split" and f[0] + FENCE <= now < f[0] + f[1]
-                    and (at % len(self.boards) < f[2]) == (f[2] * 2 < len(self.boards))
-                    for word, f in self.events)  # fmt: skip
+        minor = any(
+            word == "split"
+            and f[0] + FENCE <= now < f[0] + f[1]
+            and (at % len(self.boards) < f[2]) == (f[2] * 2 < len(self.boards))
+            for word, f in self.events
+        )
         return minor or now - gate.heard_at > FENCE and now >= 2
 
     def _arrivals(self, now: float) -> None:
@@ -185,8 +197,11 @@
                 usual, is_hot, onset = usual * f[2], True, now < f[0] + 1
             if word in ("hot", "quota") and f[0] - 0.1 <= now < f[0] + (f[1] if word == "hot" else 99) + 3:
                 calm = False
-        live = [gate for at, gate in enumerate(self.gates)
-                if now >= gate.down_until and not self._fenced(now, at, gate)]  # fmt: skip
+        live = [
+            gate
+            for at, gate in enumerate(self.gates)
+            if now >= gate.down_until and not self._fenced(now, at, gate)
+        ]
         weights = sum(gate.weight for gate in live)
         for gate in live:
             for _ in range(_poisson(self.rng, usual * TICK * gate.weight / weights / (1 + clump) * 2)):
--- a/trials/vise_scenes.py
+++ b/tests/support/replica_scenarios.py
@@ -1,5 +1,5 @@
-"""Plays text scenes on members of the store (`dovetail.members`). One line an event; WHO: numbers, `leader`,
-`others`, `all`.
+"""Plays text scenes on members of the store (`simulation.members`). One line an event; WHO: numbers,
+`leader`, `others`, `all`.
 
     # title of the next scene
     members 5                     started for the first time; three of them are the seeds
@@ -23,9 +23,9 @@
 from pathlib import Path
 from typing import Any
 
-from dovetail.members import Op, World
-from vise.membership import MEMBERS, named
-from workbench.faults import Fault
+from ashlift.simulation.members import Op, World
+from ashlift.configstore.membership import MEMBERS, named
+from ashlift.errors import Fault
 
 ANSWER_S = 1.0
 
--- a/trials/gate_scenes.py
+++ b/tests/support/request_router_scenarios.py
@@ -1,26 +1,27 @@
 """Plays text scenes on the proxy's pure gate: one line an event, with what must come of it behind `->`.
 
-    # title of the next scene
-    after 1.5                        the steady clock goes on, s
-    news age=0.1 w1:board:z1 ...     an answer of a pull: proof's age (or `none`), all workers
-                                     (`name:service:zone`, with `:cold=2` or `:draining`),
-                                     `gone=ZONE` evacuated, `members=N`
-    crowd w1 20                      so many requests of other gatekeepers are at w1
-    ask A /look/ k1 -> in            a request named A arrives; `-> 503 unready` where it is turned away
-    again A -> in                    a request that was `unsure` asks again: there is news, or time is up
-    pick A -> w1|w2                  its (next) try goes to one of these; `-> 504 unanswered` where it ends
-    end A lost -> again              its last try ends: answered:STATUS, not_run, unreached, lost, late;
-                                     `final` or `again`
+# title of the next scene
+after 1.5                        the steady clock goes on, s
+news age=0.1 w1:board:z1 ...     an answer of a pull: proof's age (or `none`), all workers
+                                 (`name:service:zone`, with `:cold=2` or `:draining`),
+                                 `gone=ZONE` evacuated, `members=N`
+crowd w1 20                      so many requests of other gatekeepers are at w1
+ask A /look/ k1 -> in            a request named A arrives; `-> 503 unready` where it is turned away
+again A -> in                    a request that was `unsure` asks again: there is news, or time is up
+pick A -> w1|w2                  its (next) try goes to one of these; `-> 504 unanswered` where it ends
+end A lost -> again              its last try ends: answered:STATUS, not_run, unreached, lost, late;
+                                 `final` or `again`
 """
 
 import random
 from pathlib import Path
 from typing import Any
 
-from jig.settings import Settings, parse
-from lathe.answering import WorkerReply
-from lathe.gate import Gate, Live, Turn
-from lathe.links import Ended, Outcome
+from ashlift.rpc.sources import OPERATOR_SOURCE
+from ashlift.config.settings import Settings, parse
+from ashlift.proxy.responses import WorkerReply
+from ashlift.proxy.request_router import Gate, Live, Turn
+from ashlift.proxy.upstream import Ended, Outcome
 
 SETTINGS = """
 NodeName = "edge-1"
@@ -40,17 +41,38 @@
 """
 WORD: dict[str, Any] = {
     "Version": "00000001",
-    "Routes/look": {"Host": "h", "PathPrefix": "/look/", "RouteType": "idempotent", "Timeout": "3000ms",
-                    "TargetLatency": "800ms", "Service": "board", "MaxAttempts": 2},
-    "Routes/hold": {"Host": "h", "PathPrefix": "/hold/", "RouteType": "non_idempotent", "Timeout": "3000ms",
-                    "TargetLatency": "800ms", "Service": "board", "MaxAttempts": 2, "HomeRegions": ["r1"]},
-    "Routes/open": {"Host": "h", "PathPrefix": "/open/", "RouteType": "idempotent", "Service": "board",
-                    "MaxAttempts": 2, "Anonymous": True},
+    "Routes/look": {
+        "Host": "h",
+        "PathPrefix": "/look/",
+        "RouteType": "idempotent",
+        "Timeout": "3000ms",
+        "TargetLatency": "800ms",
+        "Service": "board",
+        "MaxAttempts": 2,
+    },
+    "Routes/hold": {
+        "Host": "h",
+        "PathPrefix": "/hold/",
+        "RouteType": "non_idempotent",
+        "Timeout": "3000ms",
+        "TargetLatency": "800ms",
+        "Service": "board",
+        "MaxAttempts": 2,
+        "HomeRegions": ["r1"],
+    },
+    "Routes/open": {
+        "Host": "h",
+        "PathPrefix": "/open/",
+        "RouteType": "idempotent",
+        "Service": "board",
+        "MaxAttempts": 2,
+        "Anonymous": True,
+    },
     "Services/board": {"HealthCheck": "/health", "MaxConnections": 100, "Warmup": "3s", "WarmupRateS": 4},
     "Tenants/t1": {"ApiKeys": ["k1"], "RatePerS": 10, "BurstSize": 10},
     "Tenants/low": {"ApiKeys": ["low"], "Priority": 2},
     "Tenants/far": {"ApiKeys": ["k2"], "HomeRegions": ["r2"]},
-}  # fmt: skip
+}
 
 
 class Play:
@@ -87,12 +109,19 @@
                 name, service, zone, *more = text.split(":")
                 cold = next((float(one[5:]) for one in more if one.startswith("cold=")), 0.0)
                 records[f"w/{name}"] = {
-                    "service": service, "zone": zone, "address": "127.0.0.1:9", "capacity": 2, "seq": 1,
-                    "warm": cold, "state": "draining" if "draining" in more else "ready",
-                }  # fmt: skip
+                    "service": service,
+                    "zone": zone,
+                    "address": "127.0.0.1:9",
+                    "capacity": 2,
+                    "seq": 1,
+                    "warm": cold,
+                    "state": "draining" if "draining" in more else "ready",
+                }
         self.index += 1
-        sources = {"vise": {"version": self.index, "full": True, "set": word, "gone": []},
-                   "p#1": {"version": self.index, "full": True, "set": records, "gone": []}}  # fmt: skip
+        sources = {
+            OPERATOR_SOURCE: {"version": self.index, "full": True, "set": word, "gone": []},
+            "p#1": {"version": self.index, "full": True, "set": records, "gone": []},
+        }
         told = None if age == "age=none" else float(age[4:])
         answer = {"sources": sources, "alive": ["p#1"], "age": told, "held": 0.0}
         self.gate.news(self.now, self.gate.ledger.take(self.now, self.now, answer))
--- a/trials/test_events.py
+++ b/tests/test_event_catalogue.py
@@ -8,7 +8,7 @@
 from ward import test
 
 ROOT = Path(__file__).parent.parent
-PLACES = {1: "workbench", 2: "vise", 3: "pegboard", 4: "lathe"}  # hundreds of numbers: whose events.py
+PLACES = {1: ".", 2: "configstore", 3: "registry", 4: "proxy"}  # hundreds of numbers: whose events.py
 ROW = re.compile(r"\| (\d{3}) \| ([^|]+) \| ([^|]*) \| [^|]{20,} \|")
 
 
@@ -20,7 +20,7 @@
 def constants() -> dict[str, tuple[int, str]]:
     found: dict[str, tuple[int, str]] = {}
     for hundred, package in PLACES.items():
-        for one in ast.parse((ROOT / package / "events.py").read_text()).body:
+        for one in ast.parse((ROOT / "ashlift" / package / "events.py").read_text()).body:
             if isinstance(one, ast.AnnAssign) and isinstance(one.value, ast.Tuple):
                 name, (number, words) = ast.unparse(one.target), ast.literal_eval(one.value)
                 assert name not in found and number // 100 == hundred, name
@@ -31,7 +31,7 @@
 def told(names: set[str]) -> dict[str, set[str]]:
     """The fields of each event, over all places in the code that tell it."""
     found: dict[str, set[str]] = {}
-    for path in (path for package in PLACES.values() for path in (ROOT / package).glob("*.py")):
+    for path in (path for package in PLACES.values() for path in (ROOT / "ashlift" / package).glob("*.py")):
         for call in ast.walk(ast.parse(path.read_text())):
             if not isinstance(call, ast.Call) or not call.args:
                 continue
@@ -41,7 +41,8 @@
                 name = getattr(part, "id", getattr(part, "attr", ""))
                 if name in names:
                     found.setdefault(name, set()).update(
-                        one.arg for one in call.keywords if one.arg and one.arg != "level")
+                        one.arg for one in call.keywords if one.arg and one.arg != "level"
+                    )
     return found
 
 
--- a/trials/test_workbench_events.py
+++ b/tests/test_events.py
@@ -7,9 +7,9 @@
 import logbook
 from ward import each, test
 
-from workbench import events
+from ashlift import events
 
-HEAD = "import sys; from workbench import events as e; e.set_up('p', 'n'); e.tell((900, 'first'), a='{}'); "
+HEAD = "import sys; from ashlift import events as e; e.set_up('p', 'n'); e.tell((900, 'first'), a='{}'); "
 LOADED = "print('logbook' in sys.modules); "
 
 
--- /dev/null
+++ b/tests/test_import_rules.py
@@ -0,0 +1,54 @@
+"""Who imports whom among the system's packages: never upwards, never round, programs never each other."""
+
+import ast
+from collections.abc import Iterator
+from pathlib import Path
+
+from ward import each, test
+
+ROOT = Path(__file__).parent.parent / "ashlift"
+ALLOWED: dict[str, set[str]] = {
+    "errors": set(),
+    "events": set(),
+    "rpc": {"errors"},
+    "config": {"errors"},
+    "traffic": {"gatekeeper.admission"},
+    "route_reconciliation": {"config", "errors"},
+    "configstore": {"config", "errors", "events", "route_reconciliation", "rpc"},
+    "registry": {"config", "errors", "events", "route_reconciliation", "rpc"},
+    "proxy": {"config", "errors", "events", "gatekeeper.net", "rpc", "traffic"},
+    "cli": {"config", "errors", "rpc"},
+}
+NOT_OF_THE_PRODUCT = {"tests", "benchmarks"}
+
+
+def sources(package: str) -> list[Path]:
+    module = ROOT / f"{package}.py"
+    return [module] if module.exists() else sorted((ROOT / package).rglob("*.py"))
+
+
+def imported_names(path: Path) -> Iterator[str]:
+    """Full names of what a module imports: `a.b.c` for `from a.b import c`."""
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.Import):
+            yield from (name.name for name in node.names)
+        elif isinstance(node, ast.ImportFrom):
+            assert not node.level, f"{path}: a relative import"
+            yield from (f"{node.module}.{name.name}" for name in node.names)
+
+
+def is_below(name: str, packages: set[str]) -> bool:
+    return any(f"{name}.".startswith(f"ashlift.{package}.") for package in packages)
+
+
+@test("{package} imports no package of ours but those below it")
+def _(package: str = each(*ALLOWED)) -> None:
+    files = sources(package)
+    assert files
+    allowed = {*ALLOWED[package], package}
+    for path in files:
+        for name in imported_names(path):
+            top = name.partition(".")[0]
+            assert top not in NOT_OF_THE_PRODUCT, f"{path}: {name}"
+            ours = top == "ashlift" and name != "ashlift.__version__"
+            assert not ours or is_below(name, allowed), f"{path}: {name}"
--- a/trials/test_known_red.py
+++ b/tests/test_known_failures.py
@@ -8,60 +8,71 @@
 
 from ward import each, test
 
-from trials.known_red import REPORT, broken_off, from_pytest, judged
+from tests.support.known_failures import REPORT, broken_off, from_pytest, judged
 
 RESULTS = {
-    "trials/test_a.py: one": True, "trials/test_a.py: two [2]": False, "tests/test_b.py: test_c[x]": True,
-}  # fmt: skip
-TWO = "trials/test_a.py: two [2] | it is slow | 39"
+    "tests/test_a.py: one": True,
+    "tests/test_a.py: two [2]": False,
+    "tests/gatekeeper/test_b.py: test_c[x]": True,
+}
+TWO = "tests/test_a.py: two [2] | it is slow | 39"
 
 
 @test("known red: {why}")
 def _(
-    why: str = each("named", "named by its title", "nothing is named", "too many", "no such test", "no cause",
-                    "twice", "another fails", "passes after all"),
-) -> None:  # fmt: skip
+    why: str = each(
+        "named",
+        "named by its title",
+        "nothing is named",
+        "too many",
+        "no such test",
+        "no cause",
+        "twice",
+        "another fails",
+        "passes after all",
+    ),
+) -> None:
     results, listed = dict(RESULTS), ["# tests", "", TWO]
-    wanted, good = "known to fail: trials/test_a.py: two [2]: it is slow (39)", False
+    wanted, good = "known to fail: tests/test_a.py: two [2]: it is slow (39)", False
     match why:
         case "named":
             good = True
         case "named by its title":
             good, listed = True, [TWO.replace(" [2]", "")]
         case "nothing is named":
-            listed, wanted = [], "failed: trials/test_a.py: two [2]"
+            listed, wanted = [], "failed: tests/test_a.py: two [2]"
         case "too many":
-            more = {f"trials/test_a.py: n{number}": False for number in range(3)}
+            more = {f"tests/test_a.py: n{number}": False for number in range(3)}
             results |= more
             listed += [f"{name} | a cause | 1" for name in more]
             wanted = "4 tests are named, 3 at most may be"
         case "no such test":
-            listed += ["trials/test_a.py: two [3] | a cause | 1"]
-            wanted = "there is no such test: trials/test_a.py: two [3]"
+            listed += ["tests/test_a.py: two [3] | a cause | 1"]
+            wanted = "there is no such test: tests/test_a.py: two [3]"
         case "no cause":
-            listed += ["trials/test_a.py: one | 39"]
-            wanted = "no line of TEST | CAUSE | ISSUE: trials/test_a.py: one | 39"
+            listed += ["tests/test_a.py: one | 39"]
+            wanted = "no line of TEST | CAUSE | ISSUE: tests/test_a.py: one | 39"
         case "twice":
             listed += [TWO]
-            wanted = "named twice: trials/test_a.py: two [2]"
+            wanted = "named twice: tests/test_a.py: two [2]"
         case "another fails":
-            results["tests/test_b.py: test_c[x]"] = False
-            wanted = "failed: tests/test_b.py: test_c[x]"
+            results["tests/gatekeeper/test_b.py: test_c[x]"] = False
+            wanted = "failed: tests/gatekeeper/test_b.py: test_c[x]"
         case _:
-            results["trials/test_a.py: two [2]"], good = True, True
-            wanted = "passes after all, to be taken off the list: trials/test_a.py: two [2] (39)"
+            results["tests/test_a.py: two [2]"], good = True, True
+            wanted = "passes after all, to be taken off the list: tests/test_a.py: two [2] (39)"
     found, told = judged(listed, results)
     assert found == good and wanted in told, told
 
 
 @test("known red: a file that breaks off, or tells of no test, is no pass")
 def _() -> None:
-    exits = "1\ttrials/test_a.py\n0\ttests/\n1\ttests/test_b.py\n0\ttrials/test_gone.py\n"
+    exits = "1\ttests/test_a.py\n0\ttests/gatekeeper/\n1\ttests/gatekeeper/test_b.py\n0\ttests/test_gone.py\n"
     told = broken_off(exits, RESULTS)
-    assert told == ["broke off with 1: tests/test_b.py", "broke off with 0: trials/test_gone.py"]
+    assert told == ["broke off with 1: tests/gatekeeper/test_b.py", "broke off with 0: tests/test_gone.py"]
 
 
-WARD = '''
+WARD = """
 from ward import each, test
 
 @test("sum of {one}")
@@ -71,8 +82,8 @@
 @test("well")
 def _():
     assert True
-'''
-PYTEST = '''
+"""
+PYTEST = """
 import pytest
 
 @pytest.mark.parametrize("one", [1, 2])
@@ -82,7 +93,7 @@
 class TestThings:
     def test_in(self):
         assert False
-'''
+"""
 
 
 @test("known red: what ward and pytest tell of their tests")
@@ -90,21 +101,24 @@
     root = Path(__file__).parent.parent
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder)
-        (path / "pyproject.toml").write_text('[tool.ward]\nhook_module = ["trials.known_red"]\n')
-        (path / "trials").mkdir()
-        (path / "trials" / "test_w.py").write_text(WARD)
+        (path / "pyproject.toml").write_text('[tool.ward]\nhook_module = ["tests.support.known_failures"]\n')
+        (path / "system").mkdir()
+        (path / "system" / "test_w.py").write_text(WARD)
         (path / "tests").mkdir()
         (path / "tests" / "test_p.py").write_text(PYTEST)
         report, xml = path / "w.tsv", path / "p.xml"
         environment = {**os.environ, REPORT: str(report), "PYTHONPATH": str(root)}
-        for asked in (["ward", "--path", "trials/test_w.py"], ["pytest", "-q", f"--junitxml={xml}", "tests"]):
+        for asked in (["ward", "--path", "system/test_w.py"], ["pytest", "-q", f"--junitxml={xml}", "tests"]):
             subprocess.run([sys.executable, "-m", *asked], cwd=path, env=environment, capture_output=True)
         assert sorted(report.read_text().splitlines()) == [
-            "failed\ttrials/test_w.py: sum of 2 [2]", "passed\ttrials/test_w.py: sum of 1 [1]",
-            "passed\ttrials/test_w.py: well",
-        ]  # fmt: skip
+            "failed\tsystem/test_w.py: sum of 2 [2]",
+            "passed\tsystem/test_w.py: sum of 1 [1]",
+            "passed\tsystem/test_w.py: well",
+        ]
         found = from_pytest(xml.read_text())
         assert {name.partition(": ")[2]: good for name, good in found.items()} == {
-            "test_sum[1]": True, "test_sum[2]": False, "test_in": False,
-        }  # fmt: skip
+            "test_sum[1]": True,
+            "test_sum[2]": False,
+            "test_in": False,
+        }
         assert all(name.startswith(("tests/test_p", "test_p")) for name in found), found
--- a/trials/test_jury.py
+++ b/tests/traffic/test_outlier_detection.py
@@ -5,15 +5,26 @@
 
 from ward import each, test
 
-from gauge.jury import Jury
-from jig.tables import Route
-from lathe.crew import Crew
-from lathe.ledger import Worker
-from pegboard.source import Source
-from pegboard.tallies import Said, Tallies
-
-HOLD = Route(name="hold", host="h", prefix="/", repeatable=False, timeout=3.0, aim=0.8, priority=2,
-             split=(("desk", 1),), attempts=2, anonymous=True, homes=frozenset())  # fmt: skip
+from ashlift.traffic.outlier_detection import Jury
+from ashlift.config.routing_table import Route
+from ashlift.proxy.load_balancer import Crew
+from ashlift.proxy.cluster_view import Worker
+from ashlift.registry.replicated_source import Source
+from ashlift.registry.load_reports import Said, Tallies
+
+HOLD = Route(
+    name="hold",
+    host="h",
+    prefix="/",
+    repeatable=False,
+    timeout=3.0,
+    aim=0.8,
+    priority=2,
+    split=(("desk", 1),),
+    attempts=2,
+    anonymous=True,
+    homes=frozenset(),
+)
 REGIONS = {"z1": "r1", "z2": "r2", "z3": "r3"}
 LATE = 3  # pulls of 0.25 s: so old are the sums that are heard
 STEP, PULL = 0.01, 25
--- a/trials/test_gauge_parts.py
+++ b/tests/traffic/test_policies.py
@@ -5,8 +5,8 @@
 
 from ward import each, test
 
-from gauge.retries import RetryBudget
-from gauge.warmth import ColdPace, owners
+from ashlift.traffic.retry_budget import RetryBudget
+from ashlift.traffic.slow_start import ColdPace, owners
 
 
 @dataclass(frozen=True)
--- a/trials/test_gauge_limits.py
+++ b/tests/traffic/test_rate_limiter.py
@@ -5,12 +5,12 @@
 
 from ward import each, test
 
-from gauge.limits import Limiter
-from lathe.ledger import Change
-from trials import gate_scenes
-from trials.gauge_play import SCENES, Bounds, Play, read
+from ashlift.traffic.rate_limiter import Limiter
+from ashlift.proxy.cluster_view import Change
+from tests.support import request_router_scenarios as gate_scenes
+from tests.support.rate_limiter_play import SCENES, Bounds, Play, read
 
-NAMES = sorted(path.name for path in Path(SCENES).glob("gauge_*.txt"))
+NAMES = sorted(path.name for path in Path(SCENES).glob("rate_limiter_*.txt"))
 
 
 @test("limiter: {name} holds the quota over all gatekeepers, and lets in what is inside it")
