--- a/ashlift/cli/base.py
+++ b/ashlift/cli/base.py
@@ -5,9 +5,9 @@
 from cleo.commands.command import Command
 from cleo.io.outputs.output import Type
 
-from ashlift.config import operator_config as configuration
 from ashlift.cli import sources
-from ashlift.errors import Fault
+from ashlift.config import operator_config as configuration
+from ashlift.errors import Failure
 
 DIFFERENT = 1
 FAILED = 2
@@ -19,18 +19,18 @@
             self.io.output.write_line(line, type=Type.RAW)
         return 0
 
-    def fail(self, faults: list[Fault]) -> int:
+    def fail(self, faults: list[Failure]) -> int:
         for fault in faults:
             self.io.error_output.write_line(" ".join(fault.detail.split()), type=Type.RAW)
         return FAILED
 
 
-def entries(source: str) -> dict[str, Any] | list[Fault]:
+def entries(source: str) -> dict[str, Any] | list[Failure]:
     """The map of the configuration in a file or at an address, or its faults, each told with its place."""
     body = sources.configuration(source)
-    if isinstance(body, Fault):
+    if isinstance(body, Failure):
         return [body]
     found = configuration.laid_out(body)
     if isinstance(found, list):
-        return [Fault(one.reason, f"{source}: {one.detail}") for one in found]
+        return [Failure(one.reason, f"{source}: {one.detail}") for one in found]
     return found
--- a/ashlift/cli/commands.py
+++ b/ashlift/cli/commands.py
@@ -10,16 +10,15 @@
 from cleo.helpers import argument, option
 
 from ashlift import __version__
-from ashlift.config import operator_config as configuration
-from ashlift.config import settings
-from ashlift.cli import showing
-from ashlift.cli import sources
+from ashlift.cli import showing, sources
 from ashlift.cli.base import DIFFERENT, Tool, entries
 from ashlift.cli.members import MembersAdd, MembersRemove, MembersReplace, MembersStore
 from ashlift.cli.planning import PlanCapacity, PlanChange, PlanRollout
 from ashlift.cli.routes import COMMANDS
 from ashlift.cli.tenant_commands import TenantAdd, TenantPlan, TenantRemove, TenantStatus
-from ashlift.errors import INVALID, Fault
+from ashlift.config import operator_config as configuration
+from ashlift.config import settings
+from ashlift.errors import Failure, FailureReason
 
 
 class Check(Tool):
@@ -31,26 +30,28 @@
     def handle(self) -> int:
         file, on = self.argument("file"), self.option("on")
         data = sources.read_file(file)
-        if isinstance(data, Fault):
+        if isinstance(data, Failure):
             return self.fail([data])
         if not (file.endswith(".json") or data.lstrip()[:1] == b"{"):
             found = settings.read(file)
             return self.fail(found) if isinstance(found, list) else self.tell([f"{file}: settings, no fault"])
         body = sources.parse_json(data, file)
-        if isinstance(body, Fault):
+        if isinstance(body, Failure):
             return self.fail([body])
         faults = self._follow(body, on) if on else self._alone(body)
         if faults:
-            return self.fail([Fault(one.reason, f"{file}: {one.detail}") for one in faults])
+            return self.fail([Failure(one.reason, f"{file}: {one.detail}") for one in faults])
         return self.tell([f"{file}: configuration, no fault"])
 
-    def _alone(self, body: Any) -> list[Fault]:
+    def _alone(self, body: Any) -> list[Failure]:
         if _is_patch(body):
-            return [Fault(INVALID, "is a change by name: tell what it is to follow with --on")]
+            return [
+                Failure(FailureReason.INVALID, "is a change by name: tell what it is to follow with --on")
+            ]
         found = configuration.laid_out(body)
         return found if isinstance(found, list) else []
 
-    def _follow(self, body: Any, on: str) -> list[Fault]:
+    def _follow(self, body: Any, on: str) -> list[Failure]:
         current = entries(on)
         if isinstance(current, list):
             return current
@@ -69,10 +70,12 @@
     def _show(self, lines: Any) -> int:
         address = self.argument("address")
         answer = sources.call(address, "/status")
-        if isinstance(answer, Fault):
+        if isinstance(answer, Failure):
             return self.fail([answer])
         if not isinstance(answer, dict):
-            return self.fail([Fault(INVALID, f"{address}: GET /status: is not a JSON object")])
+            return self.fail(
+                [Failure(FailureReason.INVALID, f"{address}: GET /status: is not a JSON object")]
+            )
         return self.tell([json.dumps(answer, indent=2)] if self.option("json") else lines(answer))
 
 
@@ -91,7 +94,7 @@
 
     def handle(self) -> int:
         answer = sources.call(self.argument("address"), "/config")
-        if isinstance(answer, Fault):
+        if isinstance(answer, Failure):
             return self.fail([answer])
         return self.tell([json.dumps(answer, indent=2, ensure_ascii=False)])
 
--- a/ashlift/cli/members.py
+++ b/ashlift/cli/members.py
@@ -5,23 +5,21 @@
 
 from cleo.helpers import argument, option
 
-from ashlift.cli import showing
-
-from ashlift.cli import sources
+from ashlift.cli import showing, sources
 from ashlift.cli.base import Tool
-from ashlift.errors import INVALID, Fault
+from ashlift.errors import Failure, FailureReason
 
 WAIT_S = 3.0
 
 
-def table(address: str) -> list[dict[str, Any]] | Fault:
+def table(address: str) -> list[dict[str, Any]] | Failure:
     """The leader's view, as one core machine passes it on."""
     answer = sources.call(address, "/members")
-    if isinstance(answer, Fault):
+    if isinstance(answer, Failure):
         return answer
     rows = answer.get("members") if isinstance(answer, dict) else None
     if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
-        return Fault(INVALID, f"{address}: GET /members: is no list of members")
+        return Failure(FailureReason.INVALID, f"{address}: GET /members: is no list of members")
     return rows
 
 
@@ -30,18 +28,18 @@
     return ["store", *showing.table(keys, rows)]
 
 
-def plan(rows: list[dict[str, Any]], do: str, ip: str) -> list[str] | Fault:
-    """What would come of it, in words; a Fault: why it is refused."""
+def plan(rows: list[dict[str, Any]], do: str, ip: str) -> list[str] | Failure:
+    """What would come of it, in words; a Failure: why it is refused."""
     row = next((row for row in rows if row.get("ip") == ip), None)
     voters = [one["ip"] for one in rows if one.get("role") == "voter"]
     if row is None:
-        return Fault(INVALID, f"{ip} is neither a voter nor a learner")
+        return Failure(FailureReason.INVALID, f"{ip} is neither a voter nor a learner")
     if do == "add":
         return [f"{ip} may vote again, once it holds all: {len(voters)} voters now"]
     if row.get("role") != "voter":
-        return Fault(INVALID, f"{ip} is no voter")
+        return Failure(FailureReason.INVALID, f"{ip} is no voter")
     if do == "remove" and row.get("stays"):
-        return Fault(INVALID, f"{ip} stays: {row['stays']}")
+        return Failure(FailureReason.INVALID, f"{ip} stays: {row['stays']}")
     handed = [f"{ip} leads, and hands the lead on first"] if row.get("leads") else []
     waits = [f"{ip} votes on until {len(voters)} others do"] if do == "replace" else []
     left = len(voters) - (do == "remove")
@@ -64,21 +62,21 @@
     def handle(self) -> int:
         address, ip = self.argument("address"), self.argument("ip")
         rows = table(address)
-        if isinstance(rows, Fault):
+        if isinstance(rows, Failure):
             return self.fail([rows])
         planned = plan(rows, self.do, ip)
-        if isinstance(planned, Fault):
+        if isinstance(planned, Failure):
             return self.fail([planned])
         self.tell([*lines(rows), "plan", *(f"  {line}" for line in planned)])
         if not self.option("yes"):
             return self.tell(["nothing was done: say --yes"])
         body = json.dumps({"Do": self.do, "Ip": ip}).encode()
         answer = sources.order(address, "POST", "/members", "", body, WAIT_S)
-        if isinstance(answer, Fault):
+        if isinstance(answer, Failure):
             return self.fail([answer])
         status, words = answer
         if status != 200:
-            return self.fail([Fault(INVALID, f"{status} {words}")])
+            return self.fail([Failure(FailureReason.INVALID, f"{status} {words}")])
         return self.tell(["taken: look again with `members store`"])
 
 
@@ -89,7 +87,7 @@
 
     def handle(self) -> int:
         rows = table(self.argument("address"))
-        return self.fail([rows]) if isinstance(rows, Fault) else self.tell(lines(rows))
+        return self.fail([rows]) if isinstance(rows, Failure) else self.tell(lines(rows))
 
 
 class MembersRemove(_Change):
--- a/ashlift/cli/planners.py
+++ b/ashlift/cli/planners.py
@@ -10,7 +10,7 @@
 from attrs import define, frozen
 
 from ashlift.config.routing_table import Route, Table
-from ashlift.errors import INVALID, Fault
+from ashlift.errors import Failure, FailureReason
 
 
 @frozen
@@ -98,17 +98,19 @@
     last: bool = False  # such as the leader: it goes when all others of its group are back
 
 
-def rollout(parts: Sequence[Part], most: int, core: bool = False) -> list[list[str]] | Fault:
+def rollout(parts: Sequence[Part], most: int, core: bool = False) -> list[list[str]] | Failure:
     """Batches, each to be back before the next. At most `most` are out, all in one zone, never half of a
     group or more where it has three; of the `core` never so many that no majority is left."""
     if most < 1:
-        return Fault(INVALID, "at most 0 may be out: nothing can be replaced")
+        return Failure(FailureReason.INVALID, "at most 0 may be out: nothing can be replaced")
     sizes = Counter(one.group for one in parts)
     bound: dict[str, int] = {}
     for group, size in sizes.items():
         bound[group] = min(most, (size - 1) // 2)
         if core and bound[group] < 1:
-            return Fault(INVALID, f"{group}: of {size} none may be out, for the others are no majority")
+            return Failure(
+                FailureReason.INVALID, f"{group}: of {size} none may be out, for the others are no majority"
+            )
         bound[group] = max(1, bound[group])
     waiting = sorted(parts, key=lambda one: (one.last, one.zone, one.group, one.name))
     batches: list[list[str]] = []
--- a/ashlift/cli/planning.py
+++ b/ashlift/cli/planning.py
@@ -5,27 +5,27 @@
 import attrs
 from cleo.helpers import argument, option
 
-from ashlift.config import operator_config as configuration
-from ashlift.config.routing_table import Table
 from ashlift.cli import sources
 from ashlift.cli.base import DIFFERENT, Tool, entries
 from ashlift.cli.planners import Asked, Fate, Part, Recorded, Station, capacity, change, rollout
 from ashlift.cli.showing import rows_of, table
-from ashlift.errors import INVALID, Fault
+from ashlift.config import operator_config as configuration
+from ashlift.config.routing_table import Table
+from ashlift.errors import Failure, FailureReason
 
 EVEN = 1e-9
 
 
-def status(source: str) -> Any | Fault:
+def status(source: str) -> Any | Failure:
     """What `GET /status` says, from a core machine or a file that kept it."""
     data = sources.read_file(source)
     answer = sources.parse_json(data, source) if isinstance(data, bytes) else sources.call(source, "/status")
-    if not isinstance(answer, Fault) and not isinstance(answer, dict):
-        return Fault(INVALID, f"{source}: is no answer of /status")
+    if not isinstance(answer, Failure) and not isinstance(answer, dict):
+        return Failure(FailureReason.INVALID, f"{source}: is no answer of /status")
     return answer
 
 
-def asks(texts: list[str], known: Table) -> dict[str, Asked] | Fault:
+def asks(texts: list[str], known: Table) -> dict[str, Asked] | Failure:
     """`ROUTE=RATE:WORK_MS`, each of a route of the configuration."""
     found = {}
     for text in texts:
@@ -34,10 +34,14 @@
         try:
             found[name] = Asked(float(rate), float(work) / 1000)
         except ValueError:
-            return Fault(INVALID, f"{text}: is not ROUTE=RATE:WORK_MS, such as look=158:220")
+            return Failure(FailureReason.INVALID, f"{text}: is not ROUTE=RATE:WORK_MS, such as look=158:220")
         if name not in known.routes:
-            return Fault(INVALID, f"{name}: the configuration has no such route")
-    return found if found else Fault(INVALID, "tell with --ask ROUTE=RATE:WORK_MS what clients ask")
+            return Failure(FailureReason.INVALID, f"{name}: the configuration has no such route")
+    return (
+        found
+        if found
+        else Failure(FailureReason.INVALID, "tell with --ask ROUTE=RATE:WORK_MS what clients ask")
+    )
 
 
 class PlanCapacity(Tool):
@@ -51,14 +55,14 @@
 
     def handle(self) -> int:
         answer = status(self.argument("status"))
-        if isinstance(answer, Fault):
+        if isinstance(answer, Failure):
             return self.fail([answer])
         found = entries(self.option("on") or self.argument("status"))
         if isinstance(found, list):
             return self.fail(found)
         known = Table.build(found)
         asked = asks(self.option("ask"), known)
-        if isinstance(asked, Fault):
+        if isinstance(asked, Failure):
             return self.fail([asked])
         regions = {str(row.get("zone")): str(row.get("region")) for row in rows_of(answer, "gatekeepers")}
         stations = [
@@ -103,10 +107,10 @@
 
     def handle(self) -> int:
         answer, what = status(self.argument("status")), self.argument("what")
-        if isinstance(answer, Fault):
+        if isinstance(answer, Failure):
             return self.fail([answer])
         if not str(self.option("most")).isdigit():
-            return self.fail([Fault(INVALID, "--most wants a whole number")])
+            return self.fail([Failure(FailureReason.INVALID, "--most wants a whole number")])
         if what == "core":
             parts = [
                 Part(str(row["ip"]), str(row["ip"]), "core", row["ip"] == answer.get("leader"))
@@ -124,40 +128,43 @@
                 if row.get("service") == what
             ]
         if not parts:
-            return self.fail([Fault(INVALID, f"{what}: there are none")])
+            return self.fail([Failure(FailureReason.INVALID, f"{what}: there are none")])
         batches = rollout(parts, int(self.option("most")), what == "core")
-        if isinstance(batches, Fault):
+        if isinstance(batches, Failure):
             return self.fail([batches])
         return self.tell([f"{number}. {', '.join(batch)}" for number, batch in enumerate(batches, 1)])
 
 
-def recorded(source: str) -> list[Recorded] | Fault:
+def recorded(source: str) -> list[Recorded] | Failure:
     """JSON lines with `at` (s), `host`, `path` and `key`; what else stands there is passed over."""
     data = sources.read_file(source)
-    if isinstance(data, Fault):
+    if isinstance(data, Failure):
         return data
     known, found = {one.name for one in attrs.fields(Recorded)}, []
     for number, line in enumerate(data.splitlines(), 1):
         value = sources.parse_json(line, f"{source}:{number}")
-        if isinstance(value, Fault):
+        if isinstance(value, Failure):
             return value
         try:
             row = {key: value[key] for key in known & value.keys()}
             found.append(Recorded(**{**row, "at": float(row["at"])}))
         except (TypeError, ValueError, AttributeError, KeyError):
-            return Fault(INVALID, f"{source}:{number}: wants at (s), host, path, and key where there is one")
+            return Failure(
+                FailureReason.INVALID,
+                f"{source}:{number}: wants at (s), host, path, and key where there is one",
+            )
         if not all(isinstance(text, str) for text in (found[-1].host, found[-1].path, found[-1].key)):
-            return Fault(INVALID, f"{source}:{number}: host, path and key are texts")
+            return Failure(FailureReason.INVALID, f"{source}:{number}: host, path and key are texts")
     return found
 
 
-def followed(current: dict[str, Any], body: Any) -> dict[str, Any] | list[Fault]:
+def followed(current: dict[str, Any], body: Any) -> dict[str, Any] | list[Failure]:
     """The map after the change, whole or by name, or all its faults."""
     kind = "put" if isinstance(body, dict) and "Objects" in body else "patch"
     flaws = configuration.faults(current, kind, body)
     made = configuration.apply(current, kind, configuration.current_version(current), body)
-    if flaws or isinstance(made, Fault):
-        return flaws or ([made] if isinstance(made, Fault) else [])
+    if flaws or isinstance(made, Failure):
+        return flaws or ([made] if isinstance(made, Failure) else [])
     return {key: value for key, value in {**current, **made.set}.items() if key not in made.gone}
 
 
@@ -173,18 +180,18 @@
     def handle(self) -> int:
         file = self.argument("config")
         data, current = sources.read_file(file), entries(self.argument("on"))
-        if isinstance(data, Fault):
+        if isinstance(data, Failure):
             return self.fail([data])
         if isinstance(current, list):
             return self.fail(current)
         body = sources.parse_json(data, file)
-        if isinstance(body, Fault):
+        if isinstance(body, Failure):
             return self.fail([body])
         following = followed(current, body)
         if isinstance(following, list):
-            return self.fail([Fault(one.reason, f"{file}: {one.detail}") for one in following])
+            return self.fail([Failure(one.reason, f"{file}: {one.detail}") for one in following])
         requests = recorded(self.argument("record"))
-        if isinstance(requests, Fault):
+        if isinstance(requests, Failure):
             return self.fail([requests])
         found = change(Table.build(current), Table.build(following), requests)
         moved = {key: count for key, count in found.items() if key[1] != key[2]}
--- a/ashlift/cli/routes.py
+++ b/ashlift/cli/routes.py
@@ -8,11 +8,9 @@
 
 from cleo.helpers import argument, option
 
-from ashlift.cli import showing
-
-from ashlift.cli import sources
+from ashlift.cli import showing, sources
 from ashlift.cli.base import FAILED, Tool
-from ashlift.errors import INVALID, REFUSED, Fault
+from ashlift.errors import Failure, FailureReason
 
 WAITS: Final = 3  # an edit or an order's word is not in force: it waits, or has to be looked at again
 ADDRESS: Final = argument("address", "A Control address, such as 10.0.0.4:8200.")
@@ -23,16 +21,16 @@
     def who(self) -> str:
         return str(self.option("who") or getpass.getuser())
 
-    def look(self, path: str) -> dict[str, Any] | Fault:
+    def look(self, path: str) -> dict[str, Any] | Failure:
         address = self.argument("address")
         answer = sources.call(address, path)
-        if isinstance(answer, Fault | dict):
+        if isinstance(answer, Failure | dict):
             return answer
-        return Fault(INVALID, f"{address}: GET {path}: is not a JSON object")
+        return Failure(FailureReason.INVALID, f"{address}: GET {path}: is not a JSON object")
 
-    def said(self, answer: tuple[int, Any] | Fault, done: str) -> int:
+    def said(self, answer: tuple[int, Any] | Failure, done: str) -> int:
         """Tell an answer to a POST: 0 done, 3 it waits or conflicts, 2 anything else."""
-        if isinstance(answer, Fault):
+        if isinstance(answer, Failure):
             return self.fail([answer])
         status, value = answer
         if status == 200:
@@ -42,7 +40,7 @@
         if status == 409:
             return self.tell(showing.both(value)) or WAITS
         why = value.get("reason") or value.get("error")
-        self.fail([Fault(REFUSED, f"{status} {why}")])
+        self.fail([Failure(FailureReason.REJECTED, f"{status} {why}")])
         return WAITS if status == 412 else FAILED
 
 
@@ -60,22 +58,22 @@
     def handle(self) -> int:
         file, name = self.option("file"), self.argument("name")
         if bool(file) == bool(self.option("withdraw")):
-            return self.fail([Fault(INVALID, "either --file or --withdraw")])
+            return self.fail([Failure(FailureReason.INVALID, "either --file or --withdraw")])
         text: Any = None
         if file:
             data = sources.read_file(file)
-            text = data if isinstance(data, Fault) else sources.parse_json(data, file)
-            if isinstance(text, Fault):
+            text = data if isinstance(data, Failure) else sources.parse_json(data, file)
+            if isinstance(text, Failure):
                 return self.fail([text])
         path = f"/routes/{quote(name)}"
         known = self.look(path)
-        if isinstance(known, Fault):
+        if isinstance(known, Failure):
             return self.fail([known])
         id = self.option("id") or secrets.token_hex(6)
         body = {"id": id, "who": self.who(), "text": text, "base": known.get("text")}
         answer = sources.post(self.argument("address"), path, body)
-        if isinstance(answer, Fault):  # it may have been taken
-            answer = Fault(answer.reason, f"{answer.detail}; ask again with --id {id}")
+        if isinstance(answer, Failure):  # it may have been taken
+            answer = Failure(answer.reason, f"{answer.detail}; ask again with --id {id}")
         return self.said(answer, f"{id}: {{outcome}}, version {{version}}")
 
 
@@ -87,7 +85,7 @@
 
     def handle(self) -> int:
         answer = self.look("/proposals")
-        if isinstance(answer, Fault):
+        if isinstance(answer, Failure):
             return self.fail([answer])
         return self.tell([json.dumps(answer, indent=2)] if self.option("json") else showing.proposals(answer))
 
@@ -105,7 +103,9 @@
 
     def handle(self) -> int:
         if not self.option("on"):
-            return self.fail([Fault(INVALID, "--on VERSION: the one that `route proposals` showed")])
+            return self.fail(
+                [Failure(FailureReason.INVALID, "--on VERSION: the one that `route proposals` showed")]
+            )
         body = {"word": self.word, "who": self.who(), "version": self.option("on"), "over": self._over()}
         path = f"/proposals/{quote(self.argument('id'))}"
         return self.said(sources.post(self.argument("address"), path, body), "{outcome} {version}")
@@ -131,7 +131,7 @@
 
     def handle(self) -> int:
         answer = self.look(f"/routes/{quote(self.argument('name'))}")
-        return self.fail([answer]) if isinstance(answer, Fault) else self.tell(showing.history(answer))
+        return self.fail([answer]) if isinstance(answer, Failure) else self.tell(showing.history(answer))
 
 
 COMMANDS: Final = (Edit, Proposals, Confirm, Reject, History)
--- a/ashlift/cli/tenant_commands.py
+++ b/ashlift/cli/tenant_commands.py
@@ -5,15 +5,12 @@
 from attrs import frozen
 from cleo.helpers import argument, option
 
+from ashlift.cli import changing, showing, sources, tenants
+from ashlift.cli.base import DIFFERENT, Tool, entries
+from ashlift.cli.tenants import TENANTS, Held, Standing
 from ashlift.config import operator_config as configuration
 from ashlift.config.routing_table import Table
-from ashlift.cli import changing
-from ashlift.cli import showing
-from ashlift.cli import sources
-from ashlift.cli import tenants
-from ashlift.cli.tenants import TENANTS, Held, Standing
-from ashlift.cli.base import DIFFERENT, Tool, entries
-from ashlift.errors import INVALID, Fault
+from ashlift.errors import Failure, FailureReason
 
 ADDRESS = argument("address", "A Control address, such as 10.0.0.4:8200.")
 FILE = argument("file", "JSON: the tenant, with its routes and services if it brings any, as Objects.")
@@ -33,23 +30,23 @@
     now: Standing
 
 
-def planned(address: str, file: str) -> Plan | list[Fault]:
+def planned(address: str, file: str) -> Plan | list[Failure]:
     before = entries(address)
     if isinstance(before, list):
         return before
     data = sources.read_file(file)
-    body = data if isinstance(data, Fault) else sources.parse_json(data, file)
-    objects = body if isinstance(body, Fault) else tenants.upsert(body, file)
-    if isinstance(objects, Fault):
+    body = data if isinstance(data, Failure) else sources.parse_json(data, file)
+    objects = body if isinstance(body, Failure) else tenants.upsert(body, file)
+    if isinstance(objects, Failure):
         return [objects]
     if_match, patch = tenants.change(before, objects)
     faults = configuration.faults(before, "patch", patch)
     if faults:
-        return [Fault(one.reason, f"{file}: {one.detail}") for one in faults]
+        return [Failure(one.reason, f"{file}: {one.detail}") for one in faults]
     change = configuration.apply(before, "patch", if_match, patch)
     now = changing.look(address)
-    if isinstance(change, Fault) or isinstance(now, Fault):
-        return [one for one in (change, now) if isinstance(one, Fault)]
+    if isinstance(change, Failure) or isinstance(now, Failure):
+        return [one for one in (change, now) if isinstance(one, Failure)]
     after = {key: value for key, value in before.items() if key not in change.gone} | change.set
     changes, doubts = showing.differences(before, after), tenants.doubts(after, objects, now)
     return Plan(if_match, patch, tenants.names(objects), changes, doubts, now)
@@ -84,8 +81,8 @@
             return self.fail([fault])
         self.tell([f"{what}: acknowledged as version {version}"])
         found = changing.settled(address, version)
-        if isinstance(found, Fault):
-            return self.fail([Fault(found.reason, f"who holds it is not known: {found.detail}")])
+        if isinstance(found, Failure):
+            return self.fail([Failure(found.reason, f"who holds it is not known: {found.detail}")])
         now, late = found
         count = len(now.gatekeepers)
         self.tell([f"held by {count - len(late)} of {count} gatekeepers in touch"])
@@ -121,7 +118,12 @@
         if isinstance(plan, list):
             return self.fail(plan)
         if plan.doubts and not self.option("doubtful"):
-            return self.fail([Fault(INVALID, f"doubtful (--doubtful goes on): {one}") for one in plan.doubts])
+            return self.fail(
+                [
+                    Failure(FailureReason.INVALID, f"doubtful (--doubtful goes on): {one}")
+                    for one in plan.doubts
+                ]
+            )
         if len(plan.changes) == 1:
             return self.tell([f"nothing to change: version {plan.if_match} has it all"])
         return self.put(address, plan.if_match, plan.body, ", ".join(plan.names))
@@ -138,7 +140,7 @@
         if isinstance(found, list):
             return self.fail(found)
         now = changing.look(address)
-        if isinstance(now, Fault):
+        if isinstance(now, Failure):
             return self.fail([now])
         tenant = Table.build(found).tenants.get(name)
         late = now.behind(now.index)
@@ -159,7 +161,9 @@
         if isinstance(found, list):
             return self.fail(found)
         if TENANTS + name not in found:
-            return self.fail([Fault(INVALID, f"{name}: is in no configuration that is in force")])
+            return self.fail(
+                [Failure(FailureReason.INVALID, f"{name}: is in no configuration that is in force")]
+            )
         if found[TENANTS + name].get("ApiKeys"):
             if_match, body = tenants.change(found, [tenants.keyless(found, name)])
             code = self.put(address, if_match, body, f"{name} without keys")
@@ -170,7 +174,9 @@
             if isinstance(found, list):
                 return self.fail(found)
             if found.get(TENANTS + name, {}).get("ApiKeys") != []:
-                return self.fail([Fault(INVALID, f"{name}: somebody else has changed it meanwhile")])
+                return self.fail(
+                    [Failure(FailureReason.INVALID, f"{name}: somebody else has changed it meanwhile")]
+                )
         routes = Table.build(found).routes.values()
         drain = min(DRAIN_MOST, max((route.timeout or DRAIN_MOST for route in routes), default=0.0))
         self.tell([f"drains for {drain:g} s, the longest timeout of a route"])
--- a/ashlift/cli/tenants.py
+++ b/ashlift/cli/tenants.py
@@ -8,7 +8,7 @@
 
 from ashlift.config import operator_config as configuration
 from ashlift.config.routing_table import Route, Table, Tenant
-from ashlift.errors import INVALID, Fault
+from ashlift.errors import Failure, FailureReason
 
 Json = dict[str, Any]
 TENANTS: Final = "Tenants/"
@@ -78,19 +78,21 @@
     return math.inf if one.heard is None else one.heard
 
 
-def upsert(body: Any, place: str) -> list[Json] | Fault:
+def upsert(body: Any, place: str) -> list[Json] | Failure:
     """The objects of a file: `{"Objects": [...]}`, the same under `Upsert`, or one object alone."""
     if isinstance(body, dict) and isinstance(body.get("Upsert"), dict):
         if body.get("Withdraw"):
-            return Fault(INVALID, f"{place}: Withdraw: a tenant is taken away by `tenant remove`")
+            return Failure(
+                FailureReason.INVALID, f"{place}: Withdraw: a tenant is taken away by `tenant remove`"
+            )
         body = body["Upsert"]
     objects = [body] if isinstance(body, dict) and "ObjectType" in body else None
     if objects is None and isinstance(body, dict):
         objects = body.get("Objects")
     if not isinstance(objects, list) or not all(isinstance(one, dict) for one in objects):
-        return Fault(INVALID, f"{place}: holds no Objects")
+        return Failure(FailureReason.INVALID, f"{place}: holds no Objects")
     if not any(one.get("ObjectType") == "Tenants" for one in objects):
-        return Fault(INVALID, f"{place}: holds no Tenants")
+        return Failure(FailureReason.INVALID, f"{place}: holds no Tenants")
     return objects
 
 
--- a/ashlift/config/durations.py
+++ b/ashlift/config/durations.py
@@ -3,16 +3,16 @@
 import re
 from typing import Any
 
-from ashlift.errors import INVALID, Fault
+from ashlift.errors import Failure, FailureReason
 
 _TIME = re.compile(r"\s*(\d{1,15}(?:\.\d{0,30})?(?:[eE][+-]?\d{1,2})?)\s*(ms|s)\s*", re.ASCII)
 
 
-def parse_time(text: Any) -> float | Fault:
-    """`1500ms` or `2.5s` as seconds; a Fault where it is no such text."""
+def parse_time(text: Any) -> float | Failure:
+    """`1500ms` or `2.5s` as seconds; a Failure where it is no such text."""
     found = _TIME.fullmatch(text) if isinstance(text, str) and len(text) < 80 else None
     if not found:
-        return Fault(INVALID, f"no time such as 1500ms or 2.5s: {str(text)[:40]!r}")
+        return Failure(FailureReason.INVALID, f"no time such as 1500ms or 2.5s: {str(text)[:40]!r}")
     return float(found[1]) / (1000 if found[2] == "ms" else 1)
 
 
--- a/ashlift/config/operator_config.py
+++ b/ashlift/config/operator_config.py
@@ -13,9 +13,9 @@
 
 import attrs
 
-from ashlift.config.structuring import Flaw, structure
 from ashlift.config.routing_table import SHAPES, RouteShape, ServiceShape, TenantShape, host_of, split_of
-from ashlift.errors import INVALID, Fault
+from ashlift.config.structuring import Flaw, structure
+from ashlift.errors import Failure, FailureReason
 
 STALE: Final = "stale"  # it builds on a version that is not the current one
 FIRST: Final = "00000000"
@@ -40,11 +40,13 @@
     rest: dict[str, Any] | None
 
 
-def number_of(version: Any) -> int | Fault:
+def number_of(version: Any) -> int | Failure:
     """A version (up to eight hexadecimal digits, as an If-Match may carry it) as a number."""
     text = version.strip().strip('"') if isinstance(version, str) else ""
     if not 0 < len(text) <= 8 or not all(digit in "0123456789abcdefABCDEF" for digit in text):
-        return Fault(INVALID, f"is no version of eight hexadecimal digits: {str(version)[:40]!r}")
+        return Failure(
+            FailureReason.INVALID, f"is no version of eight hexadecimal digits: {str(version)[:40]!r}"
+        )
     return int(text, 16)
 
 
@@ -67,33 +69,33 @@
     return blake2b(text.encode(), digest_size=16).hexdigest()
 
 
-def apply(current: Mapping[str, Any], kind: str, if_match: str, body: Any) -> Change | Fault:
+def apply(current: Mapping[str, Any], kind: str, if_match: str, body: Any) -> Change | Failure:
     """What the call (`put`: all anew; `patch`: by name) makes of `current`. `if_match`: what it builds on.
-    Fault: `stale`, or `invalid` with a detail of `OBJECT NAME: FIELD: what`, several parted by `; `."""
+    Failure: `stale`, or `invalid` with a detail of `OBJECT NAME: FIELD: what`, several parted by `; `."""
     base, now = number_of(if_match), number_of(current_version(current))
-    if isinstance(base, Fault):
-        return Fault(INVALID, f"If-Match: {base.detail}")
+    if isinstance(base, Failure):
+        return Failure(FailureReason.INVALID, f"If-Match: {base.detail}")
     assert isinstance(now, int)
     if base != now:
-        return Fault(STALE, f"builds on {base:08x}, and {now:08x} is current")
+        return Failure(STALE, f"builds on {base:08x}, and {now:08x} is current")
     flaws, change = _changed(current, now, kind, if_match, body)
     if flaws or change is None:
         more = [f"and {len(flaws) - MOST_TOLD} more"] if len(flaws) > MOST_TOLD else []
-        return Fault(INVALID, "; ".join(flaws[:MOST_TOLD] + more))
+        return Failure(FailureReason.INVALID, "; ".join(flaws[:MOST_TOLD] + more))
     return change
 
 
-def faults(current: Mapping[str, Any], kind: str, body: Any) -> list[Fault]:
+def faults(current: Mapping[str, Any], kind: str, body: Any) -> list[Failure]:
     """Everything that keeps a call from being applied to `current`, whatever it says that it builds on."""
     now = number_of(current_version(current))
     flaws, _ = _changed(current, now, kind, FIRST, body) if isinstance(now, int) else ([now.detail], None)
-    return [Fault(INVALID, flaw) for flaw in flaws]
+    return [Failure(FailureReason.INVALID, flaw) for flaw in flaws]
 
 
-def laid_out(body: Any) -> dict[str, Any] | list[Fault]:
+def laid_out(body: Any) -> dict[str, Any] | list[Failure]:
     """A whole configuration that stands by itself (no version before it) as a map, or all its faults."""
     flaws, change = _changed({}, -1, "put", "0", body)
-    return change.set if change and not flaws else [Fault(INVALID, flaw) for flaw in flaws]
+    return change.set if change and not flaws else [Failure(FailureReason.INVALID, flaw) for flaw in flaws]
 
 
 def whole(entries: Mapping[str, Any]) -> dict[str, Any]:
@@ -118,13 +120,13 @@
         return [f"no such kind of change: {kind}"], None
     flaws: list[str] = []
     version = number_of(body.get("ConfigVersion"))
-    if isinstance(version, Fault):
+    if isinstance(version, Failure):
         flaws.append(f"ConfigVersion: {version.detail}")
     elif version <= now:
         flaws.append(f"ConfigVersion: {version:08x} is not above the current {now:08x}")
     made = _put(current, body, flaws) if kind == "put" else _patched(current, body, flaws)
     _fit(made, flaws)
-    if flaws or isinstance(version, Fault):
+    if flaws or isinstance(version, Failure):
         return flaws, None
     made["Version"] = f"{version:08x}"
     ours = {key: value for key, value in current.items() if key.partition("/")[0] in _OURS}
--- a/ashlift/config/settings.py
+++ b/ashlift/config/settings.py
@@ -9,7 +9,7 @@
 import attrs
 
 from ashlift.config.structuring import Amount, Count, Endpoint, Ports, Seconds, Texts, structure
-from ashlift.errors import INVALID, Fault
+from ashlift.errors import Failure, FailureReason
 
 
 @attrs.frozen
@@ -100,22 +100,22 @@
     bounds: Bounds = Bounds()
 
 
-def read(path: str) -> Settings | list[Fault]:
+def read(path: str) -> Settings | list[Failure]:
     """The settings in the file at `path`, or all its faults."""
     try:
         with open(path, "rb") as file:
             text = file.read().decode()
     except (OSError, ValueError) as error:
-        return [Fault(INVALID, f"{path}: cannot be read: {error}")]
+        return [Failure(FailureReason.INVALID, f"{path}: cannot be read: {error}")]
     return parse(text, path)
 
 
-def parse(text: str, place: str = "settings") -> Settings | list[Fault]:
+def parse(text: str, place: str = "settings") -> Settings | list[Failure]:
     """The settings in `text`, or all its faults, each told with `place`."""
     try:
         value = tomllib.loads(text)
     except (ValueError, RecursionError) as error:
-        return [Fault(INVALID, f"{place}: is no TOML: {error}")]
+        return [Failure(FailureReason.INVALID, f"{place}: is no TOML: {error}")]
     found = structure(Settings, value)
     if isinstance(found, Settings):
         flaws = _unfit(found)
@@ -123,7 +123,10 @@
             return found
     else:
         flaws = found
-    return [Fault(INVALID, f"{place}: {key}: {what}" if key else f"{place}: {what}") for key, what in flaws]
+    return [
+        Failure(FailureReason.INVALID, f"{place}: {key}: {what}" if key else f"{place}: {what}")
+        for key, what in flaws
+    ]
 
 
 def _unfit(settings: Settings) -> list[tuple[str, str]]:
--- a/ashlift/config/structuring.py
+++ b/ashlift/config/structuring.py
@@ -15,7 +15,7 @@
 from cattrs.gen import make_dict_structure_fn, override
 
 from ashlift.config.durations import parse_time
-from ashlift.errors import Fault
+from ashlift.errors import Failure
 
 T = TypeVar("T")
 Seconds = Annotated[float, "s"]  # written as a time
@@ -76,7 +76,7 @@
 
 def _seconds(value: Any, _: Any = None) -> float:
     time = parse_time(value)
-    if isinstance(time, Fault):
+    if isinstance(time, Failure):
         raise ValueError(f"is {time.detail}")
     return time
 
--- a/ashlift/configstore/commands.py
+++ b/ashlift/configstore/commands.py
@@ -5,7 +5,7 @@
 
 from ashlift.config import operator_config as configuration
 from ashlift.configstore.messages import Fence, Settled, Work
-from ashlift.errors import INVALID, Fault
+from ashlift.errors import Failure, FailureReason
 
 TAKEN: Final = "Taken/"  # + version: the mark of the call that brought it, for equal resends
 TAKEN_MOST: Final = 512  # a day's changes and more
@@ -30,7 +30,7 @@
     return Settled({"status": 400, "reason": f"no order: {str(kind)[:40]}"})
 
 
-def read_fence(body: Any) -> Fence | Fault | None:
+def read_fence(body: Any) -> Fence | Failure | None:
     """An order's fence. None: of a `merge`, which a store sends by itself, again and again, and whose edits
     are settled once by their ids."""
     if isinstance(body, dict) and body.get("kind") == "merge":
@@ -39,7 +39,7 @@
         term, round_, index, left = body["fence"]
         return Fence(int(term), int(round_), int(index), float(left))
     except (LookupError, TypeError, ValueError):
-        return Fault(INVALID, "submit")
+        return Failure(FailureReason.INVALID, "submit")
 
 
 def _edited(current: Mapping[str, Any], order: Any) -> Work | Settled:
@@ -67,9 +67,9 @@
             why = f"version {version:08x} is too old to be told from one that was taken"
             return Settled({"status": 503, "reason": why})
     change = configuration.apply(current, kind, if_match, body)
-    if isinstance(change, Fault) and change.reason == configuration.STALE:
+    if isinstance(change, Failure) and change.reason == configuration.STALE:
         return _stale(current, if_match, mark, {"status": 412, "reason": change.detail})
-    if isinstance(change, Fault):
+    if isinstance(change, Failure):
         return Settled({"status": 400, "reason": change.detail})
     if f"{REFUSED}{configuration.current_version(current)}/{mark.hex()}" in current:
         return Settled({"status": 412, "reason": "it was refused before what it builds on was current"})
--- a/ashlift/configstore/leader.py
+++ b/ashlift/configstore/leader.py
@@ -6,9 +6,20 @@
 
 from attrs import define
 
-from ashlift.configstore import events
-
-from ashlift.configstore import membership
+from ashlift.configstore import events, membership
+from ashlift.configstore.catch_up import Copy, Mending
+from ashlift.configstore.membership import (
+    LEARNERS,
+    MEMBERS,
+    MOVE_S,
+    Membership,
+    View,
+    entry,
+    named,
+    next_change,
+    quorum,
+    refusal,
+)
 from ashlift.configstore.messages import (
     BEHIND,
     CALL_S,
@@ -27,21 +38,8 @@
     State,
     Work,
 )
-from ashlift.configstore.membership import (
-    LEARNERS,
-    MEMBERS,
-    MOVE_S,
-    Membership,
-    View,
-    entry,
-    named,
-    next_change,
-    quorum,
-    refusal,
-)
-from ashlift.configstore.catch_up import Copy, Mending
 from ashlift.configstore.replica_state import Seat, pack
-from ashlift.errors import LATE, UNANSWERED, UNREACHED, UNREADY, Fault
+from ashlift.errors import Failure, FailureReason
 
 Decide = Callable[[Mapping[str, Any], Any], Work | Settled]
 LEARNER_S = 3.0  # a learner that has not asked again, nor answered, for so long is not called any more
@@ -107,7 +105,7 @@
 
     def submit(self, ref: Any, order: Any, fence: Fence | None = None) -> None:
         if self.leave_by is not None or len(self.queue) >= WAITING_MOST:
-            return self.seat.reply(ref, Fault(UNREADY, "full or leaving"))
+            return self.seat.reply(ref, Failure(FailureReason.UNAVAILABLE, "full or leaving"))
         self.queue.append((ref, order, fence))
         self._advance()
 
@@ -131,15 +129,15 @@
     def end(self) -> None:
         """Lead no longer: what was sent is in doubt, what was not begun may come again."""
         if self.under_way:
-            self.seat.reply(self.under_way[0], Fault(UNANSWERED, "lost the lead"))
+            self.seat.reply(self.under_way[0], Failure(FailureReason.OUTCOME_UNKNOWN, "lost the lead"))
         for _, ref, _ in self.waiting:
-            self.seat.reply(ref, Fault(UNREADY, "lost the lead"))
+            self.seat.reply(ref, Failure(FailureReason.UNAVAILABLE, "lost the lead"))
         self.waiting.clear()
         self._drop_queue()
 
     def _drop_queue(self) -> None:
         while self.queue:
-            self.seat.reply(self.queue.popleft()[0], Fault(UNREADY, "lost the lead"))
+            self.seat.reply(self.queue.popleft()[0], Failure(FailureReason.UNAVAILABLE, "lost the lead"))
 
     def answered(self, ip: str, sent_at: float, context: Any, body: Any) -> None:
         """An answer to `append`."""
@@ -147,9 +145,9 @@
         if term != self.term:
             return
         peer = self._peer(ip)
-        lost = isinstance(body, Fault) or self.seat.now - sent_at >= CALL_S
+        lost = isinstance(body, Failure) or self.seat.now - sent_at >= CALL_S
         if payload is not None:
-            unsent = isinstance(body, Fault) and body.reason == UNREACHED
+            unsent = isinstance(body, Failure) and body.reason == FailureReason.UNREACHABLE
             peer.copy.came(payload and not unsent, not lost)
         if lost:
             return
@@ -283,7 +281,7 @@
             else:
                 outcome = self.decide(map, order)
             if fence is not None and self._late(fence, outcome):
-                self.seat.reply(ref, Fault(LATE, "its caller may have gone"))
+                self.seat.reply(ref, Failure(FailureReason.EXPIRED, "its caller may have gone"))
                 continue
             if isinstance(outcome, Work):
                 return self._propose(outcome.set, outcome.gone, ref, outcome.answer)
--- a/ashlift/configstore/messages.py
+++ b/ashlift/configstore/messages.py
@@ -97,7 +97,7 @@
 
 @frozen
 class Answered:
-    """The outcome of a Send: a body or a Fault."""
+    """The outcome of a Send: a body or a Failure."""
 
     peer: str
     method: str
@@ -115,8 +115,8 @@
 
 @frozen
 class Submit:
-    """An order; answered by a Reply: its answer, or a Fault: UNREADY not begun, LATE never to be begun,
-    UNANSWERED in doubt. `fence` None: it may be begun whenever it comes."""
+    """An order; answered by a Reply: its answer, or a Failure: UNAVAILABLE not begun, EXPIRED never
+    to be begun, OUTCOME_UNKNOWN in doubt. `fence` None: it may be begun whenever it comes."""
 
     ref: Any
     order: Any
@@ -125,7 +125,7 @@
 
 @frozen
 class Read:
-    """Answered by a Reply with the committed State, or a Fault."""
+    """Answered by a Reply with the committed State, or a Failure."""
 
     ref: Any
 
--- a/ashlift/configstore/pending_edits.py
+++ b/ashlift/configstore/pending_edits.py
@@ -5,11 +5,11 @@
 
 import cbor2
 
-from ashlift.route_reconciliation.edits import Book, Edit, join, read_edit
-from ashlift.route_reconciliation.merging import CONFLICT, SETTLED
 from ashlift.configstore import events
+from ashlift.errors import Failure, FailureReason
 from ashlift.events import WARNING, tell
-from ashlift.errors import INVALID, REFUSED, Fault
+from ashlift.route_reconciliation.edits import Book, Edit, join, read_edit
+from ashlift.route_reconciliation.merging import CONFLICT, SETTLED
 
 MOST: Final = 256  # edits
 NAME: Final = "edits"
@@ -18,9 +18,9 @@
 class Records(Protocol):
     """A shelf, as `ashlift.configstore.snapshot_storage` has it."""
 
-    def read(self) -> dict[str, bytes] | Fault | None: ...
+    def read(self) -> dict[str, bytes] | Failure | None: ...
 
-    def write(self, records: Mapping[str, bytes]) -> Fault | None: ...
+    def write(self, records: Mapping[str, bytes]) -> Failure | None: ...
 
 
 class Waiting:
@@ -31,10 +31,12 @@
         self._told: dict[str, str] = {}  # id -> why it waits, as it was told
         self._tried: tuple[int, frozenset[str]] | None = None  # index and ids of the last attempt
 
-    def with_(self, edits: Iterable[Edit]) -> dict[str, Edit] | Fault:
+    def with_(self, edits: Iterable[Edit]) -> dict[str, Edit] | Failure:
         """The book joined with these."""
         joined = join(self.book, {edit.id: edit for edit in edits})
-        return joined if len(joined) <= MOST else Fault(REFUSED, f"{MOST} edits wait already")
+        return (
+            joined if len(joined) <= MOST else Failure(FailureReason.REJECTED, f"{MOST} edits wait already")
+        )
 
     def without(self, map: Mapping[str, Any]) -> dict[str, Edit]:
         """The book less what the agreed map says is settled."""
@@ -73,19 +75,19 @@
     ) -> None:
         self._shelf, self._map, self.tell = shelf, map, tell
         found = shelf.read()
-        if isinstance(found, Fault):
+        if isinstance(found, Failure):
             self.tell(events.UNREADABLE, level=WARNING, shelf=NAME, fault=found)
         self.waiting = Waiting(_read(found) if isinstance(found, dict) else {})
 
     def call(self, body: Any) -> Any:
-        """`{add: [edit]}` -> `{edits: [edit]}`: all that wait here, these included, durably; or a Fault."""
+        """`{add: [edit]}` -> `{edits: [edit]}`: all that wait here, these included, durably; or a Failure."""
         try:
             edits = [read_edit(one) for one in body["add"]]
         except (LookupError, TypeError):
-            return Fault(INVALID, "drafts")
+            return Failure(FailureReason.INVALID, "drafts")
         sound = [edit for edit in edits if isinstance(edit, Edit)]
         if len(sound) < len(edits):
-            return Fault(INVALID, "an edit that is none")
+            return Failure(FailureReason.INVALID, "an edit that is none")
         fault = self._keep(self.waiting.with_(sound))
         if fault is not None:
             return fault
@@ -116,9 +118,9 @@
                     )
         self._keep(self.waiting.without(map))
 
-    def _keep(self, book: dict[str, Edit] | Fault) -> Fault | None:
-        if isinstance(book, Fault) or book == self.waiting.book:
-            return book if isinstance(book, Fault) else None
+    def _keep(self, book: dict[str, Edit] | Failure) -> Failure | None:
+        if isinstance(book, Failure) or book == self.waiting.book:
+            return book if isinstance(book, Failure) else None
         fault = self._shelf.write({id: cbor2.dumps(edit.wire()) for id, edit in book.items()})
         if fault is None:
             self.waiting.book = book
--- a/ashlift/configstore/replica.py
+++ b/ashlift/configstore/replica.py
@@ -13,20 +13,22 @@
 
 from ashlift.configstore import events
 from ashlift.configstore.change_log import Changes
+from ashlift.configstore.leader import Decide, Lead
+from ashlift.configstore.membership import MEMBERS, displaced, life_fits, lives, quorum
 from ashlift.configstore.messages import (
     BEHIND,
     CALL_S,
     DELTA,
-    PARTS,
-    RANGES,
     ELECTION_S,
     FIRST_S,
     HANDING_S,
     HEARTBEAT_S,
-    PROMOTE,
-    MUTE_S,
     LEARNER,
+    MUTE_S,
     OLD,
+    PARTS,
+    PROMOTE,
+    RANGES,
     UNHEARD_S,
     YES,
     Answered,
@@ -43,11 +45,9 @@
     Tick,
     Vote,
 )
-from ashlift.configstore.leader import Decide, Lead
 from ashlift.configstore.ranged_map import RangedMap
-from ashlift.configstore.membership import MEMBERS, displaced, life_fits, lives, quorum
 from ashlift.configstore.replica_state import Broken, Seat, unpack
-from ashlift.errors import INVALID, REFUSED, UNREADY, Fault
+from ashlift.errors import Failure, FailureReason
 
 JOIN_S = 0.5  # between two calls of one that is no voter
 LONELY_S = 3.0  # a voter that nobody leads for so long asks whether it is one still
@@ -70,15 +70,15 @@
 
 
 class Member(Seat):
-    """`vote` and `state`: what the disk holds, None: nothing was ever there, Fault: it cannot be read."""
+    """`vote` and `state`: what the disk holds, None: nothing was ever there, Failure: it cannot be read."""
 
     def __init__(
         self,
         me: str,
         seeds: list[str],
         bootstrap: bool,
-        vote: Vote | Fault | None,
-        state: State | Fault | None,
+        vote: Vote | Failure | None,
+        state: State | Failure | None,
         decide: Decide,
         chance: random.Random,
     ) -> None:
@@ -178,12 +178,12 @@
                 if self.lead:
                     self.lead.submit(event.ref, event.order, event.fence)
                 else:
-                    self.reply(event.ref, Fault(UNREADY, "leads not"))
+                    self.reply(event.ref, Failure(FailureReason.UNAVAILABLE, "leads not"))
             case Read():
                 if self.lead:
                     self.lead.read(event.ref)
                 else:
-                    self.reply(event.ref, Fault(UNREADY, "leads not"))
+                    self.reply(event.ref, Failure(FailureReason.UNAVAILABLE, "leads not"))
             case Leave() if self.leaving is None:
                 self.leaving = self.now + HANDING_S
                 if self.lead:
@@ -246,7 +246,7 @@
 
     def _called(self, event: Called) -> None:
         if not self.vote.voter and self.now < self.mute_until:
-            return self.reply(event.ref, Fault(UNREADY, "mute"))
+            return self.reply(event.ref, Failure(FailureReason.UNAVAILABLE, "mute"))
         try:
             match event.method, event.body:
                 case "append", [int(), str(), int(), int(), int(), int(), int(), _]:
@@ -261,9 +261,9 @@
                 case "succeed", [int()]:
                     self._succeed(event.ref, event.body[0])
                 case _:
-                    self.reply(event.ref, Fault(INVALID, event.method))
+                    self.reply(event.ref, Failure(FailureReason.INVALID, event.method))
         except (ValueError, TypeError, LookupError) as error:
-            self.reply(event.ref, Fault(INVALID, str(error)))
+            self.reply(event.ref, Failure(FailureReason.INVALID, str(error)))
 
     # ---- elections
     def _try(self) -> None:
@@ -322,7 +322,7 @@
         pre: bool,
     ) -> None:
         if not self.vote.voter:
-            return self.reply(ref, Fault(UNREADY, "learner"))
+            return self.reply(ref, Failure(FailureReason.UNAVAILABLE, "learner"))
         fit = (last_term, index) >= self.term_index
         if pre:
             calm = self.lead is None and self.now >= max(self.calm_from, self.heard_at + ELECTION_S[0])
@@ -343,11 +343,13 @@
         if vote == self.vote:
             return self.reply(ref, [term, False])
         yes = [term, fit, vote.life]
-        self.keep(vote, None, lambda ok: self.reply(ref, yes if ok else Fault(REFUSED, "disk")))
+        self.keep(
+            vote, None, lambda ok: self.reply(ref, yes if ok else Failure(FailureReason.REJECTED, "disk"))
+        )
 
     def _voted(self, event: Answered) -> None:
         attempt = self.attempt
-        if isinstance(event.body, Fault) or not self.vote.voter:
+        if isinstance(event.body, Failure) or not self.vote.voter:
             return
         theirs, granted, *life = event.body
         if theirs > (self.vote.term if attempt is None or attempt.pre else attempt.term):
@@ -363,7 +365,7 @@
 
     def _succeed(self, ref: Any, term: int) -> None:
         if term != self.vote.term or not self._stands() or self.lead or self.leaving is not None:
-            return self.reply(ref, Fault(REFUSED, "not now"))
+            return self.reply(ref, Failure(FailureReason.REJECTED, "not now"))
         self.reply(ref, [True])
         self._stand()
 
@@ -407,7 +409,7 @@
 
         def on(ok: bool) -> None:
             if not ok:
-                return self.reply(ref, Fault(REFUSED, "disk"))
+                return self.reply(ref, Failure(FailureReason.REJECTED, "disk"))
             if restored:
                 self.tell(events.PROMOTED, term=term, index=index)
             elif state is not None and entries is self.staged:
--- a/ashlift/configstore/replica_state.py
+++ b/ashlift/configstore/replica_state.py
@@ -8,9 +8,9 @@
 import cbor2
 
 from ashlift.configstore.change_log import Changes
-from ashlift.configstore.messages import Effect, Keep, Reply, Send, State, Tell, TermIndex, Vote
-from ashlift.configstore.membership import MEMBERS, named
 from ashlift.configstore.committed_state import News
+from ashlift.configstore.membership import MEMBERS, named
+from ashlift.configstore.messages import Effect, Keep, Reply, Send, State, Tell, TermIndex, Vote
 from ashlift.configstore.ranged_map import RangedMap
 
 WRITE_MOST_S = 0.4  # a slower disk is not waited for by others
--- a/ashlift/configstore/server.py
+++ b/ashlift/configstore/server.py
@@ -13,7 +13,8 @@
 
 from ashlift.config.settings import Settings
 from ashlift.configstore import events
-from ashlift.configstore.replica import Member
+from ashlift.configstore.commands import decide, read_fence
+from ashlift.configstore.membership import Membership
 from ashlift.configstore.messages import (
     CALL_S,
     Answered,
@@ -34,14 +35,13 @@
     Vote,
     Work,
 )
-from ashlift.configstore.membership import Membership
-from ashlift.configstore.commands import decide, read_fence
 from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.replica import Member
 from ashlift.configstore.snapshot_storage import Shelf
-from ashlift.rpc.transport import Callers, serve
+from ashlift.errors import Failure, FailureReason
 from ashlift.events import BROKEN, CRITICAL, ERROR, WARNING, tell
-from ashlift.errors import INVALID, UNANSWERED, UNREACHED, UNREADY, Fault
 from ashlift.rpc.fragmentation import Cutter
+from ashlift.rpc.transport import Callers, serve
 
 if TYPE_CHECKING:
     from ashlift.configstore.pending_edits import Drafts
@@ -64,18 +64,18 @@
     def __init__(self, folder: str) -> None:
         self._votes, self._maps = Shelf(folder, "vote"), Shelf(folder, "map")
 
-    def read(self) -> tuple[Vote | Fault | None, State | Fault | None]:
+    def read(self) -> tuple[Vote | Failure | None, State | Failure | None]:
         return self._vote(self._votes.read()), self._state(self._maps.read())
 
-    def _vote(self, found: dict[str, bytes] | Fault | None) -> Vote | Fault | None:
+    def _vote(self, found: dict[str, bytes] | Failure | None) -> Vote | Failure | None:
         if not isinstance(found, dict):
             return found
         try:
             return Vote(*cbor2.loads(found["vote"]))
         except (cbor2.CBORDecodeError, LookupError, TypeError) as error:
-            return Fault(INVALID, str(error))
+            return Failure(FailureReason.INVALID, str(error))
 
-    def _state(self, found: dict[str, bytes] | Fault | None) -> State | Fault | None:
+    def _state(self, found: dict[str, bytes] | Failure | None) -> State | Failure | None:
         if not isinstance(found, dict):
             return found
         try:
@@ -83,9 +83,9 @@
             ranges = {int(name): data for name, data in found.items()}
             return State((term, index), RangedMap().replaced(ranges))
         except (cbor2.CBORDecodeError, LookupError, TypeError, ValueError) as error:
-            return Fault(INVALID, str(error))
+            return Failure(FailureReason.INVALID, str(error))
 
-    def keep(self, keep: Keep) -> Fault | None:
+    def keep(self, keep: Keep) -> Failure | None:
         if keep.state is not None:
             entries = keep.state.entries
             records = {f"{number:02}": entries.packed(number) for number in entries.filled()}
@@ -122,7 +122,7 @@
         self.disk = Disk(folder)
         vote, state = self.disk.read()
         for name, held in (("vote", vote), ("map", state)):
-            if isinstance(held, Fault):
+            if isinstance(held, Failure):
                 tell(events.UNREADABLE, level=WARNING, shelf=name, fault=held)
         seeds = sorted({host for host, _ in settings.seeds})
         chance = random.Random(os.urandom(16))
@@ -206,9 +206,12 @@
     def _call(self, send: Send, sent_at: float) -> None:
         caller = self.callers.to((send.peer, self.port))
         body = caller.call(send.method, send.body, CALL_S)
-        if not isinstance(body, Fault):
+        if not isinstance(body, Failure):
             self._heard[send.peer] = self.clock()
-        elif body.reason == UNANSWERED and self.clock() - self._heard.get(send.peer, 0.0) >= CALL_S:
+        elif (
+            body.reason == FailureReason.OUTCOME_UNKNOWN
+            and self.clock() - self._heard.get(send.peer, 0.0) >= CALL_S
+        ):
             self._heard[send.peer] = self.clock()
             caller.close()  # a new connection comes up sooner than an old one sends again after a cut
         self.feed(Answered(send.peer, send.method, sent_at, send.context, body))
@@ -225,13 +228,13 @@
         try:
             return ref.get(timeout=timeout)
         except gevent.Timeout:
-            return Fault(UNANSWERED, f"{timeout:g} s")
+            return Failure(FailureReason.OUTCOME_UNKNOWN, f"{timeout:g} s")
 
     # ---- calls of registries
     def submit(self, body: Any) -> Any:
-        """`{kind, if_match, body, fence}` -> `{status, reason?, index}`; a Fault: no clear answer."""
+        """`{kind, if_match, body, fence}` -> `{status, reason?, index}`; a Failure: no clear answer."""
         fence = read_fence(body)
-        if isinstance(fence, Fault):
+        if isinstance(fence, Failure):
             return fence
         return self._led("submit", body, lambda ref: Submit(ref, body, fence), ORDER_S)
 
@@ -247,7 +250,7 @@
     def members(self, body: Any) -> Any:
         """`{do, ip}` -> `{status, reason?}`; do: remove, replace, add, or show: `{status, members}`."""
         if not isinstance(body, dict) or not isinstance(body.get("do"), str):
-            return Fault(INVALID, "members")
+            return Failure(FailureReason.INVALID, "members")
         order = Membership(body["do"], str(body.get("ip", "")))
         if order.do == "show" and self.member.lead is not None:
             return {"status": 200, "members": self.member.lead.table()}
@@ -278,17 +281,20 @@
     def _led(self, method: str, body: dict[str, Any], event: Callable[[Any], Any], timeout: float) -> Any:
         """Have the leader do it: this process, or the one it knows. Tried again while nothing was begun."""
         until = self.clock() + SEEK_S
-        found: Any = Fault(UNREADY, "no leader")
+        found: Any = Failure(FailureReason.UNAVAILABLE, "no leader")
         while True:
             leader = self.member.leader
             if self.member.silent(self.clock()):
-                return Fault(UNREADY, "no leader is heard here")
+                return Failure(FailureReason.UNAVAILABLE, "no leader is heard here")
             if self.member.lead is not None:
                 found = self._ask(event, timeout)
             elif leader is not None and not body.get("passed"):
                 caller = self.callers.to((leader, self.port))
                 found = caller.call(method, {**body, "passed": True}, timeout)
-            if not isinstance(found, Fault) or found.reason not in (UNREADY, UNREACHED):
+            if not isinstance(found, Failure) or found.reason not in (
+                FailureReason.UNAVAILABLE,
+                FailureReason.UNREACHABLE,
+            ):
                 return found
             if self.clock() >= until or body.get("passed"):
                 return found
@@ -301,7 +307,7 @@
         try:
             have, wait = int(body["have"]), min(float(body["wait"]), WATCH_MOST_S)
         except (LookupError, TypeError, ValueError):
-            return Fault(INVALID, "watch")
+            return Failure(FailureReason.INVALID, "watch")
         until = self.clock() + wait
         while self.member.news.index <= have and self.clock() < until:
             self._news.wait(max(0.0, until - self.clock()))
--- a/ashlift/configstore/snapshot_storage.py
+++ b/ashlift/configstore/snapshot_storage.py
@@ -16,7 +16,7 @@
 
 import cbor2
 
-from ashlift.errors import INVALID, REFUSED, Fault
+from ashlift.errors import Failure, FailureReason
 
 _HEAD: Final = "head"  # the record with `[number, digest]`
 _NAMES: Final = ("a", "b")
@@ -69,31 +69,31 @@
         self._unread = False  # something is there of which nobody knows how new it is
         self._held: list[dict[str, bytes] | None] = [None, None]  # what each generation is known to hold
 
-    def read(self) -> dict[str, bytes] | Fault | None:
-        """The newest records, None if nothing was ever written here, or a Fault if nothing reads whole."""
+    def read(self) -> dict[str, bytes] | Failure | None:
+        """The newest records, None if nothing was ever written here, or a Failure if nothing reads whole."""
         try:
             os.makedirs(self._folder, exist_ok=True)
             there = os.listdir(self._folder)
         except OSError as error:
-            return Fault(REFUSED, str(error))
+            return Failure(FailureReason.REJECTED, str(error))
         try:
             found = [_read_whole(f"{self._path}-{name}") for name in _NAMES]
         except OSError as error:
             self._unread = True
-            return Fault(REFUSED, str(error))
+            return Failure(FailureReason.REJECTED, str(error))
         whole = [one for one in found if one is not None]
         if not whole:
             self._unread = any(self._mine(file) for file in there)
-            return Fault(INVALID, self._path) if self._unread else None
+            return Failure(FailureReason.INVALID, self._path) if self._unread else None
         self._number, records = max(whole, key=lambda one: one[0])
         try:  # a killed process may have left it whole, not durable; the next write goes over the other one
             self._settle(f"{self._path}-{_NAMES[self._number % 2]}")
         except OSError as error:
-            return Fault(REFUSED, str(error))
+            return Failure(FailureReason.REJECTED, str(error))
         return records
 
-    def write(self, records: Mapping[str, bytes]) -> Fault | None:
-        """Keep exactly `records`, durably once this returns None; a Fault: the old or the new ones."""
+    def write(self, records: Mapping[str, bytes]) -> Failure | None:
+        """Keep exactly `records`, durably once this returns None; a Failure: the old or the new ones."""
         number = self._number + 1
         which = number % 2
         path = f"{self._path}-{_NAMES[which]}"
@@ -112,7 +112,7 @@
                 base[_HEAD] = cbor2.dumps([number, _digest(number, records)])
             self._settle(path)
         except OSError as error:
-            return Fault(REFUSED, str(error))
+            return Failure(FailureReason.REJECTED, str(error))
         self._held[which], self._number = dict(records), number
         return None
 
--- a/ashlift/gatekeeper/__main__.py
+++ b/ashlift/gatekeeper/__main__.py
@@ -12,6 +12,8 @@
 from gevent.event import Event
 
 from ashlift.gatekeeper import logs
+from ashlift.gatekeeper.admission.control import Gateway
+from ashlift.gatekeeper.admission.interface import Sharing
 from ashlift.gatekeeper.clock import UnixClock
 from ashlift.gatekeeper.config import Config, ConfigError, OwnSettingsError, load, load_anew
 from ashlift.gatekeeper.jobs import Clock, Counter, HandsWritten
@@ -26,8 +28,6 @@
 from ashlift.gatekeeper.operations.siblings import Marks
 from ashlift.gatekeeper.operations.store import HandStore
 from ashlift.gatekeeper.owner import Owner
-from ashlift.gatekeeper.admission.control import Gateway
-from ashlift.gatekeeper.admission.interface import Sharing
 
 if TYPE_CHECKING:
     from ashlift.gatekeeper.ratelimit.server import RateLimitFront
--- a/ashlift/gatekeeper/admission/control.py
+++ b/ashlift/gatekeeper/admission/control.py
@@ -12,7 +12,7 @@
 from ashlift.gatekeeper.admission.counter import CALLS_GROUP, CALLS_MOST, CALLS_SAVED, PACK, STEP_MS, Counter
 from ashlift.gatekeeper.admission.interface import Action, Admit, Cancel, ClientLeft, Counted, Effect, Event
 from ashlift.gatekeeper.admission.interface import Fail, Outcome, Probed, Refuse, Request, Result, Send
-from ashlift.gatekeeper.admission.interface import ServerList, Settings, SetTimer, Sharing, StreamStarted
+from ashlift.gatekeeper.admission.interface import ServerList, SetTimer, Settings, Sharing, StreamStarted
 from ashlift.gatekeeper.admission.interface import Subscribe, Timer
 from ashlift.gatekeeper.admission.overload import PRESSED
 from ashlift.gatekeeper.admission.quota import HARD_FACTOR, HEARD_KEPT
--- a/ashlift/gatekeeper/calls.py
+++ b/ashlift/gatekeeper/calls.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from ashlift.gatekeeper.admission.interface import Counted, Result
 from ashlift.gatekeeper.jobs import Clock, Inbox
 from ashlift.gatekeeper.metrics import Metrics
-from ashlift.gatekeeper.admission.interface import Counted, Result
 
 OVERDUE = 3.0  # x the give-up time without the answer that is due: new calls go out on a new connection
 SILENT_MS = 1_000.0  # nothing more will come after so long; and the longest patience with a new connection
--- a/ashlift/gatekeeper/config.py
+++ b/ashlift/gatekeeper/config.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 from typing import Any
 
-from ashlift.gatekeeper.net.machine_list import parse_address
-from ashlift.gatekeeper.settings.model import OwnSettings
 from ashlift.gatekeeper.admission.interface import Settings
 from ashlift.gatekeeper.admission.wirehost import WireError, number, read_settings, rows, table
+from ashlift.gatekeeper.net.machine_list import parse_address
+from ashlift.gatekeeper.settings.model import OwnSettings
 
 RESERVE = 40  # descriptors kept for the list, the counter, the gRPC front, files and the runtime
 IDLE_SHARE = 0.125  # of all descriptors: client connections on which nothing is open
--- a/ashlift/gatekeeper/net/counter.py
+++ b/ashlift/gatekeeper/net/counter.py
@@ -10,10 +10,10 @@
 from gevent import socket
 from gevent.event import Event
 
+from ashlift.gatekeeper.admission.interface import Result
 from ashlift.gatekeeper.calls import SILENT_MS, Call, Calls, Patience
 from ashlift.gatekeeper.jobs import Clock, Inbox
 from ashlift.gatekeeper.metrics import Metrics
-from ashlift.gatekeeper.admission.interface import Result
 
 log = logging.getLogger("ashlift.counter")
 CONNECT_S = 0.25
--- a/ashlift/gatekeeper/net/machine_list.py
+++ b/ashlift/gatekeeper/net/machine_list.py
@@ -11,10 +11,10 @@
 from gevent import socket
 from gevent.event import Event
 
+from ashlift.gatekeeper.admission.interface import Server, ServerList, ServerState
 from ashlift.gatekeeper.jobs import Inbox
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.operations.handouts import HandOuts
-from ashlift.gatekeeper.admission.interface import Server, ServerList, ServerState
 
 log = logging.getLogger("ashlift.machine_list")
 SILENT_S = 5.0  # without even an empty line, which come every 2 s: the watch is dead though nobody said so
--- a/ashlift/gatekeeper/net/nodes.py
+++ b/ashlift/gatekeeper/net/nodes.py
@@ -8,13 +8,13 @@
 import gevent
 from gevent import socket
 
+from ashlift.gatekeeper.admission.interface import Result
 from ashlift.gatekeeper.jobs import ClaimEnded, Clock, Inbox, Job
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.links import quiet
 from ashlift.gatekeeper.net.machine_list import MachineList
 from ashlift.gatekeeper.net.replies import Reply, SpoiltAnswerError
 from ashlift.gatekeeper.operations.figures import RELAYED
-from ashlift.gatekeeper.admission.interface import Result
 
 if TYPE_CHECKING:
     from ashlift.gatekeeper.streams.passage import Desk, Passage
@@ -97,8 +97,8 @@
 
     def _spill_desk(self) -> "Desk":
         if self.desk is None:
-            from ashlift.gatekeeper.streams.passage import Desk
             from ashlift.gatekeeper.settings.model import Streaming
+            from ashlift.gatekeeper.streams.passage import Desk
 
             most = self._spill_bytes
             self.desk = Desk(
--- a/ashlift/gatekeeper/net/spill.py
+++ b/ashlift/gatekeeper/net/spill.py
@@ -8,6 +8,7 @@
 
 import contextlib
 
+from ashlift.gatekeeper.admission.interface import Result
 from ashlift.gatekeeper.jobs import Headed, Inbox
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.nodes import Claim
@@ -19,7 +20,6 @@
 from ashlift.gatekeeper.streams.passage import Desk, Opening, Terms
 from ashlift.gatekeeper.streams.pipe import EndedError, Pipe
 from ashlift.gatekeeper.streams.pump import LagError, Source
-from ashlift.gatekeeper.admission.interface import Result
 
 # A node that is slow but gives is not cut off: it may stall for longer than a client waits for a first byte.
 TERMS = Terms(StreamClass(stall=4_000.0), REQUEST_HEADERS, ANSWER_HEADERS)
--- a/ashlift/gatekeeper/net/stream_claim.py
+++ b/ashlift/gatekeeper/net/stream_claim.py
@@ -11,6 +11,7 @@
 import gevent
 import httptools
 
+from ashlift.gatekeeper.admission.interface import Result
 from ashlift.gatekeeper.jobs import BodyBegun, Clock, Headed, Inbox
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.nodes import Cargo, Claim
@@ -32,7 +33,6 @@
 from ashlift.gatekeeper.streams.passage import Opening, Passage
 from ashlift.gatekeeper.streams.pipe import EndedError, Pipe
 from ashlift.gatekeeper.streams.pump import LagError, Sink, Source
-from ashlift.gatekeeper.admission.interface import Result
 
 LAG = {Lag.STALLED: Fault.NODE_STALLED, Lag.SLOW: Fault.NODE_SLOW}
 CHUNK_COST = 16  # bytes of framing for each byte of a body, beyond HEAD_MOST: tiny chunks, no more
--- a/ashlift/gatekeeper/operations/operator.py
+++ b/ashlift/gatekeeper/operations/operator.py
@@ -10,10 +10,10 @@
 from http import HTTPStatus
 from typing import Any, Protocol
 
+from ashlift.gatekeeper.admission.interface import Server
 from ashlift.gatekeeper.operations.calls import Call, Kind
 from ashlift.gatekeeper.operations.figures import Gauges, lines
 from ashlift.gatekeeper.operations.life import Life, PhaseError
-from ashlift.gatekeeper.admission.interface import Server
 
 JSON = "application/json"
 TEXT = "text/plain; charset=utf-8"
--- a/ashlift/gatekeeper/owner.py
+++ b/ashlift/gatekeeper/owner.py
@@ -5,6 +5,8 @@
 
 from gevent.queue import SimpleQueue
 
+from ashlift.gatekeeper.admission import interface as i
+from ashlift.gatekeeper.admission.control import Gateway
 from ashlift.gatekeeper.jobs import (
     Answer,
     BodyBegun,
@@ -23,8 +25,6 @@
 )
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.operations.figures import Gauges, answered
-from ashlift.gatekeeper.admission import interface as i
-from ashlift.gatekeeper.admission.control import Gateway
 
 if TYPE_CHECKING:
     from ashlift.gatekeeper.operations.operator import Operator
--- a/ashlift/gatekeeper/ratelimit/client.py
+++ b/ashlift/gatekeeper/ratelimit/client.py
@@ -9,12 +9,12 @@
 from envoy.service.ratelimit.v3 import rls_pb2, rls_pb2_grpc
 from envoy.type.v3 import ratelimit_unit_pb2
 
+from ashlift.gatekeeper.admission.interface import Result
 from ashlift.gatekeeper.calls import Call, Calls, Patience
 from ashlift.gatekeeper.jobs import Clock, Inbox
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.ratelimit.bridge import Bridge
 from ashlift.gatekeeper.ratelimit.messages import set_hits
-from ashlift.gatekeeper.admission.interface import Result
 
 MOST = 9_999_999  # no total is higher: the limit asked for, so that what is left tells the total
 OPTIONS = [
--- a/ashlift/gatekeeper/streams/pipe.py
+++ b/ashlift/gatekeeper/streams/pipe.py
@@ -8,7 +8,6 @@
 from ashlift.gatekeeper.streams.budget import Budget, Share
 from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
 
-
 GONE_S = 0.05  # between two looks at a source that waits for room
 
 
--- a/ashlift/lab/run.py
+++ b/ashlift/lab/run.py
@@ -11,7 +11,6 @@
 """
 
 import contextlib
-from collections.abc import Callable
 import json
 import os
 import random
@@ -20,6 +19,7 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any, TextIO
--- a/ashlift/lab/scenario.py
+++ b/ashlift/lab/scenario.py
@@ -24,7 +24,6 @@
 
 from ashlift.gatekeeper.settings.reader import Fault as Flaw
 from ashlift.gatekeeper.settings.reader import Items, Spot, Word, read
-
 from ashlift.lab.faults import Fault, FaultError, State, Way, partition
 
 JOBS_MOST = 20_000
--- a/ashlift/lab/system/clients.py
+++ b/ashlift/lab/system/clients.py
@@ -5,12 +5,12 @@
 
 import gevent
 
+from ashlift.errors import Failure, FailureReason
 from ashlift.lab.system.places import FRONT
 from ashlift.lab.system.wire import exchange, request_head
 from ashlift.lab.system.yard import asked, print_of
 from ashlift.simulation.history import HOST, Request
 from ashlift.simulation.people import CONNECT_S, Crowd, Errand
-from ashlift.errors import UNREACHED, Fault
 
 REQUESTS_MOST = 20_000  # of a run
 
@@ -44,13 +44,13 @@
             request.taken = loop.now
 
         answer: Any = exchange((self._ips[request.gate], FRONT), head, body, left, read, CONNECT_S)
-        if not isinstance(answer, Fault):
+        if not isinstance(answer, Failure):
             told = dict(answer.headers)
             if 200 <= answer.status < 300:
                 request.seal = print_of(told.get(b"x-server-seal", b"").decode(), b"".join(answer.parts))
             again = told.get(b"retry-after", b"")
             self._answered(errand, request, answer.status, float(again) if again else None)
-        elif answer.reason == UNREACHED:
+        elif answer.reason == FailureReason.UNREACHABLE:
             self._failed(errand, request, True)
         elif answer.detail == "late":
             request.ended, errand.over = loop.now, True
--- a/ashlift/lab/system/places.py
+++ b/ashlift/lab/system/places.py
@@ -10,9 +10,9 @@
 
 import attrs
 
-from ashlift.simulation.world import CORE, EDGE, HEARTBEAT, ZONES, Plan
-from ashlift.config.structuring import Seconds
 from ashlift.config.settings import Bounds
+from ashlift.config.structuring import Seconds
+from ashlift.simulation.world import CORE, EDGE, HEARTBEAT, ZONES, Plan
 
 FRONT, READINESS, CONTROL, DIRECTORY = 8206, 8201, 8200, 8209
 WORKER_PORT = 8080
--- a/ashlift/lab/system/wire.py
+++ b/ashlift/lab/system/wire.py
@@ -15,11 +15,11 @@
 import gevent
 from gevent import socket
 
+from ashlift.errors import Failure, FailureReason
 from ashlift.gatekeeper.net.replies import Reply, SpoiltAnswerError
 from ashlift.lab.system.places import CONTROL, DIRECTORY, Place
 from ashlift.simulation.engine import Future, Process
 from ashlift.simulation.history import HOST
-from ashlift.errors import UNANSWERED, UNREACHED, Fault
 
 Address = tuple[str, int]
 TARGETS = {"put": "PUT", "patch": "PATCH", "evacuate": "POST", "restore": "DELETE"}
@@ -82,16 +82,16 @@
     timeout: float,
     sent: Callable[[], None] | None = None,
     dial: float | None = None,
-) -> Reply | Fault:
+) -> Reply | Failure:
     """One call on a connection of its own; `sent` is called once all is written; `dial`: s to connect.
 
-    UNREACHED: there was no connection; UNANSWERED with detail `late`: time is over; else it was closed.
+    UNREACHABLE: there was no connection; OUTCOME_UNKNOWN with detail `late`: time is over; else closed.
     """
     until = time.monotonic() + timeout
     try:
         sock = socket.create_connection(address, timeout=min(timeout, dial or timeout))
     except OSError as error:
-        return Fault(UNREACHED, str(error))
+        return Failure(FailureReason.UNREACHABLE, str(error))
     reply = Reply()
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -103,13 +103,13 @@
             sock.settimeout(max(0.001, until - time.monotonic()))
             data = sock.recv(65536)
             if not data:
-                return reply if reply.ended() else Fault(UNANSWERED, "closed")
+                return reply if reply.ended() else Failure(FailureReason.OUTCOME_UNKNOWN, "closed")
             reply.feed(data)
         return reply
     except TimeoutError:
-        return Fault(UNANSWERED, "late")
+        return Failure(FailureReason.OUTCOME_UNKNOWN, "late")
     except (OSError, SpoiltAnswerError) as error:
-        return Fault(UNANSWERED, str(error))
+        return Failure(FailureReason.OUTCOME_UNKNOWN, str(error))
     finally:
         sock.close()
 
@@ -147,7 +147,7 @@
         answer = exchange(
             (self.at[to], port), request_head(verb, target, self.at[to], data, **headers), data, timeout
         )
-        if isinstance(answer, Fault):
+        if isinstance(answer, Failure):
             return answer
         return self._understood(method, answer)
 
@@ -156,7 +156,7 @@
         try:
             value = json.loads(b"".join(answer.parts) or b"null")
         except ValueError:
-            return Fault(UNANSWERED, "no JSON")
+            return Failure(FailureReason.OUTCOME_UNKNOWN, "no JSON")
         if method == "config":  # evacuations are not told there
             return answer.status, (value if answer.status == 200 else {}, None)
         if answer.status != 200:
--- a/ashlift/lab/system/world.py
+++ b/ashlift/lab/system/world.py
@@ -19,6 +19,7 @@
 import gevent
 from gevent import socket
 
+from ashlift.errors import Failure
 from ashlift.lab.faults import Fault as LinkFault
 from ashlift.lab.faults import Schedule, State, Way
 from ashlift.lab.proxy import TcpLink
@@ -31,7 +32,6 @@
 from ashlift.simulation.scene import Scene
 from ashlift.simulation.workers import Yard
 from ashlift.simulation.world import BACK_S, CORE, EDGE, HEARTBEAT, ZONES, Plan, Stage
-from ashlift.errors import Fault
 
 KINDS = {
     "configstore": ["configstore"],
@@ -193,7 +193,7 @@
     def _status(self, name: str) -> dict[str, Any]:
         head = request_head("GET", "/status", self._at[name].ip, b"")
         answer = exchange((self._at[name].ip, places.CONTROL), head, b"", ASK_S)
-        if isinstance(answer, Fault) or answer.status != 200:
+        if isinstance(answer, Failure) or answer.status != 200:
             return {}
         found = json.loads(b"".join(answer.parts))
         return found if isinstance(found, dict) else {}
--- a/ashlift/lab/system/yard.py
+++ b/ashlift/lab/system/yard.py
@@ -15,11 +15,11 @@
 from gevent.server import StreamServer
 
 from ashlift.lab.system.places import WORKER_PORT
+from ashlift.proxy.upstream import Ended, Outcome
 from ashlift.simulation.engine import Loop, Net
 from ashlift.simulation.history import Arrival, History, Request, Stray
 from ashlift.simulation.keeper import Try
 from ashlift.simulation.workers import Worker, Yard
-from ashlift.proxy.upstream import Ended, Outcome
 
 BODY_BYTES = 200  # of an answer
 LEFT_S = 30.0  # where a request does not say how long its client waits
--- a/ashlift/proxy/__main__.py
+++ b/ashlift/proxy/__main__.py
@@ -13,11 +13,6 @@
 
 from ashlift.config import settings as jig_settings
 from ashlift.config.routing_table import Limits, Tenant
-from ashlift.proxy import events
-from ashlift.proxy.request_handler import Desk
-from ashlift.proxy.server import Front, serve_readiness
-from ashlift.proxy.request_router import Gate
-from ashlift.proxy.configuration_updates import News
 from ashlift.events import (
     BROKEN,
     CRITICAL,
@@ -29,6 +24,11 @@
     set_up,
     tell,
 )
+from ashlift.proxy import events
+from ashlift.proxy.configuration_updates import News
+from ashlift.proxy.request_handler import Desk
+from ashlift.proxy.request_router import Gate
+from ashlift.proxy.server import Front, serve_readiness
 
 PATH = "/etc/ashlift/settings.toml"
 LOOK_S = 1.0  # between looks at the settings file
--- a/ashlift/proxy/cluster_view.py
+++ b/ashlift/proxy/cluster_view.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from ashlift.traffic.unreported_usage import Behind
 from ashlift.config.routing_table import Table
 from ashlift.rpc.sources import OPERATOR_SOURCE
 from ashlift.rpc.transport import Address, parse_address
+from ashlift.traffic.unreported_usage import Behind
 
 SILENT_S = 5.0  # a source that no registry names for so long is dropped
 VOUCH_S = 3.0  # a session's lease, and the way to another registry: a gatekeeper that runs has called by then
--- a/ashlift/proxy/configuration_updates.py
+++ b/ashlift/proxy/configuration_updates.py
@@ -7,8 +7,8 @@
 from gevent.event import Event
 
 from ashlift.config.settings import Settings
-from ashlift.proxy.request_router import Gate
 from ashlift.proxy.registry_client import ANSWER_S, MOST_S, WAIT_S, Pulling
+from ashlift.proxy.request_router import Gate
 from ashlift.rpc.transport import Callers
 
 PAUSE_S = 0.05
--- a/ashlift/proxy/load_balancer.py
+++ b/ashlift/proxy/load_balancer.py
@@ -5,10 +5,10 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
 
-from ashlift.traffic.outlier_detection import Jury
 from ashlift.config.routing_table import Route
 from ashlift.proxy.cluster_view import Worker
 from ashlift.proxy.locality import Spill
+from ashlift.traffic.outlier_detection import Jury
 
 GAIN = 0.2  # weight of one answer in a worker's latency ratio
 FADE_S = 8.0  # in which a judgement of a worker grows old
--- a/ashlift/proxy/registry_client.py
+++ b/ashlift/proxy/registry_client.py
@@ -6,11 +6,11 @@
 from attrs import frozen
 
 from ashlift.config.settings import Settings
+from ashlift.errors import Failure, FailureReason
 from ashlift.proxy.request_router import Gate
+from ashlift.rpc.fragmentation import Joiner
 from ashlift.rpc.sources import OPERATOR_SOURCE
 from ashlift.rpc.transport import DIAL_S
-from ashlift.errors import INVALID, UNREACHED, Fault
-from ashlift.rpc.fragmentation import Joiner
 
 WAIT_S = 0.25
 ANSWER_S = 0.6  # beyond the wait: so late, another registry is asked
@@ -87,12 +87,12 @@
         }
         return Pull(ip, now, body, self._dial)
 
-    def ended(self, pull: Pull, now: float, answer: Json | Fault) -> bool:
+    def ended(self, pull: Pull, now: float, answer: Json | Failure) -> bool:
         """Take the answer; False: there was none, and the next call is to wait a little."""
         gate, counts = self._gate, pull.body["adds"]["counts"]
-        answer = answer if isinstance(answer, Fault) else self._joined(answer)
-        if isinstance(answer, Fault):
-            if answer.reason == UNREACHED:
+        answer = answer if isinstance(answer, Failure) else self._joined(answer)
+        if isinstance(answer, Failure):
+            if answer.reason == FailureReason.UNREACHABLE:
                 gate.limiter.unsent(counts)
                 self._dial = min(DIAL_S, 2 * self._dial)
             else:
@@ -116,7 +116,7 @@
             self._stale.add(pull.ip)
         return True
 
-    def _joined(self, answer: Json) -> Json | Fault:
+    def _joined(self, answer: Json) -> Json | Failure:
         """The answer with the operator's word whole, or without it while pieces of it are to come. Then, and
         if there is a newer one already (`late`), its proof is none of what is held here."""
         try:
@@ -127,5 +127,5 @@
             ):
                 sources[OPERATOR_SOURCE] = word
         except (LookupError, TypeError, ValueError) as error:
-            return Fault(INVALID, f"pull: {error!r}")
+            return Failure(FailureReason.INVALID, f"pull: {error!r}")
         return {**answer, "sources": sources, "late": late, "age": None if late else answer.get("age")}
--- a/ashlift/proxy/request_handler.py
+++ b/ashlift/proxy/request_handler.py
@@ -5,10 +5,10 @@
 import gevent
 from gevent.event import Event
 
-from ashlift.proxy.responses import ATTEMPT, Answer, relay
-from ashlift.proxy.request_reader import HOP, Asked, BadRequestError
 from ashlift.proxy.load_balancer import View
+from ashlift.proxy.request_reader import HOP, Asked, BadRequestError
 from ashlift.proxy.request_router import Gate, Live, Turn
+from ashlift.proxy.responses import ATTEMPT, Answer, relay
 from ashlift.proxy.upstream import Ended, Links, Outcome, Try
 
 OURS = HOP | {b"x-tenant", b"x-target-instance", b"x-time-remaining", b"authorization"}
--- a/ashlift/proxy/request_router.py
+++ b/ashlift/proxy/request_router.py
@@ -7,14 +7,14 @@
 import random
 from dataclasses import dataclass, field
 
-from ashlift.traffic.rate_limiter import Limiter
-from ashlift.traffic.retry_budget import RetryBudget
-from ashlift.traffic.slow_start import ColdPace, owners
-from ashlift.config.settings import Settings
 from ashlift.config.routing_table import Route, Service, Tenant
-from ashlift.proxy.load_balancer import Crew, View
+from ashlift.config.settings import Settings
 from ashlift.proxy.cluster_view import Change, Ledger
+from ashlift.proxy.load_balancer import Crew, View
 from ashlift.proxy.upstream import Ended, Outcome
+from ashlift.traffic.rate_limiter import Limiter
+from ashlift.traffic.retry_budget import RetryBudget
+from ashlift.traffic.slow_start import ColdPace, owners
 
 KNOWN_S = 1.0  # with a proof younger than this, one from after a request's coming is soon there
 UNSURE_S, UNSURE_PART = 0.8, 0.25  # s, x what its client will wait: what is not known is held so long for it
--- a/ashlift/proxy/server.py
+++ b/ashlift/proxy/server.py
@@ -8,11 +8,11 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from ashlift.gatekeeper.net.links import hung_up
 from ashlift.config.routing_table import Limits
-from ashlift.proxy.responses import Answer, render
-from ashlift.proxy.request_reader import Asked, RequestReader
+from ashlift.gatekeeper.net.links import hung_up
 from ashlift.proxy.request_handler import Case, Desk
+from ashlift.proxy.request_reader import Asked, RequestReader
+from ashlift.proxy.responses import Answer, render
 from ashlift.rpc.transport import Address
 
 WRITE_S = 5.0  # a client that takes no bytes for so long is gone
--- a/ashlift/proxy/upstream.py
+++ b/ashlift/proxy/upstream.py
@@ -10,8 +10,8 @@
 
 from ashlift.gatekeeper.net.links import quiet
 from ashlift.gatekeeper.net.replies import SpoiltAnswerError
-from ashlift.proxy.responses import ATTEMPT, WorkerReply
 from ashlift.proxy.idle_connections import Rests
+from ashlift.proxy.responses import ATTEMPT, WorkerReply
 from ashlift.rpc.transport import Address
 
 IDLE_S = 4.0  # an idle connection is used again for so long, or as long as `Keep-Alive` says, less a second
--- a/ashlift/registry/__main__.py
+++ b/ashlift/registry/__main__.py
@@ -12,15 +12,15 @@
 
 from ashlift.config import settings as jig_settings
 from ashlift.config.settings import Settings
+from ashlift.events import ERROR, SETTINGS_BAD, SETTINGS_READ, STARTED, STOPPING, set_up, tell
 from ashlift.registry.http_server import Door, Resource
-from ashlift.registry.server import Bell, Calls, Loops
 from ashlift.registry.registry import Registry, Self
-from ashlift.registry.store_membership import Belonging
 from ashlift.registry.resources import Config, Evacuation, Instances, Lookup, Status
 from ashlift.registry.route_resources import Desk, Proposals, Routes
+from ashlift.registry.server import Bell, Calls, Loops
 from ashlift.registry.store_client import Store
+from ashlift.registry.store_membership import Belonging
 from ashlift.rpc.transport import Address, Callers, serve
-from ashlift.events import ERROR, SETTINGS_BAD, SETTINGS_READ, STARTED, STOPPING, set_up, tell
 
 PATH = "/etc/ashlift/settings.toml"
 LOOK_S = 1.0  # the settings file is looked at so often
--- a/ashlift/registry/http_requests.py
+++ b/ashlift/registry/http_requests.py
@@ -7,10 +7,12 @@
 from collections import deque
 from typing import Any
 
-from ashlift.errors import LATE, UNANSWERED, UNKNOWN, UNREACHED, UNREADY, Fault
+from ashlift.errors import Failure, FailureReason
 
-UNREADY_THERE = frozenset((UNREACHED, UNREADY, UNKNOWN))  # not done, and it may be asked for again
-UNDONE = UNREADY_THERE | {LATE}  # not done
+UNREADY_THERE = frozenset(
+    (FailureReason.UNREACHABLE, FailureReason.UNAVAILABLE, FailureReason.NOT_FOUND)
+)  # not done, and it may be asked for again
+UNDONE = UNREADY_THERE | {FailureReason.EXPIRED}  # not done
 HEDGE_S = 0.3  # a store that says nothing for so long is not waited for alone
 AGAIN_S = 0.2  # between two times that all have been asked
 LEAST_S = 0.1  # nobody is asked with less time than this
@@ -21,7 +23,7 @@
 
     def __init__(self, stores: list[str], now: float, until: float) -> None:
         self.until = until
-        self._answer: Any = Fault(UNREACHED, "there is no store")
+        self._answer: Any = Failure(FailureReason.UNREACHABLE, "there is no store")
         self.over = not stores
         self._todo, self._again = deque(stores), list[str]()
         self._out: set[str] = set()
@@ -42,9 +44,9 @@
 
     @property
     def answer(self) -> Any:
-        """The clear answer; else a Fault: what is not known to be undone is in doubt."""
-        if self._out and isinstance(self._answer, Fault) and self._answer.reason in UNDONE:
-            return Fault(UNANSWERED, "no store has answered")
+        """The clear answer; else a Failure: what is not known to be undone is in doubt."""
+        if self._out and isinstance(self._answer, Failure) and self._answer.reason in UNDONE:
+            return Failure(FailureReason.OUTCOME_UNKNOWN, "no store has answered")
         return self._answer
 
     def wait(self, now: float) -> float:
@@ -55,13 +57,13 @@
         return max(0.001, (self._next_at if able else self.until) - now)
 
     def heard(self, ip: str, answer: Any, now: float) -> None:
-        """That store's answer to the call, or its Fault."""
+        """That store's answer to the call, or its Failure."""
         self._out.discard(ip)
         if self.over:
             return
-        undone = isinstance(answer, Fault) and answer.reason in UNREADY_THERE
+        undone = isinstance(answer, Failure) and answer.reason in UNREADY_THERE
         if not undone and not _doubtful(answer):
-            late = isinstance(answer, Fault) and answer.reason == LATE
+            late = isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED
             if not (late and _doubtful(self._answer)):
                 self._answer = answer  # else another copy is in doubt
             self.over = True
@@ -77,4 +79,4 @@
 
 
 def _doubtful(answer: Any) -> bool:
-    return isinstance(answer, Fault) and answer.reason == UNANSWERED
+    return isinstance(answer, Failure) and answer.reason == FailureReason.OUTCOME_UNKNOWN
--- a/ashlift/registry/records.py
+++ b/ashlift/registry/records.py
@@ -6,7 +6,7 @@
 import attrs
 
 from ashlift.config.durations import parse_time
-from ashlift.errors import INVALID, Fault
+from ashlift.errors import Failure, FailureReason
 
 READY: Final = "ready"
 DRAINING: Final = "draining"
@@ -102,22 +102,22 @@
 
 
 def read_json(body: bytes) -> Any:
-    """The JSON value, or a Fault(INVALID)."""
+    """The JSON value, or a Failure(FailureReason.INVALID)."""
     try:
         return json.loads(body, parse_constant=_refuse_constant)
     except (ValueError, RecursionError) as error:
-        return Fault(INVALID, f"the body is no JSON: {error}")
+        return Failure(FailureReason.INVALID, f"the body is no JSON: {error}")
 
 
-def read_beat(body: bytes, now: float) -> Worker | Fault:
-    """The worker that a beat's JSON body describes, or a Fault(INVALID)."""
+def read_beat(body: bytes, now: float) -> Worker | Failure:
+    """The worker that a beat's JSON body describes, or a Failure(FailureReason.INVALID)."""
     value = read_json(body)
-    if isinstance(value, Fault):
+    if isinstance(value, Failure):
         return value
     try:
         node, status = value["NodeInfo"], value["Status"]
         warm = parse_time(status.get("WarmupLeft", "0ms"))
-        if isinstance(warm, Fault):
+        if isinstance(warm, Failure):
             return warm
         found = Worker(
             service=node["Service"],
@@ -142,7 +142,7 @@
         if found.state not in (READY, DRAINING):
             raise ValueError(f"no State: {found.state}")
     except KeyError as error:
-        return Fault(INVALID, f"{error.args[0]} is missing")
+        return Failure(FailureReason.INVALID, f"{error.args[0]} is missing")
     except (ValueError, TypeError, AttributeError) as error:
-        return Fault(INVALID, str(error))
+        return Failure(FailureReason.INVALID, str(error))
     return found
--- a/ashlift/registry/registry.py
+++ b/ashlift/registry/registry.py
@@ -9,13 +9,13 @@
 
 import attrs
 
+from ashlift.errors import Failure, FailureReason
 from ashlift.registry.endpoint_directory import Looks
+from ashlift.registry.load_reports import Said, Tallies
 from ashlift.registry.records import GONE, GONE_SEQ, Beats, Lapsed, Session, Worker, worker
 from ashlift.registry.replicated_source import SUM, Difference, Source
-from ashlift.registry.load_reports import Said, Tallies
-from ashlift.errors import INVALID, UNREADY, Fault
-from ashlift.rpc.sources import OPERATOR_SOURCE
 from ashlift.rpc.fragmentation import Cutter, Joiner
+from ashlift.rpc.sources import OPERATOR_SOURCE
 
 STORES_OWN = ("Taken", "Refused/")  # what the store keeps to know resends by: no gatekeeper needs it
 BEATS: Final = 3  # a worker's lease, in heartbeats
@@ -156,7 +156,7 @@
 
     # ---- gatekeepers
 
-    def pull(self, body: Json, now: float) -> Fault | None:
+    def pull(self, body: Json, now: float) -> Failure | None:
         """A gatekeeper's call has come: its session is renewed, its adds are counted."""
         try:
             node, adds, index = (
@@ -171,7 +171,7 @@
             figures = Said.read(body)
             fresh = [(tenant, int(total), int(declined)) for tenant, (total, declined) in counts.items()]
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            return Fault(INVALID, f"pull: {error!r}")
+            return Failure(FailureReason.INVALID, f"pull: {error!r}")
         pulls = self._pulls.setdefault(node, Pulls(now))
         pulls.at, pulls.open, pulls.index = now, pulls.open + 1, index
         if self.own.values.get(f"g/{node}") != said:
@@ -261,11 +261,11 @@
                 found[key] = value
         return {key[2:]: value for key, value in found.items()}
 
-    def lookup(self, zone: str, region: str, now: float) -> list[str] | Fault:
-        """Fronts for a client, near ones first; Fault(UNREADY): this registry cannot tell yet."""
+    def lookup(self, zone: str, region: str, now: float) -> list[str] | Failure:
+        """Fronts for a client, near ones first; Failure (UNAVAILABLE): this registry cannot tell yet."""
         found = self._looks.addresses(zone, region, now)
         if not found or self.alone(now) or not self._settled(now):
-            return Fault(UNREADY, "the gatekeepers are not known for sure")
+            return Failure(FailureReason.UNAVAILABLE, "the gatekeepers are not known for sure")
         return found
 
     def _settled(self, now: float) -> bool:
@@ -318,7 +318,7 @@
         body: list[Any] = [name.rpartition("#")[2], copy.source.version] if name and copy else ["", 0]
         return [*body, self.me.ip] if greet or not copy else body
 
-    def asked(self, body: Any, now: float) -> tuple[str, int] | Fault:
+    def asked(self, body: Any, now: float) -> tuple[str, int] | Failure:
         """A `swap` call has come: what the asker holds of this registry's source."""
         try:
             incarnation, have, *ip = body
@@ -326,7 +326,7 @@
                 self._callers[str(ip[0])] = now
             return str(incarnation), int(have)
         except (TypeError, ValueError) as error:
-            return Fault(INVALID, f"swap: {error!r}")
+            return Failure(FailureReason.INVALID, f"swap: {error!r}")
 
     def lacking(self, incarnation: str, have: int) -> bool:
         return incarnation != self.me.incarnation or self.own.news(have)
@@ -344,7 +344,7 @@
             body += [me.node, me.incarnation, me.zone, me.region, round(now - self._began, 2)]
         return body
 
-    def heard(self, ip: str, answer: Any, sent: float, now: float) -> Fault | None:
+    def heard(self, ip: str, answer: Any, sent: float, now: float) -> Failure | None:
         """`ip` has answered a `swap` call sent at `sent`."""
         name = self._names.get(ip, "")
         copy = self.copies.get(name)
@@ -360,7 +360,7 @@
                 name = f"{node}#{incarnation}"
                 copy = self.copies.get(name) or Copy(ip, zone, region, now - run, sent)
         except (KeyError, TypeError, ValueError) as error:
-            return Fault(INVALID, f"swap: {error!r}")
+            return Failure(FailureReason.INVALID, f"swap: {error!r}")
         if copy is None or version < copy.source.version:
             return None
         self._names[ip], self.copies[name] = name, copy
--- a/ashlift/registry/resources.py
+++ b/ashlift/registry/resources.py
@@ -5,14 +5,14 @@
 from typing import Any
 
 from ashlift.config.settings import Settings
+from ashlift.errors import Failure, FailureReason
+from ashlift.events import tell
 from ashlift.registry import events
 from ashlift.registry.http_server import Answer, Request, Resource, refusal
-from ashlift.registry.status_report import overview
 from ashlift.registry.records import read_beat, read_json
 from ashlift.registry.registry import Registry
+from ashlift.registry.status_report import overview
 from ashlift.registry.store_client import Store
-from ashlift.events import tell
-from ashlift.errors import INVALID, LATE, Fault
 
 AGAIN_S = 0.3  # Retry-After where there was no clear answer
 VOUCH_S = 0.4  # an order that nothing else guards, and may be older than this, is asked for again
@@ -33,7 +33,7 @@
         if key is None:
             return refusal(400, "PUT /instances/ID")
         said = read_beat(request.body, now)
-        if isinstance(said, Fault):
+        if isinstance(said, Failure):
             return refusal(400, said.detail)
         taken = self._registry.beat(key, said, now)
         self._ring()
@@ -68,9 +68,9 @@
         return self._told(kind, self._store.submit(kind, if_match, body, size))
 
     def _told(self, kind: str, answer: Any) -> Answer:
-        if isinstance(answer, Fault):
+        if isinstance(answer, Failure):
             tell(events.ORDER, kind=kind, fault=answer)
-            if answer.reason == INVALID:
+            if answer.reason == FailureReason.INVALID:
                 return refusal(413, answer.detail)  # too large for a frame: it has gone nowhere
             return refusal(503, f"no clear answer: {answer.reason}", AGAIN_S)
         status = answer["status"]
@@ -88,7 +88,7 @@
 
     def get(self, request: Request) -> Answer:
         answer = self._store.read()
-        if isinstance(answer, Fault):
+        if isinstance(answer, Failure):
             return refusal(503, f"no clear answer: {answer.reason}", AGAIN_S)
         if not answer["objects"].get("Version"):
             return refusal(404, "there is no configuration yet")
@@ -104,7 +104,7 @@
 
     def _change(self, kind: str, request: Request) -> Answer:
         value = read_json(request.body)
-        if isinstance(value, Fault):
+        if isinstance(value, Failure):
             return refusal(400, value.detail)
         if not isinstance(value, dict):
             return refusal(400, "the body is no JSON object")
@@ -132,7 +132,7 @@
         if time.monotonic() - request.since > VOUCH_S:
             return _asked_again(kind, request)
         answer = self._store.submit(kind, None, zone, 0, request.since)
-        if isinstance(answer, Fault) and answer.reason == LATE:
+        if isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
             return _asked_again(kind, request)
         return self._told(kind, answer)
 
@@ -156,7 +156,7 @@
     def get(self, request: Request) -> Answer:
         zone, region = request.query.get("Zone", ""), request.query.get("Region", "")
         found = self._registry.lookup(zone, region, time.monotonic())
-        if isinstance(found, Fault):
+        if isinstance(found, Failure):
             return refusal(503, found.detail, AGAIN_S)
         return Answer(200, {"Addresses": found, "Ttl": TTL})
 
--- a/ashlift/registry/route_resources.py
+++ b/ashlift/registry/route_resources.py
@@ -4,6 +4,8 @@
 from typing import TYPE_CHECKING, Any
 from urllib.parse import unquote
 
+from ashlift.errors import Failure
+from ashlift.events import tell
 from ashlift.registry import events
 from ashlift.registry.http_requests import UNDONE
 from ashlift.registry.http_server import Answer, Request, Resource, refusal
@@ -11,8 +13,6 @@
 from ashlift.registry.registry import Registry
 from ashlift.registry.resources import AGAIN_S
 from ashlift.registry.store_client import Store
-from ashlift.events import tell
-from ashlift.errors import Fault
 
 if TYPE_CHECKING:
     from ashlift.route_reconciliation.hybrid_clock import Clock
@@ -35,7 +35,7 @@
         from ashlift.route_reconciliation.edits import Edit, join, read_edit
 
         answers = self.store.drafts(list(add))
-        held = {ip: answer for ip, answer in answers.items() if not isinstance(answer, Fault)}
+        held = {ip: answer for ip, answer in answers.items() if not isinstance(answer, Failure)}
         books = [[read_edit(one) for one in answer["edits"]] for answer in held.values()]
         return join(*({one.id: one for one in book if isinstance(one, Edit)} for book in books)), sorted(held)
 
@@ -88,10 +88,10 @@
         name, map = _named(request), self._desk.map
         body = read_json(request.body)
         edit = made(map, name, body, self._desk.stamp(name, {}), self._desk.registry.me.node)
-        if isinstance(edit, Fault):
+        if isinstance(edit, Failure):
             return refusal(400, edit.detail)
         answer = self._desk.store.submit("edit", None, {"edit": edit.wire()}, len(request.body))
-        if not isinstance(answer, Fault):
+        if not isinstance(answer, Failure):
             return _told(answer, edit.id, name)
         book, _ = self._desk.waiting()
         waits = kept(map, book, edit, answer.reason not in UNDONE)
@@ -131,6 +131,6 @@
         said = {"edit": edit.wire(), "who": body.get("who"), "over": body.get("over")}
         said["stamp"] = [*self._desk.stamp(edit.name, book)]
         answer = self._desk.store.submit(body["word"], body.get("version"), said, len(request.body))
-        if isinstance(answer, Fault):
+        if isinstance(answer, Failure):
             return _told({"status": 503, "reason": f"no clear answer: {answer.reason}"}, id, edit.name)
         return _told(answer, id, edit.name)
--- a/ashlift/registry/server.py
+++ b/ashlift/registry/server.py
@@ -10,12 +10,12 @@
 import gevent
 from gevent.event import Event
 
+from ashlift.errors import Failure, FailureReason
+from ashlift.events import BROKEN, CRITICAL, tell
 from ashlift.registry import events
 from ashlift.registry.registry import Registry
 from ashlift.registry.store_client import Store
 from ashlift.rpc.transport import Callers
-from ashlift.events import BROKEN, CRITICAL, tell
-from ashlift.errors import UNANSWERED, Fault
 
 WAIT_S = 0.25  # a call is held open for so long at most
 LEAST_S = 0.05  # and for so long at least where nothing is new: a caller in a hurry must not spin
@@ -92,7 +92,7 @@
     def _swap(self, body: Any) -> Any:
         began, registry, bell = time.monotonic(), self._registry, self._bell
         asked = registry.asked(body, began)
-        if isinstance(asked, Fault):
+        if isinstance(asked, Failure):
             return asked
         bell.held += 1
         try:
@@ -153,9 +153,9 @@
             sent = time.monotonic()
             answer = caller.call("swap", registry.ask(ip, greet, sent), WAIT_S + ANSWER_S)
             now = time.monotonic()
-            fault = answer if isinstance(answer, Fault) else registry.heard(ip, answer, sent, now)
+            fault = answer if isinstance(answer, Failure) else registry.heard(ip, answer, sent, now)
             if fault is not None:
-                if fault.reason == UNANSWERED:
+                if fault.reason == FailureReason.OUTCOME_UNKNOWN:
                     caller.close()  # a connection that says nothing is not waited for again
                 greet = True
                 gevent.sleep(pause)
@@ -176,7 +176,7 @@
             answer = self._store.watch(have, WATCH_S if own else WAIT_S, own, self._registry.watches())
             now = time.monotonic()
             fresh = False
-            if isinstance(answer, Fault):
+            if isinstance(answer, Failure):
                 if own and not missed:
                     tell(events.STORE_AWAY, fault=answer)
                 missed = missed or own
--- a/ashlift/registry/store_client.py
+++ b/ashlift/registry/store_client.py
@@ -7,9 +7,9 @@
 import gevent
 from gevent.queue import Empty, Queue
 
+from ashlift.errors import Failure, FailureReason
 from ashlift.registry.http_requests import Asking
 from ashlift.rpc.transport import Callers
-from ashlift.errors import LATE, UNANSWERED, UNREACHED, Fault
 
 ANSWER_S = 0.9  # callers move on after a second
 BYTE_S = 1e-5  # s more for each byte of a body: callers wait longer for large ones
@@ -30,7 +30,7 @@
     def submit(
         self, kind: str, if_match: str | None, body: Any, size: int = 0, since: float | None = None
     ) -> Any:
-        """`{status, reason?, index?}` or a Fault: no clear answer. `size`: bytes of the body as it came;
+        """`{status, reason?, index?}` or a Failure: no clear answer. `size`: bytes of the body as it came;
         `since`: steady time before which the call was not written, None: now."""
         now, index = time.monotonic(), self._index
         until = (now if since is None else since) + ANSWER_S + size * BYTE_S
@@ -43,11 +43,11 @@
         return self._call("submit", call, until)
 
     def read(self) -> Any:
-        """The operator's word as committed, or a Fault."""
+        """The operator's word as committed, or a Failure."""
         return self._call("read", dict, time.monotonic() + ANSWER_S)
 
     def members(self, do: str, ip: str) -> Any:
-        """Who votes and learns (`show`), or a change of that: `{status, reason?, members?}`, or a Fault."""
+        """Who votes and learns (`show`), or a change of that: `{status, reason?, members?}`, or a Failure."""
         return self._call("members", lambda: {"do": do, "ip": ip}, time.monotonic() + ANSWER_S)
 
     def watch(self, have: int, wait: float, own: bool, part: list[Any] | None = None) -> Any:
@@ -58,12 +58,12 @@
         if not own:
             others = [ip for ip in self._members() if ip != self._own]
             if not others:
-                return Fault(UNREACHED, "there is no other store")
+                return Failure(FailureReason.UNREACHABLE, "there is no other store")
             self._turn += 1
             address = others[self._turn % len(others)], self._port
         caller = self._watchers.to(address)
         answer = caller.call("watch", {"have": have, "wait": wait, "part": part}, wait + LATE_S)
-        silent = isinstance(answer, Fault) and answer.reason == UNANSWERED
+        silent = isinstance(answer, Failure) and answer.reason == FailureReason.OUTCOME_UNKNOWN
         if silent:
             caller.close()
         if own:
@@ -72,12 +72,12 @@
         return answer
 
     def _note(self, news: Any) -> None:
-        if not isinstance(news, Fault):
+        if not isinstance(news, Failure):
             self._round = max(self._round, news.get("round", [0, 0]))
             self._index = max(self._index, news.get("index", 0))
 
     def drafts(self, add: list[dict[str, Any]]) -> dict[str, Any]:
-        """By IP, what every store answers to `drafts`, or its Fault."""
+        """By IP, what every store answers to `drafts`, or its Failure."""
         ips = dict.fromkeys([self._own, *self._members()])
         asked = {
             ip: gevent.spawn(self._callers.to((ip, self._port)).call, "drafts", {"add": add}, DRAFTS_S)
@@ -86,7 +86,7 @@
         return {ip: one.get() for ip, one in asked.items()}
 
     def _call(self, method: str, body: Callable[[], dict[str, Any]], until: float) -> Any:
-        """The first clear answer of a store; else the least clear Fault."""
+        """The first clear answer of a store; else the least clear Failure."""
         others = [ip for ip in self._members() if ip != self._own]
         stores = [*others, self._own] if self._hangs else [self._own, *others]
         asking, answers = Asking(stores, time.monotonic(), until), Queue[tuple[str, Any]]()
@@ -94,7 +94,9 @@
         def ask(ip: str) -> None:
             caller = self._callers.to((ip, self._port))
             answer = caller.call(method, body(), until - time.monotonic())
-            if isinstance(answer, Fault) and answer.reason == LATE:  # what is known of rounds here may be old
+            if (
+                isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED
+            ):  # what is known of rounds here may be old
                 self._note(caller.call("watch", NOW, until - time.monotonic()))
                 answer = caller.call(method, body(), until - time.monotonic())
             answers.put((ip, answer))
--- a/ashlift/registry/store_membership.py
+++ b/ashlift/registry/store_membership.py
@@ -2,12 +2,12 @@
 
 from typing import Any
 
+from ashlift.errors import Failure
+from ashlift.events import tell
 from ashlift.registry import events
 from ashlift.registry.http_server import Answer, Request, Resource, refusal
 from ashlift.registry.records import read_json
 from ashlift.registry.store_client import Store
-from ashlift.events import tell
-from ashlift.errors import Fault
 
 AGAIN_S = 0.3  # Retry-After where there was no clear answer
 ORDERS = ("remove", "replace", "add")
@@ -23,7 +23,7 @@
     def post(self, request: Request) -> Answer:
         """`{"Do": "remove", "Ip": "10.0.0.4"}`."""
         value = read_json(request.body)
-        if isinstance(value, Fault):
+        if isinstance(value, Failure):
             return refusal(400, value.detail)
         do, ip = (value.get("Do"), value.get("Ip")) if isinstance(value, dict) else (None, None)
         if do not in ORDERS or not isinstance(ip, str) or not 0 < len(ip) <= 64:
@@ -32,7 +32,7 @@
 
     def _answer(self, do: str, ip: str) -> Answer:
         found: Any = self._store.members(do, ip)
-        if isinstance(found, Fault):
+        if isinstance(found, Failure):
             return refusal(503, f"no clear answer: {found.reason}", AGAIN_S)
         status, why = found["status"], found.get("reason") or ""
         if do != "show":
--- a/ashlift/route_reconciliation/edits.py
+++ b/ashlift/route_reconciliation/edits.py
@@ -7,8 +7,8 @@
 import attrs
 
 from ashlift.config.routing_table import host_of
+from ashlift.errors import Failure, FailureReason
 from ashlift.route_reconciliation.hybrid_clock import Stamp
-from ashlift.errors import INVALID, Fault
 
 Text = dict[str, Any] | None  # a route's Specification; None: there is no such route
 Book = Mapping[str, "Edit"]  # by id
@@ -37,14 +37,14 @@
         return {**attrs.asdict(self), "stamp": [*self.stamp]}
 
 
-def read_edit(value: Any) -> Edit | Fault:
+def read_edit(value: Any) -> Edit | Failure:
     """An edit as `wire` gave it."""
     try:
         fields = dict(value)
         ms, turn, node = fields.pop("stamp")
         edit = Edit(stamp=Stamp(int(ms), int(turn), str(node)), **fields)
     except (LookupError, TypeError, ValueError) as error:
-        return Fault(INVALID, f"no edit: {error}")
+        return Failure(FailureReason.INVALID, f"no edit: {error}")
     words = (edit.id, edit.name, edit.version, edit.who, edit.where)
     sound = (
         all(isinstance(one, str) and 0 < len(one) <= WORD_MOST for one in words)
@@ -52,7 +52,11 @@
         and isinstance(edit.auto, bool)
         and isinstance(edit.doubt, bool)
     )
-    return edit if sound else Fault(INVALID, "no edit: a field is of the wrong kind, or too long")
+    return (
+        edit
+        if sound
+        else Failure(FailureReason.INVALID, "no edit: a field is of the wrong kind, or too long")
+    )
 
 
 def _is_text(value: Any) -> bool:
--- a/ashlift/route_reconciliation/merging.py
+++ b/ashlift/route_reconciliation/merging.py
@@ -12,9 +12,9 @@
 from typing import Any, Final, NamedTuple
 
 from ashlift.config import operator_config as configuration
-from ashlift.route_reconciliation.hybrid_clock import NEVER, Stamp, above
+from ashlift.errors import Failure
 from ashlift.route_reconciliation.edits import Edit, Text, join, rank, read_edit, same, why_not
-from ashlift.errors import Fault
+from ashlift.route_reconciliation.hybrid_clock import NEVER, Stamp, above
 
 SETTLED: Final = "Settled/"
 EDITED: Final = "Edited/"
@@ -49,7 +49,7 @@
         edits = [one for one in found if isinstance(one, Edit)]
         return merge(current, edits) if len(edits) == len(found) else _refused(400, "no edits")
     edit = read_edit(body.get("edit"))
-    if isinstance(edit, Fault):
+    if isinstance(edit, Failure):
         return _refused(400, edit.detail)
     done = current.get(SETTLED + edit.id)
     if done:
@@ -176,7 +176,7 @@
                 one = {"ObjectType": "Routes", "Metadata": {"Name": edit.name}, "Specification": edit.text}
                 body["Upsert"] = {"Objects": [one]}
             change = configuration.apply(self.map, "patch", version, body)
-            if isinstance(change, Fault):
+            if isinstance(change, Failure):
                 return change.detail
             for gone in change.gone:
                 del self.map[gone]
--- a/ashlift/route_reconciliation/proposals.py
+++ b/ashlift/route_reconciliation/proposals.py
@@ -6,10 +6,10 @@
 import attrs
 
 from ashlift.config.operator_config import current_version
-from ashlift.route_reconciliation.hybrid_clock import NEVER, Stamp, above
+from ashlift.errors import Failure
 from ashlift.route_reconciliation.edits import Book, Edit, Text, read_edit, same, why_not
+from ashlift.route_reconciliation.hybrid_clock import NEVER, Stamp, above
 from ashlift.route_reconciliation.merging import EDITED, SETTLED, merge
-from ashlift.errors import Fault
 
 
 def past(map: Mapping[str, Any], book: Book, name: str) -> Stamp:
@@ -19,7 +19,7 @@
     return max([NEVER, *found, *(edit.stamp for edit in book.values() if edit.name == name)])
 
 
-def made(map: Mapping[str, Any], name: str, body: Any, stamp: Stamp, where: str) -> Edit | Fault:
+def made(map: Mapping[str, Any], name: str, body: Any, stamp: Stamp, where: str) -> Edit | Failure:
     """The edit that a call asks for. `body`: `{id, who, text, base}`; `map`: agreed on, as known here."""
     body = body if isinstance(body, dict) else {}
     fields = {key: body.get(key) for key in ("id", "who", "text", "base")}
--- a/ashlift/rpc/transport.py
+++ b/ashlift/rpc/transport.py
@@ -20,7 +20,7 @@
 from gevent.lock import Semaphore
 from gevent.server import StreamServer
 
-from ashlift.errors import INVALID, UNANSWERED, UNKNOWN, UNREACHED, Fault
+from ashlift.errors import Failure, FailureReason
 
 Address = tuple[str, int]
 Handler = Callable[[Any], Any]
@@ -124,7 +124,7 @@
         self.sock.close()
         waiting, self.waiting = self.waiting, {}
         for one in waiting.values():
-            one.set(Fault(UNANSWERED, "the connection broke"))
+            one.set(Failure(FailureReason.OUTCOME_UNKNOWN, "the connection broke"))
 
 
 class Caller:
@@ -138,9 +138,10 @@
         self._turn = Semaphore()  # who dials or writes
 
     def call(self, method: str, body: Any, timeout: float, most: float = 0.0, dial: float = DIAL_S) -> Any:
-        """The answer's body, or a Fault; never raises for what the network does.
+        """The answer's body, or a Failure; never raises for what the network does.
 
-        UNREACHED: nothing was sent. UNANSWERED: it may have been done, or be done later. INVALID: too large.
+        UNREACHABLE: nothing was sent. OUTCOME_UNKNOWN: it may have been done, or be done later. INVALID: too
+        large.
         `timeout`: s, dialling included, which itself may take `dial`; while bytes come, up to `most` s in
         all: a large answer on a narrow line must not be given up and asked for again.
         """
@@ -171,11 +172,14 @@
         except gevent.Timeout as over:
             if over is not timer:
                 raise
-            return Fault(UNANSWERED if line else UNREACHED, f"{method}: {timeout:g} s")
+            return Failure(
+                FailureReason.OUTCOME_UNKNOWN if line else FailureReason.UNREACHABLE,
+                f"{method}: {timeout:g} s",
+            )
         except OSError as error:
-            return Fault(UNANSWERED if line else UNREACHED, str(error))
+            return Failure(FailureReason.OUTCOME_UNKNOWN if line else FailureReason.UNREACHABLE, str(error))
         except ValueError as error:
-            return Fault(INVALID, f"{method}: {error}")
+            return Failure(FailureReason.INVALID, f"{method}: {error}")
         finally:
             timer.close()
             if line is not None:
@@ -211,7 +215,7 @@
             case [int(number), body] if number <= self._number:
                 answer = body
             case [int(number), None, str(reason), str(detail)] if number <= self._number:
-                answer = Fault(reason, detail)
+                answer = Failure(reason, detail)
             case _:
                 raise ValueError("no answer")
         waiting = line.waiting.pop(number, None)
@@ -247,21 +251,21 @@
 
 
 def serve(address: Address, handlers: Mapping[str, Handler]) -> StreamServer:
-    """Take calls: `handlers[method](body)` in a greenlet of its own, giving a body or a Fault.
+    """Take calls: `handlers[method](body)` in a greenlet of its own, giving a body or a Failure.
 
     Started; raises OSError where the address cannot be had.
     """
 
     def one(sock: socket.socket, writing: Semaphore, number: int, method: str, body: Any) -> None:
         handler = handlers.get(method)
-        answer = handler(body) if handler else Fault(UNKNOWN, method)
+        answer = handler(body) if handler else Failure(FailureReason.NOT_FOUND, method)
         reply = [number, answer]
-        if isinstance(answer, Fault):
+        if isinstance(answer, Failure):
             reply = [number, None, answer.reason, answer.detail]
         try:
             data = pack(ANSWERS, reply)
         except ValueError as error:
-            data = pack(ANSWERS, [number, None, INVALID, f"{method}: {error}"])
+            data = pack(ANSWERS, [number, None, FailureReason.INVALID, f"{method}: {error}"])
         with writing:
             try:
                 write(sock, data)
@@ -293,4 +297,4 @@
     return server
 
 
-__all__ = ["INVALID", "Address", "Caller", "Callers", "Fault", "Frames", "parse_address", "serve", "tune"]
+__all__ = ["Address", "Caller", "Callers", "Failure", "Frames", "parse_address", "serve", "tune"]
--- a/ashlift/simulation/__main__.py
+++ b/ashlift/simulation/__main__.py
@@ -14,13 +14,7 @@
 import sys
 import time
 
-from ashlift.simulation import catching
-
-from ashlift.simulation import explore
-
-from ashlift.simulation import turnover
-
-from ashlift.simulation import worst
+from ashlift.simulation import catching, explore, turnover, worst
 from ashlift.simulation.chance import drawn, shrunk
 from ashlift.simulation.checks import Breach
 from ashlift.simulation.figures import TABLES
--- a/ashlift/simulation/board.py
+++ b/ashlift/simulation/board.py
@@ -3,21 +3,21 @@
 from collections.abc import Callable
 from typing import Any
 
-from ashlift.simulation import store
-from ashlift.simulation.engine import Future, Loop, Machine, Net, Process, Signal, Steps
 from ashlift.config.operator_config import whole
-from ashlift.route_reconciliation.hybrid_clock import Clock, Stamp
-from ashlift.route_reconciliation.proposals import kept, made, past
-from ashlift.route_reconciliation.edits import Edit, join, read_edit
-from ashlift.route_reconciliation.merging import SETTLED
+from ashlift.errors import Failure, FailureReason
 from ashlift.registry.http_requests import UNDONE, Asking
-from ashlift.registry.server import ANSWER_S, GATHER_S, LEAST_S, PAUSE_S, TICK_S, WAIT_S, WATCH_S
 from ashlift.registry.records import Worker
 from ashlift.registry.registry import Registry, Self
 from ashlift.registry.resources import VOUCH_S
+from ashlift.registry.server import ANSWER_S, GATHER_S, LEAST_S, PAUSE_S, TICK_S, WAIT_S, WATCH_S
 from ashlift.registry.store_client import ANSWER_S as STORE_S
 from ashlift.registry.store_client import DRAFTS_S, LATE_S, NOW
-from ashlift.errors import LATE, UNANSWERED, UNREACHED, Fault
+from ashlift.route_reconciliation.edits import Edit, join, read_edit
+from ashlift.route_reconciliation.hybrid_clock import Clock, Stamp
+from ashlift.route_reconciliation.merging import SETTLED
+from ashlift.route_reconciliation.proposals import kept, made, past
+from ashlift.simulation import store
+from ashlift.simulation.engine import Future, Loop, Machine, Net, Process, Signal, Steps
 
 KIND = "registry"
 CONTROL = 8200
@@ -87,7 +87,7 @@
     def _swapped(self, body: Any) -> Steps:
         began, registry = self.clock(), self.registry
         asked = registry.asked(body, began)
-        if isinstance(asked, Fault):
+        if isinstance(asked, Failure):
             return asked
         while not registry.lacking(*asked) and self.clock() < began + WAIT_S:
             yield self._bell.wait(began + WAIT_S - self.clock())
@@ -115,9 +115,9 @@
             if ip not in self._swaps:
                 return
             now = self.clock()
-            fault = answer if isinstance(answer, Fault) else registry.heard(ip, answer, sent, now)
+            fault = answer if isinstance(answer, Failure) else registry.heard(ip, answer, sent, now)
             if fault is not None:
-                if fault.reason == UNANSWERED:
+                if fault.reason == FailureReason.OUTCOME_UNKNOWN:
                     self.net.drop(self, ip, KIND)
                 greet = True
                 yield pause
@@ -133,14 +133,14 @@
             sent, have = self.clock(), registry.word.version
             wait, ip = (WATCH_S, self.name) if own else (WAIT_S, self._other())
             body = {"have": have, "wait": wait, "part": registry.watches()}
-            answer: Any = Fault(UNREACHED, "there is no other store")
+            answer: Any = Failure(FailureReason.UNREACHABLE, "there is no other store")
             if ip is not None:
                 answer = yield self.call(ip, store.KIND, "watch", body, wait + LATE_S)
             now, fresh = self.clock(), False
             if own:
-                self._hangs = isinstance(answer, Fault) and answer.reason == UNANSWERED
+                self._hangs = isinstance(answer, Failure) and answer.reason == FailureReason.OUTCOME_UNKNOWN
             self._note(answer)
-            if not isinstance(answer, Fault):
+            if not isinstance(answer, Failure):
                 fresh = registry.watched(answer, sent, now)
                 self.ring()
             own = fresh or not own
@@ -157,7 +157,7 @@
         return [ip for ip in self.registry.controls(me.zone, me.region, self.clock()) if ip in known]
 
     def _note(self, news: Any) -> None:
-        if not isinstance(news, Fault):
+        if not isinstance(news, Failure):
             self._round, self._index = max(self._round, news["round"]), max(self._index, news["index"])
 
     def _submitted(self, body: dict[str, Any], since: float | None = None) -> Steps:
@@ -178,7 +178,7 @@
 
         def ask(ip: str) -> Steps:
             answer = yield self.call(ip, store.KIND, method, body(), until - self.clock())
-            if isinstance(answer, Fault) and answer.reason == LATE:
+            if isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
                 self._note((yield self.call(ip, store.KIND, "watch", NOW, until - self.clock())))
                 answer = yield self.call(ip, store.KIND, method, body(), until - self.clock())
             answers.append((ip, answer))
@@ -215,20 +215,22 @@
 
     def _lookup(self, body: tuple[str, str]) -> Any:
         found = self.registry.lookup(*body, self.clock())
-        return (503, None) if isinstance(found, Fault) else (200, found)
+        return (503, None) if isinstance(found, Failure) else (200, found)
 
     def _order(self, body: dict[str, Any]) -> Steps:
         since = self.written if body["kind"] in ("evacuate", "restore") else None
         if since is not None and self.clock() - since > VOUCH_S:
             return 307, None
         answer = yield from self._submitted(body, since)
-        if since is not None and isinstance(answer, Fault) and answer.reason == LATE:
+        if since is not None and isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
             return 307, None
-        return (503, answer.reason) if isinstance(answer, Fault) else (answer["status"], answer.get("reason"))
+        return (
+            (503, answer.reason) if isinstance(answer, Failure) else (answer["status"], answer.get("reason"))
+        )
 
     def _config(self, _: Any) -> Steps:
         answer = yield from self._stored("read", dict, self.clock() + STORE_S)
-        if isinstance(answer, Fault):
+        if isinstance(answer, Failure):
             return 503, answer.reason
         map = answer["objects"]
         return (200, (whole(map), map)) if map.get("Version") else (404, ({}, map))
@@ -244,7 +246,7 @@
         held = []
         for ip, future in asked.items():
             answer = yield future
-            if not isinstance(answer, Fault):
+            if not isinstance(answer, Failure):
                 held.append(ip)
                 found = [read_edit(one) for one in answer["edits"]]
                 book = join(book, {one.id: one for one in found if isinstance(one, Edit)})
@@ -261,7 +263,7 @@
         assert isinstance(edit, Edit)
         order = {"kind": "edit", "if_match": None, "body": {"edit": edit.wire()}}
         answer = yield from self._submitted(order)
-        if not isinstance(answer, Fault):
+        if not isinstance(answer, Failure):
             return answer["status"], answer
         book, _ = yield from self._waiting([])
         waits = kept(map, book, edit, answer.reason not in UNDONE)
@@ -283,4 +285,4 @@
         version = self.registry.word.values.get("Version")
         order = {"kind": body["word"], "if_match": version, "body": said}
         answer = yield from self._submitted(order)
-        return (503, {}) if isinstance(answer, Fault) else (answer["status"], answer)
+        return (503, {}) if isinstance(answer, Failure) else (answer["status"], answer)
--- a/ashlift/simulation/catching.py
+++ b/ashlift/simulation/catching.py
@@ -15,14 +15,14 @@
 import cbor2
 from attrs import frozen
 
+from ashlift.configstore.catch_up import Mending
+from ashlift.configstore.commands import TAKEN, TAKEN_MOST
+from ashlift.configstore.messages import Settled, Work
+from ashlift.errors import Failure, FailureReason
 from ashlift.simulation import store
 from ashlift.simulation.engine import Connection, Future, Loop, Machine, Net, Process, Steps
 from ashlift.simulation.figures import Spread
 from ashlift.simulation.world import ZONES
-from ashlift.configstore.messages import Settled, Work
-from ashlift.configstore.catch_up import Mending
-from ashlift.configstore.commands import TAKEN, TAKEN_MOST
-from ashlift.errors import INVALID, Fault
 
 LATE_S = 0.5  # a member is level that holds whatever was committed before this
 PATIENCE_S = 5.0  # of who sends a change
@@ -224,7 +224,7 @@
             round_ = member.round_known() if member else (0, 0)
             order = {"set": sets, "base": self.version, "fence": [*round_, 0, PATIENCE_S]}
             answer = yield self.desk.call(name, store.KIND, "submit", order, PATIENCE_S)
-            if not isinstance(answer, Fault) and answer["status"] in (200, 412):
+            if not isinstance(answer, Failure) and answer["status"] in (200, 412):
                 self.version += 1
                 self.acked.append(self.loop.now)
                 return
@@ -290,7 +290,9 @@
         if case.back != "disk":
             machine.disk.clear()
         if case.back == "torn":
-            machine.disk.update(vote=Fault(INVALID, "torn"), state=Fault(INVALID, "torn"))
+            machine.disk.update(
+                vote=Failure(FailureReason.INVALID, "torn"), state=Failure(FailureReason.INVALID, "torn")
+            )
         begun = len(self.acked)
         for part in (1, 2) if case.restarts else (2,):
             goal = begun + case.changes * part // 2
--- a/ashlift/simulation/cell.py
+++ b/ashlift/simulation/cell.py
@@ -13,16 +13,16 @@
 import attrs
 from attrs import define, field, frozen
 
-from ashlift.simulation.linear import Call, Change
-from ashlift.simulation.sworn import Sworn
-from ashlift.configstore.replica import Attempt, Member
-from ashlift.configstore.change_log import Changes
-from ashlift.configstore.messages import Read, State, Submit, Vote
-from ashlift.configstore.leader import Lead, Peer
 from ashlift.configstore.catch_up import Copy, Mending
+from ashlift.configstore.change_log import Changes
 from ashlift.configstore.committed_state import News
-from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.leader import Lead, Peer
 from ashlift.configstore.membership import MEMBERS
+from ashlift.configstore.messages import Read, State, Submit, Vote
+from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.replica import Attempt, Member
+from ashlift.simulation.linear import Call, Change
+from ashlift.simulation.sworn import Sworn
 
 PAUSE_S = 0.1  # between two ends of one timer at least
 PLAIN: Final = (int, str, bytes, bool, type(None))
--- a/ashlift/simulation/checks.py
+++ b/ashlift/simulation/checks.py
@@ -9,10 +9,10 @@
 
 from attrs import evolve, frozen
 
+from ashlift.config.routing_table import Table
+from ashlift.config.settings import Bounds
 from ashlift.simulation.history import Arrival, Change, History, Request
 from ashlift.simulation.linear import DOUBT, STALE, TAKEN, Call, unexplained
-from ashlift.config.settings import Bounds
-from ashlift.config.routing_table import Table
 
 DENIED_FREE, DENIED_SHARE = 5, 1 / 500
 SPUN = 50  # turns
--- a/ashlift/simulation/clerks.py
+++ b/ashlift/simulation/clerks.py
@@ -5,14 +5,14 @@
 
 from attrs import define
 
+from ashlift.config.operator_config import whole
+from ashlift.config.routing_table import Table
+from ashlift.route_reconciliation.merging import IN_FORCE, SETTLED
 from ashlift.simulation import board
 from ashlift.simulation.board import Board
 from ashlift.simulation.history import HOST, Change, History
 from ashlift.simulation.people import Operator
 from ashlift.simulation.store import Store
-from ashlift.config.operator_config import whole
-from ashlift.config.routing_table import Table
-from ashlift.route_reconciliation.merging import IN_FORCE, SETTLED
 
 CALL_S = 5.0  # the command line's patience
 
--- a/ashlift/simulation/engine.py
+++ b/ashlift/simulation/engine.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Generator
 from typing import Any
 
+from ashlift.errors import Failure, FailureReason
 from ashlift.rpc.transport import DIAL_S, SILENT_MS
-from ashlift.errors import UNANSWERED, UNKNOWN, UNREACHED, Fault
 
 Steps = Generator[Any, Any, Any]  # yields seconds to sleep or a Future to wait for
 STUCK_S = SILENT_MS / 1000  # a connection whose bytes nobody confirms for so long is given up
@@ -249,7 +249,7 @@
     def close(self, connection: Connection) -> None:
         connection.closed = True
         for future in list(connection.waiting):
-            future.set(Fault(UNANSWERED, "the connection broke"))
+            future.set(Failure(FailureReason.OUTCOME_UNKNOWN, "the connection broke"))
         connection.waiting.clear()
 
     def drop(self, process: Process, to: str, kind: str) -> None:
@@ -270,11 +270,11 @@
     def call(
         self, caller: Process, to: str, kind: str, method: str, body: Any, timeout: float, dial: float
     ) -> Future:
-        """The answer, or a Fault: UNREACHED (not sent) or UNANSWERED (in doubt)."""
+        """The answer, or a Failure: UNREACHABLE (not sent) or OUTCOME_UNKNOWN (in doubt)."""
         future, machine = Future(), self.machines.get(to)
         target = machine.processes.get(kind) if machine else None
         if machine is None or target is None:
-            caller.later(0.001, future.set, Fault(UNREACHED, "nobody is there"))
+            caller.later(0.001, future.set, Failure(FailureReason.UNREACHABLE, "nobody is there"))
             return future
         connection = caller.connections.get(target)
         stuck = connection.stuck if connection is not None else None
@@ -283,7 +283,7 @@
         if connection is not None and not connection.closed and connection.torn > self.loop.now:
             left = connection.torn - self.loop.now  # it waits for its turn to write
             if timeout <= left:
-                caller.later(timeout, future.set, Fault(UNREACHED, method))
+                caller.later(timeout, future.set, Failure(FailureReason.UNREACHABLE, method))
             else:
                 caller.later(left, self._again, caller, to, kind, method, body, timeout - left, dial, future)
             return future
@@ -291,13 +291,15 @@
             self._send(caller, connection, method, body, timeout, future)
             return future
         if not machine.powered or not self.open(caller.machine.link, machine.link):
-            caller.later(min(timeout, dial), future.set, Fault(UNREACHED, "no connection came up"))
+            caller.later(
+                min(timeout, dial), future.set, Failure(FailureReason.UNREACHABLE, "no connection came up")
+            )
             return future
         trip = self.delay(caller.machine, machine) + self.delay(machine, caller.machine)
 
         def dialled() -> None:
             if not target.up:
-                return future.set(Fault(UNREACHED, "refused"))
+                return future.set(Failure(FailureReason.UNREACHABLE, "refused"))
             fresh = Connection(target, self.loop.now)
             caller.connections[target] = fresh
             self._send(caller, fresh, method, body, timeout - trip, future)
@@ -326,7 +328,7 @@
 
         def over() -> None:
             connection.waiting.discard(future)
-            future.set(Fault(UNANSWERED, method))
+            future.set(Failure(FailureReason.OUTCOME_UNKNOWN, method))
 
         def answered(value: Any) -> None:
             if target.up and target.life == connection.life:
@@ -388,7 +390,7 @@
         handler = target.handlers.get(method)
         target.written = connection.since + target.machine.offset
         if handler is None:
-            return answered(Fault(UNKNOWN, method))
+            return answered(Failure(FailureReason.NOT_FOUND, method))
         found = handler(body)
         if isinstance(found, Generator):
             target.spawn(found, answered)
--- a/ashlift/simulation/explore.py
+++ b/ashlift/simulation/explore.py
@@ -13,10 +13,10 @@
 
 from attrs import define, evolve
 
+from ashlift.configstore.replica_state import Broken
 from ashlift.simulation.cell import Cell, Kind, Rules
 from ashlift.simulation.moves import after, begun, coming, steps
 from ashlift.simulation.sworn import Wrong
-from ashlift.configstore.replica_state import Broken
 
 MESSAGES: Final[dict[Kind, int]] = {"lose": 9, "double": 9, "late": 9}
 DISKS: Final[dict[Kind, int]] = {"crash": 9, "refuse": 9}
--- a/ashlift/simulation/figures.py
+++ b/ashlift/simulation/figures.py
@@ -12,12 +12,12 @@
 
 from attrs import frozen
 
+from ashlift.configstore.messages import State
 from ashlift.simulation import store
 from ashlift.simulation.engine import Future, Process
 from ashlift.simulation.people import Errand
 from ashlift.simulation.scene import Play, Scene
 from ashlift.simulation.world import Plan, World
-from ashlift.configstore.messages import State
 
 FAULT_S = 7.0  # when the fault comes
 SPAN_S, STEP_S = 0.5, 0.05  # what is served is counted over spans of this length, so far apart
--- a/ashlift/simulation/history.py
+++ b/ashlift/simulation/history.py
@@ -11,8 +11,8 @@
 
 from attrs import define, field
 
-from ashlift.simulation import linear
 from ashlift.config.routing_table import Table
+from ashlift.simulation import linear
 
 HOST = "app.example"
 
--- a/ashlift/simulation/keeper.py
+++ b/ashlift/simulation/keeper.py
@@ -5,17 +5,17 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ashlift.simulation import board
-from ashlift.simulation.engine import Loop, Machine, Net, Process, Steps
-from ashlift.simulation.history import HOST, Request
 from ashlift.config.settings import Settings
-from ashlift.proxy.responses import WorkerReply
+from ashlift.proxy.configuration_updates import PAUSE_S
+from ashlift.proxy.idle_connections import Rests
 from ashlift.proxy.load_balancer import View
+from ashlift.proxy.registry_client import ANSWER_S, WAIT_S, Pulling
 from ashlift.proxy.request_router import Gate, Live, Turn
+from ashlift.proxy.responses import WorkerReply
 from ashlift.proxy.upstream import IDLE_EACH, IDLE_S, Ended, Outcome
-from ashlift.proxy.configuration_updates import PAUSE_S
-from ashlift.proxy.registry_client import ANSWER_S, WAIT_S, Pulling
-from ashlift.proxy.idle_connections import Rests
+from ashlift.simulation import board
+from ashlift.simulation.engine import Loop, Machine, Net, Process, Steps
+from ashlift.simulation.history import HOST, Request
 
 KIND = "proxy"
 TURN_S = 0.001  # a turn of the processor: what is tried again without waiting takes at least this
--- a/ashlift/simulation/members.py
+++ b/ashlift/simulation/members.py
@@ -11,10 +11,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from ashlift.simulation.linear import STALE, TAKEN, Call, Change, items, unexplained
-from ashlift.simulation.sworn import Sworn, Wrong, decide, history_of
 from ashlift.configstore import events
-from ashlift.configstore.replica import Member
+from ashlift.configstore.membership import MEMBERS, Membership, life_fits, named, quorum
 from ashlift.configstore.messages import (
     CALL_S,
     Answered,
@@ -32,8 +30,10 @@
     Tick,
     Vote,
 )
-from ashlift.configstore.membership import MEMBERS, Membership, life_fits, named, quorum
-from ashlift.errors import UNANSWERED, UNREACHED, UNREADY, Fault
+from ashlift.configstore.replica import Member
+from ashlift.errors import Failure, FailureReason
+from ashlift.simulation.linear import STALE, TAKEN, Call, Change, items, unexplained
+from ashlift.simulation.sworn import Sworn, Wrong, decide, history_of
 
 SEED_MOST = 3
 
@@ -62,7 +62,7 @@
         change = Change(self.base, self.base + 1, items({str(self.base): self.name}), frozenset())
         if isinstance(self.answer, dict):
             return Call(self.begun, self.ended, change, TAKEN if self.done else STALE, name=self.name)
-        if isinstance(self.answer, Fault) and self.answer.reason == UNREADY:
+        if isinstance(self.answer, Failure) and self.answer.reason == FailureReason.UNAVAILABLE:
             return None  # not begun
         return Call(self.begun, float("inf"), change, name=self.name)
 
@@ -346,7 +346,11 @@
         def over() -> None:
             if call in self._open:
                 self._open.discard(call)
-                fault = Fault(UNANSWERED) if other.member else Fault(UNREACHED)
+                fault = (
+                    Failure(FailureReason.OUTCOME_UNKNOWN)
+                    if other.member
+                    else Failure(FailureReason.UNREACHABLE)
+                )
                 self._feed(node, call[1], Answered(send.peer, send.method, sent_at, send.context, fault))
 
         self._carry(node.ip, send.peer, send.method, arrive)
--- a/ashlift/simulation/moves.py
+++ b/ashlift/simulation/moves.py
@@ -10,11 +10,8 @@
 
 from attrs import define, evolve, field
 
-from ashlift.simulation.cell import Asked, Cell, Draw, Kind, Mail, Place, Rules, forked
-from ashlift.simulation.linear import STALE, TAKEN, Call, Change, items, unexplained
-from ashlift.simulation.sworn import ZONE, Sworn, Wrong, decide, history_of
 from ashlift.configstore import events
-from ashlift.configstore.replica import Member
+from ashlift.configstore.membership import LEARNERS, Membership
 from ashlift.configstore.messages import (
     CALL_S,
     Answered,
@@ -31,8 +28,11 @@
     Tell,
     Tick,
 )
-from ashlift.configstore.membership import LEARNERS, Membership
-from ashlift.errors import LATE, UNANSWERED, UNREADY, Fault
+from ashlift.configstore.replica import Member
+from ashlift.errors import Failure, FailureReason
+from ashlift.simulation.cell import Asked, Cell, Draw, Kind, Mail, Place, Rules, forked
+from ashlift.simulation.linear import STALE, TAKEN, Call, Change, items, unexplained
+from ashlift.simulation.sworn import ZONE, Sworn, Wrong, decide, history_of
 
 TRIP_S = 0.004  # of a message, when nothing befalls it
 FROZEN_S = 1.6  # long enough for another to lead meanwhile
@@ -343,7 +343,7 @@
                     ref = (self.count, ip, self.places[ip].life, effect.method, self.now, to)
                     self.open.add(self.count)
                     if not self.cell.rules.free:  # where nothing is known of time, nobody gives up
-                        self.post("over", ip, ref, CALL_S, Fault(UNANSWERED))
+                        self.post("over", ip, ref, CALL_S, Failure(FailureReason.OUTCOME_UNKNOWN))
                     self.post("call", effect.peer, ref, TRIP_S, effect.body)
                 case Reply(ref=int() as number):
                     self._told(number, effect.body)
@@ -464,8 +464,8 @@
             zones = frozenset([ZONE]) if body.entries.map.get(ZONE) else frozenset[str]()
             self.calls[number] = Call(begun, now, seen=(len(history), held), zones=zones)
             good = mine and self.script[:1] == AGREE[1:]
-        elif isinstance(body, Fault):
-            if number in self.calls and body.reason in (UNREADY, LATE):
+        elif isinstance(body, Failure):
+            if number in self.calls and body.reason in (FailureReason.UNAVAILABLE, FailureReason.EXPIRED):
                 del self.calls[number]  # not begun
         elif number in self.calls and self.calls[number].zone:
             self.calls[number] = evolve(self.calls[number], ended=now)
--- a/ashlift/simulation/people.py
+++ b/ashlift/simulation/people.py
@@ -6,14 +6,12 @@
 
 from attrs import define
 
-from ashlift.simulation import board
-
-from ashlift.simulation import keeper
+from ashlift.config import operator_config as configuration
+from ashlift.config.routing_table import Table
+from ashlift.simulation import board, keeper
 from ashlift.simulation.engine import Loop, Machine, Net, Process, Steps
 from ashlift.simulation.history import Change, Copy, History, Order, Reading, Request
 from ashlift.simulation.keeper import Keeper
-from ashlift.config import operator_config as configuration
-from ashlift.config.routing_table import Table
 
 TRIES = 3  # of a client, for one thing it wants
 CONNECT_S = 1.0
--- a/ashlift/simulation/rules.py
+++ b/ashlift/simulation/rules.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable, Iterator
 
+from ashlift.config.settings import Bounds
 from ashlift.simulation.checks import Breach, Judge, first
 from ashlift.simulation.history import History
 from ashlift.simulation.wholeness import broken_off, mixed, recovered, slighted, unasked
-from ashlift.config.settings import Bounds
 
 Check = Callable[[Judge], Iterator[Breach]]
 CHECKS: dict[str, Check] = {
--- a/ashlift/simulation/scene.py
+++ b/ashlift/simulation/scene.py
@@ -40,12 +40,12 @@
 
 from attrs import define, evolve, fields
 
+from ashlift.config.routing_table import Table
 from ashlift.simulation import clerks
 from ashlift.simulation.checks import Breach
 from ashlift.simulation.people import Operator, Want, change, edited, patched
 from ashlift.simulation.rules import judge
 from ashlift.simulation.world import ROUTES, Plan, World, first_configuration
-from ashlift.config.routing_table import Table
 
 RARELY = (200_000, 50, 1000)  # of gc.set_threshold
 FIRST_S = 0.5  # the operator sends the first configuration so long after the start
--- a/ashlift/simulation/store.py
+++ b/ashlift/simulation/store.py
@@ -4,20 +4,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from ashlift.simulation.engine import Future, Loop, Machine, Net, Process, Signal, Steps
-from ashlift.configstore.replica import Member
-from ashlift.configstore.server import (
-    MERGE_S,
-    ORDER_S,
-    PAUSE_S,
-    READ_S,
-    SEEK_S,
-    STEP_S,
-    WATCH_MOST_S,
-    WATCH_PIECE,
-    watched,
-)
-from ashlift.configstore.pending_edits import NAME, Drafts
+from ashlift.configstore.commands import decide, read_fence
 from ashlift.configstore.messages import (
     CALL_S,
     Answered,
@@ -34,9 +21,22 @@
     Submit,
     Tick,
 )
-from ashlift.configstore.commands import decide, read_fence
-from ashlift.errors import INVALID, UNANSWERED, UNREACHED, UNREADY, Fault
+from ashlift.configstore.pending_edits import NAME, Drafts
+from ashlift.configstore.replica import Member
+from ashlift.configstore.server import (
+    MERGE_S,
+    ORDER_S,
+    PAUSE_S,
+    READ_S,
+    SEEK_S,
+    STEP_S,
+    WATCH_MOST_S,
+    WATCH_PIECE,
+    watched,
+)
+from ashlift.errors import Failure, FailureReason
 from ashlift.rpc.fragmentation import Cutter
+from ashlift.simulation.engine import Future, Loop, Machine, Net, Process, Signal, Steps
 
 KIND = "configstore"
 SYNC_S = (0.002, 0.012)  # a durable write takes between these
@@ -50,11 +50,11 @@
     def __init__(self, disk: dict[str, Any]) -> None:
         self._disk = disk
 
-    def read(self) -> dict[str, bytes] | Fault | None:
+    def read(self) -> dict[str, bytes] | Failure | None:
         found: dict[str, bytes] | None = self._disk.get(NAME)
         return found
 
-    def write(self, records: Mapping[str, bytes]) -> Fault | None:
+    def write(self, records: Mapping[str, bytes]) -> Failure | None:
         self._disk[NAME] = dict(records)
         return None
 
@@ -173,14 +173,14 @@
 
     def _ask(self, event: Callable[[Any], Any], timeout: float) -> Steps:
         ref = Future()
-        self.later(timeout, ref.set, Fault(UNANSWERED, f"{timeout:g} s"))
+        self.later(timeout, ref.set, Failure(FailureReason.OUTCOME_UNKNOWN, f"{timeout:g} s"))
         self._feed(event(ref))
         return (yield ref)
 
     # ---- calls of pegboards, as the daemon serves them
     def submit(self, body: Any) -> Steps:
         fence = read_fence(body)
-        if isinstance(fence, Fault):
+        if isinstance(fence, Failure):
             return fence
         found = yield from self._led("submit", body, lambda ref: Submit(ref, body, fence), ORDER_S)
         return found
@@ -216,16 +216,19 @@
 
     def _led(self, method: str, body: dict[str, Any], event: Callable[[Any], Any], timeout: float) -> Steps:
         until = self.clock() + SEEK_S
-        found: Any = Fault(UNREADY, "no leader")
+        found: Any = Failure(FailureReason.UNAVAILABLE, "no leader")
         while self.member is not None:
             leader = self.member.leader
             if self.member.silent(self.clock()):
-                return Fault(UNREADY, "no leader is heard here")
+                return Failure(FailureReason.UNAVAILABLE, "no leader is heard here")
             if self.member.lead is not None:
                 found = yield from self._ask(event, timeout)
             elif leader is not None and not body.get("passed"):
                 found = yield self.call(leader, KIND, method, {**body, "passed": True}, timeout)
-            if not isinstance(found, Fault) or found.reason not in (UNREADY, UNREACHED):
+            if not isinstance(found, Failure) or found.reason not in (
+                FailureReason.UNAVAILABLE,
+                FailureReason.UNREACHABLE,
+            ):
                 return found
             if self.clock() >= until or body.get("passed"):
                 return found
@@ -235,7 +238,7 @@
     def watch(self, body: Any) -> Steps:
         member = self.member
         if member is None:
-            return Fault(INVALID, "watch")
+            return Failure(FailureReason.INVALID, "watch")
         have, until = body["have"], self.clock() + min(body["wait"], WATCH_MOST_S)
         while member.news.index <= have and self.clock() < until:
             yield self._news.wait(until - self.clock())
--- a/ashlift/simulation/sworn.py
+++ b/ashlift/simulation/sworn.py
@@ -8,10 +8,9 @@
 
 from attrs import evolve, frozen
 
-from ashlift.configstore.replica import Member
-from ashlift.configstore.messages import Settled, State, TermIndex, Vote, Work
 from ashlift.configstore.membership import MEMBERS, life_fits, named, quorum
-
+from ashlift.configstore.messages import Settled, State, TermIndex, Vote, Work
+from ashlift.configstore.replica import Member
 
 ZONE = "zone"
 
--- a/ashlift/simulation/turnover.py
+++ b/ashlift/simulation/turnover.py
@@ -4,10 +4,10 @@
 import random
 import time
 
-from ashlift.simulation.members import World
-from ashlift.simulation.sworn import Wrong
 from ashlift.configstore.membership import LEARNERS, MEMBERS, named
 from ashlift.configstore.replica_state import Broken
+from ashlift.simulation.members import World
+from ashlift.simulation.sworn import Wrong
 
 AGREED_S = 40.0  # within this, once all is well, all machines that are there vote
 
--- a/ashlift/simulation/workers.py
+++ b/ashlift/simulation/workers.py
@@ -4,11 +4,11 @@
 from collections import deque
 from typing import Any
 
+from ashlift.proxy.upstream import Ended, Outcome
 from ashlift.simulation import board
 from ashlift.simulation.engine import Loop, Machine, Net, Process, Steps
 from ashlift.simulation.history import Arrival, History, WorkerLife
 from ashlift.simulation.keeper import Try, reply
-from ashlift.proxy.upstream import Ended, Outcome
 
 KIND = "worker"
 QUEUE = 2  # x capacity
--- a/ashlift/simulation/world.py
+++ b/ashlift/simulation/world.py
@@ -6,11 +6,9 @@
 
 from attrs import define, evolve, field
 
-from ashlift.simulation import board
-
-from ashlift.simulation import keeper
-
-from ashlift.simulation import store
+from ashlift.config.settings import Bindings, Bounds, Settings
+from ashlift.errors import Failure, FailureReason
+from ashlift.simulation import board, keeper, store
 from ashlift.simulation.board import Board
 from ashlift.simulation.callers import Caller
 from ashlift.simulation.engine import Loop, Machine, Net, Process
@@ -20,8 +18,6 @@
 from ashlift.simulation.people import Crowd, Operator, Want
 from ashlift.simulation.store import Store
 from ashlift.simulation.workers import Yard
-from ashlift.config.settings import Bindings, Bounds, Settings
-from ashlift.errors import INVALID, Fault
 
 ZONES = {"z1": "r1", "z2": "r2", "z3": "r3", "z4": "r1", "z5": "r2", "z6": "r3"}
 BACK_S = 0.5  # a process that has ended is started again after so long
@@ -316,7 +312,9 @@
         """The disk can be read no more after the next start."""
         for name in names:
             disk = self.net.machines[name].disk
-            disk.update(vote=Fault(INVALID, "torn"), state=Fault(INVALID, "torn"))
+            disk.update(
+                vote=Failure(FailureReason.INVALID, "torn"), state=Failure(FailureReason.INVALID, "torn")
+            )
 
     def disk(self, names: list[str], hangs: bool = False, refuses: bool = False, slow: float = 0.0) -> None:
         """The disk's trouble from now on; with neither of these it is well again."""
--- a/ashlift/traffic/rate_limiter.py
+++ b/ashlift/traffic/rate_limiter.py
@@ -13,9 +13,8 @@
 from collections.abc import Container, Mapping
 from typing import NamedTuple, Protocol
 
+from ashlift.gatekeeper.admission import Bucket, window
 from ashlift.traffic.unreported_usage import KEPT_FOR, MOST, Behind, Source, Span, Unheard
-from ashlift.gatekeeper.admission import Bucket
-from ashlift.gatekeeper.admission import window
 
 Counts = dict[str, tuple[int, int]]  # by tenant: total, declined
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -22,13 +22,13 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from benchmarks.bodies import Process
-from ashlift.rpc.sources import OPERATOR_SOURCE
-from ashlift.config.settings import Settings, parse
 from ashlift.config.routing_table import Limits
+from ashlift.config.settings import Settings, parse
 from ashlift.proxy.request_handler import Desk
-from ashlift.proxy.server import Front
 from ashlift.proxy.request_router import Gate
+from ashlift.proxy.server import Front
+from ashlift.rpc.sources import OPERATOR_SOURCE
+from benchmarks.bodies import Process
 
 CONNECTIONS = 8
 HOST = ("127.0.0.1", 0)
--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -16,6 +16,25 @@
 import attrs
 import cbor2
 
+from ashlift.config import operator_config as configurations
+from ashlift.config.settings import Bindings, Settings
+from ashlift.configstore.committed_state import News
+from ashlift.configstore.messages import DELTA, Keep, State, Vote
+from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.replica_state import pack as packed_payload
+from ashlift.configstore.server import Disk
+from ashlift.errors import Failure
+from ashlift.proxy import registry_client as pullings
+from ashlift.proxy.cluster_view import Ledger
+from ashlift.proxy.registry_client import Pulling
+from ashlift.proxy.request_router import Gate
+from ashlift.registry.http_server import Answer
+from ashlift.registry.records import read_beat
+from ashlift.registry.registry import Registry, Self
+from ashlift.rpc import transport as frames
+from ashlift.rpc.fragmentation import unpacked
+from ashlift.rpc.sources import OPERATOR_SOURCE
+from ashlift.rpc.transport import ANSWERS, CALLS, FRAME_MOST, pack
 from benchmarks.scale.measured import REPEATS, Measured, grown, timed
 from benchmarks.scale.target import (
     CORE,
@@ -32,25 +51,6 @@
     worker_record,
     zones,
 )
-from ashlift.config import operator_config as configurations
-from ashlift.config.settings import Bindings, Settings
-from ashlift.proxy.request_router import Gate
-from ashlift.proxy.cluster_view import Ledger
-from ashlift.proxy import registry_client as pullings
-from ashlift.proxy.registry_client import Pulling
-from ashlift.registry.http_server import Answer
-from ashlift.registry.records import read_beat
-from ashlift.registry.registry import Registry, Self
-from ashlift.configstore.server import Disk
-from ashlift.configstore.messages import DELTA, Keep, State, Vote
-from ashlift.configstore.committed_state import News
-from ashlift.configstore.ranged_map import RangedMap
-from ashlift.configstore.replica_state import pack as packed_payload
-from ashlift.rpc import transport as frames
-from ashlift.rpc.sources import OPERATOR_SOURCE
-from ashlift.rpc.transport import ANSWERS, CALLS, FRAME_MOST, pack
-from ashlift.errors import Fault
-from ashlift.rpc.fragmentation import unpacked
 
 NOW = 1000.0  # steady time of all, s
 TOLD_S = 0.25  # between two pulls of one gatekeeper
@@ -228,7 +228,7 @@
 
     def beat() -> None:
         said = read_beat(body, NOW)
-        assert not isinstance(said, Fault)
+        assert not isinstance(said, Failure)
         own.beat(worker_id(0), said, NOW)
         own.alone(NOW)
         own.target("z05", NOW)
@@ -412,7 +412,7 @@
     first = out.ms(
         "store: PUT checked and laid out, ms", lambda: configurations.apply({}, "put", "0", body), 2
     )
-    assert not isinstance(first, Fault), first
+    assert not isinstance(first, Failure), first
     entries = RangedMap(first.set)
     out.ms("store: digests of all, first time, ms", entries.digest, 1)
     patch = out.ms(
@@ -420,7 +420,7 @@
         lambda: configurations.apply(entries.map, "patch", "1", change(size, 2)),
         2,
     )
-    assert not isinstance(patch, Fault), patch
+    assert not isinstance(patch, Failure), patch
     new = out.ms(
         "store: map changed and digested, ms", lambda: _digested(entries.changed(patch.set, patch.gone))
     )
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -19,17 +19,17 @@
 from gevent import socket
 from gevent.fileobject import FileObject
 
-from ashlift.gatekeeper.net.replies import Reply
-from benchmarks.scale.target import Size, drawn, tenant, worker_address, worker_id
-from ashlift.traffic.rate_limiter import Counts, Limiter
-from ashlift.config.settings import Bindings, Settings
 from ashlift.config.routing_table import Table
+from ashlift.config.settings import Bindings, Settings
+from ashlift.errors import Failure
+from ashlift.gatekeeper.net.replies import Reply
 from ashlift.proxy import registry_client as pulling
-from ashlift.proxy.request_router import Gate
 from ashlift.proxy.cluster_view import Change, Ledger
 from ashlift.proxy.configuration_updates import News
+from ashlift.proxy.request_router import Gate
 from ashlift.rpc import fragmentation as pieces
-from ashlift.errors import Fault
+from ashlift.traffic.rate_limiter import Counts, Limiter
+from benchmarks.scale.target import Size, drawn, tenant, worker_address, worker_id
 
 Json = dict[str, Any]
 ANSWER_S = 1.0  # a worker waits so long for its beat's answer
@@ -97,9 +97,9 @@
     calls = missed = 0
     waited = longest = 0.0
 
-    def ended(self, pull: pulling.Pull, now: float, answer: Json | Fault) -> bool:
+    def ended(self, pull: pulling.Pull, now: float, answer: Json | Failure) -> bool:
         self.calls += 1
-        self.missed += isinstance(answer, Fault)
+        self.missed += isinstance(answer, Failure)
         self.waited += now - pull.sent
         self.longest = max(self.longest, now - pull.sent)
         return super().ended(pull, now, answer)
--- a/benchmarks/scale/reckoned.py
+++ b/benchmarks/scale/reckoned.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Final
 
+from ashlift.rpc.transport import FRAME_MOST
 from benchmarks.scale.fit import Line, line, middle, spread
 from benchmarks.scale.target import CORE, GATEKEEPER_BYTES, GATEKEEPER_CORE, GATEKEEPER_MB, distinct
-from ashlift.rpc.transport import FRAME_MOST
 
 Json = dict[str, Any]
 PULLS_S: Final = 3.4  # of one gatekeeper, a second: as the runs show where nothing is late
--- a/benchmarks/scale/site.py
+++ b/benchmarks/scale/site.py
@@ -15,12 +15,12 @@
 import gevent
 from gevent import socket, subprocess
 
+from ashlift.config.settings import Bounds
+from ashlift.errors import Failure
 from ashlift.lab.system import places
 from ashlift.lab.system.programs import ROOT, Program, stop
 from ashlift.lab.system.wire import exchange, request_head
 from benchmarks.scale.target import TARGET, Size, change, configuration, zones
-from ashlift.config.settings import Bounds
-from ashlift.errors import Fault
 
 LOW = 7600
 BEATS_MOST = 2000.0  # a second, of all hollow workers: with more, their heartbeat is stretched
@@ -171,7 +171,7 @@
             answer = exchange(
                 (place.ip, places.CONTROL), request_head(verb, path, place.ip, data, **headers), data, left
             )
-            if isinstance(answer, Fault):
+            if isinstance(answer, Failure):
                 status, found = 0, answer.detail.encode()
             else:
                 status, found = answer.status, b"".join(answer.parts)
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -13,6 +13,11 @@
 
 from ward import each, raises, test
 
+from ashlift.config.operator_config import laid_out
+from ashlift.proxy.registry_client import Pulling
+from ashlift.proxy.request_router import Gate
+from ashlift.registry.registry import Registry, Self
+from ashlift.rpc.transport import CALLS, pack
 from benchmarks.scale.cores import settings
 from benchmarks.scale.fit import line, middle, spread
 from benchmarks.scale.hollow import Gatekeeper, HollowLimiter
@@ -20,11 +25,6 @@
 from benchmarks.scale.readings import Carried, sorted_out
 from benchmarks.scale.reckoned import Cores
 from benchmarks.scale.target import TARGET, configuration, distinct, drawn, tenant, zones
-from ashlift.config.operator_config import laid_out
-from ashlift.proxy.request_router import Gate
-from ashlift.proxy.registry_client import Pulling
-from ashlift.registry.registry import Registry, Self
-from ashlift.rpc.transport import CALLS, pack
 
 ROOT = Path(__file__).parent.parent.parent
 PARTS = (
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -12,9 +12,9 @@
 
 from ashlift.cli import sources
 from ashlift.cli.commands import application
-from tests.support.config_play import SCENES
+from ashlift.errors import Failure
 from tests.config.test_operator_config import PATCH, PUT, damaged
-from ashlift.errors import Fault
+from tests.support.config_play import SCENES
 
 STATUS: dict[str, Any] = {
     "node": "core-a-1",
@@ -44,7 +44,7 @@
 
     def get(target: sources.Address, method: str, path: str, asked: str, **_: Any) -> Any:
         return (answers or {}).get(
-            f"{target[0]}:{target[1]} {path}", Fault("unreached", f"{asked}: no connection")
+            f"{target[0]}:{target[1]} {path}", Failure("unreached", f"{asked}: no connection")
         )
 
     tester = ApplicationTester(application())
--- a/tests/cli/test_planners.py
+++ b/tests/cli/test_planners.py
@@ -6,13 +6,13 @@
 
 from ward import each, test
 
-from ashlift.simulation.people import edited, patched
-from ashlift.simulation.world import ZONES, Plan, first_configuration
+from ashlift.cli.planners import Asked, Part, Recorded, Station, capacity, change, rollout
 from ashlift.config.operator_config import laid_out
 from ashlift.config.routing_table import Table
-from ashlift.cli.planners import Asked, Part, Recorded, Station, capacity, change, rollout
+from ashlift.errors import Failure
+from ashlift.simulation.people import edited, patched
+from ashlift.simulation.world import ZONES, Plan, first_configuration
 from tests.cli.test_commands import CORE, STATUS, folder, keep, run
-from ashlift.errors import Fault
 
 BODY = first_configuration(Plan(homes=["r1"], quota=10.0))
 HOST = "app.example"
@@ -62,14 +62,14 @@
     parts = [Part(f"n{number}", f"z{number % 3}", kind, number == 2) for number in range(count)]
     for most in (1, 2, 9):
         found = rollout(parts, most, kind == "core")
-        assert not isinstance(found, Fault)
+        assert not isinstance(found, Failure)
         assert sorted(name for batch in found for name in batch) == sorted(one.name for one in parts)
         assert found[-1] == ["n2"]
         zones = {one.name: one.zone for one in parts}
         for batch in found:
             assert 0 < len(batch) <= min(most, (count - 1) // 2) and len({zones[name] for name in batch}) == 1
-    assert isinstance(rollout(parts, 0), Fault)
-    assert isinstance(rollout(parts[:2], 1, True), Fault) == (kind == "core") or kind != "core"
+    assert isinstance(rollout(parts, 0), Failure)
+    assert isinstance(rollout(parts[:2], 1, True), Failure) == (kind == "core") or kind != "core"
 
 
 @test("plan change: elsewhere, unknown, without a key, over the quota, or as before")
--- a/tests/cli/test_tenants.py
+++ b/tests/cli/test_tenants.py
@@ -10,14 +10,13 @@
 from cleo.testers.application_tester import ApplicationTester
 from ward import each, fixture, test
 
-from ashlift.config.operator_config import whole
-from ashlift.cli import changing
-from ashlift.cli import sources
+from ashlift.cli import changing, sources
 from ashlift.cli.commands import application
-from tests.config.test_operator_config import PUT
-from ashlift.configstore.messages import Work
+from ashlift.config.operator_config import whole
 from ashlift.configstore.commands import decide
-from ashlift.errors import UNANSWERED, Fault
+from ashlift.configstore.messages import Work
+from ashlift.errors import Failure, FailureReason
+from tests.config.test_operator_config import PUT
 
 CORE = "10.0.0.1:8200"
 TENANT = {
@@ -78,9 +77,13 @@
             taken = {"ConfigVersion": f"{int(base, 16) + 1:08x}", "Upsert": {"Objects": [other]}}
             assert self.order("patch", base, taken)["status"] == 200
         if befalls in ("before", "503"):
-            return self.say(503, {}) if befalls == "503" else Fault(UNANSWERED, asked)
+            return self.say(503, {}) if befalls == "503" else Failure(FailureReason.OUTCOME_UNKNOWN, asked)
         answer = self.order("patch", headers["If-Match"], json.loads(body or b""))
-        return Fault(UNANSWERED, asked) if befalls == "after" else self.say(answer["status"], answer)
+        return (
+            Failure(FailureReason.OUTCOME_UNKNOWN, asked)
+            if befalls == "after"
+            else self.say(answer["status"], answer)
+        )
 
     @staticmethod
     def say(status: int, value: Any) -> tuple[int, str, bytes]:
--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 from ward import each, test
 
+from ashlift.config.durations import parse_time, show_time
 from ashlift.config.operator_config import Change, apply, digest, laid_out
 from ashlift.config.routing_table import Table
-from ashlift.config.durations import parse_time, show_time
+from ashlift.errors import Failure
 from tests.support.config_play import Play, play
-from ashlift.errors import Fault
 
 PUT: dict[str, Any] = {
     "ConfigVersion": "00000007",
@@ -125,7 +125,7 @@
         assert isinstance(now.call("put", "0", {**PUT, "ConfigVersion": "1"}), Change)
         before = json.dumps(now.entries)
         got = now.call(kind, "1", damaged(PUT if kind == "put" else PATCH, steps))
-        if isinstance(got, Fault):
+        if isinstance(got, Failure):
             assert json.dumps(now.entries) == before
         else:
             assert sound(now.entries)
@@ -173,4 +173,4 @@
     for text, seconds in {"1500ms": 1.5, "2.5s": 2.5, "0ms": 0.0, "0.125ms": 0.000125}.items():
         assert parse_time(text) == seconds == parse_time(show_time(seconds))
     for wrong in ("", "5", "-1s", "1 h", "1e999s", "\u0663s", "1,5s", "nans", 5, None, ["1s"]):
-        assert isinstance(parse_time(wrong), Fault), wrong
+        assert isinstance(parse_time(wrong), Failure), wrong
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -6,8 +6,8 @@
 from ward import each, test
 
 from ashlift.config.settings import Bounds, Settings, parse, read
+from ashlift.errors import Failure
 from tests.support.config_play import SCENES
-from ashlift.errors import Fault
 
 PATH = str(SCENES / "config_settings.toml")
 LINES = (SCENES / "config_settings.toml").read_text().splitlines()
@@ -102,7 +102,7 @@
         found = parse("\n".join(lines), "f")
         verdicts.append(isinstance(found, Settings))
         if isinstance(found, list):
-            assert found and all(isinstance(one, Fault) and one.detail.startswith("f: ") for one in found)
+            assert found and all(isinstance(one, Failure) and one.detail.startswith("f: ") for one in found)
             assert not any("\n" in one.detail for one in found)
 
     fuzz()
--- a/tests/configstore/test_catch_up.py
+++ b/tests/configstore/test_catch_up.py
@@ -5,12 +5,10 @@
 
 from ward import each, test
 
-from ashlift.simulation import catching
-from ashlift.simulation.catching import Case, played
-from tests.support.mutants import mutated
-from tests.configstore.test_replica import elected, feed, held, member, sends
 from ashlift.configstore import change_log as kept
+from ashlift.configstore.catch_up import Copy, Mending
 from ashlift.configstore.change_log import Changes
+from ashlift.configstore.committed_state import News
 from ashlift.configstore.messages import (
     CHUNK,
     DELTA,
@@ -26,10 +24,12 @@
     TermIndex,
     Vote,
 )
-from ashlift.configstore.catch_up import Copy, Mending
-from ashlift.configstore.committed_state import News
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.replica_state import unpack
+from ashlift.simulation import catching
+from ashlift.simulation.catching import Case, played
+from tests.configstore.test_replica import elected, feed, held, member, sends
+from tests.support.mutants import mutated
 
 SMALL: dict[str, Any] = {"routes": 300, "changes": 60, "after_s": 6.0}
 # Far from the others, so that changes come more often than an answer of it.
--- a/tests/configstore/test_commands.py
+++ b/tests/configstore/test_commands.py
@@ -6,14 +6,14 @@
 
 from ward import each, test
 
-from ashlift.simulation.world import Plan, first_configuration
 from ashlift.config.operator_config import digest
+from ashlift.configstore.commands import FORGOTTEN, REFUSED, REFUSED_MOST, TAKEN_MOST, decide
+from ashlift.configstore.messages import Settled, Work
+from ashlift.errors import Failure, FailureReason
 from ashlift.registry.http_requests import AGAIN_S, HEDGE_S, Asking
 from ashlift.registry.http_server import SETTLE_S, STILL_S, Awake
 from ashlift.registry.records import read_json
-from ashlift.configstore.messages import Settled, Work
-from ashlift.configstore.commands import FORGOTTEN, REFUSED, REFUSED_MOST, TAKEN_MOST, decide
-from ashlift.errors import LATE, UNANSWERED, UNREACHED, UNREADY, Fault
+from ashlift.simulation.world import Plan, first_configuration
 
 FIRST = first_configuration(Plan())
 Map = dict[str, Any]
@@ -139,7 +139,7 @@
     assert asking.due(now) == "a" and asking.due(now) is None
     match story:
         case "a refused, b answers":
-            asking.heard("a", Fault(UNREADY), now + 0.1)
+            asking.heard("a", Failure(FailureReason.UNAVAILABLE), now + 0.1)
             assert asking.due(now + 0.1) == "b"
             asking.heard("b", {"status": 412}, now + 0.2)
             assert asking.over and asking.answer == {"status": 412}
@@ -150,22 +150,24 @@
             assert asking.answer == {"status": 200} and asking.wait(now + 0.5) == 0.0
         case "a silent, alone":
             assert asking.due(now + 0.5) is None and asking.wait(now + 0.5) > 0.3
-            assert asking.wait(10.9) == 0.0 and asking.answer.reason == UNANSWERED
+            assert asking.wait(10.9) == 0.0 and asking.answer.reason == FailureReason.OUTCOME_UNKNOWN
         case _:
-            asking.heard("a", Fault(UNREADY), now)
+            asking.heard("a", Failure(FailureReason.UNAVAILABLE), now)
             assert asking.due(now) == "b"
-            asking.heard("b", Fault(UNREACHED), now)
-            assert asking.answer.reason == UNREACHED and asking.due(now) is None
+            asking.heard("b", Failure(FailureReason.UNREACHABLE), now)
+            assert asking.answer.reason == FailureReason.UNREACHABLE and asking.due(now) is None
             assert asking.due(now + AGAIN_S) == "a"
-            asking.heard("a", Fault(UNANSWERED), now + 0.5)
-            asking.heard("b", Fault(UNREADY), now + 0.6)
-            assert asking.answer.reason == UNANSWERED, "in doubt goes before not done"
-            asking.heard("a", Fault(LATE), now + 0.7)
-            assert asking.over and asking.answer.reason == UNANSWERED
+            asking.heard("a", Failure(FailureReason.OUTCOME_UNKNOWN), now + 0.5)
+            asking.heard("b", Failure(FailureReason.UNAVAILABLE), now + 0.6)
+            assert asking.answer.reason == FailureReason.OUTCOME_UNKNOWN, "in doubt goes before not done"
+            asking.heard("a", Failure(FailureReason.EXPIRED), now + 0.7)
+            assert asking.over and asking.answer.reason == FailureReason.OUTCOME_UNKNOWN
             asking = Asking(["a"], now, 10.9)
             assert asking.due(now) == "a"
-            asking.heard("a", Fault(LATE), now + 0.1)
-            assert asking.over and asking.answer.reason == LATE, "void: the caller may say it again"
+            asking.heard("a", Failure(FailureReason.EXPIRED), now + 0.1)
+            assert asking.over and asking.answer.reason == FailureReason.EXPIRED, (
+                "void: the caller may say it again"
+            )
 
 
 @test("a connection that may have waited for a process that stood is as old as the stand")
--- a/tests/configstore/test_membership.py
+++ b/tests/configstore/test_membership.py
@@ -8,17 +8,7 @@
 
 from ward import each, test
 
-from ashlift.simulation.explore import CASES, explore
-from ashlift.simulation.sworn import Wrong, decide
-from ashlift.simulation.turnover import mixed
-from ashlift.registry.store_membership import Belonging
-from ashlift.registry.http_server import Request
-from ashlift.registry.store_client import Store
 from ashlift.cli.members import plan
-from tests.support.mutants import mutated
-from tests.support.replica_scenarios import Play, scenes
-from ashlift.configstore.replica import Member
-from ashlift.configstore.messages import Answered, Kept, Send, State, Tick, Vote, Work
 from ashlift.configstore.membership import (
     GONE_S,
     LEARNERS,
@@ -32,9 +22,19 @@
     quorum,
     refusal,
 )
+from ashlift.configstore.messages import Answered, Kept, Send, State, Tick, Vote, Work
 from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.replica import Member
 from ashlift.configstore.replica_state import Broken
-from ashlift.errors import Fault
+from ashlift.errors import Failure
+from ashlift.registry.http_server import Request
+from ashlift.registry.store_client import Store
+from ashlift.registry.store_membership import Belonging
+from ashlift.simulation.explore import CASES, explore
+from ashlift.simulation.sworn import Wrong, decide
+from ashlift.simulation.turnover import mixed
+from tests.support.mutants import mutated
+from tests.support.replica_scenarios import Play, scenes
 
 SCENES = dict(scenes(Path(__file__).parent.parent / "scenarios" / "configstore_members.txt"))
 ABLE, SILENT, MOVED, LOST, GONE = View(0.1, True, 7), View(2.0), View(MOVE_S), View(LOST_S), View(GONE_S)
@@ -207,10 +207,10 @@
     told = plan(rows, "remove", leads)
     assert isinstance(told, list) and told[0] == f"{leads} leads, and hands the lead on first"
     assert told[-1] == "4 voters then, of whom 3 must be up"
-    assert isinstance(plan(rows, "remove", "9"), Fault) and isinstance(plan(rows, "add", "1"), list)
+    assert isinstance(plan(rows, "remove", "9"), Failure) and isinstance(plan(rows, "add", "1"), list)
     few = shown("members 3", "run 5")
     refused = plan(few, "remove", "1")
-    assert isinstance(refused, Fault) and "2 voters would be left, and 3 are needed" in refused.detail
+    assert isinstance(refused, Failure) and "2 voters would be left, and 3 are needed" in refused.detail
     assert isinstance(plan(few, "replace", "1"), list)
 
 
@@ -243,4 +243,4 @@
     refused = Asked({"status": 409, "reason": "no"})
     add = Request("POST", "/members", {}, {}, b'{"Do": "add", "Ip": "1"}')
     assert Belonging(refused).post(add).status == 409
-    assert Belonging(Asked(Fault("unanswered"))).get(get).status == 503
+    assert Belonging(Asked(Failure("unanswered"))).get(get).status == 503
--- a/tests/configstore/test_replica.py
+++ b/tests/configstore/test_replica.py
@@ -8,19 +8,14 @@
 
 from ward import each, raises, test
 
-from ashlift.simulation.members import World
-from ashlift.simulation.sworn import decide
-from ashlift.simulation.turnover import mixed
-from tests.support.replica_scenarios import Play, scenes
-from ashlift.configstore.replica import Member
 from ashlift.configstore.messages import (
     BEHIND,
     CALL_S,
     DELTA,
-    RANGES,
-    PROMOTE,
-    MUTE_S,
     LEARNER,
+    MUTE_S,
+    PROMOTE,
+    RANGES,
     UNHEARD_S,
     Answered,
     Called,
@@ -37,8 +32,13 @@
     Work,
 )
 from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.replica import Member
 from ashlift.configstore.replica_state import Broken, pack, unpack
-from ashlift.errors import LATE, Fault
+from ashlift.errors import Failure, FailureReason
+from ashlift.simulation.members import World
+from ashlift.simulation.sworn import decide
+from ashlift.simulation.turnover import mixed
+from tests.support.replica_scenarios import Play, scenes
 
 SCENES = dict(scenes(Path(__file__).parent.parent / "scenarios" / "configstore_agreement.txt"))
 
@@ -185,9 +185,9 @@
     one = member(None, None)
     request_vote = Called("r", "request_vote", [5, "2", 9, 9, False])
     append = Called("r", "append", [5, "2", 1, 3, 0, 0, 0, True])
-    assert all(isinstance(body, Fault) for body in replies(feed(one, MUTE_S - 0.01, append)))
+    assert all(isinstance(body, Failure) for body in replies(feed(one, MUTE_S - 0.01, append)))
     assert replies(feed(one, MUTE_S + 0.01, append))[0][1] == LEARNER
-    assert isinstance(replies(feed(one, MUTE_S + 0.02, request_vote))[0], Fault)
+    assert isinstance(replies(feed(one, MUTE_S + 0.02, request_vote))[0], Failure)
     feed(one, 60.0, Tick())
     assert one.attempt is None and not one.vote.voter
 
@@ -285,25 +285,27 @@
             assert lead.under_way and taken(one, 2.61, lead.round) == [{"status": 200, "index": index + 1}]
         case "held up":
             found = replies(feed(one, 2.96, Submit("a", "+z", Fence(2, known, index, 0.9))))
-            assert [fault.reason for fault in found] == [LATE] and not lead.under_way
+            assert [fault.reason for fault in found] == [FailureReason.EXPIRED] and not lead.under_way
         case "of another leader":
             found = replies(feed(one, 2.06, Submit("a", "+z", Fence(1, known, index, 0.9))))
-            assert [fault.reason for fault in found] == [LATE] and not lead.under_way
+            assert [fault.reason for fault in found] == [FailureReason.EXPIRED] and not lead.under_way
         case "of no round":
             found = replies(feed(one, 2.06, Submit("a", "+z", Fence(2, 0, index, 0.9))))
-            assert [fault.reason for fault in found] == [LATE] and not lead.under_way
+            assert [fault.reason for fault in found] == [FailureReason.EXPIRED] and not lead.under_way
         case "behind another":
             feed(one, 2.1, Submit("a", "+y", Fence(2, known, index, 0.9)))
             assert not replies(feed(one, 2.1, Submit("b", "+z", Fence(2, known, index, 0.9))))
             done, late = taken(one, 3.0, lead.round)
-            assert done["status"] == 200 and late.reason == LATE and not lead.under_way
+            assert done["status"] == 200 and late.reason == FailureReason.EXPIRED and not lead.under_way
         case "void":
             for at, order in ((2.1, "+z"), (2.15, "-z")):
                 feed(one, at, Submit("a", order, Fence(2, lead.round, lead.commit, 0.9)))
                 taken(one, at, lead.round)
             assert lead.commit == index + 2 and "Evacuations/z" not in lead.naming.entries.map
             found = replies(feed(one, 2.2, Submit("b", "+z", Fence(2, known, index, 0.9))))
-            assert [fault.reason for fault in found] == [LATE], "taken back meanwhile, and in force again"
+            assert [fault.reason for fault in found] == [FailureReason.EXPIRED], (
+                "taken back meanwhile, and in force again"
+            )
             feed(one, 2.2, Submit("c", "+z", Fence(2, known, index + 2, 0.9)))
             assert lead.under_way, "who knows of it may evacuate again"
 
@@ -316,7 +318,7 @@
         assert replies(feed(one, 5.0, Called("r", "append", body)))[0][1] == BEHIND
     good = [2, "2", 1, 4, 0, 0, 0, pack([DELTA, 1, 3, {}, [], held().entries.digest()])]
     assert not replies(one.handle(5.0, Called("r", "append", good))), "answered before the write"
-    assert isinstance(replies(one.handle(5.0, Kept(False)))[0], Fault) and one.term_index == (1, 3)
+    assert isinstance(replies(one.handle(5.0, Kept(False)))[0], Failure) and one.term_index == (1, 3)
     lost = member(None, held())
     assert not lost.vote.voter, "a member without its vote counts"
     ranges = pack([RANGES, {}, held().entries.digest()])
--- a/tests/configstore/test_snapshot_storage.py
+++ b/tests/configstore/test_snapshot_storage.py
@@ -17,16 +17,16 @@
 from ward import each, fixture, raises, test
 
 from ashlift.config.settings import Settings
-from ashlift.configstore import server as daemons
 from ashlift.configstore import events
+from ashlift.configstore import server as daemons
 from ashlift.configstore import snapshot_storage as shelves
-from ashlift.configstore.server import Disk
-from ashlift.configstore.messages import Keep, Settled, State, Vote, Work
-from ashlift.configstore.committed_state import News
 from ashlift.configstore.commands import TAKEN, TAKEN_MOST, decide
+from ashlift.configstore.committed_state import News
+from ashlift.configstore.messages import Keep, Settled, State, Vote, Work
 from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.server import Disk
 from ashlift.configstore.snapshot_storage import Shelf
-from ashlift.errors import REFUSED, Fault
+from ashlift.errors import Failure, FailureReason
 
 SYNCS = 3  # of one write: data, index, folder
 
@@ -183,7 +183,7 @@
         path.write_bytes(whole)
     for path in folder.iterdir():
         path.write_bytes(b"('x', (5, 9999999999999999999))\n'")
-    assert isinstance(Shelf(str(folder), "map").read(), Fault)
+    assert isinstance(Shelf(str(folder), "map").read(), Failure)
 
 
 @test("a disk that refuses at any sync is a fault, and the next write that works is kept")
@@ -201,7 +201,7 @@
 
         shelves._sync = refusing
         try:
-            assert isinstance(shelf.write(records(4)), Fault)
+            assert isinstance(shelf.write(records(4)), Failure)
         finally:
             shelves._sync = sync
         assert Shelf(str(folder), "map").read() in (records(3), records(4))
@@ -265,7 +265,7 @@
     with instead(dbm.dumb, open=refusing):
         shelf = Shelf(str(folder), "map")
         held = shelf.read()
-    assert isinstance(held, Fault) and held.reason == REFUSED
+    assert isinstance(held, Failure) and held.reason == FailureReason.REJECTED
     assert shelf.write(records(9)) is None and Shelf(str(folder), "map").read() == records(9)
 
 
@@ -289,10 +289,10 @@
     told: list[tuple[Any, Any]] = []
     now = [100.0]
     settings = Settings(node_name="n", ip="127.0.0.1", internal_ports=(0, 0), seeds=(("127.0.0.1", 1),))
-    for took, fault in ((0.1, None), (2.0, None), (3.0, Fault(REFUSED, "full"))):
+    for took, fault in ((0.1, None), (2.0, None), (3.0, Failure(FailureReason.REJECTED, "full"))):
 
         class Slow(Disk):
-            def keep(self, keep: Keep, took: float = took, fault: Fault | None = fault) -> Fault | None:
+            def keep(self, keep: Keep, took: float = took, fault: Failure | None = fault) -> Failure | None:
                 now[0] += took
                 return super().keep(keep) if fault is None else fault
 
--- a/tests/gatekeeper/test_lab.py
+++ b/tests/gatekeeper/test_lab.py
@@ -12,7 +12,6 @@
 from gevent import socket
 
 from ashlift.gatekeeper.cli import ashlift
-
 from ashlift.lab.checker import check
 from ashlift.lab.faults import Fault, FaultError, Schedule, State, Way, one_way, partition
 from ashlift.lab.history import HistoryError, read
--- a/tests/gatekeeper/test_operations.py
+++ b/tests/gatekeeper/test_operations.py
@@ -12,6 +12,7 @@
 
 from ashlift.gatekeeper import config as configuration
 from ashlift.gatekeeper.__main__ import Gatekeeper
+from ashlift.gatekeeper.admission.interface import Server, ServerState
 from ashlift.gatekeeper.jobs import Verdict
 from ashlift.gatekeeper.net.front.listener import adopt
 from ashlift.gatekeeper.operations.calls import Call, CallError, Kind, route
@@ -20,7 +21,6 @@
 from ashlift.gatekeeper.operations.life import Life, PhaseError
 from ashlift.gatekeeper.operations.siblings import alive
 from ashlift.gatekeeper.operations.store import HandStore
-from ashlift.gatekeeper.admission.interface import Server, ServerState
 from tests.gatekeeper.play import config, instance, listen
 from tests.gatekeeper.standins import Node
 from tests.gatekeeper.test_wirehost import FACTS
--- a/tests/gatekeeper/test_parts.py
+++ b/tests/gatekeeper/test_parts.py
@@ -16,6 +16,9 @@
 
 from ashlift.gatekeeper import config as configuration
 from ashlift.gatekeeper.__main__ import Gatekeeper
+from ashlift.gatekeeper.admission.control import Gateway
+from ashlift.gatekeeper.admission.interface import Result
+from ashlift.gatekeeper.admission.wirehost import WireError
 from ashlift.gatekeeper.clock import UnixClock
 from ashlift.gatekeeper.jobs import Answer, Job, Verdict
 from ashlift.gatekeeper.metrics import Metrics
@@ -24,14 +27,10 @@
 from ashlift.gatekeeper.net.machine_list import Machine, MachineList
 from ashlift.gatekeeper.net.nodes import Cargo, Limits, NodePool
 from ashlift.gatekeeper.owner import Owner
-from ashlift.gatekeeper.admission.control import Gateway
-from ashlift.gatekeeper.admission.interface import Result
-from ashlift.gatekeeper.admission.wirehost import WireError
 from tests.gatekeeper.play import config, instance, listen
 from tests.gatekeeper.standins import ManualClock, Node
 from tests.gatekeeper.test_wirehost import FACTS
 
-
 NOWHERE = {"d": "127.0.0.1:9", "k": "127.0.0.1:9", "n1": "127.0.0.1:9"}
 
 
--- a/tests/gatekeeper/test_ratelimit.py
+++ b/tests/gatekeeper/test_ratelimit.py
@@ -12,13 +12,13 @@
 from gevent.queue import SimpleQueue
 
 from ashlift.gatekeeper.__main__ import Gatekeeper
+from ashlift.gatekeeper.admission.interface import Counted, Result
 from ashlift.gatekeeper.clock import UnixClock
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.ratelimit.bridge import Bridge
 from ashlift.gatekeeper.ratelimit.client import GrpcCounter, ask, read_error, read_response
 from ashlift.gatekeeper.ratelimit.messages import is_negative
 from ashlift.gatekeeper.settings.model import OwnSettings, RateLimit, RateLimitClient, RateLimitServer
-from ashlift.gatekeeper.admission.interface import Counted, Result
 from tests.gatekeeper.play import config, instance
 from tests.gatekeeper.standins import GrpcCounts, ManualClock, Node, TextCounts, in_thread
 
--- a/tests/gatekeeper/test_streams.py
+++ b/tests/gatekeeper/test_streams.py
@@ -14,6 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from ashlift.gatekeeper.admission import interface as i
 from ashlift.gatekeeper.net.stream_claim import StreamReply
 from ashlift.gatekeeper.settings.model import LEAST_LEASE, Streaming
 from ashlift.gatekeeper.streams import pump
@@ -24,7 +25,6 @@
 from ashlift.gatekeeper.streams.passage import Desk
 from ashlift.gatekeeper.streams.pipe import Pipe, Pool
 from tests.gatekeeper.helpers import Driver, answers, sends
-from ashlift.gatekeeper.admission import interface as i
 from tests.gatekeeper.play import config, listen
 
 numbers = itertools.count()
--- a/tests/lab/test_system.py
+++ b/tests/lab/test_system.py
@@ -7,6 +7,9 @@
 from attrs import evolve
 from ward import test
 
+from ashlift.config import settings
+from ashlift.config.settings import Bounds
+from ashlift.errors import Failure
 from ashlift.lab.compare import lines as compare
 from ashlift.lab.results import Results
 from ashlift.lab.system import places, wire
@@ -14,13 +17,10 @@
 from ashlift.lab.system.runs import simulated
 from ashlift.lab.system.world import unfit
 from ashlift.lab.system.yard import asked
+from ashlift.registry.records import read_beat
 from ashlift.simulation.rules import WORDS, verdicts
 from ashlift.simulation.scene import Play, read, read_file
 from ashlift.simulation.world import ZONES, Plan
-from ashlift.config import settings
-from ashlift.config.settings import Bounds
-from ashlift.registry.records import read_beat
-from ashlift.errors import Fault
 
 DEMO = Path(__file__).parents[2] / "scenarios" / "system-demo.txt"
 BOUNDS = Bounds(revocation_strict=True, drain=2.5)
@@ -67,7 +67,7 @@
     verb, target, body, _ = wire.spoken("beat", ("fleet-1", told))
     beat = read_beat(json.dumps(body).encode(), 10.0)
     assert (verb, target) == ("PUT", "/instances/fleet-1")
-    assert not isinstance(beat, Fault) and beat.until == 11.25 and beat.seq == 3 and beat.capacity == 4
+    assert not isinstance(beat, Failure) and beat.until == 11.25 and beat.seq == 3 and beat.capacity == 4
     order = {"kind": "put", "if_match": "00000001", "body": {"ConfigVersion": "00000002"}}
     assert wire.spoken("order", order) == ("PUT", "/config", order["body"], {"If_Match": "00000001"})
     zone = {"kind": "restore", "if_match": None, "body": "z1"}
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -14,11 +14,11 @@
 from ward import each, test
 
 from ashlift.proxy import server as front
-from ashlift.proxy.responses import WorkerReply
+from ashlift.proxy.idle_connections import Rests
 from ashlift.proxy.request_reader import RequestReader
 from ashlift.proxy.request_router import Gate
+from ashlift.proxy.responses import WorkerReply
 from ashlift.proxy.upstream import Links
-from ashlift.proxy.idle_connections import Rests
 from tests.support.between import AGAIN, HOST, Between
 from tests.support.gatekeeper import (
     BODY,
--- a/tests/proxy/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -5,8 +5,8 @@
 from ward import each, test
 
 from ashlift.config.routing_table import Route
-from ashlift.proxy.load_balancer import Crew
 from ashlift.proxy.cluster_view import Worker
+from ashlift.proxy.load_balancer import Crew
 from ashlift.registry.records import Worker as Told
 from ashlift.registry.registry import Registry, Self
 
--- a/tests/proxy/test_registry_client.py
+++ b/tests/proxy/test_registry_client.py
@@ -5,14 +5,14 @@
 
 from ward import raises, test
 
-from ashlift.rpc.sources import OPERATOR_SOURCE
 from ashlift.config.settings import Settings, parse
-from ashlift.proxy.request_router import Gate
+from ashlift.errors import Failure, FailureReason
 from ashlift.proxy.registry_client import AVOID_S, Pulling
+from ashlift.proxy.request_router import Gate
 from ashlift.registry.registry import Registry, Self
-from ashlift.rpc.transport import ANSWERS, DIAL_S, MORE_S, Patience, pack
-from ashlift.errors import UNANSWERED, UNREACHED, Fault
 from ashlift.rpc.fragmentation import opened
+from ashlift.rpc.sources import OPERATOR_SOURCE
+from ashlift.rpc.transport import ANSWERS, DIAL_S, MORE_S, Patience, pack
 
 NEAR, NEXT, FAR = "10.1.0.1", "10.2.0.1", "10.3.0.1"
 TEXT = f"""NodeName = "edge-1"
@@ -35,7 +35,7 @@
     return {"sources": {}, "alive": [], "age": 0.1, "held": 0.0, "controls": [*controls], "members": 1}
 
 
-def _play(pulling: Pulling, now: float, answer: dict[str, Any] | Fault) -> str:
+def _play(pulling: Pulling, now: float, answer: dict[str, Any] | Failure) -> str:
     pull = pulling.begin(now)
     assert pull is not None
     pulling.ended(pull, now, answer)
@@ -48,7 +48,7 @@
         pulling, near = _pulling(seed), _answer(NEAR, NEXT, FAR)
         _play(pulling, 0.0, near)
         assert _play(pulling, 0.1, near) == NEAR
-        assert _play(pulling, 0.2, Fault(UNANSWERED)) == NEAR
+        assert _play(pulling, 0.2, Failure(FailureReason.OUTCOME_UNKNOWN)) == NEAR
         assert _play(pulling, 0.3, near) == NEXT
         lost = _answer(NEXT, FAR, NEAR)  # the others do not hear it either
         assert _play(pulling, 0.4, lost) == NEXT
@@ -72,7 +72,7 @@
     for step in range(5):
         pull = pulling.begin(0.4 * step)
         assert pull is not None
-        pulling.ended(pull, 0.4 * step, Fault(UNREACHED))
+        pulling.ended(pull, 0.4 * step, Failure(FailureReason.UNREACHABLE))
         seen.add(pull.ip)
         dials.append(pull.dial)
     assert seen == {NEAR, NEXT, FAR} and dials[0] < 0.2 and dials[2:] == [DIAL_S] * 3
--- a/tests/registry/test_command_answers.py
+++ b/tests/registry/test_command_answers.py
@@ -9,13 +9,13 @@
 from gevent import socket
 from ward import each, test
 
+from ashlift.errors import Failure, FailureReason
 from ashlift.registry.http_server import Door
 from ashlift.registry.resources import Config
 from ashlift.registry.store_client import Store
+from ashlift.rpc.transport import Callers, serve
 from tests.support.between import BACK, HOST, KINDS, THERE, Between
 from tests.support.gatekeeper import ENOUGH_S, TOO_LONG
-from ashlift.rpc.transport import Callers, serve
-from ashlift.errors import UNREADY, Fault
 
 STEP = 11  # bytes between two tries of a trouble: test_frames tries each
 MOST = 150  # and some more than a call and its answer have
@@ -31,7 +31,7 @@
         self._turn = itertools.count()
 
     def _unready(self, body: Any) -> Any:
-        return Fault(UNREADY, "leads not")
+        return Failure(FailureReason.UNAVAILABLE, "leads not")
 
     def _submit(self, body: Any) -> Any:
         word = body["body"]["word"]
