--- a/tests/registry/test_parts.py
+++ b/tests/registry/test_parts.py
@@ -9,19 +9,19 @@
 from ward import each, test
 
 from ashlift.config.settings import Settings
+from ashlift.configstore.committed_state import News
+from ashlift.configstore.messages import State
+from ashlift.configstore.ranged_map import RangedMap
+from ashlift.errors import Failure, FailureReason
+from ashlift.registry.endpoint_directory import LOOKS_MOST
 from ashlift.registry.http_server import Answer, Door, Request, _Reading
 from ashlift.registry.records import Worker, read_beat
-from ashlift.registry.endpoint_directory import LOOKS_MOST
-from ashlift.registry.server import CALLERS_FEW, GATHER_S, PEERS_FEW, WAIT_S, spread
 from ashlift.registry.registry import Registry, Self
-from ashlift.registry.resources import Config, Evacuation, Instances
 from ashlift.registry.replicated_source import TOMBS, Source
+from ashlift.registry.resources import Config, Evacuation, Instances
+from ashlift.registry.server import CALLERS_FEW, GATHER_S, PEERS_FEW, WAIT_S, spread
 from ashlift.registry.store_client import Store
-from ashlift.configstore.messages import State
-from ashlift.configstore.committed_state import News
-from ashlift.configstore.ranged_map import RangedMap
 from ashlift.rpc.transport import Callers
-from ashlift.errors import INVALID, UNANSWERED, UNREACHED, UNREADY, Fault
 
 
 def take(asker: tuple[int, dict[str, Any]], source: Source) -> tuple[int, dict[str, Any]]:
@@ -136,7 +136,7 @@
 ) -> None:
     found = read_beat(BEAT.decode().replace(old, new, 1).encode() if old else BEAT, 10.0)
     if wrong:
-        assert isinstance(found, Fault) and wrong in found.detail, found
+        assert isinstance(found, Failure) and wrong in found.detail, found
     else:
         assert found == Worker("s", "10.128.0.9:8080", "z", 2, "ready", 4, 11.5, "v1")
 
@@ -217,16 +217,21 @@
 
 @test("an order is answered as a store says, once one does")
 def _() -> None:
-    done, away = {"status": 200, "index": 9}, Fault(UNREACHED)
+    done, away = {"status": 200, "index": 9}, Failure(FailureReason.UNREACHABLE)
     for own, other, status, asked in (
         (done, done, 200, ["own"]),
         (away, done, 200, ["own", "other"]),
-        (Fault(UNREADY), {"status": 412, "reason": "stale"}, 412, ["own", "other"]),
+        (Failure(FailureReason.UNAVAILABLE), {"status": 412, "reason": "stale"}, 412, ["own", "other"]),
         # It may have been done: it is asked for again, unchanged, as the operator would.
-        (Fault(UNANSWERED), done, 200, ["own", "other"]),
-        (Fault(UNANSWERED), Fault(UNANSWERED), 503, ["own", "other"]),
-        (Fault(UNANSWERED), {"status": 412, "reason": "stale"}, 412, ["own", "other"]),
-        (Fault(INVALID), done, 413, ["own"]),  # too large for a frame
+        (Failure(FailureReason.OUTCOME_UNKNOWN), done, 200, ["own", "other"]),
+        (
+            Failure(FailureReason.OUTCOME_UNKNOWN),
+            Failure(FailureReason.OUTCOME_UNKNOWN),
+            503,
+            ["own", "other"],
+        ),
+        (Failure(FailureReason.OUTCOME_UNKNOWN), {"status": 412, "reason": "stale"}, 412, ["own", "other"]),
+        (Failure(FailureReason.INVALID), done, 413, ["own"]),  # too large for a frame
         (away, away, 503, ["own", "other"]),
     ):
         way, stores = store(own=own, other=other)
@@ -242,9 +247,13 @@
 
 @test("an order goes to other stores first while the own one takes calls and says nothing")
 def _() -> None:
-    way, stores = store(own=Fault(UNANSWERED), other={"status": 200, "index": 9})
+    way, stores = store(own=Failure(FailureReason.OUTCOME_UNKNOWN), other={"status": 200, "index": 9})
     way._watchers = stores
-    for silent, asked in ((Fault(UNANSWERED), ["other"]), (Fault(UNREACHED), ["own"]), ({}, ["own"])):
+    for silent, asked in (
+        (Failure(FailureReason.OUTCOME_UNKNOWN), ["other"]),
+        (Failure(FailureReason.UNREACHABLE), ["own"]),
+        ({}, ["own"]),
+    ):
         stores.answers["own"] = silent
         way.watch(0, 0.1, True)
         way.watch(0, 0.1, False)
@@ -268,7 +277,7 @@
     request: Request = each(*(one for one, _ in NO_ORDERS)),  # noqa: B008
     status: int = each(*(one for _, one in NO_ORDERS)),
 ) -> None:
-    way, stores = store(own=Fault(UNREACHED))
+    way, stores = store(own=Failure(FailureReason.UNREACHABLE))
     settings = Settings(node_name="n", ip="own", internal_ports=(1, 2), seeds=(), zones={"za": "ra"})
     resource = Config(way) if request.path == "/config" else Evacuation(way, lambda: settings)
     assert resource.take(request).status == status and not stores.asked
--- a/tests/registry/test_routes.py
+++ b/tests/registry/test_routes.py
@@ -12,17 +12,17 @@
 from cleo.testers.application_tester import ApplicationTester
 from ward import fixture, test
 
-from ashlift.registry.http_server import Request
-from ashlift.registry.registry import Registry, Self
-from ashlift.registry.route_resources import Desk, Proposals, Routes
 from ashlift.cli import sources
 from ashlift.cli.commands import application
-from tests.route_reconciliation.test_merging import BASE, FIRST, Map, route
-from ashlift.configstore.pending_edits import NAME, Drafts
-from ashlift.configstore.messages import Work
 from ashlift.configstore.commands import decide
+from ashlift.configstore.messages import Work
+from ashlift.configstore.pending_edits import NAME, Drafts
 from ashlift.configstore.snapshot_storage import Shelf
-from ashlift.errors import UNANSWERED, UNREADY, Fault
+from ashlift.errors import Failure, FailureReason
+from ashlift.registry.http_server import Request
+from ashlift.registry.registry import Registry, Self
+from ashlift.registry.route_resources import Desk, Proposals, Routes
+from tests.route_reconciliation.test_merging import BASE, FIRST, Map, route
 
 ORDER = route("c", "/hold/", "non_idempotent")
 
@@ -32,7 +32,7 @@
 
     def __init__(self, folder: str) -> None:
         self.map, self.index, self.folder = dict(BASE), 1, folder
-        self.fault: Fault | None = None
+        self.fault: Failure | None = None
         me = Self("core-1", "1", "10.0.0.1", "z", "r", 8200, 1.5)
         self.registry = Registry(me, ["10.0.0.1"], {"z": "r"}, 0.0)
         self.registry.word.replace(1, self.map)
@@ -104,7 +104,7 @@
 
 @test("cut off: a proposal is kept on every shelf in reach, never in force, and confirmed after the rejoin")
 def _(core: Core = core) -> None:
-    core.fault = Fault(UNREADY, "no leader")
+    core.fault = Failure(FailureReason.UNAVAILABLE, "no leader")
     code, told = core.edit("hold", ORDER, "p1")
     assert code == 3 and "NOT in force" in told and "10.0.0.1, 10.0.0.2" in told and "confirm" in told
     code, told = core.run("confirm c:1 p1 --on 00000001 --who bob")
@@ -130,7 +130,7 @@
 
 @test("an edit in doubt that came into force is not done again; a conflict waits until it is rejected")
 def _(core: Core = core) -> None:
-    core.fault = Fault(UNANSWERED, "lost the lead")
+    core.fault = Failure(FailureReason.OUTCOME_UNKNOWN, "lost the lead")
     code, told = core.edit("hold", ORDER, "d1")
     assert code == 3 and "in doubt" in told
     core.fault = None
@@ -138,7 +138,7 @@
     core.submit("edit", None, {"edit": kept.wire()})
     assert core.run("confirm c:1 d1 --on 00000001") == (0, "in force 00000002\n")
     assert core.map["Version"] == "00000002"
-    core.fault = Fault(UNREADY, "no leader")
+    core.fault = Failure(FailureReason.UNAVAILABLE, "no leader")
     assert core.edit("hold", FIRST["hold"], "c1")[0] == 3
     core.fault = None
     assert core.edit("hold", route("a", "/hold/", "non_idempotent"), "m1")[0] == 0
@@ -150,7 +150,7 @@
 
 @test("look-ups' edits of a cut-off side merge by themselves, and what each lost to is told")
 def _(core: Core = core) -> None:
-    core.fault = Fault(UNREADY, "no leader")
+    core.fault = Failure(FailureReason.UNAVAILABLE, "no leader")
     assert "merges by itself" in core.edit("x", route("b"), "x1")[1]
     (kept,) = core.shelves["10.0.0.1"].waiting.book.values()
     ahead = {"x1": attrs.evolve(kept, stamp=kept.stamp._replace(ms=kept.stamp.ms + 9000))}
@@ -169,14 +169,14 @@
 
 @test("a shelf that is full refuses, and what is no edit is no call")
 def _(core: Core = core) -> None:
-    core.fault = Fault(UNREADY, "no leader")
+    core.fault = Failure(FailureReason.UNAVAILABLE, "no leader")
     with patch("ashlift.configstore.pending_edits.MOST", 1):
         assert core.edit("hold", ORDER, "p1")[0] == 3
         code, told = core.edit("hold", ORDER, "p2")
         assert code == 2 and "no store has kept it" in told
     bodies: list[Any] = [None, {}, {"add": 3}, {"add": [{}]}]
     for body in bodies:
-        assert isinstance(core.shelves["10.0.0.1"].call(body), Fault)
+        assert isinstance(core.shelves["10.0.0.1"].call(body), Failure)
     assert core.run("edit c:1 x")[0] == 2 and core.run("confirm c:1 none --on 00000001")[0] == 2
     assert core.resources["proposals"].take(Request("POST", "/proposals/p1", {}, {}, b"[]")).status == 400
     assert core.resources["routes"].take(Request("POST", "/routes/x", {}, {}, b"{}")).status == 400
--- a/tests/registry/test_scenarios.py
+++ b/tests/registry/test_scenarios.py
@@ -22,11 +22,11 @@
 
 from ward import each, test
 
-from ashlift.rpc.sources import OPERATOR_SOURCE
+from ashlift.errors import Failure
 from ashlift.proxy.cluster_view import Ledger
 from ashlift.registry.records import GONE, Worker
 from ashlift.registry.registry import Registry, Self
-from ashlift.errors import Fault
+from ashlift.rpc.sources import OPERATOR_SOURCE
 
 SCENES = sorted((Path(__file__).parent.parent / "scenarios").glob("registry_*.txt"))
 STEP = 0.01
@@ -125,7 +125,7 @@
         for ip in mine.peers(self.now):
             if ip in awake and frozenset((name, ip)) not in self.cuts:
                 asked = self.all[ip].asked(mine.ask(ip, True, self.now), self.now)
-                assert not isinstance(asked, Fault)
+                assert not isinstance(asked, Failure)
                 told = self.all[ip].told(*asked, self.now)
                 assert mine.heard(ip, told, self.now, self.now) is None
 
@@ -156,7 +156,7 @@
 
     def _check_lookup(self, at: str, zone: str, region: str, *fronts: str) -> None:
         found = self.all[at].lookup(zone, region, self.now)
-        assert (["unready"] if isinstance(found, Fault) else sorted(found)) == sorted(fronts), str(found)
+        assert (["unready"] if isinstance(found, Failure) else sorted(found)) == sorted(fronts), str(found)
 
     def _check_answers(self, at: str, edge: str, wanted: str) -> None:
         told = self.all[at].word.since(self.edges[edge].ledger.have().get(OPERATOR_SOURCE))
--- a/tests/registry/test_soft_state.py
+++ b/tests/registry/test_soft_state.py
@@ -7,11 +7,11 @@
 from attrs import define
 from ward import each, test
 
+from ashlift.proxy.cluster_view import HELD_MOST_S, VOUCH_S, Ledger
+from ashlift.proxy.registry_client import STALE_S
 from ashlift.simulation.scene import Play, read
 from ashlift.traffic.rate_limiter import Limiter
 from ashlift.traffic.unreported_usage import Behind
-from ashlift.proxy.cluster_view import HELD_MOST_S, VOUCH_S, Ledger
-from ashlift.proxy.registry_client import STALE_S
 from tests.support.rate_limiter_play import Bounds
 
 CORE = ("core-1", "core-2", "core-3")
--- a/tests/route_reconciliation/test_merging.py
+++ b/tests/route_reconciliation/test_merging.py
@@ -10,8 +10,8 @@
 
 from ashlift.config import operator_config as configuration
 from ashlift.route_reconciliation import merging as settling
-from ashlift.route_reconciliation.hybrid_clock import AHEAD_MS, NEVER, SLACK_MS, Clock, Stamp
 from ashlift.route_reconciliation.edits import Edit, join, read_edit, why_not
+from ashlift.route_reconciliation.hybrid_clock import AHEAD_MS, NEVER, SLACK_MS, Clock, Stamp
 
 Map = dict[str, Any]
 quick = settings(max_examples=80, deadline=None, derandomize=True, database=None)
--- a/tests/rpc/test_fragmentation.py
+++ b/tests/rpc/test_fragmentation.py
@@ -6,19 +6,19 @@
 import cbor2
 from ward import each, raises, test
 
-from ashlift.rpc.sources import OPERATOR_SOURCE
 from ashlift.config.settings import Settings, parse
+from ashlift.configstore.committed_state import News
+from ashlift.configstore.messages import State
+from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.server import watched
+from ashlift.errors import Failure, FailureReason
 from ashlift.proxy.__main__ import Program
-from ashlift.proxy.request_router import Gate
 from ashlift.proxy.registry_client import ANSWER_S, MOST_S, STALE_S, WAIT_S, Pulling
+from ashlift.proxy.request_router import Gate
 from ashlift.registry.registry import Registry, Self
-from tests.proxy.test_registry_client import TEXT
-from ashlift.configstore.server import watched
-from ashlift.configstore.messages import State
-from ashlift.configstore.committed_state import News
-from ashlift.configstore.ranged_map import RangedMap
-from ashlift.errors import UNANSWERED, Fault
 from ashlift.rpc.fragmentation import KEPT_MOST, PIECE, Cutter, Joiner
+from ashlift.rpc.sources import OPERATOR_SOURCE
+from tests.proxy.test_registry_client import TEXT
 
 LINE = 2e6 / 8  # bytes a second of a gatekeeper's line
 TRIP_S = 0.04
@@ -79,7 +79,7 @@
         took = 2 * TRIP_S + len(cbor2.dumps(answer)) / LINE
         self.longest = max(self.longest, took)
         if took > MOST_S:
-            took, answer = MOST_S, Fault(UNANSWERED)
+            took, answer = MOST_S, Failure(FailureReason.OUTCOME_UNKNOWN)
         one.ended(call, at + took, answer)
         ledger = one._gate.ledger
         if ledger.index != self.index and ledger.age(at + took) < 0.05:
--- a/tests/rpc/test_transport.py
+++ b/tests/rpc/test_transport.py
@@ -14,11 +14,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule, run_state_machine_as_test
 from ward import each, raises, test
 
-from tests.support.between import BACK, CUT, DOUBLE, HALVE, HOLD, HOST, KINDS, RESET, THERE, Between
-from tests.support.planted import found, planted
+from ashlift.errors import Failure, FailureReason
 from ashlift.rpc import transport
 from ashlift.rpc.transport import ANSWERS, CALLS, FRAME_MOST, Caller, Frames, pack, serve
-from ashlift.errors import INVALID, REFUSED, UNANSWERED, UNKNOWN, UNREACHED, Fault
+from tests.support.between import BACK, CUT, DOUBLE, HALVE, HOLD, HOST, KINDS, RESET, THERE, Between
+from tests.support.planted import found, planted
 
 BYTES = 36  # of a small call, and more than its answer has
 QUICK_S = 0.03  # a call that nobody answers
@@ -68,7 +68,7 @@
         return [body[0], body[1]]
 
     def _refuse(self, body: Any) -> Any:
-        return Fault(REFUSED, str(body[0]))
+        return Failure(FailureReason.REJECTED, str(body[0]))
 
 
 class History:
@@ -91,14 +91,18 @@
         for method, token, extra, answer in self.calls:
             runs = self.peer.ran[token]
             assert runs <= 1, f"{method} {token} ran {runs} times"
-            if not isinstance(answer, Fault):
+            if not isinstance(answer, Failure):
                 assert method != "refuse" and answer == [token, extra], f"{method} {token}: {answer!r:.200}"
                 assert runs == 1, f"{method} {token} was answered and has not run"
-            elif answer.reason == REFUSED:
+            elif answer.reason == FailureReason.REJECTED:
                 assert (method, answer.detail) == ("refuse", str(token)), f"{method} {token}: {answer}"
             else:
-                assert answer.reason in (UNANSWERED, UNREACHED), f"{method} {token}: {answer}"
-                assert not runs or answer.reason == UNANSWERED, f"{method} {token}: ran, and told as not sent"
+                assert answer.reason in (FailureReason.OUTCOME_UNKNOWN, FailureReason.UNREACHABLE), (
+                    f"{method} {token}: {answer}"
+                )
+                assert not runs or answer.reason == FailureReason.OUTCOME_UNKNOWN, (
+                    f"{method} {token}: ran, and told as not sent"
+                )
 
 
 class Calls(RuleBasedStateMachine):
@@ -153,11 +157,11 @@
         self.peer.gate.set()
         self.between.release()
         answers = [self.history.call("echo", 10, QUICK_S) for _ in range(2)]
-        if all(isinstance(one, Fault) for one in answers):  # what was held may still have been on its way
+        if all(isinstance(one, Failure) for one in answers):  # what was held may still have been on its way
             self.caller.close()
             answers.append(self.history.call("echo", 10, ENOUGH_S))
         self.history.check()
-        assert not all(isinstance(one, Fault) for one in answers), f"all is well, and calls fail: {answers}"
+        assert not all(isinstance(one, Failure) for one in answers), f"all is well, and calls fail: {answers}"
         self.caller.close()
         self.between.close()
         self.peer.close()
@@ -189,11 +193,11 @@
     history.caller.close()
     answers.append(history.call("echo", 8, ENOUGH_S))
     history.check()
-    assert not isinstance(answers[-1], Fault), f"{kind} {way} at {at}: {answers}"
+    assert not isinstance(answers[-1], Failure), f"{kind} {way} at {at}: {answers}"
     history.caller.close()
     between.close()
     peer.close()
-    return sum(not isinstance(one, Fault) for one in answers)
+    return sum(not isinstance(one, Failure) for one in answers)
 
 
 @test("frames: a connection {kind} at every byte of two calls and answers, {way}")
@@ -236,7 +240,7 @@
     deaf = Deaf()
     caller = Caller(deaf.address)
     first = caller.call("echo", [0, b"a" * (12 << 20 >> 1)], QUICK_S)
-    assert isinstance(first, Fault) and first.reason == UNANSWERED
+    assert isinstance(first, Failure) and first.reason == FailureReason.OUTCOME_UNKNOWN
     deaf.reads.set()
     for token in range(1, 12):
         caller.call("echo", [token, bytes([token]) * 1_400_000], 0.3 if token < 4 else 0.01)
@@ -367,7 +371,7 @@
     caller = Caller(listening(server))
     calls = [gevent.spawn(caller.call, "echo", number, ENOUGH_S, 0.0, ENOUGH_S) for number in range(2)]
     gevent.joinall(calls, timeout=ENOUGH_S)
-    assert [call.get().reason for call in calls] == [UNANSWERED] * 2
+    assert [call.get().reason for call in calls] == [FailureReason.OUTCOME_UNKNOWN] * 2
     server.stop(0.1)
 
 
@@ -381,9 +385,9 @@
     line = caller._line
     for method, body in (("echo", b"x" * (most + 1)), ("large", FRAME_MOST)):
         fault = caller.call(method, body, ENOUGH_S)
-        assert isinstance(fault, Fault) and fault.reason == INVALID, fault
+        assert isinstance(fault, Failure) and fault.reason == FailureReason.INVALID, fault
     assert caller.call("echo", 1, ENOUGH_S) == 1 and caller._line is line
-    assert caller.call("nothing", 1, ENOUGH_S).reason == UNKNOWN
+    assert caller.call("nothing", 1, ENOUGH_S).reason == FailureReason.NOT_FOUND
     caller.close()
     server.close()
 
@@ -395,7 +399,7 @@
     first = gevent.spawn(caller.call, "echo", b"a" * (6 << 20), ENOUGH_S)
     gevent.idle()
     second = caller.call("echo", 2, QUICK_S)
-    assert isinstance(second, Fault) and second.reason == UNREACHED
+    assert isinstance(second, Failure) and second.reason == FailureReason.UNREACHABLE
     first.kill()
     caller.close()
     deaf.reads.set()
@@ -443,8 +447,8 @@
     "a number may come again": (serve, "if number > newest", "if True", doubled),
     "sent is told as not sent": (
         Caller.call,
-        "UNANSWERED if line else UNREACHED, f",
-        "UNREACHED, f",
+        "FailureReason.OUTCOME_UNKNOWN if line else FailureReason.UNREACHABLE,\n",
+        "FailureReason.UNREACHABLE,\n",
         play_once,
     ),
     "any answer is anybody's": (
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -6,12 +6,12 @@
 
 from ward import each, test
 
+from ashlift.config.settings import Bounds
 from ashlift.simulation.checks import Judge
 from ashlift.simulation.history import Arrival, History, Order, Reading, Request, Stray, WorkerLife
 from ashlift.simulation.people import change, edited, patched
 from ashlift.simulation.rules import WORDS, explained, judge, verdicts
 from ashlift.simulation.world import ZONES, Plan, first_configuration
-from ashlift.config.settings import Bounds
 
 BOUNDS = Bounds(revocation_strict=True)
 
--- a/tests/support/config_play.py
+++ b/tests/support/config_play.py
@@ -17,7 +17,7 @@
 
 from ashlift.config.operator_config import Change, apply, whole
 from ashlift.config.routing_table import Table
-from ashlift.errors import Fault
+from ashlift.errors import Failure
 
 SCENES = Path(__file__).parent.parent / "scenarios"
 Json = dict[str, Any]
@@ -29,11 +29,11 @@
         self.entries: Json = dict(FOREIGN)
         self.table = Table.build(self.entries)
 
-    def call(self, kind: str, if_match: str, body: Any) -> Change | Fault:
+    def call(self, kind: str, if_match: str, body: Any) -> Change | Failure:
         given = json.dumps([self.entries, body])
         got = apply(self.entries, kind, if_match, body)
         assert json.dumps([self.entries, body]) == given, "what was given was changed"
-        if isinstance(got, Fault):
+        if isinstance(got, Failure):
             assert got.reason in ("stale", "invalid") and got.detail and "\n" not in got.detail, got
             return got
         assert not got.set.keys() & set(got.gone) and not (got.set.keys() | set(got.gone)) & FOREIGN.keys()
@@ -78,11 +78,11 @@
     return checked
 
 
-def _holds(now: Play, got: Change | Fault | None, word: str, told: str) -> bool:
+def _holds(now: Play, got: Change | Failure | None, word: str, told: str) -> bool:
     if word == "taken":
         return isinstance(got, Change)
     if word in ("stale", "invalid"):
-        return isinstance(got, Fault) and got.reason == word and told in got.detail
+        return isinstance(got, Failure) and got.reason == word and told in got.detail
     if word == "objects":
         shown = whole(now.entries)["Objects"]
         return [one["Metadata"].get("Name", one["ObjectType"]) for one in shown] == told.split()
--- a/tests/support/gatekeeper.py
+++ b/tests/support/gatekeeper.py
@@ -18,15 +18,15 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from ashlift.rpc.sources import OPERATOR_SOURCE
-from ashlift.config.settings import Settings, parse
 from ashlift.config.routing_table import Limits
-from ashlift.proxy.request_reader import Asked, RequestReader
+from ashlift.config.settings import Settings, parse
 from ashlift.proxy.request_handler import Desk
-from ashlift.proxy.server import Front
+from ashlift.proxy.request_reader import Asked, RequestReader
 from ashlift.proxy.request_router import Gate
-from tests.support.between import AGAIN, BACK, CUT, HALVE, HOLD, HOST, LINGER, RESET, THERE, Between
+from ashlift.proxy.server import Front
+from ashlift.rpc.sources import OPERATOR_SOURCE
 from ashlift.rpc.transport import Address
+from tests.support.between import AGAIN, BACK, CUT, HALVE, HOLD, HOST, LINGER, RESET, THERE, Between
 
 LARGE = 12 << 20  # bytes: more than the kernel takes for somebody who does not read
 ENOUGH_S = 5.0  # for what is answered, on a busy machine: never waited for
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -11,14 +11,14 @@
 from contextlib import contextmanager
 from typing import Any
 
-from ashlift.simulation import board
-from ashlift.simulation.explore import CASES, explore
 from ashlift.config import operator_config as configuration
-from ashlift.registry.http_requests import Asking
 from ashlift.configstore import commands as orders
-from ashlift.configstore.replica import Member
-from ashlift.configstore.leader import Lead
 from ashlift.configstore.catch_up import Mending
+from ashlift.configstore.leader import Lead
+from ashlift.configstore.replica import Member
+from ashlift.registry.http_requests import Asking
+from ashlift.simulation import board
+from ashlift.simulation.explore import CASES, explore
 
 # name: where, what stands there, what stands there instead
 MUTANTS: dict[str, tuple[Any, str, str, str]] = {
@@ -38,7 +38,7 @@
     "a vote said though the disk refused": (
         Member,
         "_request_vote",
-        'if ok else Fault(REFUSED, "disk")',
+        'if ok else Failure(FailureReason.REJECTED, "disk")',
         "",
     ),
     "a yes though the disk refused": (Member, "_append", "if not ok:", "if False:"),
@@ -103,7 +103,12 @@
         "",
     ),
     "a proposal before the term's first is committed": (Lead, "_advance", "and self.commit and", "and"),
-    "in doubt told as not begun": (Lead, "end", "Fault(UNANSWERED,", "Fault(UNREADY,"),
+    "in doubt told as not begun": (
+        Lead,
+        "end",
+        "FailureReason.OUTCOME_UNKNOWN,",
+        "FailureReason.UNAVAILABLE,",
+    ),
     "a quorum of the old members": (
         Lead,
         "_count",
--- a/tests/support/replica_scenarios.py
+++ b/tests/support/replica_scenarios.py
@@ -5,7 +5,7 @@
     members 5                     started for the first time; three of them are the seeds
     run 3                         simulated time goes on, s
     put a -> 200                  at the leader, on top of all that is known; `on N` another base, `at N` a
-                                  member; 412, doubt (a Fault: unanswered), unready (a Fault: not begun), none
+                                  member; 412, doubt (no response), unready (not begun), none
     read -> a b                   at the leader, or `at N`; the history, or `none`, or `unready`
     kill WHO, wipe WHO, start WHO, freeze WHO, thaw WHO, leave WHO, break WHO (the disk refuses)
     cut A B, oneway A B, join     links: none both ways, none from A to B, all
@@ -23,9 +23,9 @@
 from pathlib import Path
 from typing import Any
 
-from ashlift.simulation.members import Op, World
 from ashlift.configstore.membership import MEMBERS, named
-from ashlift.errors import Fault
+from ashlift.errors import Failure
+from ashlift.simulation.members import Op, World
 
 ANSWER_S = 1.0
 
@@ -45,7 +45,7 @@
     match answer:
         case None:
             return "none"
-        case Fault(reason=reason):
+        case Failure(reason=reason):
             return {"unanswered": "doubt"}.get(reason, reason)
         case list():
             return " ".join(answer)
--- a/tests/support/request_router_scenarios.py
+++ b/tests/support/request_router_scenarios.py
@@ -17,11 +17,11 @@
 from pathlib import Path
 from typing import Any
 
-from ashlift.rpc.sources import OPERATOR_SOURCE
 from ashlift.config.settings import Settings, parse
-from ashlift.proxy.responses import WorkerReply
 from ashlift.proxy.request_router import Gate, Live, Turn
+from ashlift.proxy.responses import WorkerReply
 from ashlift.proxy.upstream import Ended, Outcome
+from ashlift.rpc.sources import OPERATOR_SOURCE
 
 SETTINGS = """
 NodeName = "edge-1"
--- a/tests/traffic/test_outlier_detection.py
+++ b/tests/traffic/test_outlier_detection.py
@@ -5,12 +5,12 @@
 
 from ward import each, test
 
-from ashlift.traffic.outlier_detection import Jury
 from ashlift.config.routing_table import Route
-from ashlift.proxy.load_balancer import Crew
 from ashlift.proxy.cluster_view import Worker
-from ashlift.registry.replicated_source import Source
+from ashlift.proxy.load_balancer import Crew
 from ashlift.registry.load_reports import Said, Tallies
+from ashlift.registry.replicated_source import Source
+from ashlift.traffic.outlier_detection import Jury
 
 HOLD = Route(
     name="hold",
--- a/tests/traffic/test_rate_limiter.py
+++ b/tests/traffic/test_rate_limiter.py
@@ -5,8 +5,8 @@
 
 from ward import each, test
 
-from ashlift.traffic.rate_limiter import Limiter
 from ashlift.proxy.cluster_view import Change
+from ashlift.traffic.rate_limiter import Limiter
 from tests.support import request_router_scenarios as gate_scenes
 from tests.support.rate_limiter_play import SCENES, Bounds, Play, read
 
