--- a/ashlift/gatekeeper/cli.py
+++ b/ashlift/gatekeeper/cli.py
@@ -259,14 +259,22 @@
 @lab_group.command("system")
 @click.argument("scene", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.option("--seed", type=int, default=None, help="The scene's own, if not said.")
+@click.option(
+    "--until",
+    type=click.FloatRange(min=1),
+    default=None,
+    help="End after so many seconds of the scene; later events are left out.",
+)
 @click.option("--results", type=FILE, default=Path("lab-results.sqlite"), show_default=True)
 @click.option("--report", type=FILE, default=None, help="Write the run's HTML report here.")
 @click.option("--keep", is_flag=True, help="Leave the folder of settings, disks and logs.")
-def lab_system(scene: Path, seed: int | None, results: Path, report: Path | None, keep: bool) -> None:
+def lab_system(
+    scene: Path, seed: int | None, until: float | None, results: Path, report: Path | None, keep: bool
+) -> None:
     """Play a SCENE of the whole system (ashlift/simulation/scene.py) as real processes on loopback."""
     from ashlift.lab.system import cli  # the system's libraries are loaded by the lab alone
 
-    sys.exit(cli.system(scene, seed, results, report, keep))
+    sys.exit(cli.system(scene, seed, until, results, report, keep))
 
 
 @lab_group.command("sim")
--- a/ashlift/lab/system/cli.py
+++ b/ashlift/lab/system/cli.py
@@ -6,6 +6,7 @@
 
 import click
 
+from ashlift.lab.checker import Verdict
 from ashlift.lab.report import page
 from ashlift.lab.results import Results
 from ashlift.lab.run import commit
@@ -24,9 +25,20 @@
         raise click.ClickException(f"{path}: {error}") from None
 
 
-def system(scene: Path, seed: int | None, results: Path, report: Path | None, keep: bool) -> int:
-    """The exit status."""
+def summary(verdicts: list[Verdict]) -> str:
+    """One line for the end of a run: how many verdicts held, and the names of those that did not."""
+    broken = [verdict.name for verdict in verdicts if not verdict.ok]
+    held = f"held: {len(verdicts) - len(broken)} of {len(verdicts)} verdicts"
+    return f"{held}; broken: {', '.join(broken)}" if broken else held
+
+
+def system(
+    scene: Path, seed: int | None, until: float | None, results: Path, report: Path | None, keep: bool
+) -> int:
+    """Play each scene of a file on real processes, the part up to `until` seconds; the exit status."""
     found = scenes(scene)
+    if until is not None:
+        found = [one.shortened(until) for one in found]
     for one in found:
         flaws = unfit(one)
         if flaws:
@@ -64,6 +76,7 @@
             )
         number = played.keep(kept, commit(), began, "processes")
         click.echo(f"run {number} in {results}, {played.took:.1f} s")
+        click.echo(summary(played.verdicts))
         failed = failed or not played.ok
         if report is not None:
             report.write_text(page(kept, number), encoding="utf-8")
--- a/ashlift/lab/system/wire.py
+++ b/ashlift/lab/system/wire.py
@@ -18,7 +18,7 @@
 from ashlift.errors import Failure, FailureReason
 from ashlift.gatekeeper.net.replies import Reply, SpoiltAnswerError
 from ashlift.lab.system.places import CONTROL, DIRECTORY, Place
-from ashlift.simulation.engine import Future, Process
+from ashlift.simulation.engine import Future, Machine, Process
 from ashlift.simulation.history import HOST
 
 Address = tuple[str, int]
@@ -124,29 +124,30 @@
 
 
 class Calls:
-    """Calls of workers, clients and the operator to core machines, by the names of these."""
+    """The `Network` of workers, clients and the operator: their calls go to core machines over HTTP."""
 
     def __init__(self, machines: list[Place]) -> None:
         self.at = {one.name: one.ip for one in machines}
         self.names = {one.ip: one.name for one in machines}
-        self.machines: dict[str, Any] = {}  # name -> ashlift.simulation.engine.Machine
+        self.machines: dict[str, Machine] = {}
 
-    def call(self, caller: Process, to: str, kind: str, method: str, body: Any, timeout: float) -> Future:
-        """As `ashlift.simulation.engine.Net.call`, for what callers from outside may call."""
+    def call(
+        self, caller: Process, to: str, kind: str, method: str, body: Any, timeout: float, dial: float
+    ) -> Future:
+        """One exchange on a connection of its own, for the methods that callers from outside may call."""
         future = Future()
-        gevent.spawn(lambda: future.set(self._call(to, method, body, timeout)))
+        gevent.spawn(lambda: future.set(self._call(to, method, body, timeout, dial)))
         return future
 
     def reset(self, gone: Process) -> None:
         """The kernel tells whoever was connected."""
 
-    def _call(self, to: str, method: str, body: Any, timeout: float) -> Any:
+    def _call(self, to: str, method: str, body: Any, timeout: float, dial: float) -> Any:
         verb, target, value, headers = spoken(method, body)
         data = b"" if value is None else json.dumps(value).encode()
         port = DIRECTORY if method == "lookup" else CONTROL
-        answer = exchange(
-            (self.at[to], port), request_head(verb, target, self.at[to], data, **headers), data, timeout
-        )
+        head = request_head(verb, target, self.at[to], data, **headers)
+        answer = exchange((self.at[to], port), head, data, timeout, dial=dial)
         if isinstance(answer, Failure):
             return answer
         return self._understood(method, answer)
--- a/ashlift/lab/system/world.py
+++ b/ashlift/lab/system/world.py
@@ -28,7 +28,7 @@
 from ashlift.lab.system.programs import Program, stop
 from ashlift.lab.system.wire import Calls, Clock, exchange, request_head
 from ashlift.lab.system.yard import WireYard
-from ashlift.simulation.engine import Loop, Machine, Net
+from ashlift.simulation.engine import Loop, Machine
 from ashlift.simulation.scene import Scene
 from ashlift.simulation.workers import Yard
 from ashlift.simulation.world import BACK_S, CORE, EDGE, HEARTBEAT, ZONES, Plan, Stage
@@ -83,7 +83,7 @@
         self.clock, self.calls = Clock(plan.seed), Calls(self.places)
         core = [one.name for one in self.places if one.kind == CORE]
         edge = [one.name for one in self.places if one.kind == EDGE]
-        super().__init__(plan, core, edge, cast(Loop, self.clock), cast(Net, self.calls))
+        super().__init__(plan, core, edge, cast(Loop, self.clock), self.calls)
         self.cuts: set[tuple[str, str]] = set()
         self.did: list[tuple[float, str, str]] = []  # s, machine, what befell it
         self.folder = Path(tempfile.mkdtemp(prefix="ashlift-system-"))
--- a/ashlift/lab/system/yard.py
+++ b/ashlift/lab/system/yard.py
@@ -16,7 +16,7 @@
 
 from ashlift.lab.system.places import WORKER_PORT
 from ashlift.proxy.upstream import Ended, Outcome
-from ashlift.simulation.engine import Loop, Net
+from ashlift.simulation.engine import Loop, Network
 from ashlift.simulation.history import Arrival, History, Request, Stray
 from ashlift.simulation.keeper import Try
 from ashlift.simulation.workers import Worker, Yard
@@ -154,7 +154,7 @@
     def __init__(
         self,
         loop: Loop,
-        net: Net,
+        net: Network,
         history: History,
         boards: list[str],
         heartbeat: float,
--- a/ashlift/simulation/board.py
+++ b/ashlift/simulation/board.py
@@ -24,6 +24,8 @@
 
 
 class Board(Process):
+    net: Net
+
     def __init__(
         self,
         loop: Loop,
--- a/ashlift/simulation/engine.py
+++ b/ashlift/simulation/engine.py
@@ -3,7 +3,7 @@
 import heapq
 import random
 from collections.abc import Callable, Generator
-from typing import Any
+from typing import Any, Protocol
 
 from ashlift.errors import Failure, FailureReason
 from ashlift.rpc.transport import DIAL_S, SILENT_MS
@@ -119,7 +119,7 @@
 class Process:
     """A program on a machine. `handlers`: methods that others call; a handler gives a value, or steps."""
 
-    def __init__(self, loop: Loop, net: "Net", machine: Machine, kind: str) -> None:
+    def __init__(self, loop: Loop, net: "Network", machine: Machine, kind: str) -> None:
         self.loop, self.net, self.machine, self.kind = loop, net, machine, kind
         self.life = 0
         self.up = self.frozen = False
@@ -208,6 +208,28 @@
         return self.net.call(self, to, kind, method, body, timeout, dial)
 
 
+class Network(Protocol):
+    """What processes need of the network that carries their calls.
+
+    `Net` implements it on simulated time, and `Calls` of the lab on real sockets.
+    """
+
+    machines: dict[str, Machine]
+
+    def call(
+        self, caller: Process, to: str, kind: str, method: str, body: Any, timeout: float, dial: float
+    ) -> Future:
+        """The answer, or a Failure: UNREACHED (not sent) or UNANSWERED (in doubt).
+
+        `timeout`: seconds for the whole call; `dial`: the most of these for the connection to come up.
+        """
+        ...
+
+    def reset(self, gone: Process) -> None:
+        """Tell whoever was connected with this process that it has ended."""
+        ...
+
+
 class Net:
     """Links between machines: delay, loss of a call's bytes, cuts one way or both ways, and calls that are
     given up in the middle of being written (`torn`, a share): their connection ends with them."""
@@ -396,3 +418,9 @@
             target.spawn(found, answered)
         else:
             answered(found)
+
+
+def simulated(network: Network) -> Net:
+    """The network as a simulated one, for steps that exist on simulated time alone."""
+    assert isinstance(network, Net)
+    return network
--- a/ashlift/simulation/people.py
+++ b/ashlift/simulation/people.py
@@ -9,7 +9,7 @@
 from ashlift.config import operator_config as configuration
 from ashlift.config.routing_table import Table
 from ashlift.simulation import board, keeper
-from ashlift.simulation.engine import Loop, Machine, Net, Process, Steps
+from ashlift.simulation.engine import Loop, Machine, Network, Process, Steps, simulated
 from ashlift.simulation.history import Change, Copy, History, Order, Reading, Request
 from ashlift.simulation.keeper import Keeper
 
@@ -48,7 +48,7 @@
     def __init__(
         self,
         loop: Loop,
-        net: Net,
+        net: Network,
         machine: Machine,
         history: History,
         boards: list[str],
@@ -121,12 +121,12 @@
 
     def deliver(self, errand: Errand, request: Request) -> None:
         """Carry the request to its gatekeeper."""
-        at = request.gate
-        machine = self.net.machines[at]
+        at, net = request.gate, simulated(self.net)
+        machine = net.machines[at]
         target = machine.processes[keeper.KIND]
         assert isinstance(target, Keeper)
-        trip = HOP_S if machine.zone == self.machine.zone else HOP_S + self.net.delay(self.machine, machine)
-        if not machine.powered or not self.net.open(self.machine.link, machine.link):
+        trip = HOP_S if machine.zone == self.machine.zone else HOP_S + net.delay(self.machine, machine)
+        if not machine.powered or not net.open(self.machine.link, machine.link):
             self.loop.later(CONNECT_S, self._failed, errand, request, True)
         elif not target.up:
             self.loop.later(2 * trip, self._failed, errand, request, True)
@@ -139,7 +139,7 @@
             return self._failed(errand, request, True)
 
         def answered(status: int, again: float | None) -> None:
-            if self.net.open(self.machine.link, target.machine.link):
+            if simulated(self.net).open(self.machine.link, target.machine.link):
                 self.loop.later(trip, self._answered, errand, request, status, again)
 
         def over() -> None:
@@ -256,7 +256,9 @@
 class Operator(Process):
     """Sends orders again, unchanged, to any core machine, until there is a clear answer."""
 
-    def __init__(self, loop: Loop, net: Net, machine: Machine, history: History, boards: list[str]) -> None:
+    def __init__(
+        self, loop: Loop, net: Network, machine: Machine, history: History, boards: list[str]
+    ) -> None:
         super().__init__(loop, net, machine, "operator")
         self.history, self.boards = history, boards
 
--- a/ashlift/simulation/scene.py
+++ b/ashlift/simulation/scene.py
@@ -66,6 +66,11 @@
     plan: Plan
     lines: tuple[Line, ...]
 
+    def shortened(self, until: float) -> "Scene":
+        """The same scene with its end at `until` seconds at the latest, without the events after that."""
+        plan = evolve(self.plan, until=min(until, self.plan.until))
+        return evolve(self, plan=plan, lines=tuple(line for line in self.lines if line.at <= until))
+
     def text(self) -> str:
         """As a scene file has it."""
         usual = Plan()
--- a/ashlift/simulation/workers.py
+++ b/ashlift/simulation/workers.py
@@ -6,7 +6,7 @@
 
 from ashlift.proxy.upstream import Ended, Outcome
 from ashlift.simulation import board
-from ashlift.simulation.engine import Loop, Machine, Net, Process, Steps
+from ashlift.simulation.engine import Loop, Machine, Network, Process, Steps, simulated
 from ashlift.simulation.history import Arrival, History, WorkerLife
 from ashlift.simulation.keeper import Try, reply
 
@@ -22,7 +22,7 @@
     def __init__(
         self,
         loop: Loop,
-        net: Net,
+        net: Network,
         machine: Machine,
         yard: "Yard",
         service: str,
@@ -176,7 +176,7 @@
     """All workers, by id and by address, and the way of tries to them."""
 
     def __init__(
-        self, loop: Loop, net: Net, history: History, boards: list[str], heartbeat: float, drain_s: float
+        self, loop: Loop, net: Network, history: History, boards: list[str], heartbeat: float, drain_s: float
     ) -> None:
         self.loop, self.net, self.history = loop, net, history
         self.boards, self.heartbeat, self.drain_s = boards, heartbeat, drain_s
@@ -224,11 +224,11 @@
 
     def answer(self, worker: Worker, one: Try, outcome: Outcome) -> None:
         """Bytes from a worker to the gatekeeper that asked."""
-        keeper = one.case.keeper
-        if one.gone or not self.net.open(keeper.machine.link, worker.machine.link):
+        keeper, net = one.case.keeper, simulated(self.net)
+        if one.gone or not net.open(keeper.machine.link, worker.machine.link):
             return
         begun = one.begun
-        trip = self.net.delay(worker.machine, keeper.machine)
+        trip = net.delay(worker.machine, keeper.machine)
 
         def come() -> None:
             outcome.waited = keeper.loop.now - begun
@@ -238,17 +238,17 @@
 
     def carry(self, one: Try, kept: bool, dial: float) -> None:
         """Take a try to whoever is at the address that the gatekeeper knows."""
-        keeper, known = one.case.keeper, one.view.worker
+        keeper, known, net = one.case.keeper, one.view.worker, simulated(self.net)
         one.begun = self.loop.now
         host, port = known.address
         target = self.workers.get(known.id) if kept else self.at.get(f"{host}:{port}")
         place = target or self.workers.get(known.id)
-        if place is None or not self.net.open(keeper.machine.link, place.machine.link):
+        if place is None or not net.open(keeper.machine.link, place.machine.link):
             one.sent = kept
             if not kept:
                 keeper.later(dial, one.end, Outcome(Ended.UNREACHED))
             return
-        there = self.net.delay(keeper.machine, place.machine)
+        there = net.delay(keeper.machine, place.machine)
         if kept and target is not None and self.loop.now - target.record.ended > there:
             return self.carry(one, False, 0.25)  # it is seen that the connection is closed
         if kept:
@@ -256,7 +256,7 @@
             if target is not None and one.rested > target.forgets:
                 return keeper.later(2 * there, keeper.forgotten, one)
             return self.loop.later(there, self._arrive, one, target, known.id)
-        back = self.net.delay(place.machine, keeper.machine)
+        back = net.delay(place.machine, keeper.machine)
 
         def dialled() -> None:
             if target is None or not target.up:
@@ -264,20 +264,19 @@
             if one.gone:
                 return
             one.sent = True
-            self.loop.later(
-                self.net.delay(keeper.machine, place.machine), self._arrive, one, target, known.id
-            )
+            self.loop.later(net.delay(keeper.machine, place.machine), self._arrive, one, target, known.id)
 
         keeper.later(there + back, dialled)
 
     def _arrive(self, one: Try, target: Worker | None, wanted: str) -> None:
+        net = simulated(self.net)
         if target is None or not target.up:
             place = self.workers.get(wanted)
-            trip = self.net.delay(place.machine, one.case.keeper.machine) if place else 0.001
+            trip = net.delay(place.machine, one.case.keeper.machine) if place else 0.001
             return one.case.keeper.later(trip, one.end, Outcome(Ended.LOST))
         if one.gone:
             return
-        if not self.net.open(one.case.keeper.machine.link, target.machine.link):
+        if not net.open(one.case.keeper.machine.link, target.machine.link):
             return  # on its way when the cut came
         if target.id != wanted:
             self.arrived(target, one, False, 421)
--- a/ashlift/simulation/world.py
+++ b/ashlift/simulation/world.py
@@ -11,7 +11,7 @@
 from ashlift.simulation import board, keeper, store
 from ashlift.simulation.board import Board
 from ashlift.simulation.callers import Caller
-from ashlift.simulation.engine import Loop, Machine, Net, Process
+from ashlift.simulation.engine import Loop, Machine, Net, Network, Process
 from ashlift.simulation.history import HOST
 from ashlift.simulation.keeper import Keeper
 from ashlift.simulation.marks import Marks
@@ -91,7 +91,7 @@
 class Stage(Marks):
     """What a world of simulated programs and one of processes share: workers, clients, operators."""
 
-    def __init__(self, plan: Plan, core: list[str], edge: list[str], loop: Loop, net: Net) -> None:
+    def __init__(self, plan: Plan, core: list[str], edge: list[str], loop: Loop, net: Network) -> None:
         super().__init__(core, edge)
         self.plan, self.loop, self.net = plan, loop, net
         self.bounds = Bounds(revocation_strict=True)
@@ -153,6 +153,8 @@
 
 
 class World(Stage):
+    net: Net
+
     def __init__(self, plan: Plan) -> None:
         core = [f"{CORE}-{number + 1}" for number in range(plan.core)]
         edge = [f"{EDGE}-{number + 1}" for number in range(plan.edge)]
