--- a/ashlift/configstore/__main__.py
+++ b/ashlift/configstore/__main__.py
@@ -1,41 +1,50 @@
-"""`python3 -m ashlift.configstore`: the store. Its settings file is named by ASHLIFT_SETTINGS."""
+"""Entry point of the configuration store: `python3 -m ashlift.configstore`.
+
+The settings file is named by the environment variable `ASHLIFT_SETTINGS`.
+"""
 
 import os
-import signal
 import sys
 
-import gevent
-
+from ashlift import process
 from ashlift.config import settings
-from ashlift.configstore.server import Daemon, stop_on_broken
+from ashlift.config.settings import Settings
+from ashlift.configstore.server import Daemon
 from ashlift.events import ERROR, SETTINGS_BAD, STARTED, STOPPING, set_up, tell
 
-PATH = "/etc/ashlift/settings.toml"
+PROGRAM = "configstore"  # its name in the log
 DATA_FOLDER = "vise"  # under DataDirectory; disks written before the program was renamed stay readable
 
 
 def main() -> int:
-    found = settings.read(os.environ.get("ASHLIFT_SETTINGS", PATH))
-    if not isinstance(found, settings.Settings):
-        set_up("configstore", "?")
-        for fault in found:
-            tell(SETTINGS_BAD, level=ERROR, fault=fault.detail)
-        return 78
-    set_up("configstore", found.node_name)
-    if found.data_directory is None:
+    """Run until the process is asked to end and has handed over.
+
+    :returns: the exit status: 0, or `EX_CONFIG` where the settings are not usable.
+    """
+    loaded = settings.read(process.settings_path())
+    if not isinstance(loaded, Settings):
+        set_up(PROGRAM, "?")
+        for failure in loaded:
+            tell(SETTINGS_BAD, level=ERROR, fault=failure.detail)
+        return process.EXIT_INVALID_SETTINGS
+    set_up(PROGRAM, loaded.node_name)
+    if loaded.data_directory is None:
         tell(SETTINGS_BAD, level=ERROR, fault="DataDirectory: is missing: the store needs a disk")
-        return 78
-    stop_on_broken(gevent.get_hub())
-    daemon = Daemon(found, os.path.join(found.data_directory, DATA_FOLDER))
+        return process.EXIT_INVALID_SETTINGS
+    return _serve(loaded, os.path.join(loaded.data_directory, DATA_FOLDER))
+
+
+def _serve(loaded: Settings, folder: str) -> int:
+    process.exit_on_unhandled_error()
+    daemon = Daemon(loaded, folder)
 
-    def leave() -> None:
+    def shut_down() -> None:
         tell(STOPPING)
         daemon.leave()
 
-    gevent.signal_handler(signal.SIGTERM, leave)
-    gevent.signal_handler(signal.SIGINT, leave)
-    gevent.signal_handler(signal.SIGHUP, lambda: None)
-    tell(STARTED, ip=found.ip, port=found.internal_ports[0], bootstrap=found.bootstrap)
+    process.on_termination(shut_down)
+    process.ignore_reload()
+    tell(STARTED, ip=loaded.ip, port=loaded.internal_ports[0], bootstrap=loaded.bootstrap)
     daemon.run()
     return 0
 
--- a/ashlift/configstore/server.py
+++ b/ashlift/configstore/server.py
@@ -39,7 +39,7 @@
 from ashlift.configstore.replica import Member
 from ashlift.configstore.snapshot_storage import Shelf
 from ashlift.errors import Failure, FailureReason
-from ashlift.events import BROKEN, CRITICAL, ERROR, WARNING, tell
+from ashlift.events import ERROR, WARNING, tell
 from ashlift.rpc.fragmentation import Cutter
 from ashlift.rpc.transport import Callers, serve
 
@@ -320,16 +320,3 @@
             **told,
             "round": [*self.member.round_known()],
         }
-
-
-def stop_on_broken(hub: Any) -> None:
-    """An error that nobody handles in a greenlet is a broken invariant: the process ends."""
-
-    def broken(context: Any, kind: Any, value: Any, trace: Any) -> None:
-        if kind is not None and issubclass(kind, (KeyboardInterrupt, SystemExit, gevent.GreenletExit)):
-            return
-        tell(BROKEN, level=CRITICAL, error=repr(value))
-        hub.print_exception(context, kind, value, trace)
-        os._exit(70)
-
-    hub.handle_error = broken
--- a/tests/test_import_rules.py
+++ b/tests/test_import_rules.py
@@ -10,13 +10,14 @@
 ALLOWED: dict[str, set[str]] = {
     "errors": set(),
     "events": set(),
+    "process": {"events"},
     "rpc": {"errors"},
     "config": {"errors"},
     "traffic": {"gatekeeper.admission"},
     "route_reconciliation": {"config", "errors"},
-    "configstore": {"config", "errors", "events", "route_reconciliation", "rpc"},
-    "registry": {"config", "errors", "events", "route_reconciliation", "rpc"},
-    "proxy": {"config", "errors", "events", "gatekeeper.net", "rpc", "traffic"},
+    "configstore": {"config", "errors", "events", "process", "route_reconciliation", "rpc"},
+    "registry": {"config", "errors", "events", "process", "route_reconciliation", "rpc"},
+    "proxy": {"config", "errors", "events", "gatekeeper.net", "process", "rpc", "traffic"},
     "cli": {"config", "errors", "rpc"},
 }
 NOT_OF_THE_PRODUCT = {"tests", "benchmarks"}
