--- a/ashlift/simulation/__main__.py
+++ b/ashlift/simulation/__main__.py
@@ -6,15 +6,16 @@
 
 `python -m ashlift.simulation explore [CASE...] [--most N] [--cells N]`: all ways of a few members of the
 store. `python -m ashlift.simulation members SIZE... [--seeds N] [--turnover SHARE]`: many of them in long
-worlds by chance. `python -m ashlift.simulation --figures failover|repair|catching [--seeds N] [--jobs N]`: a
-table, least, median, most.
+worlds by chance. `python -m ashlift.simulation record [--check]`: records what is played, or compares it with
+the record. `python -m ashlift.simulation --figures failover|repair|catching [--seeds N] [--jobs N]`: a table,
+least, median, most.
 """
 
 import argparse
 import sys
 import time
 
-from ashlift.simulation import catching, explore, turnover, worst
+from ashlift.simulation import catching, explore, recording, turnover, worst
 from ashlift.simulation.chance import drawn, shrunk
 from ashlift.simulation.checks import Breach
 from ashlift.simulation.figures import TABLES
@@ -27,6 +28,8 @@
         return explore.main(arguments[1:])
     if arguments[:1] == ["members"]:
         return turnover.main(arguments[1:])
+    if arguments[:1] == ["record"]:
+        return recording.main(arguments[1:])
     parser = argparse.ArgumentParser(
         prog="python -m ashlift.simulation", description=__doc__.splitlines()[0] if __doc__ else ""
     )
--- a/ashlift/simulation/engine.py
+++ b/ashlift/simulation/engine.py
@@ -113,7 +113,7 @@
         self.stuck: float | None = None  # since when bytes go unconfirmed
         self.torn = 0.0  # until then a call is being written that is given up in the middle
         self.there = self.back = 0.0  # when the newest bytes arrive, either way: they keep their order
-        self.waiting: set[Future] = set()
+        self.waiting: dict[Future, None] = {}  # in the order of their calls
 
 
 class Process:
@@ -230,6 +230,32 @@
         ...
 
 
+class Observer:
+    """Told of what happens between processes, and of what becomes durable.
+
+    The methods of this one do nothing; those of a subclass must not draw from the loop's chance, nor change
+    anything that they are shown.
+    """
+
+    def called(self, caller: Process, to: str, kind: str, method: str, body: Any) -> None:
+        """A process calls the program `kind` on the machine `to`."""
+
+    def answered(self, caller: Process, target: Process, method: str, body: Any) -> None:
+        """The called process gives its answer."""
+
+    def received(self, caller: Process, target: Process, method: str) -> None:
+        """The answer has come to the caller."""
+
+    def stored(self, process: Process) -> None:
+        """The disk of the process's machine holds something else now."""
+
+    def tried(self, proxy: Process, worker: str, request: int, reused: bool) -> None:
+        """A proxy sends a client's request to a worker, on a connection that it `reused` or on a new one."""
+
+    def replied(self, worker: Process, proxy: Process, request: int, status: int) -> None:
+        """A worker answers a try; `status` 0: it breaks the connection instead."""
+
+
 class Net:
     """Links between machines: delay, loss of a call's bytes, cuts one way or both ways, and calls that are
     given up in the middle of being written (`torn`, a share): their connection ends with them."""
@@ -243,6 +269,7 @@
         self.late = False  # bytes held up by a cut arrive however late, also if their sender has closed
         self.zone_s, self.region_s = 0.0005, 0.02
         self._held: dict[tuple[str, str], list[tuple[float, Connection, Callable[[], None]]]] = {}
+        self.observer = Observer()
 
     def delay(self, one: Machine, other: Machine) -> float:
         base = 0.0002 if one.zone == other.zone else self.zone_s
@@ -293,6 +320,7 @@
         self, caller: Process, to: str, kind: str, method: str, body: Any, timeout: float, dial: float
     ) -> Future:
         """The answer, or a Failure: UNREACHABLE (not sent) or OUTCOME_UNKNOWN (in doubt)."""
+        self.observer.called(caller, to, kind, method, body)
         future, machine = Future(), self.machines.get(to)
         target = machine.processes.get(kind) if machine else None
         if machine is None or target is None:
@@ -346,14 +374,15 @@
         self, caller: Process, connection: Connection, method: str, body: Any, timeout: float, future: Future
     ) -> None:
         target, life = connection.to, caller.life
-        connection.waiting.add(future)
+        connection.waiting[future] = None
 
         def over() -> None:
-            connection.waiting.discard(future)
+            connection.waiting.pop(future, None)
             future.set(Failure(FailureReason.OUTCOME_UNKNOWN, method))
 
         def answered(value: Any) -> None:
             if target.up and target.life == connection.life:
+                self.observer.answered(caller, target, method, value)
                 connection.since = self.loop.now
                 self._carry(target.machine, caller.machine, connection, False, answer, value)
 
@@ -362,7 +391,8 @@
                 caller.do(got, (value,))
 
         def got(value: Any) -> None:
-            connection.waiting.discard(future)
+            self.observer.received(caller, target, method)
+            connection.waiting.pop(future, None)
             future.set(value)
 
         def arrive(_: Any) -> None:
--- a/ashlift/simulation/store.py
+++ b/ashlift/simulation/store.py
@@ -36,7 +36,7 @@
 )
 from ashlift.errors import Failure, FailureReason
 from ashlift.rpc.fragmentation import Cutter
-from ashlift.simulation.engine import Future, Loop, Machine, Net, Process, Signal, Steps
+from ashlift.simulation.engine import Future, Loop, Machine, Net, Process, Signal, Steps, simulated
 
 KIND = "configstore"
 SYNC_S = (0.002, 0.012)  # a durable write takes between these
@@ -100,6 +100,7 @@
                 self.machine.disk["state"] = keep.state
             if came == "done" and keep.vote is not None:
                 self.machine.disk["vote"] = keep.vote
+            simulated(self.net).observer.stored(self)
 
     def do(self, action: Callable[..., None], args: tuple[Any, ...]) -> None:
         if self.writing is not None and not self.frozen and action != self._kept:
@@ -158,6 +159,7 @@
                 machine.disk["state"] = keep.state
             if keep.vote is not None:
                 machine.disk["vote"] = keep.vote
+        simulated(self.net).observer.stored(self)
         held, self._held, life = self._held, [], self.life
         self._feed(Kept(not machine.disk_refuses))
         for action, args in held:
--- a/ashlift/simulation/workers.py
+++ b/ashlift/simulation/workers.py
@@ -225,6 +225,8 @@
     def answer(self, worker: Worker, one: Try, outcome: Outcome) -> None:
         """Bytes from a worker to the gatekeeper that asked."""
         keeper, net = one.case.keeper, simulated(self.net)
+        status = outcome.reply.status if outcome.reply else 0
+        net.observer.replied(worker, keeper, one.case.request.id, status)
         if one.gone or not net.open(keeper.machine.link, worker.machine.link):
             return
         begun = one.begun
@@ -240,6 +242,7 @@
         """Take a try to whoever is at the address that the gatekeeper knows."""
         keeper, known, net = one.case.keeper, one.view.worker, simulated(self.net)
         one.begun = self.loop.now
+        net.observer.tried(keeper, known.id, one.case.request.id, kept)
         host, port = known.address
         target = self.workers.get(known.id) if kept else self.at.get(f"{host}:{port}")
         place = target or self.workers.get(known.id)
--- /dev/null
+++ b/tests/simulation/test_recorded_histories.py
@@ -0,0 +1,58 @@
+"""What the simulator plays is what it played when it was recorded, and what a record can tell apart."""
+
+import subprocess
+import sys
+from copy import deepcopy
+
+from ward import test
+
+from ashlift.simulation import recording
+
+PLAYS = 6  # of all, spread evenly: under 40 s of one core
+RECORDED = recording.read_record()
+
+
+@test("some of the recorded plays come out as recorded")
+def _() -> None:
+    command = [sys.executable, "-m", "ashlift.simulation", "record", "--check", "--part", str(PLAYS)]
+    done = subprocess.run(command, capture_output=True, text=True)
+    assert done.returncode == 0, done.stdout + done.stderr
+    assert f"{PLAYS} of {PLAYS} plays as recorded" in done.stdout
+
+
+@test("each play that there is has been recorded, with entries in every section that always has some")
+def _() -> None:
+    assert list(RECORDED) == [source.name for source in recording.sources()]
+    for summary in RECORDED.values():
+        assert list(summary) == list(recording.SECTIONS)
+        for section in ("calls", "disks", "tries", "requests", "operators", "workers", "machines", "end"):
+            assert int(summary[section]["count"]) > 0
+
+
+@test("a difference is named by the first section that differs")
+def _() -> None:
+    old = RECORDED["chance 1"]
+    assert recording.difference(old, deepcopy(old)) == ""
+    new = deepcopy(old)
+    new["requests"]["count"] = 1
+    new["disks"]["sha256"] = "0" * 64
+    assert recording.difference(old, new).startswith("disks: ")
+
+
+@test("an entry tells values and their order apart, and not the names of methods that no wire carries")
+def _() -> None:
+    digests = []
+    for entries in ([1, 2.0], [2.0, 1]), ([1, 2.5], [2.0, 1]), ([2.0, 1], [1, 2.0]):
+        recorder = recording.Recorder()
+        for entry in entries:
+            recorder.add("calls", *entry)
+        digests.append(recorder.summary()["calls"]["sha256"])
+    assert len(set(digests)) == 3
+    assert recording.values_of({"a": [1, {"b": 2}], "c": (3,)}) == [[1, [2]], [3]]
+
+
+@test("a part is spread over all plays")
+def _() -> None:
+    names = [str(number) for number in range(10)]
+    assert recording.part_of(names, 3) == ["0", "3", "6"]
+    assert recording.part_of(names, 20) == names
