--- a/ashlift/proxy/cluster_view.py
+++ b/ashlift/proxy/cluster_view.py
@@ -16,7 +16,7 @@
 from ashlift.config.routing_table import Table
 from ashlift.rpc.sources import OPERATOR_SOURCE
 from ashlift.rpc.transport import Address, parse_address
-from ashlift.traffic.unreported_usage import Behind
+from ashlift.traffic.unreported_usage import SourceCoverage
 
 SILENT_S = 5.0  # a source that no registry names for so long is dropped
 VOUCH_S = 3.0  # a session's lease, and the way to another registry: a gatekeeper that runs has called by then
@@ -222,13 +222,16 @@
                     found[key[2:]] = one[0] + value[0], one[1] + value[1], one[2] + value[2]
         return found
 
-    def behind(self) -> dict[str, Behind]:
+    def behind(self) -> dict[str, SourceCoverage]:
         """By source, for how many gatekeepers it speaks, and for how many of them it alone."""
         named = {
             name: {key for key in source.records if key[0] == "g"} for name, source in self.sources.items()
         }
         times = Counter(key for keys in named.values() for key in keys)
-        return {name: Behind(len(keys), sum(times[key] == 1 for key in keys)) for name, keys in named.items()}
+        return {
+            name: SourceCoverage(len(keys), sum(times[key] == 1 for key in keys))
+            for name, keys in named.items()
+        }
 
     def born(self) -> dict[str, float]:
         """By source, when its registry started (steady time); minus infinity: it was not told."""
--- a/ashlift/proxy/load_balancer.py
+++ b/ashlift/proxy/load_balancer.py
@@ -8,7 +8,7 @@
 from ashlift.config.routing_table import Route
 from ashlift.proxy.cluster_view import Worker
 from ashlift.proxy.locality import Spill
-from ashlift.traffic.outlier_detection import Jury
+from ashlift.traffic.outlier_detection import OutlierDetector
 
 GAIN = 0.2  # weight of one answer in a worker's latency ratio
 FADE_S = 8.0  # in which a judgement of a worker grows old
@@ -50,7 +50,7 @@
         self.by_service: dict[str, list[View]] = {}
         self.spill = Spill(self._region, rng)
         self.evacuated: frozenset[str] = frozenset()
-        self.jury, self.members = Jury(), 1
+        self.jury, self.members = OutlierDetector(), 1
         self._out: dict[str, tuple[float, set[str]]] = {}  # by service: when it was looked up, who is out
 
     def know(self, workers: Iterable[Worker]) -> None:
@@ -65,7 +65,7 @@
             views[worker.id] = view
             self.by_service.setdefault(worker.service, []).append(view)
         self.views = views
-        self.jury.keep(views)
+        self.jury.retain_workers(views)
 
     def evacuate(self, now: float, zones: frozenset[str], cold_s: float) -> None:
         """Zones that get nothing from now on; the workers of zones taken back count as cold for `cold_s`."""
@@ -143,7 +143,7 @@
         at, found = self._out.get(service, (-math.inf, set[str]()))
         if now - at < OUT_KEPT_S:
             return found
-        found, doubts = set[str](), self.jury.doubts()
+        found, doubts = set[str](), self.jury.suspects()
         if doubts:
             groups: dict[str, dict[str, tuple[int, float]]] = {}
             for view in self.by_service.get(service, ()):
@@ -151,7 +151,7 @@
                     group = groups.setdefault(self.region(view), {})
                     group[view.worker.id] = max(1, view.worker.capacity), view.out + view.others
             for group in groups.values():
-                found |= self.jury.out(now, group, self.members)
+                found |= self.jury.ejected_workers(now, group, self.members)
         self._out[service] = now, found
         return found
 
@@ -178,7 +178,7 @@
         usual = self.usual(route)
         view.ratio += GAIN * (min(5.0, waited / max(0.001, usual)) - view.ratio)
         view.judged, view.fails, view.shunned_until = now, 0, -math.inf
-        self.jury.saw(now, view.worker.id, 0.0)
+        self.jury.record_result(now, view.worker.id, 0.0)
         service, region = view.worker.service, self.region(view)
         self.spill.answered(now, service, region, route.name, route.aim, waited, size)
 
@@ -190,7 +190,7 @@
 
     def erred(self, now: float, view: View, fault: float = 1.0) -> None:
         """It answered with a failure, or (a smaller `fault`) seems to."""
-        self.jury.saw(now, view.worker.id, fault)
+        self.jury.record_result(now, view.worker.id, fault)
 
     def silent(self, now: float, view: View) -> None:
         """Another worker answered a request that it had been given long before."""
--- a/ashlift/proxy/registry_client.py
+++ b/ashlift/proxy/registry_client.py
@@ -79,11 +79,11 @@
             "have": gate.ledger.have(),
             "wait": 0.0 if gate.ledger.table is None else WAIT_S,
             "outs": gate.crew.outs(),
-            "faults": gate.crew.jury.fresh(now),
+            "faults": gate.crew.jury.failure_counts(now),
             "packs": True,
             "part": self._joiner.asks(),
             "eager": gate.ledger.age(now) > EAGER_S,
-            "adds": {"number": self._number, "counts": gate.limiter.fresh()},
+            "adds": {"number": self._number, "counts": gate.limiter.take_new_counts()},
         }
         return Pull(ip, now, body, self._dial)
 
@@ -93,15 +93,15 @@
         answer = answer if isinstance(answer, Failure) else self._joined(answer)
         if isinstance(answer, Failure):
             if answer.reason == FailureReason.UNREACHABLE:
-                gate.limiter.unsent(counts)
+                gate.limiter.restore_counts(counts)
                 self._dial = min(DIAL_S, 2 * self._dial)
             else:
-                gate.limiter.confirmed(counts)  # it may have been added, and must not be twice
+                gate.limiter.confirm_counts(counts)  # it may have been added, and must not be twice
             self._avoid[pull.ip] = now + AVOID_S
             self._stale.discard(pull.ip)
             self._at = None
             return False
-        gate.limiter.confirmed(counts)
+        gate.limiter.confirm_counts(counts)
         self._dial = DIAL_FIRST_S
         self._at, self._controls = pull.ip, answer["controls"]
         change = gate.ledger.take(pull.sent, now, answer)
@@ -109,8 +109,8 @@
         gate.crew.heard(gate.ledger.outs(), pull.body["outs"])
         teller = next(iter(answer["alive"]), None)  # the registry itself comes first
         near = gate.ledger.faults(teller) if teller else {}
-        gate.crew.jury.heard(now, gate.ledger.faults(), near, pull.body["faults"])
-        gate.limiter.heard(now, gate.ledger.sums(), gate.ledger.behind(), gate.ledger.born())
+        gate.crew.jury.record_failure_totals(now, gate.ledger.faults(), near, pull.body["faults"])
+        gate.limiter.record_usage_totals(now, gate.ledger.sums(), gate.ledger.behind(), gate.ledger.born())
         if not answer["late"] and (answer.get("age") is None or answer["age"] > STALE_S):
             self._avoid[pull.ip] = now + AVOID_S
             self._stale.add(pull.ip)
--- a/ashlift/proxy/request_router.py
+++ b/ashlift/proxy/request_router.py
@@ -12,9 +12,9 @@
 from ashlift.proxy.cluster_view import Change, Ledger
 from ashlift.proxy.load_balancer import Crew, View
 from ashlift.proxy.upstream import Ended, Outcome
-from ashlift.traffic.rate_limiter import Limiter
+from ashlift.traffic.rate_limiter import RateLimiter
 from ashlift.traffic.retry_budget import RetryBudget
-from ashlift.traffic.slow_start import ColdPace, owners
+from ashlift.traffic.slow_start import SlowStartPacer, assigned_proxies
 
 KNOWN_S = 1.0  # with a proof younger than this, one from after a request's coming is soon there
 UNSURE_S, UNSURE_PART = 0.8, 0.25  # s, x what its client will wait: what is not known is held so long for it
@@ -67,9 +67,9 @@
         self.settings, self.bounds, self._rng = settings, settings.bounds, rng
         self.ledger = Ledger(BEATS * settings.heartbeat)
         self.crew = Crew(settings.zone, settings.zones, rng)
-        self.limiter = Limiter(rng, settings.bounds)
+        self.limiter = RateLimiter(rng, settings.bounds)
         self.retries = RetryBudget(settings.bounds)
-        self.pace = ColdPace()
+        self.pace = SlowStartPacer()
         self.leaving = False
         self._since = now
         self._quotas: dict[str, Tenant] = {}
@@ -83,7 +83,7 @@
         if change.config and table is not None:
             quotas = table.tenants
             for name in set(self._quotas) - set(quotas):
-                self.limiter.forget(name)
+                self.limiter.forget_tenant(name)
             for tenant in quotas.values():
                 self.limiter.set_quota(tenant.name, tenant.rate, tenant.burst)
             self._quotas = quotas
@@ -92,11 +92,11 @@
                 self.crew.evacuate(now, ledger.evacuated, warmup + BEAT_LATE * self.settings.heartbeat)
         if change.workers:
             self.crew.know(ledger.workers.values())
-            self.pace.keep(ledger.workers)
-        self.limiter.keep_sources(now, ledger.sources)
+            self.pace.retain_workers(ledger.workers)
+        self.limiter.retain_sources(now, ledger.sources)
         if change.members:
             self.crew.members = max(1, len(ledger.members))
-            self.limiter.set_members(now, max(1, len(ledger.members)), ledger.missed)
+            self.limiter.set_proxy_count(now, max(1, len(ledger.members)), ledger.missed)
 
     def ready(self, now: float) -> bool:
         """Whether clients may be sent here."""
@@ -143,7 +143,7 @@
                 return Turn(429, "quota", again)
         service = self._service(route)
         deadline = now + min(remaining, route.timeout or remaining) - EDGE_S
-        self.retries.request(now, service)
+        self.retries.record_request(now, service)
         return Live(route, tenant, service, homes, now, deadline)
 
     def _service(self, route: Route) -> str:
@@ -165,7 +165,7 @@
         if further:
             live.alone = True  # beside what is out now, nothing more is tried unless this one is
         paid = live.arrived or live.out > 0
-        if paid and not self.retries.may(now, live.service, members):
+        if paid and not self.retries.can_retry(now, live.service, members):
             return turn
         views = self.crew.open(live.service, live.homes, live.tried)
         for view in self.crew.order(now, views, live.route):
@@ -173,7 +173,7 @@
                 if not further and self._crowded(now, live, view):
                     return Turn(503, "crowded", CROWDED_AGAIN_S)
                 if paid:
-                    self.retries.spent(now, live.service)
+                    self.retries.record_retry(now, live.service)
                 self.crew.sent(now, view)
                 live.tried.append(view.worker.id)
                 live.out += 1
@@ -188,12 +188,12 @@
             return False  # each try has a connection: none is left, and asking again would not end
         if now >= cold or service is None or service.warmup_rate <= 0:
             return view.out < 2 * max(1, view.worker.capacity) + 2
-        if self.settings.node_name not in owners(view.worker.id, self.ledger.members, COLD_OWNERS):
+        if self.settings.node_name not in assigned_proxies(view.worker.id, self.ledger.members, COLD_OWNERS):
             return False
         sure = self.ledger.age(now) <= KNOWN_S
-        if not sure or not self.pace.may(now, view.worker.id, service.warmup_rate, 1 / COLD_OWNERS):
+        if not sure or not self.pace.can_send(now, view.worker.id, service.warmup_rate, 1 / COLD_OWNERS):
             return False
-        self.pace.sent(now, view.worker.id)
+        self.pace.record_sent(now, view.worker.id)
         return True
 
     def _crowded(self, now: float, live: Live, view: View) -> bool:
@@ -274,4 +274,4 @@
     def never_ran(self, now: float, live: Live) -> None:
         """It was let in, and no worker has had it: its unit is free again."""
         if live.tenant is not None and not live.may_run:
-            self.limiter.give_back(now, live.tenant.name)
+            self.limiter.refund(now, live.tenant.name)
--- a/ashlift/traffic/outlier_detection.py
+++ b/ashlift/traffic/outlier_detection.py
@@ -2,9 +2,9 @@
 
 In thin traffic one gatekeeper sends a worker a request in many seconds, and learns of its failures too late.
 So each tells how many of its requests there failed of late, of how many, for the workers at which any failed
-or others say so (`fresh`); the sums of all come back (`heard`). A worker that fails far too often is *out*:
-it goes after all others. A gatekeeper that errs cannot take a service away: two must have seen failures, each
-counts for a few, and at most a fifth of a service's workers in a region is out.
+or others say so (`failure_counts`); the sums of all come back (`record_failure_totals`). A worker that fails
+far too often is ejected: it goes after all others. A gatekeeper that errs cannot take a service away: two
+must have seen failures, each counts for a few, and at most a fifth of a service's workers in a region is out.
 """
 
 import math
@@ -52,21 +52,21 @@
 
 
 @dataclass(slots=True)
-class Sentence:
+class Ejection:
     until: float
     hold: float
 
 
-class Jury:
+class OutlierDetector:
     def __init__(self) -> None:
         self._own: dict[str, Seen] = {}
         self._told: dict[str, Told] = {}
-        self._out: dict[str, Sentence] = {}
+        self._out: dict[str, Ejection] = {}
         self._failed: set[str] = set()  # by own evidence
 
     # ---- evidence
 
-    def saw(self, now: float, worker: str, fault: float) -> None:
+    def record_result(self, now: float, worker: str, fault: float) -> None:
         """A request of ours there ended: 0 well, 1 badly."""
         seen = self._own.setdefault(worker, Seen())
         faults, runs = seen.now(now)
@@ -74,7 +74,7 @@
         if fault:
             self._failed.add(worker)
 
-    def fresh(self, now: float) -> dict[str, list[int]]:
+    def failure_counts(self, now: float) -> dict[str, list[int]]:
         """By worker, failures and requests to be told, in tenths: of those that failed here or elsewhere."""
         found = {}
         for worker in self._failed | self._told.keys():
@@ -87,7 +87,7 @@
                 found[worker] = [round(faults * part * GRAIN), round(runs * part * GRAIN)]
         return found
 
-    def heard(
+    def record_failure_totals(
         self,
         now: float,
         every: Mapping[str, Counts],
@@ -109,11 +109,11 @@
 
     # ---- verdicts
 
-    def doubts(self) -> set[str]:
+    def suspects(self) -> set[str]:
         """All workers that may be out."""
         return self._failed | self._told.keys() | self._out.keys()
 
-    def bad(self, now: float, worker: str, members: int) -> float:
+    def failure_rate(self, now: float, worker: str, members: int) -> float:
         """The part of its requests that it fails, where that is far too many; 0: it is not."""
         seen = self._own.get(worker)
         faults, runs = seen.now(now) if seen is not None else (0.0, 0.0)
@@ -131,16 +131,16 @@
                 found = max(found, rate if rate >= RATE else 0.0)
         return found
 
-    def out(self, now: float, group: Mapping[str, tuple[int, float]], members: int) -> set[str]:
+    def ejected_workers(self, now: float, group: Mapping[str, tuple[int, float]], members: int) -> set[str]:
         """Who is out of a service's workers in one region: `group` has their slots and requests there."""
         rates: dict[str, float] = {}
-        for worker in self.doubts():
+        for worker in self.suspects():
             if worker not in group:
                 continue
             sentence = self._out.get(worker)
             if sentence is not None and now < sentence.until:
                 rates[worker] = 1.0
-            elif rate := self.bad(now, worker, members):
+            elif rate := self.failure_rate(now, worker, members):
                 rates[worker] = rate
             elif sentence is not None and now - sentence.until > AGAIN_S:
                 del self._out[worker]
@@ -158,10 +158,10 @@
             sentence = self._out.get(worker)
             if sentence is None or now >= sentence.until:
                 hold = HOLD_S if sentence is None else min(HOLD_MOST_S, 2 * sentence.hold)
-                self._out[worker] = Sentence(now + hold, hold)
+                self._out[worker] = Ejection(now + hold, hold)
         return found
 
-    def keep(self, workers: Iterable[str]) -> None:
+    def retain_workers(self, workers: Iterable[str]) -> None:
         """Forget all others: they are gone."""
         kept = set(workers)
         self._own = {worker: seen for worker, seen in self._own.items() if worker in kept}
--- a/ashlift/traffic/rate_limiter.py
+++ b/ashlift/traffic/rate_limiter.py
@@ -14,9 +14,16 @@
 from typing import NamedTuple, Protocol
 
 from ashlift.gatekeeper.admission import Bucket, window
-from ashlift.traffic.unreported_usage import KEPT_FOR, MOST, Behind, Source, Span, Unheard
+from ashlift.traffic.unreported_usage import (
+    KEPT_FOR,
+    MOST,
+    SourceCoverage,
+    UnreportedSpan,
+    UnreportedUsage,
+    UsageSource,
+)
 
-Counts = dict[str, tuple[int, int]]  # by tenant: total, declined
+UsageByTenant = dict[str, tuple[int, int]]  # by tenant: total, declined
 
 HARD_FACTOR = 12.0  # x soft limit: chance decides up to a spike of this size, so that all let in alike
 CACHED = 0.1  # s that a suppression factor stands
@@ -43,7 +50,7 @@
 ADVICE_LEAST, ADVICE_MOST = 0.3, 3.0  # s, Retry-After
 
 
-class Bounds(Protocol):
+class QuotaBounds(Protocol):
     """What the settings say of the rule QUOTA: s, a share, requests."""
 
     @property
@@ -81,17 +88,17 @@
     length: float  # s, the window's
 
 
-class Limiter:
+class RateLimiter:
     """All tenants' limits at one gatekeeper. It begins blind: with a share of each limit."""
 
-    def __init__(self, rng: random.Random, bounds: Bounds) -> None:
+    def __init__(self, rng: random.Random, bounds: QuotaBounds) -> None:
         self._random, self._bounds = rng, bounds
         self._tenants: dict[str, _Tenant] = {}
-        self._sources: dict[str, Source] = {}
+        self._sources: dict[str, UsageSource] = {}
         self._heard_at = self._told_at = -math.inf  # last sums, and last ones that told something
         self._now = -math.inf  # latest time told
-        self._unheard = Unheard()
-        self._spans: list[Span] = []
+        self._unheard = UnreportedUsage()
+        self._spans: list[UnreportedSpan] = []
 
     # ---- what is in force
 
@@ -108,14 +115,14 @@
         entry.bound = SAFETY * (quota * (1 + bounds.quota_overrun) + bounds.quota_slack)
         entry.factor_until = -math.inf
 
-    def forget(self, tenant: str) -> None:
+    def forget_tenant(self, tenant: str) -> None:
         """Drop a tenant that no configuration holds any more."""
         self._tenants.pop(tenant, None)
 
-    def set_members(self, now: float, count: int, missed: float | None = None) -> None:
+    def set_proxy_count(self, now: float, count: int, missed: float | None = None) -> None:
         """Take how many gatekeepers may pass requests now. Those gone may be cut off, and pass on; `missed`:
         since when (s), if that was before now."""
-        self._unheard.set_members(now, count, missed)
+        self._unheard.set_proxy_count(now, count, missed)
         self._spans = self._unheard.spans(now, self._sources)
 
     # ---- requests
@@ -126,7 +133,7 @@
         if entry is None:
             return None
         self._now = now
-        blind = self.blind(now) or entry.since > now
+        blind = self.is_isolated(now) or entry.since > now
         seen = self._alone(now, entry) if blind else self._together(now, entry)
         passes = seen.accepted < seen.soft
         if not passes and seen.total < HARD_FACTOR * seen.soft:
@@ -144,7 +151,7 @@
         ahead = max(seen.total - seen.soft, 1.0) / seen.rate
         return min(ADVICE_MOST, max(ADVICE_LEAST, ahead)) * (0.75 + 0.5 * self._random.random())
 
-    def give_back(self, now: float, tenant: str) -> None:
+    def refund(self, now: float, tenant: str) -> None:
         """Count a request that was passed as declined: it will never reach a worker."""
         entry = self._tenants.get(tenant)
         if entry is not None:
@@ -153,11 +160,11 @@
 
     # ---- sums
 
-    def fresh(self) -> Counts:
+    def take_new_counts(self) -> UsageByTenant:
         """What is to be added to the shared sums since the last call, by tenant: total, declined. Nothing
         while blind; what came then is told by and by, or to the others it would look like a spike."""
-        counts: Counts = {}
-        for tenant, entry in self._tenants.items() if not self.blind(self._now) else ():
+        counts: UsageByTenant = {}
+        for tenant, entry in self._tenants.items() if not self.is_isolated(self._now) else ():
             if entry.late_calls:
                 told = entry.late // entry.late_calls
                 entry.total += told
@@ -167,26 +174,26 @@
                 entry.total = entry.declined = 0
         return counts
 
-    def unsent(self, counts: Mapping[str, tuple[int, int]]) -> None:
-        """Put back what `fresh` gave: the call failed before it was sent."""
+    def restore_counts(self, counts: Mapping[str, tuple[int, int]]) -> None:
+        """Put back what `take_new_counts` gave: the call failed before it was sent."""
         for tenant, (total, declined) in counts.items():
             entry = self._tenants.get(tenant)
             if entry is not None:
                 entry.total += total
                 entry.declined += declined
 
-    def confirmed(self, counts: Mapping[str, tuple[int, int]]) -> None:
+    def confirm_counts(self, counts: Mapping[str, tuple[int, int]]) -> None:
         """These adds of ours are in a source's sums: they are no news when the sums show them."""
         for tenant, (total, declined) in counts.items():
             entry = self._tenants.get(tenant)
             if entry is not None:
                 entry.pending.append([math.inf, float(total), float(total - declined)])
 
-    def heard(
+    def record_usage_totals(
         self,
         now: float,
         sums: Mapping[str, Mapping[str, tuple[int, int]]],
-        behind: Mapping[str, Behind] | None = None,
+        behind: Mapping[str, SourceCoverage] | None = None,
         born: Mapping[str, float] | None = None,
     ) -> None:
         """Take cumulative sums by source and tenant; only what changed need be there. A new source tells
@@ -215,7 +222,9 @@
             if source is None:
                 hole, began = now > min(blind_since, hole_since), (born or {}).get(name, -math.inf)
                 young = not hole and began > now - YOUNG_SOURCE
-                source = self._sources[name] = Source(began if young else now, {} if young else dict(told))
+                source = self._sources[name] = UsageSource(
+                    began if young else now, {} if young else dict(told)
+                )
                 for entry in self._tenants.values() if hole else ():
                     self._freeze(entry, self._told_at)
                     entry.since = now  # what came to this source meanwhile is not known
@@ -243,13 +252,13 @@
                 source.told(now, new)
         self._spans = self._unheard.spans(now, self._sources)
 
-    def keep_sources(self, now: float, alive: Container[str]) -> None:
+    def retain_sources(self, now: float, alive: Container[str]) -> None:
         """Drop the sums of all sources but these and those that fell silent of late: one that comes back
         later starts anew."""
         kept = {name: one for name, one in self._sources.items() if name in alive or now < one.at + KEPT_FOR}
         self._sources = kept
 
-    def blind(self, now: float) -> bool:
+    def is_isolated(self, now: float) -> bool:
         """Whether the last sums are so old that each tenant has only its share here."""
         return now - self._heard_at > BLIND_AFTER
 
--- a/ashlift/traffic/retry_budget.py
+++ b/ashlift/traffic/retry_budget.py
@@ -12,7 +12,7 @@
 SLOT = 0.25  # s, width of a slot of counts
 
 
-class Bounds(Protocol):
+class RetryBudgetBounds(Protocol):
     """What the settings say of the rule BUDGET: a share, s, tries."""
 
     @property
@@ -46,13 +46,13 @@
 class RetryBudget:
     """What further tries this gatekeeper may make for each service."""
 
-    def __init__(self, bounds: Bounds) -> None:
+    def __init__(self, bounds: RetryBudgetBounds) -> None:
         self._bounds = bounds
         self._born: float | None = None
         self._requests: dict[str, _Slots] = {}
         self._spent: dict[str, _Slots] = {}
 
-    def request(self, now: float, service: str) -> None:
+    def record_request(self, now: float, service: str) -> None:
         """Count one request of a client for the service."""
         self._born = now if self._born is None else self._born
         slots = self._requests.get(service)
@@ -60,7 +60,7 @@
             slots = self._requests[service] = _Slots(self._bounds.retry_window)
         slots.add(now)
 
-    def may(self, now: float, service: str, members: int) -> bool:
+    def can_retry(self, now: float, service: str, members: int) -> bool:
         """Whether one more further try stays inside this gatekeeper's part."""
         bounds, requests, spent = self._bounds, self._requests.get(service), self._spent.get(service)
         age = (now - self._born) / bounds.retry_window if self._born is not None else 0.0
@@ -69,7 +69,7 @@
         most = SAFETY * (earned + slack / max(1, members))
         return (spent.count(now) if spent else 0) + 1 <= most
 
-    def spent(self, now: float, service: str) -> None:
+    def record_retry(self, now: float, service: str) -> None:
         """Count one further try."""
         slots = self._spent.get(service)
         if slots is None:
--- a/ashlift/traffic/slow_start.py
+++ b/ashlift/traffic/slow_start.py
@@ -14,14 +14,14 @@
     return blake2b(f"{worker}\n{member}".encode(), digest_size=8).digest()
 
 
-def owners(worker_id: str, members: Sequence[str], count: int = 2) -> tuple[str, ...]:
+def assigned_proxies(worker_id: str, members: Sequence[str], count: int = 2) -> tuple[str, ...]:
     """The gatekeepers that may send to a cold worker, highest rendezvous weight first: all who know the same
     members draw the same, and a member more or less moves only what it owned."""
     drawn = sorted(members, key=lambda member: (_weight(worker_id, member), member), reverse=True)
     return tuple(drawn[:count])
 
 
-class ColdPace:
+class SlowStartPacer:
     """How fast this gatekeeper sends to each cold worker: at most `rate * share` in any second that slides.
 
     Below one a second the pause between two is the inverse, so that the mean over many seconds holds too.
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         self._sent: dict[str, deque[float]] = {}
 
-    def may(self, now: float, worker_id: str, rate: float, share: float) -> bool:
+    def can_send(self, now: float, worker_id: str, rate: float, share: float) -> bool:
         """Whether one more request may go now; `rate` is requests a second for all gatekeepers together."""
         most, times = rate * share, self._sent.get(worker_id)
         if most <= 0:
@@ -43,10 +43,10 @@
             times.popleft()
         return len(times) + 1 <= most
 
-    def sent(self, now: float, worker_id: str) -> None:
+    def record_sent(self, now: float, worker_id: str) -> None:
         """Count one request sent."""
         self._sent.setdefault(worker_id, deque(maxlen=256)).append(now)
 
-    def keep(self, workers: Container[str]) -> None:
+    def retain_workers(self, workers: Container[str]) -> None:
         """Drop all workers but these: an id never comes back."""
         self._sent = {worker: times for worker, times in self._sent.items() if worker in workers}
--- a/ashlift/traffic/unreported_usage.py
+++ b/ashlift/traffic/unreported_usage.py
@@ -23,7 +23,7 @@
 FLOW_FOR = 2.0  # s, time constant of a source's flow
 
 
-class Span(NamedTuple):
+class UnreportedSpan(NamedTuple):
     """A share of all gatekeepers that may have passed requests unheard from `first` to `until` (s). `lost`:
     they are heard by now, and only what they told last is lost."""
 
@@ -33,28 +33,30 @@
     lost: bool = False
 
 
-class Behind(NamedTuple):
+class SourceCoverage(NamedTuple):
     """How many gatekeepers a source names, and how many of those no other source names."""
 
     named: int
     alone: int
 
 
-class Source:
+class UsageSource:
     """The sums of one source as last told, when, and its flow (accepted a second, all tenants)."""
 
     def __init__(self, now: float, sums: dict[str, tuple[int, int]]) -> None:
         self.at, self.sums, self.flow, self.share = now, sums, 0.0, 0.0
-        self.behind = Behind(1, 1)  # it
+        self.behind = SourceCoverage(1, 1)  # it
         self.crowd = 1  # gatekeepers behind it when it last told something
 
-    def hides(self) -> list[Span]:
+    def hides(self) -> list[UnreportedSpan]:
         """What it may hide while it is silent: those whom nobody else names; of the others, what it was told
         just before and after it told us last."""
         crowd, named, alone = max(1, self.crowd), *self.behind
         first = self.at - UNTOLD
-        hidden = Span(self.share * min(1.0, alone / crowd), first, self.at + SILENT_FOR)
-        moved = Span(self.share * min(1.0, (named - alone) / crowd), first, self.at + UNTOLD, lost=True)
+        hidden = UnreportedSpan(self.share * min(1.0, alone / crowd), first, self.at + SILENT_FOR)
+        moved = UnreportedSpan(
+            self.share * min(1.0, (named - alone) / crowd), first, self.at + UNTOLD, lost=True
+        )
         return [span for span in (hidden, moved) if span.share > 0]
 
     def missed(self, now: float) -> bool:
@@ -69,16 +71,16 @@
         self.at, self.crowd = now, self.behind.named
 
 
-class Unheard:
+class UnreportedUsage:
     """Members and sources, as far as they may hide requests."""
 
     def __init__(self) -> None:
         self.members = 1  # that may pass requests now
-        self._silent: list[Span] = []
+        self._silent: list[UnreportedSpan] = []
         self._lost = self._back = 0
         self._lost_at = self._back_at = -math.inf
 
-    def set_members(self, now: float, count: int, missed: float | None = None) -> None:
+    def set_proxy_count(self, now: float, count: int, missed: float | None = None) -> None:
         """Take how many there are, at least 1. Those gone are missed (since `missed`, if that was earlier),
         unless a silent source hides them; those back tell by and by."""
         if now >= self._lost_at - LEASE + FENCED + BACK_FOR:
@@ -94,16 +96,18 @@
             self._lost, self._back, self._back_at = self._lost - back, self._back + back, now
         self.members = max(1, count)
 
-    def spans(self, now: float, sources: dict[str, Source]) -> list[Span]:
+    def spans(self, now: float, sources: dict[str, UsageSource]) -> list[UnreportedSpan]:
         """All that may hide requests passed of late."""
-        spans: list[Span] = []
+        spans: list[UnreportedSpan] = []
         first, until = self._lost_at - LEASE, self._lost_at - LEASE + FENCED
         if self._lost:
-            spans.append(Span(self._lost / (self.members + self._lost), first, until))
+            spans.append(UnreportedSpan(self._lost / (self.members + self._lost), first, until))
         coming = self._back * min(1.0, max(0.0, self._back_at + BACK_FOR - now) / (BACK_FOR - 1))
         if coming:
             # Members once more, but not while they were away.
-            spans.append(Span(coming / (self.members + self._lost), first, min(until, self._back_at)))
+            spans.append(
+                UnreportedSpan(coming / (self.members + self._lost), first, min(until, self._back_at))
+            )
         # One that was started anew has a new name, and its gatekeepers tell others meanwhile.
         lives = {name.partition("#")[0]: source for name, source in sources.items()}
         flow = sum(source.flow for source in lives.values())
--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -333,8 +333,8 @@
     ledger, limiter, crew = gate.ledger, gate.limiter, gate.crew
 
     def of_limiter() -> None:
-        limiter.fresh()
-        limiter.heard(now, ledger.sums())
+        limiter.take_new_counts()
+        limiter.record_usage_totals(now, ledger.sums())
 
     def of_crew() -> None:
         crew.heard(ledger.outs(), crew.outs())
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -28,7 +28,7 @@
 from ashlift.proxy.configuration_updates import News
 from ashlift.proxy.request_router import Gate
 from ashlift.rpc import fragmentation as pieces
-from ashlift.traffic.rate_limiter import Counts, Limiter
+from ashlift.traffic.rate_limiter import RateLimiter, UsageByTenant
 from benchmarks.scale.target import Size, drawn, tenant, worker_address, worker_id
 
 Json = dict[str, Any]
@@ -70,7 +70,7 @@
         super()._source(name, {**news, "set": {}, "gone": []}, now, Change())
 
 
-class HollowLimiter(Limiter):
+class HollowLimiter(RateLimiter):
     """Says that it passed `rate` requests a second of tenants drawn by chance."""
 
     rate, tenants = 0.0, 1
@@ -79,11 +79,11 @@
         super().__init__(chance, bounds)
         self._chance, self._since, self._left = chance, time.monotonic(), 0.0
 
-    def fresh(self) -> Counts:
+    def take_new_counts(self) -> UsageByTenant:
         now = time.monotonic()
         self._left += self.rate * min(2.0, now - self._since)
         self._since = now
-        counts: Counts = {}
+        counts: UsageByTenant = {}
         while self._left >= 1:
             self._left -= 1
             name = tenant(drawn(self.tenants, self._chance))
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -154,7 +154,7 @@
     limiter = HollowLimiter(random.Random(3), settings().bounds)
     limiter.rate, limiter.tenants = 1000.0, 50
     limiter._since -= 1.0
-    counts = limiter.fresh()
+    counts = limiter.take_new_counts()
     assert 990 <= sum(total for total, _ in counts.values()) <= 1100
     assert max(counts, key=lambda name: counts[name]) == tenant(1) and len(counts) > 30
 
--- a/tests/registry/test_soft_state.py
+++ b/tests/registry/test_soft_state.py
@@ -10,8 +10,8 @@
 from ashlift.proxy.cluster_view import HELD_MOST_S, VOUCH_S, Ledger
 from ashlift.proxy.registry_client import STALE_S
 from ashlift.simulation.scene import Play, read
-from ashlift.traffic.rate_limiter import Limiter
-from ashlift.traffic.unreported_usage import Behind
+from ashlift.traffic.rate_limiter import RateLimiter
+from ashlift.traffic.unreported_usage import SourceCoverage
 from tests.support.rate_limiter_play import Bounds
 
 CORE = ("core-1", "core-2", "core-3")
@@ -137,10 +137,15 @@
 
 @test("limiter: a source whose gatekeepers have gone hides nothing by its silence: {how}")
 def _(how: str = each("its own word", "others name them", "silent")) -> None:
-    limiter = Limiter(random.Random(5), Bounds())
+    limiter = RateLimiter(random.Random(5), Bounds())
     limiter.set_quota("t", 100.0, 100.0)
-    limiter.set_members(0.0, 4)
-    sums, behind, refused, asked = {"p#1": 0, "q#1": 0}, {"p#1": Behind(3, 3), "q#1": Behind(1, 1)}, 0, 0
+    limiter.set_proxy_count(0.0, 4)
+    sums, behind, refused, asked = (
+        {"p#1": 0, "q#1": 0},
+        {"p#1": SourceCoverage(3, 3), "q#1": SourceCoverage(1, 1)},
+        0,
+        0,
+    )
     for step in range(1, 400):
         now = 0.025 * step
         moved = now > 5.0
@@ -149,10 +154,12 @@
                 sums["q#1" if moved else "p#1"] += 12  # 48 a second
             sums["q#1"] += 2
             if moved and how == "its own word":
-                behind = {"p#1": Behind(0, 0), "q#1": Behind(4, 4)}
+                behind = {"p#1": SourceCoverage(0, 0), "q#1": SourceCoverage(4, 4)}
             elif moved and how == "others name them":
-                behind = {"p#1": Behind(3, 0), "q#1": Behind(4, 1)}
-            limiter.heard(now, {name: {"t": (count, 0)} for name, count in sums.items()}, behind)
+                behind = {"p#1": SourceCoverage(3, 0), "q#1": SourceCoverage(4, 1)}
+            limiter.record_usage_totals(
+                now, {name: {"t": (count, 0)} for name, count in sums.items()}, behind
+            )
         if step % 3 == 0:
             refused, asked = refused + (limiter.admit(now, "t") is not None) * (now > 6), asked + (now > 6)
     assert refused / asked > 0.5 if how == "silent" else refused == 0, refused / asked
@@ -161,12 +168,12 @@
 @test("limiter: what a source tells that started while others were heard counts; else it is old")
 def _() -> None:
     for born, closed in ((9.7, True), (-100.0, False)):
-        limiter = Limiter(random.Random(5), Bounds())
+        limiter = RateLimiter(random.Random(5), Bounds())
         limiter.set_quota("t", 10.0, 10.0)
-        limiter.set_members(0.0, 2)
+        limiter.set_proxy_count(0.0, 2)
         for at in range(40):
-            limiter.heard(0.25 * at, {"p#1": {"t": (at, 0)}})
-        limiter.heard(10.2, {"p#1": {"t": (40, 0)}, "q#2": {"t": (60, 0)}}, None, {"q#2": born})
+            limiter.record_usage_totals(0.25 * at, {"p#1": {"t": (at, 0)}})
+        limiter.record_usage_totals(10.2, {"p#1": {"t": (40, 0)}, "q#2": {"t": (60, 0)}}, None, {"q#2": born})
         told = [limiter.admit(10.3, "t") for _ in range(8)]
         assert any(again is not None for again in told) is closed
 
--- a/tests/support/rate_limiter_play.py
+++ b/tests/support/rate_limiter_play.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ashlift.traffic.rate_limiter import Counts, Limiter
+from ashlift.traffic.rate_limiter import RateLimiter, UsageByTenant
 
 TICK = 0.02
 EVENTS = ("hot", "cut", "kill", "quota", "split", "dark")
@@ -32,11 +32,11 @@
 class Gatekeeper:
     """One life of a gatekeeper, and the adds it waits to hear of."""
 
-    limiter: Limiter
+    limiter: RateLimiter
     weight: float
     pull_at: float
-    asked: Counts = field(default_factory=dict)
-    told: dict[str, Counts] = field(default_factory=dict)
+    asked: UsageByTenant = field(default_factory=dict)
+    told: dict[str, UsageByTenant] = field(default_factory=dict)
     down_until: float = -1.0
     cut_until: float = -1.0
     heard_at: float = -math.inf
@@ -77,7 +77,7 @@
         skew = get("skew", [0.0])[0]
         count, boards = int(self.steady["gatekeepers"][0]), int(get("pegboards", [3])[0])
         # Sums as a registry knows them, by source.
-        self.boards: list[dict[str, Counts]] = [
+        self.boards: list[dict[str, UsageByTenant]] = [
             {f"p{at}#0": {} for at in range(boards)} for _ in range(boards)
         ]
         self.life = 0  # of the pegboards
@@ -92,9 +92,9 @@
         self.onset = 0
 
     def _start(self, now: float, weight: float) -> Gatekeeper:
-        limiter = Limiter(random.Random(self.rng.random()), Bounds())
+        limiter = RateLimiter(random.Random(self.rng.random()), Bounds())
         limiter.set_quota("t", self.rate, self.burst)
-        limiter.set_members(now, int(self.steady["gatekeepers"][0]))
+        limiter.set_proxy_count(now, int(self.steady["gatekeepers"][0]))
         return Gatekeeper(limiter, weight, now + self.rng.random() * PULL)
 
     def run(self) -> Figures:
@@ -148,17 +148,19 @@
         """The answer to the last call, and the next call. What was asked was added when the call came."""
         index = at % len(self.boards)
         board, source = self.boards[index], f"p{index}#{self.life}"
-        gate.limiter.confirmed(gate.asked)
+        gate.limiter.confirm_counts(gate.asked)
         changed = {
             name: {t: s for t, s in sums.items() if gate.told.get(name, {}).get(t) != s}
             for name, sums in board.items()
             if name not in gate.told or gate.told[name] != sums
         }
-        gate.limiter.heard(now, changed)
+        gate.limiter.record_usage_totals(now, changed)
         gate.told = {name: dict(sums) for name, sums in board.items()}
         gate.heard_at = gate.seen_at = now
-        gate.limiter.set_members(now, max(1, sum(self._stands(now, at, i) for i in range(len(self.gates)))))
-        gate.asked = gate.limiter.fresh()
+        gate.limiter.set_proxy_count(
+            now, max(1, sum(self._stands(now, at, i) for i in range(len(self.gates))))
+        )
+        gate.asked = gate.limiter.take_new_counts()
         for tenant, (total, declined) in {**gate.asked, "other": (self.rng.randint(2, 6), 0)}.items():
             old = board[source].get(tenant, (0, 0))
             board[source][tenant] = (old[0] + total, old[1] + declined)
--- a/tests/traffic/test_outlier_detection.py
+++ b/tests/traffic/test_outlier_detection.py
@@ -10,7 +10,7 @@
 from ashlift.proxy.load_balancer import Crew
 from ashlift.registry.load_reports import Said, Tallies
 from ashlift.registry.replicated_source import Source
-from ashlift.traffic.outlier_detection import Jury
+from ashlift.traffic.outlier_detection import OutlierDetector
 
 HOLD = Route(
     name="hold",
@@ -63,10 +63,10 @@
 
     def _pull(self, now: float) -> None:
         for at, crew in enumerate(self.crews):
-            faults = crew.jury.fresh(now)
+            faults = crew.jury.failure_counts(now)
             self.tallies.said(f"e{at}", Said({}, {key: (one[0], one[1]) for key, one in faults.items()}))
             found = {key: (one[0], one[1], one[2]) for key, one in self.sums[0].items()}
-            crew.jury.heard(now, found, {}, faults)
+            crew.jury.record_failure_totals(now, found, {}, faults)
         self.sums.append({key[2:]: value for key, value in self.source.values.items()})
         self.sums.popleft()
 
@@ -113,24 +113,24 @@
 
 @test("where all workers of a region fail, a fifth of them is out; none where the rest would be full")
 def _() -> None:
-    jury = Jury()
+    jury = OutlierDetector()
     for at in range(8):
         for _ in range(6):
-            jury.saw(10.0, f"w{at}", 1.0)
-    assert len(jury.out(10.0, {f"w{at}": (6, 2.0) for at in range(8)}, 5)) == 2
-    assert not jury.out(10.1, {f"w{at}": (6, 4.5) for at in range(8)}, 5)
+            jury.record_result(10.0, f"w{at}", 1.0)
+    assert len(jury.ejected_workers(10.0, {f"w{at}": (6, 2.0) for at in range(8)}, 5)) == 2
+    assert not jury.ejected_workers(10.1, {f"w{at}": (6, 4.5) for at in range(8)}, 5)
 
 
 @test("a worker that was out comes back, and is out for twice as long when it fails again")
 def _() -> None:
-    jury, group = Jury(), {f"w{at}": (6, 0.0) for at in range(5)}
+    jury, group = OutlierDetector(), {f"w{at}": (6, 0.0) for at in range(5)}
     times = []
     for at in range(2000):
         now = 0.01 * at
-        found = jury.out(now, group, 5)
+        found = jury.ejected_workers(now, group, 5)
         times.append("w1" in found)
         if at % 10 == 0 and not found:
-            jury.saw(now, "w1", 1.0)
+            jury.record_result(now, "w1", 1.0)
     spells = "".join("x" if one else "." for one in times).split(".")
     held = [len(one) for one in spells if one]
     assert 480 < held[0] < 520 and 980 < held[1] < 1020, held
--- a/tests/traffic/test_rate_limiter.py
+++ b/tests/traffic/test_rate_limiter.py
@@ -6,7 +6,7 @@
 from ward import each, test
 
 from ashlift.proxy.cluster_view import Change
-from ashlift.traffic.rate_limiter import Limiter
+from ashlift.traffic.rate_limiter import RateLimiter
 from tests.support import request_router_scenarios as gate_scenes
 from tests.support.rate_limiter_play import SCENES, Bounds, Play, read
 
@@ -25,10 +25,10 @@
         assert min(play.hot for play in plays) >= (least or [0.9])[0]
 
 
-def _limiter(rate: float = 10.0, burst: float = 10.0, members: int = 1) -> Limiter:
-    limiter = Limiter(random.Random(5), Bounds())
+def _limiter(rate: float = 10.0, burst: float = 10.0, members: int = 1) -> RateLimiter:
+    limiter = RateLimiter(random.Random(5), Bounds())
     limiter.set_quota("t", rate, burst)
-    limiter.set_members(0.0, members)
+    limiter.set_proxy_count(0.0, members)
     return limiter
 
 
@@ -36,9 +36,9 @@
 def _() -> None:
     members = 11
     limiter = _limiter(rate=100.0, burst=100.0, members=members)
-    limiter.set_members(100.0, members)
-    limiter.heard(100.0, {"p#1": {}})
-    limiter.heard(100.3, {"p#1": {}})
+    limiter.set_proxy_count(100.0, members)
+    limiter.record_usage_totals(100.0, {"p#1": {}})
+    limiter.record_usage_totals(100.3, {"p#1": {}})
     passed = sum(limiter.admit(100.3 + 0.01 * at, "t") is None for at in range(20))
     assert passed >= 8  # 5 or 6 where the unknown swamps its part by use
     bounds = Bounds()
@@ -56,12 +56,16 @@
 @test("limiter: counts not sent come again, those given back are told as declined")
 def _() -> None:
     limiter = _limiter()
-    limiter.heard(0.0, {"p#1": {}})
+    limiter.record_usage_totals(0.0, {"p#1": {}})
     assert limiter.admit(0.1, "t") is None
-    counts = limiter.fresh()
-    limiter.unsent(counts)
-    limiter.give_back(0.2, "t")
-    assert counts == {"t": (1, 0)} and limiter.fresh() == {"t": (1, 1)} and limiter.fresh() == {}
+    counts = limiter.take_new_counts()
+    limiter.restore_counts(counts)
+    limiter.refund(0.2, "t")
+    assert (
+        counts == {"t": (1, 0)}
+        and limiter.take_new_counts() == {"t": (1, 1)}
+        and limiter.take_new_counts() == {}
+    )
 
 
 @test("limiter: the others' counts close the quota; our own confirmed adds are no news")
@@ -69,9 +73,9 @@
     for ours, closed in ((12, False), (0, True)):
         limiter = _limiter(rate=10.0, burst=10.0, members=2)
         for at in range(40):  # past the time in which it does not know the others
-            limiter.heard(0.25 * at, {"p#1": {"t": (100, 0)}})
-        limiter.confirmed({"t": (ours, 0)})
-        limiter.heard(10.2, {"p#1": {"t": (112, 0)}})
+            limiter.record_usage_totals(0.25 * at, {"p#1": {"t": (100, 0)}})
+        limiter.confirm_counts({"t": (ours, 0)})
+        limiter.record_usage_totals(10.2, {"p#1": {"t": (112, 0)}})
         told = [limiter.admit(10.3, "t") for _ in range(8)]
         assert any(again is not None for again in told) is closed
         assert all(again is None or 0.2 < again < 4 for again in told)
@@ -80,10 +84,10 @@
 @test("limiter: no limit, no counts; a tenant taken away is forgotten")
 def _() -> None:
     limiter = _limiter(rate=1.0, burst=1.0)
-    limiter.heard(0.0, {})
+    limiter.record_usage_totals(0.0, {})
     assert any(limiter.admit(0.1, "t") for _ in range(20))
     limiter.set_quota("t", 0.0, 0.0)
-    assert not any(limiter.admit(0.2, "t") for _ in range(20)) and limiter.fresh() == {}
+    assert not any(limiter.admit(0.2, "t") for _ in range(20)) and limiter.take_new_counts() == {}
 
 
 @test("gate: a source that the ledger dropped is kept for a while, then starts anew")
@@ -93,7 +97,7 @@
     for now in (1.0, 9.0, 13.0):
         play.gate.news(now, Change(members=True))
         if now == 1.0:
-            limiter.heard(now, {"p#1": {"t": (3, 0)}})
+            limiter.record_usage_totals(now, {"p#1": {"t": (3, 0)}})
         assert ("p#1" in limiter._sources) is (now < 12), now
     assert not ledger.sources
 
@@ -103,14 +107,14 @@
     limiter = _limiter(rate=100.0, burst=100.0, members=2)
     for at in range(40):
         now = 0.25 * at
-        limiter.heard(now, {"p#1": {"t": (at, 0)}})
+        limiter.record_usage_totals(now, {"p#1": {"t": (at, 0)}})
         if at == 8:
             assert all(limiter.admit(now, "t") is None for _ in range(5))
         if at == 30:  # long after, when what passed is out of the rule's window
             for _ in range(5):
-                limiter.give_back(now, "t")
+                limiter.refund(now, "t")
     for at in range(30):  # blind for 3 s: a request a second less than none would be expected
         assert limiter.admit(9.75 + 0.1 * at, "t") is None
-    limiter.heard(12.75, {"p#1": {"t": (41, 0)}})
-    limiter.heard(13.0, {"p#1": {"t": (42, 0)}})
+    limiter.record_usage_totals(12.75, {"p#1": {"t": (41, 0)}})
+    limiter.record_usage_totals(13.0, {"p#1": {"t": (42, 0)}})
     assert limiter.admit(13.0, "t") is None
