--- a/ashlift/configstore/server.py
+++ b/ashlift/configstore/server.py
@@ -7,12 +7,11 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any
 
-import cbor2
 import gevent
 from gevent.event import AsyncResult, Event
 
 from ashlift.config.settings import Settings
-from ashlift.configstore import events
+from ashlift.configstore import events, snapshot_storage
 from ashlift.configstore.commands import decide, read_fence
 from ashlift.configstore.membership import Membership
 from ashlift.configstore.messages import (
@@ -32,12 +31,11 @@
     Submit,
     Tell,
     Tick,
-    Vote,
     Work,
 )
-from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.replica import Member
-from ashlift.configstore.snapshot_storage import Shelf
+from ashlift.configstore.replica_storage import ReplicaStorage
+from ashlift.configstore.snapshot_storage import SnapshotStorage
 from ashlift.errors import Failure, FailureReason
 from ashlift.events import ERROR, WARNING, tell
 from ashlift.rpc.fragmentation import Cutter
@@ -58,43 +56,6 @@
 FLUSH_S = 0.05  # for the last answers to leave before the process ends
 
 
-class Disk:
-    """A member's durable state on two shelves."""
-
-    def __init__(self, folder: str) -> None:
-        self._votes, self._maps = Shelf(folder, "vote"), Shelf(folder, "map")
-
-    def read(self) -> tuple[Vote | Failure | None, State | Failure | None]:
-        return self._vote(self._votes.read()), self._state(self._maps.read())
-
-    def _vote(self, found: dict[str, bytes] | Failure | None) -> Vote | Failure | None:
-        if not isinstance(found, dict):
-            return found
-        try:
-            return Vote(*cbor2.loads(found["vote"]))
-        except (cbor2.CBORDecodeError, LookupError, TypeError) as error:
-            return Failure(FailureReason.INVALID, str(error))
-
-    def _state(self, found: dict[str, bytes] | Failure | None) -> State | Failure | None:
-        if not isinstance(found, dict):
-            return found
-        try:
-            term, index = cbor2.loads(found.pop("stamp"))
-            ranges = {int(name): data for name, data in found.items()}
-            return State((term, index), RangedMap().replaced(ranges))
-        except (cbor2.CBORDecodeError, LookupError, TypeError, ValueError) as error:
-            return Failure(FailureReason.INVALID, str(error))
-
-    def keep(self, keep: Keep) -> Failure | None:
-        if keep.state is not None:
-            entries = keep.state.entries
-            records = {f"{number:02}": entries.packed(number) for number in entries.filled()}
-            fault = self._maps.write({**records, "stamp": cbor2.dumps([*keep.state.term_index])})
-            if fault is not None:
-                return fault
-        return None if keep.vote is None else self._votes.write({"vote": cbor2.dumps([*keep.vote])})
-
-
 def watched(cutter: Cutter, told: dict[str, Any], body: Any, now: float) -> dict[str, Any]:
     """What a watcher lacks, in pieces if it is large."""
     if "part" not in body or not told["set"]:
@@ -119,7 +80,7 @@
 
     def __init__(self, settings: Settings, folder: str, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock, self.port = clock, settings.internal_ports[0]
-        self.disk = Disk(folder)
+        self.disk = ReplicaStorage(folder)
         vote, state = self.disk.read()
         for name, held in (("vote", vote), ("map", state)):
             if isinstance(held, Failure):
@@ -143,7 +104,7 @@
         self._drafts: Drafts | None = None
         self._cutter = Cutter(str(self.member.incarnation), WATCH_PIECE, WATCH_PIECE)
         self._do(self.member.begin(self.clock()))
-        if os.path.exists(os.path.join(folder, "edits-b.dat")):  # the shelf's first generation
+        if snapshot_storage.exists(folder, "edits"):
             self._waiting()
         self.server = serve((settings.ip, self.port), handlers)
 
@@ -184,7 +145,7 @@
                 effect.ref.set(effect.body)
             case Keep():
                 began = self.clock()
-                fault = self.disk.keep(effect)
+                fault = self.disk.persist(effect)
                 took = self.clock() - began
                 if took >= SLOW_S:
                     tell(events.DISK_SLOW, level=WARNING, seconds=round(took, 1))
@@ -264,7 +225,7 @@
         if self._drafts is None:
             from ashlift.configstore.pending_edits import NAME, Drafts  # no route is edited on most systems
 
-            self._drafts = Drafts(Shelf(self._folder, NAME), self._committed)
+            self._drafts = Drafts(SnapshotStorage(self._folder, NAME), self._committed)
             gevent.spawn(self._merge, self._drafts)
         return self._drafts
 
--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -22,7 +22,7 @@
 from ashlift.configstore.messages import DELTA, Keep, State, Vote
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.replica_state import pack as packed_payload
-from ashlift.configstore.server import Disk
+from ashlift.configstore.replica_storage import ReplicaStorage
 from ashlift.errors import Failure
 from ashlift.proxy import registry_client as pullings
 from ashlift.proxy.cluster_view import Ledger
@@ -440,7 +440,7 @@
     out.ms("store: what changed since, ms", lambda: news.advance(next(each)), 3)
     out.note("store: whole map to a registry, bytes", len(pack(ANSWERS, [1, news.since(0)])))
     with tempfile.TemporaryDirectory() as folder:
-        disk = Disk(folder)
+        disk = ReplicaStorage(folder)
         for number, state in enumerate(
             [
                 State((1, 1), entries),
@@ -450,14 +450,14 @@
         ):
             name = "store: map to disk, first, ms" if number < 2 else "store: a change to disk, ms"
             began, steady = time.process_time(), time.monotonic()
-            assert disk.keep(Keep(Vote(1, None, True), state)) is None
+            assert disk.persist(Keep(Vote(1, None, True), state)) is None
             out.note(name, 1000 * (time.process_time() - began))
             out.note(f"{name[:-4]}, ms by the clock", 1000 * (time.monotonic() - steady))
         out.note(
             "store: disk, MB",
             sum(os.path.getsize(os.path.join(folder, name)) for name in os.listdir(folder)) / 1e6,
         )
-        out.ms("store: map from disk, ms", lambda: Disk(folder).read(), 2)
+        out.ms("store: map from disk, ms", lambda: ReplicaStorage(folder).read(), 2)
     found: dict[str, Any] = first.set
     return found
 
--- a/tests/configstore/test_snapshot_storage.py
+++ b/tests/configstore/test_snapshot_storage.py
@@ -17,15 +17,14 @@
 from ward import each, fixture, raises, test
 
 from ashlift.config.settings import Settings
-from ashlift.configstore import events
+from ashlift.configstore import events, snapshot_storage
 from ashlift.configstore import server as daemons
-from ashlift.configstore import snapshot_storage as shelves
 from ashlift.configstore.commands import TAKEN, TAKEN_MOST, decide
 from ashlift.configstore.committed_state import News
 from ashlift.configstore.messages import Keep, Settled, State, Vote, Work
 from ashlift.configstore.ranged_map import RangedMap
-from ashlift.configstore.server import Disk
-from ashlift.configstore.snapshot_storage import Shelf
+from ashlift.configstore.replica_storage import ReplicaStorage
+from ashlift.configstore.snapshot_storage import SnapshotStorage
 from ashlift.errors import Failure, FailureReason
 
 SYNCS = 3  # of one write: data, index, folder
@@ -56,19 +55,19 @@
 @fixture
 def unsynced(folder: Path = folder) -> Iterator[Path]:
     """For tests that read and write hundreds of times, and not about what a sync does."""
-    sync, shelves._sync = shelves._sync, _there
+    sync, snapshot_storage._sync = snapshot_storage._sync, _there
     try:
         yield folder
     finally:
-        shelves._sync = sync
+        snapshot_storage._sync = sync
 
 
 def records(number: int) -> dict[str, bytes]:
     return {"all": b"%d" % number * 40, f"own{number % 3}": b"x" * 30 * number}
 
 
-def written(folder: Path, count: int) -> Shelf:
-    shelf = Shelf(str(folder), "map")
+def written(folder: Path, count: int) -> SnapshotStorage:
+    shelf = SnapshotStorage(str(folder), "map")
     assert shelf.read() is None
     for number in range(1, count + 1):
         assert shelf.write(records(number)) is None
@@ -121,8 +120,8 @@
 
 @test("a loss of power before sync {done} of a write leaves the old records or the new ones, whole")
 def _(folder: Path = folder, done: int = each(*range(SYNCS + 1))) -> None:
-    medium, sync = Medium(folder), shelves._sync
-    shelves._sync = medium.sync
+    medium, sync = Medium(folder), snapshot_storage._sync
+    snapshot_storage._sync = medium.sync
     try:
         shelf = written(folder, 4)
         medium.left = done
@@ -135,36 +134,38 @@
         found = set()
         for files in list(medium.remains()):
             medium.lay(files)
-            again = Shelf(str(folder), "map")
+            again = SnapshotStorage(str(folder), "map")
             held = again.read()
             assert held in (records(4), records(5)), held
             found.add(held == records(5))
-            assert again.write(records(6)) is None and Shelf(str(folder), "map").read() == records(6)
+            assert again.write(records(6)) is None and SnapshotStorage(str(folder), "map").read() == records(
+                6
+            )
         assert True in found and (done < SYNCS) == (False in found)
     finally:
-        shelves._sync = sync
+        snapshot_storage._sync = sync
 
 
 @test("what a killed process left whole but not synced is made durable before it is relied on")
 def _(folder: Path = folder) -> None:
-    medium, sync = Medium(folder), shelves._sync
-    shelves._sync = medium.sync
+    medium, sync = Medium(folder), snapshot_storage._sync
+    snapshot_storage._sync = medium.sync
     try:
         shelf = written(folder, 4)
         medium.left = 0
         with raises(PowerLost):  # here: the process is killed, the files stay
             shelf.write(records(5))
         medium.left = 10**9
-        again = Shelf(str(folder), "map")
+        again = SnapshotStorage(str(folder), "map")
         assert again.read() == records(5)
         medium.left = 0
         with raises(PowerLost):
             again.write(records(6))
         for files in list(medium.remains()):
             medium.lay(files)
-            assert Shelf(str(folder), "map").read() in (records(5), records(6))
+            assert SnapshotStorage(str(folder), "map").read() in (records(5), records(6))
     finally:
-        shelves._sync = sync
+        snapshot_storage._sync = sync
 
 
 @test("every torn prefix and the lack of a file leave the newest generation that is whole, or a fault")
@@ -178,17 +179,17 @@
             path.unlink(missing_ok=True)  # a file that is cut and written over waits for the disk
             if length is not None:
                 path.write_bytes(whole[:length])
-            held = Shelf(str(folder), "map").read()
+            held = SnapshotStorage(str(folder), "map").read()
             assert held == records(2) or (length and held == records(3)), (path, length, held)
         path.write_bytes(whole)
     for path in folder.iterdir():
         path.write_bytes(b"('x', (5, 9999999999999999999))\n'")
-    assert isinstance(Shelf(str(folder), "map").read(), Failure)
+    assert isinstance(SnapshotStorage(str(folder), "map").read(), Failure)
 
 
 @test("a disk that refuses at any sync is a fault, and the next write that works is kept")
 def _(folder: Path = folder) -> None:
-    sync = shelves._sync
+    sync = snapshot_storage._sync
     for fails in range(SYNCS):
         shutil.rmtree(folder, ignore_errors=True)
         shelf = written(folder, 3)
@@ -199,13 +200,13 @@
                 raise OSError(28, "No space left on device")
             sync(path)
 
-        shelves._sync = refusing
+        snapshot_storage._sync = refusing
         try:
             assert isinstance(shelf.write(records(4)), Failure)
         finally:
-            shelves._sync = sync
-        assert Shelf(str(folder), "map").read() in (records(3), records(4))
-        assert shelf.write(records(5)) is None and Shelf(str(folder), "map").read() == records(5)
+            snapshot_storage._sync = sync
+        assert SnapshotStorage(str(folder), "map").read() in (records(3), records(4))
+        assert shelf.write(records(5)) is None and SnapshotStorage(str(folder), "map").read() == records(5)
 
 
 class Full:
@@ -237,18 +238,20 @@
             shutil.rmtree(folder, ignore_errors=True)
             shelf = written(folder, 4)
             if anew:
-                shelf = Shelf(str(folder), "map")
+                shelf = SnapshotStorage(str(folder), "map")
                 shelf.read()
             with instead(dbm.dumb, _io=Full(room)):
                 fault = shelf.write(records(5))
             gc.collect()
-            held = Shelf(str(folder), "map").read()
+            held = SnapshotStorage(str(folder), "map").read()
             if fault is None:
                 assert held == records(5)
                 break
             refused += 1
             assert held in (records(4), records(5)), (room, held)
-            assert shelf.write(records(6)) is None and Shelf(str(folder), "map").read() == records(6)
+            assert shelf.write(records(6)) is None and SnapshotStorage(str(folder), "map").read() == records(
+                6
+            )
     assert refused > 10
 
 
@@ -263,22 +266,22 @@
         return whole(path, flag)
 
     with instead(dbm.dumb, open=refusing):
-        shelf = Shelf(str(folder), "map")
+        shelf = SnapshotStorage(str(folder), "map")
         held = shelf.read()
     assert isinstance(held, Failure) and held.reason == FailureReason.REJECTED
-    assert shelf.write(records(9)) is None and Shelf(str(folder), "map").read() == records(9)
+    assert shelf.write(records(9)) is None and SnapshotStorage(str(folder), "map").read() == records(9)
 
 
 @test("a shelf grows no further than 3 times its records and 64 KB a generation, whatever is written")
 def _(folder: Path = unsynced) -> None:
-    chance, shelf, sizes = random.Random(7), Shelf(str(folder), "map"), [0]
+    chance, shelf, sizes = random.Random(7), SnapshotStorage(str(folder), "map"), [0]
     assert shelf.read() is None
     for _ in range(150):
         names = chance.sample([f"{number:02}" for number in range(64)], chance.randint(1, 64))
         written_ = {name: b"x" * chance.randint(0, chance.choice([100, 9000])) for name in names}
         assert shelf.write(written_) is None
         blocks = 512 * (len(written_) + 1)
-        sizes.append(3 * sum(map(len, written_.values())) + shelves.SPARE + blocks)
+        sizes.append(3 * sum(map(len, written_.values())) + snapshot_storage.MAX_WASTED_BYTES + blocks)
         there = sum(path.stat().st_size for path in folder.glob("*.dat"))
         assert there <= sizes[-1] + sizes[-2], (there, sizes[-2:])
         assert sum(path.stat().st_size for path in folder.glob("*.dir")) < 2 * 65 * 40
@@ -291,16 +294,18 @@
     settings = Settings(node_name="n", ip="127.0.0.1", internal_ports=(0, 0), seeds=(("127.0.0.1", 1),))
     for took, fault in ((0.1, None), (2.0, None), (3.0, Failure(FailureReason.REJECTED, "full"))):
 
-        class Slow(Disk):
-            def keep(self, keep: Keep, took: float = took, fault: Failure | None = fault) -> Failure | None:
+        class Slow(ReplicaStorage):
+            def persist(
+                self, request: Keep, took: float = took, fault: Failure | None = fault
+            ) -> Failure | None:
                 now[0] += took
-                return super().keep(keep) if fault is None else fault
+                return super().persist(request) if fault is None else fault
 
         def tell(event: Any, level: Any = None, **fields: Any) -> None:
             told.extend((event, value) for value in fields.values())
 
         shutil.rmtree(folder, ignore_errors=True)
-        with instead(daemons, Disk=Slow, tell=tell):
+        with instead(daemons, ReplicaStorage=Slow, tell=tell):
             daemon = daemons.Daemon(evolve(settings, bootstrap=True), str(folder), lambda: now[0])
         daemon.server.stop()
         assert daemon.member.vote.voter == (fault is None)
@@ -310,14 +315,17 @@
 
 @test("a generation that wastes too much is written anew, and a member's state comes back as it was")
 def _(folder: Path = unsynced) -> None:
-    disk, entries = Disk(str(folder)), RangedMap({"Members/1": {}})
+    disk, entries = ReplicaStorage(str(folder)), RangedMap({"Members/1": {}})
     assert disk.read() == (None, None)
     for number in range(1, 60):
         entries = entries.changed({"k": "x" * 700 * number}, [])
         vote = Vote(number, "1", True)
-        assert disk.keep(Keep(vote, State((number, number), entries))) is None
-    assert sum(path.stat().st_size for path in folder.iterdir()) < 5 * 700 * 60 + 3 * shelves.SPARE
-    held_vote, held = Disk(str(folder)).read()
+        assert disk.persist(Keep(vote, State((number, number), entries))) is None
+    assert (
+        sum(path.stat().st_size for path in folder.iterdir())
+        < 5 * 700 * 60 + 3 * snapshot_storage.MAX_WASTED_BYTES
+    )
+    held_vote, held = ReplicaStorage(str(folder)).read()
     assert held_vote == vote and isinstance(held, State) and held.term_index == (59, 59)
     assert held.entries.map == entries.map and held.entries.digest() == entries.digest()
 
--- a/tests/registry/test_routes.py
+++ b/tests/registry/test_routes.py
@@ -17,7 +17,7 @@
 from ashlift.configstore.commands import decide
 from ashlift.configstore.messages import Work
 from ashlift.configstore.pending_edits import NAME, Drafts
-from ashlift.configstore.snapshot_storage import Shelf
+from ashlift.configstore.snapshot_storage import SnapshotStorage
 from ashlift.errors import Failure, FailureReason
 from ashlift.registry.http_server import Request
 from ashlift.registry.registry import Registry, Self
@@ -41,7 +41,7 @@
         self.resources = {"routes": Routes(desk), "proposals": Proposals(desk)}
 
     def opened(self, ip: str) -> Drafts:
-        shelf = Shelf(f"{self.folder}/{ip}", NAME)
+        shelf = SnapshotStorage(f"{self.folder}/{ip}", NAME)
         return Drafts(shelf, lambda: (self.index, self.map), lambda *_, **__: None)
 
     def submit(self, kind: str, if_match: str | None, body: Any, size: int = 0) -> Any:
