--- /dev/null
+++ b/tests/configstore/test_stored_data.py
@@ -0,0 +1,92 @@
+"""Disks written by the code of commit 147a987: read to the same values, and written to the same bytes."""
+
+import tempfile
+from collections.abc import Iterable, Iterator
+from pathlib import Path
+from typing import Any
+
+from ward import each, fixture, test
+
+from ashlift.configstore.messages import Keep, State, Vote
+from ashlift.configstore.pending_edits import NAME, Drafts
+from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.replica_storage import ReplicaStorage
+from ashlift.configstore.snapshot_storage import SnapshotStorage
+from tests.support import stored_data
+from tests.support.stored_data import TORN, WHOLE, Stored, Values
+
+ARCHIVE = Path(__file__).parent / "stored_by_147a987.zip"
+NEWEST = {WHOLE: stored_data.writes()[-1], TORN: stored_data.writes()[-2]}
+
+
+@fixture
+def folder() -> Iterator[Path]:
+    with tempfile.TemporaryDirectory() as name:
+        yield Path(name)
+
+
+def waiting(folder: Path) -> Drafts:
+    """The edits that wait on a disk."""
+    return Drafts(SnapshotStorage(str(folder), NAME), lambda: (0, {}), lambda *_, **__: None)
+
+
+def request(stored: Stored) -> Keep:
+    """What a replica asks its storage to keep."""
+    return Keep(Vote(*stored.vote), State(stored.term_index, RangedMap(stored.objects)))
+
+
+def persist(folder: str, stored: Iterable[Stored]) -> None:
+    storage = ReplicaStorage(folder)
+    for one in stored:
+        assert storage.persist(request(one)) is None
+
+
+def add_edits(folder: str, calls: list[list[Values]]) -> None:
+    drafts = waiting(Path(folder))
+    for call in calls:
+        assert drafts.call({"add": call})["edits"]
+
+
+def held(found: tuple[Any, Any]) -> tuple[Vote, tuple[int, int], Values]:
+    """Vote and snapshot of a storage that reads both, in values."""
+    vote, state = found
+    assert isinstance(vote, Vote) and isinstance(state, State)
+    return vote, state.term_index, dict(state.entries.map)
+
+
+@test("stored data: the {disk} disk of 147a987 is read to its newest intact vote, snapshot and edits")
+def _(folder: Path = folder, disk: str = each(WHOLE, TORN)) -> None:
+    stored_data.unpack(ARCHIVE, folder)
+    newest = NEWEST[disk]
+    vote, term_index, objects = held(ReplicaStorage(str(folder / disk)).read())
+    assert vote == Vote(*stored_data.writes()[-1].vote)
+    assert (vote.term, vote.voted_for, vote.voter, vote.life) == stored_data.writes()[-1].vote
+    assert term_index == newest.term_index
+    assert objects == newest.objects and len(objects) > 200
+    assert {name: type(value) for name, value in objects.items()} == {
+        name: type(value) for name, value in newest.objects.items()
+    }
+    found = waiting(folder / disk).waiting.book
+    assert {id: edit.wire() for id, edit in found.items()} == {
+        edit["id"]: edit for edit in stored_data.edits()
+    }
+
+
+@test("stored data: the same values are written to the same files, byte for byte")
+def _(folder: Path = folder) -> None:
+    stored_data.write(folder, stored_data.Code(persist, add_edits))
+    found, before = stored_data.files(folder), stored_data.packed(ARCHIVE)
+    assert list(found) == list(before)
+    assert [name for name, data in found.items() if data != before[name]] == []
+
+
+@test("stored data: on the {disk} disk of 147a987 the next write is kept")
+def _(folder: Path = folder, disk: str = each(WHOLE, TORN)) -> None:
+    stored_data.unpack(ARCHIVE, folder)
+    storage = ReplicaStorage(str(folder / disk))
+    storage.read()
+    objects = {**NEWEST[disk].objects, "Routes/one-more": {"Service": "service-1"}}
+    following = Stored((10, "10.0.0.3", True, 5), (10, 58), objects)
+    assert storage.persist(request(following)) is None
+    found = held(ReplicaStorage(str(folder / disk)).read())
+    assert found == (Vote(*following.vote), following.term_index, following.objects)
--- /dev/null
+++ b/tests/support/stored_data.py
@@ -0,0 +1,198 @@
+"""A configuration store's disk as the code of commit 147a987 wrote it: the values on it, and how it was made.
+
+`python -m tests.support.stored_data TREE FILE` writes the disk with the code in TREE, a checkout of 147a987,
+and packs its files into FILE. On the disk are votes and snapshots, and edits that wait, each in both of its
+generations; in the folder `torn` the newest snapshot is cut off, as a loss of power may leave it.
+"""
+
+import argparse
+import random
+import sys
+import tempfile
+import zipfile
+from collections.abc import Callable, Iterable
+from importlib import import_module
+from pathlib import Path
+from typing import Any, Final, NamedTuple
+
+WHOLE: Final = "whole"
+TORN: Final = "torn"
+EPOCH: Final = (1980, 1, 1, 0, 0, 0)  # of all files in the archive: alike whenever it is made
+Values = dict[str, Any]
+
+
+class Stored(NamedTuple):
+    """One write of a replica: its vote, and the snapshot with its term and index."""
+
+    vote: tuple[int, str | None, bool, int]
+    term_index: tuple[int, int]
+    objects: Values
+
+
+def _route(name: str, service: str, repeatable: bool) -> Values:
+    return {
+        "Host": "app.example",
+        "PathPrefix": f"/{name}/",
+        "RouteType": "idempotent" if repeatable else "non_idempotent",
+        "Timeout": "3000ms",
+        "Service": service,
+        "MaxAttempts": 3 if repeatable else 1,
+        "Anonymous": False,
+        "HomeRegions": ["r1", "r2"],
+    }
+
+
+def _objects(count: int, version: int) -> Values:
+    """So many objects of all kinds, some of them with values of every type that is stored."""
+    chance = random.Random(count)
+    found: Values = {"Version": f"{version:08x}"}
+    for number in range(count // 3):
+        service = f"service-{number % 40}"
+        found[f"Routes/route-{number}"] = _route(f"route-{number}", service, chance.random() < 0.5)
+        rate = round(chance.uniform(1.0, 900.0), 3)
+        found[f"Tenants/tenant-{number}"] = {
+            "ApiKeys": [f"key-{number}-a", f"key-{number}-b"],
+            "RatePerS": rate,
+            "BurstSize": int(rate),
+        }
+        found[f"Services/service-{number}"] = {
+            "HealthCheck": "/health",
+            "MaxConnections": chance.choice([16, 100, 70000]),
+            "Warmup": f"{number % 9}s",
+            "WarmupRateS": chance.choice([None, 5, 2.5]),
+        }
+    found["Evacuations/z2"] = {}
+    found["Limits/"] = {"MaxHeaderBytes": 8192, "HeaderTimeout": "2000ms"}
+    found["members/10.0.0.7"] = {"voter": True, "life": 2**40 + 7}
+    found["names/żółw"] = [True, False, None, -1, 1.5, b"\x00\xff", "Größe"]
+    return found
+
+
+def _without(objects: Values, *names: str) -> Values:
+    return {name: value for name, value in objects.items() if name not in names}
+
+
+def writes() -> list[Stored]:
+    """What a replica writes one after the other: the newest last."""
+    later = {**_objects(240, 7), "Routes/added": _route("added", "service-1", True)}
+    return [
+        Stored((3, None, False, 11), (3, 40), _objects(60, 6)),
+        Stored((4, "10.0.0.2", True, 2**47 + 5), (4, 41), _objects(240, 7)),
+        Stored(
+            (9, "10.0.0.1", True, 2**47 + 5), (9, 57), _without(later, "Tenants/tenant-5", "Evacuations/z2")
+        ),
+    ]
+
+
+def edits() -> list[Values]:
+    """Edits that wait, as a registry sends them to its store."""
+    text = _route("route-1", "service-9", True)
+    usual = {"base": text, "version": "00000007", "who": "operator-A", "where": "10.0.0.1", "auto": True}
+    return [
+        {
+            **usual,
+            "id": "e1",
+            "name": "route-1",
+            "text": {**text, "Service": "service-3"},
+            "stamp": [1_790_000_000_123, 0, "10.0.0.1"],
+            "doubt": False,
+        },
+        {
+            **usual,
+            "id": "e2",
+            "name": "route-2",
+            "text": None,
+            "stamp": [1_790_000_000_456, 3, "10.0.0.2"],
+            "doubt": True,
+        },
+        {
+            **usual,
+            "id": "e3",
+            "name": "route-3",
+            "text": text,
+            "base": None,
+            "auto": False,
+            "who": "Zoë",
+            "stamp": [1_790_000_001_000, 1, "10.0.0.3"],
+            "doubt": False,
+        },
+    ]
+
+
+class Code(NamedTuple):
+    """What of a tree writes a disk: a replica's writes in a folder, and calls that add edits there."""
+
+    persist: Callable[[str, Iterable[Stored]], None]
+    add_edits: Callable[[str, list[list[Values]]], None]
+
+
+def code_of_147a987(tree: Path) -> Code:
+    """The code in a checkout of that commit."""
+    sys.path.insert(0, str(tree))
+    daemon, interface, ranges = (import_module(f"vise.{name}") for name in ("daemon", "interface", "ranges"))
+    drafts, shelf = import_module("vise.drafts"), import_module("vise.shelf")
+
+    def persist(folder: str, stored: Iterable[Stored]) -> None:
+        disk = daemon.Disk(folder)
+        for one in stored:
+            state = interface.State(one.term_index, ranges.RangedMap(one.objects))
+            failure = disk.keep(interface.Keep(interface.Vote(*one.vote), state))
+            assert failure is None, failure
+
+    def add_edits(folder: str, calls: list[list[Values]]) -> None:
+        book = drafts.Drafts(shelf.Shelf(folder, drafts.NAME), lambda: (0, {}), lambda *_, **__: None)
+        for call in calls:
+            answer = book.call({"add": call})
+            assert len(answer["edits"]) > 0, answer
+
+    return Code(persist, add_edits)
+
+
+def write(folder: Path, code: Code) -> None:
+    """Write both disks below `folder`."""
+    for name in (WHOLE, TORN):
+        code.persist(str(folder / name), writes())
+        code.add_edits(str(folder / name), [edits()[:1], edits()[1:]])
+    newest = folder / TORN / "map-b.dat"  # the third write: generations take turns, `b` is the first
+    newest.write_bytes(newest.read_bytes()[: newest.stat().st_size // 2])
+
+
+def files(folder: Path) -> dict[str, bytes]:
+    """All files below a folder by their names relative to it."""
+    paths = sorted(path for path in folder.rglob("*") if path.is_file())
+    return {path.relative_to(folder).as_posix(): path.read_bytes() for path in paths}
+
+
+def packed(path: Path) -> dict[str, bytes]:
+    """The files of an archive."""
+    with zipfile.ZipFile(path) as archive:
+        return {name: archive.read(name) for name in archive.namelist()}
+
+
+def unpack(path: Path, folder: Path) -> None:
+    """Lay the files of an archive out in a folder."""
+    with zipfile.ZipFile(path) as archive:
+        archive.extractall(folder)
+
+
+def pack(path: Path, found: dict[str, bytes]) -> None:
+    """Write an archive."""
+    with zipfile.ZipFile(path, "w", zipfile.ZIP_DEFLATED, compresslevel=9) as archive:
+        for name, data in found.items():
+            archive.writestr(zipfile.ZipInfo(name, EPOCH), data, zipfile.ZIP_DEFLATED, 9)
+
+
+def main(arguments: list[str]) -> int:
+    """The command; its exit status."""
+    parser = argparse.ArgumentParser(prog="python -m tests.support.stored_data", description="Write a disk.")
+    parser.add_argument("tree", type=Path, help="a checkout of 147a987")
+    parser.add_argument("file", type=Path, help="the archive to write")
+    told = parser.parse_args(arguments)
+    with tempfile.TemporaryDirectory() as name:
+        write(Path(name), code_of_147a987(told.tree))
+        pack(told.file, files(Path(name)))
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main(sys.argv[1:]))
