--- a/ashlift/registry/__main__.py
+++ b/ashlift/registry/__main__.py
@@ -13,13 +13,13 @@
 from ashlift.config import settings as jig_settings
 from ashlift.config.settings import Settings
 from ashlift.events import ERROR, SETTINGS_BAD, SETTINGS_READ, STARTED, STOPPING, set_up, tell
-from ashlift.registry.http_server import Door, Resource
-from ashlift.registry.registry import Registry, Self
+from ashlift.registry.http_server import HttpServer, Resource
+from ashlift.registry.registry import Registry, RegistryIdentity
 from ashlift.registry.resources import Config, Evacuation, Instances, Lookup, Status
-from ashlift.registry.route_resources import Desk, Proposals, Routes
-from ashlift.registry.server import Bell, Calls, Loops
-from ashlift.registry.store_client import Store
-from ashlift.registry.store_membership import Belonging
+from ashlift.registry.route_resources import Proposals, RouteEditService, Routes
+from ashlift.registry.server import ChangeNotifier, RegistryRpcService, ReplicationLoops
+from ashlift.registry.store_client import StoreClient
+from ashlift.registry.store_membership import MembersResource
 from ashlift.rpc.transport import Address, Callers, serve
 
 PATH = "/etc/ashlift/settings.toml"
@@ -35,7 +35,7 @@
         low = settings.internal_ports[0]
         control = settings.bindings.control or settings.bindings.directory
         assert control is not None
-        me = Self(
+        me = RegistryIdentity(
             settings.node_name,
             secrets.token_hex(4),
             settings.ip,
@@ -45,22 +45,22 @@
             settings.heartbeat,
         )
         self._registry = Registry(me, self._seeds(), settings.zones, time.monotonic())
-        self._bell, callers = Bell(self._registry), Callers()
-        store = Store(settings.ip, low, self._stores, callers)
-        self._loops = Loops(self._registry, store, self._bell, callers, low + 1)
-        ring, desk = self._bell.ring, Desk(self._registry, store)
+        self._bell, callers = ChangeNotifier(self._registry), Callers()
+        store = StoreClient(settings.ip, low, self._stores, callers)
+        self._loops = ReplicationLoops(self._registry, store, self._bell, callers, low + 1)
+        ring, desk = self._bell.notify_if_changed, RouteEditService(self._registry, store)
         resources: dict[str, Resource] = {
             "instances": Instances(self._registry, ring),
             "config": Config(store),
             "evacuation": Evacuation(store, lambda: self._settings),
             "lookup": Lookup(self._registry),
-            "members": Belonging(store),
+            "members": MembersResource(store),
             "proposals": Proposals(desk),
             "routes": Routes(desk),
             "status": Status(self._registry),
         }
         addresses = {settings.bindings.control, settings.bindings.directory} - {None}
-        self._doors = [Door(address, resources) for address in addresses if address]
+        self._doors = [HttpServer(address, resources) for address in addresses if address]
         self._frames: Address = (settings.ip, low + 1)
 
     def _seeds(self) -> list[str]:
@@ -68,29 +68,33 @@
 
     def _stores(self) -> list[str]:
         """IPs of the stores, those whose registries stand and are near first."""
-        me = self._registry.me
-        known = self._registry.members()
-        return [ip for ip in self._registry.controls(me.zone, me.region, time.monotonic()) if ip in known]
+        me = self._registry.identity
+        known = self._registry.core_members()
+        return [
+            ip
+            for ip in self._registry.registries_by_distance(me.zone, me.region, time.monotonic())
+            if ip in known
+        ]
 
     def run(self) -> int:
         """Until the end is asked for; the process's exit status."""
         for number in (signal.SIGTERM, signal.SIGINT):
             gevent.signal_handler(number, self._ended.set)
         gevent.signal_handler(signal.SIGHUP, self._read)
-        server = serve(self._frames, Calls(self._registry, self._bell).handlers)
+        server = serve(self._frames, RegistryRpcService(self._registry, self._bell).handlers)
         for door in self._doors:
             door.start()
         self._loops.start()
         self._loops.broken.rawlink(lambda _: self._ended.set())
-        tell(STARTED, source=self._registry.me.source, seeds=",".join(self._registry.seeds))
+        tell(STARTED, source=self._registry.identity.source, seeds=",".join(self._registry.seeds))
         while not self._ended.wait(LOOK_S):
             if self._look() != self._stamp:
                 self._read()
         tell(STOPPING)
         server.close()
-        self._bell.leave()
+        self._bell.shut_down()
         for door in self._doors:
-            door.leave()
+            door.shut_down()
         until = time.monotonic() + LEAVE_S
         while time.monotonic() < until and (self._bell.held or any(door.busy for door in self._doors)):
             gevent.sleep(0.01)
--- a/ashlift/registry/load_reports.py
+++ b/ashlift/registry/load_reports.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from ashlift.registry.replicated_source import FAULT, OUT, Source
+from ashlift.registry.replicated_source import FAULT, OUT, ReplicatedSource
 
 OUT_GRAIN, OUT_LEAST = 0.3, 2.0  # x capacity, and requests: so far off may those told to be under way be
 SAW: Final = 3  # tenths of a failure, from which on a gatekeeper has seen any
@@ -20,14 +20,14 @@
 
 
 @attrs.define
-class Said:
+class LoadReport:
     """What one gatekeeper last said, by worker."""
 
     outs: dict[str, int] = attrs.field(factory=dict)
     faults: dict[str, tuple[int, int]] = attrs.field(factory=dict)
 
     @classmethod
-    def read(cls, body: Mapping[str, Any]) -> "Said":
+    def read(cls, body: Mapping[str, Any]) -> "LoadReport":
         """Raises KeyError, TypeError or ValueError for what is none."""
         outs, faults = dict(body.get("outs") or {}), dict(body.get("faults") or {})
         return cls(
@@ -36,15 +36,15 @@
         )
 
 
-class Tallies:
-    def __init__(self, own: Source, capacity: Callable[[str], int | None]) -> None:
+class LoadReports:
+    def __init__(self, own: ReplicatedSource, capacity: Callable[[str], int | None]) -> None:
         """`capacity` of a worker; None: it is not known."""
         self._own, self._capacity = own, capacity
-        self._said: dict[str, Said] = {}
+        self._said: dict[str, LoadReport] = {}
 
-    def said(self, node: str, said: Said) -> None:
+    def said(self, node: str, said: LoadReport) -> None:
         """A gatekeeper's figures are now these; none: it is gone."""
-        before = self._said.pop(node, Said())
+        before = self._said.pop(node, LoadReport())
         if said.outs or said.faults:
             self._said[node] = said
         for key in before.outs.keys() | said.outs.keys():
--- a/ashlift/registry/records.py
+++ b/ashlift/registry/records.py
@@ -10,14 +10,14 @@
 
 READY: Final = "ready"
 DRAINING: Final = "draining"
-GONE: Final = "gone"  # said by DELETE: final
-GONE_SEQ: Final = 1 << 40  # above every CallSeq, so that nothing later speaks for a worker that has left
+TOMBSTONE: Final = "gone"  # said by DELETE: final
+TOMBSTONE_SEQ: Final = 1 << 40  # above every CallSeq, so that nothing later speaks for a worker that has left
 LAPSED_S: Final = 60.0  # s that a worker whose lease has ended is remembered
 ALIKE_S: Final = 0.3  # s: beats are told late by so much; an end of warming that moves by less is the same
 
 
 @attrs.frozen
-class Worker:
+class WorkerRecord:
     """A worker as last heard; `until`: steady time when it is warm; `seq`: CallSeq of the call saying so."""
 
     service: str
@@ -42,7 +42,7 @@
             "version": self.version,
         }
 
-    def says(self, other: "Worker", now: float) -> bool:
+    def says(self, other: "WorkerRecord", now: float) -> bool:
         """Whether both say the same of a worker."""
         return (
             attrs.evolve(self, seq=0, until=0.0) == attrs.evolve(other, seq=0, until=0.0)
@@ -51,24 +51,24 @@
 
 
 @attrs.define
-class Beats:
+class LastHeartbeat:
     """What a worker last said here."""
 
     at: float
     seq: int
 
 
-class Lapsed:
+class ExpiredWorkers:
     """Workers whose lease has ended, each as it last said: a call that comes late is told from news."""
 
     def __init__(self) -> None:
-        self._last: dict[str, tuple[float, Worker]] = {}
+        self._last: dict[str, tuple[float, WorkerRecord]] = {}
 
-    def add(self, key: str, said: Worker | None, seq: int, now: float) -> None:
+    def add(self, key: str, said: WorkerRecord | None, seq: int, now: float) -> None:
         if said is not None:
             self._last[key] = now, attrs.evolve(said, seq=seq)
 
-    def late(self, key: str, said: Worker) -> bool:
+    def late(self, key: str, said: WorkerRecord) -> bool:
         """Whether this was said before the last word of that life; one that starts anew stands elsewhere."""
         _, last = self._last.get(key, (0.0, said))
         return said.seq < last.seq and said.address == last.address
@@ -77,14 +77,14 @@
         self._last = {key: one for key, one in self._last.items() if now - one[0] <= LAPSED_S}
 
 
-def worker(record: dict[str, Any], now: float) -> Worker:
+def worker(record: dict[str, Any], now: float) -> WorkerRecord:
     """From another registry's record, heard now."""
     fields = dict(record)
-    return Worker(until=now + fields.pop("warm"), **fields)
+    return WorkerRecord(until=now + fields.pop("warm"), **fields)
 
 
 @attrs.frozen
-class Session:
+class SessionRecord:
     """A gatekeeper as it says itself; `since`: steady time when this registry heard so."""
 
     front: str
@@ -109,7 +109,7 @@
         return Failure(FailureReason.INVALID, f"the body is no JSON: {error}")
 
 
-def read_beat(body: bytes, now: float) -> Worker | Failure:
+def parse_heartbeat(body: bytes, now: float) -> WorkerRecord | Failure:
     """The worker that a beat's JSON body describes, or a Failure(FailureReason.INVALID)."""
     value = read_json(body)
     if isinstance(value, Failure):
@@ -119,7 +119,7 @@
         warm = parse_time(status.get("WarmupLeft", "0ms"))
         if isinstance(warm, Failure):
             return warm
-        found = Worker(
+        found = WorkerRecord(
             service=node["Service"],
             address=value["Address"],
             zone=node["Zone"],
@@ -137,7 +137,7 @@
             raise ValueError(f"no port: {found.address}")
         if any(type(figure) is not int or figure < 0 for figure in (found.capacity, found.seq)):
             raise ValueError("Capacity and CallSeq are whole numbers")
-        if found.seq >= GONE_SEQ:
+        if found.seq >= TOMBSTONE_SEQ:
             raise ValueError("CallSeq is too high")
         if found.state not in (READY, DRAINING):
             raise ValueError(f"no State: {found.state}")
--- a/ashlift/registry/replicated_source.py
+++ b/ashlift/registry/replicated_source.py
@@ -10,12 +10,12 @@
 import attrs
 
 SUM, OUT, FAULT = "c/", "o/", "f/"
-TOMBS = 1000  # keys gone that are remembered, so that differences can name them
+MAX_TOMBSTONES = 1000  # keys gone that are remembered, so that differences can name them
 GAPS_MOST = 64  # runs of versions passed over that are remembered
 
 
 @attrs.frozen
-class Difference:
+class Delta:
     """What changed: the version reached, whether `set` is everything there is, values set, keys gone."""
 
     version: int
@@ -24,12 +24,12 @@
     gone: list[str]
 
 
-class Source:
+class ReplicatedSource:
     """The records of one origin, ours or a copy of another's."""
 
     def __init__(self) -> None:
         self.version = 0
-        self.solid = 0  # version of the last change that is no sum
+        self.last_significant_version = 0  # version of the last change that is no sum
         self.values: dict[str, Any] = {}
         self._at: dict[str, int] = {}  # key -> version of its last change, oldest first; gone keys too
         self._gone: dict[str, int] = {}  # key -> version, oldest first
@@ -56,12 +56,12 @@
             self._gone.pop(key, None)
             self._gone[key] = version
             self._mark(key, version)
-        while len(self._gone) > TOMBS:
+        while len(self._gone) > MAX_TOMBSTONES:
             key = next(iter(self._gone))
             self._floor = max(self._floor, self._gone.pop(key))
             del self._at[key]
 
-    def skipped(self, version: int) -> None:
+    def note_skipped_versions(self, version: int) -> None:
         """The next change goes to `version` from ours, told by one who may not have seen those between: a key
         that changed and changed back there is named by nobody."""
         if not self.version:
@@ -73,14 +73,14 @@
 
     def replace(self, version: int, values: Mapping[str, Any]) -> None:
         """Go on to `version`, whose whole content is given."""
-        self.skipped(version)
+        self.note_skipped_versions(version)
         changed = {key: value for key, value in values.items() if self.values.get(key) != value}
         self.merge(version, changed, [key for key in self.values if key not in values])
 
-    def since(self, have: int | None) -> Difference | None:
+    def delta_since(self, have: int | None) -> Delta | None:
         """What somebody lacks who is at version `have`; None: nothing."""
         if have is None or have < self._floor or any(low < have < high for low, high in self._gaps):
-            return Difference(self.version, True, dict(self.values), [])
+            return Delta(self.version, True, dict(self.values), [])
         if have >= self.version:
             return None
         values, gone = {}, []
@@ -91,14 +91,14 @@
                 values[key] = self.values[key]
             else:
                 gone.append(key)
-        return Difference(self.version, False, values, gone)
+        return Delta(self.version, False, values, gone)
 
-    def news(self, have: int | None) -> bool:
+    def has_significant_change_since(self, have: int | None) -> bool:
         """Whether somebody at version `have` lacks something other than sums."""
-        return have is None or have < self.solid
+        return have is None or have < self.last_significant_version
 
     def _mark(self, key: str, version: int) -> None:
         self._at.pop(key, None)
         self._at[key] = version
         if not key.startswith((SUM, OUT, FAULT)):
-            self.solid = version
+            self.last_significant_version = version
--- a/ashlift/registry/resources.py
+++ b/ashlift/registry/resources.py
@@ -8,15 +8,17 @@
 from ashlift.errors import Failure, FailureReason
 from ashlift.events import tell
 from ashlift.registry import events
-from ashlift.registry.http_server import Answer, Request, Resource, refusal
-from ashlift.registry.records import read_beat, read_json
+from ashlift.registry.http_server import HttpRequest, HttpResponse, Resource, error_response
+from ashlift.registry.records import parse_heartbeat, read_json
 from ashlift.registry.registry import Registry
 from ashlift.registry.status_report import overview
-from ashlift.registry.store_client import Store
+from ashlift.registry.store_client import StoreClient
 
-AGAIN_S = 0.3  # Retry-After where there was no clear answer
-VOUCH_S = 0.4  # an order that nothing else guards, and may be older than this, is asked for again
-TTL = "1s"
+RETRY_AFTER_SECONDS = 0.3  # Retry-After where there was no clear answer
+MAX_UNFENCED_COMMAND_AGE_SECONDS = (
+    0.4  # an order that nothing else guards, and may be older than this, is asked for again
+)
+LOOKUP_TTL = "1s"
 Ring = Callable[[], None]  # tells whoever holds a call open that there may be news
 
 
@@ -27,33 +29,35 @@
     def __init__(self, registry: Registry, ring: Ring) -> None:
         self._registry, self._ring = registry, ring
 
-    def put(self, request: Request) -> Answer:
+    def put(self, request: HttpRequest) -> HttpResponse:
         now = time.monotonic()
         key = self._key(request)
         if key is None:
-            return refusal(400, "PUT /instances/ID")
-        said = read_beat(request.body, now)
+            return error_response(400, "PUT /instances/ID")
+        said = parse_heartbeat(request.body, now)
         if isinstance(said, Failure):
-            return refusal(400, said.detail)
-        taken = self._registry.beat(key, said, now)
+            return error_response(400, said.detail)
+        taken = self._registry.record_heartbeat(key, said, now)
         self._ring()
         if not taken:
-            return refusal(503, "a call with a higher CallSeq has come", AGAIN_S)
-        if self._registry.alone(now):
-            return refusal(503, "out of reach of the other registries", AGAIN_S)  # taken all the same
-        return Answer(200, {"HeartbeatTarget": self._registry.target(said.zone, now)})
-
-    def delete(self, request: Request) -> Answer:
+            return error_response(503, "a call with a higher CallSeq has come", RETRY_AFTER_SECONDS)
+        if self._registry.is_isolated(now):
+            return error_response(
+                503, "out of reach of the other registries", RETRY_AFTER_SECONDS
+            )  # taken all the same
+        return HttpResponse(200, {"HeartbeatTarget": self._registry.heartbeat_target(said.zone, now)})
+
+    def delete(self, request: HttpRequest) -> HttpResponse:
         key = self._key(request)
         if key is None:
-            return refusal(400, "DELETE /instances/ID")
-        self._registry.leave(key, time.monotonic())
+            return error_response(400, "DELETE /instances/ID")
+        self._registry.deregister_worker(key, time.monotonic())
         self._ring()
         tell(events.WORKER_GONE, worker=key)
-        return Answer(200)
+        return HttpResponse(200)
 
     @staticmethod
-    def _key(request: Request) -> str | None:
+    def _key(request: HttpRequest) -> str | None:
         segments = request.segments
         return segments[0] if len(segments) == 1 and 0 < len(segments[0]) <= 200 else None
 
@@ -61,53 +65,53 @@
 class _Orders(Resource):
     """Orders of the operator: answered by the store, and by nobody before it."""
 
-    def __init__(self, store: Store) -> None:
+    def __init__(self, store: StoreClient) -> None:
         self._store = store
 
-    def _order(self, kind: str, if_match: str | None, body: Any, size: int) -> Answer:
+    def _order(self, kind: str, if_match: str | None, body: Any, size: int) -> HttpResponse:
         return self._told(kind, self._store.submit(kind, if_match, body, size))
 
-    def _told(self, kind: str, answer: Any) -> Answer:
+    def _told(self, kind: str, answer: Any) -> HttpResponse:
         if isinstance(answer, Failure):
             tell(events.ORDER, kind=kind, fault=answer)
             if answer.reason == FailureReason.INVALID:
-                return refusal(413, answer.detail)  # too large for a frame: it has gone nowhere
-            return refusal(503, f"no clear answer: {answer.reason}", AGAIN_S)
+                return error_response(413, answer.detail)  # too large for a frame: it has gone nowhere
+            return error_response(503, f"no clear answer: {answer.reason}", RETRY_AFTER_SECONDS)
         status = answer["status"]
         why = answer.get("reason") or ""
         tell(events.ORDER, kind=kind, status=status, index=answer.get("index"), reason=why)
         if status == 200:
-            return Answer(200)
-        return refusal(status, why, AGAIN_S if status == 503 else None)
+            return HttpResponse(200)
+        return error_response(status, why, RETRY_AFTER_SECONDS if status == 503 else None)
 
 
 class Config(_Orders):
     """GET, PUT and PATCH /config."""
 
-    body_most = 8 << 20
+    max_body_bytes = 8 << 20
 
-    def get(self, request: Request) -> Answer:
+    def get(self, request: HttpRequest) -> HttpResponse:
         answer = self._store.read()
         if isinstance(answer, Failure):
-            return refusal(503, f"no clear answer: {answer.reason}", AGAIN_S)
+            return error_response(503, f"no clear answer: {answer.reason}", RETRY_AFTER_SECONDS)
         if not answer["objects"].get("Version"):
-            return refusal(404, "there is no configuration yet")
+            return error_response(404, "there is no configuration yet")
         from ashlift.config.operator_config import whole  # 6 ms of a start, and seldom needed
 
-        return Answer(200, whole(answer["objects"]))
+        return HttpResponse(200, whole(answer["objects"]))
 
-    def put(self, request: Request) -> Answer:
+    def put(self, request: HttpRequest) -> HttpResponse:
         return self._change("put", request)
 
-    def patch(self, request: Request) -> Answer:
+    def patch(self, request: HttpRequest) -> HttpResponse:
         return self._change("patch", request)
 
-    def _change(self, kind: str, request: Request) -> Answer:
+    def _change(self, kind: str, request: HttpRequest) -> HttpResponse:
         value = read_json(request.body)
         if isinstance(value, Failure):
-            return refusal(400, value.detail)
+            return error_response(400, value.detail)
         if not isinstance(value, dict):
-            return refusal(400, "the body is no JSON object")
+            return error_response(400, "the body is no JSON object")
         if_match = request.headers.get("if-match")
         return self._order(kind, if_match.strip().strip('"') if if_match else None, value, len(request.body))
 
@@ -115,36 +119,36 @@
 class Evacuation(_Orders):
     """POST and DELETE /evacuation/ZONE."""
 
-    def __init__(self, store: Store, settings: Callable[[], Settings]) -> None:
+    def __init__(self, store: StoreClient, settings: Callable[[], Settings]) -> None:
         super().__init__(store)
         self._settings = settings
 
-    def post(self, request: Request) -> Answer:
+    def post(self, request: HttpRequest) -> HttpResponse:
         return self._zone("evacuate", request)
 
-    def delete(self, request: Request) -> Answer:
+    def delete(self, request: HttpRequest) -> HttpResponse:
         return self._zone("restore", request)
 
-    def _zone(self, kind: str, request: Request) -> Answer:
+    def _zone(self, kind: str, request: HttpRequest) -> HttpResponse:
         zone = "/".join(request.segments)
         if zone not in self._settings().zones:
-            return refusal(404, f"no zone {zone[:100]}")
-        if time.monotonic() - request.since > VOUCH_S:
+            return error_response(404, f"no zone {zone[:100]}")
+        if time.monotonic() - request.not_written_before > MAX_UNFENCED_COMMAND_AGE_SECONDS:
             return _asked_again(kind, request)
-        answer = self._store.submit(kind, None, zone, 0, request.since)
+        answer = self._store.submit(kind, None, zone, 0, request.not_written_before)
         if isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
             return _asked_again(kind, request)
         return self._told(kind, answer)
 
 
-def _asked_again(kind: str, request: Request) -> Answer:
+def _asked_again(kind: str, request: HttpRequest) -> HttpResponse:
     """The call may have lain in a buffer or been held up by a cut, or another's was taken meanwhile: its
     caller may have gone, and what it asks for may have been taken back. Who waits sends it again at once."""
     tell(events.ORDER, kind=kind, status=307)
     host = request.headers.get("host")
     if not host:
-        return refusal(503, "it may be too old: send it again", AGAIN_S)
-    return Answer(307, {"error": "send it again"}, location=f"http://{host}{request.path}")
+        return error_response(503, "it may be too old: send it again", RETRY_AFTER_SECONDS)
+    return HttpResponse(307, {"error": "send it again"}, location=f"http://{host}{request.path}")
 
 
 class Lookup(Resource):
@@ -153,12 +157,12 @@
     def __init__(self, registry: Registry) -> None:
         self._registry = registry
 
-    def get(self, request: Request) -> Answer:
+    def get(self, request: HttpRequest) -> HttpResponse:
         zone, region = request.query.get("Zone", ""), request.query.get("Region", "")
         found = self._registry.lookup(zone, region, time.monotonic())
         if isinstance(found, Failure):
-            return refusal(503, found.detail, AGAIN_S)
-        return Answer(200, {"Addresses": found, "Ttl": TTL})
+            return error_response(503, found.detail, RETRY_AFTER_SECONDS)
+        return HttpResponse(200, {"Addresses": found, "Ttl": LOOKUP_TTL})
 
 
 class Status(Resource):
@@ -167,5 +171,5 @@
     def __init__(self, registry: Registry) -> None:
         self._registry = registry
 
-    def get(self, request: Request) -> Answer:
-        return Answer(200, overview(self._registry, time.monotonic()))
+    def get(self, request: HttpRequest) -> HttpResponse:
+        return HttpResponse(200, overview(self._registry, time.monotonic()))
--- a/ashlift/registry/route_resources.py
+++ b/ashlift/registry/route_resources.py
@@ -7,34 +7,34 @@
 from ashlift.errors import Failure
 from ashlift.events import tell
 from ashlift.registry import events
-from ashlift.registry.http_requests import UNDONE
-from ashlift.registry.http_server import Answer, Request, Resource, refusal
+from ashlift.registry.http_server import HttpRequest, HttpResponse, Resource, error_response
+from ashlift.registry.operator_request import NOT_EXECUTED_REASONS
 from ashlift.registry.records import read_json
 from ashlift.registry.registry import Registry
-from ashlift.registry.resources import AGAIN_S
-from ashlift.registry.store_client import Store
+from ashlift.registry.resources import RETRY_AFTER_SECONDS
+from ashlift.registry.store_client import StoreClient
 
 if TYPE_CHECKING:
     from ashlift.route_reconciliation.hybrid_clock import Clock
 
 
-class Desk:
+class RouteEditService:
     """What both resources share: the way to what waits, and this registry's stamps."""
 
-    def __init__(self, registry: Registry, store: Store) -> None:
+    def __init__(self, registry: Registry, store: StoreClient) -> None:
         self.registry, self.store = registry, store
         self._clock: Clock | None = None
 
     @property
     def map(self) -> dict[str, Any]:
         """The agreed map, as known here."""
-        return self.registry.word.values
+        return self.registry.operator_config.values
 
     def waiting(self, add: tuple[dict[str, Any], ...] = ()) -> tuple[dict[str, Any], list[str]]:
         """All edits that wait at stores in reach, and the IPs of these, `add` given to each first."""
         from ashlift.route_reconciliation.edits import Edit, join, read_edit
 
-        answers = self.store.drafts(list(add))
+        answers = self.store.exchange_pending_edits(list(add))
         held = {ip: answer for ip, answer in answers.items() if not isinstance(answer, Failure)}
         books = [[read_edit(one) for one in answer["edits"]] for answer in held.values()]
         return join(*({one.id: one for one in book if isinstance(one, Edit)} for book in books)), sorted(held)
@@ -45,56 +45,56 @@
         from ashlift.route_reconciliation.proposals import past
 
         wall, steady = time.time(), time.monotonic()
-        self._clock = self._clock or clock.Clock(self.registry.me.node, wall, steady)
+        self._clock = self._clock or clock.Clock(self.registry.identity.node, wall, steady)
         seen = past(self.map, book, name)
         self._clock.seen(seen, wall, steady)
         return self._clock.stamp(seen, wall, steady)
 
     def about(self) -> dict[str, Any]:
-        return {"version": self.map.get("Version"), "age": self.registry.age(time.monotonic())}
+        return {"version": self.map.get("Version"), "age": self.registry.lease_age(time.monotonic())}
 
 
-def _told(answer: dict[str, Any], id: str, route: str) -> Answer:
+def _told(answer: dict[str, Any], id: str, route: str) -> HttpResponse:
     status = answer.pop("status")
     tell(events.EDIT, id=id, route=route, status=status, outcome=answer.get("outcome", "-"))
-    return Answer(status, answer, AGAIN_S if status == 503 else None)
+    return HttpResponse(status, answer, RETRY_AFTER_SECONDS if status == 503 else None)
 
 
-def _named(request: Request) -> str:
+def _named(request: HttpRequest) -> str:
     """What the path names, after the resource."""
     return unquote("/".join(request.segments))
 
 
 class _Edits(Resource):
-    def __init__(self, desk: Desk) -> None:
+    def __init__(self, desk: RouteEditService) -> None:
         self._desk = desk
 
 
 class Routes(_Edits):
     """GET and POST /routes/NAME: a route with its history; an edit of it, `{id, who, text, base}`."""
 
-    def get(self, request: Request) -> Answer:
+    def get(self, request: HttpRequest) -> HttpResponse:
         from ashlift.route_reconciliation.proposals import history
 
         name, map = _named(request), self._desk.map
         book, held = self._desk.waiting()
         told = {"name": name, "text": map.get(f"Routes/{name}"), "history": history(map, book, name)}
-        return Answer(200, {**self._desk.about(), **told, "reached": held})
+        return HttpResponse(200, {**self._desk.about(), **told, "reached": held})
 
-    def post(self, request: Request) -> Answer:
+    def post(self, request: HttpRequest) -> HttpResponse:
         """200: in force; 202: it waits, not in force; 409: the route is not what the edit was made on."""
         from ashlift.route_reconciliation.proposals import kept, made
 
         name, map = _named(request), self._desk.map
         body = read_json(request.body)
-        edit = made(map, name, body, self._desk.stamp(name, {}), self._desk.registry.me.node)
+        edit = made(map, name, body, self._desk.stamp(name, {}), self._desk.registry.identity.node)
         if isinstance(edit, Failure):
-            return refusal(400, edit.detail)
+            return error_response(400, edit.detail)
         answer = self._desk.store.submit("edit", None, {"edit": edit.wire()}, len(request.body))
         if not isinstance(answer, Failure):
             return _told(answer, edit.id, name)
         book, _ = self._desk.waiting()
-        waits = kept(map, book, edit, answer.reason not in UNDONE)
+        waits = kept(map, book, edit, answer.reason not in NOT_EXECUTED_REASONS)
         if isinstance(waits, dict):
             return _told({"status": 409, "reason": "the route has changed since", **waits}, edit.id, name)
         _, held = self._desk.waiting((waits.wire(),))
@@ -107,26 +107,28 @@
 class Proposals(_Edits):
     """GET /proposals: what waits. POST /proposals/ID: an operator's word, `{word, who, version, over}`."""
 
-    def get(self, request: Request) -> Answer:
+    def get(self, request: HttpRequest) -> HttpResponse:
         from ashlift.route_reconciliation.proposals import listed
 
         book, held = self._desk.waiting()
         found = listed(self._desk.map, book)
-        return Answer(200, {**self._desk.about(), "proposals": found, "reached": held})
+        return HttpResponse(200, {**self._desk.about(), "proposals": found, "reached": held})
 
-    def post(self, request: Request) -> Answer:
+    def post(self, request: HttpRequest) -> HttpResponse:
         """200: settled, and how; 404: no such edit waits in reach; 409, 412: look again; 503: ask again."""
         from ashlift.route_reconciliation.merging import SETTLED
 
         body, id = read_json(request.body), _named(request)
         if not isinstance(body, dict) or body.get("word") not in ("confirm", "reject"):
-            return refusal(400, "the body is no {word: confirm or reject, who, version, over}")
+            return error_response(400, "the body is no {word: confirm or reject, who, version, over}")
         done = self._desk.map.get(SETTLED + id)
         if done:
-            return Answer(200, done)
+            return HttpResponse(200, done)
         book, held = self._desk.waiting()
         if id not in book:
-            return refusal(404, f"no edit {id[:100]} waits at {', '.join(held) or 'any store in reach'}")
+            return error_response(
+                404, f"no edit {id[:100]} waits at {', '.join(held) or 'any store in reach'}"
+            )
         edit = book[id]
         said = {"edit": edit.wire(), "who": body.get("who"), "over": body.get("over")}
         said["stamp"] = [*self._desk.stamp(edit.name, book)]
--- a/ashlift/registry/server.py
+++ b/ashlift/registry/server.py
@@ -14,99 +14,116 @@
 from ashlift.events import BROKEN, CRITICAL, tell
 from ashlift.registry import events
 from ashlift.registry.registry import Registry
-from ashlift.registry.store_client import Store
+from ashlift.registry.store_client import StoreClient
 from ashlift.rpc.transport import Callers
 
-WAIT_S = 0.25  # a call is held open for so long at most
-LEAST_S = 0.05  # and for so long at least where nothing is new: a caller in a hurry must not spin
-GATHER_S = 0.02  # news that come together are told together
-CALLERS_FEW, PEERS_FEW = 2, 3  # with more of them, calls for news come less often: so much a head, s, up to
-SPREAD_S, SPREAD_MOST_S = 0.02, 0.25
-ANSWER_S = 0.6  # s for an answer beyond the wait
-WATCH_S = 0.1  # the own store is asked so often: the age of its proof grows by this
-PAUSE_S = (0.1, 1.0)  # after a call that failed: at first, at most
-TICK_S = 0.25
-
-
-def spread(heads: int, few: int) -> float:
+LONG_POLL_SECONDS = 0.25  # a call is held open for so long at most
+MIN_LONG_POLL_SECONDS = (
+    0.05  # and for so long at least where nothing is new: a caller in a hurry must not spin
+)
+BATCHING_DELAY_SECONDS = 0.02  # news that come together are told together
+UNTHROTTLED_SESSIONS, UNTHROTTLED_PEERS = (
+    2,
+    3,
+)  # with more of them, calls for news come less often: so much a head, s, up to
+INTERVAL_PER_CALLER_SECONDS, MAX_CALL_INTERVAL_SECONDS = 0.02, 0.25
+RESPONSE_TIMEOUT_SECONDS = 0.6  # s for an answer beyond the wait
+OWN_STORE_WATCH_SECONDS = 0.1  # the own store is asked so often: the age of its proof grows by this
+INITIAL_BACKOFF_SECONDS = 0.1  # after a call that failed
+MAX_BACKOFF_SECONDS = 1.0
+TICK_INTERVAL_SECONDS = 0.25
+
+
+def call_interval(heads: int, few: int) -> float:
     """s that one's calls are apart at least in times of much news: by each piece of it all would be woken."""
-    return min(SPREAD_MOST_S, SPREAD_S * max(0, heads - few))
+    return min(MAX_CALL_INTERVAL_SECONDS, INTERVAL_PER_CALLER_SECONDS * max(0, heads - few))
 
 
-class Bell:
+class ChangeNotifier:
     """Wakes those who hold calls open."""
 
     def __init__(self, registry: Registry) -> None:
-        self._registry, self._told = registry, registry.news
+        self._registry, self._told = registry, registry.change_count
         self._event = Event()
-        self.leaving = False
+        self.is_shutting_down = False
         self.held = 0  # calls at work
 
-    def ring(self) -> None:
-        if self._told != self._registry.news or self.leaving:
-            self._told = self._registry.news
+    def notify_if_changed(self) -> None:
+        if self._told != self._registry.change_count or self.is_shutting_down:
+            self._told = self._registry.change_count
             event, self._event = self._event, Event()
             event.set()
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Nobody waits any more."""
-        self.leaving = True
-        self.ring()
+        self.is_shutting_down = True
+        self.notify_if_changed()
 
     def wait(self, until: float) -> bool:
         """Wait for news; False: time is up, or the process leaves."""
         left = until - time.monotonic()
-        return not self.leaving and left > 0 and bool(self._event.wait(left)) and not self.leaving
+        return (
+            not self.is_shutting_down
+            and left > 0
+            and bool(self._event.wait(left))
+            and not self.is_shutting_down
+        )
 
 
-class Calls:
+class RegistryRpcService:
     """What may be called by frames: `pull` and `swap`."""
 
-    def __init__(self, registry: Registry, bell: Bell) -> None:
+    def __init__(self, registry: Registry, bell: ChangeNotifier) -> None:
         self._registry, self._bell = registry, bell
         self.handlers = {"pull": self._pull, "swap": self._swap}
 
     def _pull(self, body: Any) -> Any:
         began, registry, bell = time.monotonic(), self._registry, self._bell
-        fault = registry.pull(body, began)
+        fault = registry.begin_pull(body, began)
         if fault is not None:
             return fault
-        bell.ring()
+        bell.notify_if_changed()
         bell.held += 1
         try:
             have = body["have"]
-            least = max(LEAST_S, spread(registry.callers, CALLERS_FEW))  # at a start, all are in a hurry
-            until = began + min(WAIT_S, max(least, body["wait"]))
+            least = max(
+                MIN_LONG_POLL_SECONDS, call_interval(registry.session_count, UNTHROTTLED_SESSIONS)
+            )  # at a start, all are in a hurry
+            until = began + min(LONG_POLL_SECONDS, max(least, body["wait"]))
             eager = bool(body.get("eager"))
-            while not (registry.lacks(have) or (eager and registry.proves(time.monotonic()))):
+            while not (
+                registry.has_updates_for(have) or (eager and registry.has_fresh_lease(time.monotonic()))
+            ):
                 if not bell.wait(until):
                     break
-            if have and registry.lacks(have) and not bell.leaving and not body.get("part"):
-                apart = spread(registry.callers, CALLERS_FEW)
-                gevent.sleep(max(GATHER_S, began + apart - time.monotonic()))
-            return registry.answer(body, began, time.monotonic())
+            if have and registry.has_updates_for(have) and not bell.is_shutting_down and not body.get("part"):
+                apart = call_interval(registry.session_count, UNTHROTTLED_SESSIONS)
+                gevent.sleep(max(BATCHING_DELAY_SECONDS, began + apart - time.monotonic()))
+            return registry.pull_response(body, began, time.monotonic())
         finally:
             bell.held -= 1
-            registry.pulled(body["node"])
+            registry.end_pull(body["node"])
 
     def _swap(self, body: Any) -> Any:
         began, registry, bell = time.monotonic(), self._registry, self._bell
-        asked = registry.asked(body, began)
+        asked = registry.receive_swap_request(body, began)
         if isinstance(asked, Failure):
             return asked
         bell.held += 1
         try:
-            while not registry.lacking(*asked) and bell.wait(began + WAIT_S):
+            while not registry.has_updates_for_peer(*asked) and bell.wait(began + LONG_POLL_SECONDS):
                 pass
-            return registry.told(*asked, time.monotonic())
+            return registry.swap_response(*asked, time.monotonic())
         finally:
             bell.held -= 1
 
 
-class Loops:
+class ReplicationLoops:
     """Pulls from the other registries and from the store, and lets go what has lapsed."""
 
-    def __init__(self, registry: Registry, store: Store, bell: Bell, callers: Callers, port: int) -> None:
+    def __init__(
+        self, registry: Registry, store: StoreClient, bell: ChangeNotifier, callers: Callers, port: int
+    ) -> None:
         """`port`: of the frames, alike on all machines. `broken` is set once a loop has ended by an error."""
         self._registry, self._store, self._bell, self._callers = registry, store, bell, callers
         self._port = port
@@ -131,7 +148,7 @@
         gevent.killall([*self._swaps.values(), *self._others], block=False)
 
     def _keep(self) -> None:
-        wanted = self._registry.peers(time.monotonic())
+        wanted = self._registry.peer_ips(time.monotonic())
         for ip in wanted - set(self._swaps):
             self._swaps[ip] = self._spawn(self._swap, ip)
         for ip in set(self._swaps) - wanted:
@@ -142,38 +159,51 @@
         while True:
             for name in self._registry.tick(time.monotonic()):
                 tell(*((events.PEER_LOST,) if name else (events.WOKE,)), source=name)
-            self._bell.ring()
+            self._bell.notify_if_changed()
             self._keep()
-            gevent.sleep(TICK_S)
+            gevent.sleep(TICK_INTERVAL_SECONDS)
 
     def _swap(self, ip: str) -> None:
         caller, registry = self._callers.to((ip, self._port)), self._registry
-        greet, pause, known = True, PAUSE_S[0], set[str]()
+        greet, pause, known = True, INITIAL_BACKOFF_SECONDS, set[str]()
         while True:
             sent = time.monotonic()
-            answer = caller.call("swap", registry.ask(ip, greet, sent), WAIT_S + ANSWER_S)
+            answer = caller.call(
+                "swap", registry.swap_request(ip, greet, sent), LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS
+            )
             now = time.monotonic()
-            fault = answer if isinstance(answer, Failure) else registry.heard(ip, answer, sent, now)
+            fault = (
+                answer
+                if isinstance(answer, Failure)
+                else registry.receive_swap_response(ip, answer, sent, now)
+            )
             if fault is not None:
                 if fault.reason == FailureReason.OUTCOME_UNKNOWN:
                     caller.close()  # a connection that says nothing is not waited for again
                 greet = True
                 gevent.sleep(pause)
-                pause = min(2 * pause, PAUSE_S[1])
+                pause = min(2 * pause, MAX_BACKOFF_SECONDS)
                 continue
-            greet, pause = False, PAUSE_S[0]
-            self._bell.ring()
-            for name in set(registry.copies) - known:
-                if registry.copies[name].ip == ip:
+            greet, pause = False, INITIAL_BACKOFF_SECONDS
+            self._bell.notify_if_changed()
+            for name in set(registry.peers) - known:
+                if registry.peers[name].ip == ip:
                     tell(events.PEER_FOUND, source=name, ip=ip)
                     known.add(name)
-            gevent.sleep(max(GATHER_S, sent + spread(len(self._swaps), PEERS_FEW) - now))
+            gevent.sleep(
+                max(BATCHING_DELAY_SECONDS, sent + call_interval(len(self._swaps), UNTHROTTLED_PEERS) - now)
+            )
 
     def _watch(self) -> None:
         own, missed = True, False
         while True:
-            sent, have = time.monotonic(), self._registry.word.version
-            answer = self._store.watch(have, WATCH_S if own else WAIT_S, own, self._registry.watches())
+            sent, have = time.monotonic(), self._registry.operator_config.version
+            answer = self._store.watch(
+                have,
+                OWN_STORE_WATCH_SECONDS if own else LONG_POLL_SECONDS,
+                own,
+                self._registry.wanted_fragment(),
+            )
             now = time.monotonic()
             fresh = False
             if isinstance(answer, Failure):
@@ -181,9 +211,9 @@
                     tell(events.STORE_AWAY, fault=answer)
                 missed = missed or own
             else:
-                fresh = self._registry.watched(answer, sent, now)
+                fresh = self._registry.receive_watch_response(answer, sent, now)
                 missed = missed and not own
-                self._bell.ring()
+                self._bell.notify_if_changed()
             own = fresh or not own
             if not fresh:
-                gevent.sleep(max(0.0, sent + PAUSE_S[0] - now))
+                gevent.sleep(max(0.0, sent + INITIAL_BACKOFF_SECONDS - now))
--- a/ashlift/simulation/board.py
+++ b/ashlift/simulation/board.py
@@ -5,13 +5,26 @@
 
 from ashlift.config.operator_config import whole
 from ashlift.errors import Failure, FailureReason
-from ashlift.registry.http_requests import UNDONE, Asking
-from ashlift.registry.records import Worker
-from ashlift.registry.registry import Registry, Self
-from ashlift.registry.resources import VOUCH_S
-from ashlift.registry.server import ANSWER_S, GATHER_S, LEAST_S, PAUSE_S, TICK_S, WAIT_S, WATCH_S
-from ashlift.registry.store_client import ANSWER_S as STORE_S
-from ashlift.registry.store_client import DRAFTS_S, LATE_S, NOW
+from ashlift.registry.operator_request import NOT_EXECUTED_REASONS, OperatorRequest
+from ashlift.registry.records import WorkerRecord
+from ashlift.registry.registry import Registry, RegistryIdentity
+from ashlift.registry.resources import MAX_UNFENCED_COMMAND_AGE_SECONDS
+from ashlift.registry.server import (
+    BATCHING_DELAY_SECONDS,
+    INITIAL_BACKOFF_SECONDS,
+    LONG_POLL_SECONDS,
+    MAX_BACKOFF_SECONDS,
+    MIN_LONG_POLL_SECONDS,
+    OWN_STORE_WATCH_SECONDS,
+    RESPONSE_TIMEOUT_SECONDS,
+    TICK_INTERVAL_SECONDS,
+)
+from ashlift.registry.store_client import (
+    COMMAND_TIMEOUT_SECONDS,
+    IMMEDIATE_WATCH,
+    PENDING_EDITS_TIMEOUT_SECONDS,
+    WATCH_GRACE_SECONDS,
+)
 from ashlift.route_reconciliation.edits import Edit, join, read_edit
 from ashlift.route_reconciliation.hybrid_clock import Clock, Stamp
 from ashlift.route_reconciliation.merging import SETTLED
@@ -52,7 +65,7 @@
     def begin(self) -> None:
         machine = self.machine
         incarnation = f"{self.loop.chance.getrandbits(32):08x}"
-        me = Self(
+        me = RegistryIdentity(
             machine.name, incarnation, machine.name, machine.zone, machine.region, CONTROL, self.heartbeat
         )
         self.registry = Registry(me, self.seeds(), self.zones, self.clock())
@@ -66,88 +79,98 @@
         self.spawn(self._tick())
 
     def ring(self) -> None:
-        if self._told != self.registry.news:
-            self._told = self.registry.news
+        if self._told != self.registry.change_count:
+            self._told = self.registry.change_count
             self._bell.ring()
 
     # ---- calls by frames (ashlift.registry.server.Calls)
     def _pull(self, body: Any) -> Steps:
         began, registry = self.clock(), self.registry
-        fault = registry.pull(body, began)
+        fault = registry.begin_pull(body, began)
         if fault is not None:
             return fault
         self.ring()
         have = body["have"]
-        until = began + min(WAIT_S, max(LEAST_S, body["wait"]))
-        while not registry.lacks(have) and self.clock() < until:
+        until = began + min(LONG_POLL_SECONDS, max(MIN_LONG_POLL_SECONDS, body["wait"]))
+        while not registry.has_updates_for(have) and self.clock() < until:
             yield self._bell.wait(until - self.clock())
-        if have and registry.lacks(have) and not body.get("part"):
-            yield GATHER_S
-        registry.pulled(body["node"])
-        return registry.answer(body, began, self.clock())
+        if have and registry.has_updates_for(have) and not body.get("part"):
+            yield BATCHING_DELAY_SECONDS
+        registry.end_pull(body["node"])
+        return registry.pull_response(body, began, self.clock())
 
     def _swapped(self, body: Any) -> Steps:
         began, registry = self.clock(), self.registry
-        asked = registry.asked(body, began)
+        asked = registry.receive_swap_request(body, began)
         if isinstance(asked, Failure):
             return asked
-        while not registry.lacking(*asked) and self.clock() < began + WAIT_S:
-            yield self._bell.wait(began + WAIT_S - self.clock())
-        return registry.told(*asked, self.clock())
+        while not registry.has_updates_for_peer(*asked) and self.clock() < began + LONG_POLL_SECONDS:
+            yield self._bell.wait(began + LONG_POLL_SECONDS - self.clock())
+        return registry.swap_response(*asked, self.clock())
 
     # ---- loops (ashlift.registry.server.Loops)
     def _tick(self) -> Steps:
         while True:
             self.registry.tick(self.clock())
             self.ring()
-            wanted = self.registry.peers(self.clock())
+            wanted = self.registry.peer_ips(self.clock())
             for ip in sorted(wanted - self._swaps):
                 self._swaps.add(ip)
                 self.spawn(self._swap(ip))
             for ip in self._swaps - wanted:
                 self.net.drop(self, ip, KIND)
             self._swaps &= wanted
-            yield TICK_S
+            yield TICK_INTERVAL_SECONDS
 
     def _swap(self, ip: str) -> Steps:
-        greet, pause, registry = True, PAUSE_S[0], self.registry
+        greet, pause, registry = True, INITIAL_BACKOFF_SECONDS, self.registry
         while ip in self._swaps:
             sent = self.clock()
-            answer = yield self.call(ip, KIND, "swap", registry.ask(ip, greet, sent), WAIT_S + ANSWER_S)
+            answer = yield self.call(
+                ip,
+                KIND,
+                "swap",
+                registry.swap_request(ip, greet, sent),
+                LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS,
+            )
             if ip not in self._swaps:
                 return
             now = self.clock()
-            fault = answer if isinstance(answer, Failure) else registry.heard(ip, answer, sent, now)
+            fault = (
+                answer
+                if isinstance(answer, Failure)
+                else registry.receive_swap_response(ip, answer, sent, now)
+            )
             if fault is not None:
                 if fault.reason == FailureReason.OUTCOME_UNKNOWN:
                     self.net.drop(self, ip, KIND)
                 greet = True
                 yield pause
-                pause = min(2 * pause, PAUSE_S[1])
+                pause = min(2 * pause, MAX_BACKOFF_SECONDS)
                 continue
-            greet, pause = False, PAUSE_S[0]
+            greet, pause = False, INITIAL_BACKOFF_SECONDS
             self.ring()
-            yield GATHER_S
+            yield BATCHING_DELAY_SECONDS
 
     def _watch(self) -> Steps:
         own, registry = True, self.registry
         while True:
-            sent, have = self.clock(), registry.word.version
-            wait, ip = (WATCH_S, self.name) if own else (WAIT_S, self._other())
-            body = {"have": have, "wait": wait, "part": registry.watches()}
+            sent, have = self.clock(), registry.operator_config.version
+            wait, ip = (OWN_STORE_WATCH_SECONDS, self.name) if own else (LONG_POLL_SECONDS, self._other())
+            body = {"have": have, "wait": wait, "part": registry.wanted_fragment()}
             answer: Any = Failure(FailureReason.UNREACHABLE, "there is no other store")
             if ip is not None:
-                answer = yield self.call(ip, store.KIND, "watch", body, wait + LATE_S)
+                answer = yield self.call(ip, store.KIND, "watch", body, wait + WATCH_GRACE_SECONDS)
             now, fresh = self.clock(), False
             if own:
                 self._hangs = isinstance(answer, Failure) and answer.reason == FailureReason.OUTCOME_UNKNOWN
             self._note(answer)
             if not isinstance(answer, Failure):
-                fresh = registry.watched(answer, sent, now)
+                fresh = registry.receive_watch_response(answer, sent, now)
                 self.ring()
             own = fresh or not own
             if not fresh:
-                yield max(0.0, sent + PAUSE_S[0] - now)
+                yield max(0.0, sent + INITIAL_BACKOFF_SECONDS - now)
 
     def _other(self) -> str | None:
         others = [ip for ip in self._stores() if ip != self.name]
@@ -155,8 +178,10 @@
         return others[self._turn % len(others)] if others else None
 
     def _stores(self) -> list[str]:
-        me, known = self.registry.me, self.registry.members()
-        return [ip for ip in self.registry.controls(me.zone, me.region, self.clock()) if ip in known]
+        me, known = self.registry.identity, self.registry.core_members()
+        return [
+            ip for ip in self.registry.registries_by_distance(me.zone, me.region, self.clock()) if ip in known
+        ]
 
     def _note(self, news: Any) -> None:
         if not isinstance(news, Failure):
@@ -164,7 +189,7 @@
 
     def _submitted(self, body: dict[str, Any], since: float | None = None) -> Steps:
         now, index = self.clock(), self._index
-        until = (now if since is None else since) + STORE_S
+        until = (now if since is None else since) + COMMAND_TIMEOUT_SECONDS
 
         def call() -> dict[str, Any]:
             return {**body, "fence": [*self._round, index, until - self.clock()]}
@@ -176,18 +201,22 @@
         """As `ashlift.registry.store_client.Store` asks one store after the other."""
         others = [ip for ip in self._stores() if ip != self.name]
         stores = [*others, self.name] if self._hangs else [self.name, *others]
-        asking, answers, turn = Asking(stores, self.clock(), until), list[tuple[str, Any]](), [Future()]
+        asking, answers, turn = (
+            OperatorRequest(stores, self.clock(), until),
+            list[tuple[str, Any]](),
+            [Future()],
+        )
 
         def ask(ip: str) -> Steps:
             answer = yield self.call(ip, store.KIND, method, body(), until - self.clock())
             if isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
-                self._note((yield self.call(ip, store.KIND, "watch", NOW, until - self.clock())))
+                self._note((yield self.call(ip, store.KIND, "watch", IMMEDIATE_WATCH, until - self.clock())))
                 answer = yield self.call(ip, store.KIND, method, body(), until - self.clock())
             answers.append((ip, answer))
             turn[0].set(None)
 
-        while wait := asking.wait(self.clock()):
-            ip = asking.due(self.clock())
+        while wait := asking.wait_seconds(self.clock()):
+            ip = asking.next_store(self.clock())
             if ip is not None:
                 self.spawn(ask(ip))
                 continue
@@ -196,22 +225,22 @@
                 self.later(wait, turn[0].set, None)
                 yield turn[0]
             while answers:
-                asking.heard(*answers.pop(0), self.clock())
-        return asking.answer
+                asking.record_response(*answers.pop(0), self.clock())
+        return asking.outcome
 
     # ---- outside calls (ashlift.registry.resources): a status and a value
     def _beat(self, body: tuple[str, dict[str, Any]]) -> Any:
         key, fields = body
         now = self.clock()
-        said = Worker(until=now + fields["warm"], **{k: v for k, v in fields.items() if k != "warm"})
-        taken = self.registry.beat(key, said, now)
+        said = WorkerRecord(until=now + fields["warm"], **{k: v for k, v in fields.items() if k != "warm"})
+        taken = self.registry.record_heartbeat(key, said, now)
         self.ring()
-        if not taken or self.registry.alone(now):
+        if not taken or self.registry.is_isolated(now):
             return 503, None
-        return 200, self.registry.target(said.zone, now)
+        return 200, self.registry.heartbeat_target(said.zone, now)
 
     def _delete(self, body: str) -> Any:
-        self.registry.leave(body, self.clock())
+        self.registry.deregister_worker(body, self.clock())
         self.ring()
         return 200, None
 
@@ -221,7 +250,7 @@
 
     def _order(self, body: dict[str, Any]) -> Steps:
         since = self.written if body["kind"] in ("evacuate", "restore") else None
-        if since is not None and self.clock() - since > VOUCH_S:
+        if since is not None and self.clock() - since > MAX_UNFENCED_COMMAND_AGE_SECONDS:
             return 307, None
         answer = yield from self._submitted(body, since)
         if since is not None and isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
@@ -231,7 +260,7 @@
         )
 
     def _config(self, _: Any) -> Steps:
-        answer = yield from self._stored("read", dict, self.clock() + STORE_S)
+        answer = yield from self._stored("read", dict, self.clock() + COMMAND_TIMEOUT_SECONDS)
         if isinstance(answer, Failure):
             return 503, answer.reason
         map = answer["objects"]
@@ -243,7 +272,9 @@
 
     def _waiting(self, add: list[dict[str, Any]]) -> Steps:
         ips = dict.fromkeys([self.name, *self._stores()])
-        asked = {ip: self.call(ip, store.KIND, "drafts", {"add": add}, DRAFTS_S) for ip in ips}
+        asked = {
+            ip: self.call(ip, store.KIND, "drafts", {"add": add}, PENDING_EDITS_TIMEOUT_SECONDS) for ip in ips
+        }
         book: dict[str, Edit] = {}
         held = []
         for ip, future in asked.items():
@@ -255,12 +286,12 @@
         return book, held
 
     def _stamp(self, name: str, book: dict[str, Edit]) -> Stamp:
-        seen = past(self.registry.word.values, book, name)
+        seen = past(self.registry.operator_config.values, book, name)
         self._stamps.seen(seen, self.wall(), self.clock())
         return self._stamps.stamp(seen, self.wall(), self.clock())
 
     def _edit(self, body: dict[str, Any]) -> Steps:
-        name, map = body["name"], self.registry.word.values
+        name, map = body["name"], self.registry.operator_config.values
         edit = made(map, name, body, self._stamp(name, {}), self.name)
         assert isinstance(edit, Edit)
         order = {"kind": "edit", "if_match": None, "body": {"edit": edit.wire()}}
@@ -268,14 +299,14 @@
         if not isinstance(answer, Failure):
             return answer["status"], answer
         book, _ = yield from self._waiting([])
-        waits = kept(map, book, edit, answer.reason not in UNDONE)
+        waits = kept(map, book, edit, answer.reason not in NOT_EXECUTED_REASONS)
         if isinstance(waits, dict):
             return 409, waits
         _, held = yield from self._waiting([waits.wire()])
         return (202, {"outcome": "waits", "auto": waits.auto, "held": held}) if held else (503, {})
 
     def _word(self, body: dict[str, Any]) -> Steps:
-        done = self.registry.word.values.get(SETTLED + body["id"])
+        done = self.registry.operator_config.values.get(SETTLED + body["id"])
         if done:
             return 200, done
         book, _ = yield from self._waiting([])
@@ -284,7 +315,7 @@
         edit = book[body["id"]]
         said = {"edit": edit.wire(), "who": body["who"], "over": body["over"]}
         said["stamp"] = [*self._stamp(edit.name, book)]
-        version = self.registry.word.values.get("Version")
+        version = self.registry.operator_config.values.get("Version")
         order = {"kind": body["word"], "if_match": version, "body": said}
         answer = yield from self._submitted(order)
         return (503, {}) if isinstance(answer, Failure) else (answer["status"], answer)
--- a/ashlift/simulation/clerks.py
+++ b/ashlift/simulation/clerks.py
@@ -54,7 +54,7 @@
 
 def edit(operator: Operator, history: History, id: str, word: str, at: Board) -> None:
     """Read the route at a core machine, and ask for another text of it there."""
-    map = at.registry.word.values
+    map = at.registry.operator_config.values
     name, text = wanted(map, word)
     errand = Errand(id, name, text, operator.name, operator.loop.now)
     history.errands[id] = errand
--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -28,9 +28,9 @@
 from ashlift.proxy.cluster_view import Ledger
 from ashlift.proxy.registry_client import Pulling
 from ashlift.proxy.request_router import Gate
-from ashlift.registry.http_server import Answer
-from ashlift.registry.records import read_beat
-from ashlift.registry.registry import Registry, Self
+from ashlift.registry.http_server import HttpResponse
+from ashlift.registry.records import parse_heartbeat
+from ashlift.registry.registry import Registry, RegistryIdentity
 from ashlift.rpc import transport as frames
 from ashlift.rpc.fragmentation import unpacked
 from ashlift.rpc.sources import OPERATOR_SOURCE
@@ -60,7 +60,10 @@
 def _registry(size: Size, word: Mapping[str, Any]) -> Registry:
     """One of six, knowing all: a worker or gatekeeper is told by one of them, a tenant's sum by all."""
     own = Registry(
-        Self("core-0", "00000000", "10.9.0.1", "z00", "r00", 8200, 1.5), ["10.9.0.1"], zones(), NOW - 60
+        RegistryIdentity("core-0", "00000000", "10.9.0.1", "z00", "r00", 8200, 1.5),
+        ["10.9.0.1"],
+        zones(),
+        NOW - 60,
     )
     held: list[Json] = [{} for _ in range(CORE)]
     for number in range(size.workers):
@@ -86,14 +89,18 @@
             f"r{number:02d}",
             60.0,
         ]
-        assert own.heard(f"10.9.0.{number + 1}", answer, NOW, NOW) is None
+        assert own.receive_swap_response(f"10.9.0.{number + 1}", answer, NOW, NOW) is None
     for number in range(0, size.workers, CORE):
-        assert own.beat(worker_id(number), _beat(size, number), NOW)
+        assert own.record_heartbeat(worker_id(number), _beat(size, number), NOW)
     for number in range(0, size.gatekeepers, CORE):
-        own.pull(_pull(number, {}, {}), NOW)
-        own.pulled(f"edge-{number}")
-    own.own.merge(own.own.version + 1, {key: value for key, value in held[0].items() if key[0] == "c"}, ())
-    own.watched({"index": 1, "set": dict(word), "gone": [], "full": True, "age": 0.1}, NOW, NOW)
+        own.begin_pull(_pull(number, {}, {}), NOW)
+        own.end_pull(f"edge-{number}")
+    own.own_source.merge(
+        own.own_source.version + 1, {key: value for key, value in held[0].items() if key[0] == "c"}, ()
+    )
+    own.receive_watch_response(
+        {"index": 1, "set": dict(word), "gone": [], "full": True, "age": 0.1}, NOW, NOW
+    )
     return own
 
 
@@ -111,7 +118,7 @@
             "Status": {"State": "ready", "CallSeq": 1, "WarmupLeft": "0ms"},
         }
     ).encode()
-    return read_beat(body, NOW)
+    return parse_heartbeat(body, NOW)
 
 
 def _pull(number: int, have: Mapping[str, int], counts: Mapping[str, Any], call: int = 1) -> Json:
@@ -142,7 +149,10 @@
 
 
 def _have(own: Registry) -> dict[str, int]:
-    return {**{name: source.version for name, source in own._named()}, OPERATOR_SOURCE: own.word.version}
+    return {
+        **{name: source.version for name, source in own._named()},
+        OPERATOR_SOURCE: own.operator_config.version,
+    }
 
 
 def of_registry(size: Size, word: Mapping[str, Any], chance: random.Random, out: Measured) -> Registry:
@@ -163,7 +173,7 @@
     )
 
     def nothing_new() -> bytes:
-        return pack(ANSWERS, [1, own.answer({**idle, "have": _have(own)}, NOW, NOW)])
+        return pack(ANSWERS, [1, own.pull_response({**idle, "have": _have(own)}, NOW, NOW)])
 
     answer = out.ms("registry: answer, nothing new, ms", nothing_new, each=10)
     out.note("registry: answer, nothing new, bytes", len(answer))
@@ -175,8 +185,8 @@
             nonlocal call
             for one in each:
                 call += 1
-                own.pull(_pull(0, {}, one, call), NOW)
-                own.pulled("edge-0")
+                own.begin_pull(_pull(0, {}, one, call), NOW)
+                own.end_pull("edge-0")
 
         mean = sum(map(len, each)) / len(each)
         for value in timed(take, out.repeats):
@@ -186,14 +196,14 @@
         names = [f"c/{tenant(rank)}" for rank in range(1, min(told // CORE, size.tenants) + 1)]
         for _, source in own._named():
             source.merge(source.version + 1, dict.fromkeys(names, [123456, 12]), ())
-        lacking = {**before, OPERATOR_SOURCE: own.word.version}
+        lacking = {**before, OPERATOR_SOURCE: own.operator_config.version}
         sums, swaps = CORE * len(names), len(names)
 
         def answered(had: dict[str, int] = lacking) -> bytes:
-            return pack(ANSWERS, [1, own.answer(_pull(0, had, {}), NOW, NOW)])
+            return pack(ANSWERS, [1, own.pull_response(_pull(0, had, {}), NOW, NOW)])
 
-        def swapped(had: int = before[own.me.source]) -> Any:
-            return own.told(own.me.incarnation, had, NOW)
+        def swapped(had: int = before[own.identity.source]) -> Any:
+            return own.swap_response(own.identity.incarnation, had, NOW)
 
         data = out.ms(f"registry: answer with sums, ms @ {sums}", answered)
         out.note(f"registry: answer with sums, bytes @ {sums}", len(data))
@@ -202,18 +212,18 @@
         before = _have(own)
     full = out.ms(
         "registry: first answer to a gatekeeper, ms",
-        lambda: pack(ANSWERS, [1, own.answer(_pull(0, {}, {}), NOW, NOW)]),
+        lambda: pack(ANSWERS, [1, own.pull_response(_pull(0, {}, {}), NOW, NOW)]),
         2,
     )
     out.note("registry: first answer to a gatekeeper, bytes", len(full))
     out.note("registry: frames that one first answer takes", len(full) / FRAME_MOST)
     before = _have(own)
-    for source in [own.own, *(copy.source for copy in own.copies.values())]:
+    for source in [own.own_source, *(copy.source for copy in own.peers.values())]:
         people = {key: value for key, value in source.values.items() if key[0] in "wg"}
         source.merge(source.version + 1, people, ())
     known = out.ms(
         "registry: of that, all workers and members, ms",
-        lambda: pack(ANSWERS, [1, own.answer(_pull(0, before, {}), NOW, NOW)]),
+        lambda: pack(ANSWERS, [1, own.pull_response(_pull(0, before, {}), NOW, NOW)]),
         2,
     )
     out.note("registry: of that, all workers and members, bytes", len(known))
@@ -227,22 +237,22 @@
     ).encode()
 
     def beat() -> None:
-        said = read_beat(body, NOW)
+        said = parse_heartbeat(body, NOW)
         assert not isinstance(said, Failure)
-        own.beat(worker_id(0), said, NOW)
-        own.alone(NOW)
-        own.target("z05", NOW)
+        own.record_heartbeat(worker_id(0), said, NOW)
+        own.is_isolated(NOW)
+        own.heartbeat_target("z05", NOW)
 
     out.ms("registry: a beat, ms", beat, each=20)
-    out.ms("registry: of that and of each answer, the members looked for, ms", own.members)
-    kept = own.members()
-    own.members = lambda: kept  # type: ignore[method-assign]  # as proposed: made anew with the word alone
+    out.ms("registry: of that and of each answer, the members looked for, ms", own.core_members)
+    kept = own.core_members()
+    own.core_members = lambda: kept  # type: ignore[method-assign]  # as proposed: made anew with the word alone
     out.ms("registry: a beat, were the members kept, ms", beat, each=200)
     out.ms("registry: answer, nothing new, were the members kept, ms", nothing_new, each=50)
-    del own.members
+    del own.core_members
     places = zones()
     first = [
-        own.controls(f"z{number % ZONES:02d}", places[f"z{number % ZONES:02d}"], NOW)[0]
+        own.registries_by_distance(f"z{number % ZONES:02d}", places[f"z{number % ZONES:02d}"], NOW)[0]
         for number in range(size.gatekeepers)
     ]
     most = max(first.count(ip) for ip in {*first})
@@ -255,7 +265,8 @@
 
     found = out.ms("registry: look-ups of a zone, worked out, ms", look)
     out.note(
-        "client: answer of a look-up, bytes", len(Answer(200, {"Addresses": found, "Ttl": "1s"}).wire(False))
+        "client: answer of a look-up, bytes",
+        len(HttpResponse(200, {"Addresses": found, "Ttl": "1s"}).wire(False)),
     )
     return own
 
@@ -278,8 +289,8 @@
     made = settings()
     gate = Gate(made, chance, NOW)
     pulling = Pulling(made, gate, "00000000", chance)
-    whole = own.answer(_pull(0, {}, {}), NOW, NOW)
-    opened = len(cbor2.dumps([dict(own.word.values), []]))
+    whole = own.pull_response(_pull(0, {}, {}), NOW, NOW)
+    opened = len(cbor2.dumps([dict(own.operator_config.values), []]))
     out.note("gatekeeper: configuration opened, x the most that is taken", opened / FRAME_MOST)
     parts = unpacked(whole["sources"])
     now = NOW + 0.1
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -16,7 +16,7 @@
 from ashlift.config.operator_config import laid_out
 from ashlift.proxy.registry_client import Pulling
 from ashlift.proxy.request_router import Gate
-from ashlift.registry.registry import Registry, Self
+from ashlift.registry.registry import Registry, RegistryIdentity
 from ashlift.rpc.transport import CALLS, pack
 from benchmarks.scale.cores import settings
 from benchmarks.scale.fit import line, middle, spread
@@ -113,10 +113,12 @@
 
 
 def _registry() -> Registry:
-    own = Registry(Self("core-1", "ab", "10.9.0.1", "z00", "r00", 8200, 1.5), ["10.9.0.1"], zones(), 0.0)
+    own = Registry(
+        RegistryIdentity("core-1", "ab", "10.9.0.1", "z00", "r00", 8200, 1.5), ["10.9.0.1"], zones(), 0.0
+    )
     word = laid_out(configuration(TARGET.part(5)))
     assert isinstance(word, dict)
-    own.watched({"index": 4, "set": word, "gone": [], "full": True, "age": 0.1}, 9.0, 9.0)
+    own.receive_watch_response({"index": 4, "set": word, "gone": [], "full": True, "age": 0.1}, 9.0, 9.0)
     return own
 
 
@@ -134,13 +136,13 @@
     for step in range(6):
         for side, (own, gate, pulling) in enumerate(sides):
             pull = pulling.begin(now)
-            assert pull is not None and pull.ip == "10.9.0.1" and own.pull(pull.body, now) is None
+            assert pull is not None and pull.ip == "10.9.0.1" and own.begin_pull(pull.body, now) is None
             if step == 3:
                 adds = {"number": 1, "counts": {"t000001": (5, 1)}}
-                own.pull({**pull.body, "node": "other", "adds": adds}, now)
-                own.pulled("other")
-            answer = own.answer(pull.body, now, now + 0.2)
-            own.pulled("hollow-0")
+                own.begin_pull({**pull.body, "node": "other", "adds": adds}, now)
+                own.end_pull("other")
+            answer = own.pull_response(pull.body, now, now + 0.2)
+            own.end_pull("hollow-0")
             told[side].append((len(pack(CALLS, [1, "pull", pull.body])), len(pack(CALLS, [1, answer]))))
             assert pulling.ended(pull, now + 0.25, answer) and gate.ready(now + 0.25)
         assert hollow.ledger.have() == real.ledger.have() and hollow.ledger.proven == real.ledger.proven
--- a/tests/cli/test_tenant_steps.py
+++ b/tests/cli/test_tenant_steps.py
@@ -13,7 +13,7 @@
 
 from ashlift.config.settings import Settings, parse
 from ashlift.proxy.request_router import Gate, Live, Turn
-from ashlift.registry.registry import Registry, Self
+from ashlift.registry.registry import Registry, RegistryIdentity
 from tests.support.request_router_scenarios import SETTINGS, WORD
 
 STEP_S, STEPS = 0.001, 6
@@ -32,7 +32,7 @@
         self.gate = Gate(settings, random.Random(1), self.now)
         self.boards = []
         for at in ("1", "2"):
-            me = Self(at, "x", f"10.0.0.{at}", "z1", "r1", 8200, 1.5)
+            me = RegistryIdentity(at, "x", f"10.0.0.{at}", "z1", "r1", 8200, 1.5)
             self.boards.append(Registry(me, [], {"z1": "r1"}, self.now))
             self._word(self.boards[-1], BEFORE, self.now)
         self.pull(0)
@@ -44,11 +44,11 @@
     def _word(self, board: Registry, index: int, proven: float) -> None:
         word = WORD if index == BEFORE else {**WORD, **NEW}
         told = {"index": index, "set": word, "gone": [], "full": True, "age": self.now - proven, "term": 1}
-        board.watched(told, self.now, self.now)
+        board.receive_watch_response(told, self.now, self.now)
 
     def _told(self, number: int) -> Any:
         body = {"have": self.gate.ledger.have(), "zone": "z1", "region": "r1"}
-        return self.boards[number].answer(body, self.now, self.now)
+        return self.boards[number].pull_response(body, self.now, self.now)
 
     def pull(self, number: int) -> None:
         self._take(self.now, self._told(number))
@@ -86,8 +86,8 @@
 
     def state(self) -> tuple[Any, ...]:
         ledger, told = self.gate.ledger, self.under_way
-        held = [ledger.index, *(board.word.version for board in self.boards), self.said]
-        times = [ledger.proven, *(board.proven for board in self.boards), self.asked]
+        held = [ledger.index, *(board.operator_config.version for board in self.boards), self.said]
+        times = [ledger.proven, *(board.proven_at for board in self.boards), self.asked]
         if told is not None:
             held.append(tuple(sorted((name, one["version"]) for name, one in told[1]["sources"].items())))
             times.append(told[0] - told[1]["age"])
--- a/tests/configstore/test_membership.py
+++ b/tests/configstore/test_membership.py
@@ -27,9 +27,9 @@
 from ashlift.configstore.replica import Member
 from ashlift.configstore.replica_state import Broken
 from ashlift.errors import Failure
-from ashlift.registry.http_server import Request
-from ashlift.registry.store_client import Store
-from ashlift.registry.store_membership import Belonging
+from ashlift.registry.http_server import HttpRequest
+from ashlift.registry.store_client import StoreClient
+from ashlift.registry.store_membership import MembersResource
 from ashlift.simulation.explore import CASES, explore
 from ashlift.simulation.sworn import Wrong, decide
 from ashlift.simulation.turnover import mixed
@@ -214,7 +214,7 @@
     assert isinstance(plan(few, "replace", "1"), list)
 
 
-class Asked(Store):
+class Asked(StoreClient):
     """A store that notes what it was asked."""
 
     def __init__(self, answer: Any) -> None:
@@ -235,12 +235,14 @@
         (b"{", 400),
     ):
         store = Asked({"status": 200})
-        assert Belonging(store).post(Request("POST", "/members", {}, {}, said)).status == status, said
+        assert MembersResource(store).post(HttpRequest("POST", "/members", {}, {}, said)).status == status, (
+            said
+        )
         assert store.calls == ([("remove", "10.0.0.4")] if status == 200 else [])
-    get = Request("GET", "/members", {}, {}, b"")
-    got = Belonging(Asked({"status": 200, "members": [{"ip": "1"}]})).get(get)
+    get = HttpRequest("GET", "/members", {}, {}, b"")
+    got = MembersResource(Asked({"status": 200, "members": [{"ip": "1"}]})).get(get)
     assert got.status == 200 and got.body == {"members": [{"ip": "1"}]}
     refused = Asked({"status": 409, "reason": "no"})
-    add = Request("POST", "/members", {}, {}, b'{"Do": "add", "Ip": "1"}')
-    assert Belonging(refused).post(add).status == 409
-    assert Belonging(Asked(Failure("unanswered"))).get(get).status == 503
+    add = HttpRequest("POST", "/members", {}, {}, b'{"Do": "add", "Ip": "1"}')
+    assert MembersResource(refused).post(add).status == 409
+    assert MembersResource(Asked(Failure("unanswered"))).get(get).status == 503
--- a/tests/lab/test_system.py
+++ b/tests/lab/test_system.py
@@ -17,7 +17,7 @@
 from ashlift.lab.system.runs import simulated
 from ashlift.lab.system.world import unfit
 from ashlift.lab.system.yard import asked
-from ashlift.registry.records import read_beat
+from ashlift.registry.records import parse_heartbeat
 from ashlift.simulation.rules import WORDS, verdicts
 from ashlift.simulation.scene import Play, read, read_file
 from ashlift.simulation.world import ZONES, Plan
@@ -65,7 +65,7 @@
         "version": "v1",
     }
     verb, target, body, _ = wire.spoken("beat", ("fleet-1", told))
-    beat = read_beat(json.dumps(body).encode(), 10.0)
+    beat = parse_heartbeat(json.dumps(body).encode(), 10.0)
     assert (verb, target) == ("PUT", "/instances/fleet-1")
     assert not isinstance(beat, Failure) and beat.until == 11.25 and beat.seq == 3 and beat.capacity == 4
     order = {"kind": "put", "if_match": "00000001", "body": {"ConfigVersion": "00000002"}}
--- a/tests/proxy/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -7,8 +7,8 @@
 from ashlift.config.routing_table import Route
 from ashlift.proxy.cluster_view import Worker
 from ashlift.proxy.load_balancer import Crew
-from ashlift.registry.records import Worker as Told
-from ashlift.registry.registry import Registry, Self
+from ashlift.registry.records import WorkerRecord as Told
+from ashlift.registry.registry import Registry, RegistryIdentity
 
 LOOK = Route(
     name="look",
@@ -126,21 +126,21 @@
 @test("registry: requests under way are summed over gatekeepers, told coarsely, and gone with their session")
 def _():
     now = 100.0
-    registry = Registry(Self("c", "1", "1.1.1.1", "z1", "r1", 80, 1.5), [], {"z1": "r1"}, now)
-    registry.beat("w", Told("board", "1.1.1.2:9", "z1", 6, "ready", 1, 0.0, ""), now)
+    registry = Registry(RegistryIdentity("c", "1", "1.1.1.1", "z1", "r1", 80, 1.5), [], {"z1": "r1"}, now)
+    registry.record_heartbeat("w", Told("board", "1.1.1.2:9", "z1", 6, "ready", 1, 0.0, ""), now)
 
     def pull(node: str, out: int) -> object:
         body = {"node": node, "incarnation": "1", "zone": "z1", "region": "r1", "front": "", "ready": True}
-        assert registry.pull({**body, "have": {}, "outs": {"w": out} if out else {}}, now) is None
-        registry.pulled(node)
-        return registry.own.values.get("o/w")
+        assert registry.begin_pull({**body, "have": {}, "outs": {"w": out} if out else {}}, now) is None
+        registry.end_pull(node)
+        return registry.own_source.values.get("o/w")
 
     assert [pull("e1", 1), pull("e2", 3), pull("e1", 2), pull("e1", 6), pull("e1", 0)] == [None, 4, 4, 9, 3]
     registry.tick(now + 0.5)
     for step in range(1, 20):
         now = 100.0 + 0.5 * step
         registry.tick(now)
-    assert "o/w" not in registry.own.values
+    assert "o/w" not in registry.own_source.values
 
 
 @test("crew: answers that come in no time leave a usual latency above nothing, and workers can be chosen")
--- a/tests/proxy/test_registry_client.py
+++ b/tests/proxy/test_registry_client.py
@@ -9,7 +9,7 @@
 from ashlift.errors import Failure, FailureReason
 from ashlift.proxy.registry_client import AVOID_S, Pulling
 from ashlift.proxy.request_router import Gate
-from ashlift.registry.registry import Registry, Self
+from ashlift.registry.registry import Registry, RegistryIdentity
 from ashlift.rpc.fragmentation import opened
 from ashlift.rpc.sources import OPERATOR_SOURCE
 from ashlift.rpc.transport import ANSWERS, DIAL_S, MORE_S, Patience, pack
@@ -85,10 +85,13 @@
 def _() -> None:
     word: dict[str, Any] = {f"Routes/r-{number}": {"Host": "h", "Timeout": "2s"} for number in range(1200)}
     word["Version"] = "0000000c"
-    packer = Registry(Self("core-1", "0", NEAR, "a", "r", 80, 1.5), [NEAR], {"a": "r"}, 0.0)
-    packer.watched({"index": 7, "full": True, "set": word, "gone": [], "age": 0.0}, 0.0, 0.0)
+    packer = Registry(RegistryIdentity("core-1", "0", NEAR, "a", "r", 80, 1.5), [NEAR], {"a": "r"}, 0.0)
+    packer.receive_watch_response({"index": 7, "full": True, "set": word, "gone": [], "age": 0.0}, 0.0, 0.0)
     body = {"have": {}, "zone": "a", "region": "r"}
-    plain, packed = packer.answer(body, 0.0, 0.0), packer.answer({**body, "packs": True}, 0.0, 0.0)
+    plain, packed = (
+        packer.pull_response(body, 0.0, 0.0),
+        packer.pull_response({**body, "packs": True}, 0.0, 0.0),
+    )
     packed["sources"][OPERATOR_SOURCE] = opened(told := packed["sources"][OPERATOR_SOURCE])
     assert packed["sources"] == plain["sources"]
     packed["sources"][OPERATOR_SOURCE] = told
--- a/tests/registry/test_command_answers.py
+++ b/tests/registry/test_command_answers.py
@@ -10,9 +10,9 @@
 from ward import each, test
 
 from ashlift.errors import Failure, FailureReason
-from ashlift.registry.http_server import Door
+from ashlift.registry.http_server import HttpServer
 from ashlift.registry.resources import Config
-from ashlift.registry.store_client import Store
+from ashlift.registry.store_client import StoreClient
 from ashlift.rpc.transport import Callers, serve
 from tests.support.between import BACK, HOST, KINDS, THERE, Between
 from tests.support.gatekeeper import ENOUGH_S, TOO_LONG
@@ -81,8 +81,8 @@
 def played(kind: str, way: str, which: int, at: int) -> None:
     """A trouble on the way to one store while three operators give two orders each."""
     stores = Stores()
-    store = Store("store-0", 7600, lambda: ["store-0", "store-1"], Way(stores))
-    door = Door((HOST, 0), {"config": Config(store)})
+    store = StoreClient("store-0", 7600, lambda: ["store-0", "store-1"], Way(stores))
+    door = HttpServer((HOST, 0), {"config": Config(store)})
     door.start()
     address = HOST, door._server.server_port or 0
     stores.ways[which].arm(way, at, kind)
@@ -96,7 +96,7 @@
             assert stores.ran[word] <= 1, f"{word} was given to stores {stores.ran[word]} times"
             assert status in (412, 503), reason
             assert status == 503 or (reason == f"it was {word}" and stores.ran[word]), f"{word}: {reason}"
-    door.leave()
+    door.shut_down()
     stores.close()
 
 
--- a/tests/registry/test_parts.py
+++ b/tests/registry/test_parts.py
@@ -13,20 +13,26 @@
 from ashlift.configstore.messages import State
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.errors import Failure, FailureReason
-from ashlift.registry.endpoint_directory import LOOKS_MOST
-from ashlift.registry.http_server import Answer, Door, Request, _Reading
-from ashlift.registry.records import Worker, read_beat
-from ashlift.registry.registry import Registry, Self
-from ashlift.registry.replicated_source import TOMBS, Source
+from ashlift.registry.endpoint_directory import MAX_CACHED_LOOKUPS
+from ashlift.registry.http_server import HttpRequest, HttpResponse, HttpServer, RequestParser
+from ashlift.registry.records import WorkerRecord, parse_heartbeat
+from ashlift.registry.registry import Registry, RegistryIdentity
+from ashlift.registry.replicated_source import MAX_TOMBSTONES, ReplicatedSource
 from ashlift.registry.resources import Config, Evacuation, Instances
-from ashlift.registry.server import CALLERS_FEW, GATHER_S, PEERS_FEW, WAIT_S, spread
-from ashlift.registry.store_client import Store
+from ashlift.registry.server import (
+    BATCHING_DELAY_SECONDS,
+    LONG_POLL_SECONDS,
+    UNTHROTTLED_PEERS,
+    UNTHROTTLED_SESSIONS,
+    call_interval,
+)
+from ashlift.registry.store_client import StoreClient
 from ashlift.rpc.transport import Callers
 
 
-def take(asker: tuple[int, dict[str, Any]], source: Source) -> tuple[int, dict[str, Any]]:
+def take(asker: tuple[int, dict[str, Any]], source: ReplicatedSource) -> tuple[int, dict[str, Any]]:
     version, records = asker
-    news = source.since(version or None)
+    news = source.delta_since(version or None)
     if news is None:
         return asker
     kept = {} if news.full else {key: one for key, one in records.items() if key not in news.gone}
@@ -35,7 +41,7 @@
 
 @test("an asker that goes between a source and its copies ends with what the source holds ({seed})")
 def _(seed: int = each(*range(30))) -> None:
-    rng, origin, copies = random.Random(seed), Source(), [Source(), Source()]
+    rng, origin, copies = random.Random(seed), ReplicatedSource(), [ReplicatedSource(), ReplicatedSource()]
     askers: list[tuple[int, dict[str, Any]]] = [(0, {}), (0, {}), (0, {})]
     for step in range(400):
         key = rng.choice("wgc") + "/" + str(rng.randrange(12))
@@ -44,7 +50,7 @@
         if rng.random() < 0.2:
             if rng.random() < 0.6:
                 copy.replace(origin.version, dict(origin.values))
-            elif news := origin.since(copy.version or None):
+            elif news := origin.delta_since(copy.version or None):
                 whole = copy.replace if news.full else None
                 whole(news.version, news.set) if whole else copy.merge(news.version, news.set, news.gone)
         which = rng.randrange(12)
@@ -59,7 +65,7 @@
 @test("who goes between registries holds the word, though stores passed over what changed back ({seed})")
 def _(seed: int = each(*range(20))) -> None:
     rng, map, states = random.Random(seed), RangedMap(), [State((1, 1), RangedMap())]
-    stores, words = [News(), News(), News()], [Source(), Source(), Source()]
+    stores, words = [News(), News(), News()], [ReplicatedSource(), ReplicatedSource(), ReplicatedSource()]
     askers: list[tuple[int, dict[str, Any]]] = [(0, {}), (0, {}), (0, {})]
     for index in range(2, 300):
         key = f"Routes/{rng.randrange(4)}"
@@ -79,36 +85,40 @@
             assert not version or records == states[version - 1].entries.map, f"at index {version}"
 
 
-def registry_takes(word: Source, news: dict[str, Any]) -> None:
+def registry_takes(word: ReplicatedSource, news: dict[str, Any]) -> None:
     """As `Registry.watched` does."""
     if news["full"]:
         word.replace(news["index"], news["set"])
     else:
-        word.skipped(news["index"])
+        word.note_skipped_versions(news["index"])
         word.merge(news["index"], news["set"], news["gone"])
 
 
 @test("keys gone longest are forgotten, and who has not heard of them is told everything")
 def _() -> None:
-    source = Source()
-    for number in range(TOMBS + 2):
+    source = ReplicatedSource()
+    for number in range(MAX_TOMBSTONES + 2):
         source.put(f"w/{number}", 1)
     before = source.version
-    for number in range(TOMBS + 2):
+    for number in range(MAX_TOMBSTONES + 2):
         source.drop(f"w/{number}")
-    old, new = source.since(before), source.since(before + 2)
+    old, new = source.delta_since(before), source.delta_since(before + 2)
     assert old and old.full and not old.set
-    assert new and not new.full and len(new.gone) == TOMBS
+    assert new and not new.full and len(new.gone) == MAX_TOMBSTONES
 
 
 @test("sums are told, and wake nobody")
 def _() -> None:
-    source = Source()
+    source = ReplicatedSource()
     source.put("w/1", 1)
     source.put("c/t", [1, 0])
-    assert not source.news(1) and source.since(1) and source.news(None)
+    assert (
+        not source.has_significant_change_since(1)
+        and source.delta_since(1)
+        and source.has_significant_change_since(None)
+    )
     source.drop("w/1")
-    assert source.news(2)
+    assert source.has_significant_change_since(2)
 
 
 BEAT = (
@@ -134,15 +144,15 @@
         "whole numbers",
     ),
 ) -> None:
-    found = read_beat(BEAT.decode().replace(old, new, 1).encode() if old else BEAT, 10.0)
+    found = parse_heartbeat(BEAT.decode().replace(old, new, 1).encode() if old else BEAT, 10.0)
     if wrong:
         assert isinstance(found, Failure) and wrong in found.detail, found
     else:
-        assert found == Worker("s", "10.128.0.9:8080", "z", 2, "ready", 4, 11.5, "v1")
+        assert found == WorkerRecord("s", "10.128.0.9:8080", "z", 2, "ready", 4, 11.5, "v1")
 
 
-def read(data: bytes, size: int) -> _Reading:
-    reading = _Reading(lambda path: 8 if path == "/small" else 100)
+def read(data: bytes, size: int) -> RequestParser:
+    reading = RequestParser(lambda path: 8 if path == "/small" else 100)
     for start in range(0, len(data), size):
         reading.feed(data[start : start + size])
         if reading.wrong:
@@ -159,7 +169,7 @@
         size,
     )
     first, second, third = (request for request, _ in reading.done)
-    assert first == Request("PUT", "/a", {"Zone": "x", "Name": "y"}, first.headers, b"{}")
+    assert first == HttpRequest("PUT", "/a", {"Zone": "x", "Name": "y"}, first.headers, b"{}")
     assert first.headers["if-match"] == "5" and second.body == b"abcde" and third.segments == ["d"]
     assert [keep for _, keep in reading.done] == [True, True, False] and not reading.wrong
 
@@ -200,13 +210,13 @@
         return One()
 
 
-def store(**answers: Any) -> tuple[Store, Stores]:
+def store(**answers: Any) -> tuple[StoreClient, Stores]:
     stores = Stores(answers)
-    return Store("own", 7600, lambda: list(answers), stores), stores
+    return StoreClient("own", 7600, lambda: list(answers), stores), stores
 
 
-def call(method: str, path: str, body: bytes = b"", **headers: str) -> Request:
-    return Request(method, path, {}, headers, body, time.monotonic())
+def call(method: str, path: str, body: bytes = b"", **headers: str) -> HttpRequest:
+    return HttpRequest(method, path, {}, headers, body, time.monotonic())
 
 
 def plain(order: Any) -> Any:
@@ -274,7 +284,7 @@
 
 @test("what cannot be an order does not reach a store: {request.method} {request.path}")
 def _(
-    request: Request = each(*(one for one, _ in NO_ORDERS)),  # noqa: B008
+    request: HttpRequest = each(*(one for one, _ in NO_ORDERS)),  # noqa: B008
     status: int = each(*(one for _, one in NO_ORDERS)),
 ) -> None:
     way, stores = store(own=Failure(FailureReason.UNREACHABLE))
@@ -319,7 +329,7 @@
 def _(story: str = each("fresh", "held up", "after an answer", "the process stood")) -> None:
     clock, seen = Clock(10.0), list[Any]()
 
-    class Sure(Store):
+    class Sure(StoreClient):
         def submit(self, *order: Any) -> Any:
             seen.append(order[-1])
             return {"status": 200, "index": 2}
@@ -327,7 +337,7 @@
     settings = Settings(node_name="n", ip="own", internal_ports=(1, 2), seeds=(), zones={"za": "ra"})
     way = Sure("own", 7600, list, Callers())
     with patch("ashlift.registry.http_server.time", clock), patch("ashlift.registry.resources.time", clock):
-        door = Door(("127.0.0.1", 0), {"evacuation": Evacuation(way, lambda: settings)})
+        door = HttpServer(("127.0.0.1", 0), {"evacuation": Evacuation(way, lambda: settings)})
         match story:
             case "fresh":
                 wire = Wire(clock, (10.1, POST))
@@ -352,63 +362,72 @@
 @test("a worker that starts again with its id: no acknowledgement before it is known, no mixing")
 def _() -> None:
     now = time.monotonic()
-    registry = Registry(Self("a", "1", "10.0.0.1", "za", "ra", 8200, 1.5), [], {}, now - 60)
+    registry = Registry(RegistryIdentity("a", "1", "10.0.0.1", "za", "ra", 8200, 1.5), [], {}, now - 60)
     other = BEAT.replace(b"10.128.0.9", b"10.128.0.7")
-    old, new = (read_beat(one, now) for one in (BEAT.replace(b"4,", b"40,"), other))
-    assert isinstance(old, Worker) and isinstance(new, Worker)
-    registry.beat("i-1", old, now)
+    old, new = (parse_heartbeat(one, now) for one in (BEAT.replace(b"4,", b"40,"), other))
+    assert isinstance(old, WorkerRecord) and isinstance(new, WorkerRecord)
+    registry.record_heartbeat("i-1", old, now)
     for tenth in range(46):
         registry.tick(now + tenth / 10)
-        assert not registry.beat("i-1", new, now + tenth / 10)
+        assert not registry.record_heartbeat("i-1", new, now + tenth / 10)
         assert registry.workers()["i-1"].address == old.address
     registry.tick(now + 4.6)  # the last life's lease is over
     assert not registry.workers()
-    assert registry.beat("i-1", new, now + 4.7) and registry.workers()["i-1"].address == new.address
-    assert registry.beat("i-1", new, now + 4.7)  # come twice
-    registry.leave("i-1", now + 5.0)
-    assert not registry.beat("i-1", new, now + 5.1) and not registry.workers()  # late, behind the end
+    assert (
+        registry.record_heartbeat("i-1", new, now + 4.7) and registry.workers()["i-1"].address == new.address
+    )
+    assert registry.record_heartbeat("i-1", new, now + 4.7)  # come twice
+    registry.deregister_worker("i-1", now + 5.0)
+    assert (
+        not registry.record_heartbeat("i-1", new, now + 5.1) and not registry.workers()
+    )  # late, behind the end
 
 
 @test("beats are answered at once, late ones are not acknowledged, and they name the registry to go to")
 def _() -> None:
     now = time.monotonic()
-    registry = Registry(Self("a", "1", "10.0.0.1", "za", "ra", 8200, 1.5), [], {}, now)
+    registry = Registry(RegistryIdentity("a", "1", "10.0.0.1", "za", "ra", 8200, 1.5), [], {}, now)
     rings: list[int] = []
     instances = Instances(registry, lambda: rings.append(1))
     for body, status in ((BEAT, 200), (BEAT, 200), (BEAT.replace(b"4,", b"3,"), 503), (b"{}", 400)):
         answer = instances.take(call("PUT", "/instances/i-1", body))
         assert answer.status == status and len(answer.wire(False)) < 4096
-    assert answer == Answer(400, {"error": "NodeInfo is missing"})
-    assert cast(Worker, registry.own.values["w/i-1"]).seq == 4 and rings
+    assert answer == HttpResponse(400, {"error": "NodeInfo is missing"})
+    assert cast(WorkerRecord, registry.own_source.values["w/i-1"]).seq == 4 and rings
     answer = instances.take(call("PUT", "/instances/i-2", BEAT))
     assert answer.body == {"HeartbeatTarget": "10.0.0.1:8200"}
     assert instances.take(call("DELETE", "/instances/i-2")).status == 200
     assert list(registry.workers()) == ["i-1"]
-    cut_off = Registry(registry.me, ["10.0.0.1", "10.0.0.2"], {}, now - 5)
+    cut_off = Registry(registry.identity, ["10.0.0.1", "10.0.0.2"], {}, now - 5)
     assert Instances(cut_off, lambda: None).take(call("PUT", "/instances/i-1", BEAT)).status == 503
     assert list(cut_off.workers()) == ["i-1"]  # known here, and the worker goes on to another registry
 
 
 @test("what a zone's clients are told is worked out once in 0.1 s, and is never older")
 def _() -> None:
-    registry = Registry(Self("core-1", "0", "10.0.0.1", "z", "r", 80, 1.5), ["10.0.0.1"], {"z": "r"}, 0.0)
+    registry = Registry(
+        RegistryIdentity("core-1", "0", "10.0.0.1", "z", "r", 80, 1.5), ["10.0.0.1"], {"z": "r"}, 0.0
+    )
     body = {"incarnation": "0", "zone": "z", "region": "r", "ready": True, "have": {}}
     for number in range(3):
-        registry.pull({**body, "node": f"edge-{number}", "front": f"10.1.0.{number}:80"}, 5.0)
+        registry.begin_pull({**body, "node": f"edge-{number}", "front": f"10.1.0.{number}:80"}, 5.0)
     first = registry.lookup("z", "r", 5.0)
     assert isinstance(first, list) and len(first) == 3
-    registry.pull({**body, "node": "edge-1", "front": "10.1.0.1:80", "leaving": True}, 5.05)
+    registry.begin_pull({**body, "node": "edge-1", "front": "10.1.0.1:80", "leaving": True}, 5.05)
     assert registry.lookup("z", "r", 5.05) is first
     later = registry.lookup("z", "r", 5.11)
     assert isinstance(later, list) and sorted(later) == ["10.1.0.0:80", "10.1.0.2:80"]
     for number in range(1000):
         registry.lookup(f"z{number}", "r", 5.11)
-    assert len(registry._looks.kept) <= LOOKS_MOST
+    assert len(registry._looks.kept) <= MAX_CACHED_LOOKUPS
 
 
 @test("calls for news stay as often as they were with few heads, and a registry's load is bounded with many")
 def _() -> None:
-    assert spread(2, CALLERS_FEW) <= GATHER_S and spread(4, PEERS_FEW) <= GATHER_S
+    assert (
+        call_interval(2, UNTHROTTLED_SESSIONS) <= BATCHING_DELAY_SECONDS
+        and call_interval(4, UNTHROTTLED_PEERS) <= BATCHING_DELAY_SECONDS
+    )
     for heads in range(1, 15):
-        assert heads <= 150 * max(GATHER_S, spread(heads, CALLERS_FEW))
-    assert spread(400, CALLERS_FEW) <= WAIT_S
+        assert heads <= 150 * max(BATCHING_DELAY_SECONDS, call_interval(heads, UNTHROTTLED_SESSIONS))
+    assert call_interval(400, UNTHROTTLED_SESSIONS) <= LONG_POLL_SECONDS
--- a/tests/registry/test_routes.py
+++ b/tests/registry/test_routes.py
@@ -19,9 +19,9 @@
 from ashlift.configstore.pending_edits import NAME, Drafts
 from ashlift.configstore.snapshot_storage import SnapshotStorage
 from ashlift.errors import Failure, FailureReason
-from ashlift.registry.http_server import Request
-from ashlift.registry.registry import Registry, Self
-from ashlift.registry.route_resources import Desk, Proposals, Routes
+from ashlift.registry.http_server import HttpRequest
+from ashlift.registry.registry import Registry, RegistryIdentity
+from ashlift.registry.route_resources import Proposals, RouteEditService, Routes
 from tests.route_reconciliation.test_merging import BASE, FIRST, Map, route
 
 ORDER = route("c", "/hold/", "non_idempotent")
@@ -33,11 +33,11 @@
     def __init__(self, folder: str) -> None:
         self.map, self.index, self.folder = dict(BASE), 1, folder
         self.fault: Failure | None = None
-        me = Self("core-1", "1", "10.0.0.1", "z", "r", 8200, 1.5)
+        me = RegistryIdentity("core-1", "1", "10.0.0.1", "z", "r", 8200, 1.5)
         self.registry = Registry(me, ["10.0.0.1"], {"z": "r"}, 0.0)
-        self.registry.word.replace(1, self.map)
+        self.registry.operator_config.replace(1, self.map)
         self.shelves = {ip: self.opened(ip) for ip in ("10.0.0.1", "10.0.0.2")}
-        desk = Desk(self.registry, self)  # type: ignore[arg-type]
+        desk = RouteEditService(self.registry, self)  # type: ignore[arg-type]
         self.resources = {"routes": Routes(desk), "proposals": Proposals(desk)}
 
     def opened(self, ip: str) -> Drafts:
@@ -51,10 +51,10 @@
         if isinstance(made, Work):
             self.map = {key: value for key, value in self.map.items() if key not in made.gone} | made.set
             self.index += 1
-            self.registry.word.replace(self.index, self.map)
+            self.registry.operator_config.replace(self.index, self.map)
         return dict(made.answer)
 
-    def drafts(self, add: list[Map]) -> Map:
+    def exchange_pending_edits(self, add: list[Map]) -> Map:
         return {ip: one.call({"add": add}) for ip, one in self.shelves.items()}
 
     def merge(self) -> None:
@@ -69,7 +69,7 @@
         def call(
             target: Any, method: str, path: str, asked: str, body: bytes = b"", **_: Any
         ) -> tuple[int, str, bytes]:
-            request = Request(method, path, {}, {}, body)
+            request = HttpRequest(method, path, {}, {}, body)
             answer = self.resources[path.split("/")[1]].take(request)
             return answer.status, "", json.dumps(answer.body).encode()
 
@@ -95,7 +95,7 @@
 def _(core: Core = core) -> None:
     code, told = core.edit("hold", ORDER, "e1")
     assert code == 0 and "in force, version 00000002" in told and core.map["Routes/hold"] == ORDER
-    core.registry.word.replace(9, BASE)  # this registry lags behind
+    core.registry.operator_config.replace(9, BASE)  # this registry lags behind
     code, told = core.edit("hold", FIRST["hold"], "e2")
     assert code == 3 and "conflict" in told and json.dumps(ORDER, sort_keys=True) in told
     assert core.map["Routes/hold"] == ORDER
@@ -178,5 +178,5 @@
     for body in bodies:
         assert isinstance(core.shelves["10.0.0.1"].call(body), Failure)
     assert core.run("edit c:1 x")[0] == 2 and core.run("confirm c:1 none --on 00000001")[0] == 2
-    assert core.resources["proposals"].take(Request("POST", "/proposals/p1", {}, {}, b"[]")).status == 400
-    assert core.resources["routes"].take(Request("POST", "/routes/x", {}, {}, b"{}")).status == 400
+    assert core.resources["proposals"].take(HttpRequest("POST", "/proposals/p1", {}, {}, b"[]")).status == 400
+    assert core.resources["routes"].take(HttpRequest("POST", "/routes/x", {}, {}, b"{}")).status == 400
--- a/tests/registry/test_scenarios.py
+++ b/tests/registry/test_scenarios.py
@@ -24,8 +24,8 @@
 
 from ashlift.errors import Failure
 from ashlift.proxy.cluster_view import Ledger
-from ashlift.registry.records import GONE, Worker
-from ashlift.registry.registry import Registry, Self
+from ashlift.registry.records import TOMBSTONE, WorkerRecord
+from ashlift.registry.registry import Registry, RegistryIdentity
 from ashlift.rpc.sources import OPERATOR_SOURCE
 
 SCENES = sorted((Path(__file__).parent.parent / "scenarios").glob("registry_*.txt"))
@@ -55,7 +55,7 @@
 
     def start(self, name: str, zone: str, region: str) -> None:
         self.starts += 1
-        me = Self(name, f"{self.starts:08x}", name, zone, region, 8200, 1.5)
+        me = RegistryIdentity(name, f"{self.starts:08x}", name, zone, region, 8200, 1.5)
         self.all[name] = Registry(me, ["a", "b"], {}, self.now)
 
     def stop(self, name: str) -> None:
@@ -89,18 +89,18 @@
     def beat(self, at: str, key: str, *words: str) -> None:
         told = {"state": "ready", "warm": "0", **dict(word.split("=") for word in words if "=" in word)}
         until = self.now + float(told["warm"])
-        said = Worker("s", "10.0.0.9:80", "z", 2, told["state"], int(told["seq"]), until, "v")
-        assert self.all[at].beat(key, said, self.now) == ("late" not in words)
+        said = WorkerRecord("s", "10.0.0.9:80", "z", 2, told["state"], int(told["seq"]), until, "v")
+        assert self.all[at].record_heartbeat(key, said, self.now) == ("late" not in words)
 
     def delete(self, at: str, key: str) -> None:
-        self.all[at].leave(key, self.now)
+        self.all[at].deregister_worker(key, self.now)
 
     def word(self, at: str, index: str, age: str, *pairs: str) -> None:
         told = dict(pair.split("=") for pair in pairs)
         values, gone = {key: one for key, one in told.items() if one}, [key for key in told if not told[key]]
         answer = {"index": int(index), "age": float(age), "set": values, "gone": gone, "term": 1}
-        answer["full"] = not self.all[at].word.version
-        self.all[at].watched(answer, self.now, self.now)
+        answer["full"] = not self.all[at].operator_config.version
+        self.all[at].receive_watch_response(answer, self.now, self.now)
 
     def run(self, seconds: str) -> None:
         for _ in range(round(float(seconds) / STEP)):
@@ -122,22 +122,24 @@
 
     def _swaps(self, name: str, awake: list[str]) -> None:
         mine = self.all[name]
-        for ip in mine.peers(self.now):
+        for ip in mine.peer_ips(self.now):
             if ip in awake and frozenset((name, ip)) not in self.cuts:
-                asked = self.all[ip].asked(mine.ask(ip, True, self.now), self.now)
+                asked = self.all[ip].receive_swap_request(mine.swap_request(ip, True, self.now), self.now)
                 assert not isinstance(asked, Failure)
-                told = self.all[ip].told(*asked, self.now)
-                assert mine.heard(ip, told, self.now, self.now) is None
+                told = self.all[ip].swap_response(*asked, self.now)
+                assert mine.receive_swap_response(ip, told, self.now, self.now) is None
 
     def _pull(self, edge: Edge, body: dict[str, Any]) -> None:
         registry, body = self.all[edge.at], body | {"have": edge.ledger.have()}
-        assert registry.pull(body, self.now) is None
-        answer = registry.answer(body, self.now, self.now)
+        assert registry.begin_pull(body, self.now) is None
+        answer = registry.pull_response(body, self.now, self.now)
         edge.ledger.take(self.now, self.now, answer)
-        registry.pulled(edge.name)
-        copies = registry.copies
+        registry.end_pull(edge.name)
+        copies = registry.peers
         silent = {name: copies[name].source.version for name in copies.keys() - set(answer["alive"])}
-        assert not registry.lacks(silent | edge.ledger.have()), "would be answered at once, on and on"
+        assert not registry.has_updates_for(silent | edge.ledger.have()), (
+            "would be answered at once, on and on"
+        )
 
     def check(self, at: str, what: str, *words: str) -> None:
         getattr(self, f"_check_{what}")(at, *words)
@@ -146,7 +148,7 @@
         workers = self.edges[at].ledger.workers
         found = "none" if key not in workers else "ready" if workers[key].ready else "draining"
         if found == "draining" and key not in self.all[self.edges[at].at].workers():
-            found = GONE
+            found = TOMBSTONE
         assert found == wanted, str(found)
 
     def _check_sum(self, at: str, tenant: str, *counts: str) -> None:
@@ -159,18 +161,18 @@
         assert (["unready"] if isinstance(found, Failure) else sorted(found)) == sorted(fronts), str(found)
 
     def _check_answers(self, at: str, edge: str, wanted: str) -> None:
-        told = self.all[at].word.since(self.edges[edge].ledger.have().get(OPERATOR_SOURCE))
+        told = self.all[at].operator_config.delta_since(self.edges[edge].ledger.have().get(OPERATOR_SOURCE))
         assert ("nothing" if told is None else "full" if told.full else "difference") == wanted, str(told)
 
     def _check_alone(self, at: str, wanted: str) -> None:
-        assert self.all[at].alone(self.now) == (wanted == "yes")
+        assert self.all[at].is_isolated(self.now) == (wanted == "yes")
 
     def _check_ran(self, at: str, wanted: str) -> None:
-        ran = self.all[at].ran(self.now)
+        ran = self.all[at].uptime(self.now)
         assert abs(ran - float(wanted)) < 0.1, str(ran)
 
     def _check_age(self, at: str, wanted: str) -> None:
-        age = self.all[at].age(self.now)
+        age = self.all[at].lease_age(self.now)
         assert (wanted == "none") if age is None else abs(age - float(wanted)) < 0.001, str(age)
 
 
@@ -229,5 +231,5 @@
         assert truth.keys() <= seen.keys(), str(truth.keys() - seen.keys())
         assert set(edge.ledger.members) == set(play.edges), str(edge.ledger.members)
     for name in names:
-        assert sorted(play.all[name].sessions(play.now)) == sorted(play.edges)
+        assert sorted(play.all[name].live_sessions(play.now)) == sorted(play.edges)
         assert play.all[name].workers().keys() == truth.keys()
--- a/tests/registry/test_soft_state.py
+++ b/tests/registry/test_soft_state.py
@@ -187,7 +187,7 @@
     def told() -> tuple[Any, bool, bool]:
         """Status of a beat, whether look-ups are answered, whether its proof is one to stay with."""
         now, registry = board.clock(), board.registry
-        age = registry.age(now)
+        age = registry.lease_age(now)
         fields = {
             "service": "fleet",
             "address": "10.9.0.1:80",
@@ -222,7 +222,7 @@
     # It has just been thawed: the proof that it held then is old by its own clock, and it vouches for nobody.
     assert told()[2] is False
     expect(48.8, 200, True, True)
-    assert board.registry.ran(board.clock()) < 1.0
+    assert board.registry.uptime(board.clock()) < 1.0
 
 
 @test("rules hold while all registries are away and workers come, cold, or lose answers ({what})")
--- a/tests/rpc/test_fragmentation.py
+++ b/tests/rpc/test_fragmentation.py
@@ -15,7 +15,7 @@
 from ashlift.proxy.__main__ import Program
 from ashlift.proxy.registry_client import ANSWER_S, MOST_S, STALE_S, WAIT_S, Pulling
 from ashlift.proxy.request_router import Gate
-from ashlift.registry.registry import Registry, Self
+from ashlift.registry.registry import Registry, RegistryIdentity
 from ashlift.rpc.fragmentation import KEPT_MOST, PIECE, Cutter, Joiner
 from ashlift.rpc.sources import OPERATOR_SOURCE
 from tests.proxy.test_registry_client import TEXT
@@ -24,7 +24,7 @@
 TRIP_S = 0.04
 
 
-ME = Self("core-1", "0", "10.1.0.1", "a", "r", 80, 1.5)
+ME = RegistryIdentity("core-1", "0", "10.1.0.1", "a", "r", 80, 1.5)
 
 
 def route(chance: random.Random, size: int) -> dict[str, Any]:
@@ -56,7 +56,7 @@
 
     def tell(self, set_: dict[str, Any], full: bool = False) -> None:
         answer = {"index": self.index, "full": full, "set": set_, "gone": [], "age": 0.05, "term": 1}
-        self.registry.watched(answer, self.now, self.now)
+        self.registry.receive_watch_response(answer, self.now, self.now)
 
     def change(self) -> None:
         self.index += 1
@@ -75,7 +75,7 @@
         if whole:
             del call.body["part"]
         self.until(at + TRIP_S)
-        answer: Any = self.registry.answer(call.body, self.now, self.now)
+        answer: Any = self.registry.pull_response(call.body, self.now, self.now)
         took = 2 * TRIP_S + len(cbor2.dumps(answer)) / LINE
         self.longest = max(self.longest, took)
         if took > MOST_S:
@@ -177,16 +177,16 @@
     news.advance(State((1, 5), RangedMap({f"Routes/{n}": route(chance, 1000) for n in range(3000)})))
     mine = registry()
     cutter, calls, now = Cutter("1", 256 << 10, 256 << 10), 0, 0.0
-    while mine.word.version < news.index:
+    while mine.operator_config.version < news.index:
         calls, now = calls + 1, now + 0.1
         if calls == 2:
             map = news.state.entries.changed({"Routes/7": {"Host": "new"}}, ["Routes/8"])
             news.advance(State((1, 6), map))
-        have = mine.word.version
-        body = {"have": have, "wait": 0.1, "part": mine.watches()}
+        have = mine.operator_config.version
+        body = {"have": have, "wait": 0.1, "part": mine.wanted_fragment()}
         answer = watched(cutter, news.since(have), body, now)
         assert len(cbor2.dumps(answer)) < 300 << 10
-        fresh = mine.watched({**answer, "age": 0.01, "term": 1, "leader": None}, now, now)
-        assert fresh and (mine.age(now) is None or mine.word.version == news.index)
-    assert mine.word.values == news.state.entries.map and 5 < calls < 14
-    assert abs((mine.age(now) or 0.0) - 0.01) < 1e-6
+        fresh = mine.receive_watch_response({**answer, "age": 0.01, "term": 1, "leader": None}, now, now)
+        assert fresh and (mine.lease_age(now) is None or mine.operator_config.version == news.index)
+    assert mine.operator_config.values == news.state.entries.map and 5 < calls < 14
+    assert abs((mine.lease_age(now) or 0.0) - 0.01) < 1e-6
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -16,7 +16,7 @@
 from ashlift.configstore.catch_up import Mending
 from ashlift.configstore.leader import Lead
 from ashlift.configstore.replica import Member
-from ashlift.registry.http_requests import Asking
+from ashlift.registry.operator_request import OperatorRequest
 from ashlift.simulation import board
 from ashlift.simulation.explore import CASES, explore
 
@@ -192,9 +192,9 @@
         "an evacuation in the buffers of a frozen registry, given up by its operator",
     ),
     "a silent store is waited for alone": (
-        Asking,
-        "due",
-        "now + HEDGE_S",
+        OperatorRequest,
+        "next_store",
+        "now + HEDGE_DELAY_SECONDS",
         "self.until",
         "a machine hears the leader and cannot call it: every order is passed on within a second",
     ),
--- a/tests/traffic/test_outlier_detection.py
+++ b/tests/traffic/test_outlier_detection.py
@@ -8,8 +8,8 @@
 from ashlift.config.routing_table import Route
 from ashlift.proxy.cluster_view import Worker
 from ashlift.proxy.load_balancer import Crew
-from ashlift.registry.load_reports import Said, Tallies
-from ashlift.registry.replicated_source import Source
+from ashlift.registry.load_reports import LoadReport, LoadReports
+from ashlift.registry.replicated_source import ReplicatedSource
 from ashlift.traffic.outlier_detection import OutlierDetector
 
 HOLD = Route(
@@ -40,7 +40,7 @@
         for crew in self.crews:
             crew.members = gatekeepers
             crew.know(Worker(one, "desk", one[:2], ("127.0.0.1", 9), 6, True, 1, 0.0) for one in ids)
-        self.tallies = Tallies(source := Source(), lambda _: 6)
+        self.tallies = LoadReports(source := ReplicatedSource(), lambda _: 6)
         self.source, self.sums = source, deque([dict[str, list[int]]()] * LATE)
         self.sent: list[tuple[float, str]] = []
         self.failing: dict[str, float] = {}
@@ -64,7 +64,9 @@
     def _pull(self, now: float) -> None:
         for at, crew in enumerate(self.crews):
             faults = crew.jury.failure_counts(now)
-            self.tallies.said(f"e{at}", Said({}, {key: (one[0], one[1]) for key, one in faults.items()}))
+            self.tallies.said(
+                f"e{at}", LoadReport({}, {key: (one[0], one[1]) for key, one in faults.items()})
+            )
             found = {key: (one[0], one[1], one[2]) for key, one in self.sums[0].items()}
             crew.jury.record_failure_totals(now, found, {}, faults)
         self.sums.append({key[2:]: value for key, value in self.source.values.items()})
