--- a/ashlift/gatekeeper/__main__.py
+++ b/ashlift/gatekeeper/__main__.py
@@ -1,4 +1,4 @@
-"""The real gatekeeper: wiring, signals and the end. `python -m ashlift`."""
+"""The real gatekeeper: wiring, signals and the end. `python -m ashlift.gatekeeper`."""
 
 import gc
 import logging
@@ -233,9 +233,14 @@
     return 0
 
 
-if __name__ == "__main__":
+def run() -> int:
+    """The daemon, or the command line if there are arguments. Returns the exit status."""
     if len(sys.argv) > 1:
         from ashlift.gatekeeper.cli import ashlift  # click: loaded where there is a command line to read
 
         ashlift(prog_name="ashlift")
-    sys.exit(main())
+    return main()
+
+
+if __name__ == "__main__":
+    sys.exit(run())
