--- a/ashlift/configstore/server.py
+++ b/ashlift/configstore/server.py
@@ -38,8 +38,9 @@
 from ashlift.configstore.snapshot_storage import SnapshotStorage
 from ashlift.errors import Failure, FailureReason
 from ashlift.events import ERROR, WARNING, tell
-from ashlift.rpc.fragmentation import Cutter
-from ashlift.rpc.transport import Callers, serve
+from ashlift.rpc.client import ClientPool
+from ashlift.rpc.fragmentation import Fragmenter
+from ashlift.rpc.server import serve
 
 if TYPE_CHECKING:
     from ashlift.configstore.pending_edits import Drafts
@@ -56,13 +57,13 @@
 FLUSH_S = 0.05  # for the last answers to leave before the process ends
 
 
-def watched(cutter: Cutter, told: dict[str, Any], body: Any, now: float) -> dict[str, Any]:
+def watched(cutter: Fragmenter, told: dict[str, Any], body: Any, now: float) -> dict[str, Any]:
     """What a watcher lacks, in pieces if it is large."""
     if "part" not in body or not told["set"]:
         return told
     difference = {"version": told["index"], **told}
     index = difference.pop("index")
-    cut = cutter.next(body["have"], difference, body["part"], now)
+    cut = cutter.next_message(body["have"], difference, body["part"], now)
     return {**cut, "index": index, "late": cut["version"] < index or "part" in cut}
 
 
@@ -89,7 +90,7 @@
         chance = random.Random(os.urandom(16))
         self.member = Member(settings.ip, seeds, settings.bootstrap, vote, state, decide_safely, chance)
         self.member.tolerated = max(1, settings.tolerance.machines)
-        self.callers = Callers()
+        self.callers = ClientPool()
         self.ended = Event()
         self._news = Event()
         self._seen = 0
@@ -102,7 +103,7 @@
         self._doing = False
         self._folder = folder
         self._drafts: Drafts | None = None
-        self._cutter = Cutter(str(self.member.incarnation), WATCH_PIECE, WATCH_PIECE)
+        self._cutter = Fragmenter(str(self.member.incarnation), WATCH_PIECE, WATCH_PIECE)
         self._do(self.member.begin(self.clock()))
         if snapshot_storage.exists(folder, "edits"):
             self._waiting()
@@ -165,7 +166,7 @@
             self._news = Event()
 
     def _call(self, send: Send, sent_at: float) -> None:
-        caller = self.callers.to((send.peer, self.port))
+        caller = self.callers.client((send.peer, self.port))
         body = caller.call(send.method, send.body, CALL_S)
         if not isinstance(body, Failure):
             self._heard[send.peer] = self.clock()
@@ -250,7 +251,7 @@
             if self.member.lead is not None:
                 found = self._ask(event, timeout)
             elif leader is not None and not body.get("passed"):
-                caller = self.callers.to((leader, self.port))
+                caller = self.callers.client((leader, self.port))
                 found = caller.call(method, {**body, "passed": True}, timeout)
             if not isinstance(found, Failure) or found.reason not in (
                 FailureReason.UNAVAILABLE,
--- a/ashlift/proxy/cluster_view.py
+++ b/ashlift/proxy/cluster_view.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from ashlift.config.routing_table import Table
+from ashlift.rpc.addresses import Address, parse_address
 from ashlift.rpc.sources import OPERATOR_SOURCE
-from ashlift.rpc.transport import Address, parse_address
 from ashlift.traffic.unreported_usage import SourceCoverage
 
 SILENT_S = 5.0  # a source that no registry names for so long is dropped
--- a/ashlift/proxy/configuration_updates.py
+++ b/ashlift/proxy/configuration_updates.py
@@ -9,7 +9,7 @@
 from ashlift.config.settings import Settings
 from ashlift.proxy.registry_client import ANSWER_S, MOST_S, WAIT_S, Pulling
 from ashlift.proxy.request_router import Gate
-from ashlift.rpc.transport import Callers
+from ashlift.rpc.client import ClientPool
 
 PAUSE_S = 0.05
 
@@ -25,7 +25,7 @@
     ) -> None:
         self._port, self._changed = settings.internal_ports[0] + 1, changed
         self._pulling = Pulling(settings, gate, incarnation, rng)
-        self._callers = Callers()
+        self._callers = ClientPool()
         self._stopped = Event()
 
     @property
@@ -48,7 +48,7 @@
         pull = self._pulling.begin(time.monotonic())
         if pull is None:
             return False
-        caller = self._callers.to((pull.ip, self._port))
+        caller = self._callers.client((pull.ip, self._port))
         answer = caller.call("pull", pull.body, WAIT_S + ANSWER_S, MOST_S, pull.dial)
         if not self._pulling.ended(pull, time.monotonic(), answer):
             return False
--- a/ashlift/proxy/registry_client.py
+++ b/ashlift/proxy/registry_client.py
@@ -8,9 +8,9 @@
 from ashlift.config.settings import Settings
 from ashlift.errors import Failure, FailureReason
 from ashlift.proxy.request_router import Gate
-from ashlift.rpc.fragmentation import Joiner
+from ashlift.rpc.client import CONNECT_TIMEOUT_SECONDS
+from ashlift.rpc.fragmentation import Reassembler
 from ashlift.rpc.sources import OPERATOR_SOURCE
-from ashlift.rpc.transport import DIAL_S
 
 WAIT_S = 0.25
 ANSWER_S = 0.6  # beyond the wait: so late, another registry is asked
@@ -40,7 +40,7 @@
         self._at: str | None = None
         self._controls: list[str] = []  # IPs, near ones first
         self._number = 0
-        self._joiner = Joiner()  # of what the operator's word has become, if that is large
+        self._joiner = Reassembler()  # of what the operator's word has become, if that is large
         self._dial = DIAL_FIRST_S  # a silent seed must not hold up the start
         self.seeds = [host for host, _ in settings.seeds]
 
@@ -81,7 +81,7 @@
             "outs": gate.crew.outs(),
             "faults": gate.crew.jury.failure_counts(now),
             "packs": True,
-            "part": self._joiner.asks(),
+            "part": self._joiner.wanted_fragment(),
             "eager": gate.ledger.age(now) > EAGER_S,
             "adds": {"number": self._number, "counts": gate.limiter.take_new_counts()},
         }
@@ -94,7 +94,7 @@
         if isinstance(answer, Failure):
             if answer.reason == FailureReason.UNREACHABLE:
                 gate.limiter.restore_counts(counts)
-                self._dial = min(DIAL_S, 2 * self._dial)
+                self._dial = min(CONNECT_TIMEOUT_SECONDS, 2 * self._dial)
             else:
                 gate.limiter.confirm_counts(counts)  # it may have been added, and must not be twice
             self._avoid[pull.ip] = now + AVOID_S
@@ -123,7 +123,7 @@
             sources, late = dict(answer["sources"]), bool(answer.get("late"))
             if (
                 OPERATOR_SOURCE in sources
-                and (word := self._joiner.take(sources.pop(OPERATOR_SOURCE))) is not None
+                and (word := self._joiner.add(sources.pop(OPERATOR_SOURCE))) is not None
             ):
                 sources[OPERATOR_SOURCE] = word
         except (LookupError, TypeError, ValueError) as error:
--- a/ashlift/proxy/server.py
+++ b/ashlift/proxy/server.py
@@ -13,7 +13,7 @@
 from ashlift.proxy.request_handler import Case, Desk
 from ashlift.proxy.request_reader import Asked, RequestReader
 from ashlift.proxy.responses import Answer, render
-from ashlift.rpc.transport import Address
+from ashlift.rpc.addresses import Address
 
 WRITE_S = 5.0  # a client that takes no bytes for so long is gone
 BODY_S = 10.0  # between two pieces of a body
--- a/ashlift/proxy/upstream.py
+++ b/ashlift/proxy/upstream.py
@@ -12,7 +12,7 @@
 from ashlift.gatekeeper.net.replies import SpoiltAnswerError
 from ashlift.proxy.idle_connections import Rests
 from ashlift.proxy.responses import ATTEMPT, WorkerReply
-from ashlift.rpc.transport import Address
+from ashlift.rpc.addresses import Address
 
 IDLE_S = 4.0  # an idle connection is used again for so long, or as long as `Keep-Alive` says, less a second
 IDLE_EACH = 16  # kept to one worker
--- a/ashlift/registry/__main__.py
+++ b/ashlift/registry/__main__.py
@@ -20,7 +20,9 @@
 from ashlift.registry.server import ChangeNotifier, RegistryRpcService, ReplicationLoops
 from ashlift.registry.store_client import StoreClient
 from ashlift.registry.store_membership import MembersResource
-from ashlift.rpc.transport import Address, Callers, serve
+from ashlift.rpc.addresses import Address
+from ashlift.rpc.client import ClientPool
+from ashlift.rpc.server import serve
 
 PATH = "/etc/ashlift/settings.toml"
 LOOK_S = 1.0  # the settings file is looked at so often
@@ -45,7 +47,7 @@
             settings.heartbeat,
         )
         self._registry = Registry(me, self._seeds(), settings.zones, time.monotonic())
-        self._bell, callers = ChangeNotifier(self._registry), Callers()
+        self._bell, callers = ChangeNotifier(self._registry), ClientPool()
         store = StoreClient(settings.ip, low, self._stores, callers)
         self._loops = ReplicationLoops(self._registry, store, self._bell, callers, low + 1)
         ring, desk = self._bell.notify_if_changed, RouteEditService(self._registry, store)
--- a/ashlift/registry/http_server.py
+++ b/ashlift/registry/http_server.py
@@ -12,7 +12,8 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from ashlift.rpc.transport import Address, tune
+from ashlift.rpc.addresses import Address
+from ashlift.rpc.sockets import configure_socket
 
 MAX_HEAD_BYTES = 32 << 10  # bytes of target and headers
 MAX_BODY_BYTES = 64 << 10  # bytes, where a resource does not say otherwise
@@ -221,7 +222,7 @@
     def _connection(self, sock: socket.socket, _: Address) -> None:
         self._open[sock] = False
         try:
-            tune(sock)
+            configure_socket(sock)
             self._serve(sock)
         except OSError:
             pass
--- a/ashlift/registry/registry.py
+++ b/ashlift/registry/registry.py
@@ -22,7 +22,7 @@
     worker,
 )
 from ashlift.registry.replicated_source import SUM, Delta, ReplicatedSource
-from ashlift.rpc.fragmentation import Cutter, Joiner
+from ashlift.rpc.fragmentation import Fragmenter, Reassembler
 from ashlift.rpc.sources import OPERATOR_SOURCE
 
 STORES_OWN = ("Taken", "Refused/")  # what the store keeps to know resends by: no gatekeeper needs it
@@ -99,8 +99,8 @@
         self._looks = EndpointDirectory(self.live_sessions)
         self._counted = -1, 0  # at which news, gatekeepers
         self._told: tuple[int, dict[str, Any]] = (-1, {})  # at which version of the word, members
-        self._cutter = Cutter(me.source)
-        self._joiner = Joiner()
+        self._cutter = Fragmenter(me.source)
+        self._joiner = Reassembler()
 
     # ---- workers
 
@@ -232,7 +232,7 @@
         ):
             told = found[OPERATOR_SOURCE] = self._wire(difference, now)
             if body.get("packs"):
-                told = self._cutter.next(
+                told = self._cutter.next_message(
                     have.get(OPERATOR_SOURCE), told, body.get("part"), now, "part" in body
                 )
                 found[OPERATOR_SOURCE] = told
@@ -407,12 +407,12 @@
 
     def wanted_fragment(self) -> list[Any] | None:
         """The `part` that a `watch` call is to ask for."""
-        return self._joiner.asks()
+        return self._joiner.wanted_fragment()
 
     def receive_watch_response(self, answer: Json, sent: float, now: float) -> bool:
         """A store has answered `watch`, called at `sent`; whether its proof is fresh, or more is to come."""
         try:
-            told = self._joiner.take(answer)
+            told = self._joiner.add(answer)
         except ValueError:
             return False
         if told is None:
--- a/ashlift/registry/server.py
+++ b/ashlift/registry/server.py
@@ -15,7 +15,7 @@
 from ashlift.registry import events
 from ashlift.registry.registry import Registry
 from ashlift.registry.store_client import StoreClient
-from ashlift.rpc.transport import Callers
+from ashlift.rpc.client import ClientPool
 
 LONG_POLL_SECONDS = 0.25  # a call is held open for so long at most
 MIN_LONG_POLL_SECONDS = (
@@ -122,7 +122,7 @@
     """Pulls from the other registries and from the store, and lets go what has lapsed."""
 
     def __init__(
-        self, registry: Registry, store: StoreClient, bell: ChangeNotifier, callers: Callers, port: int
+        self, registry: Registry, store: StoreClient, bell: ChangeNotifier, callers: ClientPool, port: int
     ) -> None:
         """`port`: of the frames, alike on all machines. `broken` is set once a loop has ended by an error."""
         self._registry, self._store, self._bell, self._callers = registry, store, bell, callers
@@ -153,7 +153,7 @@
             self._swaps[ip] = self._spawn(self._swap, ip)
         for ip in set(self._swaps) - wanted:
             self._swaps.pop(ip).kill(block=False)
-            self._callers.to((ip, self._port)).close()
+            self._callers.client((ip, self._port)).close()
 
     def _tick(self) -> None:
         while True:
@@ -164,7 +164,7 @@
             gevent.sleep(TICK_INTERVAL_SECONDS)
 
     def _swap(self, ip: str) -> None:
-        caller, registry = self._callers.to((ip, self._port)), self._registry
+        caller, registry = self._callers.client((ip, self._port)), self._registry
         greet, pause, known = True, INITIAL_BACKOFF_SECONDS, set[str]()
         while True:
             sent = time.monotonic()
--- a/ashlift/registry/store_client.py
+++ b/ashlift/registry/store_client.py
@@ -9,7 +9,7 @@
 
 from ashlift.errors import Failure, FailureReason
 from ashlift.registry.operator_request import OperatorRequest
-from ashlift.rpc.transport import Callers
+from ashlift.rpc.client import ClientPool
 
 COMMAND_TIMEOUT_SECONDS = 0.9  # callers move on after a second
 EXTRA_TIMEOUT_SECONDS_PER_BYTE = 1e-5  # s more for each byte of a body: callers wait longer for large ones
@@ -22,10 +22,10 @@
 
 
 class StoreClient:
-    def __init__(self, own: str, port: int, members: Callable[[], list[str]], callers: Callers) -> None:
+    def __init__(self, own: str, port: int, members: Callable[[], list[str]], callers: ClientPool) -> None:
         """`own`: IP; `members`: IPs of all stores, near ones first."""
         self._own, self._port, self._members, self._callers = own, port, members, callers
-        self._watchers = Callers()  # apart: closed when it says nothing, and orders must not go with it
+        self._watchers = ClientPool()  # apart: closed when it says nothing, and orders must not go with it
         self._turn = 0
         self._hangs = False  # the own store takes calls and says nothing: its disk hangs, or it is frozen
         self._round, self._index = [0, 0], 0  # the newest known, for the fence of orders
@@ -68,7 +68,7 @@
                 return Failure(FailureReason.UNREACHABLE, "there is no other store")
             self._turn += 1
             address = others[self._turn % len(others)], self._port
-        caller = self._watchers.to(address)
+        caller = self._watchers.client(address)
         answer = caller.call("watch", {"have": have, "wait": wait, "part": part}, wait + WATCH_GRACE_SECONDS)
         silent = isinstance(answer, Failure) and answer.reason == FailureReason.OUTCOME_UNKNOWN
         if silent:
@@ -88,7 +88,10 @@
         ips = dict.fromkeys([self._own, *self._members()])
         asked = {
             ip: gevent.spawn(
-                self._callers.to((ip, self._port)).call, "drafts", {"add": add}, PENDING_EDITS_TIMEOUT_SECONDS
+                self._callers.client((ip, self._port)).call,
+                "drafts",
+                {"add": add},
+                PENDING_EDITS_TIMEOUT_SECONDS,
             )
             for ip in ips
         }
@@ -101,7 +104,7 @@
         asking, answers = OperatorRequest(stores, time.monotonic(), until), Queue[tuple[str, Any]]()
 
         def ask(ip: str) -> None:
-            caller = self._callers.to((ip, self._port))
+            caller = self._callers.client((ip, self._port))
             answer = caller.call(method, body(), until - time.monotonic())
             if (
                 isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED
--- a/ashlift/rpc/__init__.py
+++ b/ashlift/rpc/__init__.py
@@ -1,1 +1,4 @@
-"""What all programs of the system stand on: frames, faults, the clock, greenlets, events. No decisions."""
+"""Requests between the processes of the system: CBOR in checked frames over TCP.
+
+Importing the package loads nothing: a program imports the modules that it needs.
+"""
--- /dev/null
+++ b/ashlift/rpc/client.py
@@ -0,0 +1,215 @@
+"""The client side of RPC: one connection to each peer, with many requests in flight on it.
+
+Whoever gives up in the middle of writing a frame closes the connection, and so does whoever reads a frame
+that is not valid; the outcome of the requests in flight is then unknown, and the next request opens a new
+connection.
+"""
+
+import time
+from typing import Any, Final
+
+import gevent
+from gevent import socket
+from gevent.event import AsyncResult
+from gevent.lock import Semaphore
+
+from ashlift.errors import Failure, FailureReason
+from ashlift.rpc.addresses import Address
+from ashlift.rpc.framing import RESPONSE_CRC_SEED, FrameDecoder
+from ashlift.rpc.messages import decode_response, encode_request
+from ashlift.rpc.sockets import RECEIVE_BYTES, configure_socket, send_all
+
+CONNECT_TIMEOUT_SECONDS: Final = 0.5
+PROGRESS_TIMEOUT_SECONDS: Final = 0.3  # an extended wait goes on while bytes arrive at least so often
+
+
+class ProgressDeadline:
+    """Extends the wait for a response while bytes arrive, until the latest time.
+
+    `latest`: steady time, s. `received_bytes`: on the connection when the current wait began.
+    """
+
+    def __init__(self, latest: float) -> None:
+        self.latest = latest
+        self.received_bytes = 0
+
+    def extension(self, now: float, received_bytes: int) -> float:
+        """How many s to wait on; 0: give up."""
+        if received_bytes <= self.received_bytes:
+            return 0.0
+        return max(0.0, min(PROGRESS_TIMEOUT_SECONDS, self.latest - now))
+
+
+class Connection:
+    """One connection to a peer and the requests in flight on it; none of them outlives it."""
+
+    def __init__(self, sock: socket.socket) -> None:
+        self.sock = sock
+        self.in_flight: dict[int, AsyncResult[Any]] = {}  # by request number
+        self.received_bytes = 0
+
+    def close(self) -> None:
+        """Close it and fail its requests: whether they were executed is unknown."""
+        self.sock.close()
+        in_flight = self.in_flight
+        self.in_flight = {}
+        for response in in_flight.values():
+            response.set(Failure(FailureReason.OUTCOME_UNKNOWN, "the connection broke"))
+
+
+class _RequestInFlight:
+    """A request of one caller; `connection` is None until it may have been sent."""
+
+    __slots__ = ("connection", "number", "response")
+
+    def __init__(self) -> None:
+        self.connection: Connection | None = None
+        self.number = 0
+        self.response: AsyncResult[Any] = AsyncResult()
+
+
+class RpcClient:
+    """Requests to one peer over one connection, opened on demand and again after it broke.
+
+    Request numbers rise over all its connections: a response can only belong to a request of the connection
+    that it arrived on.
+    """
+
+    def __init__(self, address: Address) -> None:
+        self.address = address
+        self._connection: Connection | None = None
+        self._last_number = 0
+        self._send_lock = Semaphore()  # held while connecting and while writing a frame
+
+    def call(
+        self,
+        method: str,
+        body: Any,
+        timeout: float,
+        max_timeout: float = 0.0,
+        connect_timeout: float = CONNECT_TIMEOUT_SECONDS,
+    ) -> Any:
+        """Send a request and wait for its response: the body, or a Failure. Never raises for network errors.
+
+        Failures of the call itself: UNREACHABLE: not sent. OUTCOME_UNKNOWN: it may have been executed, or may
+        still be. INVALID: too large.
+
+        `timeout`: s, connecting included, which may take `connect_timeout` of it. While bytes arrive the wait
+        is extended up to `max_timeout` s in all: a large response on a slow line must not be given up and
+        requested again.
+        """
+        timer = gevent.Timeout(timeout)
+        timer.start()
+        deadline = ProgressDeadline(time.monotonic() + max_timeout)
+        request = _RequestInFlight()
+        try:
+            connection = self._send(request, method, body, connect_timeout)
+            deadline.received_bytes = connection.received_bytes
+            try:
+                return request.response.get()
+            except gevent.Timeout as expired:
+                if expired is not timer or not _wait_while_receiving(request, connection, deadline):
+                    raise
+                return request.response.get()
+        except gevent.Timeout as expired:
+            if expired is not timer:
+                raise
+            return Failure(_reason_without_response(request), f"{method}: {timeout:g} s")
+        except OSError as error:
+            return Failure(_reason_without_response(request), str(error))
+        except ValueError as error:
+            return Failure(FailureReason.INVALID, f"{method}: {error}")
+        finally:
+            timer.close()
+            if request.connection is not None:
+                request.connection.in_flight.pop(request.number, None)
+
+    def close(self) -> None:
+        """Close the connection, if there is one; the next request opens another."""
+        if self._connection is not None:
+            self._disconnect(self._connection)
+
+    def _send(self, request: _RequestInFlight, method: str, body: Any, connect_timeout: float) -> Connection:
+        """Number the request, and write it to the connection that it is returned with."""
+        with self._send_lock:
+            number = self._last_number + 1
+            frame = encode_request(number, method, body)
+            connection = self._connection or self._connect(connect_timeout)
+            self._last_number = request.number = number
+            request.connection = connection
+            connection.in_flight[number] = request.response
+            try:
+                send_all(connection.sock, frame)
+            except BaseException:
+                self._disconnect(connection)  # a part of the frame may have been sent
+                raise
+        return connection
+
+    def _connect(self, timeout: float) -> Connection:
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        try:
+            configure_socket(sock)
+            with gevent.Timeout(timeout, OSError("no connection came up")):
+                sock.connect(self.address)
+        except BaseException:
+            sock.close()
+            raise
+        connection = self._connection = Connection(sock)
+        gevent.spawn(self._receive, connection)
+        return connection
+
+    def _receive(self, connection: Connection) -> None:
+        """Deliver responses until the connection ends or something else arrives on it."""
+        decoder = FrameDecoder(RESPONSE_CRC_SEED)
+        try:
+            while data := connection.sock.recv(RECEIVE_BYTES):
+                connection.received_bytes += len(data)
+                for value in decoder.feed(data):
+                    self._deliver(connection, value)
+        except (OSError, ValueError):
+            pass
+        self._disconnect(connection)
+
+    def _deliver(self, connection: Connection, value: Any) -> None:
+        """Hand a response to its caller, if it still waits. ValueError: no response to any request so far."""
+        number, result = decode_response(value)
+        if number > self._last_number:
+            raise ValueError("no answer")
+        waiting = connection.in_flight.pop(number, None)
+        if waiting is not None:
+            waiting.set(result)
+
+    def _disconnect(self, connection: Connection) -> None:
+        if self._connection is connection:
+            self._connection = None
+        connection.close()
+
+
+def _reason_without_response(request: _RequestInFlight) -> FailureReason:
+    return FailureReason.OUTCOME_UNKNOWN if request.connection else FailureReason.UNREACHABLE
+
+
+def _wait_while_receiving(
+    request: _RequestInFlight, connection: Connection, deadline: ProgressDeadline
+) -> bool:
+    """Whether the response arrived after the time-out, while its connection went on receiving."""
+    while extension := deadline.extension(time.monotonic(), connection.received_bytes):
+        deadline.received_bytes = connection.received_bytes
+        request.response.wait(extension)
+        if request.response.ready():
+            return True
+    return False
+
+
+class ClientPool:
+    """One RpcClient for each address."""
+
+    def __init__(self) -> None:
+        self._clients: dict[Address, RpcClient] = {}
+
+    def client(self, address: Address) -> RpcClient:
+        """The client of that address; a new one connects with its first request."""
+        client = self._clients.get(address)
+        if client is None:
+            client = self._clients[address] = RpcClient(address)
+        return client
--- a/ashlift/simulation/engine.py
+++ b/ashlift/simulation/engine.py
@@ -6,10 +6,11 @@
 from typing import Any, Protocol
 
 from ashlift.errors import Failure, FailureReason
-from ashlift.rpc.transport import DIAL_S, SILENT_MS
+from ashlift.rpc.client import CONNECT_TIMEOUT_SECONDS
+from ashlift.rpc.sockets import UNACKNOWLEDGED_TIMEOUT_MS
 
 Steps = Generator[Any, Any, Any]  # yields seconds to sleep or a Future to wait for
-STUCK_S = SILENT_MS / 1000  # a connection whose bytes nobody confirms for so long is given up
+STUCK_S = UNACKNOWLEDGED_TIMEOUT_MS / 1000  # a connection whose bytes nobody confirms for so long is given up
 
 
 class Loop:
@@ -203,7 +204,13 @@
         step(None)
 
     def call(
-        self, to: str, kind: str, method: str, body: Any, timeout: float, dial: float = DIAL_S
+        self,
+        to: str,
+        kind: str,
+        method: str,
+        body: Any,
+        timeout: float,
+        dial: float = CONNECT_TIMEOUT_SECONDS,
     ) -> Future:
         return self.net.call(self, to, kind, method, body, timeout, dial)
 
--- a/ashlift/simulation/store.py
+++ b/ashlift/simulation/store.py
@@ -35,7 +35,7 @@
     watched,
 )
 from ashlift.errors import Failure, FailureReason
-from ashlift.rpc.fragmentation import Cutter
+from ashlift.rpc.fragmentation import Fragmenter
 from ashlift.simulation.engine import Future, Loop, Machine, Net, Process, Signal, Steps, simulated
 
 KIND = "configstore"
@@ -85,7 +85,7 @@
         self._held = []
         self._news, self._seen = Signal(self), 0
         self._do(self.member.begin(self.clock()))
-        self._cutter = Cutter(str(self.member.incarnation), WATCH_PIECE, WATCH_PIECE)
+        self._cutter = Fragmenter(str(self.member.incarnation), WATCH_PIECE, WATCH_PIECE)
         self.drafts = None
         if NAME in disk:
             self._waiting()
--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -31,10 +31,10 @@
 from ashlift.registry.http_server import HttpResponse
 from ashlift.registry.records import parse_heartbeat
 from ashlift.registry.registry import Registry, RegistryIdentity
-from ashlift.rpc import transport as frames
-from ashlift.rpc.fragmentation import unpacked
+from ashlift.rpc import framing
+from ashlift.rpc.fragmentation import unpack_sources
+from ashlift.rpc.framing import MAX_FRAME_BYTES, REQUEST_CRC_SEED, RESPONSE_CRC_SEED, encode_frame
 from ashlift.rpc.sources import OPERATOR_SOURCE
-from ashlift.rpc.transport import ANSWERS, CALLS, FRAME_MOST, pack
 from benchmarks.scale.measured import REPEATS, Measured, grown, timed
 from benchmarks.scale.target import (
     CORE,
@@ -161,8 +161,8 @@
     out.note(
         "registry: pull in, bytes",
         len(
-            pack(
-                CALLS,
+            encode_frame(
+                REQUEST_CRC_SEED,
                 [
                     1,
                     "pull",
@@ -173,7 +173,7 @@
     )
 
     def nothing_new() -> bytes:
-        return pack(ANSWERS, [1, own.pull_response({**idle, "have": _have(own)}, NOW, NOW)])
+        return encode_frame(RESPONSE_CRC_SEED, [1, own.pull_response({**idle, "have": _have(own)}, NOW, NOW)])
 
     answer = out.ms("registry: answer, nothing new, ms", nothing_new, each=10)
     out.note("registry: answer, nothing new, bytes", len(answer))
@@ -200,7 +200,7 @@
         sums, swaps = CORE * len(names), len(names)
 
         def answered(had: dict[str, int] = lacking) -> bytes:
-            return pack(ANSWERS, [1, own.pull_response(_pull(0, had, {}), NOW, NOW)])
+            return encode_frame(RESPONSE_CRC_SEED, [1, own.pull_response(_pull(0, had, {}), NOW, NOW)])
 
         def swapped(had: int = before[own.identity.source]) -> Any:
             return own.swap_response(own.identity.incarnation, had, NOW)
@@ -208,22 +208,24 @@
         data = out.ms(f"registry: answer with sums, ms @ {sums}", answered)
         out.note(f"registry: answer with sums, bytes @ {sums}", len(data))
         told_body = out.ms(f"registry: swap told, ms @ {swaps}", swapped)
-        out.note(f"registry: swap told, bytes @ {swaps}", len(pack(ANSWERS, [1, told_body])))
+        out.note(
+            f"registry: swap told, bytes @ {swaps}", len(encode_frame(RESPONSE_CRC_SEED, [1, told_body]))
+        )
         before = _have(own)
     full = out.ms(
         "registry: first answer to a gatekeeper, ms",
-        lambda: pack(ANSWERS, [1, own.pull_response(_pull(0, {}, {}), NOW, NOW)]),
+        lambda: encode_frame(RESPONSE_CRC_SEED, [1, own.pull_response(_pull(0, {}, {}), NOW, NOW)]),
         2,
     )
     out.note("registry: first answer to a gatekeeper, bytes", len(full))
-    out.note("registry: frames that one first answer takes", len(full) / FRAME_MOST)
+    out.note("registry: frames that one first answer takes", len(full) / MAX_FRAME_BYTES)
     before = _have(own)
     for source in [own.own_source, *(copy.source for copy in own.peers.values())]:
         people = {key: value for key, value in source.values.items() if key[0] in "wg"}
         source.merge(source.version + 1, people, ())
     known = out.ms(
         "registry: of that, all workers and members, ms",
-        lambda: pack(ANSWERS, [1, own.pull_response(_pull(0, before, {}), NOW, NOW)]),
+        lambda: encode_frame(RESPONSE_CRC_SEED, [1, own.pull_response(_pull(0, before, {}), NOW, NOW)]),
         2,
     )
     out.note("registry: of that, all workers and members, bytes", len(known))
@@ -291,8 +293,8 @@
     pulling = Pulling(made, gate, "00000000", chance)
     whole = own.pull_response(_pull(0, {}, {}), NOW, NOW)
     opened = len(cbor2.dumps([dict(own.operator_config.values), []]))
-    out.note("gatekeeper: configuration opened, x the most that is taken", opened / FRAME_MOST)
-    parts = unpacked(whole["sources"])
+    out.note("gatekeeper: configuration opened, x the most that is taken", opened / MAX_FRAME_BYTES)
+    parts = unpack_sources(whole["sources"])
     now = NOW + 0.1
 
     def take(sources: Json) -> None:
@@ -300,7 +302,7 @@
         now += TOLD_S
         pull = pulling.begin(now)
         assert pull is not None
-        pack(CALLS, [1, "pull", pull.body])
+        encode_frame(REQUEST_CRC_SEED, [1, "pull", pull.body])
         pulling.ended(pull, now, {**whole, "sources": sources})
 
     out.note(
@@ -449,7 +451,9 @@
     ]
     each = iter(states)
     out.ms("store: what changed since, ms", lambda: news.advance(next(each)), 3)
-    out.note("store: whole map to a registry, bytes", len(pack(ANSWERS, [1, news.since(0)])))
+    out.note(
+        "store: whole map to a registry, bytes", len(encode_frame(RESPONSE_CRC_SEED, [1, news.since(0)]))
+    )
     with tempfile.TemporaryDirectory() as folder:
         disk = ReplicaStorage(folder)
         for number, state in enumerate(
@@ -480,8 +484,8 @@
 
 def measure(gatekeepers: int, target: Size = TARGET, repeats: int = REPEATS) -> Json:
     """All figures of the size with so many gatekeepers."""
-    for module in (frames, pullings):  # or the larger sizes could not be measured at all
-        setattr(module, "FRAME_MOST", 1 << 30)  # noqa: B010
+    for module in (framing, pullings):  # or the larger sizes could not be measured at all
+        setattr(module, "MAX_FRAME_BYTES", 1 << 30)  # noqa: B010
     size, out, chance = target.part(gatekeepers), Measured(repeats), random.Random(gatekeepers)
     word = of_store(size, out)
     own = of_registry(size, word, chance, out)
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -27,7 +27,7 @@
 from ashlift.proxy.cluster_view import Change, Ledger
 from ashlift.proxy.configuration_updates import News
 from ashlift.proxy.request_router import Gate
-from ashlift.rpc import fragmentation as pieces
+from ashlift.rpc import fragmentation
 from ashlift.traffic.rate_limiter import RateLimiter, UsageByTenant
 from benchmarks.scale.target import Size, drawn, tenant, worker_address, worker_id
 
@@ -36,15 +36,15 @@
 WARMUP_S = 3.0
 MISSED_S = 0.2  # and then so long until it tries again, elsewhere
 EMPTY = Table.build({})
-_open = pieces.opened
+_open = fragmentation.unpack_update
 _packs: dict[bytes, Json] = {}  # the newest pack, opened once for all of this process
 
 
-def _opened(told: Json) -> Json:
-    data = told["pack"]
+def _opened(message: Json) -> Json:
+    data = message["pack"]
     if data not in _packs:
         _packs.clear()
-        _packs[data] = _open(told)
+        _packs[data] = _open(message)
     return _packs[data]
 
 
@@ -315,7 +315,7 @@
 
 
 def main() -> None:
-    pieces.opened = _opened
+    fragmentation.unpack_update = _opened
     host = Host()
     for line in FileObject(sys.stdin.fileno(), "rb"):
         print(json.dumps(host.order(json.loads(line))), flush=True)
--- a/benchmarks/scale/reckoned.py
+++ b/benchmarks/scale/reckoned.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Final
 
-from ashlift.rpc.transport import FRAME_MOST
+from ashlift.rpc.framing import MAX_FRAME_BYTES
 from benchmarks.scale.fit import Line, line, middle, spread
 from benchmarks.scale.target import CORE, GATEKEEPER_BYTES, GATEKEEPER_CORE, GATEKEEPER_MB, distinct
 
@@ -204,14 +204,14 @@
         (
             "store to registry: the whole map, one frame",
             "bytes",
-            FRAME_MOST,
+            MAX_FRAME_BYTES,
             of("store: whole map to a registry, bytes"),
             "measured",
         ),
         (
             "registry to gatekeeper: first answer, one frame",
             "bytes",
-            FRAME_MOST,
+            MAX_FRAME_BYTES,
             of("registry: first answer to a gatekeeper, bytes"),
             "measured",
         ),
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -17,7 +17,7 @@
 from ashlift.proxy.registry_client import Pulling
 from ashlift.proxy.request_router import Gate
 from ashlift.registry.registry import Registry, RegistryIdentity
-from ashlift.rpc.transport import CALLS, pack
+from ashlift.rpc.framing import REQUEST_CRC_SEED, encode_frame
 from benchmarks.scale.cores import settings
 from benchmarks.scale.fit import line, middle, spread
 from benchmarks.scale.hollow import Gatekeeper, HollowLimiter
@@ -143,7 +143,12 @@
                 own.end_pull("other")
             answer = own.pull_response(pull.body, now, now + 0.2)
             own.end_pull("hollow-0")
-            told[side].append((len(pack(CALLS, [1, "pull", pull.body])), len(pack(CALLS, [1, answer]))))
+            told[side].append(
+                (
+                    len(encode_frame(REQUEST_CRC_SEED, [1, "pull", pull.body])),
+                    len(encode_frame(REQUEST_CRC_SEED, [1, answer])),
+                )
+            )
             assert pulling.ended(pull, now + 0.25, answer) and gate.ready(now + 0.25)
         assert hollow.ledger.have() == real.ledger.have() and hollow.ledger.proven == real.ledger.proven
         now += 0.25
--- a/tests/proxy/test_registry_client.py
+++ b/tests/proxy/test_registry_client.py
@@ -10,9 +10,10 @@
 from ashlift.proxy.registry_client import AVOID_S, Pulling
 from ashlift.proxy.request_router import Gate
 from ashlift.registry.registry import Registry, RegistryIdentity
-from ashlift.rpc.fragmentation import opened
+from ashlift.rpc.client import CONNECT_TIMEOUT_SECONDS, PROGRESS_TIMEOUT_SECONDS, ProgressDeadline
+from ashlift.rpc.fragmentation import unpack_update
+from ashlift.rpc.framing import RESPONSE_CRC_SEED, encode_frame
 from ashlift.rpc.sources import OPERATOR_SOURCE
-from ashlift.rpc.transport import ANSWERS, DIAL_S, MORE_S, Patience, pack
 
 NEAR, NEXT, FAR = "10.1.0.1", "10.2.0.1", "10.3.0.1"
 TEXT = f"""NodeName = "edge-1"
@@ -75,7 +76,7 @@
         pulling.ended(pull, 0.4 * step, Failure(FailureReason.UNREACHABLE))
         seen.add(pull.ip)
         dials.append(pull.dial)
-    assert seen == {NEAR, NEXT, FAR} and dials[0] < 0.2 and dials[2:] == [DIAL_S] * 3
+    assert seen == {NEAR, NEXT, FAR} and dials[0] < 0.2 and dials[2:] == [CONNECT_TIMEOUT_SECONDS] * 3
     _play(pulling, 2.0, _answer(NEAR, NEXT, FAR))
     again = pulling.begin(2.1)
     assert again is not None and again.dial == dials[0]
@@ -92,22 +93,22 @@
         packer.pull_response(body, 0.0, 0.0),
         packer.pull_response({**body, "packs": True}, 0.0, 0.0),
     )
-    packed["sources"][OPERATOR_SOURCE] = opened(told := packed["sources"][OPERATOR_SOURCE])
+    packed["sources"][OPERATOR_SOURCE] = unpack_update(told := packed["sources"][OPERATOR_SOURCE])
     assert packed["sources"] == plain["sources"]
     packed["sources"][OPERATOR_SOURCE] = told
-    assert 8 * len(pack(ANSWERS, packed)) < len(pack(ANSWERS, plain))
+    assert 8 * len(encode_frame(RESPONSE_CRC_SEED, packed)) < len(encode_frame(RESPONSE_CRC_SEED, plain))
     packed["sources"][OPERATOR_SOURCE]["pack"] = packed["sources"][OPERATOR_SOURCE]["pack"][:-9]
     with raises(ValueError):
-        opened(packed["sources"][OPERATOR_SOURCE])
+        unpack_update(packed["sources"][OPERATOR_SOURCE])
 
 
 @test("an answer is waited for while its bytes come, and no longer than it may take")
 def _() -> None:
-    patience = Patience(until=5.0)
-    assert patience.more(0.1, 0) == 0  # nothing came at all
-    assert patience.more(0.1, 300) == MORE_S
-    patience.received = 300
-    assert patience.more(0.4, 300) == 0  # the line fell silent
-    assert 0 < patience.more(4.95, 600) < MORE_S
-    assert patience.more(5.1, 900) == 0
-    assert Patience(until=0.0).more(0.1, 300) == 0  # no patience
+    patience = ProgressDeadline(latest=5.0)
+    assert patience.extension(0.1, 0) == 0  # nothing came at all
+    assert patience.extension(0.1, 300) == PROGRESS_TIMEOUT_SECONDS
+    patience.received_bytes = 300
+    assert patience.extension(0.4, 300) == 0  # the line fell silent
+    assert 0 < patience.extension(4.95, 600) < PROGRESS_TIMEOUT_SECONDS
+    assert patience.extension(5.1, 900) == 0
+    assert ProgressDeadline(latest=0.0).extension(0.1, 300) == 0  # no patience
--- a/tests/registry/test_command_answers.py
+++ b/tests/registry/test_command_answers.py
@@ -13,7 +13,8 @@
 from ashlift.registry.http_server import HttpServer
 from ashlift.registry.resources import Config
 from ashlift.registry.store_client import StoreClient
-from ashlift.rpc.transport import Callers, serve
+from ashlift.rpc.client import ClientPool
+from ashlift.rpc.server import serve
 from tests.support.between import BACK, HOST, KINDS, THERE, Between
 from tests.support.gatekeeper import ENOUGH_S, TOO_LONG
 
@@ -46,15 +47,15 @@
             server.close()
 
 
-class Way(Callers):
+class Way(ClientPool):
     """To each store by the address of its stand-in."""
 
     def __init__(self, stores: Stores) -> None:
         super().__init__()
         self._at = {f"store-{number}": way.address for number, way in enumerate(stores.ways)}
 
-    def to(self, address: tuple[str, int]) -> Any:
-        return super().to(self._at[address[0]])
+    def client(self, address: tuple[str, int]) -> Any:
+        return super().client(self._at[address[0]])
 
 
 def asked(address: tuple[str, int], words: list[str]) -> list[tuple[int, str]]:
--- a/tests/registry/test_parts.py
+++ b/tests/registry/test_parts.py
@@ -27,7 +27,7 @@
     call_interval,
 )
 from ashlift.registry.store_client import StoreClient
-from ashlift.rpc.transport import Callers
+from ashlift.rpc.client import ClientPool
 
 
 def take(asker: tuple[int, dict[str, Any]], source: ReplicatedSource) -> tuple[int, dict[str, Any]]:
@@ -189,14 +189,14 @@
         assert reading.wrong and reading.wrong.status == status
 
 
-class Stores(Callers):
+class Stores(ClientPool):
     """Answers of the stores in turn, by IP; `asked` tells who was."""
 
     def __init__(self, answers: dict[str, Any]) -> None:
         super().__init__()
         self.answers, self.asked = answers, list[tuple[str, Any]]()
 
-    def to(self, address: tuple[str, int]) -> Any:
+    def client(self, address: tuple[str, int]) -> Any:
         stores = self
 
         class One:
@@ -335,7 +335,7 @@
             return {"status": 200, "index": 2}
 
     settings = Settings(node_name="n", ip="own", internal_ports=(1, 2), seeds=(), zones={"za": "ra"})
-    way = Sure("own", 7600, list, Callers())
+    way = Sure("own", 7600, list, ClientPool())
     with patch("ashlift.registry.http_server.time", clock), patch("ashlift.registry.resources.time", clock):
         door = HttpServer(("127.0.0.1", 0), {"evacuation": Evacuation(way, lambda: settings)})
         match story:
--- a/tests/rpc/test_fragmentation.py
+++ b/tests/rpc/test_fragmentation.py
@@ -16,7 +16,7 @@
 from ashlift.proxy.registry_client import ANSWER_S, MOST_S, STALE_S, WAIT_S, Pulling
 from ashlift.proxy.request_router import Gate
 from ashlift.registry.registry import Registry, RegistryIdentity
-from ashlift.rpc.fragmentation import KEPT_MOST, PIECE, Cutter, Joiner
+from ashlift.rpc.fragmentation import FRAGMENT_BYTES, MAX_CACHED_UPDATES, Fragmenter, Reassembler
 from ashlift.rpc.sources import OPERATOR_SOURCE
 from tests.proxy.test_registry_client import TEXT
 
@@ -106,7 +106,7 @@
     took = [level[0], level[1] - 0.7, level[2] - 3.1]
     assert max(took) < 2.0 + 2.5 * packed / LINE, took
     assert line.longest < WAIT_S + ANSWER_S, "an answer is too large for a call"
-    assert len(line.registry._cutter._packs) <= KEPT_MOST
+    assert len(line.registry._cutter._packs) <= MAX_CACHED_UPDATES
 
 
 @test("what it was before: in one answer, such a configuration never comes through")
@@ -153,22 +153,22 @@
     chance = random.Random(1)
     many = {str(number): chance.randbytes(900) for number in range(300)}
     told = {"version": 3, "full": True, "set": many, "gone": []}
-    one, other, joiner = Cutter("a"), Cutter("b"), Joiner()
+    one, other, joiner = Fragmenter("a"), Fragmenter("b"), Reassembler()
     calls, joined = 0, None
     while joined is None:
         calls += 1
         cutter = other if calls == 3 else one  # it goes to another for one call
-        joined = joiner.take(cutter.next(None, told, joiner.asks(), 0.1 * calls))
-    assert joined == told and calls == 3 + -(-300 * 900 // PIECE)
-    assert joiner.asks() is None
-    piece = one.next(None, told, None, 1.0)
-    assert joiner.take({**piece, "at": 7}) is None and joiner.asks() is None
-    joiner.take(piece)
+        joined = joiner.add(cutter.next_message(None, told, joiner.wanted_fragment(), 0.1 * calls))
+    assert joined == told and calls == 3 + -(-300 * 900 // FRAGMENT_BYTES)
+    assert joiner.wanted_fragment() is None
+    piece = one.next_message(None, told, None, 1.0)
+    assert joiner.add({**piece, "at": 7}) is None and joiner.wanted_fragment() is None
+    joiner.add(piece)
     with raises(ValueError):
-        joiner.take({**piece, "at": len(piece["part"]), "size": 2 * len(piece["part"])})
-    assert joiner.asks() is None
+        joiner.add({**piece, "at": len(piece["part"]), "size": 2 * len(piece["part"])})
+    assert joiner.wanted_fragment() is None
     small = {**told, "version": 4, "full": False, "set": {"a": 1}}
-    assert one.next(2, small, None, 1.0) == small
+    assert one.next_message(2, small, None, 1.0) == small
 
 
 @test("a store tells a registry a large map in pieces, and its proof only with the newest")
@@ -176,7 +176,7 @@
     chance, news = random.Random(1), News()
     news.advance(State((1, 5), RangedMap({f"Routes/{n}": route(chance, 1000) for n in range(3000)})))
     mine = registry()
-    cutter, calls, now = Cutter("1", 256 << 10, 256 << 10), 0, 0.0
+    cutter, calls, now = Fragmenter("1", 256 << 10, 256 << 10), 0, 0.0
     while mine.operator_config.version < news.index:
         calls, now = calls + 1, now + 0.1
         if calls == 2:
--- a/tests/rpc/test_transport.py
+++ b/tests/rpc/test_transport.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 from typing import Any
+from unittest.mock import patch
 
 import gevent
 from gevent import socket
@@ -15,8 +16,19 @@
 from ward import each, raises, test
 
 from ashlift.errors import Failure, FailureReason
-from ashlift.rpc import transport
-from ashlift.rpc.transport import ANSWERS, CALLS, FRAME_MOST, Caller, Frames, pack, serve
+from ashlift.rpc import server as rpc_server
+from ashlift.rpc.addresses import Address
+from ashlift.rpc.client import RpcClient
+from ashlift.rpc.framing import (
+    MAX_FRAME_BYTES,
+    REQUEST_CRC_SEED,
+    RESPONSE_CRC_SEED,
+    FrameDecoder,
+    encode_frame,
+)
+from ashlift.rpc.messages import encode_request, encode_response
+from ashlift.rpc.server import serve
+from ashlift.rpc.sockets import send_all
 from tests.support.between import BACK, CUT, DOUBLE, HALVE, HOLD, HOST, KINDS, RESET, THERE, Between
 from tests.support.planted import found, planted
 
@@ -26,7 +38,7 @@
 TOO_LONG = AssertionError("it should have come long ago")
 
 
-def listening(server: StreamServer) -> transport.Address:
+def listening(server: StreamServer) -> Address:
     return HOST, server.server_port or 0
 
 
@@ -74,7 +86,7 @@
 class History:
     """Every call with its outcome. A token is its call's own, and is said back by whoever has run it."""
 
-    def __init__(self, peer: Peer, caller: Caller) -> None:
+    def __init__(self, peer: Peer, caller: RpcClient) -> None:
         self.peer, self.caller = peer, caller
         self.calls: list[tuple[str, int, bytes, Any]] = []
         self._token = 0
@@ -83,7 +95,7 @@
         self._token += 1
         token = self._token
         extra = bytes([token % 251]) * size
-        answer = self.caller.call(method, [token, extra], within, dial=within)
+        answer = self.caller.call(method, [token, extra], within, connect_timeout=within)
         self.calls.append((method, token, extra, answer))
         return answer
 
@@ -112,7 +124,7 @@
         super().__init__()
         self.peer = Peer()
         self.between = Between(self.peer.address)
-        self.caller = Caller(self.between.address)
+        self.caller = RpcClient(self.between.address)
         self.history = History(self.peer, self.caller)
 
     @rule(way=st.sampled_from((THERE, BACK)), at=st.integers(0, 200), kind=st.sampled_from(KINDS))
@@ -185,7 +197,7 @@
     """Three calls, the trouble in the first two; how many were answered."""
     peer = Peer()
     between = Between(peer.address)
-    history = History(peer, Caller(between.address))
+    history = History(peer, RpcClient(between.address))
     between.arm(way, at, kind)
     peer.gate.set()
     answers = [history.call("echo", 8, 0.25) for _ in range(2)]
@@ -238,7 +250,7 @@
 def given_up_midway() -> list[list[Any]]:
     """Calls to a peer that does not read, then reads; the frames that it found, by connection."""
     deaf = Deaf()
-    caller = Caller(deaf.address)
+    caller = RpcClient(deaf.address)
     first = caller.call("echo", [0, b"a" * (12 << 20 >> 1)], QUICK_S)
     assert isinstance(first, Failure) and first.reason == FailureReason.OUTCOME_UNKNOWN
     deaf.reads.set()
@@ -249,7 +261,7 @@
     found = []
     for kept in deaf.heard:
         frames: list[Any] = []
-        cutter = Frames(CALLS)
+        cutter = FrameDecoder(REQUEST_CRC_SEED)
         try:
             for begin in range(0, len(kept), 65536):
                 frames += cutter.feed(bytes(kept[begin : begin + 65536]))
@@ -276,47 +288,45 @@
 
 @test("frames: an answer that nobody takes ends its connection, and holds up no other")
 def _() -> None:
-    server = serve((HOST, 0), {"large": lambda _: b"x" * (FRAME_MOST - 100), "echo": lambda body: body})
+    server = serve((HOST, 0), {"large": lambda _: b"x" * (MAX_FRAME_BYTES - 100), "echo": lambda body: body})
     ends: list[socket.socket] = []
-    tune = transport.tune
-    transport.tune = ends.append  # type: ignore[assignment]
-    try:
+    with patch.object(rpc_server, "configure_socket", ends.append):
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.connect(listening(server))
-        with planted(transport.write, "SILENT_S) ->", "0.05) ->"), gevent.Timeout(ENOUGH_S, TOO_LONG):
-            sock.sendall(pack(CALLS, [1, "large", None]) + pack(CALLS, [2, "echo", "two"]))
+        with planted(send_all, "SEND_TIMEOUT_SECONDS) ->", "0.05) ->"), gevent.Timeout(ENOUGH_S, TOO_LONG):
+            sock.sendall(encode_request(1, "large", None) + encode_request(2, "echo", "two"))
             while not ends:
                 gevent.idle()
-            other = Caller(listening(server))
-            assert other.call("echo", "three", ENOUGH_S, dial=ENOUGH_S) == "three"
+            other = RpcClient(listening(server))
+            assert other.call("echo", "three", ENOUGH_S, connect_timeout=ENOUGH_S) == "three"
             while ends[0].fileno() >= 0:
                 gevent.idle()
-    finally:
-        transport.tune = tune
     kept = b""
     with suppress(OSError):
         while data := sock.recv(1 << 20):
             kept += data
-    assert 0 < len(kept) < FRAME_MOST and not Frames(ANSWERS).feed(kept), "half an answer, and then the end"
+    assert 0 < len(kept) < MAX_FRAME_BYTES and not FrameDecoder(RESPONSE_CRC_SEED).feed(kept), (
+        "half an answer, and then the end"
+    )
     other.close()
     server.close()
 
 
 @test("frames: a frame of two calls, of the wrong direction or of no call is not read")
 def _() -> None:
-    one, two = pack(CALLS, [1, "echo", b"a" * 90]), pack(CALLS, [2, "echo", b"b" * 90])
+    one, two = encode_request(1, "echo", b"a" * 90), encode_request(2, "echo", b"b" * 90)
     for at in range(1, len(one)):
         with raises(ValueError):
-            Frames(CALLS).feed(one[:at] + two + two)
+            FrameDecoder(REQUEST_CRC_SEED).feed(one[:at] + two + two)
     for at in range(8, len(one)):
         changed = bytearray(one)
         changed[at] ^= 0x10
         with raises(ValueError):
-            Frames(CALLS).feed(bytes(changed))
+            FrameDecoder(REQUEST_CRC_SEED).feed(bytes(changed))
     with raises(ValueError):
-        Frames(ANSWERS).feed(one)  # a connection that leads back to its own beginning
-    assert Frames(CALLS).feed(one + two) == [[1, "echo", b"a" * 90], [2, "echo", b"b" * 90]]
+        FrameDecoder(RESPONSE_CRC_SEED).feed(one)  # a connection that leads back to its own beginning
+    assert FrameDecoder(REQUEST_CRC_SEED).feed(one + two) == [[1, "echo", b"a" * 90], [2, "echo", b"b" * 90]]
 
 
 @test("frames: what cannot be a call ends the connection: {what}")
@@ -338,10 +348,10 @@
         "a list for a method": [[5, "echo", 1], [6, ["echo"], 2]],
     }[what]
     sock = socket.create_connection(listening(server))
-    sock.sendall(pack(CALLS, frames[0]))
-    cutter = Frames(ANSWERS)
+    sock.sendall(encode_frame(REQUEST_CRC_SEED, frames[0]))
+    cutter = FrameDecoder(RESPONSE_CRC_SEED)
     assert cutter.feed(sock.recv(65536)) == [[5, 1]]
-    sock.sendall(pack(CALLS, frames[1]))
+    sock.sendall(encode_frame(REQUEST_CRC_SEED, frames[1]))
     with gevent.Timeout(ENOUGH_S, TOO_LONG):
         assert sock.recv(65536) == b""
     assert ran == [1]
@@ -352,11 +362,11 @@
 @test("frames: what cannot be an answer ends the connection, and all its calls are in doubt: {what}")
 def _(what: str = each("of no call yet", "half", "a wrong check", "a call", "words for a fault")) -> None:
     answer = {
-        "of no call yet": pack(ANSWERS, [9, "x"]),
-        "half": pack(ANSWERS, [1, "x"])[:-1],
-        "a wrong check": pack(ANSWERS, [1, "x"])[:-1] + b"y",
-        "a call": pack(CALLS, [1, "x"]),
-        "words for a fault": pack(ANSWERS, [1, None, 7, 8]),
+        "of no call yet": encode_response(9, "x"),
+        "half": encode_response(1, "x")[:-1],
+        "a wrong check": encode_response(1, "x")[:-1] + b"y",
+        "a call": encode_frame(REQUEST_CRC_SEED, [1, "x"]),
+        "words for a fault": encode_frame(RESPONSE_CRC_SEED, [1, None, 7, 8]),
     }[what]
 
     def connection(sock: socket.socket, _: Any) -> None:
@@ -368,7 +378,7 @@
 
     server = StreamServer((HOST, 0), connection)
     server.start()
-    caller = Caller(listening(server))
+    caller = RpcClient(listening(server))
     calls = [gevent.spawn(caller.call, "echo", number, ENOUGH_S, 0.0, ENOUGH_S) for number in range(2)]
     gevent.joinall(calls, timeout=ENOUGH_S)
     assert [call.get().reason for call in calls] == [FailureReason.OUTCOME_UNKNOWN] * 2
@@ -378,15 +388,15 @@
 @test("frames: at the size limit, and beyond")
 def _() -> None:
     server = serve((HOST, 0), {"echo": lambda body: body, "large": lambda size: b"x" * size})
-    caller = Caller(listening(server))
-    most = FRAME_MOST - 12  # its number, its method, the length of its text
-    assert caller.call("echo", b"x" * most, ENOUGH_S, dial=ENOUGH_S) == b"x" * most
-    assert len(pack(CALLS, [1, "echo", b"x" * most])) == FRAME_MOST + 8
-    line = caller._line
-    for method, body in (("echo", b"x" * (most + 1)), ("large", FRAME_MOST)):
+    caller = RpcClient(listening(server))
+    most = MAX_FRAME_BYTES - 12  # its number, its method, the length of its text
+    assert caller.call("echo", b"x" * most, ENOUGH_S, connect_timeout=ENOUGH_S) == b"x" * most
+    assert len(encode_request(1, "echo", b"x" * most)) == MAX_FRAME_BYTES + 8
+    connection = caller._connection
+    for method, body in (("echo", b"x" * (most + 1)), ("large", MAX_FRAME_BYTES)):
         fault = caller.call(method, body, ENOUGH_S)
         assert isinstance(fault, Failure) and fault.reason == FailureReason.INVALID, fault
-    assert caller.call("echo", 1, ENOUGH_S) == 1 and caller._line is line
+    assert caller.call("echo", 1, ENOUGH_S) == 1 and caller._connection is connection
     assert caller.call("nothing", 1, ENOUGH_S).reason == FailureReason.NOT_FOUND
     caller.close()
     server.close()
@@ -395,7 +405,7 @@
 @test("frames: a call that waits for its turn to write, and is given up, has not been sent")
 def _() -> None:
     deaf = Deaf()
-    caller = Caller(deaf.address)
+    caller = RpcClient(deaf.address)
     first = gevent.spawn(caller.call, "echo", b"a" * (6 << 20), ENOUGH_S)
     gevent.idle()
     second = caller.call("echo", 2, QUICK_S)
@@ -409,13 +419,13 @@
 @test("frames: one who is killed while it writes leaves no half frame behind")
 def _() -> None:
     deaf = Deaf()
-    caller = Caller(deaf.address)
+    caller = RpcClient(deaf.address)
     writer = gevent.spawn(caller.call, "echo", b"a" * (6 << 20), ENOUGH_S)
     with gevent.Timeout(ENOUGH_S, TOO_LONG):
-        while caller._line is None:
+        while caller._connection is None:
             gevent.idle()
     writer.kill()
-    assert caller._line is None
+    assert caller._connection is None
     deaf.reads.set()
     deaf.close()
 
@@ -431,30 +441,40 @@
 
 
 def changed() -> None:
-    one, two = pack(CALLS, [1, "echo", b"a" * 90]), pack(CALLS, [2, "echo", b"b" * 90])
+    one, two = encode_request(1, "echo", b"a" * 90), encode_request(2, "echo", b"b" * 90)
     with raises(ValueError):
-        Frames(CALLS).feed(one[:50] + two[50:])
+        FrameDecoder(REQUEST_CRC_SEED).feed(one[:50] + two[50:])
 
 
 BREACHES: dict[str, tuple[Callable[..., Any], str, str, Callable[[], None]]] = {
     "the connection is kept after a write that was given up": (
-        Caller.call,
-        "self._end(line)  # half a frame may be out",
+        RpcClient._send,
+        "self._disconnect(connection)  # a part of the frame may have been sent",
         "pass",
         mixed,
     ),
-    "the check is not compared": (Frames.feed, "zlib.crc32(value, self._way) != check", "False", changed),
-    "a number may come again": (serve, "if number > newest", "if True", doubled),
+    "the check is not compared": (
+        FrameDecoder.feed,
+        "zlib.crc32(payload, self._crc_seed) != checksum",
+        "False",
+        changed,
+    ),
+    "a number may come again": (
+        rpc_server._ServerConnection._admit,
+        "request.number <= self._last_number",
+        "False",
+        doubled,
+    ),
     "sent is told as not sent": (
-        Caller.call,
-        "FailureReason.OUTCOME_UNKNOWN if line else FailureReason.UNREACHABLE,\n",
-        "FailureReason.UNREACHABLE,\n",
+        RpcClient.call,
+        'Failure(_reason_without_response(request), f"{method}: {timeout:g} s")',
+        "Failure(FailureReason.UNREACHABLE, method)",
         play_once,
     ),
     "any answer is anybody's": (
-        Caller._answered,
-        "waiting = line.waiting.pop(number, None)",
-        "waiting = line.waiting.popitem()[1] if line.waiting else None",
+        RpcClient._deliver,
+        "waiting = connection.in_flight.pop(number, None)",
+        "waiting = connection.in_flight.popitem()[1] if connection.in_flight else None",
         play_once,
     ),
 }
--- a/tests/support/between.py
+++ b/tests/support/between.py
@@ -10,7 +10,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from ashlift.rpc.transport import Address
+from ashlift.rpc.addresses import Address
 
 HOST = "127.0.0.1"
 THERE, BACK = "there", "back"  # from who dialled, and to it
--- a/tests/support/gatekeeper.py
+++ b/tests/support/gatekeeper.py
@@ -24,8 +24,8 @@
 from ashlift.proxy.request_reader import Asked, RequestReader
 from ashlift.proxy.request_router import Gate
 from ashlift.proxy.server import Front
+from ashlift.rpc.addresses import Address
 from ashlift.rpc.sources import OPERATOR_SOURCE
-from ashlift.rpc.transport import Address
 from tests.support.between import AGAIN, BACK, CUT, HALVE, HOLD, HOST, LINGER, RESET, THERE, Between
 
 LARGE = 12 << 20  # bytes: more than the kernel takes for somebody who does not read
