--- a/ashlift/configstore/catch_up.py
+++ b/ashlift/configstore/catch_up.py
@@ -1,7 +1,7 @@
 """What the leader knows of another's copy of the map, and what it sends to make it level. Pure.
 
 To each one thing at a time is on its way. A copy whose state is among those that the leader has held
-(`Changes`) gets what differs from it, however many changes that was, as one delta. What is too large for a
+(`ChangeLog`) gets what differs from it, however many changes that was, as one delta. What is too large for a
 call, or goes to a state that is not known, goes by digests over hash ranges: of a range that differs the keys
 that changed since it was known, else the range whole. What changes meanwhile goes with the next call, so a
 repair ends however steadily the changes go on.
@@ -12,21 +12,25 @@
 import cbor2
 from attrs import define, field
 
-from ashlift.configstore.change_log import Changes
-from ashlift.configstore.messages import CHUNK, DELTA, PARTS, RANGES, State, TermIndex
+from ashlift.configstore.change_log import ChangeLog
+from ashlift.configstore.messages import DELTA, PARTS, PAYLOAD_CHUNK_BYTES, RANGES, Snapshot, TermIndex
 from ashlift.configstore.replica_state import pack
 
-CHUNK_LEAST: Final = CHUNK // 16
-RAW: Final = 2  # bytes of a map for each of a call: it is compressed to half at least
+MIN_PAYLOAD_CHUNK_BYTES: Final = PAYLOAD_CHUNK_BYTES // 16
+UNCOMPRESSED_BYTES_PER_PAYLOAD_BYTE: Final = (
+    2  # bytes of a map for each of a call: it is compressed to half at least
+)
 
 
 @define
-class Copy:
+class ReplicaProgress:
     """Another's copy as the leader knows it. `held`: None: nobody knows which state it is."""
 
     held: TermIndex | None
     busy: bool = False  # a payload, or a question for digests, is on its way
-    chunk: int = CHUNK  # bytes of a payload, about: halved when one did not come through in time
+    chunk: int = (
+        PAYLOAD_CHUNK_BYTES  # bytes of a payload, about: halved when one did not come through in time
+    )
     tried: TermIndex | None = None  # the state that the last delta went on from
     sent: dict[int, tuple[int, bytes]] = field(factory=dict)  # range -> state it was sent of, its digest then
 
@@ -45,17 +49,21 @@
         """What was on its way has been answered in time (`through`), or has not."""
         self.busy = False
         if payload:
-            self.chunk = min(CHUNK, self.chunk * 2) if through else max(CHUNK_LEAST, self.chunk // 2)
+            self.chunk = (
+                min(PAYLOAD_CHUNK_BYTES, self.chunk * 2)
+                if through
+                else max(MIN_PAYLOAD_CHUNK_BYTES, self.chunk // 2)
+            )
         if not through:
             self.sent.clear()
 
 
-class Mending:
-    def __init__(self, changes: Changes) -> None:
+class CatchUp:
+    def __init__(self, changes: ChangeLog) -> None:
         self.changes = changes
         self._packed: tuple[int, dict[int, bytes | None]] = (0, {})  # newest state; deltas to it, by base
 
-    def next(self, copy: Copy, newest: State, digests: bytes | None = None) -> bytes | bool:
+    def next(self, copy: ReplicaProgress, newest: Snapshot, digests: bytes | None = None) -> bytes | bool:
         """The payload that brings the copy on; True: its digests are asked for."""
         if not copy.sent and not (digests and copy.held == copy.tried):
             delta = self._delta(copy.held, newest) if copy.held else None
@@ -64,7 +72,7 @@
                 return delta
         return self._parts(copy, newest, digests) if digests else True
 
-    def _delta(self, held: TermIndex, newest: State) -> bytes | None:
+    def _delta(self, held: TermIndex, newest: Snapshot) -> bytes | None:
         """All that differs from a state that was held; None: it is not known, or that is too much."""
         base, number = self.changes.at(held), self.changes.number
         if base is None:
@@ -77,10 +85,10 @@
             sets = {key: map[key] for key in keys if key in map}
             gone = [key for key in keys if key not in map]
             packed = pack([DELTA, *held, sets, gone, newest.entries.digest()])
-            deltas[base] = packed if len(packed) <= CHUNK else None
+            deltas[base] = packed if len(packed) <= PAYLOAD_CHUNK_BYTES else None
         return deltas[base]
 
-    def _parts(self, copy: Copy, newest: State, digests: bytes) -> bytes:
+    def _parts(self, copy: ReplicaProgress, newest: Snapshot, digests: bytes) -> bytes:
         """Of the ranges that differ as many as a call may carry; the answer brings the next digests."""
         entries, number, size = newest.entries, self.changes.number, 0
         base = self.changes.at(copy.held) if copy.held else None
@@ -89,7 +97,7 @@
         gone: list[str] = []
         late = self.changes.by_range(base) if base is not None else {}
         for one in entries.differing(digests):
-            if size > RAW * copy.chunk:
+            if size > UNCOMPRESSED_BYTES_PER_PAYLOAD_BYTE * copy.chunk:
                 break
             sent = copy.sent.get(one)
             keys: list[str] = []
--- a/ashlift/configstore/change_log.py
+++ b/ashlift/configstore/change_log.py
@@ -8,13 +8,13 @@
 
 from ashlift.configstore.ranged_map import RangedMap, range_of
 
-GONE_MOST = 4096  # keys that went; each change lets one `Taken/` go: some 4,000 changes
-RUNS_MOST: Final = 64  # runs of states of one term, each following the one before
+MAX_DELETED_KEYS = 4096  # keys that went; each change lets one `Taken/` go: some 4,000 changes
+MAX_RUNS: Final = 64  # runs of states of one term, each following the one before
 
 TermIndex = tuple[int, int]
 
 
-class Changes:
+class ChangeLog:
     """States in the order in which they were held, numbered from 1; the marks of keys are these numbers."""
 
     def __init__(self) -> None:
@@ -41,11 +41,11 @@
             for key in entries.changed_from(self.entries):
                 self._mark(key, key in entries.map)
         self.entries = entries
-        while len(self._gone) > GONE_MOST:
+        while len(self._gone) > MAX_DELETED_KEYS:
             key = next(iter(self._gone))
             self._floor = max(self._floor, self._gone.pop(key))
             del self._at[key]
-        while len(self._runs) > RUNS_MOST or (len(self._runs) > 1 and self._runs[1][2] <= self._floor):
+        while len(self._runs) > MAX_RUNS or (len(self._runs) > 1 and self._runs[1][2] <= self._floor):
             self._floor = max(self._floor, self._runs[1][2])
             del self._runs[0]
 
--- a/ashlift/configstore/committed_state.py
+++ b/ashlift/configstore/committed_state.py
@@ -2,18 +2,18 @@
 
 from typing import Any
 
-from ashlift.configstore.change_log import Changes
-from ashlift.configstore.messages import State, TermIndex
+from ashlift.configstore.change_log import ChangeLog
+from ashlift.configstore.messages import Snapshot, TermIndex
 from ashlift.configstore.ranged_map import RangedMap
 
 
-class News:
-    """The newest map known to be committed; the changes of this life as far as `Changes` keeps them."""
+class CommittedState:
+    """The newest map known to be committed; the changes of this life as far as `ChangeLog` keeps them."""
 
     def __init__(self) -> None:
-        self.state = State((0, 0), RangedMap())
+        self.state = Snapshot((0, 0), RangedMap())
         self.lease = float("-inf")  # steady time at which it was the newest of all
-        self.changes = Changes()
+        self.changes = ChangeLog()
 
     @property
     def term_index(self) -> TermIndex:
@@ -23,7 +23,7 @@
     def index(self) -> int:
         return self.state.term_index[1]
 
-    def advance(self, state: State) -> bool:
+    def advance(self, state: Snapshot) -> bool:
         """Take a committed map; False if it is not newer."""
         if state.term_index <= self.term_index:
             return False
--- a/ashlift/configstore/leader.py
+++ b/ashlift/configstore/leader.py
@@ -7,51 +7,51 @@
 from attrs import define
 
 from ashlift.configstore import events, membership
-from ashlift.configstore.catch_up import Copy, Mending
+from ashlift.configstore.catch_up import CatchUp, ReplicaProgress
 from ashlift.configstore.membership import (
-    LEARNERS,
-    MEMBERS,
-    MOVE_S,
-    Membership,
-    View,
-    entry,
-    named,
-    next_change,
+    LEARNER_PREFIX,
+    REPLACE_VOTER_AFTER_SECONDS,
+    VOTER_PREFIX,
+    MembershipCommand,
+    ReplicaView,
+    addresses_under,
+    membership_entry,
+    next_membership_change,
     quorum,
-    refusal,
+    removal_refusal,
 )
 from ashlift.configstore.messages import (
     BEHIND,
-    CALL_S,
+    CALL_TIMEOUT_SECONDS,
     EARLY_S,
-    HANDING_S,
-    HEARTBEAT_S,
+    HEARTBEAT_INTERVAL_SECONDS,
+    HEARTBEAT_ROUND_RETENTION_SECONDS,
+    LEADERSHIP_TRANSFER_SECONDS,
     LEARNER,
+    MAX_QUEUED_COMMANDS,
     OLD,
     PROMOTE,
-    ROUNDS_S,
-    UNHEARD_S,
-    WAITING_MOST,
+    QUORUM_CONTACT_TIMEOUT_SECONDS,
     YES,
-    Fence,
-    Settled,
-    State,
-    Work,
+    FencingToken,
+    Proposal,
+    ReadOnlyResult,
+    Snapshot,
 )
-from ashlift.configstore.replica_state import Seat, pack
+from ashlift.configstore.replica_state import ReplicaState, pack
 from ashlift.errors import Failure, FailureReason
 
-Decide = Callable[[Mapping[str, Any], Any], Work | Settled]
+CommandHandler = Callable[[Mapping[str, Any], Any], Proposal | ReadOnlyResult]
 LEARNER_S = 3.0  # a learner that has not asked again, nor answered, for so long is not called any more
 CLOSE = 2  # changes that one may be behind to be up to date, while they go on
 AGAIN_S = 1.0  # a leader that leaves and leads still names a successor again
 
 
 @define
-class Peer:
+class PeerState:
     """What the leader knows of another process, in this term."""
 
-    copy: Copy
+    copy: ReplicaProgress
     round: int = 0  # newest round that it answered
     heard_at: float = float("-inf")  # when the newest answered call was sent
     match: int = 0  # newest index that it holds durably
@@ -61,23 +61,23 @@
     life: int = 0  # the incarnation that it named then
 
 
-class Lead:
+class Leader:
     """Begun once a majority voted. `decide(map, order)` is pure."""
 
-    def __init__(self, seat: Seat, decide: Decide) -> None:
+    def __init__(self, seat: ReplicaState, decide: CommandHandler) -> None:
         self.seat, self.decide = seat, decide
         self.term = seat.vote.term
-        self.naming: State = seat.state  # newest proposed map; `seat.state` once it is kept here
-        self._roles: tuple[State | None, tuple[list[str], list[str]]] = (None, ([], []))
+        self.naming: Snapshot = seat.state  # newest proposed map; `seat.state` once it is kept here
+        self._roles: tuple[Snapshot | None, tuple[list[str], list[str]]] = (None, ([], []))
         self.commit = 0  # newest committed index of this term
-        self.peers: dict[str, Peer] = {}
-        self.mending = Mending(seat.changes)
+        self.peers: dict[str, PeerState] = {}
+        self.mending = CatchUp(seat.changes)
         self._first = seat.term_index  # what each holds, unless it says another
         self.round = self.confirmed = 0
         self.round_at: dict[int, float] = {}
         self.next_beat = seat.now
         self.under_way: tuple[Any, Any] | None = None  # (ref, answer) of the one proposal
-        self.queue: deque[tuple[Any, Any, Fence | None]] = deque()
+        self.queue: deque[tuple[Any, Any, FencingToken | None]] = deque()
         self.waiting: list[tuple[int, Any, Any]] = []  # (round to be confirmed, ref, answer; None: the map)
         self.leave_by: float | None = None
         self.handed = False
@@ -94,7 +94,7 @@
     def tick(self) -> None:
         now = self.seat.now
         heard = sorted((max(self._heard_at(ip), self.since) for ip in self._members()), reverse=True)
-        if heard[quorum(len(heard)) - 1] < now - UNHEARD_S:
+        if heard[quorum(len(heard)) - 1] < now - QUORUM_CONTACT_TIMEOUT_SECONDS:
             return self.seat.step_down("no majority heard")
         if self.handed and self.leave_by is None and now - self.handed_at >= AGAIN_S:
             self.handed = False  # its successor did not come to lead: on as before
@@ -103,8 +103,8 @@
         if now >= self.next_beat:
             self._round()
 
-    def submit(self, ref: Any, order: Any, fence: Fence | None = None) -> None:
-        if self.leave_by is not None or len(self.queue) >= WAITING_MOST:
+    def submit(self, ref: Any, order: Any, fence: FencingToken | None = None) -> None:
+        if self.leave_by is not None or len(self.queue) >= MAX_QUEUED_COMMANDS:
             return self.seat.reply(ref, Failure(FailureReason.UNAVAILABLE, "full or leaving"))
         self.queue.append((ref, order, fence))
         self._advance()
@@ -121,7 +121,7 @@
             self._advance()
 
     def leave(self) -> None:
-        self.leave_by = self.seat.now + HANDING_S / 2
+        self.leave_by = self.seat.now + LEADERSHIP_TRANSFER_SECONDS / 2
         self._drop_queue()
         if not self.under_way:
             self._hand()
@@ -145,7 +145,7 @@
         if term != self.term:
             return
         peer = self._peer(ip)
-        lost = isinstance(body, Failure) or self.seat.now - sent_at >= CALL_S
+        lost = isinstance(body, Failure) or self.seat.now - sent_at >= CALL_TIMEOUT_SECONDS
         if payload is not None:
             unsent = isinstance(body, Failure) and body.reason == FailureReason.UNREACHABLE
             peer.copy.came(payload and not unsent, not lost)
@@ -153,7 +153,9 @@
             return
         theirs, code, token, *more = body
         if code == OLD or theirs > self.term:
-            if entry(self.naming.entries.map, ip) is not None:  # whoever was taken off disturbs nobody
+            if (
+                membership_entry(self.naming.entries.map, ip) is not None
+            ):  # whoever was taken off disturbs nobody
                 self.seat.higher(theirs)
             return
         newest = round_ >= peer.round
@@ -193,13 +195,16 @@
         """Voters and learners of the newest proposed map."""
         if self._roles[0] is not self.naming:
             map = self.naming.entries.map
-            self._roles = self.naming, (named(map, MEMBERS), named(map, LEARNERS))
+            self._roles = (
+                self.naming,
+                (addresses_under(map, VOTER_PREFIX), addresses_under(map, LEARNER_PREFIX)),
+            )
         return self._roles[1]
 
-    def _peer(self, ip: str) -> Peer:
+    def _peer(self, ip: str) -> PeerState:
         peer = self.peers.get(ip)
         if peer is None:
-            peer = self.peers[ip] = Peer(Copy(self._first))
+            peer = self.peers[ip] = PeerState(ReplicaProgress(self._first))
         return peer
 
     def _targets(self) -> list[str]:
@@ -218,14 +223,14 @@
         self.round += 1
         self.round_at[self.round] = now
         early, lasts = EARLY_S
-        self.next_beat = now + (early if now < self.since + lasts else HEARTBEAT_S)
+        self.next_beat = now + (early if now < self.since + lasts else HEARTBEAT_INTERVAL_SECONDS)
         for ip in self._targets():
             peer = self._peer(ip)
             level = peer.copy.busy or peer.copy.held == self.naming.term_index
             self._append(ip, peer, None if level else self.mending.next(peer.copy, self.naming))
         self._confirm()
 
-    def _append(self, ip: str, peer: Peer, payload: bytes | bool | None) -> None:
+    def _append(self, ip: str, peer: PeerState, payload: bytes | bool | None) -> None:
         """`payload`: True: its digests are asked for; None: it lacks nothing, or something is on its way."""
         index = self.naming.term_index[1]
         sent = None if payload is None else payload is not True
@@ -239,7 +244,7 @@
         newest = answered[quorum(len(answered)) - 1]
         if newest > self.confirmed:
             self.confirmed = newest
-            known = self.seat.now - ROUNDS_S
+            known = self.seat.now - HEARTBEAT_ROUND_RETENTION_SECONDS
             for old in [number for number, at in self.round_at.items() if number < newest and at < known]:
                 del self.round_at[old]
         if not self.commit or not self.confirmed:
@@ -276,21 +281,21 @@
                 break
             ref, order, fence = self.queue.popleft()
             map = self.naming.entries.map
-            if isinstance(order, Membership):
+            if isinstance(order, MembershipCommand):
                 outcome = membership.decide(map, order, self.views(), self.seat.tolerated)
             else:
                 outcome = self.decide(map, order)
             if fence is not None and self._late(fence, outcome):
                 self.seat.reply(ref, Failure(FailureReason.EXPIRED, "its caller may have gone"))
                 continue
-            if isinstance(outcome, Work):
+            if isinstance(outcome, Proposal):
                 return self._propose(outcome.set, outcome.gone, ref, outcome.answer)
             self.waiting.append((self.round + 1, ref, outcome.answer))
             ask = True
         if ask:
             self._round()
 
-    def _late(self, fence: Fence, outcome: Work | Settled) -> bool:
+    def _late(self, fence: FencingToken, outcome: Proposal | ReadOnlyResult) -> bool:
         """Whether the order may have been on its way for longer than its caller waits, or is void.
 
         A round began before anybody could know of it, so the order is at most as old as that.
@@ -298,19 +303,19 @@
         began = self.round_at.get(fence.round) if fence.term == self.term else None
         if began is None or self.seat.now - began >= fence.left:
             return True
-        keys = outcome.unguarded if isinstance(outcome, Work) else ()
+        keys = outcome.unguarded if isinstance(outcome, Proposal) else ()
         return any(self.seat.news.touched(key, fence.known) for key in keys)
 
-    def views(self) -> dict[str, View]:
+    def views(self) -> dict[str, ReplicaView]:
         """Of every voter and learner, as seen from here."""
         now, newest = self.seat.now, self.naming.term_index
-        found = {self.seat.me: View(0.0, self.seat.term_index == newest)}
+        found = {self.seat.me: ReplicaView(0.0, self.seat.term_index == newest)}
         for ip in [*self._members(), *self._learners()]:
             peer = self._peer(ip)
             if ip != self.seat.me:
                 level = peer.learning is None and peer.match + CLOSE >= newest[1]
-                able = level and peer.heard_at > now - UNHEARD_S
-                found[ip] = View(now - self._spoke(ip), able, peer.life if able else None)
+                able = level and peer.heard_at > now - QUORUM_CONTACT_TIMEOUT_SECONDS
+                found[ip] = ReplicaView(now - self._spoke(ip), able, peer.life if able else None)
         return found
 
     def table(self) -> list[dict[str, Any]]:
@@ -318,8 +323,8 @@
         map, now, views, tolerated = self.naming.entries.map, self.seat.now, self.views(), self.seat.tolerated
         rows = []
         for ip in [*self._members(), *self._learners()]:
-            told, peer, mine = entry(map, ip) or {}, self._peer(ip), ip == self.seat.me
-            voter = MEMBERS + ip in map
+            told, peer, mine = membership_entry(map, ip) or {}, self._peer(ip), ip == self.seat.me
+            voter = VOTER_PREFIX + ip in map
             do = told.get("leaving", membership.REMOVE)
             rows.append(
                 {
@@ -331,62 +336,68 @@
                     "behind": 0 if mine else max(0, self.naming.term_index[1] - peer.match),
                     "unheard": 0.0 if mine else round(now - self._spoke(ip), 1),
                     "counts": voter and (mine or peer.learning is None),
-                    "stays": refusal(map, ip, views, tolerated, do) if voter else None,
+                    "stays": removal_refusal(map, ip, views, tolerated, do) if voter else None,
                 }
             )
         return rows
 
-    def _change_of_members(self) -> Work | None:
+    def _change_of_members(self) -> Proposal | None:
         """The next one, if any. A leader that leaves hands over instead: its successor takes it off."""
         now, map, members = self.seat.now, self.naming.entries.map, self._members()
         asked = {ip: one.life for ip, one in self.peers.items() if one.learner_at > now - LEARNER_S}
-        lost = any(self._spoke(ip) <= now - MOVE_S for ip in members if ip != self.seat.me)
-        goes = [ip for ip in members if map[MEMBERS + ip].get("leaving")]
+        lost = any(
+            self._spoke(ip) <= now - REPLACE_VOTER_AFTER_SECONDS for ip in members if ip != self.seat.me
+        )
+        goes = [ip for ip in members if map[VOTER_PREFIX + ip].get("leaving")]
         lives = {
             ip: peer.learning[0]
             for ip, peer in self.peers.items()
-            if peer.learning and (told := entry(map, ip)) is not None and told.get("life") != peer.learning[0]
+            if peer.learning
+            and (told := membership_entry(map, ip)) is not None
+            and told.get("life") != peer.learning[0]
         }
         if lives:
             return self._name(lives)
         if not (lost or goes or asked or self._learners()):
             return None
         views, tolerated = self.views(), self.seat.tolerated
-        change = next_change(map, self.seat.me, asked, views, tolerated)
+        change = next_membership_change(map, self.seat.me, asked, views, tolerated)
         if change is not None:
             self._tell_change(change)
         elif self.seat.me in goes and any(views[ip].able for ip in members if ip != self.seat.me):
             self._hand()
         elif goes:
-            why = refusal(map, goes[0], views, tolerated, map[MEMBERS + goes[0]]["leaving"]) or ""
+            why = (
+                removal_refusal(map, goes[0], views, tolerated, map[VOTER_PREFIX + goes[0]]["leaving"]) or ""
+            )
             if why != self.told:
                 self.told = why
                 self.seat.tell(events.STAYS, ip=goes[0], why=why)
         return change
 
-    def _name(self, lives: dict[str, int]) -> Work:
+    def _name(self, lives: dict[str, int]) -> Proposal:
         """What was learning from the start counts with these disks from now on, once it holds this."""
         map, index, set = self.naming.entries.map, self.naming.term_index[1] + 1, {}
         for ip, life in lives.items():
             self._peer(ip).learning = (life, index)
-            key = MEMBERS + ip if MEMBERS + ip in map else LEARNERS + ip
+            key = VOTER_PREFIX + ip if VOTER_PREFIX + ip in map else LEARNER_PREFIX + ip
             set[key] = {**map[key], "life": life}
-        return Work(set, [], None)
+        return Proposal(set, [], None)
 
-    def _tell_change(self, change: Work) -> None:
+    def _tell_change(self, change: Proposal) -> None:
         for key in change.set:
-            if key.startswith(MEMBERS):
-                self.seat.tell(events.VOTES, ip=key.removeprefix(MEMBERS))
+            if key.startswith(VOTER_PREFIX):
+                self.seat.tell(events.VOTES, ip=key.removeprefix(VOTER_PREFIX))
             else:
-                self.seat.tell(events.JOINED, ip=key.removeprefix(LEARNERS))
+                self.seat.tell(events.JOINED, ip=key.removeprefix(LEARNER_PREFIX))
         for key in change.gone:
-            if key.startswith(MEMBERS):
-                ip = key.removeprefix(MEMBERS)
+            if key.startswith(VOTER_PREFIX):
+                ip = key.removeprefix(VOTER_PREFIX)
                 self.seat.tell(events.REMOVED, ip=ip, voters=len(self._members()) - 1)
 
     def _propose(self, set: dict[str, Any], gone: list[str], ref: Any, answer: Any) -> None:
         old = self.naming
-        new = State((self.term, old.term_index[1] + 1), old.entries.changed(set, gone))
+        new = Snapshot((self.term, old.term_index[1] + 1), old.entries.changed(set, gone))
         self.naming, self.under_way = new, (ref, answer)
         self.seat.changes.advance(new.term_index, new.entries)
         self._round()
@@ -422,14 +433,14 @@
         return peer.learning is None and peer.match >= index
 
     # ---- restoring and repair
-    def _mend(self, ip: str, peer: Peer, digests: bytes | None) -> None:
+    def _mend(self, ip: str, peer: PeerState, digests: bytes | None) -> None:
         """Send at once what is known to be lacking."""
         if not peer.copy.busy and peer.copy.held != self.naming.term_index:
             payload = self.mending.next(peer.copy, self.naming, digests)
             if payload is not True:
                 self._append(ip, peer, payload)
 
-    def _learner(self, ip: str, peer: Peer, incarnation: int) -> None:
+    def _learner(self, ip: str, peer: PeerState, incarnation: int) -> None:
         """It votes again once it holds what was committed without it after that life was heard of."""
         newest = self.naming.term_index[1]
         if peer.learning is None or peer.learning[0] != incarnation:
@@ -437,7 +448,7 @@
             peer.copy.anew()
             self.seat.tell(events.RESTORING, ip=ip, index=newest)
         term, index = peer.copy.held or (0, 0)
-        told = entry(self.naming.entries.map, ip)
+        told = membership_entry(self.naming.entries.map, ip)
         if term != self.term or peer.copy.busy or told is None or told.get("life") != incarnation:
             return  # `_change_of_members` names its disk first
         if peer.learning[1] <= index <= self.commit:
@@ -449,7 +460,7 @@
     # ---- handing over
     def _hand(self) -> None:
         self.handed, self.handed_at = True, self.seat.now
-        fresh = self.seat.now - UNHEARD_S
+        fresh = self.seat.now - QUORUM_CONTACT_TIMEOUT_SECONDS
         able = [
             (peer.match, peer.round, ip)
             for ip in self._members()
--- a/ashlift/configstore/messages.py
+++ b/ashlift/configstore/messages.py
@@ -10,17 +10,30 @@
 Event = Any  # one of the events below
 Effect = Any  # one of the effects below
 
-CALL_S: Final = 0.8  # an answer to `request_vote` or `append` counts only within this time of its sending
-MUTE_S: Final = 2 * CALL_S  # a learner says nothing that long: then no yes of its former life counts
-HEARTBEAT_S: Final = 0.15
+CALL_TIMEOUT_SECONDS: Final = (
+    0.8  # an answer to `request_vote` or `append` counts only within this time of its sending
+)
+LEARNER_QUARANTINE_SECONDS: Final = (
+    2 * CALL_TIMEOUT_SECONDS
+)  # a learner says nothing that long: then no yes of its former life counts
+HEARTBEAT_INTERVAL_SECONDS: Final = 0.15
 EARLY_S: Final = (0.04, 0.6)  # between heartbeats, for so long after the lead began: all wait for a proof
-ELECTION_S: Final = (0.6, 1.2)  # by chance between these, without word from a leader
-FIRST_S: Final = (0.05, 0.3)  # the same for a process that has just started: nothing is led while all start
-UNHEARD_S: Final = 1.2  # a leader that has not heard a majority for so long leads no longer
-HANDING_S: Final = 0.4  # at most this long to hand over after SIGTERM
-CHUNK: Final = 32 << 10  # bytes of a call's payload, about: it must pass a narrow link within CALL_S
-WAITING_MOST: Final = 64  # proposals waiting at the leader
-ROUNDS_S: Final = 1.2  # s for which a leader knows when its rounds began: no order is begun later than that
+ELECTION_TIMEOUT_SECONDS: Final = (0.6, 1.2)  # by chance between these, without word from a leader
+INITIAL_ELECTION_TIMEOUT_SECONDS: Final = (
+    0.05,
+    0.3,
+)  # the same for a process that has just started: nothing is led while all start
+QUORUM_CONTACT_TIMEOUT_SECONDS: Final = (
+    1.2  # a leader that has not heard a majority for so long leads no longer
+)
+LEADERSHIP_TRANSFER_SECONDS: Final = 0.4  # at most this long to hand over after SIGTERM
+PAYLOAD_CHUNK_BYTES: Final = (
+    32 << 10
+)  # bytes of a call's payload, about: it must pass a narrow link within CALL_TIMEOUT_SECONDS
+MAX_QUEUED_COMMANDS: Final = 64  # proposals waiting at the leader
+HEARTBEAT_ROUND_RETENTION_SECONDS: Final = (
+    1.2  # s for which a leader knows when its rounds began: no order is begun later than that
+)
 
 # Answers to `append`: `[term, code, token, *more]`.
 YES: Final = 1  # holds what is named, durably; more, of one that is no voter: its incarnation
@@ -37,7 +50,7 @@
 PARTS: Final = 4
 
 
-class Vote(NamedTuple):
+class PersistentVote(NamedTuple):
     """What must never be forgotten besides the map: `voter` is False while nothing of this member counts."""
 
     term: int
@@ -46,14 +59,14 @@
     life: int = 0  # the disk's incarnation: drawn with its first write, and anew once nothing of it counts
 
 
-class State(NamedTuple):
+class Snapshot(NamedTuple):
     """An accepted map with the term and index of its commit."""
 
     term_index: TermIndex
     entries: RangedMap
 
 
-class Fence(NamedTuple):
+class FencingToken(NamedTuple):
     """What keeps an order from being begun once its caller may have gone: `(term, round)` is the newest round
     known to the registry when it sent the order on, `left`: s that the caller was to wait from then on;
     `known` is the newest committed index known to it when it took the order."""
@@ -64,7 +77,7 @@
     left: float
 
 
-class Work(NamedTuple):
+class Proposal(NamedTuple):
     """What an order changes, and its answer once that is committed. `unguarded`: keys that it changes
     whatever they hold; if one has changed since the order was taken, the order is void."""
 
@@ -74,7 +87,7 @@
     unguarded: tuple[str, ...] = ()
 
 
-class Settled(NamedTuple):
+class ReadOnlyResult(NamedTuple):
     """An order that changes nothing; its answer stands once the leader is seen to lead still."""
 
     answer: Any
@@ -82,13 +95,13 @@
 
 # ---- events
 @frozen
-class Tick:
+class ClockTicked:
     pass
 
 
 @frozen
-class Called:
-    """Another member calls; answered by a Reply with the same `ref`."""
+class RequestReceived:
+    """Another member calls; answered by a `SendReply` with the same `ref`."""
 
     ref: Any
     method: str  # request_vote, append, join, succeed
@@ -96,8 +109,8 @@
 
 
 @frozen
-class Answered:
-    """The outcome of a Send: a body or a Failure."""
+class ResponseReceived:
+    """The outcome of a `SendRequest`: a body or a Failure."""
 
     peer: str
     method: str
@@ -107,38 +120,41 @@
 
 
 @frozen
-class Kept:
-    """The Keep before this is durable, or (`ok` False) may or may not be."""
+class StatePersisted:
+    """The `PersistState` before this is durable, or (`ok` False) may or may not be."""
 
     ok: bool
 
 
 @frozen
-class Submit:
-    """An order; answered by a Reply: its answer, or a Failure: UNAVAILABLE not begun, EXPIRED never
+class CommandSubmitted:
+    """An order; answered by a `SendReply`: its answer, or a Failure: UNAVAILABLE not begun, EXPIRED never
     to be begun, OUTCOME_UNKNOWN in doubt. `fence` None: it may be begun whenever it comes."""
 
     ref: Any
     order: Any
-    fence: Fence | None = None
+    fence: FencingToken | None = None
 
 
 @frozen
-class Read:
-    """Answered by a Reply with the committed State, or a Failure."""
+class ReadRequested:
+    """answered by a `SendReply` with the committed `Snapshot`, or a Failure."""
 
     ref: Any
 
 
 @frozen
-class Leave:
+class ShutdownRequested:
     """SIGTERM has come."""
 
 
 # ---- effects
 @frozen
-class Send:
-    """Call `method` at the member `peer`, with the time-out CALL_S; Answered brings `context` back."""
+class SendRequest:
+    """Call `method` at the member `peer`, with the time-out CALL_TIMEOUT_SECONDS.
+
+    `ResponseReceived` brings `context` back.
+    """
 
     peer: str
     method: str
@@ -147,25 +163,25 @@
 
 
 @frozen
-class Reply:
+class SendReply:
     ref: Any
     body: Any
 
 
 @frozen
-class Keep:
-    """Make these durable, the state first, then feed Kept. Always the last of a member's effects."""
+class PersistState:
+    """Make these durable, the state first, then feed `StatePersisted`. Always the last effect."""
 
-    vote: Vote | None
-    state: State | None
+    vote: PersistentVote | None
+    state: Snapshot | None
 
 
 @frozen
-class Tell:
+class LogEvent:
     event: tuple[int, str]
     fields: dict[str, Any]
 
 
 @frozen
-class Gone:
+class HandoverComplete:
     """Handed over: the process may end."""
--- a/ashlift/configstore/ranged_map.py
+++ b/ashlift/configstore/ranged_map.py
@@ -7,13 +7,13 @@
 
 import cbor2
 
-RANGES: Final = 64
-SHORT: Final = 8  # bytes of a range's digest: all of them fit a frame of half a kilobyte
-LONG: Final = 16  # bytes of the digest over all
+RANGE_COUNT: Final = 64
+RANGE_DIGEST_BYTES: Final = 8  # bytes of a range's digest: all of them fit a frame of half a kilobyte
+MAP_DIGEST_BYTES: Final = 16  # bytes of the digest over all
 
 
 def range_of(key: str) -> int:
-    return zlib.crc32(key.encode()) % RANGES
+    return zlib.crc32(key.encode()) % RANGE_COUNT
 
 
 class RangedMap:
@@ -23,9 +23,9 @@
 
     def __init__(self, map: Mapping[str, Any] | None = None) -> None:
         self.map: Mapping[str, Any] = map or {}
-        self._ranges: list[dict[str, Any]] = [{} for _ in range(RANGES)]
-        self._packed: list[bytes | None] = [None] * RANGES
-        self._digests: list[bytes | None] = [None] * RANGES
+        self._ranges: list[dict[str, Any]] = [{} for _ in range(RANGE_COUNT)]
+        self._packed: list[bytes | None] = [None] * RANGE_COUNT
+        self._digests: list[bytes | None] = [None] * RANGE_COUNT
         for key, value in self.map.items():
             self._ranges[range_of(key)][key] = value
 
@@ -94,13 +94,15 @@
         return packed
 
     def filled(self) -> list[int]:
-        return [number for number in range(RANGES) if self._ranges[number]]
+        return [number for number in range(RANGE_COUNT) if self._ranges[number]]
 
     def digests(self) -> bytes:
         """The ranges' digests in order, SHORT bytes each."""
-        for number in range(RANGES):
+        for number in range(RANGE_COUNT):
             if self._digests[number] is None:
-                self._digests[number] = hashlib.blake2b(self.packed(number), digest_size=SHORT).digest()
+                self._digests[number] = hashlib.blake2b(
+                    self.packed(number), digest_size=RANGE_DIGEST_BYTES
+                ).digest()
         return b"".join(digest or b"" for digest in self._digests)
 
     def digest_of(self, number: int) -> bytes:
@@ -110,17 +112,18 @@
     @staticmethod
     def digest_in(digests: bytes, number: int) -> bytes:
         """A range's digest among all of another map."""
-        return digests[number * SHORT : (number + 1) * SHORT]
+        return digests[number * RANGE_DIGEST_BYTES : (number + 1) * RANGE_DIGEST_BYTES]
 
     def digest(self) -> bytes:
         """One digest over all, LONG bytes."""
-        return hashlib.blake2b(self.digests(), digest_size=LONG).digest()
+        return hashlib.blake2b(self.digests(), digest_size=MAP_DIGEST_BYTES).digest()
 
     def differing(self, digests: bytes) -> list[int]:
         """The ranges that differ from another map's digests; all, if they are no digests."""
         mine = self.digests()
         return [
             number
-            for number in range(RANGES)
-            if mine[number * SHORT : (number + 1) * SHORT] != digests[number * SHORT : (number + 1) * SHORT]
+            for number in range(RANGE_COUNT)
+            if mine[number * RANGE_DIGEST_BYTES : (number + 1) * RANGE_DIGEST_BYTES]
+            != digests[number * RANGE_DIGEST_BYTES : (number + 1) * RANGE_DIGEST_BYTES]
         ]
--- a/ashlift/configstore/replica.py
+++ b/ashlift/configstore/replica.py
@@ -1,8 +1,8 @@
 """One member of the store: events in, effects out. Invariants and their tests: docs/design/store.md.
 
 A member is a non-voting learner (nothing of it counts), or follows, tries to be elected, or leads
-(`configstore.leader`). Its durable state is `vote` and `state`; `Seat.keep` makes a change durable and
-only then goes on. While a Keep is out, events wait.
+(`configstore.leader`). Its durable state is `vote` and `state`; `ReplicaState.keep` makes a change
+durable and only then goes on. While a `PersistState` is out, events wait.
 """
 
 import random
@@ -12,54 +12,60 @@
 from attrs import define, field
 
 from ashlift.configstore import events
-from ashlift.configstore.change_log import Changes
-from ashlift.configstore.leader import Decide, Lead
-from ashlift.configstore.membership import MEMBERS, displaced, life_fits, lives, quorum
+from ashlift.configstore.change_log import ChangeLog
+from ashlift.configstore.leader import CommandHandler, Leader
+from ashlift.configstore.membership import (
+    VOTER_PREFIX,
+    incarnation_matches,
+    is_displaced,
+    quorum,
+    voter_incarnations,
+)
 from ashlift.configstore.messages import (
     BEHIND,
-    CALL_S,
+    CALL_TIMEOUT_SECONDS,
     DELTA,
-    ELECTION_S,
-    FIRST_S,
-    HANDING_S,
-    HEARTBEAT_S,
+    ELECTION_TIMEOUT_SECONDS,
+    HEARTBEAT_INTERVAL_SECONDS,
+    INITIAL_ELECTION_TIMEOUT_SECONDS,
+    LEADERSHIP_TRANSFER_SECONDS,
     LEARNER,
-    MUTE_S,
+    LEARNER_QUARANTINE_SECONDS,
     OLD,
     PARTS,
     PROMOTE,
+    QUORUM_CONTACT_TIMEOUT_SECONDS,
     RANGES,
-    UNHEARD_S,
     YES,
-    Answered,
-    Called,
+    ClockTicked,
+    CommandSubmitted,
     Effect,
     Event,
-    Gone,
-    Keep,
-    Kept,
-    Leave,
-    Read,
-    State,
-    Submit,
-    Tick,
-    Vote,
+    HandoverComplete,
+    PersistentVote,
+    PersistState,
+    ReadRequested,
+    RequestReceived,
+    ResponseReceived,
+    ShutdownRequested,
+    Snapshot,
+    StatePersisted,
 )
 from ashlift.configstore.ranged_map import RangedMap
-from ashlift.configstore.replica_state import Broken, Seat, unpack
+from ashlift.configstore.replica_state import InvariantError, ReplicaState, unpack
 from ashlift.errors import Failure, FailureReason
 
 JOIN_S = 0.5  # between two calls of one that is no voter
 LONELY_S = 3.0  # a voter that nobody leads for so long asks whether it is one still
 AGAIN_S = (0.3, 0.7)  # by chance between these after an attempt: all others have been waiting as well
-SILENT_S = 3 * HEARTBEAT_S  # a leader that is not heard for so long is not asked
+SILENT_S = 3 * HEARTBEAT_INTERVAL_SECONDS  # a leader that is not heard for so long is not asked
 GRACE_S = 0.3  # a granted (pre-)vote puts off attempts by so much: two that try at once elect nobody
 LIVES = 1 << 31  # incarnations
 ECHOES = 32  # rounds and steady times remembered for the proof
 
 
 @define
-class Attempt:
+class ElectionAttempt:
     """An attempt to be elected; `term` is the one tried for."""
 
     term: int
@@ -69,7 +75,7 @@
     votes: set[str] = field(factory=set)
 
 
-class Member(Seat):
+class Replica(ReplicaState):
     """`vote` and `state`: what the disk holds, None: nothing was ever there, Failure: it cannot be read."""
 
     def __init__(
@@ -77,25 +83,25 @@
         me: str,
         seeds: list[str],
         bootstrap: bool,
-        vote: Vote | Failure | None,
-        state: State | Failure | None,
-        decide: Decide,
+        vote: PersistentVote | Failure | None,
+        state: Snapshot | Failure | None,
+        decide: CommandHandler,
         chance: random.Random,
     ) -> None:
-        held_vote = vote if isinstance(vote, Vote) else Vote(0, None, False)
-        held = state if isinstance(state, State) else State((0, 0), RangedMap())
-        voter = held_vote.voter and isinstance(state, State)
+        held_vote = vote if isinstance(vote, PersistentVote) else PersistentVote(0, None, False)
+        held = state if isinstance(state, Snapshot) else Snapshot((0, 0), RangedMap())
+        voter = held_vote.voter and isinstance(state, Snapshot)
         term = max(held_vote.term, held.term_index[0])
         self._first = vote is None and state is None and bootstrap and me in seeds
         self._was_voter = held_vote.voter and not voter  # on the disk: to be taken back
         voted = held_vote.voted_for if term == held_vote.term else None
-        kept = Vote(term, voted, True, held_vote.life) if voter else Vote(0, None, False)
-        super().__init__(me, chance, kept, held if voter else State((0, 0), RangedMap()))
+        kept = PersistentVote(term, voted, True, held_vote.life) if voter else PersistentVote(0, None, False)
+        super().__init__(me, chance, kept, held if voter else Snapshot((0, 0), RangedMap()))
         self.seeds, self.decide = seeds, decide
         self.incarnation = chance.getrandbits(31)
         self.leader: str | None = None
-        self.lead: Lead | None = None
-        self.attempt: Attempt | None = None
+        self.lead: Leader | None = None
+        self.attempt: ElectionAttempt | None = None
         self.staged: RangedMap | None = None if voter else held.entries  # of a repair, so far
         self.mute_until = self.heard_at = self.deadline = self.join_at = 0.0
         self.calm_from = 0.0  # after a vote its candidate is given the time to lead before another may stand
@@ -109,13 +115,13 @@
     # ---- running
     def begin(self, now: float) -> list[Effect]:
         self.now, self.effects = now, []
-        self._put_off(FIRST_S)
-        self.heard_at = now - UNHEARD_S
+        self._put_off(INITIAL_ELECTION_TIMEOUT_SECONDS)
+        self.heard_at = now - QUORUM_CONTACT_TIMEOUT_SECONDS
         if self._first:
-            members: dict[str, Any] = {MEMBERS + ip: {} for ip in self.seeds}
-            state = State((0, 0), RangedMap(members))
+            members: dict[str, Any] = {VOTER_PREFIX + ip: {} for ip in self.seeds}
+            state = Snapshot((0, 0), RangedMap(members))
             self.tell(events.BEGUN, members=len(members))
-            self.keep(Vote(0, None, True, self.incarnation), state, self._begun)
+            self.keep(PersistentVote(0, None, True, self.incarnation), state, self._begun)
         elif not self.vote.voter:
             self._become_learner()
             if self._was_voter:
@@ -128,13 +134,13 @@
 
     def _become_learner(self) -> None:
         self.vote = self.vote._replace(voter=False)
-        self.mute_until = self.now + MUTE_S
+        self.mute_until = self.now + LEARNER_QUARANTINE_SECONDS
         self.tell(events.LEARNS, incarnation=self.incarnation)
 
     def handle(self, now: float, event: Event) -> list[Effect]:
-        """Take one event; do the effects in order. Raises Broken: stop the process."""
+        """Take one event; do the effects in order. Raises InvariantError: stop the process."""
         self.now, self.effects = max(now, self.now), []
-        if isinstance(event, Kept):
+        if isinstance(event, StatePersisted):
             self.kept(event.ok)
         else:
             self._deferred.append(event)
@@ -143,13 +149,13 @@
         return self._done()
 
     def _done(self) -> list[Effect]:
-        """The effects, a Keep last."""
+        """The effects, a `PersistState` last."""
         if self.leaving is not None and self.lead is None and self.then is None:
-            self.effects.append(Gone())
-        return sorted(self.effects, key=lambda effect: isinstance(effect, Keep))
+            self.effects.append(HandoverComplete())
+        return sorted(self.effects, key=lambda effect: isinstance(effect, PersistState))
 
     def round_known(self) -> tuple[int, int]:
-        """The newest round of a leader known here, with its term (`Fence`)."""
+        """The newest round of a leader known here, with its term (`FencingToken`)."""
         return (self.lead.term, self.lead.round) if self.lead else self._round_heard
 
     def silent(self, now: float) -> bool:
@@ -157,35 +163,35 @@
         return self.lead is None and now - self.heard_at > SILENT_S
 
     def due(self) -> float:
-        """When the next Tick is wanted, if nothing comes before."""
+        """When the next `ClockTicked` is wanted, if nothing comes before."""
         if self.lead:
             return self.lead.next_beat
         return self.deadline if self._stands() else self.join_at
 
     def _take(self, event: Event) -> None:
         match event:
-            case Tick():
+            case ClockTicked():
                 self._tick()
-            case Called():
+            case RequestReceived():
                 self._called(event)
-            case Answered(method="append") if self.lead:
+            case ResponseReceived(method="append") if self.lead:
                 self.lead.answered(event.peer, event.sent_at, event.context, event.body)
-            case Answered(method="request_vote"):
+            case ResponseReceived(method="request_vote"):
                 self._voted(event)
-            case Answered(method="join", body=[leader, evidence]):
+            case ResponseReceived(method="join", body=[leader, evidence]):
                 self._told(event.peer, leader, evidence)
-            case Submit():
+            case CommandSubmitted():
                 if self.lead:
                     self.lead.submit(event.ref, event.order, event.fence)
                 else:
                     self.reply(event.ref, Failure(FailureReason.UNAVAILABLE, "leads not"))
-            case Read():
+            case ReadRequested():
                 if self.lead:
                     self.lead.read(event.ref)
                 else:
                     self.reply(event.ref, Failure(FailureReason.UNAVAILABLE, "leads not"))
-            case Leave() if self.leaving is None:
-                self.leaving = self.now + HANDING_S
+            case ShutdownRequested() if self.leaving is None:
+                self.leaving = self.now + LEADERSHIP_TRANSFER_SECONDS
                 if self.lead:
                     self.lead.leave()
 
@@ -195,7 +201,10 @@
                 return self.step_down("the process ends")
             return self.lead.tick()
         if not self._stands():
-            if self.now >= max(self.join_at, self.mute_until) and self.now - self.heard_at >= UNHEARD_S:
+            if (
+                self.now >= max(self.join_at, self.mute_until)
+                and self.now - self.heard_at >= QUORUM_CONTACT_TIMEOUT_SECONDS
+            ):
                 self._join()
         elif self.now >= self.deadline and self.leaving is None:
             if self.now >= max(self.join_at, self.heard_at + LONELY_S):
@@ -224,27 +233,27 @@
         self.step_down("is no voter any more")
         self.tell(events.TAKEN_OFF, life=self.vote.life, term=self.term_index[0], index=self.term_index[1])
         self.incarnation = max(self.incarnation, self.vote.life) % LIVES + 1
-        self.staged, self.state = self.state.entries, State((0, 0), RangedMap())
-        self.changes = Changes()
-        self.vote, self.leader = Vote(0, None, False), None
+        self.staged, self.state = self.state.entries, Snapshot((0, 0), RangedMap())
+        self.changes = ChangeLog()
+        self.vote, self.leader = PersistentVote(0, None, False), None
         self._become_learner()
         self.keep(self.vote, None, lambda ok: None)
 
     def _evidence(self, ip: str, life: int) -> list[int] | None:
         """The committed map's term and index, if by it nothing of that disk counts."""
         known = self.news.state
-        told = known.term_index != (0, 0) and displaced(known.entries.map, ip, life)
+        told = known.term_index != (0, 0) and is_displaced(known.entries.map, ip, life)
         return [*known.term_index] if told else None
 
     def _stands(self) -> bool:
         """Whether this member may stand for election."""
-        return self.vote.voter and life_fits(self.state.entries.map, self.me, self.vote.life)
+        return self.vote.voter and incarnation_matches(self.state.entries.map, self.me, self.vote.life)
 
-    def _put_off(self, span: tuple[float, float] = ELECTION_S) -> None:
+    def _put_off(self, span: tuple[float, float] = ELECTION_TIMEOUT_SECONDS) -> None:
         slow = 2 * self.write_s if span is AGAIN_S else 0.0  # votes are written before they are given
         self.deadline = self.now + self.chance.uniform(*span) + slow
 
-    def _called(self, event: Called) -> None:
+    def _called(self, event: RequestReceived) -> None:
         if not self.vote.voter and self.now < self.mute_until:
             return self.reply(event.ref, Failure(FailureReason.UNAVAILABLE, "mute"))
         try:
@@ -273,8 +282,8 @@
         self.attempt = self._attempt(self.vote.term + 1, True)
         self._ask()
 
-    def _attempt(self, term: int, pre: bool) -> Attempt:
-        return Attempt(term, pre, lives(self.state.entries.map), self.now, {self.me})
+    def _attempt(self, term: int, pre: bool) -> ElectionAttempt:
+        return ElectionAttempt(term, pre, voter_incarnations(self.state.entries.map), self.now, {self.me})
 
     def _stand(self) -> None:
         """Ask for votes, having voted for oneself."""
@@ -309,7 +318,7 @@
             return self._stand()
         self.attempt, self.leader, self.staged = None, self.me, None
         self._echoes = []
-        self.lead = Lead(self, self.decide)
+        self.lead = Leader(self, self.decide)
         self.lead.begin()
 
     def _request_vote(
@@ -325,7 +334,9 @@
             return self.reply(ref, Failure(FailureReason.UNAVAILABLE, "learner"))
         fit = (last_term, index) >= self.term_index
         if pre:
-            calm = self.lead is None and self.now >= max(self.calm_from, self.heard_at + ELECTION_S[0])
+            calm = self.lead is None and self.now >= max(
+                self.calm_from, self.heard_at + ELECTION_TIMEOUT_SECONDS[0]
+            )
             granted = fit and calm and term > self.vote.term
             if granted:
                 self.deadline = max(self.deadline, self.now + GRACE_S)
@@ -347,7 +358,7 @@
             vote, None, lambda ok: self.reply(ref, yes if ok else Failure(FailureReason.REJECTED, "disk"))
         )
 
-    def _voted(self, event: Answered) -> None:
+    def _voted(self, event: ResponseReceived) -> None:
         attempt = self.attempt
         if isinstance(event.body, Failure) or not self.vote.voter:
             return
@@ -356,7 +367,11 @@
             return self.higher(theirs)
         if attempt is None or event.context != (attempt.term, attempt.pre):
             return
-        if granted is not True or self.now - event.sent_at >= CALL_S or self.now - attempt.started >= CALL_S:
+        if (
+            granted is not True
+            or self.now - event.sent_at >= CALL_TIMEOUT_SECONDS
+            or self.now - attempt.started >= CALL_TIMEOUT_SECONDS
+        ):
             return
         if attempt.members.get(event.peer) not in (None, *life):
             return  # the disk of an earlier life: what it has said since is forgotten there
@@ -392,7 +407,7 @@
         if term < self.vote.term:
             return self.reply(ref, [self.vote.term, OLD, 0])
         if term == self.vote.term and self.lead:
-            raise Broken(f"two leaders in term {term}")
+            raise InvariantError(f"two leaders in term {term}")
         newer = term > self.vote.term
         if newer or self.leader != leader:
             self.step_down("another leads")
@@ -405,7 +420,7 @@
         entries = self._received(payload, named)
         vote = self.vote._replace(term=term, voted_for=leader) if newer else None
         restored = self._promoted(payload, named)
-        state = State(named, entries) if entries is not None and named > self.term_index else None
+        state = Snapshot(named, entries) if entries is not None and named > self.term_index else None
 
         def on(ok: bool) -> None:
             if not ok:
@@ -423,7 +438,9 @@
                 self._give_up()
 
         if restored:
-            self.keep(Vote(term, self.vote.voted_for or leader, True, self.incarnation), self.state, on)
+            self.keep(
+                PersistentVote(term, self.vote.voted_for or leader, True, self.incarnation), self.state, on
+            )
         elif not self.vote.voter:  # in memory only: on the disk nothing of it may count before it votes
             self.vote = vote or self.vote
             self.accept(state or self.state)
@@ -478,7 +495,7 @@
         return (
             self.vote.voter
             and self.news.term_index == self.term_index
-            and displaced(self.state.entries.map, self.me, self.vote.life)
+            and is_displaced(self.state.entries.map, self.me, self.vote.life)
         )
 
     def _learn(self, term: int, commit: int) -> None:
--- a/ashlift/configstore/replica_storage.py
+++ b/ashlift/configstore/replica_storage.py
@@ -7,7 +7,7 @@
 
 import cbor2
 
-from ashlift.configstore.messages import Keep, State, Vote
+from ashlift.configstore.messages import PersistentVote, PersistState, Snapshot
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.snapshot_storage import Records, SnapshotStorage
 from ashlift.errors import Failure, FailureReason
@@ -25,11 +25,11 @@
         self._votes = SnapshotStorage(folder, VOTE_STORAGE)
         self._snapshots = SnapshotStorage(folder, SNAPSHOT_STORAGE)
 
-    def read(self) -> tuple[Vote | Failure | None, State | Failure | None]:
+    def read(self) -> tuple[PersistentVote | Failure | None, Snapshot | Failure | None]:
         """Vote and snapshot, each None if it was never written, or a Failure if it cannot be read."""
         return _decode_vote(self._votes.read()), _decode_snapshot(self._snapshots.read())
 
-    def persist(self, request: Keep) -> Failure | None:
+    def persist(self, request: PersistState) -> Failure | None:
         """Make the given parts durable, the snapshot first. After a Failure none, one or both are."""
         if request.state is not None:
             failure = self._snapshots.write(_encode_snapshot(request.state))
@@ -40,27 +40,27 @@
         return self._votes.write({_VOTE_RECORD: cbor2.dumps([*request.vote])})
 
 
-def _decode_vote(records: Records | Failure | None) -> Vote | Failure | None:
+def _decode_vote(records: Records | Failure | None) -> PersistentVote | Failure | None:
     if not isinstance(records, dict):
         return records
     try:
-        return Vote(*cbor2.loads(records[_VOTE_RECORD]))
+        return PersistentVote(*cbor2.loads(records[_VOTE_RECORD]))
     except (cbor2.CBORDecodeError, LookupError, TypeError) as error:
         return Failure(FailureReason.INVALID, str(error))
 
 
-def _encode_snapshot(snapshot: State) -> Records:
+def _encode_snapshot(snapshot: Snapshot) -> Records:
     entries = snapshot.entries
     ranges = {f"{number:02}": entries.packed(number) for number in entries.filled()}
     return {**ranges, _TERM_INDEX_RECORD: cbor2.dumps([*snapshot.term_index])}
 
 
-def _decode_snapshot(records: Records | Failure | None) -> State | Failure | None:
+def _decode_snapshot(records: Records | Failure | None) -> Snapshot | Failure | None:
     if not isinstance(records, dict):
         return records
     try:
         term, index = cbor2.loads(records.pop(_TERM_INDEX_RECORD))
         ranges = {int(number): data for number, data in records.items()}
-        return State((term, index), RangedMap().replaced(ranges))
+        return Snapshot((term, index), RangedMap().replaced(ranges))
     except (cbor2.CBORDecodeError, LookupError, TypeError, ValueError) as error:
         return Failure(FailureReason.INVALID, str(error))
--- a/ashlift/configstore/server.py
+++ b/ashlift/configstore/server.py
@@ -13,27 +13,27 @@
 from ashlift.config.settings import Settings
 from ashlift.configstore import events, snapshot_storage
 from ashlift.configstore.commands import decide, read_fence
-from ashlift.configstore.membership import Membership
+from ashlift.configstore.membership import MembershipCommand
 from ashlift.configstore.messages import (
-    CALL_S,
-    Answered,
-    Called,
+    CALL_TIMEOUT_SECONDS,
+    ClockTicked,
+    CommandSubmitted,
     Effect,
-    Gone,
-    Keep,
-    Kept,
-    Leave,
-    Read,
-    Reply,
-    Send,
-    Settled,
-    State,
-    Submit,
-    Tell,
-    Tick,
-    Work,
+    HandoverComplete,
+    LogEvent,
+    PersistState,
+    Proposal,
+    ReadOnlyResult,
+    ReadRequested,
+    RequestReceived,
+    ResponseReceived,
+    SendReply,
+    SendRequest,
+    ShutdownRequested,
+    Snapshot,
+    StatePersisted,
 )
-from ashlift.configstore.replica import Member
+from ashlift.configstore.replica import Replica
 from ashlift.configstore.replica_storage import ReplicaStorage
 from ashlift.configstore.snapshot_storage import SnapshotStorage
 from ashlift.errors import Failure, FailureReason
@@ -67,13 +67,13 @@
     return {**cut, "index": index, "late": cut["version"] < index or "part" in cut}
 
 
-def decide_safely(current: Mapping[str, Any], order: Any) -> Work | Settled:
+def decide_safely(current: Mapping[str, Any], order: Any) -> Proposal | ReadOnlyResult:
     """A fault in the checks must not take the store down, one leader after the other."""
     try:
         return decide(current, order)
     except Exception as error:
         tell(events.UNDECIDED, level=ERROR, error=repr(error))
-        return Settled({"status": 503, "reason": "the order could not be worked out"})
+        return ReadOnlyResult({"status": 503, "reason": "the order could not be worked out"})
 
 
 class Daemon:
@@ -88,7 +88,7 @@
                 tell(events.UNREADABLE, level=WARNING, shelf=name, fault=held)
         seeds = sorted({host for host, _ in settings.seeds})
         chance = random.Random(os.urandom(16))
-        self.member = Member(settings.ip, seeds, settings.bootstrap, vote, state, decide_safely, chance)
+        self.member = Replica(settings.ip, seeds, settings.bootstrap, vote, state, decide_safely, chance)
         self.member.tolerated = max(1, settings.tolerance.machines)
         self.callers = ClientPool()
         self.ended = Event()
@@ -114,12 +114,12 @@
         while not self.ended.is_set():
             now = self.clock()
             if now >= self.member.due():
-                self.feed(Tick())
+                self.feed(ClockTicked())
             self.ended.wait(min(STEP_S, max(0.01, self.member.due() - self.clock())))
         gevent.sleep(FLUSH_S)
 
     def leave(self) -> None:
-        self.feed(Leave())
+        self.feed(ShutdownRequested())
 
     # ---- the member's events and effects
     def feed(self, event: Any) -> None:
@@ -140,11 +140,11 @@
 
     def _effect(self, effect: Effect) -> None:
         match effect:
-            case Send():
+            case SendRequest():
                 gevent.spawn(self._call, effect, self.clock())
-            case Reply():
+            case SendReply():
                 effect.ref.set(effect.body)
-            case Keep():
+            case PersistState():
                 began = self.clock()
                 fault = self.disk.persist(effect)
                 took = self.clock() - began
@@ -152,10 +152,10 @@
                     tell(events.DISK_SLOW, level=WARNING, seconds=round(took, 1))
                 if fault is not None:
                     tell(events.DISK_FAULT, level=WARNING, fault=fault)
-                self._todo.extend(self.member.handle(self.clock(), Kept(fault is None)))
-            case Tell():
+                self._todo.extend(self.member.handle(self.clock(), StatePersisted(fault is None)))
+            case LogEvent():
                 tell(effect.event, **effect.fields)
-            case Gone():
+            case HandoverComplete():
                 self.ended.set()
 
     def _wake(self) -> None:
@@ -165,22 +165,22 @@
             self._news.set()
             self._news = Event()
 
-    def _call(self, send: Send, sent_at: float) -> None:
+    def _call(self, send: SendRequest, sent_at: float) -> None:
         caller = self.callers.client((send.peer, self.port))
-        body = caller.call(send.method, send.body, CALL_S)
+        body = caller.call(send.method, send.body, CALL_TIMEOUT_SECONDS)
         if not isinstance(body, Failure):
             self._heard[send.peer] = self.clock()
         elif (
             body.reason == FailureReason.OUTCOME_UNKNOWN
-            and self.clock() - self._heard.get(send.peer, 0.0) >= CALL_S
+            and self.clock() - self._heard.get(send.peer, 0.0) >= CALL_TIMEOUT_SECONDS
         ):
             self._heard[send.peer] = self.clock()
             caller.close()  # a new connection comes up sooner than an old one sends again after a cut
-        self.feed(Answered(send.peer, send.method, sent_at, send.context, body))
+        self.feed(ResponseReceived(send.peer, send.method, sent_at, send.context, body))
 
     def _handler(self, method: str) -> Callable[[Any], Any]:
         def handler(body: Any) -> Any:
-            return self._ask(lambda ref: Called(ref, method, body), CALL_S)
+            return self._ask(lambda ref: RequestReceived(ref, method, body), CALL_TIMEOUT_SECONDS)
 
         return handler
 
@@ -198,13 +198,13 @@
         fence = read_fence(body)
         if isinstance(fence, Failure):
             return fence
-        return self._led("submit", body, lambda ref: Submit(ref, body, fence), ORDER_S)
+        return self._led("submit", body, lambda ref: CommandSubmitted(ref, body, fence), ORDER_S)
 
     def read(self, body: Any) -> Any:
         """-> `{version, objects}`: the committed map, seen after the call came."""
         body = body if isinstance(body, dict) else {}
-        found = self._led("read", body, Read, READ_S)
-        if not isinstance(found, State):
+        found = self._led("read", body, ReadRequested, READ_S)
+        if not isinstance(found, Snapshot):
             return found
         map = dict(found.entries.map)
         return {"version": map.get("Version"), "objects": map}
@@ -213,10 +213,10 @@
         """`{do, ip}` -> `{status, reason?}`; do: remove, replace, add, or show: `{status, members}`."""
         if not isinstance(body, dict) or not isinstance(body.get("do"), str):
             return Failure(FailureReason.INVALID, "members")
-        order = Membership(body["do"], str(body.get("ip", "")))
+        order = MembershipCommand(body["do"], str(body.get("ip", "")))
         if order.do == "show" and self.member.lead is not None:
             return {"status": 200, "members": self.member.lead.table()}
-        return self._led("members", body, lambda ref: Submit(ref, order), ORDER_S)
+        return self._led("members", body, lambda ref: CommandSubmitted(ref, order), ORDER_S)
 
     def drafts(self, body: Any) -> Any:
         """`{add: [edit]}` -> `{edits: [edit]}`: edits of routes that wait here, no part of the map."""
--- a/ashlift/simulation/catching.py
+++ b/ashlift/simulation/catching.py
@@ -15,9 +15,9 @@
 import cbor2
 from attrs import frozen
 
-from ashlift.configstore.catch_up import Mending
+from ashlift.configstore.catch_up import CatchUp
 from ashlift.configstore.commands import TAKEN, TAKEN_MOST
-from ashlift.configstore.messages import Settled, Work
+from ashlift.configstore.messages import Proposal, ReadOnlyResult
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation import store
 from ashlift.simulation.engine import Connection, Future, Loop, Machine, Net, Process, Steps
@@ -117,29 +117,29 @@
 def timed() -> Iterator[list[float]]:
     """s of processor time that leaders spend on payloads while it lasts."""
     spent: list[float] = []
-    real = Mending.next
+    real = CatchUp.next
 
-    def next_(self: Mending, *what: Any) -> bytes | bool:
+    def next_(self: CatchUp, *what: Any) -> bytes | bool:
         began = time.process_time()
         found = real(self, *what)
         spent.append(time.process_time() - began)
         return found
 
-    Mending.next = next_  # type: ignore[method-assign, assignment]
+    CatchUp.next = next_  # type: ignore[method-assign, assignment]
     try:
         yield spent
     finally:
-        Mending.next = real  # type: ignore[method-assign]
+        CatchUp.next = real  # type: ignore[method-assign]
 
 
-def decide(map: Mapping[str, Any], order: Any) -> Work | Settled:
+def decide(map: Mapping[str, Any], order: Any) -> Proposal | ReadOnlyResult:
     """`{set, base}`: on the version that is current."""
     version, base = int(map.get("Version", "0"), 16), order["base"]
     if base != version:
-        return Settled({"status": 412})
+        return ReadOnlyResult({"status": 412})
     made = f"{version + 1:08x}"
     old = sorted(key for key in map if key.startswith(TAKEN))[: -(TAKEN_MOST - 1)]
-    return Work({**order["set"], "Version": made, TAKEN + made: "0" * 32}, old, {"status": 200})
+    return Proposal({**order["set"], "Version": made, TAKEN + made: "0" * 32}, old, {"status": 200})
 
 
 def route(number: int, size: int, chance: Any) -> dict[str, Any]:
--- a/ashlift/simulation/cell.py
+++ b/ashlift/simulation/cell.py
@@ -13,14 +13,14 @@
 import attrs
 from attrs import define, field, frozen
 
-from ashlift.configstore.catch_up import Copy, Mending
-from ashlift.configstore.change_log import Changes
-from ashlift.configstore.committed_state import News
-from ashlift.configstore.leader import Lead, Peer
-from ashlift.configstore.membership import MEMBERS
-from ashlift.configstore.messages import Read, State, Submit, Vote
+from ashlift.configstore.catch_up import CatchUp, ReplicaProgress
+from ashlift.configstore.change_log import ChangeLog
+from ashlift.configstore.committed_state import CommittedState
+from ashlift.configstore.leader import Leader, PeerState
+from ashlift.configstore.membership import VOTER_PREFIX
+from ashlift.configstore.messages import CommandSubmitted, PersistentVote, ReadRequested, Snapshot
 from ashlift.configstore.ranged_map import RangedMap
-from ashlift.configstore.replica import Attempt, Member
+from ashlift.configstore.replica import ElectionAttempt, Replica
 from ashlift.simulation.linear import Call, Change
 from ashlift.simulation.sworn import Sworn
 
@@ -42,7 +42,16 @@
         "_ranged",
     )
 )
-MUTABLE: Final = (Member, Lead, Peer, Attempt, News, Changes, Mending, Copy)
+MUTABLE: Final = (
+    Replica,
+    Leader,
+    PeerState,
+    ElectionAttempt,
+    CommittedState,
+    ChangeLog,
+    CatchUp,
+    ReplicaProgress,
+)
 
 Asked = tuple[int, Change | None, float]  # number, of a read None, the moment
 Kind = Literal["lose", "double", "late", "crash", "refuse", "wipe", "power", "early", "freeze", "timer"]
@@ -99,7 +108,7 @@
         return tuple([(key, known(value, seen)) for key, value in one.items()])
     if kind is set:
         return tuple(sorted(one))
-    if kind in (Read, Submit):
+    if kind in (ReadRequested, CommandSubmitted):
         return kind.__name__, getattr(one, "order", None), getattr(one, "fence", None)
     if isinstance(one, (list, tuple, deque)):
         return tuple([known(value, seen) for value in one])
@@ -110,9 +119,9 @@
 class Place:
     """A machine: its disk, its process if one runs, how often either began anew."""
 
-    vote: Vote | None = None
-    state: State | None = None
-    member: Member | None = None
+    vote: PersistentVote | None = None
+    state: Snapshot | None = None
+    member: Replica | None = None
     life: int = 0
     disk: int = 0
     woken: float = -1.0  # by its timer
@@ -232,6 +241,6 @@
         """Members by the newest map on a disk that do not count."""
         states = [one.state for one in self.places.values() if one.state]
         newest = max(states, key=lambda state: state.term_index, default=None)
-        names = [ip for ip in self.places if newest and MEMBERS + ip in newest.entries.map]
+        names = [ip for ip in self.places if newest and VOTER_PREFIX + ip in newest.entries.map]
         begun = [self.places[ip] for ip in names if self.places[ip].life]
         return sum(one.vote is None or not one.vote.voter for one in begun)
--- a/ashlift/simulation/explore.py
+++ b/ashlift/simulation/explore.py
@@ -13,7 +13,7 @@
 
 from attrs import define, evolve
 
-from ashlift.configstore.replica_state import Broken
+from ashlift.configstore.replica_state import InvariantError
 from ashlift.simulation.cell import Cell, Kind, Rules
 from ashlift.simulation.moves import after, begun, coming, steps
 from ashlift.simulation.sworn import Wrong
@@ -104,7 +104,7 @@
     began, report = time.perf_counter(), Report()
     try:
         start = begun(rules if most is None else evolve(rules, most=most))
-    except (Wrong, Broken) as error:
+    except (Wrong, InvariantError) as error:
         report.wrong, report.way = f"{error}", ("before any trouble",)
         return report
     todo: deque[tuple[Cell, Way, int]] = deque([(start, None, 0)])
@@ -128,7 +128,7 @@
                     continue
                 seen.add(key)
                 todo.append((next_, (way, told), deep + 1))
-        except (Wrong, Broken) as error:
+        except (Wrong, InvariantError) as error:
             report.wrong, report.way = f"{error}", (*_told(way), f"after: {told}")
     report.cells += len(seen)
     report.seconds = time.perf_counter() - began
--- a/ashlift/simulation/figures.py
+++ b/ashlift/simulation/figures.py
@@ -12,7 +12,7 @@
 
 from attrs import frozen
 
-from ashlift.configstore.messages import State
+from ashlift.configstore.messages import Snapshot
 from ashlift.simulation import store
 from ashlift.simulation.engine import Future, Process
 from ashlift.simulation.people import Errand
@@ -155,7 +155,7 @@
         return self._call(caller, to, kind, method, body, *times)
 
 
-def _stamp(state: State) -> tuple[int, int]:
+def _stamp(state: Snapshot) -> tuple[int, int]:
     return state.term_index
 
 
--- a/ashlift/simulation/members.py
+++ b/ashlift/simulation/members.py
@@ -12,25 +12,31 @@
 from typing import Any
 
 from ashlift.configstore import events
-from ashlift.configstore.membership import MEMBERS, Membership, life_fits, named, quorum
+from ashlift.configstore.membership import (
+    VOTER_PREFIX,
+    MembershipCommand,
+    addresses_under,
+    incarnation_matches,
+    quorum,
+)
 from ashlift.configstore.messages import (
-    CALL_S,
-    Answered,
-    Called,
-    Gone,
-    Keep,
-    Kept,
-    Leave,
-    Read,
-    Reply,
-    Send,
-    State,
-    Submit,
-    Tell,
-    Tick,
-    Vote,
+    CALL_TIMEOUT_SECONDS,
+    ClockTicked,
+    CommandSubmitted,
+    HandoverComplete,
+    LogEvent,
+    PersistentVote,
+    PersistState,
+    ReadRequested,
+    RequestReceived,
+    ResponseReceived,
+    SendReply,
+    SendRequest,
+    ShutdownRequested,
+    Snapshot,
+    StatePersisted,
 )
-from ashlift.configstore.replica import Member
+from ashlift.configstore.replica import Replica
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation.linear import STALE, TAKEN, Call, Change, items, unexplained
 from ashlift.simulation.sworn import Sworn, Wrong, decide, history_of
@@ -70,18 +76,21 @@
 class Node:
     def __init__(self, ip: str) -> None:
         self.ip = ip
-        self.vote: Vote | None = None
-        self.state: State | None = None
-        self.member: Member | None = None
+        self.vote: PersistentVote | None = None
+        self.state: Snapshot | None = None
+        self.member: Replica | None = None
         self.life = self.disk_life = 0
         self.offset = 0.0
-        self.writing: Keep | None = None
+        self.writing: PersistState | None = None
         self.inbox: list[Any] | None = None  # not None: frozen
         self.disk_fails = False
         self.slow_s = 0.0  # more of a write
         self.seeds: list[str] = []  # as its settings name them; none: the first ones
         self.gone = False  # a machine that does not start again
-        self.older: tuple[Vote | None, State | None] = None, None  # its disk as it was when it was lost
+        self.older: tuple[PersistentVote | None, Snapshot | None] = (
+            None,
+            None,
+        )  # its disk as it was when it was lost
 
 
 class World:
@@ -139,7 +148,7 @@
         node.inbox, node.disk_fails = None, False
         node.offset = self.chance.uniform(0, 1000)  # another steady clock in each life
         seeds = node.seeds or self.seeds
-        node.member = Member(ip, seeds, bootstrap, node.vote, node.state, decide, self.chance)
+        node.member = Replica(ip, seeds, bootstrap, node.vote, node.state, decide, self.chance)
         self._do(node, node.member.begin(self._clock(node)))
         self._tick(node, node.life)
 
@@ -201,7 +210,7 @@
         self.cuts.add((one, other))
 
     def leave(self, ip: str) -> None:
-        self._feed(self.nodes[ip], self.nodes[ip].life, Leave())
+        self._feed(self.nodes[ip], self.nodes[ip].life, ShutdownRequested())
 
     def heal(self) -> None:
         """All machines run and are joined, and the links are sound."""
@@ -221,7 +230,7 @@
         """Members by the newest map on a disk."""
         states = [node.state for node in self.nodes.values() if node.state]
         newest = max(states, key=lambda state: state.term_index, default=None)
-        return sum(key.startswith(MEMBERS) for key in newest.entries.map) if newest else 0
+        return sum(key.startswith(VOTER_PREFIX) for key in newest.entries.map) if newest else 0
 
     def map(self) -> Any:
         """The newest map on a disk."""
@@ -231,9 +240,13 @@
     def spare(self) -> int:
         """How many voters may still be lost, a change of members that may be under way counted in."""
         map = self.map()
-        voters = named(map, MEMBERS)
+        voters = addresses_under(map, VOTER_PREFIX)
         there = {ip: self.nodes[ip].vote for ip in voters if not self.nodes[ip].gone}
-        counting = [ip for ip, vote in there.items() if vote and vote.voter and life_fits(map, ip, vote.life)]
+        counting = [
+            ip
+            for ip, vote in there.items()
+            if vote and vote.voter and incarnation_matches(map, ip, vote.life)
+        ]
         return len(counting) - quorum(len(voters) + 1)
 
     def leader(self) -> str | None:
@@ -246,20 +259,20 @@
         base = len(self.chain) if base is None else base
         op = Op("put", self.now, base, name or f"c{len(self.ops)}")
         self.ops.append(op)
-        self._feed(self.nodes[ip], self.nodes[ip].life, Submit(op, (base, op.name)))
+        self._feed(self.nodes[ip], self.nodes[ip].life, CommandSubmitted(op, (base, op.name)))
         return op
 
     def read(self, ip: str) -> Op:
         op = Op("read", self.now)
         self.ops.append(op)
-        self._feed(self.nodes[ip], self.nodes[ip].life, Read(op))
+        self._feed(self.nodes[ip], self.nodes[ip].life, ReadRequested(op))
         return op
 
     def order(self, do: str, which: str) -> Op:
         """A change of members, ordered at the leader."""
         op, ip = Op("members", self.now), self.leader() or self.ips[0]
         self.ops.append(op)
-        self._feed(self.nodes[ip], self.nodes[ip].life, Submit(op, Membership(do, which)))
+        self._feed(self.nodes[ip], self.nodes[ip].life, CommandSubmitted(op, MembershipCommand(do, which)))
         return op
 
     # ---- the shell's part
@@ -270,7 +283,7 @@
         if node.life != life or node.member is None:
             return
         if node.inbox is None:
-            self._feed(node, life, Tick())
+            self._feed(node, life, ClockTicked())
         if node.member is not None:
             wait = node.member.due() - self._clock(node)
             self.later(min(0.15, max(0.01, wait)), lambda: self._tick(node, life))
@@ -286,19 +299,19 @@
     def _do(self, node: Node, effects: list[Any]) -> None:
         for effect in effects:
             match effect:
-                case Send():
+                case SendRequest():
                     self._send(node, effect)
-                case Reply(ref=Op() as op):
+                case SendReply(ref=Op() as op):
                     self._answer(op, effect.body)
-                case Reply():
+                case SendReply():
                     self._reply(node, effect)
-                case Keep():
+                case PersistState():
                     node.writing = effect
                     done = functools.partial(self._written, node, node.life)
                     self.later(self.chance.uniform(0.002, 0.012) + node.slow_s, done)
-                case Tell(event=events.LEADS) if node.member is not None:
+                case LogEvent(event=events.LEADS) if node.member is not None:
                     self.sworn = self.sworn.led(effect.fields["term"], node.member, node.life)
-                case Gone():
+                case HandoverComplete():
                     self.kill(node.ip)
                     return self.later(0.5, lambda: self.start(node.ip))
         self._check(node)
@@ -309,12 +322,12 @@
             return
         if node.disk_fails:
             self.kill_write(node, keep)
-            return self._feed(node, life, Kept(False))
+            return self._feed(node, life, StatePersisted(False))
         node.writing = None
         node.state, node.vote = keep.state or node.state, keep.vote or node.vote
-        self._feed(node, life, Kept(True))
+        self._feed(node, life, StatePersisted(True))
 
-    def kill_write(self, node: Node, keep: Keep) -> None:
+    def kill_write(self, node: Node, keep: PersistState) -> None:
         node.writing = None
         if keep.state is not None and self.chance.random() < 0.5:
             node.state = keep.state
@@ -332,7 +345,7 @@
         if fate == "double" or self.chance.random() < self.double:
             self.later(self._delay() * 3, action)
 
-    def _send(self, node: Node, send: Send) -> None:
+    def _send(self, node: Node, send: SendRequest) -> None:
         self._calls += 1
         call = (node.ip, node.life, self._calls)
         sent_at = self._clock(node)
@@ -341,7 +354,7 @@
         other = self.nodes[send.peer]
 
         def arrive() -> None:
-            self._feed(other, other.life, Called(ref, send.method, send.body))
+            self._feed(other, other.life, RequestReceived(ref, send.method, send.body))
 
         def over() -> None:
             if call in self._open:
@@ -351,12 +364,14 @@
                     if other.member
                     else Failure(FailureReason.UNREACHABLE)
                 )
-                self._feed(node, call[1], Answered(send.peer, send.method, sent_at, send.context, fault))
+                self._feed(
+                    node, call[1], ResponseReceived(send.peer, send.method, sent_at, send.context, fault)
+                )
 
         self._carry(node.ip, send.peer, send.method, arrive)
-        self.later(CALL_S, over)
+        self.later(CALL_TIMEOUT_SECONDS, over)
 
-    def _reply(self, node: Node, reply: Reply) -> None:
+    def _reply(self, node: Node, reply: SendReply) -> None:
         call, send, sent_at = reply.ref
         asked = send.method == "request_vote" and not send.body[4]
         if asked and isinstance(reply.body, list) and reply.body[1]:
@@ -366,7 +381,7 @@
         def arrive() -> None:
             if call in self._open:
                 self._open.discard(call)
-                answered = Answered(send.peer, send.method, sent_at, send.context, reply.body)
+                answered = ResponseReceived(send.peer, send.method, sent_at, send.context, reply.body)
                 self._feed(caller, call[1], answered)
 
         self._carry(node.ip, call[0], "answer", arrive)
@@ -375,7 +390,7 @@
         if op.answer is not None:
             raise AssertionError("answered twice")
         op.ended = self.now
-        op.answer = history_of(body) if isinstance(body, State) else body
+        op.answer = history_of(body) if isinstance(body, Snapshot) else body
 
     # ---- the invariants
     def _check(self, node: Node) -> None:
--- a/ashlift/simulation/moves.py
+++ b/ashlift/simulation/moves.py
@@ -11,24 +11,24 @@
 from attrs import define, evolve, field
 
 from ashlift.configstore import events
-from ashlift.configstore.membership import LEARNERS, Membership
+from ashlift.configstore.membership import LEARNER_PREFIX, MembershipCommand
 from ashlift.configstore.messages import (
-    CALL_S,
-    Answered,
-    Called,
-    Fence,
-    Gone,
-    Keep,
-    Kept,
-    Read,
-    Reply,
-    Send,
-    State,
-    Submit,
-    Tell,
-    Tick,
+    CALL_TIMEOUT_SECONDS,
+    ClockTicked,
+    CommandSubmitted,
+    FencingToken,
+    HandoverComplete,
+    LogEvent,
+    PersistState,
+    ReadRequested,
+    RequestReceived,
+    ResponseReceived,
+    SendReply,
+    SendRequest,
+    Snapshot,
+    StatePersisted,
 )
-from ashlift.configstore.replica import Member
+from ashlift.configstore.replica import Replica
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation.cell import Asked, Cell, Draw, Kind, Mail, Place, Rules, forked
 from ashlift.simulation.linear import STALE, TAKEN, Call, Change, items, unexplained
@@ -43,7 +43,7 @@
 HELD_S = PATIENCE_S + 0.1  # a held call arrives so late
 AGREE_S = 8.0  # within this, once nothing befalls anybody any more, all is well again
 AGREE: Final = ("agree", "settled")  # the last of a script: a change is taken, and read back
-LATE_S: Final = {"behind": 0.002, "later": 0.3, "too late": CALL_S + 0.1}
+LATE_S: Final = {"behind": 0.002, "later": 0.3, "too late": CALL_TIMEOUT_SECONDS + 0.1}
 FATES: Final = ("refused", "missing", "half", "there")  # of a write; all but the first: the process is gone
 
 
@@ -57,7 +57,7 @@
     while not rules.first and not _ready(cell):
         cell = _on(cell)
     for ip in ips[len(ips) - rules.held :]:
-        cell = Work(cell).order(Membership("remove", ip)).done()
+        cell = Work(cell).order(MembershipCommand("remove", ip)).done()
         while not _held(cell, ip):
             cell = _on(cell)
     if rules.free:
@@ -95,7 +95,7 @@
         return False
     known = {one.member.news.term_index for one in cell.places.values() if one.member}
     held = {one.state.term_index for one in cell.places.values() if one.state}
-    return len(known) == 1 and known == held and LEARNERS + ip in member.state.entries.map
+    return len(known) == 1 and known == held and LEARNER_PREFIX + ip in member.state.entries.map
 
 
 def coming(cell: Cell) -> Mail | str:
@@ -109,7 +109,7 @@
 
 
 def steps(cell: Cell) -> Iterator[Step]:
-    """All that may happen next, told and with what comes of it. Raises Wrong or Broken."""
+    """All that may happen next, told and with what comes of it. Raises Wrong or InvariantError."""
     if cell.rules.free:
         yield from _any(cell)
     else:
@@ -204,7 +204,7 @@
     cell: Cell
     fails: int = -1  # which write meets its fate
     fate: str = ""
-    kept: list[Keep] = field(factory=list)
+    kept: list[PersistState] = field(factory=list)
     places: dict[str, Place] = field(factory=dict)
     mail: list[Mail] = field(factory=list)
     calls: dict[int, Call] = field(factory=dict)
@@ -254,7 +254,7 @@
             self.now = max(self.now, self.places[what].due())
             self._member(what)
             self._put(what, woken=self.now)
-            return self._feed(what, Tick())
+            return self._feed(what, ClockTicked())
         self.mail.remove(what)
         if not self.cell.rules.free:
             self.now = max(self.now, what.due)
@@ -265,11 +265,11 @@
             return self._feed(what.to, what.body)
         number, _, life, method, sent_at, context = what.ref
         if what.kind == "call":
-            return self._feed(what.to, Called(what.ref, method, what.body))
+            return self._feed(what.to, RequestReceived(what.ref, method, what.body))
         if number in self.open and place.life == life:
             self.open.discard(number)
             self.mail = [one for one in self.mail if one.kind != "over" or one.ref[0] != number]
-            self._feed(what.to, Answered(what.ref[-1][0], method, sent_at, context[1], what.body))
+            self._feed(what.to, ResponseReceived(what.ref[-1][0], method, sent_at, context[1], what.body))
 
     def start(self, ip: str, bootstrap: bool = False) -> None:
         place, rules, ips = self.places[ip], self.cell.rules, list(self.places)
@@ -277,7 +277,7 @@
             return
         seeds = ips[-rules.seeds :] if rules.turned and not bootstrap else ips[: rules.seeds]
         draw = Draw(int(ip), place.life + 1)
-        member = Member(ip, seeds, bootstrap, place.vote, place.state, decide, draw)
+        member = Replica(ip, seeds, bootstrap, place.vote, place.state, decide, draw)
         self._put(ip, member=member, life=place.life + 1)
         self._do(ip, member, member.begin(self.now))
 
@@ -305,7 +305,7 @@
         member = self._member(ip)
         assert member is not None
         member.deadline = self.now
-        self._feed(ip, Tick())
+        self._feed(ip, ClockTicked())
         return self
 
     # ---- the shell's part
@@ -319,7 +319,7 @@
         self.mail.append(Mail(max(due, place.frozen), order, kind, to, ref, body))
         self.count += 1
 
-    def _member(self, ip: str) -> Member | None:
+    def _member(self, ip: str) -> Replica | None:
         """The process there, to be changed."""
         if ip not in self.touched and self.places[ip].member is not None:
             self._put(ip, member=forked(self.places[ip].member, {}))
@@ -330,7 +330,7 @@
         if member is not None:
             self._do(ip, member, member.handle(self.now, event))
 
-    def _do(self, ip: str, member: Member, effects: list[Any]) -> None:
+    def _do(self, ip: str, member: Replica, effects: list[Any]) -> None:
         todo = deque(effects)
         while todo:
             if member.lead is not None:  # before a write that it may not outlive
@@ -338,18 +338,20 @@
                 self.sworn = self.sworn.counted(member, disks)
             effect = todo.popleft()
             match effect:
-                case Send():
+                case SendRequest():
                     to = effect.peer, effect.context
                     ref = (self.count, ip, self.places[ip].life, effect.method, self.now, to)
                     self.open.add(self.count)
                     if not self.cell.rules.free:  # where nothing is known of time, nobody gives up
-                        self.post("over", ip, ref, CALL_S, Failure(FailureReason.OUTCOME_UNKNOWN))
+                        self.post(
+                            "over", ip, ref, CALL_TIMEOUT_SECONDS, Failure(FailureReason.OUTCOME_UNKNOWN)
+                        )
                     self.post("call", effect.peer, ref, TRIP_S, effect.body)
-                case Reply(ref=int() as number):
+                case SendReply(ref=int() as number):
                     self._told(number, effect.body)
-                case Reply():
+                case SendReply():
                     self._answer(ip, effect)
-                case Keep():
+                case PersistState():
                     self.kept.append(effect)
                     fate = self.fate if len(self.kept) - 1 == self.fails else "kept"
                     if effect.state is not None and fate in ("kept", "half", "there"):
@@ -359,15 +361,15 @@
                     if fate in FATES[1:]:
                         self.kill(ip)
                         return
-                    todo.extend(member.handle(self.now, Kept(fate == "kept")))
-                case Tell(event=events.LEADS):
+                    todo.extend(member.handle(self.now, StatePersisted(fate == "kept")))
+                case LogEvent(event=events.LEADS):
                     self.sworn = self.sworn.led(effect.fields["term"], member, self.places[ip].life)
-                case Gone():
+                case HandoverComplete():
                     self.kill(ip)
                     return
         self.sworn = self.sworn.seen(self.now, member, 0.0, self.places[ip].vote)
 
-    def _answer(self, ip: str, reply: Reply) -> None:
+    def _answer(self, ip: str, reply: SendReply) -> None:
         number, caller, _, method, _, (_, context) = reply.ref
         if method == "request_vote" and not context[1] and isinstance(reply.body, list) and reply.body[1]:
             place = self.places[ip]
@@ -400,24 +402,24 @@
             base, names = made[-1].base, [name for _, name in made[-1].set if isinstance(name, str)]
         self.asked_at, self.line, self.heard = self.now, self.count, False
         if word in ("add", "remove", "replace"):
-            return self.order(Membership(word, rest[0]))
+            return self.order(MembershipCommand(word, rest[0]))
         for ip in [ip for ip, one in self.places.items() if one.leads()]:
             if word in ("read", "settled"):
-                self._call(ip, None, Read)
+                self._call(ip, None, ReadRequested)
                 continue
             if word in ("zone", "held"):
                 self._zone(ip, rest[0], word == "held")
                 continue
             for name in names:
                 change = Change(base, base + 1, items({str(base): name}), frozenset())
-                self._call(ip, change, lambda ref, name=name: Submit(ref, (base, name)))  # type: ignore[misc]
+                self._call(ip, change, lambda ref, name=name: CommandSubmitted(ref, (base, name)))  # type: ignore[misc]
         return self
 
-    def order(self, order: Membership) -> "Work":
+    def order(self, order: MembershipCommand) -> "Work":
         """A change of members, ordered of every member that believes that it leads."""
         for ip in [ip for ip, one in self.places.items() if one.leads()]:
             to = ip if order.ip == "leader" else order.ip
-            self._call(ip, None, lambda ref, to=to: Submit(ref, order._replace(ip=to)))  # type: ignore[misc]
+            self._call(ip, None, lambda ref, to=to: CommandSubmitted(ref, order._replace(ip=to)))  # type: ignore[misc]
         return self
 
     def _zone(self, ip: str, name: str, held: bool) -> None:
@@ -430,7 +432,9 @@
         self.asking.append((number, None, begun))
         until = begun + 0.5 if held else float("inf")
         self.calls[number] = Call(begun, float("inf"), zone=(ZONE, name == "+"), until=until)
-        order = Submit(number, (0, name), Fence(*member.round_known(), member.news.index, LEFT_S))
+        order = CommandSubmitted(
+            number, (0, name), FencingToken(*member.round_known(), member.news.index, LEFT_S)
+        )
         if held or self.places[ip].frozen > self.now:
             self.post("ask", ip, None, HELD_S if held else 0.0, order)
         else:
@@ -458,7 +462,7 @@
         now = float(self.moments)
         self.moments += 1
         good = False
-        if isinstance(body, State):
+        if isinstance(body, Snapshot):
             history = history_of(body)
             held = items({str(at): name for at, name in enumerate(history)})
             zones = frozenset([ZONE]) if body.entries.map.get(ZONE) else frozenset[str]()
--- a/ashlift/simulation/recording.py
+++ b/ashlift/simulation/recording.py
@@ -24,7 +24,7 @@
 import cbor2
 from attrs import define
 
-from ashlift.configstore.messages import State, Vote
+from ashlift.configstore.messages import PersistentVote, Snapshot
 from ashlift.configstore.pending_edits import NAME as EDITS
 from ashlift.errors import Failure
 from ashlift.simulation import chance, worst
@@ -136,8 +136,14 @@
         """What an agreement member's disk holds now: its vote, and of its map the term, index and digest."""
         disk = process.machine.disk
         vote, state = disk.get("vote"), disk.get("state")
-        held = [*state.term_index, state.entries.digest()] if isinstance(state, State) else None
-        self.add("disks", process.loop.now, process.name, [*vote] if isinstance(vote, Vote) else None, held)
+        held = [*state.term_index, state.entries.digest()] if isinstance(state, Snapshot) else None
+        self.add(
+            "disks",
+            process.loop.now,
+            process.name,
+            [*vote] if isinstance(vote, PersistentVote) else None,
+            held,
+        )
 
     # ---- what is known once it has ended
     def ended(self, play: Play, sound: bool) -> None:
--- a/ashlift/simulation/store.py
+++ b/ashlift/simulation/store.py
@@ -6,23 +6,23 @@
 
 from ashlift.configstore.commands import decide, read_fence
 from ashlift.configstore.messages import (
-    CALL_S,
-    Answered,
-    Called,
+    CALL_TIMEOUT_SECONDS,
+    ClockTicked,
+    CommandSubmitted,
     Effect,
-    Gone,
-    Keep,
-    Kept,
-    Leave,
-    Read,
-    Reply,
-    Send,
-    State,
-    Submit,
-    Tick,
+    HandoverComplete,
+    PersistState,
+    ReadRequested,
+    RequestReceived,
+    ResponseReceived,
+    SendReply,
+    SendRequest,
+    ShutdownRequested,
+    Snapshot,
+    StatePersisted,
 )
 from ashlift.configstore.pending_edits import NAME, Drafts
-from ashlift.configstore.replica import Member
+from ashlift.configstore.replica import Replica
 from ashlift.configstore.server import (
     MERGE_S,
     ORDER_S,
@@ -66,8 +66,8 @@
         super().__init__(loop, net, machine, KIND)
         self.seeds = seeds
         self.bootstrap = True
-        self.member: Member | None = None
-        self.writing: Keep | None = None
+        self.member: Replica | None = None
+        self.writing: PersistState | None = None
         self._held: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # until the write is done
         calls = ("request_vote", "append", "join", "succeed")
         self.handlers = {method: self._handler(method) for method in calls}
@@ -77,7 +77,7 @@
     def begin(self) -> None:
         disk = self.machine.disk
         vote, state = disk.get("vote"), disk.get("state")
-        self.member = Member(
+        self.member = Replica(
             self.name, sorted(self.seeds()), self.bootstrap, vote, state, decide, self.loop.chance
         )
         self.bootstrap = False
@@ -109,14 +109,14 @@
             super().do(action, args)
 
     def leave(self) -> None:
-        self._feed(Leave())
+        self._feed(ShutdownRequested())
 
     def _tick(self) -> None:
         member = self.member
         if member is None:
             return
         if self.clock() >= member.due():
-            self._feed(Tick())
+            self._feed(ClockTicked())
         self.later(min(STEP_S, max(0.01, member.due() - self.clock())), self._tick)
 
     def _feed(self, event: Any) -> None:
@@ -138,14 +138,14 @@
 
     def _effect(self, effect: Effect) -> None:
         match effect:
-            case Send():  # this and answers leave once all effects are done, a write too
+            case SendRequest():  # this and answers leave once all effects are done, a write too
                 self.later(0.0, self.spawn, self._send(effect, self.clock()))
-            case Reply():
+            case SendReply():
                 self.later(0.0, effect.ref.set, effect.body)
-            case Keep():
+            case PersistState():
                 self.writing = effect
                 self.later(self.loop.chance.uniform(*SYNC_S) + self.machine.disk_s, self._kept)
-            case Gone():
+            case HandoverComplete():
                 self.kill()
 
     def _kept(self) -> None:
@@ -161,17 +161,17 @@
                 machine.disk["vote"] = keep.vote
         simulated(self.net).observer.stored(self)
         held, self._held, life = self._held, [], self.life
-        self._feed(Kept(not machine.disk_refuses))
+        self._feed(StatePersisted(not machine.disk_refuses))
         for action, args in held:
             if self.life == life:
                 self.do(action, args)
 
-    def _send(self, send: Send, sent_at: float) -> Steps:
-        body = yield self.call(send.peer, KIND, send.method, send.body, CALL_S)
-        self._feed(Answered(send.peer, send.method, sent_at, send.context, body))
+    def _send(self, send: SendRequest, sent_at: float) -> Steps:
+        body = yield self.call(send.peer, KIND, send.method, send.body, CALL_TIMEOUT_SECONDS)
+        self._feed(ResponseReceived(send.peer, send.method, sent_at, send.context, body))
 
     def _handler(self, method: str) -> Callable[[Any], Any]:
-        return lambda body: self._ask(lambda ref: Called(ref, method, body), CALL_S)
+        return lambda body: self._ask(lambda ref: RequestReceived(ref, method, body), CALL_TIMEOUT_SECONDS)
 
     def _ask(self, event: Callable[[Any], Any], timeout: float) -> Steps:
         ref = Future()
@@ -184,12 +184,12 @@
         fence = read_fence(body)
         if isinstance(fence, Failure):
             return fence
-        found = yield from self._led("submit", body, lambda ref: Submit(ref, body, fence), ORDER_S)
+        found = yield from self._led("submit", body, lambda ref: CommandSubmitted(ref, body, fence), ORDER_S)
         return found
 
     def read(self, body: Any) -> Steps:
-        found = yield from self._led("read", body, Read, READ_S)
-        if not isinstance(found, State):
+        found = yield from self._led("read", body, ReadRequested, READ_S)
+        if not isinstance(found, Snapshot):
             return found
         map = dict(found.entries.map)
         return {"version": map.get("Version"), "objects": map}
--- a/ashlift/simulation/sworn.py
+++ b/ashlift/simulation/sworn.py
@@ -8,9 +8,9 @@
 
 from attrs import evolve, frozen
 
-from ashlift.configstore.membership import MEMBERS, life_fits, named, quorum
-from ashlift.configstore.messages import Settled, State, TermIndex, Vote, Work
-from ashlift.configstore.replica import Member
+from ashlift.configstore.membership import VOTER_PREFIX, addresses_under, incarnation_matches, quorum
+from ashlift.configstore.messages import PersistentVote, Proposal, ReadOnlyResult, Snapshot, TermIndex
+from ashlift.configstore.replica import Replica
 
 ZONE = "zone"
 
@@ -19,23 +19,25 @@
     """An invariant does not hold."""
 
 
-def decide(current: Any, order: Any) -> Work | Settled:
+def decide(current: Any, order: Any) -> Proposal | ReadOnlyResult:
     """An order `(base, name)`: goes on top of exactly `base` changes; the map keeps the whole history. `+`
     and `-` evacuate the one zone and take that back, whatever there is."""
     base, name = order
     if name in ("+", "-"):
         on = name == "+"
         same = current.get(ZONE, False) == on
-        return Settled({"status": 200}) if same else Work({ZONE: on}, [], {"status": 200}, (ZONE,))
+        return ReadOnlyResult({"status": 200}) if same else Proposal({ZONE: on}, [], {"status": 200}, (ZONE,))
     history = current.get("history", [])
     if name in history:
-        return Settled({"status": 200})
+        return ReadOnlyResult({"status": 200})
     if base != len(history):
-        return Settled({"status": 412})
-    return Work({"history": [*history, name], f"k{base % 5}": name}, [f"k{(base + 2) % 5}"], {"status": 200})
+        return ReadOnlyResult({"status": 412})
+    return Proposal(
+        {"history": [*history, name], f"k{base % 5}": name}, [f"k{(base + 2) % 5}"], {"status": 200}
+    )
 
 
-def history_of(state: State) -> list[str]:
+def history_of(state: Snapshot) -> list[str]:
     return list(state.entries.map.get("history", []))
 
 
@@ -47,19 +49,22 @@
     known_at: tuple[float, ...] = ()  # when each of its changes was first committed anywhere
     config: tuple[TermIndex, tuple[str, ...]] = ((0, 0), ())  # the newest committed map, and who votes by it
 
-    def led(self, term: int, member: Member, life: int) -> "Sworn":
+    def led(self, term: int, member: Replica, life: int) -> "Sworn":
         """I1, M3. A life of a process leads a term."""
         ip, map = member.me, member.state.entries.map
         yes = {(who, disk) for who, _, at, whom, disk in self.votes if (at, whom) == (term, ip)}
         yes.add((ip, member.vote.life))
-        voters, votes = named(map, MEMBERS), {who for who, disk in yes if life_fits(map, who, disk)}
+        voters, votes = (
+            addresses_under(map, VOTER_PREFIX),
+            {who for who, disk in yes if incarnation_matches(map, who, disk)},
+        )
         if len(votes) < quorum(len(voters)):
             raise Wrong(f"M3: {ip} is elected in term {term} by {sorted(votes)} of {voters}")
         if any(one[0] == term and one[1:] != (ip, life) for one in self.leaders):
             raise Wrong(f"I1: two leaders in term {term}: {sorted(self.leaders)}")
         return evolve(self, leaders=self.leaders | {(term, ip, life)})
 
-    def voted(self, ip: str, disk: int, term: int, candidate: str, held: Vote | None) -> "Sworn":
+    def voted(self, ip: str, disk: int, term: int, candidate: str, held: PersistentVote | None) -> "Sworn":
         """I2. It says yes to a candidate, with this on its disk."""
         if any(one[:3] == (ip, disk, term) and one[3] != candidate for one in self.votes):
             raise Wrong(f"I2: {ip} votes a second time in term {term}")
@@ -67,11 +72,13 @@
             raise Wrong(f"I2: the vote of {ip} in term {term} is not durable")
         return evolve(self, votes=self.votes | {(ip, disk, term, candidate, held.life)})
 
-    def seen(self, now: float, member: Member, offset: float, held: Vote | None) -> "Sworn":
+    def seen(self, now: float, member: Replica, offset: float, held: PersistentVote | None) -> "Sworn":
         """I3, I7, I8. After each event of a member; its clock is `now + offset`, `held` is on its disk."""
         if member.lead and not (member.vote.voter and held is not None and held.voter):
             raise Wrong(f"I8: {member.me} leads, and is a learner")
-        if member.lead and not life_fits(member.lead.naming.entries.map, member.me, member.vote.life):
+        if member.lead and not incarnation_matches(
+            member.lead.naming.entries.map, member.me, member.vote.life
+        ):
             raise Wrong(f"M4: {member.me} leads, and is no voter")
         history, sworn = tuple(history_of(member.news.state)), self
         shorter = min(len(history), len(self.chain))
@@ -86,13 +93,15 @@
             raise Wrong(f"I7: {member.me} is proven current at {proof:.3f} with {len(history)} of {due}")
         return sworn
 
-    def counted(self, member: Member, disks: Iterable[tuple[str, Vote | None, State | None]]) -> "Sworn":
+    def counted(
+        self, member: Replica, disks: Iterable[tuple[str, PersistentVote | None, Snapshot | None]]
+    ) -> "Sworn":
         """M1, M2. After each event of a member that leads, with what all disks hold then."""
         known = member.news.state
         if member.lead is None or known.term_index <= self.config[0]:
             return self
         map, before = known.entries.map, self.config[1]
-        voters = tuple(named(map, MEMBERS))
+        voters = tuple(addresses_under(map, VOTER_PREFIX))
         if before and len({*voters} ^ {*before}) > 1:
             raise Wrong(f"M1: {voters} vote after {before}")
         if min(len(before), 2) > len(voters):
@@ -105,9 +114,13 @@
 
 
 def _counts(
-    map: Mapping[str, Any], ip: str, vote: Vote | None, state: State | None, term_index: TermIndex
+    map: Mapping[str, Any],
+    ip: str,
+    vote: PersistentVote | None,
+    state: Snapshot | None,
+    term_index: TermIndex,
 ) -> bool:
     """Whether a voter's disk holds a committed map; one that was lost after its yes may stand for it."""
     if vote is None or not vote.voter:
         return True
-    return life_fits(map, ip, vote.life) and state is not None and state.term_index >= term_index
+    return incarnation_matches(map, ip, vote.life) and state is not None and state.term_index >= term_index
--- a/ashlift/simulation/turnover.py
+++ b/ashlift/simulation/turnover.py
@@ -4,8 +4,8 @@
 import random
 import time
 
-from ashlift.configstore.membership import LEARNERS, MEMBERS, named
-from ashlift.configstore.replica_state import Broken
+from ashlift.configstore.membership import LEARNER_PREFIX, VOTER_PREFIX, addresses_under
+from ashlift.configstore.replica_state import InvariantError
 from ashlift.simulation.members import World
 from ashlift.simulation.sworn import Wrong
 
@@ -15,7 +15,10 @@
 def turn(world: World, chance: random.Random) -> None:
     """One change of who belongs to the system, by chance."""
     leader, map = world.leader(), world.map()
-    voters, held = named(map, MEMBERS), [ip for ip in named(map, LEARNERS) if map[LEARNERS + ip].get("held")]
+    voters, held = (
+        addresses_under(map, VOTER_PREFIX),
+        [ip for ip in addresses_under(map, LEARNER_PREFIX) if map[LEARNER_PREFIX + ip].get("held")],
+    )
     gone = [ip for ip in world.ips if world.nodes[ip].gone]
     ip = chance.choice(voters)
     match chance.choices(range(7), [5, 1, 3, 2, 2, 2, 2])[0]:
@@ -44,10 +47,12 @@
 def agreed(world: World) -> bool:
     """All machines that are there vote, or were taken off by order; of an even number none is lost."""
     map = world.map()
-    voters = named(map, MEMBERS)
+    voters = addresses_under(map, VOTER_PREFIX)
     lost = [ip for ip in voters if world.nodes[ip].gone]
     there = {ip for ip in world.ips if not world.nodes[ip].gone}
-    asked = {*there} - {ip for ip in named(map, LEARNERS) if map[LEARNERS + ip].get("held")}
+    asked = {*there} - {
+        ip for ip in addresses_under(map, LEARNER_PREFIX) if map[LEARNER_PREFIX + ip].get("held")
+    }
     if any((vote := world.nodes[ip].vote) is None or not vote.voter for ip in asked):
         return False
     return asked <= {*voters} and (len(voters) % 2 == 1 or len(voters) < 4 or not lost)
@@ -134,7 +139,7 @@
         for seed in range(told.first, told.first + told.seeds):
             try:
                 world = mixed(size, seed, turnover=told.turnover)
-            except (Wrong, Broken) as error:
+            except (Wrong, InvariantError) as error:
                 failed += 1
                 print(f"{size} members, seed {seed}: {error}", flush=True)
             else:
--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -18,8 +18,8 @@
 
 from ashlift.config import operator_config as configurations
 from ashlift.config.settings import Bindings, Settings
-from ashlift.configstore.committed_state import News
-from ashlift.configstore.messages import DELTA, Keep, State, Vote
+from ashlift.configstore.committed_state import CommittedState
+from ashlift.configstore.messages import DELTA, PersistentVote, PersistState, Snapshot
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.replica_state import pack as packed_payload
 from ashlift.configstore.replica_storage import ReplicaStorage
@@ -444,10 +444,10 @@
         sum(len(packed_payload([new.packed(number)])) for number in new.filled()),
     )
     out.note("store: largest of 64 ranges, bytes", max(len(new.packed(number)) for number in new.filled()))
-    news = News()
-    news.advance(State((1, 1), entries))
+    news = CommittedState()
+    news.advance(Snapshot((1, 1), entries))
     states = [
-        State((1, 2 + at), entries.changed({"Routes/r00000": {"Host": str(at)}}, ())) for at in range(3)
+        Snapshot((1, 2 + at), entries.changed({"Routes/r00000": {"Host": str(at)}}, ())) for at in range(3)
     ]
     each = iter(states)
     out.ms("store: what changed since, ms", lambda: news.advance(next(each)), 3)
@@ -458,14 +458,14 @@
         disk = ReplicaStorage(folder)
         for number, state in enumerate(
             [
-                State((1, 1), entries),
-                State((1, 2), entries),
-                *[State((1, 3 + at), one.entries) for at, one in enumerate(states)],
+                Snapshot((1, 1), entries),
+                Snapshot((1, 2), entries),
+                *[Snapshot((1, 3 + at), one.entries) for at, one in enumerate(states)],
             ]
         ):
             name = "store: map to disk, first, ms" if number < 2 else "store: a change to disk, ms"
             began, steady = time.process_time(), time.monotonic()
-            assert disk.persist(Keep(Vote(1, None, True), state)) is None
+            assert disk.persist(PersistState(PersistentVote(1, None, True), state)) is None
             out.note(name, 1000 * (time.process_time() - began))
             out.note(f"{name[:-4]}, ms by the clock", 1000 * (time.monotonic() - steady))
         out.note(
--- a/tests/cli/test_tenants.py
+++ b/tests/cli/test_tenants.py
@@ -14,7 +14,7 @@
 from ashlift.cli.commands import application
 from ashlift.config.operator_config import whole
 from ashlift.configstore.commands import decide
-from ashlift.configstore.messages import Work
+from ashlift.configstore.messages import Proposal
 from ashlift.errors import Failure, FailureReason
 from tests.config.test_operator_config import PUT
 
@@ -38,7 +38,7 @@
 
     def order(self, kind: str, if_match: str, body: Any) -> Any:
         found = decide(self.map, {"kind": kind, "if_match": if_match, "body": body})
-        if isinstance(found, Work):
+        if isinstance(found, Proposal):
             self.map = {key: value for key, value in self.map.items() if key not in found.gone} | found.set
             self.index += 1
         return found.answer
--- a/tests/configstore/test_catch_up.py
+++ b/tests/configstore/test_catch_up.py
@@ -6,23 +6,23 @@
 from ward import each, test
 
 from ashlift.configstore import change_log as kept
-from ashlift.configstore.catch_up import Copy, Mending
-from ashlift.configstore.change_log import Changes
-from ashlift.configstore.committed_state import News
+from ashlift.configstore.catch_up import CatchUp, ReplicaProgress
+from ashlift.configstore.change_log import ChangeLog
+from ashlift.configstore.committed_state import CommittedState
 from ashlift.configstore.messages import (
-    CHUNK,
     DELTA,
     LEARNER,
     PARTS,
+    PAYLOAD_CHUNK_BYTES,
     PROMOTE,
     RANGES,
     YES,
-    Answered,
-    Called,
-    State,
-    Submit,
+    CommandSubmitted,
+    PersistentVote,
+    RequestReceived,
+    ResponseReceived,
+    Snapshot,
     TermIndex,
-    Vote,
 )
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.replica_state import unpack
@@ -43,9 +43,9 @@
     return entries.changed({key: chance.choice([1, 1.0, True, 2]) for key in keys if key not in gone}, gone)
 
 
-def walk(chance: random.Random, steps: int) -> tuple[Changes, dict[TermIndex, RangedMap]]:
+def walk(chance: random.Random, steps: int) -> tuple[ChangeLog, dict[TermIndex, RangedMap]]:
     """States as a member accepts them: one by one, in jumps, and back where a leader undoes some."""
-    changes, held, entries, term, index = Changes(), dict[TermIndex, RangedMap](), RangedMap(), 1, 0
+    changes, held, entries, term, index = ChangeLog(), dict[TermIndex, RangedMap](), RangedMap(), 1, 0
     for _ in range(steps):
         step = chance.choice([1, 1, 1, 1, 5, -1])
         if step != 1:
@@ -78,8 +78,8 @@
 
 @test("changes: what is kept is bounded, and who asks for more than that is told so")
 def _() -> None:
-    changes, entries, sizes = Changes(), RangedMap(), []
-    most, kept.GONE_MOST = kept.GONE_MOST, 50
+    changes, entries, sizes = ChangeLog(), RangedMap(), []
+    most, kept.MAX_DELETED_KEYS = kept.MAX_DELETED_KEYS, 50
     try:
         for number in range(1, 1000):  # each change lets one key go, as those of `Taken/` do
             gone = [f"Taken/{number - 8}"] if number > 8 else []
@@ -87,30 +87,30 @@
             changes.advance((1 + number // 300, number), entries)
             sizes.append(len(changes))
     finally:
-        kept.GONE_MOST = most
+        kept.MAX_DELETED_KEYS = most
     assert max(sizes) <= 2 * 50 + 12 + 3 * 4, max(sizes)
     assert changes.at((4, 960)) and changes.exact(960) and changes.at((4, 940)) is None
     assert changes.exact(940) is None and changes.exact(5) is None
-    for term in range(10, 10 + 2 * kept.RUNS_MOST):  # another leader for each change
+    for term in range(10, 10 + 2 * kept.MAX_RUNS):  # another leader for each change
         changes.advance((term, 1000 + term), entries)
-    assert len(changes) <= 120 + 3 * kept.RUNS_MOST and changes.at((11, 1011)) is None
+    assert len(changes) <= 120 + 3 * kept.MAX_RUNS and changes.at((11, 1011)) is None
 
 
 @test("news: who has an index that was passed over is told everything: a key may have changed, and back")
 def _() -> None:
-    news, entries = News(), RangedMap({"a": 1, "b": 1})
+    news, entries = CommittedState(), RangedMap({"a": 1, "b": 1})
     for index, value in ((4, 1), (5, 2), (7, 2), (8, 3)):  # at 6, known to others, b was 9
-        news.advance(State((1, index), entries := entries.changed({"a": value, "c": index}, [])))
+        news.advance(Snapshot((1, index), entries := entries.changed({"a": value, "c": index}, [])))
     assert [news.since(have)["full"] for have in (3, 4, 5, 6, 7)] == [True, False, False, True, False]
     assert news.since(5)["set"] == {"a": 3, "c": 8} and news.since(6)["set"] == {"a": 3, "b": 1, "c": 8}
-    news.advance(State((2, 9), entries))
+    news.advance(Snapshot((2, 9), entries))
     assert not news.since(8)["full"] and news.since(8)["set"] == {}
 
 
 class Other:
-    """The other end of `Mending`: a member's copy, as `ashlift.configstore.replica` goes on by payloads."""
+    """The other end of `CatchUp`: a member's copy, as `ashlift.configstore.replica` goes on by payloads."""
 
-    def __init__(self, state: State) -> None:
+    def __init__(self, state: Snapshot) -> None:
         self.state, self.staged = state, state.entries
         self.bytes = self.calls = 0
 
@@ -126,7 +126,7 @@
             sets, gone = rest[1:3] if kind == PARTS else ({}, [])
             made = self.staged = self.staged.replaced(rest[0]).changed(sets, gone)
         if made.digest() == rest[-1]:
-            self.state, self.staged = State(named, made), made
+            self.state, self.staged = Snapshot(named, made), made
 
 
 def wide(chance: random.Random, many: int, size: int) -> dict[str, Any]:
@@ -141,31 +141,31 @@
 ) -> None:
     chance = random.Random(away)
     base = RangedMap(wide(chance, many, 300))
-    seat, index = Changes(), 1
+    seat, index = ChangeLog(), 1
     seat.advance((1, 1), base)
     entries = base
 
-    def change() -> State:
+    def change() -> Snapshot:
         nonlocal entries, index
         index += 1
         value = {"text": chance.randbytes(150).hex()}
         entries = entries.changed({f"Routes/{chance.randrange(many)}": value, "Version": index}, [])
         seat.advance((1, index), entries)
-        return State((1, index), entries)
+        return Snapshot((1, index), entries)
 
     for _ in range(away):
         change()
-    newest = State((1, index), entries)
-    start = State((0, 9), base) if "not known" in what else State((1, 1), base)
-    other = Other(State((0, 0), RangedMap()) if what == "nothing held" else start)
-    mending, copy = Mending(seat), Copy(other.state.term_index)
+    newest = Snapshot((1, index), entries)
+    start = Snapshot((0, 9), base) if "not known" in what else Snapshot((1, 1), base)
+    other = Other(Snapshot((0, 0), RangedMap()) if what == "nothing held" else start)
+    mending, copy = CatchUp(seat), ReplicaProgress(other.state.term_index)
     digests = None
     calls = 0
     while calls < 200:
         calls += 1
         payload = mending.next(copy, newest, digests)
         if isinstance(payload, bytes):
-            assert len(payload) < 2 * CHUNK, len(payload)
+            assert len(payload) < 2 * PAYLOAD_CHUNK_BYTES, len(payload)
             other.take(payload, newest.term_index)
         if other.state.term_index == newest.term_index:
             break
@@ -177,20 +177,20 @@
     differing = (away + 2 * calls) * 340
     whole = many * 340
     assert other.bytes < (1.2 * differing + 2000 if what == "its state is known" else 1.4 * whole)
-    assert other.calls <= 3 + (differing if what == "its state is known" else whole) // CHUNK
+    assert other.calls <= 3 + (differing if what == "its state is known" else whole) // PAYLOAD_CHUNK_BYTES
 
 
 def ends_after(most: int) -> int:
     """Calls until a copy is level of which nothing is known, and which loses what it was sent after a few."""
     chance = random.Random(1)
-    seat, entries = Changes(), RangedMap(wide(chance, 600, 900))
+    seat, entries = ChangeLog(), RangedMap(wide(chance, 600, 900))
     seat.advance((1, 1), entries)
-    other, mending = Other(State((0, 0), RangedMap())), Mending(seat)
-    copy = Copy(None)
+    other, mending = Other(Snapshot((0, 0), RangedMap())), CatchUp(seat)
+    copy = ReplicaProgress(None)
     for number in range(2, most):
         entries = entries.changed({"Routes/1": number}, [])
         seat.advance((1, number), entries)
-        newest = State((1, number), entries)
+        newest = Snapshot((1, number), entries)
         payload = mending.next(copy, newest, other.staged.digests())
         assert isinstance(payload, bytes)
         other.take(payload, newest.term_index)
@@ -243,20 +243,22 @@
     one = elected()
     first = one.state.term_index[1]
     for peer in "34":
-        feed(one, 2.0, Answered(peer, "append", 2.0, (2, 1, first, True), [2, YES, 5]))
+        feed(one, 2.0, ResponseReceived(peer, "append", 2.0, (2, 1, first, True), [2, YES, 5]))
 
     def heard(held: int) -> list[Any]:
         body = [2, LEARNER, 6, 77, held == first, None, [2, held]]
-        return feed(one, 2.1, Answered("2", "append", 2.1, (2, 9, held, True), body))
+        return feed(one, 2.1, ResponseReceived("2", "append", 2.1, (2, 9, held, True), body))
 
     heard(first)  # it proposes at once what is to be committed without that life
     for number in range(1, proposed + 1):
         if number > 1:
-            feed(one, 2.1, Submit(f"c{number}", (number - 2, f"c{number}")))
+            feed(one, 2.1, CommandSubmitted(f"c{number}", (number - 2, f"c{number}")))
         assert one.lead is not None and one.lead.naming.term_index == (2, first + number)
         if number <= committed:
             for peer in "34":
-                feed(one, 2.1, Answered(peer, "append", 2.1, (2, 9, first + number, True), [2, YES, 6]))
+                feed(
+                    one, 2.1, ResponseReceived(peer, "append", 2.1, (2, 9, first + number, True), [2, YES, 6])
+                )
     told = heard(first + index_held)
     payloads = [unpack(send.body[7]) for send in sends(told, "append") if isinstance(send.body[7], bytes)]
     return [payload for payload in payloads if payload[0] == PROMOTE]
@@ -277,9 +279,9 @@
 
 def learnt(term: int, index: int, commit: int) -> int:
     """The index known to be committed at a member that holds this, once the leader of term 2 has told one."""
-    state = State((term, index), held().entries)
-    one = member(Vote(term, "2", True), state)
-    feed(one, 5.0, Called("r", "append", [2, "2", 1, 9, commit, 0, 0, None]))
+    state = Snapshot((term, index), held().entries)
+    one = member(PersistentVote(term, "2", True), state)
+    feed(one, 5.0, RequestReceived("r", "append", [2, "2", 1, 9, commit, 0, 0, None]))
     return one.news.index
 
 
--- a/tests/configstore/test_commands.py
+++ b/tests/configstore/test_commands.py
@@ -8,7 +8,7 @@
 
 from ashlift.config.operator_config import digest
 from ashlift.configstore.commands import FORGOTTEN, REFUSED, REFUSED_MOST, TAKEN_MOST, decide
-from ashlift.configstore.messages import Settled, Work
+from ashlift.configstore.messages import Proposal, ReadOnlyResult
 from ashlift.errors import Failure, FailureReason
 from ashlift.registry.http_server import STALL_RECOVERY_SECONDS, STALL_THRESHOLD_SECONDS, StallDetector
 from ashlift.registry.operator_request import HEDGE_DELAY_SECONDS, RETRY_ROUND_DELAY_SECONDS, OperatorRequest
@@ -34,7 +34,7 @@
 
     def ask(self, base: int, body: Map, kind: str = "patch") -> int:
         made = decide(self.map, {"kind": kind, "if_match": f"{base:08x}", "body": body})
-        if isinstance(made, Work):
+        if isinstance(made, Proposal):
             kept = {key: value for key, value in self.map.items() if key not in made.gone}
             self.map = {**kept, **made.set}
         return int(made.answer["status"])
@@ -100,7 +100,7 @@
     for version in ("0000000a", "0000000A", "a"):
         text = written({**body, "ConfigVersion": version}, chance)
         order = {"kind": "patch", "if_match": "1", "body": read_json(text.encode())}
-        assert decide(register.map, order) == Settled({"status": 200}), text
+        assert decide(register.map, order) == ReadOnlyResult({"status": 200}), text
     for other in ({**spec, "Tls": 1}, {**spec, "MaxConnections": 3}, {**spec, "WarmupRateS": 5.5}):
         changed = {**body, "Upsert": {"Objects": [{**one, "Specification": other}]}}
         assert register.ask(1, changed) == 412
@@ -126,9 +126,9 @@
 def _() -> None:
     for kind, map in (("evacuate", {}), ("restore", {"Evacuations/z": True})):
         made = decide(map, {"kind": kind, "if_match": None, "body": "z"})
-        assert isinstance(made, Work) and made.unguarded == ("Evacuations/z",)
+        assert isinstance(made, Proposal) and made.unguarded == ("Evacuations/z",)
     made = decide({}, {"kind": "put", "if_match": "0", "body": FIRST})
-    assert isinstance(made, Work) and not made.unguarded
+    assert isinstance(made, Proposal) and not made.unguarded
 
 
 @test("stores are asked in turn: at once after a refusal, beside a silent one, until one answers: {story}")
--- a/tests/configstore/test_membership.py
+++ b/tests/configstore/test_membership.py
@@ -10,22 +10,30 @@
 
 from ashlift.cli.members import plan
 from ashlift.configstore.membership import (
-    GONE_S,
-    LEARNERS,
-    LOST_S,
-    MEMBERS,
-    MOVE_S,
-    View,
-    borne,
-    named,
-    next_change,
+    LEARNER_PREFIX,
+    REMOVE_VOTER_AFTER_SECONDS,
+    REMOVE_VOTER_PAIR_AFTER_SECONDS,
+    REPLACE_VOTER_AFTER_SECONDS,
+    VOTER_PREFIX,
+    ReplicaView,
+    addresses_under,
+    next_membership_change,
     quorum,
-    refusal,
+    removal_refusal,
+    spare_voters,
+)
+from ashlift.configstore.messages import (
+    ClockTicked,
+    PersistentVote,
+    Proposal,
+    ResponseReceived,
+    SendRequest,
+    Snapshot,
+    StatePersisted,
 )
-from ashlift.configstore.messages import Answered, Kept, Send, State, Tick, Vote, Work
 from ashlift.configstore.ranged_map import RangedMap
-from ashlift.configstore.replica import Member
-from ashlift.configstore.replica_state import Broken
+from ashlift.configstore.replica import Replica
+from ashlift.configstore.replica_state import InvariantError
 from ashlift.errors import Failure
 from ashlift.registry.http_server import HttpRequest
 from ashlift.registry.store_client import StoreClient
@@ -37,7 +45,13 @@
 from tests.support.replica_scenarios import Play, scenes
 
 SCENES = dict(scenes(Path(__file__).parent.parent / "scenarios" / "configstore_members.txt"))
-ABLE, SILENT, MOVED, LOST, GONE = View(0.1, True, 7), View(2.0), View(MOVE_S), View(LOST_S), View(GONE_S)
+ABLE, SILENT, MOVED, LOST, GONE = (
+    ReplicaView(0.1, True, 7),
+    ReplicaView(2.0),
+    ReplicaView(REPLACE_VOTER_AFTER_SECONDS),
+    ReplicaView(REMOVE_VOTER_AFTER_SECONDS),
+    ReplicaView(REMOVE_VOTER_PAIR_AFTER_SECONDS),
+)
 
 
 @test("members scene: {scene}")
@@ -48,7 +62,7 @@
             play.line(line)
 
 
-def after(map: dict[str, Any], change: Work) -> dict[str, Any]:
+def after(map: dict[str, Any], change: Proposal) -> dict[str, Any]:
     return {key: value for key, value in {**map, **change.set}.items() if key not in change.gone}
 
 
@@ -58,24 +72,26 @@
     for count, learners, tolerated in itertools.product(range(2, 8), range(3), (1, 2)):
         for others in itertools.combinations_with_replacement((ABLE, SILENT, MOVED, LOST, GONE), count - 1):
             views = {str(number): view for number, view in enumerate([ABLE, *others])}
-            map: dict[str, Any] = {MEMBERS + ip: {} for ip in views}
+            map: dict[str, Any] = {VOTER_PREFIX + ip: {} for ip in views}
             for number in range(learners):
-                map[f"{LEARNERS}x{number}"], views[f"x{number}"] = {"life": 7}, ABLE
+                map[f"{LEARNER_PREFIX}x{number}"], views[f"x{number}"] = {"life": 7}, ABLE
             for _ in range(12):
-                voters = named(map, MEMBERS)
-                change = next_change(map, "0", {}, views, tolerated)
+                voters = addresses_under(map, VOTER_PREFIX)
+                change = next_membership_change(map, "0", {}, views, tolerated)
                 if change is None:
                     break
                 changed += 1
                 map = after(map, change)
-                now = named(map, MEMBERS)
+                now = addresses_under(map, VOTER_PREFIX)
                 assert len({*now} ^ {*voters}) == 1 and "0" in now
-                assert borne(now, views) >= borne(voters, views), (voters, now, views)
-                assert borne(now, views) >= 0, "nobody could commit it"
+                assert spare_voters(now, views) >= spare_voters(voters, views), (voters, now, views)
+                assert spare_voters(now, views) >= 0, "nobody could commit it"
                 promoted = {*now} - {*voters}
                 able = sum(views[ip].able for ip in now if ip not in promoted)
                 assert able >= quorum(len(now)), "it hangs on the newcomer alone"
-                assert len(now) + len(named(map, LEARNERS)) >= min(count, max(3, 2 * tolerated + 1))
+                assert len(now) + len(addresses_under(map, LEARNER_PREFIX)) >= min(
+                    count, max(3, 2 * tolerated + 1)
+                )
             else:
                 raise AssertionError("it goes on for ever")
     assert changed > 500
@@ -83,16 +99,19 @@
 
 @test("why a voter may not be taken off is told in words")
 def _() -> None:
-    voters: dict[str, Any] = {MEMBERS + ip: {} for ip in "12345"}
+    voters: dict[str, Any] = {VOTER_PREFIX + ip: {} for ip in "12345"}
     views = dict.fromkeys("12345", ABLE)
-    assert refusal(voters, "5", views, 1) is None
-    assert refusal(voters, "5", views, 2) == "4 voters would be left, and 5 are needed to lose 2"
-    assert refusal(voters, "9", views, 1) == "9 is no voter"
+    assert removal_refusal(voters, "5", views, 1) is None
+    assert removal_refusal(voters, "5", views, 2) == "4 voters would be left, and 5 are needed to lose 2"
+    assert removal_refusal(voters, "9", views, 1) == "9 is no voter"
     two = {**views, "1": SILENT, "2": SILENT}
-    assert refusal(voters, "5", two, 1) == "4 would be left, and 1 more of them must be heard and up to date"
-    assert refusal(voters, "5", {**views, "1": SILENT}, 1) == "only 0 more could be lost then"
-    waits = {**voters, MEMBERS + "5": {"leaving": "replace", "until": 5}}
-    assert refusal(waits, "5", views, 1, "replace") == "5 others must vote first, and 4 do"
+    assert (
+        removal_refusal(voters, "5", two, 1)
+        == "4 would be left, and 1 more of them must be heard and up to date"
+    )
+    assert removal_refusal(voters, "5", {**views, "1": SILENT}, 1) == "only 0 more could be lost then"
+    waits = {**voters, VOTER_PREFIX + "5": {"leaving": "replace", "until": 5}}
+    assert removal_refusal(waits, "5", views, 1, "replace") == "5 others must vote first, and 4 do"
 
 
 @test("explored, one trouble at every step of a change of members: {case}")
@@ -124,30 +143,32 @@
         for seed in range(12):
             try:
                 mixed(5, seed, turnover=0.15)
-            except (Wrong, Broken):
+            except (Wrong, InvariantError):
                 return
     raise AssertionError("not found")
 
 
 def elects(entries: dict[str, Any], peer: str, life: int) -> bool:
     """Whether member 1 of these is elected by that one's vote beside its own."""
-    state = State((1, 3), RangedMap(entries))
-    one = Member("1", ["1", "2"], False, Vote(1, None, True, 11), state, decide, random.Random(4))
+    state = Snapshot((1, 3), RangedMap(entries))
+    one = Replica("1", ["1", "2"], False, PersistentVote(1, None, True, 11), state, decide, random.Random(4))
     one.begin(0.0)
-    effects = one.handle(2.0, Tick())
+    effects = one.handle(2.0, ClockTicked())
     for _ in range(2):  # asked beforehand, then voted
-        asked = [one for one in effects if isinstance(one, Send) and one.method == "request_vote"]
+        asked = [one for one in effects if isinstance(one, SendRequest) and one.method == "request_vote"]
         effects = []
         for send in asked:
             if send.peer == peer:
-                effects += one.handle(2.0, Answered(peer, "request_vote", 2.0, send.context, [1, True, life]))
+                effects += one.handle(
+                    2.0, ResponseReceived(peer, "request_vote", 2.0, send.context, [1, True, life])
+                )
         if one.then is not None:
-            effects += one.handle(2.0, Kept(True))
+            effects += one.handle(2.0, StatePersisted(True))
     return one.lead is not None
 
 
 def with_disks(**lives: int) -> dict[str, Any]:
-    return {MEMBERS + ip[1:]: {"life": life} for ip, life in lives.items()}
+    return {VOTER_PREFIX + ip[1:]: {"life": life} for ip, life in lives.items()}
 
 
 @test("a vote counts only of the newest accepted map's voters, and of the disk that is named there")
@@ -155,8 +176,8 @@
     three = with_disks(m1=11, m2=12, m3=13)
     assert elects(three, "2", 12)
     assert not elects(three, "2", 99), "the disk of an earlier life has voted"
-    assert not elects({**three, MEMBERS + "4": {}}, "2", 12), "two of four are no majority"
-    assert not elects({**three, LEARNERS + "4": {"life": 14}}, "4", 14), "a learner has voted"
+    assert not elects({**three, VOTER_PREFIX + "4": {}}, "2", 12), "two of four are no majority"
+    assert not elects({**three, LEARNER_PREFIX + "4": {"life": 14}}, "4", 14), "a learner has voted"
     assert not elects(with_disks(m2=12, m3=13), "2", 12), "one that was taken off stands"
     assert not elects(with_disks(m1=11, m3=13, m4=14), "2", 12), "one that was taken off has voted"
 
--- a/tests/configstore/test_replica.py
+++ b/tests/configstore/test_replica.py
@@ -10,30 +10,30 @@
 
 from ashlift.configstore.messages import (
     BEHIND,
-    CALL_S,
+    CALL_TIMEOUT_SECONDS,
     DELTA,
     LEARNER,
-    MUTE_S,
+    LEARNER_QUARANTINE_SECONDS,
     PROMOTE,
+    QUORUM_CONTACT_TIMEOUT_SECONDS,
     RANGES,
-    UNHEARD_S,
-    Answered,
-    Called,
-    Fence,
-    Kept,
-    Read,
-    Reply,
-    Send,
-    Settled,
-    State,
-    Submit,
-    Tick,
-    Vote,
-    Work,
+    ClockTicked,
+    CommandSubmitted,
+    FencingToken,
+    PersistentVote,
+    Proposal,
+    ReadOnlyResult,
+    ReadRequested,
+    RequestReceived,
+    ResponseReceived,
+    SendReply,
+    SendRequest,
+    Snapshot,
+    StatePersisted,
 )
 from ashlift.configstore.ranged_map import RangedMap
-from ashlift.configstore.replica import Member
-from ashlift.configstore.replica_state import Broken, pack, unpack
+from ashlift.configstore.replica import Replica
+from ashlift.configstore.replica_state import InvariantError, pack, unpack
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation.members import World
 from ashlift.simulation.sworn import decide
@@ -141,63 +141,69 @@
         world.settle()
 
 
-def member(vote: Vote | None, state: State | None, me: str = "1", members: str = "123") -> Member:
-    made = Member(me, list(members), False, vote, state, decide, random.Random(4))
+def member(
+    vote: PersistentVote | None, state: Snapshot | None, me: str = "1", members: str = "123"
+) -> Replica:
+    made = Replica(me, list(members), False, vote, state, decide, random.Random(4))
     for effect in made.begin(0.0):
-        assert not isinstance(effect, Send)
+        assert not isinstance(effect, SendRequest)
     return made
 
 
-def feed(one: Member, now: float, event: Any) -> list[Any]:
+def feed(one: Replica, now: float, event: Any) -> list[Any]:
     """The effects, those after a successful write included."""
     effects = one.handle(now, event)
     while one.then is not None:
-        effects += one.handle(now, Kept(True))
+        effects += one.handle(now, StatePersisted(True))
     return effects
 
 
 def replies(effects: list[Any]) -> list[Any]:
-    return [effect.body for effect in effects if isinstance(effect, Reply)]
+    return [effect.body for effect in effects if isinstance(effect, SendReply)]
 
 
-def sends(effects: list[Any], method: str) -> list[Send]:
-    return [effect for effect in effects if isinstance(effect, Send) and effect.method == method]
+def sends(effects: list[Any], method: str) -> list[SendRequest]:
+    return [effect for effect in effects if isinstance(effect, SendRequest) and effect.method == method]
 
 
-def held(index: int = 3, members: str = "123") -> State:
-    return State((1, index), RangedMap({f"Members/{ip}": {} for ip in members}))
+def held(index: int = 3, members: str = "123") -> Snapshot:
+    return Snapshot((1, index), RangedMap({f"Members/{ip}": {} for ip in members}))
 
 
-def elected(members: str = "12345") -> Member:
+def elected(members: str = "12345") -> Replica:
     """Member 1, just elected for term 2, its first round on the way; time is 2.0 s."""
-    one = member(Vote(1, None, True), held(members=members), members=members)
-    effects = feed(one, 2.0, Tick())
+    one = member(PersistentVote(1, None, True), held(members=members), members=members)
+    effects = feed(one, 2.0, ClockTicked())
     for term in (1, 2):  # asked beforehand, then voted
         asked, effects = sends(effects, "request_vote"), []
         for send in asked[: len(members) // 2]:
-            effects += feed(one, 2.0, Answered(send.peer, "request_vote", 2.0, send.context, [term, True]))
-    assert one.lead is not None and one.vote == Vote(2, "1", True)
+            effects += feed(
+                one, 2.0, ResponseReceived(send.peer, "request_vote", 2.0, send.context, [term, True])
+            )
+    assert one.lead is not None and one.vote == PersistentVote(2, "1", True)
     return one
 
 
 @test("I8: a learner is mute, then says that it is one, and never votes")
 def _() -> None:
     one = member(None, None)
-    request_vote = Called("r", "request_vote", [5, "2", 9, 9, False])
-    append = Called("r", "append", [5, "2", 1, 3, 0, 0, 0, True])
-    assert all(isinstance(body, Failure) for body in replies(feed(one, MUTE_S - 0.01, append)))
-    assert replies(feed(one, MUTE_S + 0.01, append))[0][1] == LEARNER
-    assert isinstance(replies(feed(one, MUTE_S + 0.02, request_vote))[0], Failure)
-    feed(one, 60.0, Tick())
+    request_vote = RequestReceived("r", "request_vote", [5, "2", 9, 9, False])
+    append = RequestReceived("r", "append", [5, "2", 1, 3, 0, 0, 0, True])
+    assert all(
+        isinstance(body, Failure) for body in replies(feed(one, LEARNER_QUARANTINE_SECONDS - 0.01, append))
+    )
+    assert replies(feed(one, LEARNER_QUARANTINE_SECONDS + 0.01, append))[0][1] == LEARNER
+    assert isinstance(replies(feed(one, LEARNER_QUARANTINE_SECONDS + 0.02, request_vote))[0], Failure)
+    feed(one, 60.0, ClockTicked())
     assert one.attempt is None and not one.vote.voter
 
 
 @test("I2: a vote counts only within the call's time-out, and only from a member")
 def _() -> None:
-    one = member(Vote(1, None, True), held())
-    ask = sends(feed(one, 2.0, Tick()), "request_vote")[0]
-    feed(one, 2.1, Answered("9", "request_vote", 2.0, ask.context, [1, True]))
-    feed(one, 2.01 + CALL_S, Answered("2", "request_vote", 2.0, ask.context, [1, True]))
+    one = member(PersistentVote(1, None, True), held())
+    ask = sends(feed(one, 2.0, ClockTicked()), "request_vote")[0]
+    feed(one, 2.1, ResponseReceived("9", "request_vote", 2.0, ask.context, [1, True]))
+    feed(one, 2.01 + CALL_TIMEOUT_SECONDS, ResponseReceived("2", "request_vote", 2.0, ask.context, [1, True]))
     assert one.attempt is not None and one.attempt.pre and one.vote.term == 1
 
 
@@ -206,17 +212,19 @@
     one = elected()
     index = one.state.term_index[1]
     for peer in "23":  # a majority, with 2, commits
-        feed(one, 2.0, Answered(peer, "append", 2.0, (2, 1, index, True), [2, 1, 5]))
+        feed(one, 2.0, ResponseReceived(peer, "append", 2.0, (2, 1, index, True), [2, 1, 5]))
     assert one.lead is not None and one.lead.commit == index
-    told = feed(one, 2.1, Answered("2", "append", 2.1, (2, 2, index, False), [2, LEARNER, 6, 77, True, None]))
+    told = feed(
+        one, 2.1, ResponseReceived("2", "append", 2.1, (2, 2, index, False), [2, LEARNER, 6, 77, True, None])
+    )
     payloads = [unpack(send.body[7]) for send in sends(told, "append") if isinstance(send.body[7], bytes)]
     assert payloads and all(payload[0] == DELTA for payload in payloads)
     assert one.lead.naming.term_index == (2, index + 1), "nothing was proposed after hearing of the new life"
-    learner = Answered("2", "append", 2.15, (2, 3, index + 1, True), [2, LEARNER, 7, 77, True, None])
-    feed(one, 2.2, Answered("3", "append", 2.15, (2, 3, index + 1, True), [2, 1, 6]))
+    learner = ResponseReceived("2", "append", 2.15, (2, 3, index + 1, True), [2, LEARNER, 7, 77, True, None])
+    feed(one, 2.2, ResponseReceived("3", "append", 2.15, (2, 3, index + 1, True), [2, 1, 6]))
     feed(one, 2.2, learner)
     assert one.lead.commit == index, "a learner was counted"
-    feed(one, 2.2, Answered("4", "append", 2.15, (2, 3, index + 1, True), [2, 1, 6]))
+    feed(one, 2.2, ResponseReceived("4", "append", 2.15, (2, 3, index + 1, True), [2, 1, 6]))
     assert one.lead.commit == index + 1
     promoted = [unpack(send.body[7]) for send in sends(feed(one, 2.2, learner), "append") if send.peer == "2"]
     assert promoted == [[3, 77]]
@@ -227,45 +235,45 @@
     one = elected()
     index = one.state.term_index[1]
     for peer in "23":
-        feed(one, 2.0, Answered(peer, "append", 2.0, (2, 1, index, True), [2, 1, 5]))
-    asked = feed(one, 2.1, Read("read")) + feed(one, 2.1, Submit("stale", (9, "x")))
+        feed(one, 2.0, ResponseReceived(peer, "append", 2.0, (2, 1, index, True), [2, 1, 5]))
+    asked = feed(one, 2.1, ReadRequested("read")) + feed(one, 2.1, CommandSubmitted("stale", (9, "x")))
     assert not replies(asked), "answered without a round"
     for peer, at, body in (("2", 1.2, [2, 1, 6]), ("4", 2.1, [2, LEARNER, 6, 77, False, None])):
-        assert not replies(feed(one, 2.1, Answered(peer, "append", at, (2, 4, index, False), body)))
+        assert not replies(feed(one, 2.1, ResponseReceived(peer, "append", at, (2, 4, index, False), body)))
     for peer, number in (("3", 4), ("5", 2)):
-        yes = Answered(peer, "append", 2.1, (2, number, index, False), [2, 1, 6])
+        yes = ResponseReceived(peer, "append", 2.1, (2, number, index, False), [2, 1, 6])
         assert not replies(feed(one, 2.1, yes))
-    done = replies(feed(one, 2.1, Answered("5", "append", 2.1, (2, 4, index, False), [2, 1, 6])))
+    done = replies(feed(one, 2.1, ResponseReceived("5", "append", 2.1, (2, 4, index, False), [2, 1, 6])))
     assert done == [one.news.state, {"status": 412, "index": index}]
-    feed(one, 2.1 + UNHEARD_S + 0.1, Tick())
+    feed(one, 2.1 + QUORUM_CONTACT_TIMEOUT_SECONDS + 0.1, ClockTicked())
     assert one.lead is None, "it leads on though it hears nobody"
 
 
-def settled() -> tuple[Member, int]:
+def settled() -> tuple[Replica, int]:
     """A leader that has committed at index `[1]`, one order decided by `zones`; time is 2.0 s."""
     one = elected()
     index = one.state.term_index[1]
     for peer in "23":
-        feed(one, 2.0, Answered(peer, "append", 2.0, (2, 1, index, True), [2, 1, 5]))
+        feed(one, 2.0, ResponseReceived(peer, "append", 2.0, (2, 1, index, True), [2, 1, 5]))
     assert one.lead is not None and one.lead.commit == index
     one.lead.decide = zones
     return one, index
 
 
-def zones(current: Any, order: Any) -> Work | Settled:
+def zones(current: Any, order: Any) -> Proposal | ReadOnlyResult:
     """`+z` evacuates, `-z` takes it back."""
     on, key = order[0] == "+", f"Evacuations/{order[1:]}"
     if (key in current) == on:
-        return Settled({"status": 200})
-    return Work({key: True} if on else {}, [] if on else [key], {"status": 200}, (key,))
+        return ReadOnlyResult({"status": 200})
+    return Proposal({key: True} if on else {}, [] if on else [key], {"status": 200}, (key,))
 
 
-def taken(one: Member, now: float, round_: int) -> list[Any]:
+def taken(one: Replica, now: float, round_: int) -> list[Any]:
     """All replies once a majority has what is under way and has answered that round."""
     assert one.lead is not None
     index, found = one.lead.naming.term_index[1], []
     for peer in "23":
-        yes = Answered(peer, "append", now, (2, round_, index, True), [2, 1, 7])
+        yes = ResponseReceived(peer, "append", now, (2, round_, index, True), [2, 1, 7])
         found += replies(feed(one, now, yes))
     return found
 
@@ -277,79 +285,86 @@
     one, index = settled()
     lead = one.lead
     assert lead is not None
-    feed(one, 2.05, Tick())
+    feed(one, 2.05, ClockTicked())
     known = lead.round
     match story:
         case "in time":
-            feed(one, 2.6, Submit("a", "+z", Fence(2, known, index, 0.9)))
+            feed(one, 2.6, CommandSubmitted("a", "+z", FencingToken(2, known, index, 0.9)))
             assert lead.under_way and taken(one, 2.61, lead.round) == [{"status": 200, "index": index + 1}]
         case "held up":
-            found = replies(feed(one, 2.96, Submit("a", "+z", Fence(2, known, index, 0.9))))
+            found = replies(feed(one, 2.96, CommandSubmitted("a", "+z", FencingToken(2, known, index, 0.9))))
             assert [fault.reason for fault in found] == [FailureReason.EXPIRED] and not lead.under_way
         case "of another leader":
-            found = replies(feed(one, 2.06, Submit("a", "+z", Fence(1, known, index, 0.9))))
+            found = replies(feed(one, 2.06, CommandSubmitted("a", "+z", FencingToken(1, known, index, 0.9))))
             assert [fault.reason for fault in found] == [FailureReason.EXPIRED] and not lead.under_way
         case "of no round":
-            found = replies(feed(one, 2.06, Submit("a", "+z", Fence(2, 0, index, 0.9))))
+            found = replies(feed(one, 2.06, CommandSubmitted("a", "+z", FencingToken(2, 0, index, 0.9))))
             assert [fault.reason for fault in found] == [FailureReason.EXPIRED] and not lead.under_way
         case "behind another":
-            feed(one, 2.1, Submit("a", "+y", Fence(2, known, index, 0.9)))
-            assert not replies(feed(one, 2.1, Submit("b", "+z", Fence(2, known, index, 0.9))))
+            feed(one, 2.1, CommandSubmitted("a", "+y", FencingToken(2, known, index, 0.9)))
+            assert not replies(
+                feed(one, 2.1, CommandSubmitted("b", "+z", FencingToken(2, known, index, 0.9)))
+            )
             done, late = taken(one, 3.0, lead.round)
             assert done["status"] == 200 and late.reason == FailureReason.EXPIRED and not lead.under_way
         case "void":
             for at, order in ((2.1, "+z"), (2.15, "-z")):
-                feed(one, at, Submit("a", order, Fence(2, lead.round, lead.commit, 0.9)))
+                feed(one, at, CommandSubmitted("a", order, FencingToken(2, lead.round, lead.commit, 0.9)))
                 taken(one, at, lead.round)
             assert lead.commit == index + 2 and "Evacuations/z" not in lead.naming.entries.map
-            found = replies(feed(one, 2.2, Submit("b", "+z", Fence(2, known, index, 0.9))))
+            found = replies(feed(one, 2.2, CommandSubmitted("b", "+z", FencingToken(2, known, index, 0.9))))
             assert [fault.reason for fault in found] == [FailureReason.EXPIRED], (
                 "taken back meanwhile, and in force again"
             )
-            feed(one, 2.2, Submit("c", "+z", Fence(2, known, index + 2, 0.9)))
+            feed(one, 2.2, CommandSubmitted("c", "+z", FencingToken(2, known, index + 2, 0.9)))
             assert lead.under_way, "who knows of it may evacuate again"
 
 
 @test("I2 I4: a member says yes only to what it holds durably and whole, and is promoted only in this life")
 def _() -> None:
-    one = member(Vote(2, "2", True), held())
+    one = member(PersistentVote(2, "2", True), held())
     for prev, digest in ((2, held().entries.digest()), (3, b"no")):
         body = [2, "2", 1, 4, 0, 0, 0, pack([DELTA, 1, prev, {}, [], digest])]
-        assert replies(feed(one, 5.0, Called("r", "append", body)))[0][1] == BEHIND
+        assert replies(feed(one, 5.0, RequestReceived("r", "append", body)))[0][1] == BEHIND
     good = [2, "2", 1, 4, 0, 0, 0, pack([DELTA, 1, 3, {}, [], held().entries.digest()])]
-    assert not replies(one.handle(5.0, Called("r", "append", good))), "answered before the write"
-    assert isinstance(replies(one.handle(5.0, Kept(False)))[0], Failure) and one.term_index == (1, 3)
+    assert not replies(one.handle(5.0, RequestReceived("r", "append", good))), "answered before the write"
+    assert isinstance(replies(one.handle(5.0, StatePersisted(False)))[0], Failure) and one.term_index == (
+        1,
+        3,
+    )
     lost = member(None, held())
     assert not lost.vote.voter, "a member without its vote counts"
     ranges = pack([RANGES, {}, held().entries.digest()])
     for payload in (pack([PROMOTE, lost.incarnation]), ranges, pack([PROMOTE, lost.incarnation + 1])):
-        feed(lost, 5.0, Called("r", "append", [2, "2", 1, 4, 0, 0, 0, payload]))
+        feed(lost, 5.0, RequestReceived("r", "append", [2, "2", 1, 4, 0, 0, 0, payload]))
         assert not lost.vote.voter
-    feed(lost, 5.0, Called("r", "append", [2, "2", 1, 4, 0, 0, 0, pack([PROMOTE, lost.incarnation])]))
-    assert lost.vote == Vote(2, "2", True, lost.incarnation) and lost.term_index == (2, 4)
+    feed(
+        lost, 5.0, RequestReceived("r", "append", [2, "2", 1, 4, 0, 0, 0, pack([PROMOTE, lost.incarnation])])
+    )
+    assert lost.vote == PersistentVote(2, "2", True, lost.incarnation) and lost.term_index == (2, 4)
 
 
 @test("I7: an echoed time proves nothing before its round is confirmed, nor while its commit is not held")
 def _() -> None:
-    one = member(Vote(1, None, True), held())
+    one = member(PersistentVote(1, None, True), held())
     entries = held().entries
     delta = pack([1, 1, 3, {}, [], entries.digest()])
-    first = replies(feed(one, 5.0, Called("r", "append", [2, "2", 1, 4, 0, 0, 0, delta])))[0]
+    first = replies(feed(one, 5.0, RequestReceived("r", "append", [2, "2", 1, 4, 0, 0, 0, delta])))[0]
     token = first[2]
-    feed(one, 5.2, Called("r", "append", [2, "2", 2, 4, 5, token, 1, None]))  # commit 5 is not held
+    feed(one, 5.2, RequestReceived("r", "append", [2, "2", 2, 4, 5, token, 1, None]))  # commit 5 is not held
     assert one.news.lease == float("-inf")
-    feed(one, 5.3, Called("r", "append", [2, "2", 3, 4, 4, token, 1, None]))
+    feed(one, 5.3, RequestReceived("r", "append", [2, "2", 3, 4, 4, token, 1, None]))
     assert one.news.index == 4 and one.news.lease == float("-inf")
-    feed(one, 5.4, Called("r", "append", [2, "2", 4, 4, 4, 0, 3, None]))
+    feed(one, 5.4, RequestReceived("r", "append", [2, "2", 4, 4, 4, 0, 3, None]))
     assert one.news.lease == 5.0
 
 
 @test("broken invariants stop: a second vote, an older term_index, two leaders in a term")
 def _() -> None:
-    one = member(Vote(1, "2", True), held())
-    with raises(Broken):
-        one.keep(Vote(1, "3", True), None, lambda ok: None)
-    with raises(Broken):
+    one = member(PersistentVote(1, "2", True), held())
+    with raises(InvariantError):
+        one.keep(PersistentVote(1, "3", True), None, lambda ok: None)
+    with raises(InvariantError):
         one.keep(None, held(2), lambda ok: None)
-    with raises(Broken):
-        feed(elected(), 2.0, Called("r", "append", [2, "2", 1, 9, 0, 0, 0, None]))
+    with raises(InvariantError):
+        feed(elected(), 2.0, RequestReceived("r", "append", [2, "2", 1, 9, 0, 0, 0, None]))
--- a/tests/configstore/test_snapshot_storage.py
+++ b/tests/configstore/test_snapshot_storage.py
@@ -20,8 +20,8 @@
 from ashlift.configstore import events, snapshot_storage
 from ashlift.configstore import server as daemons
 from ashlift.configstore.commands import TAKEN, TAKEN_MOST, decide
-from ashlift.configstore.committed_state import News
-from ashlift.configstore.messages import Keep, Settled, State, Vote, Work
+from ashlift.configstore.committed_state import CommittedState
+from ashlift.configstore.messages import PersistentVote, PersistState, Proposal, ReadOnlyResult, Snapshot
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.replica_storage import ReplicaStorage
 from ashlift.configstore.snapshot_storage import SnapshotStorage
@@ -296,7 +296,7 @@
 
         class Slow(ReplicaStorage):
             def persist(
-                self, request: Keep, took: float = took, fault: Failure | None = fault
+                self, request: PersistState, took: float = took, fault: Failure | None = fault
             ) -> Failure | None:
                 now[0] += took
                 return super().persist(request) if fault is None else fault
@@ -319,14 +319,14 @@
     assert disk.read() == (None, None)
     for number in range(1, 60):
         entries = entries.changed({"k": "x" * 700 * number}, [])
-        vote = Vote(number, "1", True)
-        assert disk.persist(Keep(vote, State((number, number), entries))) is None
+        vote = PersistentVote(number, "1", True)
+        assert disk.persist(PersistState(vote, Snapshot((number, number), entries))) is None
     assert (
         sum(path.stat().st_size for path in folder.iterdir())
         < 5 * 700 * 60 + 3 * snapshot_storage.MAX_WASTED_BYTES
     )
     held_vote, held = ReplicaStorage(str(folder)).read()
-    assert held_vote == vote and isinstance(held, State) and held.term_index == (59, 59)
+    assert held_vote == vote and isinstance(held, Snapshot) and held.term_index == (59, 59)
     assert held.entries.map == entries.map and held.entries.digest() == entries.digest()
 
 
@@ -347,11 +347,11 @@
 
 @test("news: what changed since an index, gone keys too; all of it to one who has less than this life knows")
 def _() -> None:
-    news, entries = News(), RangedMap({"a": 1, "b": 1})
+    news, entries = CommittedState(), RangedMap({"a": 1, "b": 1})
     assert news.since(0) == {"index": 0, "set": {}, "gone": [], "full": False}
-    news.advance(State((1, 4), entries))
-    news.advance(State((1, 5), entries.changed({"a": 2, "c": 1}, ["b"])))
-    assert not news.advance(State((1, 4), entries))
+    news.advance(Snapshot((1, 4), entries))
+    news.advance(Snapshot((1, 5), entries.changed({"a": 2, "c": 1}, ["b"])))
+    assert not news.advance(Snapshot((1, 4), entries))
     assert news.since(4) == {"index": 5, "set": {"a": 2, "c": 1}, "gone": ["b"], "full": False}
     assert news.since(3)["full"] and news.since(3)["set"] == {"a": 2, "c": 1}
     assert news.since(5)["set"] == {} and news.since(9)["index"] == 5
@@ -369,12 +369,12 @@
 
     def order(kind: str, body: Any, if_match: str | None = None) -> int:
         outcome = decide(map, {"kind": kind, "if_match": if_match, "body": body})
-        if isinstance(outcome, Work):
+        if isinstance(outcome, Proposal):
             map.update(outcome.set)
             for key in outcome.gone:
                 del map[key]
-        changes.append(isinstance(outcome, Work))
-        assert isinstance(outcome, Work | Settled)
+        changes.append(isinstance(outcome, Proposal))
+        assert isinstance(outcome, Proposal | ReadOnlyResult)
         status: int = outcome.answer["status"]
         return status
 
--- a/tests/configstore/test_stored_data.py
+++ b/tests/configstore/test_stored_data.py
@@ -7,7 +7,7 @@
 
 from ward import each, fixture, test
 
-from ashlift.configstore.messages import Keep, State, Vote
+from ashlift.configstore.messages import PersistentVote, PersistState, Snapshot
 from ashlift.configstore.pending_edits import NAME, Drafts
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.replica_storage import ReplicaStorage
@@ -30,9 +30,9 @@
     return Drafts(SnapshotStorage(str(folder), NAME), lambda: (0, {}), lambda *_, **__: None)
 
 
-def request(stored: Stored) -> Keep:
+def request(stored: Stored) -> PersistState:
     """What a replica asks its storage to keep."""
-    return Keep(Vote(*stored.vote), State(stored.term_index, RangedMap(stored.objects)))
+    return PersistState(PersistentVote(*stored.vote), Snapshot(stored.term_index, RangedMap(stored.objects)))
 
 
 def persist(folder: str, stored: Iterable[Stored]) -> None:
@@ -47,10 +47,10 @@
         assert drafts.call({"add": call})["edits"]
 
 
-def held(found: tuple[Any, Any]) -> tuple[Vote, tuple[int, int], Values]:
+def held(found: tuple[Any, Any]) -> tuple[PersistentVote, tuple[int, int], Values]:
     """Vote and snapshot of a storage that reads both, in values."""
     vote, state = found
-    assert isinstance(vote, Vote) and isinstance(state, State)
+    assert isinstance(vote, PersistentVote) and isinstance(state, Snapshot)
     return vote, state.term_index, dict(state.entries.map)
 
 
@@ -59,7 +59,7 @@
     stored_data.unpack(ARCHIVE, folder)
     newest = NEWEST[disk]
     vote, term_index, objects = held(ReplicaStorage(str(folder / disk)).read())
-    assert vote == Vote(*stored_data.writes()[-1].vote)
+    assert vote == PersistentVote(*stored_data.writes()[-1].vote)
     assert (vote.term, vote.voted_for, vote.voter, vote.life) == stored_data.writes()[-1].vote
     assert term_index == newest.term_index
     assert objects == newest.objects and len(objects) > 200
@@ -89,4 +89,4 @@
     following = Stored((10, "10.0.0.3", True, 5), (10, 58), objects)
     assert storage.persist(request(following)) is None
     found = held(ReplicaStorage(str(folder / disk)).read())
-    assert found == (Vote(*following.vote), following.term_index, following.objects)
+    assert found == (PersistentVote(*following.vote), following.term_index, following.objects)
--- a/tests/registry/test_parts.py
+++ b/tests/registry/test_parts.py
@@ -9,8 +9,8 @@
 from ward import each, test
 
 from ashlift.config.settings import Settings
-from ashlift.configstore.committed_state import News
-from ashlift.configstore.messages import State
+from ashlift.configstore.committed_state import CommittedState
+from ashlift.configstore.messages import Snapshot
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.errors import Failure, FailureReason
 from ashlift.registry.endpoint_directory import MAX_CACHED_LOOKUPS
@@ -64,14 +64,17 @@
 
 @test("who goes between registries holds the word, though stores passed over what changed back ({seed})")
 def _(seed: int = each(*range(20))) -> None:
-    rng, map, states = random.Random(seed), RangedMap(), [State((1, 1), RangedMap())]
-    stores, words = [News(), News(), News()], [ReplicatedSource(), ReplicatedSource(), ReplicatedSource()]
+    rng, map, states = random.Random(seed), RangedMap(), [Snapshot((1, 1), RangedMap())]
+    stores, words = (
+        [CommittedState(), CommittedState(), CommittedState()],
+        [ReplicatedSource(), ReplicatedSource(), ReplicatedSource()],
+    )
     askers: list[tuple[int, dict[str, Any]]] = [(0, {}), (0, {}), (0, {})]
     for index in range(2, 300):
         key = f"Routes/{rng.randrange(4)}"
         gone = [key] if key in map.map and rng.random() < 0.3 else []
         map = map.changed({} if gone else {key: rng.randrange(2)}, gone)
-        states.append(State((1, index), map))
+        states.append(Snapshot((1, index), map))
         for store, word in zip(stores, words, strict=True):
             if rng.random() < 0.5:  # else it is away, and passes over this one
                 store.advance(states[-1])
--- a/tests/registry/test_routes.py
+++ b/tests/registry/test_routes.py
@@ -15,7 +15,7 @@
 from ashlift.cli import sources
 from ashlift.cli.commands import application
 from ashlift.configstore.commands import decide
-from ashlift.configstore.messages import Work
+from ashlift.configstore.messages import Proposal
 from ashlift.configstore.pending_edits import NAME, Drafts
 from ashlift.configstore.snapshot_storage import SnapshotStorage
 from ashlift.errors import Failure, FailureReason
@@ -48,7 +48,7 @@
         if self.fault is not None:
             return self.fault
         made = decide(self.map, {"kind": kind, "if_match": if_match, "body": body})
-        if isinstance(made, Work):
+        if isinstance(made, Proposal):
             self.map = {key: value for key, value in self.map.items() if key not in made.gone} | made.set
             self.index += 1
             self.registry.operator_config.replace(self.index, self.map)
--- a/tests/rpc/test_fragmentation.py
+++ b/tests/rpc/test_fragmentation.py
@@ -7,8 +7,8 @@
 from ward import each, raises, test
 
 from ashlift.config.settings import Settings, parse
-from ashlift.configstore.committed_state import News
-from ashlift.configstore.messages import State
+from ashlift.configstore.committed_state import CommittedState
+from ashlift.configstore.messages import Snapshot
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.server import watched
 from ashlift.errors import Failure, FailureReason
@@ -173,15 +173,15 @@
 
 @test("a store tells a registry a large map in pieces, and its proof only with the newest")
 def _() -> None:
-    chance, news = random.Random(1), News()
-    news.advance(State((1, 5), RangedMap({f"Routes/{n}": route(chance, 1000) for n in range(3000)})))
+    chance, news = random.Random(1), CommittedState()
+    news.advance(Snapshot((1, 5), RangedMap({f"Routes/{n}": route(chance, 1000) for n in range(3000)})))
     mine = registry()
     cutter, calls, now = Fragmenter("1", 256 << 10, 256 << 10), 0, 0.0
     while mine.operator_config.version < news.index:
         calls, now = calls + 1, now + 0.1
         if calls == 2:
             map = news.state.entries.changed({"Routes/7": {"Host": "new"}}, ["Routes/8"])
-            news.advance(State((1, 6), map))
+            news.advance(Snapshot((1, 6), map))
         have = mine.operator_config.version
         body = {"have": have, "wait": 0.1, "part": mine.wanted_fragment()}
         answer = watched(cutter, news.since(have), body, now)
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -13,146 +13,147 @@
 
 from ashlift.config import operator_config as configuration
 from ashlift.configstore import commands as orders
-from ashlift.configstore.catch_up import Mending
-from ashlift.configstore.leader import Lead
-from ashlift.configstore.replica import Member
+from ashlift.configstore.catch_up import CatchUp
+from ashlift.configstore.leader import Leader
+from ashlift.configstore.replica import Replica
 from ashlift.registry.operator_request import OperatorRequest
 from ashlift.simulation import board
 from ashlift.simulation.explore import CASES, explore
 
 # name: where, what stands there, what stands there instead
 MUTANTS: dict[str, tuple[Any, str, str, str]] = {
-    "elected by one": (Member, "_elected", "quorum(len(attempt.members))", "1"),
-    "committed by one": (Lead, "_count", "quorum(len(members))", "1"),
-    "confirmed by one": (Lead, "_confirm", "quorum(len(answered))", "1"),
-    "a round begun before the read": (Lead, "read", "self.round + 1", "self.round"),
-    "read before a commit of the term": (Lead, "_confirm", "not self.commit or ", ""),
+    "elected by one": (Replica, "_elected", "quorum(len(attempt.members))", "1"),
+    "committed by one": (Leader, "_count", "quorum(len(members))", "1"),
+    "confirmed by one": (Leader, "_confirm", "quorum(len(answered))", "1"),
+    "a round begun before the read": (Leader, "read", "self.round + 1", "self.round"),
+    "read before a commit of the term": (Leader, "_confirm", "not self.commit or ", ""),
     "a 412 without a round": (
-        Lead,
+        Leader,
         "_advance",
         "self.waiting.append((self.round + 1, ref, outcome.answer))",
         "self.seat.reply(ref, {**outcome.answer, 'index': self.commit})",
     ),
-    "an older map is voted for": (Member, "_request_vote", "(last_term, index) >= self.term_index", "True"),
-    "two votes in a term": (Member, "_request_vote", "self.vote.voted_for == candidate", "True"),
+    "an older map is voted for": (Replica, "_request_vote", "(last_term, index) >= self.term_index", "True"),
+    "two votes in a term": (Replica, "_request_vote", "self.vote.voted_for == candidate", "True"),
     "a vote said though the disk refused": (
-        Member,
+        Replica,
         "_request_vote",
         'if ok else Failure(FailureReason.REJECTED, "disk")',
         "",
     ),
-    "a yes though the disk refused": (Member, "_append", "if not ok:", "if False:"),
-    "a leader goes on though its disk refused": (Lead, "_proposed", "if not ok:", "if False:"),
+    "a yes though the disk refused": (Replica, "_append", "if not ok:", "if False:"),
+    "a leader goes on though its disk refused": (Leader, "_proposed", "if not ok:", "if False:"),
     "the leader counts before it has kept": (
-        Lead,
+        Leader,
         "_holds",
         "self.seat.term_index == self.naming.term_index",
         "True",
     ),
-    "a learner is counted": (Lead, "_holds", "peer.learning is None and ", ""),
-    "a learner confirms": (Lead, "_answered_round", "0 if peer.learning else peer.round", "peer.round"),
-    "a learner votes": (Member, "_request_vote", "if not self.vote.voter:", "if False:"),
-    "a lost disk counts": (Member, "_become_learner", "voter=False", "voter=True"),
-    "promoted without a commit after": (Lead, "_learner", "(incarnation, newest + 1)", "(incarnation, 0)"),
+    "a learner is counted": (Leader, "_holds", "peer.learning is None and ", ""),
+    "a learner confirms": (Leader, "_answered_round", "0 if peer.learning else peer.round", "peer.round"),
+    "a learner votes": (Replica, "_request_vote", "if not self.vote.voter:", "if False:"),
+    "a lost disk counts": (Replica, "_become_learner", "voter=False", "voter=True"),
+    "promoted without a commit after": (Leader, "_learner", "(incarnation, newest + 1)", "(incarnation, 0)"),
     "promoted in any life": (
-        Member,
+        Replica,
         "_promoted",
         "rest[0] == self.incarnation and ",
         "",
     ),
     "promoted with what is not committed": (
-        Lead,
+        Leader,
         "_learner",
         "<= index <= self.commit",
         "<= index",
     ),
     "promoted with what was committed before": (
-        Lead,
+        Leader,
         "_learner",
         "peer.learning[1] <= index <= self.commit",
         "index <= self.commit",
     ),
     "a later state taken for committed": (
-        Member,
+        Replica,
         "_learn",
         "self.term_index[1] <= commit",
         "self.term_index[1] <= commit + 1",
     ),
-    "not mute": (Member, "_become_learner", "self.now + MUTE_S", "self.now"),
+    "not mute": (Replica, "_become_learner", "self.now + LEARNER_QUARANTINE_SECONDS", "self.now"),
     "late votes count": (
-        Member,
+        Replica,
         "_voted",
-        "self.now - event.sent_at >= CALL_S or self.now - attempt.started >= CALL_S",
-        "False",
+        "or self.now - event.sent_at >= CALL_TIMEOUT_SECONDS\n"
+        "        or self.now - attempt.started >= CALL_TIMEOUT_SECONDS",
+        "",
     ),
-    "late yeses count": (Lead, "answered", "or self.seat.now - sent_at >= CALL_S", ""),
-    "an older leader is heard": (Member, "_append", "if term < self.vote.term:", "if False:"),
-    "a delta on another map": (Member, "_received", "(term, index) != self.term_index", "False"),
-    "a digest not compared": (Member, "_received", "entries.digest() == digest", "True"),
-    "proven before it is confirmed": (Member, "_renew", "round_ <= proved and ", ""),
+    "late yeses count": (Leader, "answered", "or self.seat.now - sent_at >= CALL_TIMEOUT_SECONDS", ""),
+    "an older leader is heard": (Replica, "_append", "if term < self.vote.term:", "if False:"),
+    "a delta on another map": (Replica, "_received", "(term, index) != self.term_index", "False"),
+    "a digest not compared": (Replica, "_received", "entries.digest() == digest", "True"),
+    "proven before it is confirmed": (Replica, "_renew", "round_ <= proved and ", ""),
     "proven without the commit": (
-        Member,
+        Replica,
         "_renew",
         "commit and term_index >= (self.vote.term, commit)",
         "True",
     ),
     "learnt by index alone": (
-        Member,
+        Replica,
         "_learn",
         "self.term_index[0] == term and ",
         "",
     ),
-    "a proposal before the term's first is committed": (Lead, "_advance", "and self.commit and", "and"),
+    "a proposal before the term's first is committed": (Leader, "_advance", "and self.commit and", "and"),
     "in doubt told as not begun": (
-        Lead,
+        Leader,
         "end",
         "FailureReason.OUTCOME_UNKNOWN,",
         "FailureReason.UNAVAILABLE,",
     ),
     "a quorum of the old members": (
-        Lead,
+        Leader,
         "_count",
         "members = self._members()",
         "members = self.seat.members(self.seat.news.state) or self._members()",
     ),
     "a learner that counts": (
-        Lead,
+        Leader,
         "_count",
         "for ip in members)",
         "for ip in [*members, *self._learners()])",
     ),
     "a removed one is asked": (
-        Member,
+        Replica,
         "_ask",
         "for ip in attempt.members:",
         "for ip in {*attempt.members, *self.seeds}:",
     ),
-    "whoever votes counts": (Member, "_elected", "attempt.votes & {*attempt.members}", "attempt.votes"),
+    "whoever votes counts": (Replica, "_elected", "attempt.votes & {*attempt.members}", "attempt.votes"),
     "an old disk votes": (
-        Member,
+        Replica,
         "_voted",
         "attempt.members.get(event.peer) not in (None, *life)",
         "False",
     ),
     "a removed one stands": (
-        Member,
+        Replica,
         "_stands",
-        "life_fits(self.state.entries.map, self.me, self.vote.life)",
+        "incarnation_matches(self.state.entries.map, self.me, self.vote.life)",
         "True",
     ),
-    "orders have no fence": (Lead, "_advance", "fence is not None and self._late(fence, outcome)", "False"),
-    "two proposals at a time": (Lead, "_advance", "not self.under_way and ", ""),
+    "orders have no fence": (Leader, "_advance", "fence is not None and self._late(fence, outcome)", "False"),
+    "two proposals at a time": (Leader, "_advance", "not self.under_way and ", ""),
 }
 # These break no invariant: one that was away does not catch up (`tests/configstore/test_catch_up.py`).
 LATE: dict[str, tuple[Any, str, str, str]] = {
     "promoted only with the newest": (
-        Lead,
+        Leader,
         "_learner",
         "<= index <= self.commit",
         "<= index == newest == self.commit",
     ),
     "taken for there because it was sent": (
-        Mending,
+        CatchUp,
         "_parts",
         "elif sent[1] == entries.digest_in(digests, one):",
         "else:",
@@ -163,14 +164,14 @@
 # a breach of it.
 GUARDS: dict[str, tuple[Any, str, str, str, str]] = {
     "an order of any age is begun": (
-        Lead,
+        Leader,
         "_late",
         "began is None or self.seat.now - began >= fence.left",
         "False",
         "an evacuation that its operator has given up does not come into force 20 s later",
     ),
     "an order is begun whatever has changed since": (
-        Lead,
+        Leader,
         "_late",
         "self.seat.news.touched(key, fence.known)",
         "False",
--- a/tests/support/replica_scenarios.py
+++ b/tests/support/replica_scenarios.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-from ashlift.configstore.membership import MEMBERS, named
+from ashlift.configstore.membership import VOTER_PREFIX, addresses_under
 from ashlift.errors import Failure
 from ashlift.simulation.members import Op, World
 
@@ -102,8 +102,8 @@
             case "voters":
                 *ips, _, within = rest
                 wants = sorted(self.who(ips))
-                came = world.run(float(within), lambda: named(world.map(), MEMBERS) == wants)
-                assert came, f"{text}: {named(world.map(), MEMBERS)}"
+                came = world.run(float(within), lambda: addresses_under(world.map(), VOTER_PREFIX) == wants)
+                assert came, f"{text}: {addresses_under(world.map(), VOTER_PREFIX)}"
             case "term":
                 term, before = max(one[0] for one in world.sworn.leaders), self.term
                 self.term = term
