--- a/ashlift/lab/system/yard.py
+++ b/ashlift/lab/system/yard.py
@@ -15,7 +15,7 @@
 from gevent.server import StreamServer
 
 from ashlift.lab.system.places import WORKER_PORT
-from ashlift.proxy.upstream import Ended, Outcome
+from ashlift.proxy.upstream import AttemptOutcome, AttemptResult
 from ashlift.simulation.engine import Loop, Network
 from ashlift.simulation.history import Arrival, History, Request, Stray
 from ashlift.simulation.keeper import Try
@@ -211,12 +211,12 @@
         wire.arrival = made
         wire.request.arrivals.append(made)
 
-    def answer(self, worker: Worker, one: Try, outcome: Outcome) -> None:
+    def answer(self, worker: Worker, one: Try, outcome: AttemptOutcome) -> None:
         wire = cast(WireTry, one)
-        if outcome.ended is Ended.LOST or outcome.reply is None:
+        if outcome.ended is AttemptResult.LOST or outcome.reply is None:
             gevent.spawn(wire.line.close)
         else:
-            wire.line.answer(wire, outcome.reply.status, outcome.ended is Ended.ANSWERED)
+            wire.line.answer(wire, outcome.reply.status, outcome.ended is AttemptResult.ANSWERED)
 
     def stop(self) -> None:
         for worker in list(self.workers.values()):
--- a/ashlift/proxy/__main__.py
+++ b/ashlift/proxy/__main__.py
@@ -25,10 +25,10 @@
     tell,
 )
 from ashlift.proxy import events
-from ashlift.proxy.configuration_updates import News
-from ashlift.proxy.request_handler import Desk
-from ashlift.proxy.request_router import Gate
-from ashlift.proxy.server import Front, serve_readiness
+from ashlift.proxy.configuration_updates import RegistryPoller
+from ashlift.proxy.request_handler import RequestHandler
+from ashlift.proxy.request_router import RequestRouter
+from ashlift.proxy.server import ProxyServer, serve_readiness
 
 PATH = "/etc/ashlift/settings.toml"
 LOOK_S = 1.0  # between looks at the settings file
@@ -42,10 +42,10 @@
     def __init__(self, path: str, settings: jig_settings.Settings) -> None:
         rng = random.Random(os.urandom(8))
         self.path, self.settings = path, settings
-        self.gate = Gate(settings, rng, time.monotonic())
-        self.desk = Desk(self.gate)
-        self.front = Front(self.desk, self._limits)
-        self.news = News(settings, self.gate, os.urandom(4).hex(), rng, self._changed)
+        self.gate = RequestRouter(settings, rng, time.monotonic())
+        self.desk = RequestHandler(self.gate)
+        self.front = ProxyServer(self.desk, self._limits)
+        self.news = RegistryPoller(settings, self.gate, os.urandom(4).hex(), rng, self._changed)
         self._ready = False
         self._held: dict[str, Tenant] | None = None  # tenants
         self._stop = Event()
--- a/ashlift/proxy/cluster_view.py
+++ b/ashlift/proxy/cluster_view.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Source:
+class SourceState:
     version: int = 0
     records: dict[str, Any] = field(default_factory=dict)
     named: float = 0.0  # when a registry last named it
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class Change:
+class ClusterChange:
     """What an answer changed."""
 
     config: bool = False
@@ -55,11 +55,11 @@
     members: bool = False
 
 
-class Ledger:
+class ClusterView:
     def __init__(self, lease: float = 4.5) -> None:
         """`lease`: of a worker, s: one that runs has beaten by then."""
         self._lease = lease
-        self.sources: dict[str, Source] = {}
+        self.sources: dict[str, SourceState] = {}
         self.word: dict[str, Any] = {}  # the operator's map
         self.index = 0
         self.table: Table | None = None
@@ -86,9 +86,9 @@
         """s since the configuration held was proven to be the newest."""
         return now - self.proven
 
-    def take(self, sent: float, now: float, answer: Mapping[str, Any]) -> Change:
+    def take(self, sent: float, now: float, answer: Mapping[str, Any]) -> ClusterChange:
         """Take the answer of a pull sent at `sent`."""
-        change = Change()
+        change = ClusterChange()
         for name, news in answer["sources"].items():
             if name == OPERATOR_SOURCE:
                 self._word(news, change)
@@ -109,7 +109,7 @@
         change.members = (change.members or bool(self._held)) and self._merge_members(now)
         return change
 
-    def _word(self, news: Mapping[str, Any], change: Change) -> None:
+    def _word(self, news: Mapping[str, Any], change: ClusterChange) -> None:
         if news["version"] <= self.index:
             return  # never back within one life
         gone = [key for key in self.word if key not in news["set"]] if news["full"] else news["gone"]
@@ -130,10 +130,10 @@
         """The operator's entries of a kind, by name."""
         return {key[len(kind) :]: value for key, value in self.word.items() if key.startswith(kind)}
 
-    def _source(self, name: str, news: Mapping[str, Any], now: float, change: Change) -> None:
+    def _source(self, name: str, news: Mapping[str, Any], now: float, change: ClusterChange) -> None:
         source = self.sources.get(name)
         if source is None:
-            source = self.sources[name] = Source(named=now, born=now - news.get("run", math.inf))
+            source = self.sources[name] = SourceState(named=now, born=now - news.get("run", math.inf))
         if news["version"] < source.version:
             return
         fresh = {key: self._record(key, value, now) for key, value in news["set"].items()}
@@ -198,7 +198,7 @@
             return {}
         return {one: held.get(one, now) for one in lost if now - held.get(one, now) < HELD_MOST_S}
 
-    def _standing(self) -> dict[str, Source]:
+    def _standing(self) -> dict[str, SourceState]:
         """Sources that were named of late: what a dead one was told is told again elsewhere."""
         return {name: one for name, one in self.sources.items() if self._now - one.named < NAMED_S}
 
--- a/ashlift/proxy/configuration_updates.py
+++ b/ashlift/proxy/configuration_updates.py
@@ -7,24 +7,24 @@
 from gevent.event import Event
 
 from ashlift.config.settings import Settings
-from ashlift.proxy.registry_client import ANSWER_S, MOST_S, WAIT_S, Pulling
-from ashlift.proxy.request_router import Gate
+from ashlift.proxy.registry_client import ANSWER_S, MOST_S, WAIT_S, RegistryClient
+from ashlift.proxy.request_router import RequestRouter
 from ashlift.rpc.client import ClientPool
 
 PAUSE_S = 0.05
 
 
-class News:
+class RegistryPoller:
     def __init__(
         self,
         settings: Settings,
-        gate: Gate,
+        gate: RequestRouter,
         incarnation: str,
         rng: random.Random,
         changed: Callable[[], None],
     ) -> None:
         self._port, self._changed = settings.internal_ports[0] + 1, changed
-        self._pulling = Pulling(settings, gate, incarnation, rng)
+        self._pulling = RegistryClient(settings, gate, incarnation, rng)
         self._callers = ClientPool()
         self._stopped = Event()
 
--- a/ashlift/proxy/idle_connections.py
+++ b/ashlift/proxy/idle_connections.py
@@ -13,7 +13,7 @@
 DOUBT_S, LONG_DOUBT_S = 8.0, 16.0  # for requests that may be repeated, and for others
 
 
-class Rests:
+class IdleConnectionAges:
     """What is known of the rest of connections, of all workers together: each one is seen too seldom."""
 
     def __init__(self) -> None:
--- a/ashlift/proxy/load_balancer.py
+++ b/ashlift/proxy/load_balancer.py
@@ -7,7 +7,7 @@
 
 from ashlift.config.routing_table import Route
 from ashlift.proxy.cluster_view import Worker
-from ashlift.proxy.locality import Spill
+from ashlift.proxy.locality import LocalityRouting
 from ashlift.traffic.outlier_detection import OutlierDetector
 
 GAIN = 0.2  # weight of one answer in a worker's latency ratio
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class View:
+class WorkerState:
     """What is known here of one worker."""
 
     worker: Worker
@@ -40,27 +40,27 @@
     last: float = -math.inf  # when it was last sent something
 
 
-class Crew:
+class LoadBalancer:
     """All workers. `zone`, `regions` (zone to region): where this gatekeeper stands."""
 
     def __init__(self, zone: str, regions: dict[str, str], rng: random.Random) -> None:
         self._zone, self._regions, self._rng = zone, regions, rng
         self._region = regions.get(zone, "")
-        self.views: dict[str, View] = {}
-        self.by_service: dict[str, list[View]] = {}
-        self.spill = Spill(self._region, rng)
+        self.views: dict[str, WorkerState] = {}
+        self.by_service: dict[str, list[WorkerState]] = {}
+        self.spill = LocalityRouting(self._region, rng)
         self.evacuated: frozenset[str] = frozenset()
         self.jury, self.members = OutlierDetector(), 1
         self._out: dict[str, tuple[float, set[str]]] = {}  # by service: when it was looked up, who is out
 
     def know(self, workers: Iterable[Worker]) -> None:
         """Take the list as it is now."""
-        views: dict[str, View] = {}
+        views: dict[str, WorkerState] = {}
         self.by_service = {}
         for worker in workers:
             view = self.views.get(worker.id)
             if view is None:
-                view = View(worker)
+                view = WorkerState(worker)
             view.worker = worker
             views[worker.id] = view
             self.by_service.setdefault(worker.service, []).append(view)
@@ -83,19 +83,19 @@
         for key, view in self.views.items():
             view.others += OTHERS_GAIN * (max(0, outs.get(key, 0) - ours.get(key, 0)) - view.others)
 
-    def wait(self, view: View) -> float:
+    def wait(self, view: WorkerState) -> float:
         """What a request more waits for there until its work begins, x the work of one."""
         capacity = max(1, view.worker.capacity)
         return max(0.0, view.out + view.others + 1 - capacity) / capacity
 
-    def region(self, view: View) -> str:
+    def region(self, view: WorkerState) -> str:
         return self._regions.get(view.worker.zone, "")
 
     def usual(self, route: Route) -> float:
         """The usual latency of a route's answers, s."""
         return self.spill.usual(route.name, route.aim)
 
-    def open(self, service: str, homes: Collection[str], tried: Collection[str]) -> list[View]:
+    def open(self, service: str, homes: Collection[str], tried: Collection[str]) -> list[WorkerState]:
         """The workers that a request may be sent to."""
         return [
             view
@@ -106,7 +106,7 @@
             and (not homes or self.region(view) in homes)
         ]
 
-    def order(self, now: float, views: list[View], route: Route) -> list[View]:
+    def order(self, now: float, views: list[WorkerState], route: Route) -> list[WorkerState]:
         """Best first: a region that costs little; there by the time until its answer, as far as known."""
         usual, costs, service = self.usual(route), dict[str, float](), ""
         if views:
@@ -155,7 +155,7 @@
         self._out[service] = now, found
         return found
 
-    def _cost(self, now: float, view: View, usual: float) -> float:
+    def _cost(self, now: float, view: WorkerState, usual: float) -> float:
         capacity = max(1, view.worker.capacity)
         ratio = max(0.5, 1.0 + (view.ratio - 1.0) * math.exp(-(now - view.judged) / FADE_S))
         cost = ratio * (1.0 + self.wait(view) + 0.5 * (view.out + view.others) / capacity)
@@ -166,14 +166,14 @@
             cost += NEAR_ZONE
         return cost + LAST_RESORT * (now < view.shunned_until)
 
-    def sent(self, now: float, view: View) -> None:
+    def sent(self, now: float, view: WorkerState) -> None:
         view.out += 1
         view.last = now
 
-    def back(self, view: View) -> None:
+    def back(self, view: WorkerState) -> None:
         view.out -= 1
 
-    def answered(self, now: float, view: View, route: Route, waited: float, size: int) -> None:
+    def answered(self, now: float, view: WorkerState, route: Route, waited: float, size: int) -> None:
         """Learn from an answer that took `waited` s and `size` bytes both ways."""
         usual = self.usual(route)
         view.ratio += GAIN * (min(5.0, waited / max(0.001, usual)) - view.ratio)
@@ -182,30 +182,30 @@
         service, region = view.worker.service, self.region(view)
         self.spill.answered(now, service, region, route.name, route.aim, waited, size)
 
-    def failed(self, now: float, view: View) -> None:
+    def failed(self, now: float, view: WorkerState) -> None:
         """Leave it out for a while: after a connection that did not come up, a reset, a silence."""
         view.shunned_until = now + min(SHUN_MOST_S, SHUN_S * 2**view.fails)
         view.fails += 1
         self.erred(now, view)
 
-    def erred(self, now: float, view: View, fault: float = 1.0) -> None:
+    def erred(self, now: float, view: WorkerState, fault: float = 1.0) -> None:
         """It answered with a failure, or (a smaller `fault`) seems to."""
         self.jury.record_result(now, view.worker.id, fault)
 
-    def silent(self, now: float, view: View) -> None:
+    def silent(self, now: float, view: WorkerState) -> None:
         """Another worker answered a request that it had been given long before."""
         if self._room(view):
             self.erred(now, view, SILENT)
 
-    def _room(self, view: View) -> bool:
+    def _room(self, view: WorkerState) -> bool:
         return view.out + view.others < HALF_FULL * view.worker.capacity
 
-    def refused(self, now: float, view: View) -> None:
+    def refused(self, now: float, view: WorkerState) -> None:
         """It says that it has not run a request: with room, as far as known, that is a failure."""
         if self._room(view):
             self.erred(now, view)
 
-    def busy(self, now: float, view: View) -> None:
+    def busy(self, now: float, view: WorkerState) -> None:
         """It takes no more now."""
         view.ratio = min(5.0, view.ratio + 1.0)
         view.judged = now
--- a/ashlift/proxy/locality.py
+++ b/ashlift/proxy/locality.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Lag:
+class RegionLag:
     """How long answers take beyond the usual, s, as of `at`."""
 
     s: float = 0.0
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Custom:
+class RouteLatency:
     """What is usual for a route."""
 
     latency: float  # s
@@ -53,19 +53,19 @@
 
 
 @dataclass(slots=True)
-class Shares:
+class RegionShares:
     """How requests of one kind are shared out over the regions that they may go to, as of `at`."""
 
     parts: dict[str, float]
     at: float
 
 
-class Spill:
+class LocalityRouting:
     def __init__(self, region: str, rng: random.Random) -> None:
         self._region, self._rng = region, rng
-        self._lags: dict[tuple[str, str], Lag] = {}
-        self._customs: dict[str, Custom] = {}
-        self._shares: dict[tuple[str, str, tuple[str, ...]], Shares] = {}
+        self._lags: dict[tuple[str, str], RegionLag] = {}
+        self._customs: dict[str, RouteLatency] = {}
+        self._shares: dict[tuple[str, str, tuple[str, ...]], RegionShares] = {}
         self._work: dict[str, float] = {}  # s, usual latency of all answers of a service
         self._quickest: dict[str, float] = {}  # s, usual latency of the quickest route, by service
 
@@ -85,10 +85,10 @@
         """Learn from an answer: `waited` s, `size` bytes both ways."""
         custom = self._customs.get(route)
         if custom is None:
-            custom = self._customs[route] = Custom(aim / 4)
+            custom = self._customs[route] = RouteLatency(aim / 4)
         usual = custom.latency = max(LEAST_S, custom.latency)
         quickest = self._quickest[service] = min(usual, self._quickest.get(service, usual) * 1.01)
-        lag = self._lags.setdefault((service, region), Lag())
+        lag = self._lags.setdefault((service, region), RegionLag())
         gain = LAG_GAIN * quickest / usual
         before = lag.now(now)
         lag.s, lag.at = before + gain * (min(EXCESS_MOST * usual, waited - usual) - before), now
@@ -129,7 +129,7 @@
                 self._shares.clear()
             at_home = self._region in costs
             first = {one: float(one == self._region) if at_home else 1 / len(cheap) for one in key[2]}
-            shares = self._shares[key] = Shares(first, now)
+            shares = self._shares[key] = RegionShares(first, now)
         stays = math.exp(-DRIFT * min(DRIFT_MOST_S, now - shares.at))
         parts, shares.at = shares.parts, now
         for region in parts:
--- a/ashlift/proxy/registry_client.py
+++ b/ashlift/proxy/registry_client.py
@@ -7,7 +7,7 @@
 
 from ashlift.config.settings import Settings
 from ashlift.errors import Failure, FailureReason
-from ashlift.proxy.request_router import Gate
+from ashlift.proxy.request_router import RequestRouter
 from ashlift.rpc.client import CONNECT_TIMEOUT_SECONDS
 from ashlift.rpc.fragmentation import Reassembler
 from ashlift.rpc.sources import OPERATOR_SOURCE
@@ -23,7 +23,7 @@
 
 
 @frozen
-class Pull:
+class PullRequest:
     """One call: the registry's IP, when it was sent, its body, and s for its connection to come up."""
 
     ip: str
@@ -32,8 +32,8 @@
     dial: float
 
 
-class Pulling:
-    def __init__(self, settings: Settings, gate: Gate, incarnation: str, rng: random.Random) -> None:
+class RegistryClient:
+    def __init__(self, settings: Settings, gate: RequestRouter, incarnation: str, rng: random.Random) -> None:
         self._settings, self._gate, self._incarnation, self._rng = settings, gate, incarnation, rng
         self._avoid: dict[str, float] = {}  # until when, by IP
         self._stale: set[str] = set()  # of those, who do answer, but with an old proof
@@ -61,7 +61,7 @@
     def _avoid_all(self, ips: list[str], now: float) -> bool:
         return all(self._avoid.get(ip, 0.0) > now for ip in ips)
 
-    def begin(self, now: float) -> Pull | None:
+    def begin(self, now: float) -> PullRequest | None:
         """The next call, to be made at once; None: there is nobody to call."""
         ip = self._choose(now)
         if ip is None:
@@ -85,9 +85,9 @@
             "eager": gate.ledger.age(now) > EAGER_S,
             "adds": {"number": self._number, "counts": gate.limiter.take_new_counts()},
         }
-        return Pull(ip, now, body, self._dial)
+        return PullRequest(ip, now, body, self._dial)
 
-    def ended(self, pull: Pull, now: float, answer: Json | Failure) -> bool:
+    def ended(self, pull: PullRequest, now: float, answer: Json | Failure) -> bool:
         """Take the answer; False: there was none, and the next call is to wait a little."""
         gate, counts = self._gate, pull.body["adds"]["counts"]
         answer = answer if isinstance(answer, Failure) else self._joined(answer)
--- a/ashlift/proxy/request_handler.py
+++ b/ashlift/proxy/request_handler.py
@@ -5,42 +5,42 @@
 import gevent
 from gevent.event import Event
 
-from ashlift.proxy.load_balancer import View
-from ashlift.proxy.request_reader import HOP, Asked, BadRequestError
-from ashlift.proxy.request_router import Gate, Live, Turn
-from ashlift.proxy.responses import ATTEMPT, Answer, relay
-from ashlift.proxy.upstream import Ended, Links, Outcome, Try
+from ashlift.proxy.load_balancer import WorkerState
+from ashlift.proxy.request_reader import HOP, BadRequestError, ClientRequest
+from ashlift.proxy.request_router import AdmittedRequest, Rejection, RequestRouter
+from ashlift.proxy.responses import ATTEMPT, ClientResponse, relay
+from ashlift.proxy.upstream import Attempt, AttemptOutcome, AttemptResult, ConnectionPool
 
 OURS = HOP | {b"x-tenant", b"x-target-instance", b"x-time-remaining", b"authorization"}
 REMAINING_MOST = 3600.0
 HELD_MOST = 64  # requests that wait for news at a time: more are turned away at once
 
 
-class Case:
+class RequestContext:
     """A request with its tries under way. `before`: the id of the one before it on its connection."""
 
     def __init__(self, before: bytes = b"") -> None:
         self.before, self.attempt = before, b""
         self.woken = Event()
-        self.out: dict[Try, View] = {}
-        self.ended: list[tuple[Try, View, Outcome]] = []
+        self.out: dict[Attempt, WorkerState] = {}
+        self.ended: list[tuple[Attempt, WorkerState, AttemptOutcome]] = []
         self.gone = self.closed = False
 
 
-class Desk:
-    def __init__(self, gate: Gate) -> None:
-        self.gate, self.links = gate, Links()
+class RequestHandler:
+    def __init__(self, gate: RequestRouter) -> None:
+        self.gate, self.links = gate, ConnectionPool()
         self.busy = 0  # requests under way
         self.told: dict[str, int] = {}  # answers by cause or status
-        self._held: set[Case] = set()  # wait for news
+        self._held: set[RequestContext] = set()  # wait for news
 
-    def handle(self, asked: Asked, case: Case) -> Answer | None:
+    def handle(self, asked: ClientRequest, case: RequestContext) -> ClientResponse | None:
         """The answer to a request; None: there is none to give, and its connection is to end."""
         self.busy += 1
         try:
             answer = self._handle(asked, case)
         except BadRequestError as bad:
-            answer = Answer(bad.status, cause="bad")
+            answer = ClientResponse(bad.status, cause="bad")
         finally:
             self.busy -= 1
         if answer is not None:
@@ -53,7 +53,7 @@
         for case in self._held:
             case.woken.set()
 
-    def _handle(self, asked: Asked, case: Case) -> Answer | None:
+    def _handle(self, asked: ClientRequest, case: RequestContext) -> ClientResponse | None:
         attempt, told = asked.one(ATTEMPT), asked.one(b"x-time-remaining")
         try:
             remaining = float(told) / 1000 if told else REMAINING_MOST
@@ -68,7 +68,7 @@
             return None  # every try has its own id: these are bytes of the last one, come twice
         case.attempt = attempt
         live = self._let_in(case, host, path, key.strip() if scheme.lower() == "bearer" else "", remaining)
-        if not isinstance(live, Live):
+        if not isinstance(live, AdmittedRequest):
             return _own(live) if live is not None else None
         live.size = asked.head + asked.size
         try:
@@ -83,11 +83,13 @@
             if not live.may_run and not live.out:
                 self.gate.never_ran(now, live)
 
-    def _let_in(self, case: Case, host: str, path: str, key: str, remaining: float) -> Live | Turn | None:
+    def _let_in(
+        self, case: RequestContext, host: str, path: str, key: str, remaining: float
+    ) -> AdmittedRequest | Rejection | None:
         """What the gate says, which may need news first; None: the client has gone meanwhile."""
         came = now = time.monotonic()
         found = self.gate.arrive(now, host, path, key, remaining)
-        while isinstance(found, Turn) and now < found.until and len(self._held) < HELD_MOST:
+        while isinstance(found, Rejection) and now < found.until and len(self._held) < HELD_MOST:
             self._held.add(case)
             case.woken.wait(found.until - now)
             self._held.discard(case)
@@ -98,12 +100,14 @@
             found = self.gate.arrive(now, host, path, key, remaining - (now - came), came)
         return found
 
-    def _run(self, asked: Asked, attempt: bytes, live: Live, case: Case) -> Answer | None:
+    def _run(
+        self, asked: ClientRequest, attempt: bytes, live: AdmittedRequest, case: RequestContext
+    ) -> ClientResponse | None:
         gate, head = self.gate, _head(asked, live)
-        failure: Answer | None = None  # a worker's own word, kept while there is hope of a better one
+        failure: ClientResponse | None = None  # a worker's own word, kept while there is hope of a better one
         view = gate.pick(time.monotonic(), live, False)
         while True:
-            if isinstance(view, View):
+            if isinstance(view, WorkerState):
                 self._start(head, asked, attempt, live, case, view)
             elif not case.out:
                 return failure or _own(view)
@@ -118,21 +122,36 @@
             while case.ended:
                 one, tried, outcome = case.ended.pop()
                 final = gate.ended(now, live, tried, outcome, one.cancelled)
-                if outcome.ended is Ended.ANSWERED and outcome.reply is not None:
+                if outcome.ended is AttemptResult.ANSWERED and outcome.reply is not None:
                     failure = relay(outcome.reply)
                     if final:
                         return failure
             if now >= live.deadline:
-                return failure or Answer(504, cause="late")
+                return failure or ClientResponse(504, cause="late")
             view = gate.pick(now, live, True) if not case.out or gate.hedges(now, live) else gate.stay(live)
 
-    def _start(self, head: bytes, asked: Asked, attempt: bytes, live: Live, case: Case, view: View) -> None:
-        one = Try()
+    def _start(
+        self,
+        head: bytes,
+        asked: ClientRequest,
+        attempt: bytes,
+        live: AdmittedRequest,
+        case: RequestContext,
+        view: WorkerState,
+    ) -> None:
+        one = Attempt()
         case.out[one] = view
         gevent.spawn(self._try, one, head, asked, attempt, live, case, view)
 
     def _try(
-        self, one: Try, head: bytes, asked: Asked, attempt: bytes, live: Live, case: Case, view: View
+        self,
+        one: Attempt,
+        head: bytes,
+        asked: ClientRequest,
+        attempt: bytes,
+        live: AdmittedRequest,
+        case: RequestContext,
+        view: WorkerState,
     ) -> None:
         left = live.deadline - time.monotonic()
         request, worker = _request(head, asked, view, left), view.worker
@@ -148,11 +167,11 @@
             case.woken.set()
 
 
-def _own(turn: Turn) -> Answer:
-    return Answer(turn.status, again=turn.again, cause=turn.cause)
+def _own(turn: Rejection) -> ClientResponse:
+    return ClientResponse(turn.status, again=turn.again, cause=turn.cause)
 
 
-def _head(asked: Asked, live: Live) -> bytes:
+def _head(asked: ClientRequest, live: AdmittedRequest) -> bytes:
     """What of a request's head is the same for all tries."""
     named = {token.strip().lower() for token in asked.all(b"connection").split(b",")}
     lines = [b"%b %b HTTP/1.1" % (asked.method, asked.target)]
@@ -168,7 +187,7 @@
     return b"\r\n".join(lines)
 
 
-def _request(head: bytes, asked: Asked, view: View, left: float) -> bytes:
+def _request(head: bytes, asked: ClientRequest, view: WorkerState, left: float) -> bytes:
     return b"%b\r\nX-Time-Remaining: %d\r\nX-Target-Instance: %b\r\n\r\n%b" % (
         head,
         max(1, int(left * 1000)),
@@ -177,4 +196,4 @@
     )
 
 
-__all__ = ["Case", "Desk"]
+__all__ = ["RequestContext", "RequestHandler"]
--- a/ashlift/proxy/request_reader.py
+++ b/ashlift/proxy/request_reader.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class ClientRequest:
     """One request as it came; header names as they were sent."""
 
     method: bytes = b""
@@ -68,8 +68,8 @@
     def __init__(self) -> None:
         self.limits = Limits()
         self.bad = 0
-        self.asked: Asked | None = None  # being read
-        self.done: list[Asked] = []
+        self.asked: ClientRequest | None = None  # being read
+        self.done: list[ClientRequest] = []
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> None:
@@ -87,7 +87,7 @@
             cause = error.__context__  # a callback's own error comes wrapped
             self.bad = cause.status if isinstance(cause, BadRequestError) else 400
 
-    def _head(self, size: int) -> Asked:
+    def _head(self, size: int) -> ClientRequest:
         asked = self.asked
         assert asked is not None
         asked.head += size
@@ -98,7 +98,7 @@
     # httptools calls these
 
     def on_message_begin(self) -> None:
-        self.asked = Asked()
+        self.asked = ClientRequest()
 
     def on_url(self, url: bytes) -> None:
         self._head(len(url)).target += url
--- a/ashlift/proxy/request_router.py
+++ b/ashlift/proxy/request_router.py
@@ -9,9 +9,9 @@
 
 from ashlift.config.routing_table import Route, Service, Tenant
 from ashlift.config.settings import Settings
-from ashlift.proxy.cluster_view import Change, Ledger
-from ashlift.proxy.load_balancer import Crew, View
-from ashlift.proxy.upstream import Ended, Outcome
+from ashlift.proxy.cluster_view import ClusterChange, ClusterView
+from ashlift.proxy.load_balancer import LoadBalancer, WorkerState
+from ashlift.proxy.upstream import AttemptOutcome, AttemptResult
 from ashlift.traffic.rate_limiter import RateLimiter
 from ashlift.traffic.retry_budget import RetryBudget
 from ashlift.traffic.slow_start import SlowStartPacer, assigned_proxies
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class Rejection:
     """The end of a request by our own word."""
 
     status: int
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Live:
+class AdmittedRequest:
     """A request that has been let in."""
 
     route: Route
@@ -62,11 +62,11 @@
     alone: bool = False  # no further try beside the one that is out
 
 
-class Gate:
+class RequestRouter:
     def __init__(self, settings: Settings, rng: random.Random, now: float) -> None:
         self.settings, self.bounds, self._rng = settings, settings.bounds, rng
-        self.ledger = Ledger(BEATS * settings.heartbeat)
-        self.crew = Crew(settings.zone, settings.zones, rng)
+        self.ledger = ClusterView(BEATS * settings.heartbeat)
+        self.crew = LoadBalancer(settings.zone, settings.zones, rng)
         self.limiter = RateLimiter(rng, settings.bounds)
         self.retries = RetryBudget(settings.bounds)
         self.pace = SlowStartPacer()
@@ -76,7 +76,7 @@
 
     # ---- news
 
-    def news(self, now: float, change: Change) -> None:
+    def news(self, now: float, change: ClusterChange) -> None:
         """Bring everything in line with the ledger."""
         ledger = self.ledger
         table = ledger.table
@@ -109,42 +109,42 @@
 
     def arrive(
         self, now: float, host: str, path: str, key: str, remaining: float, came: float | None = None
-    ) -> Live | Turn:
+    ) -> AdmittedRequest | Rejection:
         """Let a request in that came whole at `came` (now). `remaining`: s that its client will wait.
 
         What is not known is called so only by a configuration that was the newest after the request came: an
         older proof may be from before an acknowledgement that its client knows of."""
         table, came = self.ledger.table, now if came is None else came
-        unready = Turn(503, "unready", UNREADY_AGAIN_S)
+        unready = Rejection(503, "unready", UNREADY_AGAIN_S)
         if table is None:
-            return Turn(503, "unready", max(UNREADY_AGAIN_S, self._since + START_S - now))
+            return Rejection(503, "unready", max(UNREADY_AGAIN_S, self._since + START_S - now))
         known, unsure = self.ledger.proven >= came, unready
         if self.ledger.age(now) <= KNOWN_S:
             until = came + min(UNSURE_S, UNSURE_PART * (remaining + now - came))
-            unsure = Turn(503, "unsure", UNREADY_AGAIN_S, until)
+            unsure = Rejection(503, "unsure", UNREADY_AGAIN_S, until)
         route = table.route(host, path)
         if route is None:
-            return Turn(404, "route") if known else unsure
+            return Rejection(404, "route") if known else unsure
         tenant = None
         if table.has_tenants and not route.anonymous:
             tenant = table.tenant_of(key)
             if tenant is None:
-                return Turn(401, "key") if known else unsure
+                return Rejection(401, "key") if known else unsure
             if not self._fresh(now):
                 return unready
         homes = route.homes
         if tenant is not None and tenant.homes:
             homes = homes & tenant.homes if homes else tenant.homes
             if not homes:
-                return Turn(503, "homes", 1.0)
+                return Rejection(503, "homes", 1.0)
         if tenant is not None:
             again = self.limiter.admit(now, tenant.name)
             if again is not None:
-                return Turn(429, "quota", again)
+                return Rejection(429, "quota", again)
         service = self._service(route)
         deadline = now + min(remaining, route.timeout or remaining) - EDGE_S
         self.retries.record_request(now, service)
-        return Live(route, tenant, service, homes, now, deadline)
+        return AdmittedRequest(route, tenant, service, homes, now, deadline)
 
     def _service(self, route: Route) -> str:
         if len(route.split) == 1:
@@ -152,7 +152,7 @@
         names = [name for name, weight in route.split if weight > 0]
         return self._rng.choices(names, [weight for _, weight in route.split if weight > 0])[0]
 
-    def pick(self, now: float, live: Live, further: bool) -> View | Turn:
+    def pick(self, now: float, live: AdmittedRequest, further: bool) -> WorkerState | Rejection:
         """The worker for the next try. A `further` one (beside or after another) is paid from the budget,
         unless no worker has been reached yet."""
         turn = self._give_up(live)
@@ -171,7 +171,7 @@
         for view in self.crew.order(now, views, live.route):
             if self._may(now, view):
                 if not further and self._crowded(now, live, view):
-                    return Turn(503, "crowded", CROWDED_AGAIN_S)
+                    return Rejection(503, "crowded", CROWDED_AGAIN_S)
                 if paid:
                     self.retries.record_retry(now, live.service)
                 self.crew.sent(now, view)
@@ -180,7 +180,7 @@
                 return view
         return turn
 
-    def _may(self, now: float, view: View) -> bool:
+    def _may(self, now: float, view: WorkerState) -> bool:
         """A cold worker gets little, from few."""
         cold = max(view.cold_until, view.worker.warm_at)
         service = self._known(view)
@@ -196,27 +196,27 @@
         self.pace.record_sent(now, view.worker.id)
         return True
 
-    def _crowded(self, now: float, live: Live, view: View) -> bool:
+    def _crowded(self, now: float, live: AdmittedRequest, view: WorkerState) -> bool:
         """Whether it would wait there for most of the time that it has: what ranks low gives way first."""
         first = live.tenant.priority if live.tenant is not None and live.tenant.priority is not None else 0
         patience = PATIENCE - RANK_FIRST * min(4, first) - RANK_NEXT * min(5, live.route.priority)
         expected = self.crew.usual(live.route) * (1.0 + self.crew.wait(view))
         return expected > patience * (live.deadline - now)
 
-    def _known(self, view: View) -> Service | None:
+    def _known(self, view: WorkerState) -> Service | None:
         table = self.ledger.table
         return table.services.get(view.worker.service) if table is not None else None
 
-    def connections(self, view: View) -> int:
+    def connections(self, view: WorkerState) -> int:
         """How many connections to a worker are ours."""
         service = self._known(view)
         most = service.max_connections if service is not None and service.max_connections else 64
         return max(2, int(0.9 * most / max(1, len(self.ledger.members))))
 
-    def dial(self, view: View) -> float:
+    def dial(self, view: WorkerState) -> float:
         return DIAL_NEAR_S if self.crew.region(view) == self.settings.region else DIAL_FAR_S
 
-    def hedge(self, live: Live) -> float | None:
+    def hedge(self, live: AdmittedRequest) -> float | None:
         """When a silent try of a repeatable request gets another beside it (steady time); None: never."""
         if not live.route.repeatable or live.alone or len(live.tried) >= live.route.attempts:
             return None
@@ -224,20 +224,22 @@
         at = live.came + max(HEDGE_LEAST * usual, live.route.aim - HEDGE_BEFORE * usual)
         return at if at + usual < live.deadline else None
 
-    def hedges(self, now: float, live: Live) -> bool:
+    def hedges(self, now: float, live: AdmittedRequest) -> bool:
         at = self.hedge(live)
         return at is not None and now >= at
 
-    def stay(self, live: Live) -> Turn:
+    def stay(self, live: AdmittedRequest) -> Rejection:
         """No further try now."""
         return self._give_up(live)
 
-    def ended(self, now: float, live: Live, view: View, outcome: Outcome, cancelled: bool) -> bool:
+    def ended(
+        self, now: float, live: AdmittedRequest, view: WorkerState, outcome: AttemptOutcome, cancelled: bool
+    ) -> bool:
         """Learn from a try that ended; whether its answer is the request's answer."""
         live.out -= 1
         self.crew.back(view)
         match outcome.ended:
-            case Ended.ANSWERED:
+            case AttemptResult.ANSWERED:
                 live.arrived = live.may_run = True
                 reply = outcome.reply
                 assert reply is not None
@@ -247,31 +249,31 @@
                 if reply.status != DEADLINE:
                     self.crew.erred(now, view)
                 return not live.route.repeatable or len(live.tried) >= live.route.attempts
-            case Ended.NOT_RUN:
+            case AttemptResult.NOT_RUN:
                 self.crew.busy(now, view)
                 if outcome.reply is not None:
                     live.arrived = True
                     self.crew.refused(now, view)
-            case Ended.UNREACHED:
+            case AttemptResult.UNREACHED:
                 self.crew.failed(now, view)
-            case Ended.LOST | Ended.LATE:
+            case AttemptResult.LOST | AttemptResult.LATE:
                 live.arrived = live.may_run = True
                 if not cancelled and not outcome.rested:
                     self.crew.failed(now, view)
                 elif cancelled and outcome.waited > HEDGE_LEAST * self.crew.usual(live.route):
                     self.crew.silent(now, view)
-            case Ended.FULL:
+            case AttemptResult.FULL:
                 live.tried.remove(view.worker.id)
                 self.crew.busy(now, view)
         return False
 
-    def _give_up(self, live: Live) -> Turn:
+    def _give_up(self, live: AdmittedRequest) -> Rejection:
         """What the client gets when there is no further try: a promise only where it holds."""
         if live.may_run or live.out:
-            return Turn(504, "unanswered")
-        return Turn(503, "no worker", BUSY_AGAIN_S)
+            return Rejection(504, "unanswered")
+        return Rejection(503, "no worker", BUSY_AGAIN_S)
 
-    def never_ran(self, now: float, live: Live) -> None:
+    def never_ran(self, now: float, live: AdmittedRequest) -> None:
         """It was let in, and no worker has had it: its unit is free again."""
         if live.tenant is not None and not live.may_run:
             self.limiter.refund(now, live.tenant.name)
--- a/ashlift/proxy/responses.py
+++ b/ashlift/proxy/responses.py
@@ -12,7 +12,7 @@
 PROMISES: Final = (408, 429, 503)  # to a client they say that it has not run and never will; so does 421
 
 
-class WorkerReply(Reply):
+class WorkerResponse(Reply):
     """One answer of a worker, held whole."""
 
     @property
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class ClientResponse:
     """What a client gets."""
 
     status: int
@@ -50,12 +50,12 @@
     cause: str = ""  # of our own answers, for the log
 
 
-def relay(reply: WorkerReply) -> Answer:
+def relay(reply: WorkerResponse) -> ClientResponse:
     kept = [(name, value) for name, value in reply.headers if name not in HOP]
-    return Answer(reply.status, kept, b"".join(reply.parts))
+    return ClientResponse(reply.status, kept, b"".join(reply.parts))
 
 
-def render(answer: Answer, keep: bool, bodiless: bool = False) -> bytes:
+def render(answer: ClientResponse, keep: bool, bodiless: bool = False) -> bytes:
     """The bytes of an answer. `bodiless`: it answers a HEAD."""
     try:
         phrase = HTTPStatus(answer.status).phrase.encode()
--- a/ashlift/proxy/server.py
+++ b/ashlift/proxy/server.py
@@ -10,9 +10,9 @@
 
 from ashlift.config.routing_table import Limits
 from ashlift.gatekeeper.net.links import hung_up
-from ashlift.proxy.request_handler import Case, Desk
-from ashlift.proxy.request_reader import Asked, RequestReader
-from ashlift.proxy.responses import Answer, render
+from ashlift.proxy.request_handler import RequestContext, RequestHandler
+from ashlift.proxy.request_reader import ClientRequest, RequestReader
+from ashlift.proxy.responses import ClientResponse, render
 from ashlift.rpc.addresses import Address
 
 WRITE_S = 5.0  # a client that takes no bytes for so long is gone
@@ -21,13 +21,13 @@
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-class Front:
+class ProxyServer:
     """Listens for clients, and knows every open connection."""
 
-    def __init__(self, desk: Desk, limits: Callable[[], Limits]) -> None:
+    def __init__(self, desk: RequestHandler, limits: Callable[[], Limits]) -> None:
         self.desk, self.limits = desk, limits
         self.leaving = False
-        self.connections: set[Connection] = set()
+        self.connections: set[ClientConnection] = set()
         self._server: StreamServer | None = None
 
     def listen(self, address: Address) -> None:
@@ -37,7 +37,7 @@
 
     def _serve(self, sock: socket.socket, _: Address) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection = Connection(self, sock)
+        connection = ClientConnection(self, sock)
         self.connections.add(connection)
         try:
             connection.run()
@@ -53,8 +53,8 @@
             connection.rest()
 
 
-class Connection:
-    def __init__(self, front: Front, sock: socket.socket) -> None:
+class ClientConnection:
+    def __init__(self, front: ProxyServer, sock: socket.socket) -> None:
         self._front, self._sock = front, sock
         self._reader = RequestReader()
         self._busy = False
@@ -88,7 +88,7 @@
         finally:
             self._busy = False
 
-    def _read(self, limits: Limits) -> Asked | None:
+    def _read(self, limits: Limits) -> ClientRequest | None:
         reader, told = self._reader, False
         if reader.done and hung_up(self._sock):
             return None  # it came together with the one before it, and nobody waits for it any more
@@ -127,9 +127,9 @@
             reader.feed(data)
         return reader.done.pop(0)
 
-    def _handle(self, asked: Asked) -> Answer | None:
+    def _handle(self, asked: ClientRequest) -> ClientResponse | None:
         """The answer, or None where there is none to give: its client has gone, as a rule."""
-        case = Case(self._last)
+        case = RequestContext(self._last)
         loop = gevent.get_hub().loop
         watcher, again = loop.io(self._sock.fileno(), 1), None
 
@@ -156,7 +156,7 @@
 
     def _refuse(self, status: int) -> None:
         """Answer what cannot be read, and let its sender see the answer before the end."""
-        self._write(render(Answer(status), False))
+        self._write(render(ClientResponse(status), False))
         with contextlib.suppress(OSError, gevent.Timeout), gevent.Timeout(1.0):
             self._sock.shutdown(socket.SHUT_WR)
             while self._sock.recv(65536):
@@ -183,7 +183,7 @@
                         return
                 path = reader.done[0].target.partition(b"?")[0]
                 status = 404 if path != b"/readiness" else 200 if ready() else 503
-                sock.sendall(render(Answer(status), False))
+                sock.sendall(render(ClientResponse(status), False))
         except (OSError, gevent.Timeout):
             pass
         finally:
--- a/ashlift/proxy/upstream.py
+++ b/ashlift/proxy/upstream.py
@@ -10,8 +10,8 @@
 
 from ashlift.gatekeeper.net.links import quiet
 from ashlift.gatekeeper.net.replies import SpoiltAnswerError
-from ashlift.proxy.idle_connections import Rests
-from ashlift.proxy.responses import ATTEMPT, WorkerReply
+from ashlift.proxy.idle_connections import IdleConnectionAges
+from ashlift.proxy.responses import ATTEMPT, WorkerResponse
 from ashlift.rpc.addresses import Address
 
 IDLE_S = 4.0  # an idle connection is used again for so long, or as long as `Keep-Alive` says, less a second
@@ -19,7 +19,7 @@
 EARLY_LEAST = 16 << 10  # bytes of a request, from which on an answer may come before all of it has been read
 
 
-class Ended(Enum):
+class AttemptResult(Enum):
     """How one try at one worker ended."""
 
     ANSWERED = auto()  # the worker's own sound answer
@@ -31,22 +31,22 @@
 
 
 @dataclass(slots=True)
-class Outcome:
-    ended: Ended
-    reply: WorkerReply | None = None
+class AttemptOutcome:
+    ended: AttemptResult
+    reply: WorkerResponse | None = None
     waited: float = 0.0  # s
     rested: bool = False  # lost because its connection had rested too long: this tells nothing of the worker
 
 
 @dataclass(slots=True, eq=False)
-class Link:
+class WorkerConnection:
     sock: socket.socket
     address: Address
     usable_until: float = 0.0
     since: float = 0.0  # resting
 
 
-class Try:
+class Attempt:
     """One try under way; `cancel` closes its connection."""
 
     def __init__(self) -> None:
@@ -59,17 +59,17 @@
             self.sock.close()
 
 
-class Links:
+class ConnectionPool:
     """All connections to workers of this process. A worker is its id: its address may pass to another."""
 
     def __init__(self) -> None:
-        self._idle: dict[str, deque[Link]] = {}
+        self._idle: dict[str, deque[WorkerConnection]] = {}
         self._open: dict[str, int] = {}
-        self._rests = Rests()
+        self._rests = IdleConnectionAges()
 
     def exchange(
         self,
-        one: Try,
+        one: Attempt,
         worker: str,
         address: Address,
         request: bytes,
@@ -78,13 +78,13 @@
         dial: float,
         left: float,
         repeatable: bool,
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         """Send a request and read its answer. `dial`, `left`: s; `most`: connections to this worker."""
         began = time.monotonic()
         rested = 0.0
         timer = gevent.Timeout(left)
         timer.start()
-        link: Link | None = None
+        link: WorkerConnection | None = None
         keep_s = 0.0
         try:
             link = self._take(worker, address, self._rests.most(began, repeatable))
@@ -92,11 +92,11 @@
                 rested = began - link.since
             else:
                 if self._open.get(worker, 0) >= most:
-                    return Outcome(Ended.FULL)
+                    return AttemptOutcome(AttemptResult.FULL)
                 link = self._dial(worker, address, min(dial, left))
             if one.cancelled:
                 keep_s = IDLE_S
-                return Outcome(Ended.NOT_RUN)
+                return AttemptOutcome(AttemptResult.NOT_RUN)
             one.sock, one.sent = link.sock, True
             link.sock.sendall(request)
             early = len(request) > EARLY_LEAST and not quiet(link.sock)
@@ -105,16 +105,22 @@
                 keep_s = 0.0  # who answers before the end of a request may take the rest of it for another
             waited = time.monotonic() - began
             if reply is None:
-                return Outcome(Ended.LOST, None, waited)
-            return Outcome(Ended.NOT_RUN if reply.not_run else Ended.ANSWERED, reply, waited)
+                return AttemptOutcome(AttemptResult.LOST, None, waited)
+            return AttemptOutcome(
+                AttemptResult.NOT_RUN if reply.not_run else AttemptResult.ANSWERED, reply, waited
+            )
         except gevent.Timeout as over:
             if over is not timer:
                 raise
-            return Outcome(Ended.LATE if one.sent else Ended.UNREACHED, None, time.monotonic() - began)
+            return AttemptOutcome(
+                AttemptResult.LATE if one.sent else AttemptResult.UNREACHED, None, time.monotonic() - began
+            )
         except (OSError, SpoiltAnswerError) as error:
             now = time.monotonic()
             forgotten = isinstance(error, ConnectionError) and self._rests.broke(now, rested, now - began)
-            return Outcome(Ended.LOST if one.sent else Ended.UNREACHED, None, now - began, forgotten)
+            return AttemptOutcome(
+                AttemptResult.LOST if one.sent else AttemptResult.UNREACHED, None, now - began, forgotten
+            )
         finally:
             timer.close()
             one.sock = None
@@ -122,12 +128,12 @@
                 self._give(worker, link, 0.0 if one.cancelled and one.sent else keep_s)
 
     @staticmethod
-    def _read(sock: socket.socket, attempt: bytes) -> tuple[WorkerReply | None, float]:
+    def _read(sock: socket.socket, attempt: bytes) -> tuple[WorkerResponse | None, float]:
         """The answer with our id, and for how long the connection may be used again. An answer with another
         id is a late second one of an earlier request: ours may follow, and then the connection goes."""
         doubted = False
         while True:
-            reply = WorkerReply()
+            reply = WorkerResponse()
             while not reply.done:
                 data = sock.recv(65536)
                 if not data:
@@ -146,7 +152,7 @@
         seconds = told.partition(b"timeout=")[2].split(b",")[0].strip()
         return reply, min(IDLE_S, int(seconds) - 1.0) if seconds.isdigit() else IDLE_S
 
-    def _take(self, worker: str, address: Address, rest: float) -> Link | None:
+    def _take(self, worker: str, address: Address, rest: float) -> WorkerConnection | None:
         """The connection used last that still stands, leads to `address` (a worker that starts again with its
         id may have another), on which nothing lies unread, and that has rested for no more than `rest` s."""
         links, now = self._idle.get(worker), time.monotonic()
@@ -158,10 +164,10 @@
             self._close(worker, link)
         return None
 
-    def _dial(self, worker: str, address: Address, within: float) -> Link:
+    def _dial(self, worker: str, address: Address, within: float) -> WorkerConnection:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._open[worker] = self._open.get(worker, 0) + 1
-        link = Link(sock, address)
+        link = WorkerConnection(sock, address)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             with gevent.Timeout(within, OSError("no connection came up")):
@@ -171,7 +177,7 @@
             raise
         return link
 
-    def _give(self, worker: str, link: Link, keep_s: float) -> None:
+    def _give(self, worker: str, link: WorkerConnection, keep_s: float) -> None:
         if keep_s <= 0:
             return self._close(worker, link)
         link.since = time.monotonic()
@@ -181,7 +187,7 @@
         if len(links) > IDLE_EACH:
             self._close(worker, links.popleft())
 
-    def _close(self, worker: str, link: Link) -> None:
+    def _close(self, worker: str, link: WorkerConnection) -> None:
         link.sock.close()
         left = self._open.get(worker, 1) - 1
         if left:
--- a/ashlift/simulation/keeper.py
+++ b/ashlift/simulation/keeper.py
@@ -7,12 +7,12 @@
 
 from ashlift.config.settings import Settings
 from ashlift.proxy.configuration_updates import PAUSE_S
-from ashlift.proxy.idle_connections import Rests
-from ashlift.proxy.load_balancer import View
-from ashlift.proxy.registry_client import ANSWER_S, WAIT_S, Pulling
-from ashlift.proxy.request_router import Gate, Live, Turn
-from ashlift.proxy.responses import WorkerReply
-from ashlift.proxy.upstream import IDLE_EACH, IDLE_S, Ended, Outcome
+from ashlift.proxy.idle_connections import IdleConnectionAges
+from ashlift.proxy.load_balancer import WorkerState
+from ashlift.proxy.registry_client import ANSWER_S, WAIT_S, RegistryClient
+from ashlift.proxy.request_router import AdmittedRequest, Rejection, RequestRouter
+from ashlift.proxy.responses import WorkerResponse
+from ashlift.proxy.upstream import IDLE_EACH, IDLE_S, AttemptOutcome, AttemptResult
 from ashlift.simulation import board
 from ashlift.simulation.engine import Loop, Machine, Net, Process, Steps
 from ashlift.simulation.history import HOST, Request
@@ -23,9 +23,9 @@
 
 
 @functools.cache
-def reply(status: int) -> WorkerReply:
+def reply(status: int) -> WorkerResponse:
     """A worker's answer, as far as the gate looks at it."""
-    made = WorkerReply()
+    made = WorkerResponse()
     made.status, made.done = status, True
     return made
 
@@ -45,7 +45,7 @@
 
     __slots__ = ("begun", "cancelled", "case", "ended", "left", "life", "rested", "sent", "view")
 
-    def __init__(self, case: "Case", view: View, left: float) -> None:
+    def __init__(self, case: "Case", view: WorkerState, left: float) -> None:
         self.case, self.view, self.left = case, view, left
         self.life, self.begun, self.rested = case.keeper.life, 0.0, 0.0
         self.cancelled = self.sent = self.ended = False
@@ -55,7 +55,7 @@
         """Whether its connection is closed at our end."""
         return self.cancelled or self.ended or self.case.keeper.life != self.life
 
-    def end(self, outcome: Outcome, keep: bool = False) -> None:
+    def end(self, outcome: AttemptOutcome, keep: bool = False) -> None:
         """In the gatekeeper: the outcome has come."""
         if not self.ended and self.case.keeper.life == self.life:
             self.ended = True
@@ -70,9 +70,9 @@
         self, keeper: "Keeper", request: Request, answered: Callable[[int, float | None], None]
     ) -> None:
         self.keeper, self.request, self.answered = keeper, request, answered
-        self.live: Live | None = None
-        self.out: dict[Try, View] = {}
-        self.ended: list[tuple[Try, View, Outcome]] = []
+        self.live: AdmittedRequest | None = None
+        self.out: dict[Try, WorkerState] = {}
+        self.ended: list[tuple[Try, WorkerState, AttemptOutcome]] = []
         self.failure = 0  # a worker's own word, kept while there is hope of a better one
         self.closed = False
         self._wake = 0
@@ -88,7 +88,7 @@
         if self.closed or self.live is not None:
             return
         live = keeper.gate.arrive(now, HOST, request.path, request.key, self._until - now, self._came)
-        if isinstance(live, Turn):
+        if isinstance(live, Rejection):
             if now >= live.until:
                 return self._answer(live.status, live.cause, live.again)
             if self not in keeper.held:
@@ -103,7 +103,7 @@
         if not self.closed:
             self._answer(0, "gone", None)
 
-    def back(self, one: Try, outcome: Outcome) -> None:
+    def back(self, one: Try, outcome: AttemptOutcome) -> None:
         assert self.live is not None
         view = self.out.pop(one)
         if self.closed:
@@ -116,10 +116,10 @@
         if not self.closed and wake == self._wake:
             self._look()
 
-    def _go(self, view: View | Turn) -> None:
+    def _go(self, view: WorkerState | Rejection) -> None:
         gate, live = self.keeper.gate, self.live
         assert live is not None
-        if isinstance(view, View):
+        if isinstance(view, WorkerState):
             self._start(view)
         elif not self.out:
             if self.failure:
@@ -139,7 +139,7 @@
         while self.ended:
             one, view, outcome = self.ended.pop()
             final = gate.ended(now, live, view, outcome, one.cancelled)
-            if outcome.ended is Ended.ANSWERED and outcome.reply is not None:
+            if outcome.ended is AttemptResult.ANSWERED and outcome.reply is not None:
                 self.failure = outcome.reply.status
                 if final:
                     return self._answer(self.failure, "", None)
@@ -147,7 +147,7 @@
             return self._answer(self.failure or 504, "" if self.failure else "late", None)
         self._go(gate.pick(now, live, True) if not self.out or gate.hedges(now, live) else gate.stay(live))
 
-    def _start(self, view: View) -> None:
+    def _start(self, view: WorkerState) -> None:
         assert self.live is not None
         one = Try(self, view, self.live.deadline - self.keeper.clock())
         self.out[one] = view
@@ -165,7 +165,9 @@
                 one.cancelled = True
                 keeper.yard.hung_up(one)
                 # Its connection is closed: the outcome comes at once.
-                keeper.later(0.0, one.end, Outcome(Ended.LOST if one.sent else Ended.UNREACHED))
+                keeper.later(
+                    0.0, one.end, AttemptOutcome(AttemptResult.LOST if one.sent else AttemptResult.UNREACHED)
+                )
             if not live.may_run and not live.out:
                 keeper.gate.never_ran(now, live)
         word = cause or str(status)
@@ -187,12 +189,12 @@
 
     def begin(self) -> None:
         settings, rng = self.settings(), random.Random(self.loop.chance.getrandbits(64))
-        self.gate = Gate(settings, rng, self.clock())
-        self.pulling = Pulling(settings, self.gate, f"{rng.getrandbits(32):08x}", rng)
+        self.gate = RequestRouter(settings, rng, self.clock())
+        self.pulling = RegistryClient(settings, self.gate, f"{rng.getrandbits(32):08x}", rng)
         self.cases = {}
         self.held: list[Case] = []  # wait for news
         self.idle: dict[str, list[float]] = {}  # by worker: since when each connection rests
-        self.rests = Rests()
+        self.rests = IdleConnectionAges()
         self.open: dict[str, int] = {}
         self.spawn(self._news())
 
@@ -250,7 +252,7 @@
         if self.open.get(worker.id, 0) >= self.gate.connections(one.view):
             self.open[worker.id] = self.open.get(worker.id, 0) + 1  # given back with its outcome
             one.case.request.full += 1
-            return self.later(TURN_S, one.end, Outcome(Ended.FULL))
+            return self.later(TURN_S, one.end, AttemptOutcome(AttemptResult.FULL))
         self.open[worker.id] = self.open.get(worker.id, 0) + 1
         self.later(max(0.0, one.left), self._late, one)
         self.yard.carry(one, False, min(self.gate.dial(one.view), one.left))
@@ -259,10 +261,10 @@
         """Its connection, kept from before, was reset."""
         waited = self.loop.now - one.begun
         rested = self.rests.broke(self.clock(), one.rested, waited)
-        one.end(Outcome(Ended.LOST, None, waited, rested))
+        one.end(AttemptOutcome(AttemptResult.LOST, None, waited, rested))
 
     def _late(self, one: Try) -> None:
-        one.end(Outcome(Ended.LATE if one.sent else Ended.UNREACHED, None, one.left))
+        one.end(AttemptOutcome(AttemptResult.LATE if one.sent else AttemptResult.UNREACHED, None, one.left))
 
     def release(self, worker: str, keep: bool) -> None:
         idle = self.idle.setdefault(worker, [])
--- a/ashlift/simulation/workers.py
+++ b/ashlift/simulation/workers.py
@@ -4,7 +4,7 @@
 from collections import deque
 from typing import Any
 
-from ashlift.proxy.upstream import Ended, Outcome
+from ashlift.proxy.upstream import AttemptOutcome, AttemptResult
 from ashlift.simulation import board
 from ashlift.simulation.engine import Loop, Machine, Network, Process, Steps, simulated
 from ashlift.simulation.history import Arrival, History, WorkerLife
@@ -60,7 +60,7 @@
         held = [*self.running, *(one for one, _ in self.queue)]
         self.running, self.queue = {}, deque()
         for one in held if not silently else ():
-            self.yard.answer(self, one, Outcome(Ended.LOST))
+            self.yard.answer(self, one, AttemptOutcome(AttemptResult.LOST))
         self.yard.free(self)
 
     # ---- requests
@@ -71,7 +71,7 @@
             self.queue.append((one, self.loop.now + left))
         else:
             self.yard.arrived(self, one, False, 503)
-            self.yard.answer(self, one, Outcome(Ended.NOT_RUN, reply(503)))
+            self.yard.answer(self, one, AttemptOutcome(AttemptResult.NOT_RUN, reply(503)))
 
     def _run(self, one: Try, left: float) -> None:
         chance = self.loop.chance
@@ -87,9 +87,9 @@
         if self.running.pop(one, one) is one:
             return
         if status == 200 and self.breaking and self.loop.chance.random() < self.breaking:
-            self.yard.answer(self, one, Outcome(Ended.LOST))
+            self.yard.answer(self, one, AttemptOutcome(AttemptResult.LOST))
         elif status:
-            self.yard.answer(self, one, Outcome(Ended.ANSWERED, reply(status), 0.0))
+            self.yard.answer(self, one, AttemptOutcome(AttemptResult.ANSWERED, reply(status), 0.0))
         self._next()
 
     def dropped(self, one: Try) -> None:
@@ -105,7 +105,7 @@
                 continue
             if until <= self.loop.now:
                 self.yard.arrived(self, one, False, 503)
-                self.yard.answer(self, one, Outcome(Ended.NOT_RUN, reply(503)))
+                self.yard.answer(self, one, AttemptOutcome(AttemptResult.NOT_RUN, reply(503)))
             else:
                 self._run(one, until - self.loop.now)
 
@@ -222,7 +222,7 @@
         found = Arrival(self.loop.now, worker.id, worker.service, name, keeper, ran, code)
         one.case.request.arrivals.append(found)
 
-    def answer(self, worker: Worker, one: Try, outcome: Outcome) -> None:
+    def answer(self, worker: Worker, one: Try, outcome: AttemptOutcome) -> None:
         """Bytes from a worker to the gatekeeper that asked."""
         keeper, net = one.case.keeper, simulated(self.net)
         status = outcome.reply.status if outcome.reply else 0
@@ -234,7 +234,7 @@
 
         def come() -> None:
             outcome.waited = keeper.loop.now - begun
-            one.end(outcome, outcome.ended is not Ended.LOST)
+            one.end(outcome, outcome.ended is not AttemptResult.LOST)
 
         keeper.later(trip, come)
 
@@ -249,7 +249,7 @@
         if place is None or not net.open(keeper.machine.link, place.machine.link):
             one.sent = kept
             if not kept:
-                keeper.later(dial, one.end, Outcome(Ended.UNREACHED))
+                keeper.later(dial, one.end, AttemptOutcome(AttemptResult.UNREACHED))
             return
         there = net.delay(keeper.machine, place.machine)
         if kept and target is not None and self.loop.now - target.record.ended > there:
@@ -263,7 +263,7 @@
 
         def dialled() -> None:
             if target is None or not target.up:
-                return one.end(Outcome(Ended.UNREACHED))
+                return one.end(AttemptOutcome(AttemptResult.UNREACHED))
             if one.gone:
                 return
             one.sent = True
@@ -276,14 +276,14 @@
         if target is None or not target.up:
             place = self.workers.get(wanted)
             trip = net.delay(place.machine, one.case.keeper.machine) if place else 0.001
-            return one.case.keeper.later(trip, one.end, Outcome(Ended.LOST))
+            return one.case.keeper.later(trip, one.end, AttemptOutcome(AttemptResult.LOST))
         if one.gone:
             return
         if not net.open(one.case.keeper.machine.link, target.machine.link):
             return  # on its way when the cut came
         if target.id != wanted:
             self.arrived(target, one, False, 421)
-            return self.answer(target, one, Outcome(Ended.NOT_RUN, reply(421)))
+            return self.answer(target, one, AttemptOutcome(AttemptResult.NOT_RUN, reply(421)))
         target.offer(one, max(0.001, one.left))
 
     def hung_up(self, one: Try) -> None:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -24,9 +24,9 @@
 
 from ashlift.config.routing_table import Limits
 from ashlift.config.settings import Settings, parse
-from ashlift.proxy.request_handler import Desk
-from ashlift.proxy.request_router import Gate
-from ashlift.proxy.server import Front
+from ashlift.proxy.request_handler import RequestHandler
+from ashlift.proxy.request_router import RequestRouter
+from ashlift.proxy.server import ProxyServer
 from ashlift.rpc.sources import OPERATOR_SOURCE
 from benchmarks.bodies import Process
 
@@ -135,8 +135,8 @@
 def proxy(address: str) -> None:
     settings = parse(SETTINGS, "bench")
     assert isinstance(settings, Settings), settings
-    gate = Gate(settings, random.Random(1), time.monotonic())
-    front = Front(Desk(gate), Limits)
+    gate = RequestRouter(settings, random.Random(1), time.monotonic())
+    front = ProxyServer(RequestHandler(gate), Limits)
     record = {
         "service": "board",
         "zone": "z1",
--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -25,9 +25,9 @@
 from ashlift.configstore.replica_storage import ReplicaStorage
 from ashlift.errors import Failure
 from ashlift.proxy import registry_client as pullings
-from ashlift.proxy.cluster_view import Ledger
-from ashlift.proxy.registry_client import Pulling
-from ashlift.proxy.request_router import Gate
+from ashlift.proxy.cluster_view import ClusterView
+from ashlift.proxy.registry_client import RegistryClient
+from ashlift.proxy.request_router import RequestRouter
 from ashlift.registry.http_server import HttpResponse
 from ashlift.registry.records import parse_heartbeat
 from ashlift.registry.registry import Registry, RegistryIdentity
@@ -289,8 +289,8 @@
 def of_gatekeeper(size: Size, own: Registry, chance: random.Random, out: Measured) -> None:
     """A real gate; sums are fed in, no request comes."""
     made = settings()
-    gate = Gate(made, chance, NOW)
-    pulling = Pulling(made, gate, "00000000", chance)
+    gate = RequestRouter(made, chance, NOW)
+    pulling = RegistryClient(made, gate, "00000000", chance)
     whole = own.pull_response(_pull(0, {}, {}), NOW, NOW)
     opened = len(cbor2.dumps([dict(own.operator_config.values), []]))
     out.note("gatekeeper: configuration opened, x the most that is taken", opened / MAX_FRAME_BYTES)
@@ -495,4 +495,4 @@
     return {"size": attrs.asdict(size), "figures": out.found}
 
 
-__all__ = ["Ledger", "measure", "settings"]
+__all__ = ["ClusterView", "measure", "settings"]
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -2,10 +2,11 @@
 
     python -m benchmarks.scale.hollow < orders
 
-A hollow gatekeeper is the real `News`, `Pulling` and `Gate` on real connections, so that sessions, pulls,
-adds and proofs are those of a real one; its ledger keeps versions and proofs and throws records away, and
-its limiter makes up what it passed. It takes no clients. A hollow worker only beats. Orders and answers are
-a line of JSON each; times are those of the machine's steady clock, alike in all processes.
+A hollow gatekeeper is the real `RegistryPoller`, `RegistryClient` and `RequestRouter` on real connections, so
+that sessions, pulls, adds and proofs are those of a real one; its ledger keeps versions and proofs and throws
+records away, and its limiter makes up what it passed. It takes no clients. A hollow worker only beats.
+Orders and answers are a line of JSON each; times are those of the machine's steady clock, alike in all
+processes.
 """
 
 import json
@@ -24,9 +25,9 @@
 from ashlift.errors import Failure
 from ashlift.gatekeeper.net.replies import Reply
 from ashlift.proxy import registry_client as pulling
-from ashlift.proxy.cluster_view import Change, Ledger
-from ashlift.proxy.configuration_updates import News
-from ashlift.proxy.request_router import Gate
+from ashlift.proxy.cluster_view import ClusterChange, ClusterView
+from ashlift.proxy.configuration_updates import RegistryPoller
+from ashlift.proxy.request_router import RequestRouter
 from ashlift.rpc import fragmentation
 from ashlift.traffic.rate_limiter import RateLimiter, UsageByTenant
 from benchmarks.scale.target import Size, drawn, tenant, worker_address, worker_id
@@ -48,7 +49,7 @@
     return _packs[data]
 
 
-class HollowLedger(Ledger):
+class HollowLedger(ClusterView):
     """Versions and proofs alone. `seen`: entries told; `reached`: index -> when it came."""
 
     def __init__(self) -> None:
@@ -56,7 +57,7 @@
         self.seen = 0
         self.reached: dict[int, float] = {}
 
-    def _word(self, news: Mapping[str, Any], change: Change) -> None:
+    def _word(self, news: Mapping[str, Any], change: ClusterChange) -> None:
         if news["version"] > self.index:
             self.index = news["version"]
             self.reached[self.index] = time.monotonic()
@@ -65,9 +66,9 @@
             if self.table is None and "Version" in news["set"]:
                 self.table = EMPTY
 
-    def _source(self, name: str, news: Mapping[str, Any], now: float, change: Change) -> None:
+    def _source(self, name: str, news: Mapping[str, Any], now: float, change: ClusterChange) -> None:
         self.seen += len(news["set"]) + len(news["gone"])
-        super()._source(name, {**news, "set": {}, "gone": []}, now, Change())
+        super()._source(name, {**news, "set": {}, "gone": []}, now, ClusterChange())
 
 
 class HollowLimiter(RateLimiter):
@@ -91,13 +92,13 @@
         return counts
 
 
-class HollowPulling(pulling.Pulling):
+class HollowPulling(pulling.RegistryClient):
     """Counts calls, and how long they took."""
 
     calls = missed = 0
     waited = longest = 0.0
 
-    def ended(self, pull: pulling.Pull, now: float, answer: Json | Failure) -> bool:
+    def ended(self, pull: pulling.PullRequest, now: float, answer: Json | Failure) -> bool:
         self.calls += 1
         self.missed += isinstance(answer, Failure)
         self.waited += now - pull.sent
@@ -120,11 +121,11 @@
             bindings=Bindings(front=(f"10.200.{number >> 8}.{number & 255}", 8206)),
         )
         chance = random.Random(number)
-        self.gate = Gate(made, chance, time.monotonic())
+        self.gate = RequestRouter(made, chance, time.monotonic())
         self.ledger = self.gate.ledger = HollowLedger()
         self.limiter = self.gate.limiter = HollowLimiter(chance, made.bounds)
         self.began = self.ready_at = 0.0
-        self.news = News(made, self.gate, f"{number:08x}", chance, self._changed)
+        self.news = RegistryPoller(made, self.gate, f"{number:08x}", chance, self._changed)
         self.pulling = self.news._pulling = HollowPulling(made, self.gate, f"{number:08x}", chance)
 
     def _changed(self) -> None:
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -14,8 +14,8 @@
 from ward import each, raises, test
 
 from ashlift.config.operator_config import laid_out
-from ashlift.proxy.registry_client import Pulling
-from ashlift.proxy.request_router import Gate
+from ashlift.proxy.registry_client import RegistryClient
+from ashlift.proxy.request_router import RequestRouter
 from ashlift.registry.registry import Registry, RegistryIdentity
 from ashlift.rpc.framing import REQUEST_CRC_SEED, encode_frame
 from benchmarks.scale.cores import settings
@@ -126,10 +126,10 @@
 def _() -> None:
     made = settings("hollow-0")
     orders = {"zones": zones(), "low": 7600, "seeds": ["10.9.0.1"]}
-    hollow, real = Gatekeeper(0, orders), Gate(made, random.Random(0), 10.0)
-    sides: list[tuple[Registry, Gate, Any]] = [
+    hollow, real = Gatekeeper(0, orders), RequestRouter(made, random.Random(0), 10.0)
+    sides: list[tuple[Registry, RequestRouter, Any]] = [
         (_registry(), hollow.gate, hollow.pulling),
-        (_registry(), real, Pulling(made, real, f"{0:08x}", random.Random(0))),
+        (_registry(), real, RegistryClient(made, real, f"{0:08x}", random.Random(0))),
     ]
     told: list[list[tuple[int, int]]] = [[], []]
     now = 10.0
--- a/tests/cli/test_tenant_steps.py
+++ b/tests/cli/test_tenant_steps.py
@@ -12,7 +12,7 @@
 from ward import test
 
 from ashlift.config.settings import Settings, parse
-from ashlift.proxy.request_router import Gate, Live, Turn
+from ashlift.proxy.request_router import AdmittedRequest, Rejection, RequestRouter
 from ashlift.registry.registry import Registry, RegistryIdentity
 from tests.support.request_router_scenarios import SETTINGS, WORD
 
@@ -29,7 +29,7 @@
         settings = parse(SETTINGS, "steps")
         assert isinstance(settings, Settings)
         self.now = -2 * STEP_S
-        self.gate = Gate(settings, random.Random(1), self.now)
+        self.gate = RequestRouter(settings, random.Random(1), self.now)
         self.boards = []
         for at in ("1", "2"):
             me = RegistryIdentity(at, "x", f"10.0.0.{at}", "z1", "r1", 8200, 1.5)
@@ -81,7 +81,7 @@
                     return False
                 self.asked = self.now if self.asked is None else self.asked
                 found = self.gate.arrive(self.now, "h", "/look/x", "n", 3.0, self.asked)
-                self.said = "in" if isinstance(found, Live) else _word_of(found, self.now)
+                self.said = "in" if isinstance(found, AdmittedRequest) else _word_of(found, self.now)
         return True
 
     def state(self) -> tuple[Any, ...]:
@@ -95,7 +95,7 @@
         return *held, *(None if one is None else ranks.index(round(one, 4)) for one in times)
 
 
-def _word_of(turn: Turn, now: float) -> str:
+def _word_of(turn: Rejection, now: float) -> str:
     return "unsure" if now < turn.until else f"{turn.status}"
 
 
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -14,11 +14,11 @@
 from ward import each, test
 
 from ashlift.proxy import server as front
-from ashlift.proxy.idle_connections import Rests
+from ashlift.proxy.idle_connections import IdleConnectionAges
 from ashlift.proxy.request_reader import RequestReader
-from ashlift.proxy.request_router import Gate
-from ashlift.proxy.responses import WorkerReply
-from ashlift.proxy.upstream import Links
+from ashlift.proxy.request_router import RequestRouter
+from ashlift.proxy.responses import WorkerResponse
+from ashlift.proxy.upstream import ConnectionPool
 from tests.support.between import AGAIN, HOST, Between
 from tests.support.gatekeeper import (
     BODY,
@@ -354,7 +354,8 @@
     site.workers.moods = dict.fromkeys(site.routes["0"], "not: resets when kept")
     assert site.ask().status == 200
     aged(site)
-    with planted(Rests.broke, "waited > QUICK_S", "waited > 5"):  # on a busy machine a reset takes longer
+    # On a busy machine a reset takes longer.
+    with planted(IdleConnectionAges.broke, "waited > QUICK_S", "waited > 5"):
         site.ask(repeatable=True)
     assert site.ask().status == 200
     aged(site)
@@ -384,49 +385,49 @@
 
 BREACHES: dict[str, tuple[Callable[..., Any], str, str, Callable[[], None]]] = {
     "an idle connection after a reset, for a POST": (
-        Rests.most,
+        IdleConnectionAges.most,
         "self._sure if",
         "self._sure if repeatable and",
         forgotten,
     ),
     "a resend after silence": (
-        Gate.pick,
+        RequestRouter.pick,
         "(live.may_run and not live.route.repeatable)",
         "False",
         moody("ran and resets"),
     ),
     "the id is not compared": (
-        Links._read,
+        ConnectionPool._read,
         "reply.one(ATTEMPT) == attempt",
         "True",
         moody("a second answer later"),
     ),
     "refused, though it may have run": (
-        Gate._give_up,
+        RequestRouter._give_up,
         "live.may_run or live.out",
         "False",
         moody("ran and resets"),
     ),
     "a worker's own 503 is passed on": (
-        WorkerReply.sound,
+        WorkerResponse.sound,
         "or self.status in PROMISES",
         "",
         moody("a false promise"),
     ),
     "an answer without the worker's seal is passed on": (
-        WorkerReply.sound,
+        WorkerResponse.sound,
         "bool(self.one(SEAL)) and ",
         "",
         moody("no seal"),
     ),
     "an answer that was cut is passed on": (
-        Links._read,
+        ConnectionPool._read,
         "    return None, 0.0\n            reply.feed",
         "    reply.status, reply.done = reply.code, True\n                break\n            reply.feed",
         moody("short"),
     ),
     "kept after an answer that came early": (
-        Links.exchange,
+        ConnectionPool.exchange,
         "keep_s = 0.0  # who answers",
         "pass  # who answers",
         hasty,
--- a/tests/proxy/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -6,7 +6,7 @@
 
 from ashlift.config.routing_table import Route
 from ashlift.proxy.cluster_view import Worker
-from ashlift.proxy.load_balancer import Crew
+from ashlift.proxy.load_balancer import LoadBalancer
 from ashlift.registry.records import WorkerRecord as Told
 from ashlift.registry.registry import Registry, RegistryIdentity
 
@@ -25,8 +25,8 @@
 )
 
 
-def crew() -> Crew:
-    made = Crew("z1", {"z1": "r1", "z2": "r2"}, random.Random(5))
+def crew() -> LoadBalancer:
+    made = LoadBalancer("z1", {"z1": "r1", "z2": "r2"}, random.Random(5))
     made.know(
         Worker(name, "board", zone, ("127.0.0.1", 9), 6, True, 1, 0.0)
         for name, zone in (("a1", "z1"), ("a2", "z1"), ("b1", "z2"), ("b2", "z2"))
@@ -36,7 +36,7 @@
     return made
 
 
-def share_far(made: Crew, now: float, for_s: float = 1.0) -> float:
+def share_far(made: LoadBalancer, now: float, for_s: float = 1.0) -> float:
     """Of 200 requests within `for_s`."""
     firsts = [
         made.order(now + for_s * at / 200, made.open("board", (), ()), LOOK)[0].worker.zone
@@ -73,7 +73,7 @@
     rng, steps, now = random.Random(3), int(round(until / 0.01)), 0.0
     regions = {f"z{number}": f"r{number}" for number in range(3)}
     ids = [f"{zone}-{number}" for zone in regions for number in range(16)]
-    crews = [Crew(f"z{number % 3}", regions, random.Random(number)) for number in range(gatekeepers)]
+    crews = [LoadBalancer(f"z{number % 3}", regions, random.Random(number)) for number in range(gatekeepers)]
     for one in crews:
         one.know(Worker(name, "board", name[:2], ("127.0.0.1", 9), 2, True, 1, 0.0) for name in ids)
     queues: dict[str, list[tuple[int, float, float]]] = {name: [] for name in ids}  # whose, since, work left
--- a/tests/proxy/test_registry_client.py
+++ b/tests/proxy/test_registry_client.py
@@ -7,8 +7,8 @@
 
 from ashlift.config.settings import Settings, parse
 from ashlift.errors import Failure, FailureReason
-from ashlift.proxy.registry_client import AVOID_S, Pulling
-from ashlift.proxy.request_router import Gate
+from ashlift.proxy.registry_client import AVOID_S, RegistryClient
+from ashlift.proxy.request_router import RequestRouter
 from ashlift.registry.registry import Registry, RegistryIdentity
 from ashlift.rpc.client import CONNECT_TIMEOUT_SECONDS, PROGRESS_TIMEOUT_SECONDS, ProgressDeadline
 from ashlift.rpc.fragmentation import unpack_update
@@ -25,18 +25,18 @@
 """
 
 
-def _pulling(seed: int) -> Pulling:
+def _pulling(seed: int) -> RegistryClient:
     settings = parse(TEXT)
     assert isinstance(settings, Settings)
     rng = random.Random(seed)
-    return Pulling(settings, Gate(settings, rng, 0.0), "0", rng)
+    return RegistryClient(settings, RequestRouter(settings, rng, 0.0), "0", rng)
 
 
 def _answer(*controls: str) -> dict[str, Any]:
     return {"sources": {}, "alive": [], "age": 0.1, "held": 0.0, "controls": [*controls], "members": 1}
 
 
-def _play(pulling: Pulling, now: float, answer: dict[str, Any] | Failure) -> str:
+def _play(pulling: RegistryClient, now: float, answer: dict[str, Any] | Failure) -> str:
     pull = pulling.begin(now)
     assert pull is not None
     pulling.ended(pull, now, answer)
--- a/tests/proxy/test_request_router.py
+++ b/tests/proxy/test_request_router.py
@@ -4,7 +4,7 @@
 
 from ward import each, test
 
-from ashlift.proxy.responses import WorkerReply
+from ashlift.proxy.responses import WorkerResponse
 from tests.support.request_router_scenarios import Play, scenes
 
 TITLES, LINES = zip(*scenes(Path(__file__).parent.parent / "scenarios" / "request_router.txt"), strict=True)
@@ -35,6 +35,6 @@
 
 @test("answers: {head} is {wanted}")
 def _(head: str = each(*ANSWERS), wanted: str = each(*ANSWERS.values())):
-    reply = WorkerReply()
+    reply = WorkerResponse()
     reply.feed("HTTP/1.1 {}\r\nok".format(head.replace("|", "\r\n")).encode())
     assert wanted == ("not run" if reply.not_run else "passed on" if reply.sound() else "spoilt")
--- a/tests/registry/test_scenarios.py
+++ b/tests/registry/test_scenarios.py
@@ -23,7 +23,7 @@
 from ward import each, test
 
 from ashlift.errors import Failure
-from ashlift.proxy.cluster_view import Ledger
+from ashlift.proxy.cluster_view import ClusterView
 from ashlift.registry.records import TOMBSTONE, WorkerRecord
 from ashlift.registry.registry import Registry, RegistryIdentity
 from ashlift.rpc.sources import OPERATOR_SOURCE
@@ -42,7 +42,7 @@
             "region": region,
             "front": name,
         }
-        self.ledger, self.at, self.number, self.counts = Ledger(), "", 0, dict[str, list[int]]()
+        self.ledger, self.at, self.number, self.counts = ClusterView(), "", 0, dict[str, list[int]]()
 
 
 class Play:
--- a/tests/registry/test_soft_state.py
+++ b/tests/registry/test_soft_state.py
@@ -7,7 +7,7 @@
 from attrs import define
 from ward import each, test
 
-from ashlift.proxy.cluster_view import HELD_MOST_S, VOUCH_S, Ledger
+from ashlift.proxy.cluster_view import HELD_MOST_S, VOUCH_S, ClusterView
 from ashlift.proxy.registry_client import STALE_S
 from ashlift.simulation.scene import Play, read
 from ashlift.traffic.rate_limiter import RateLimiter
@@ -100,13 +100,13 @@
     return {"sources": {alive: source}, "alive": [alive], "age": 0.1, "held": 0.0, "ran": ran}
 
 
-def _members(ledger: Ledger) -> str:
+def _members(ledger: ClusterView) -> str:
     return " ".join(ledger.members)
 
 
 @test("ledger: who is not told yet is not gone, until registries have run for a lease, or for a bounded time")
 def _() -> None:
-    ledger = Ledger(lease=4.5)
+    ledger = ClusterView(lease=4.5)
     ledger.take(0.0, 0.0, _answer(60.0, "g/a", "g/b", "g/c", "w/1", "w/2", alive="p#1"))
     # p#1 is dead, and is dropped after five seconds; p#2 has heard of one so far.
     ledger.take(6.0, 6.0, _answer(0.5, "g/a", "w/1"))
@@ -128,7 +128,7 @@
 
 @test("ledger: load and failures told to a registry that is gone count no more, as they are told again")
 def _() -> None:
-    ledger = Ledger()
+    ledger = ClusterView()
     ledger.take(0.0, 0.0, _answer(60.0, "w/1", alive="p#1", **{"o/1": 5, "f/1": [7, 9, 1]}))
     assert ledger.outs() == {"1": 5} and ledger.faults() == {"1": (7, 9, 1)}
     ledger.take(2.0, 2.0, _answer(1.0, "w/1", alive="p#2", **{"o/1": 4, "f/1": [6, 8, 1]}))
--- a/tests/rpc/test_fragmentation.py
+++ b/tests/rpc/test_fragmentation.py
@@ -13,8 +13,8 @@
 from ashlift.configstore.server import watched
 from ashlift.errors import Failure, FailureReason
 from ashlift.proxy.__main__ import Program
-from ashlift.proxy.registry_client import ANSWER_S, MOST_S, STALE_S, WAIT_S, Pulling
-from ashlift.proxy.request_router import Gate
+from ashlift.proxy.registry_client import ANSWER_S, MOST_S, STALE_S, WAIT_S, RegistryClient
+from ashlift.proxy.request_router import RequestRouter
 from ashlift.registry.registry import Registry, RegistryIdentity
 from ashlift.rpc.fragmentation import FRAGMENT_BYTES, MAX_CACHED_UPDATES, Fragmenter, Reassembler
 from ashlift.rpc.sources import OPERATOR_SOURCE
@@ -36,11 +36,11 @@
     return Registry(ME, [ME.ip], {"a": "r"}, 0.0)
 
 
-def pulling(seed: int) -> Pulling:
+def pulling(seed: int) -> RegistryClient:
     settings = parse(TEXT.replace("edge-1", f"edge-{seed}"))
     assert isinstance(settings, Settings)
     rng = random.Random(seed)
-    return Pulling(settings, Gate(settings, rng, 0.0), str(seed), rng)
+    return RegistryClient(settings, RequestRouter(settings, rng, 0.0), str(seed), rng)
 
 
 class Line:
@@ -68,7 +68,7 @@
             self.now += 1 / self.rate
             self.change()
 
-    def pull(self, one: Pulling, at: float, whole: bool = False) -> float:
+    def pull(self, one: RegistryClient, at: float, whole: bool = False) -> float:
         """One pull begun at `at` -> when it has ended. `whole`: as one does that can join no pieces."""
         call = one.begin(at)
         assert call is not None
--- a/tests/support/gatekeeper.py
+++ b/tests/support/gatekeeper.py
@@ -20,10 +20,10 @@
 
 from ashlift.config.routing_table import Limits
 from ashlift.config.settings import Settings, parse
-from ashlift.proxy.request_handler import Desk
-from ashlift.proxy.request_reader import Asked, RequestReader
-from ashlift.proxy.request_router import Gate
-from ashlift.proxy.server import Front
+from ashlift.proxy.request_handler import RequestHandler
+from ashlift.proxy.request_reader import ClientRequest, RequestReader
+from ashlift.proxy.request_router import RequestRouter
+from ashlift.proxy.server import ProxyServer
 from ashlift.rpc.addresses import Address
 from ashlift.rpc.sources import OPERATOR_SOURCE
 from tests.support.between import AGAIN, BACK, CUT, HALVE, HOLD, HOST, LINGER, RESET, THERE, Between
@@ -123,7 +123,7 @@
         made = self.requests[id] = Request(id, method, path, body, repeatable, **more)
         return made
 
-    def ran(self, asked: Asked) -> None:
+    def ran(self, asked: ClientRequest) -> None:
         id = asked.one(b"x-attempt-id").decode()
         self.runs[id] += 1
         sent = self.requests.get(id)
@@ -152,7 +152,7 @@
     def __init__(self, history: History, ids: str) -> None:
         self.history, self.ids = history, ids
         self.moods: dict[str, str] = {}
-        self.saw: Callable[[Asked], Any] = lambda asked: None
+        self.saw: Callable[[ClientRequest], Any] = lambda asked: None
         self.kept = 0  # requests that came on a connection that had been used before
         self._server = StreamServer((HOST, 0), self._connection, backlog=1024)
         self._server.start()
@@ -180,7 +180,7 @@
         finally:
             sock.close()
 
-    def _serve(self, sock: socket.socket, asked: Asked, served: int) -> bytes:
+    def _serve(self, sock: socket.socket, asked: ClientRequest, served: int) -> bytes:
         """Answer one request; what is to be sent before the next one's answer. OSError: the end."""
         wanted, id = asked.one(b"x-target-instance").decode(), asked.one(b"x-attempt-id").decode()
         mood = self.moods.get(wanted, "well") if wanted.startswith(self.ids) else "not: meant"
@@ -255,11 +255,11 @@
     def __init__(self, routes: dict[str, dict[str, Address]]) -> None:
         settings = parse(SETTINGS, "trial")
         assert isinstance(settings, Settings), settings
-        self.gate = Gate(settings, random.Random(1), time.monotonic())
+        self.gate = RequestRouter(settings, random.Random(1), time.monotonic())
         # A process that stands still on a full machine must not take its own pause for a worker that is away.
         self.gate.dial = lambda view: ENOUGH_S  # type: ignore[method-assign]
-        self.desk = Desk(self.gate)
-        self.front = Front(self.desk, Limits)
+        self.desk = RequestHandler(self.gate)
+        self.front = ProxyServer(self.desk, Limits)
         self.front.listen((HOST, 0))
         server = self.front._server
         assert server is not None
--- a/tests/support/request_router_scenarios.py
+++ b/tests/support/request_router_scenarios.py
@@ -18,9 +18,9 @@
 from typing import Any
 
 from ashlift.config.settings import Settings, parse
-from ashlift.proxy.request_router import Gate, Live, Turn
-from ashlift.proxy.responses import WorkerReply
-from ashlift.proxy.upstream import Ended, Outcome
+from ashlift.proxy.request_router import AdmittedRequest, Rejection, RequestRouter
+from ashlift.proxy.responses import WorkerResponse
+from ashlift.proxy.upstream import AttemptOutcome, AttemptResult
 from ashlift.rpc.sources import OPERATOR_SOURCE
 
 SETTINGS = """
@@ -80,9 +80,9 @@
         settings = parse(SETTINGS, "scene")
         assert isinstance(settings, Settings), settings
         self.now, self.index = 100.0, 0
-        self.gate = Gate(settings, random.Random(7), self.now)
+        self.gate = RequestRouter(settings, random.Random(7), self.now)
         self.asked: dict[str, tuple[str, str, float]] = {}  # path, key, when
-        self.lives: dict[str, Live] = {}
+        self.lives: dict[str, AdmittedRequest] = {}
         self.views: dict[str, Any] = {}
 
     def line(self, text: str) -> None:
@@ -136,9 +136,9 @@
     def do_again(self, name: str) -> str:
         path, key, came = self.asked[name]
         live = self.gate.arrive(self.now, "h", path, key, 3.0 - (self.now - came), came)
-        if isinstance(live, Turn) and self.now < live.until:
+        if isinstance(live, Rejection) and self.now < live.until:
             return "unsure"
-        if isinstance(live, Turn):
+        if isinstance(live, Rejection):
             return f"{live.status} {live.cause}"
         self.lives[name] = live
         return "in"
@@ -146,7 +146,7 @@
     def do_pick(self, name: str) -> str:
         live = self.lives[name]
         view = self.gate.pick(self.now, live, bool(live.tried))
-        if isinstance(view, Turn):
+        if isinstance(view, Rejection):
             return f"{view.status} {view.cause}"
         self.views[name] = view
         return view.worker.id
@@ -155,9 +155,9 @@
         word, _, status = how.partition(":")
         reply = None
         if word in ("answered", "not_run"):
-            reply = WorkerReply()
+            reply = WorkerResponse()
             reply.status, reply.done = int(status or 503), True
-        outcome = Outcome(Ended[word.upper()], reply, 0.1)
+        outcome = AttemptOutcome(AttemptResult[word.upper()], reply, 0.1)
         final = self.gate.ended(self.now, self.lives[name], self.views[name], outcome, False)
         return "final" if final else "again"
 
--- a/tests/traffic/test_outlier_detection.py
+++ b/tests/traffic/test_outlier_detection.py
@@ -7,7 +7,7 @@
 
 from ashlift.config.routing_table import Route
 from ashlift.proxy.cluster_view import Worker
-from ashlift.proxy.load_balancer import Crew
+from ashlift.proxy.load_balancer import LoadBalancer
 from ashlift.registry.load_reports import LoadReport, LoadReports
 from ashlift.registry.replicated_source import ReplicatedSource
 from ashlift.traffic.outlier_detection import OutlierDetector
@@ -36,7 +36,7 @@
     def __init__(self, gatekeepers: int, together: bool) -> None:
         self.rng, self.together, self.step = random.Random(4), together, 0
         ids = [f"{zone}-{number}" for zone in REGIONS for number in range(8)]
-        self.crews = [Crew(f"z{at % 3 + 1}", REGIONS, random.Random(at)) for at in range(gatekeepers)]
+        self.crews = [LoadBalancer(f"z{at % 3 + 1}", REGIONS, random.Random(at)) for at in range(gatekeepers)]
         for crew in self.crews:
             crew.members = gatekeepers
             crew.know(Worker(one, "desk", one[:2], ("127.0.0.1", 9), 6, True, 1, 0.0) for one in ids)
--- a/tests/traffic/test_rate_limiter.py
+++ b/tests/traffic/test_rate_limiter.py
@@ -5,7 +5,7 @@
 
 from ward import each, test
 
-from ashlift.proxy.cluster_view import Change
+from ashlift.proxy.cluster_view import ClusterChange
 from ashlift.traffic.rate_limiter import RateLimiter
 from tests.support import request_router_scenarios as gate_scenes
 from tests.support.rate_limiter_play import SCENES, Bounds, Play, read
@@ -95,7 +95,7 @@
     play = gate_scenes.Play()
     limiter, ledger = play.gate.limiter, play.gate.ledger
     for now in (1.0, 9.0, 13.0):
-        play.gate.news(now, Change(members=True))
+        play.gate.news(now, ClusterChange(members=True))
         if now == 1.0:
             limiter.record_usage_totals(now, {"p#1": {"t": (3, 0)}})
         assert ("p#1" in limiter._sources) is (now < 12), now
