--- a/ashlift/configstore/__main__.py
+++ b/ashlift/configstore/__main__.py
@@ -10,7 +10,7 @@
 from ashlift.config import settings
 from ashlift.config.settings import Settings
 from ashlift.configstore.server import Daemon
-from ashlift.events import ERROR, SETTINGS_BAD, STARTED, STOPPING, set_up, tell
+from ashlift.events import ERROR, SETTINGS_INVALID, STARTED, STOPPING, configure, log_event
 
 PROGRAM = "configstore"  # its name in the log
 DATA_FOLDER = "vise"  # under DataDirectory; disks written before the program was renamed stay readable
@@ -23,13 +23,13 @@
     """
     loaded = settings.read(process.settings_path())
     if not isinstance(loaded, Settings):
-        set_up(PROGRAM, "?")
+        configure(PROGRAM, "?")
         for failure in loaded:
-            tell(SETTINGS_BAD, level=ERROR, fault=failure.detail)
+            log_event(SETTINGS_INVALID, level=ERROR, error=failure.detail)
         return process.EXIT_INVALID_SETTINGS
-    set_up(PROGRAM, loaded.node_name)
+    configure(PROGRAM, loaded.node_name)
     if loaded.data_directory is None:
-        tell(SETTINGS_BAD, level=ERROR, fault="DataDirectory: is missing: the store needs a disk")
+        log_event(SETTINGS_INVALID, level=ERROR, error="DataDirectory: is missing: the store needs a disk")
         return process.EXIT_INVALID_SETTINGS
     return _serve(loaded, os.path.join(loaded.data_directory, DATA_FOLDER))
 
@@ -39,12 +39,12 @@
     daemon = Daemon(loaded, folder)
 
     def shut_down() -> None:
-        tell(STOPPING)
+        log_event(STOPPING)
         daemon.leave()
 
     process.on_termination(shut_down)
     process.ignore_reload()
-    tell(STARTED, ip=loaded.ip, port=loaded.internal_ports[0], bootstrap=loaded.bootstrap)
+    log_event(STARTED, ip=loaded.ip, port=loaded.internal_ports[0], bootstrap=loaded.bootstrap)
     daemon.run()
     return 0
 
--- a/ashlift/configstore/pending_edits.py
+++ b/ashlift/configstore/pending_edits.py
@@ -7,7 +7,7 @@
 
 from ashlift.configstore import events
 from ashlift.errors import Failure, FailureReason
-from ashlift.events import WARNING, tell
+from ashlift.events import WARNING, log_event
 from ashlift.route_reconciliation.edits import Book, Edit, join, read_edit
 from ashlift.route_reconciliation.merging import CONFLICT, SETTLED
 
@@ -71,7 +71,7 @@
         self,
         shelf: Records,
         map: Callable[[], tuple[int, Mapping[str, Any]]],
-        tell: Callable[..., None] = tell,
+        tell: Callable[..., None] = log_event,
     ) -> None:
         self._shelf, self._map, self.tell = shelf, map, tell
         found = shelf.read()
--- a/ashlift/configstore/server.py
+++ b/ashlift/configstore/server.py
@@ -37,7 +37,7 @@
 from ashlift.configstore.replica_storage import ReplicaStorage
 from ashlift.configstore.snapshot_storage import SnapshotStorage
 from ashlift.errors import Failure, FailureReason
-from ashlift.events import ERROR, WARNING, tell
+from ashlift.events import ERROR, WARNING, log_event
 from ashlift.rpc.client import ClientPool
 from ashlift.rpc.fragmentation import Fragmenter
 from ashlift.rpc.server import serve
@@ -72,7 +72,7 @@
     try:
         return decide(current, order)
     except Exception as error:
-        tell(events.UNDECIDED, level=ERROR, error=repr(error))
+        log_event(events.UNDECIDED, level=ERROR, error=repr(error))
         return ReadOnlyResult({"status": 503, "reason": "the order could not be worked out"})
 
 
@@ -85,7 +85,7 @@
         vote, state = self.disk.read()
         for name, held in (("vote", vote), ("map", state)):
             if isinstance(held, Failure):
-                tell(events.UNREADABLE, level=WARNING, shelf=name, fault=held)
+                log_event(events.UNREADABLE, level=WARNING, shelf=name, fault=held)
         seeds = sorted({host for host, _ in settings.seeds})
         chance = random.Random(os.urandom(16))
         self.member = Replica(settings.ip, seeds, settings.bootstrap, vote, state, decide_safely, chance)
@@ -149,12 +149,12 @@
                 fault = self.disk.persist(effect)
                 took = self.clock() - began
                 if took >= SLOW_S:
-                    tell(events.DISK_SLOW, level=WARNING, seconds=round(took, 1))
+                    log_event(events.DISK_SLOW, level=WARNING, seconds=round(took, 1))
                 if fault is not None:
-                    tell(events.DISK_FAULT, level=WARNING, fault=fault)
+                    log_event(events.DISK_FAULT, level=WARNING, fault=fault)
                 self._todo.extend(self.member.handle(self.clock(), StatePersisted(fault is None)))
             case LogEvent():
-                tell(effect.event, **effect.fields)
+                log_event(effect.event, **effect.fields)
             case HandoverComplete():
                 self.ended.set()
 
--- a/ashlift/events.py
+++ b/ashlift/events.py
@@ -1,10 +1,10 @@
-"""Numbered events on standard error, by logbook. The catalogue is docs/events.md; a test holds both together.
+"""Numbered log events on standard error, by logbook. The catalogue is docs/events.md; a test compares both.
 
-Numbers: 1xx all programs, 2xx store, 3xx registry, 4xx proxy. A number is never used for something else.
+Numbers: 1xx all programs, 2xx configuration store, 3xx registry, 4xx proxy. A number is never reused.
 
-Loading logbook takes a sixth of a start, and after a loss of all machines everybody waits for that. So the
-events of the first seconds are held and written a little later, with their own times; one that tells of an
-error is written at once, with all before it, and so is what is held at the end of the process.
+Loading logbook takes a sixth of a program's start, and after the loss of all machines everybody waits for
+that. So the events of the first seconds are buffered and written a little later, with their own times; one at
+level ERROR or above is written at once, after all before it, and so is the buffer when the process ends.
 """
 
 import atexit
@@ -17,54 +17,65 @@
 if TYPE_CHECKING:
     import logbook
 
-INFO: Final = 11  # logbook's levels
+Event = tuple[int, str]  # number, words
+
+INFO: Final = 11  # the levels are logbook's
 WARNING: Final = 13
 ERROR: Final = 14
 CRITICAL: Final = 15
 
 STARTED: Final = (101, "started")
 STOPPING: Final = (102, "stopping")
-SETTINGS_READ: Final = (103, "settings read")
-SETTINGS_BAD: Final = (104, "settings cannot be right")
-BROKEN: Final = (105, "an invariant is broken")
+SETTINGS_READ: Final = (103, "settings reloaded")
+SETTINGS_INVALID: Final = (104, "settings invalid")
+INVARIANT_VIOLATED: Final = (105, "invariant violated")
 
-HELD_S: Final = 2.0  # after the start: by then there is a leader, and gatekeepers are ready
-HELD_MOST: Final = 200  # events
+STARTUP_BUFFER_SECONDS: Final = 2.0  # by then the store has a leader, and proxies are ready
+MAX_BUFFERED_EVENTS: Final = 200
 
-_held: list[tuple[int, str, str]] = []  # level, time of day, what to write
-_log: "logbook.Logger | None" = None
-_who = ""
+_buffer: list[tuple[int, str, str]] = []  # level, time of day, line
+_logger: "logbook.Logger | None" = None  # None: events are buffered
+_process_name = ""  # program@node
 
 
-def set_up(program: str, node: str) -> None:
-    """Turn the log on: one line an event, on standard error."""
-    global _who
-    _who = f"{program}@{node}"
-    atexit.register(write_held)
-    gevent.spawn_later(HELD_S, write_held)
+def configure(program: str, node: str) -> None:
+    """Name the process in its lines, and see to it that buffered events are written."""
+    global _process_name
+    _process_name = f"{program}@{node}"
+    atexit.register(flush)
+    gevent.spawn_later(STARTUP_BUFFER_SECONDS, flush)
 
 
-def tell(event: tuple[int, str], /, *, level: int = INFO, **fields: Any) -> None:
-    """Write an event: its number, its words, its fields."""
+def log_event(event: Event, /, *, level: int = INFO, **fields: Any) -> None:
+    """Log an event on one line: its number, its words, its fields."""
     number, words = event
-    now = time.time()
-    at = time.strftime("%H:%M:%S", time.gmtime(now)) + f".{int(now % 1 * 1e6):06d}"
     line = f"{number} {words} {' '.join(f'{key}={value}' for key, value in fields.items())}"
-    _held.append((level, at, line))
-    if _log is not None or level >= ERROR or len(_held) >= HELD_MOST:
-        write_held()
-
-
-def write_held() -> None:
-    """Write what is held; from now on, events are written as they come."""
-    global _log
-    if _log is None:
-        import logbook
-
-        handler = logbook.StreamHandler(sys.stderr, level=logbook.INFO)
-        handler.format_string = "{record.extra[at]} {record.level_name} " + _who + " {record.message}"
-        handler.push_application()
-        _log = logbook.Logger("ashlift")
-    while _held:
-        level, at, line = _held.pop(0)
-        _log.log(level, "{}", line, extra={"at": at})
+    _buffer.append((level, _time_of_day(time.time()), line))
+    if _logger is not None or level >= ERROR or len(_buffer) >= MAX_BUFFERED_EVENTS:
+        flush()
+
+
+def flush() -> None:
+    """Write what is buffered; from now on events are written as they are logged."""
+    global _logger
+    if _logger is None:
+        _logger = _open_logger()
+    while _buffer:
+        level, time_of_day, line = _buffer.pop(0)
+        _logger.log(level, "{}", line, extra={"time_of_day": time_of_day})
+
+
+def _time_of_day(now: float) -> str:
+    """UTC, to a microsecond."""
+    return time.strftime("%H:%M:%S", time.gmtime(now)) + f".{int(now % 1 * 1e6):06d}"
+
+
+def _open_logger() -> "logbook.Logger":
+    import logbook  # here, as it is slow to load: see above
+
+    handler = logbook.StreamHandler(sys.stderr, level=logbook.INFO)
+    handler.format_string = (
+        "{record.extra[time_of_day]} {record.level_name} " + _process_name + " {record.message}"
+    )
+    handler.push_application()
+    return logbook.Logger("ashlift")
--- a/ashlift/proxy/__main__.py
+++ b/ashlift/proxy/__main__.py
@@ -14,15 +14,15 @@
 from ashlift.config import settings as jig_settings
 from ashlift.config.routing_table import Limits, Tenant
 from ashlift.events import (
-    BROKEN,
     CRITICAL,
     ERROR,
-    SETTINGS_BAD,
+    INVARIANT_VIOLATED,
+    SETTINGS_INVALID,
     SETTINGS_READ,
     STARTED,
     STOPPING,
-    set_up,
-    tell,
+    configure,
+    log_event,
 )
 from ashlift.proxy import events
 from ashlift.proxy.configuration_updates import RegistryPoller
@@ -62,7 +62,7 @@
         ready = self.gate.ready(time.monotonic())
         if ready != self._ready:
             self._ready = ready
-            tell(events.READY if ready else events.UNREADY, index=self.gate.ledger.index)
+            log_event(events.READY if ready else events.UNREADY, index=self.gate.ledger.index)
 
     def _tenants(self) -> None:
         """Tell tenants that are new here, changed or gone: all that is said of one came together."""
@@ -74,12 +74,12 @@
             here = sorted(name for name, tenant in now.items() if held.get(name) != tenant)
             gone = sorted(held.keys() - now.keys())
             version, index = f"{table.version:08x}", self.gate.ledger.index
-            tell(events.TENANTS, version=version, index=index, here=_some(here), gone=_some(gone))
+            log_event(events.TENANTS, version=version, index=index, here=_some(here), gone=_some(gone))
 
     def run(self) -> int:
         front, readiness = self.settings.bindings.front, self.settings.bindings.readiness
         if front is None or readiness is None:
-            tell(SETTINGS_BAD, level=ERROR, key="Bindings", what="Front and Readiness are needed")
+            log_event(SETTINGS_INVALID, level=ERROR, error="Bindings: Front and Readiness are needed")
             return 2
         serve_readiness(readiness, lambda: self.gate.ready(time.monotonic()))
         self.front.listen(front)
@@ -87,7 +87,7 @@
         gevent.signal_handler(signal.SIGHUP, self._read_again.set)
         for loop in (self.news.run, self._sweep, self._watch):
             self._spawn(loop)
-        tell(STARTED, zone=self.settings.zone)
+        log_event(STARTED, zone=self.settings.zone)
         self._stop.wait()
         return self._leave()
 
@@ -95,7 +95,7 @@
         """Out of /lookup first; then no new connections; then the end, with all answered or Grace over."""
         began, grace = time.monotonic(), self.settings.bounds.grace
         self.gate.leaving = self.front.leaving = True
-        tell(STOPPING, busy=self.desk.busy)
+        log_event(STOPPING, in_flight=self.desk.busy)
         gevent.sleep(LEAVE_SHARE * grace)
         self.front.close()
         while self.desk.busy and time.monotonic() < began + END_SHARE * grace:
@@ -107,7 +107,7 @@
         """A loop that ends by an error ends the process, in order: what it keeps up would go stale unseen."""
 
         def ended(greenlet: "gevent.Greenlet[[], None]") -> None:
-            tell(BROKEN, level=CRITICAL, error=repr(greenlet.exception))
+            log_event(INVARIANT_VIOLATED, level=CRITICAL, error=repr(greenlet.exception))
             self.broken = True
             self._stop.set()
 
@@ -130,10 +130,10 @@
                 read = jig_settings.read(self.path)
                 if isinstance(read, list):
                     for fault in read:
-                        tell(SETTINGS_BAD, level=ERROR, what=fault.detail)
+                        log_event(SETTINGS_INVALID, level=ERROR, error=fault.detail)
                 else:
                     self.news.seeds = [host for host, _ in read.seeds]
-                    tell(SETTINGS_READ, seeds=",".join(self.news.seeds))
+                    log_event(SETTINGS_READ, seeds=",".join(self.news.seeds))
 
 
 def _some(names: list[str]) -> str:
@@ -155,7 +155,7 @@
         for fault in read:
             print(f"proxy: {fault.detail}", file=sys.stderr)
         return 2
-    set_up("proxy", read.node_name)
+    configure("proxy", read.node_name)
     gc.freeze()
     return Program(path, read).run()
 
--- a/ashlift/registry/__main__.py
+++ b/ashlift/registry/__main__.py
@@ -12,7 +12,7 @@
 
 from ashlift.config import settings as jig_settings
 from ashlift.config.settings import Settings
-from ashlift.events import ERROR, SETTINGS_BAD, SETTINGS_READ, STARTED, STOPPING, set_up, tell
+from ashlift.events import ERROR, SETTINGS_INVALID, SETTINGS_READ, STARTED, STOPPING, configure, log_event
 from ashlift.registry.http_server import HttpServer, Resource
 from ashlift.registry.registry import Registry, RegistryIdentity
 from ashlift.registry.resources import Config, Evacuation, Instances, Lookup, Status
@@ -88,11 +88,11 @@
             door.start()
         self._loops.start()
         self._loops.broken.rawlink(lambda _: self._ended.set())
-        tell(STARTED, source=self._registry.identity.source, seeds=",".join(self._registry.seeds))
+        log_event(STARTED, source=self._registry.identity.source, seeds=",".join(self._registry.seeds))
         while not self._ended.wait(LOOK_S):
             if self._look() != self._stamp:
                 self._read()
-        tell(STOPPING)
+        log_event(STOPPING)
         server.close()
         self._bell.shut_down()
         for door in self._doors:
@@ -116,23 +116,23 @@
         self._stamp = self._look()
         found = jig_settings.read(self._path)
         if isinstance(found, list):
-            return tell(SETTINGS_BAD, level=ERROR, faults="; ".join(map(str, found)))
+            return log_event(SETTINGS_INVALID, level=ERROR, error="; ".join(map(str, found)))
         self._settings = found
         self._registry.seeds, self._registry.zones = self._seeds(), found.zones
-        tell(SETTINGS_READ, seeds=",".join(self._registry.seeds))
+        log_event(SETTINGS_READ, seeds=",".join(self._registry.seeds))
 
 
 def main() -> int:
     path = os.environ.get("ASHLIFT_SETTINGS", PATH)
     settings = jig_settings.read(path)
     if isinstance(settings, list):
-        set_up("registry", "?")
+        configure("registry", "?")
         for fault in settings:
-            tell(SETTINGS_BAD, level=ERROR, fault=fault.detail)
+            log_event(SETTINGS_INVALID, level=ERROR, error=fault.detail)
         return 2
-    set_up("registry", settings.node_name)
+    configure("registry", settings.node_name)
     if settings.bindings.control is None and settings.bindings.directory is None:
-        tell(SETTINGS_BAD, level=ERROR, fault="neither Bindings.Control nor Bindings.Directory")
+        log_event(SETTINGS_INVALID, level=ERROR, error="neither Bindings.Control nor Bindings.Directory")
         return 2
     return Program(path, settings).run()
 
--- a/ashlift/registry/resources.py
+++ b/ashlift/registry/resources.py
@@ -6,7 +6,7 @@
 
 from ashlift.config.settings import Settings
 from ashlift.errors import Failure, FailureReason
-from ashlift.events import tell
+from ashlift.events import log_event
 from ashlift.registry import events
 from ashlift.registry.http_server import HttpRequest, HttpResponse, Resource, error_response
 from ashlift.registry.records import parse_heartbeat, read_json
@@ -53,7 +53,7 @@
             return error_response(400, "DELETE /instances/ID")
         self._registry.deregister_worker(key, time.monotonic())
         self._ring()
-        tell(events.WORKER_GONE, worker=key)
+        log_event(events.WORKER_GONE, worker=key)
         return HttpResponse(200)
 
     @staticmethod
@@ -73,13 +73,13 @@
 
     def _told(self, kind: str, answer: Any) -> HttpResponse:
         if isinstance(answer, Failure):
-            tell(events.ORDER, kind=kind, fault=answer)
+            log_event(events.ORDER, kind=kind, fault=answer)
             if answer.reason == FailureReason.INVALID:
                 return error_response(413, answer.detail)  # too large for a frame: it has gone nowhere
             return error_response(503, f"no clear answer: {answer.reason}", RETRY_AFTER_SECONDS)
         status = answer["status"]
         why = answer.get("reason") or ""
-        tell(events.ORDER, kind=kind, status=status, index=answer.get("index"), reason=why)
+        log_event(events.ORDER, kind=kind, status=status, index=answer.get("index"), reason=why)
         if status == 200:
             return HttpResponse(200)
         return error_response(status, why, RETRY_AFTER_SECONDS if status == 503 else None)
@@ -144,7 +144,7 @@
 def _asked_again(kind: str, request: HttpRequest) -> HttpResponse:
     """The call may have lain in a buffer or been held up by a cut, or another's was taken meanwhile: its
     caller may have gone, and what it asks for may have been taken back. Who waits sends it again at once."""
-    tell(events.ORDER, kind=kind, status=307)
+    log_event(events.ORDER, kind=kind, status=307)
     host = request.headers.get("host")
     if not host:
         return error_response(503, "it may be too old: send it again", RETRY_AFTER_SECONDS)
--- a/ashlift/registry/route_resources.py
+++ b/ashlift/registry/route_resources.py
@@ -5,7 +5,7 @@
 from urllib.parse import unquote
 
 from ashlift.errors import Failure
-from ashlift.events import tell
+from ashlift.events import log_event
 from ashlift.registry import events
 from ashlift.registry.http_server import HttpRequest, HttpResponse, Resource, error_response
 from ashlift.registry.operator_request import NOT_EXECUTED_REASONS
@@ -56,7 +56,7 @@
 
 def _told(answer: dict[str, Any], id: str, route: str) -> HttpResponse:
     status = answer.pop("status")
-    tell(events.EDIT, id=id, route=route, status=status, outcome=answer.get("outcome", "-"))
+    log_event(events.EDIT, id=id, route=route, status=status, outcome=answer.get("outcome", "-"))
     return HttpResponse(status, answer, RETRY_AFTER_SECONDS if status == 503 else None)
 
 
--- a/ashlift/registry/server.py
+++ b/ashlift/registry/server.py
@@ -11,7 +11,7 @@
 from gevent.event import Event
 
 from ashlift.errors import Failure, FailureReason
-from ashlift.events import BROKEN, CRITICAL, tell
+from ashlift.events import CRITICAL, INVARIANT_VIOLATED, log_event
 from ashlift.registry import events
 from ashlift.registry.registry import Registry
 from ashlift.registry.store_client import StoreClient
@@ -141,7 +141,7 @@
 
     def _broken(self, greenlet: "gevent.Greenlet[..., None]") -> None:
         """A loop has ended by an error: what it keeps up would go stale unseen, so the process ends."""
-        tell(BROKEN, level=CRITICAL, error=repr(greenlet.exception))
+        log_event(INVARIANT_VIOLATED, level=CRITICAL, error=repr(greenlet.exception))
         self.broken.set()
 
     def stop(self) -> None:
@@ -158,7 +158,7 @@
     def _tick(self) -> None:
         while True:
             for name in self._registry.tick(time.monotonic()):
-                tell(*((events.PEER_LOST,) if name else (events.WOKE,)), source=name)
+                log_event(*((events.PEER_LOST,) if name else (events.WOKE,)), source=name)
             self._bell.notify_if_changed()
             self._keep()
             gevent.sleep(TICK_INTERVAL_SECONDS)
@@ -188,7 +188,7 @@
             self._bell.notify_if_changed()
             for name in set(registry.peers) - known:
                 if registry.peers[name].ip == ip:
-                    tell(events.PEER_FOUND, source=name, ip=ip)
+                    log_event(events.PEER_FOUND, source=name, ip=ip)
                     known.add(name)
             gevent.sleep(
                 max(BATCHING_DELAY_SECONDS, sent + call_interval(len(self._swaps), UNTHROTTLED_PEERS) - now)
@@ -208,7 +208,7 @@
             fresh = False
             if isinstance(answer, Failure):
                 if own and not missed:
-                    tell(events.STORE_AWAY, fault=answer)
+                    log_event(events.STORE_AWAY, fault=answer)
                 missed = missed or own
             else:
                 fresh = self._registry.receive_watch_response(answer, sent, now)
--- a/ashlift/registry/store_membership.py
+++ b/ashlift/registry/store_membership.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from ashlift.errors import Failure
-from ashlift.events import tell
+from ashlift.events import log_event
 from ashlift.registry import events
 from ashlift.registry.http_server import HttpRequest, HttpResponse, Resource, error_response
 from ashlift.registry.records import read_json
@@ -36,7 +36,7 @@
             return error_response(503, f"no clear answer: {found.reason}", RETRY_AFTER_SECONDS)
         status, why = found["status"], found.get("reason") or ""
         if do != "show":
-            tell(events.ORDER, kind=f"members {do}", status=status, index=found.get("index"), reason=why)
+            log_event(events.ORDER, kind=f"members {do}", status=status, index=found.get("index"), reason=why)
         if status != 200:
             return error_response(status, why)
         return HttpResponse(200, {"members": found["members"]} if "members" in found else None)
--- a/tests/configstore/test_snapshot_storage.py
+++ b/tests/configstore/test_snapshot_storage.py
@@ -305,7 +305,7 @@
             told.extend((event, value) for value in fields.values())
 
         shutil.rmtree(folder, ignore_errors=True)
-        with instead(daemons, ReplicaStorage=Slow, tell=tell):
+        with instead(daemons, ReplicaStorage=Slow, log_event=tell):
             daemon = daemons.Daemon(evolve(settings, bootstrap=True), str(folder), lambda: now[0])
         daemon.server.stop()
         assert daemon.member.vote.voter == (fault is None)
--- a/tests/test_event_catalogue.py
+++ b/tests/test_event_catalogue.py
@@ -9,6 +9,7 @@
 
 ROOT = Path(__file__).parent.parent
 PLACES = {1: ".", 2: "configstore", 3: "registry", 4: "proxy"}  # hundreds of numbers: whose events.py
+LOGGING_FUNCTIONS = {"log_event", "tell"}  # the function of ashlift.events, the effect of a store's replica
 ROW = re.compile(r"\| (\d{3}) \| ([^|]+) \| ([^|]*) \| [^|]{20,} \|")
 
 
@@ -28,14 +29,14 @@
     return found
 
 
-def told(names: set[str]) -> dict[str, set[str]]:
-    """The fields of each event, over all places in the code that tell it."""
+def logged(names: set[str]) -> dict[str, set[str]]:
+    """The fields of each event, over all places in the code that log it."""
     found: dict[str, set[str]] = {}
     for path in (path for package in PLACES.values() for path in (ROOT / "ashlift" / package).glob("*.py")):
         for call in ast.walk(ast.parse(path.read_text())):
             if not isinstance(call, ast.Call) or not call.args:
                 continue
-            if getattr(call.func, "id", getattr(call.func, "attr", "")) != "tell":
+            if getattr(call.func, "id", getattr(call.func, "attr", "")) not in LOGGING_FUNCTIONS:
                 continue
             for part in ast.walk(call.args[0]):
                 name = getattr(part, "id", getattr(part, "attr", ""))
@@ -53,8 +54,8 @@
     assert sorted((number, words) for number, words, _ in rows) == sorted(constants().values())
 
 
-@test("each event of the catalogue is told, with the fields that stand there")
+@test("each event of the catalogue is logged, with the fields that stand there")
 def _() -> None:
     names = constants()
-    fields = {names[name][0]: found for name, found in told(set(names)).items()}
+    fields = {names[name][0]: found for name, found in logged(set(names)).items()}
     assert fields == {number: found for number, _, found in catalogue()}
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,5 +1,7 @@
-"""The log: what is held in the first seconds, and that nothing of it is lost or out of order. In processes of
-their own, as the log is one for a process."""
+"""The log: what is buffered in the first seconds, and that nothing of it is lost or out of order.
+
+Each case runs in a process of its own, as a process has one log.
+"""
 
 import subprocess
 import sys
@@ -9,7 +11,12 @@
 
 from ashlift import events
 
-HEAD = "import sys; from ashlift import events as e; e.set_up('p', 'n'); e.tell((900, 'first'), a='{}'); "
+HEAD = """
+import sys
+from ashlift import events as e
+e.configure('p', 'n')
+e.log_event((900, 'first'), a='{}')
+"""
 LOADED = "print('logbook' in sys.modules); "
 
 
@@ -21,9 +28,10 @@
 @test("an early event waits for the end, an error, or many others, and then comes first ({code})")
 def _(
     code: str = each(
-        LOADED + "e.tell((901, 'last'))",
-        LOADED + "e.tell((901, 'last'), level=e.ERROR); import os; os._exit(0)",
-        LOADED + "[e.tell((901, 'last')) for _ in range(e.HELD_MOST - 1)]; import os; os._exit(0)",
+        LOADED + "e.log_event((901, 'last'))",
+        LOADED + "e.log_event((901, 'last'), level=e.ERROR); import os; os._exit(0)",
+        LOADED
+        + "[e.log_event((901, 'last')) for _ in range(e.MAX_BUFFERED_EVENTS - 1)]; import os; os._exit(0)",
     ),
 ) -> None:
     loaded, lines = _run(code)
