--- a/ashlift/configstore/__main__.py
+++ b/ashlift/configstore/__main__.py
@@ -9,7 +9,7 @@
 from ashlift import process
 from ashlift.config import settings
 from ashlift.config.settings import Settings
-from ashlift.configstore.server import Daemon
+from ashlift.configstore.server import ConfigStoreServer
 from ashlift.events import ERROR, SETTINGS_INVALID, STARTED, STOPPING, configure, log_event
 
 PROGRAM = "configstore"  # its name in the log
@@ -36,16 +36,16 @@
 
 def _serve(loaded: Settings, folder: str) -> int:
     process.exit_on_unhandled_error()
-    daemon = Daemon(loaded, folder)
+    server = ConfigStoreServer(loaded, folder)
 
     def shut_down() -> None:
         log_event(STOPPING)
-        daemon.leave()
+        server.shut_down()
 
     process.on_termination(shut_down)
     process.ignore_reload()
     log_event(STARTED, ip=loaded.ip, port=loaded.internal_ports[0], bootstrap=loaded.bootstrap)
-    daemon.run()
+    server.run()
     return 0
 
 
--- a/ashlift/configstore/commands.py
+++ b/ashlift/configstore/commands.py
@@ -1,104 +1,176 @@
-"""What the operator's orders make of the map. Pure."""
+"""What an operator's command changes in the replicated map.
+
+Pure: the leader calls `decide_command` with its newest map and replicates what it returns. A command may
+arrive late, several times, and in another order than it was sent; digests of commands that were accepted or
+refused stand in the map, so that a resend gets the answer that the first copy got.
+"""
 
 from collections.abc import Mapping
+from enum import StrEnum
 from typing import Any, Final
 
+from attrs import frozen
+
 from ashlift.config import operator_config as configuration
-from ashlift.configstore.messages import FencingToken, Proposal, ReadOnlyResult
-from ashlift.errors import Failure, FailureReason
-
-TAKEN: Final = "Taken/"  # + version: the mark of the call that brought it, for equal resends
-TAKEN_MOST: Final = 512  # a day's changes and more
-FORGOTTEN: Final = "Taken"  # the highest version whose mark is not kept any more
-REFUSED: Final = "Refused/"  # + base + mark: refused before its base was current, so never to be taken
-REFUSED_MOST: Final = 64
-MARK: Final = 8  # bytes of a call's digest
-EVACUATIONS: Final = "Evacuations/"  # + zone
-ZONE_MOST: Final = 200  # characters
-
-
-def decide(current: Mapping[str, Any], order: Any) -> Proposal | ReadOnlyResult:
-    """`order`: `{kind, if_match, body}`. Answers: `{status, reason?}`."""
-    kind, body = order.get("kind"), order.get("body")
-    match kind:
-        case "put" | "patch":
-            return _configured(current, kind, order.get("if_match"), body)
-        case "evacuate" | "restore" if isinstance(body, str) and 0 < len(body) <= ZONE_MOST:
-            return _emptied(current, kind == "evacuate", EVACUATIONS + body)
-        case "edit" | "confirm" | "reject" | "merge":
-            return _edited(current, order)
-    return ReadOnlyResult({"status": 400, "reason": f"no order: {str(kind)[:40]}"})
-
-
-def read_fence(body: Any) -> FencingToken | Failure | None:
-    """An order's fence. None: of a `merge`, which a store sends by itself, again and again, and whose edits
-    are settled once by their ids."""
-    if isinstance(body, dict) and body.get("kind") == "merge":
+from ashlift.configstore.messages import Proposal, ReadOnlyResult
+from ashlift.configstore.stored_names import (
+    ACCEPTED_PREFIX,
+    ACCEPTED_TRIMMED,
+    EVACUATED_PREFIX,
+    REFUSED_PREFIX,
+)
+from ashlift.errors import Failure
+from ashlift.response_status import BAD_REQUEST, OK, PRECONDITION_FAILED, SERVICE_UNAVAILABLE
+
+MAX_ACCEPTED_DIGESTS: Final = 512  # a day's changes and more
+MAX_REFUSED_DIGESTS: Final = 64
+MAX_ZONE_CHARACTERS: Final = 200
+COMMAND_DIGEST_BYTES: Final = 8
+MAX_SHOWN_KIND_CHARACTERS: Final = 40
+_MADE_BEFORE_BASE: Final = "it was refused before what it builds on was current"
+
+
+class CommandKind(StrEnum):
+    """What a command does. The values are the words on the wire."""
+
+    PUT = "put"  # replace the configuration
+    PATCH = "patch"  # change single objects of it
+    EVACUATE = "evacuate"  # take the traffic out of a zone
+    RESTORE = "restore"  # let traffic into the zone again
+    EDIT = "edit"  # change one route; this kind and the next are those of `route_reconciliation`
+    CONFIRM = "confirm"
+    REJECT = "reject"
+    MERGE = "merge"
+
+
+@frozen
+class OperatorCommand:
+    """A change that an operator wants.
+
+    Its fields are as they came and are checked by `decide_command`: `kind` a `CommandKind`, `if_match` the
+    version it builds on, `body` a configuration, a patch, a zone's name or an edit.
+    """
+
+    kind: Any
+    if_match: Any
+    body: Any
+
+
+def decide_command(current: Mapping[str, Any], command: OperatorCommand) -> Proposal | ReadOnlyResult:
+    """What the command changes in the map `current`, and its answer `{status, reason?}`."""
+    match command.kind:
+        case CommandKind.PUT | CommandKind.PATCH:
+            return _decide_configuration(current, command)
+        case CommandKind.EVACUATE | CommandKind.RESTORE if _is_zone_name(command.body):
+            return _decide_evacuation(current, command.body, command.kind == CommandKind.EVACUATE)
+        case CommandKind.EDIT | CommandKind.CONFIRM | CommandKind.REJECT | CommandKind.MERGE:
+            return _decide_edit(current, command)
+    return _refusal(BAD_REQUEST, f"no order: {str(command.kind)[:MAX_SHOWN_KIND_CHARACTERS]}")
+
+
+def _is_zone_name(value: Any) -> bool:
+    return isinstance(value, str) and 0 < len(value) <= MAX_ZONE_CHARACTERS
+
+
+def _refusal(status: int, reason: str) -> ReadOnlyResult:
+    return ReadOnlyResult({"status": status, "reason": reason})
+
+
+def _decide_edit(current: Mapping[str, Any], command: OperatorCommand) -> Proposal | ReadOnlyResult:
+    from ashlift.route_reconciliation import merging  # most systems never need it
+
+    order = {"kind": command.kind, "if_match": command.if_match, "body": command.body}
+    result = merging.decide(current, order)
+    return Proposal(*result) if result.set or result.gone else ReadOnlyResult(result.answer)
+
+
+def _decide_evacuation(current: Mapping[str, Any], zone: str, evacuated: bool) -> Proposal | ReadOnlyResult:
+    key = EVACUATED_PREFIX + zone
+    if (key in current) == evacuated:
+        return ReadOnlyResult({"status": OK})
+    set_keys = {key: True} if evacuated else {}
+    removed_keys = [] if evacuated else [key]
+    return Proposal(set_keys, removed_keys, {"status": OK}, unguarded=(key,))
+
+
+def _decide_configuration(current: Mapping[str, Any], command: OperatorCommand) -> Proposal | ReadOnlyResult:
+    if_match = command.if_match if isinstance(command.if_match, str) else ""
+    digest = _command_digest(command.kind, if_match, command.body)
+    resend_answer = _answer_to_resend(current, command.body, digest)
+    if resend_answer is not None:
+        return resend_answer
+    change = configuration.apply(current, command.kind, if_match, command.body)
+    if isinstance(change, Failure):
+        if change.reason == configuration.STALE:
+            return _refuse_stale(current, if_match, digest, change.detail)
+        return _refusal(BAD_REQUEST, change.detail)
+    if _refused_key(configuration.current_version(current), digest) in current:
+        return _refusal(PRECONDITION_FAILED, _MADE_BEFORE_BASE)
+    return _accept(current, change, digest)
+
+
+def _command_digest(kind: str, if_match: str, body: Any) -> bytes:
+    """Empty for a command without one, which is not a configuration at all."""
+    return bytes.fromhex(configuration.digest(kind, if_match, body))[:COMMAND_DIGEST_BYTES]
+
+
+def _answer_to_resend(current: Mapping[str, Any], body: Any, digest: bytes) -> ReadOnlyResult | None:
+    """The answer to a command that was accepted before, or that may have been; None: it is new."""
+    version = configuration.number_of(body.get("ConfigVersion") if isinstance(body, dict) else None)
+    if not isinstance(version, int) or not digest:
         return None
-    try:
-        term, round_, index, left = body["fence"]
-        return FencingToken(int(term), int(round_), int(index), float(left))
-    except (LookupError, TypeError, ValueError):
-        return Failure(FailureReason.INVALID, "submit")
+    accepted = current.get(f"{ACCEPTED_PREFIX}{version:08x}")
+    if accepted is not None and _accepted_digest(accepted) == digest:
+        return ReadOnlyResult({"status": OK})
+    if accepted is None and version <= current.get(ACCEPTED_TRIMMED, 0):
+        reason = f"version {version:08x} is too old to be told from one that was taken"
+        return _refusal(SERVICE_UNAVAILABLE, reason)
+    return None
 
 
-def _edited(current: Mapping[str, Any], order: Any) -> Proposal | ReadOnlyResult:
-    from ashlift.route_reconciliation import merging as settling  # seldom needed
+def _accepted_digest(stored: str | bytes) -> bytes:
+    """Earlier releases stored the full digest as hexadecimal digits."""
+    return bytes.fromhex(stored)[:COMMAND_DIGEST_BYTES] if isinstance(stored, str) else stored
 
-    made = settling.decide(current, order)
-    return Proposal(*made) if made.set or made.gone else ReadOnlyResult(made.answer)
 
+def _accept(current: Mapping[str, Any], change: configuration.Change, digest: bytes) -> Proposal:
+    """The change, with its digest; digests that are not needed any more go."""
+    # Versions only rise, so the lowest are the oldest.
+    accepted_keys = sorted(key for key in current if key.startswith(ACCEPTED_PREFIX))
+    oldest_keys = accepted_keys[: -(MAX_ACCEPTED_DIGESTS - 1)]
+    passed_refusals = [
+        key for key in current if key.startswith(REFUSED_PREFIX) and key < REFUSED_PREFIX + change.version
+    ]
+    set_keys = dict(change.set)
+    if oldest_keys:
+        set_keys[ACCEPTED_TRIMMED] = int(oldest_keys[-1].removeprefix(ACCEPTED_PREFIX), 16)
+    set_keys[ACCEPTED_PREFIX + change.version] = digest
+    return Proposal(set_keys, [*change.gone, *oldest_keys, *passed_refusals], {"status": OK})
 
-def _emptied(current: Mapping[str, Any], wanted: bool, key: str) -> Proposal | ReadOnlyResult:
-    if (key in current) == wanted:
-        return ReadOnlyResult({"status": 200})
-    return Proposal({key: True} if wanted else {}, [] if wanted else [key], {"status": 200}, (key,))
 
+def _refused_key(base: str, digest: bytes) -> str:
+    return f"{REFUSED_PREFIX}{base}/{digest.hex()}"
 
-def _configured(current: Mapping[str, Any], kind: str, if_match: Any, body: Any) -> Proposal | ReadOnlyResult:
-    if_match = if_match if isinstance(if_match, str) else ""
-    mark = bytes.fromhex(configuration.digest(kind, if_match, body))[:MARK]
-    version = configuration.number_of(body.get("ConfigVersion") if isinstance(body, dict) else None)
-    if isinstance(version, int) and mark:
-        taken = current.get(f"{TAKEN}{version:08x}")
-        if taken is not None and _mark(taken) == mark:
-            return ReadOnlyResult({"status": 200})
-        if taken is None and version <= current.get(FORGOTTEN, 0):
-            why = f"version {version:08x} is too old to be told from one that was taken"
-            return ReadOnlyResult({"status": 503, "reason": why})
-    change = configuration.apply(current, kind, if_match, body)
-    if isinstance(change, Failure) and change.reason == configuration.STALE:
-        return _stale(current, if_match, mark, {"status": 412, "reason": change.detail})
-    if isinstance(change, Failure):
-        return ReadOnlyResult({"status": 400, "reason": change.detail})
-    if f"{REFUSED}{configuration.current_version(current)}/{mark.hex()}" in current:
-        return ReadOnlyResult(
-            {"status": 412, "reason": "it was refused before what it builds on was current"}
-        )
-    # Versions only rise, so the least are the oldest.
-    old = sorted(key for key in current if key.startswith(TAKEN))[: -(TAKEN_MOST - 1)]
-    least = {FORGOTTEN: int(old[-1].removeprefix(TAKEN), 16)} if old else {}
-    past = [key for key in current if key.startswith(REFUSED) and key < REFUSED + change.version]
-    set = {**change.set, **least, TAKEN + change.version: mark}
-    return Proposal(set, [*change.gone, *old, *past], {"status": 200})
-
-
-def _stale(
-    current: Mapping[str, Any], if_match: str, mark: bytes, answer: dict[str, Any]
+
+def _refuse_stale(
+    current: Mapping[str, Any], if_match: str, digest: bytes, reason: str
 ) -> Proposal | ReadOnlyResult:
-    """It builds on another version. What is refused must never be in force: if its base may still come, the
-    refusal is kept until that has passed."""
-    base, now = (configuration.number_of(one) for one in (if_match, configuration.current_version(current)))
-    if not mark or not isinstance(base, int) or not isinstance(now, int) or base < now:
+    """Refuse a command that builds on another version than the current one.
+
+    A refused command must never come into force: if its base version may still come, the refusal is stored
+    until that has passed.
+    """
+    answer = {"status": PRECONDITION_FAILED, "reason": reason}
+    base = configuration.number_of(if_match)
+    current_version = configuration.number_of(configuration.current_version(current))
+    if not digest or not isinstance(base, int) or not isinstance(current_version, int):
         return ReadOnlyResult(answer)
-    key = f"{REFUSED}{base:08x}/{mark.hex()}"
+    if base < current_version:
+        return ReadOnlyResult(answer)
+    key = _refused_key(f"{base:08x}", digest)
     if key in current:
         return ReadOnlyResult(answer)
-    if sum(one.startswith(REFUSED) for one in current) >= REFUSED_MOST:
-        return ReadOnlyResult({"status": 503, "reason": f"{REFUSED_MOST} orders wait for versions to come"})
+    if sum(stored_key.startswith(REFUSED_PREFIX) for stored_key in current) >= MAX_REFUSED_DIGESTS:
+        reason = f"{MAX_REFUSED_DIGESTS} orders wait for versions to come"
+        return _refusal(SERVICE_UNAVAILABLE, reason)
     return Proposal({key: True}, [], answer)
-
-
-def _mark(taken: str | bytes) -> bytes:
-    """Of a `Taken/VERSION`; earlier releases kept the whole digest as a text."""
-    return bytes.fromhex(taken)[:MARK] if isinstance(taken, str) else taken
--- /dev/null
+++ b/ashlift/configstore/leader_requests.py
@@ -0,0 +1,62 @@
+"""Requests that only the leader can serve: who is to serve one now, and whether it may be tried again.
+
+Pure: the server and the simulator call these functions between their own waits.
+"""
+
+from typing import Any, Final
+
+from attrs import frozen
+
+from ashlift.configstore.replica import Replica
+from ashlift.configstore.requests import is_forwarded
+from ashlift.errors import Failure, FailureReason
+
+LEADER_WAIT_SECONDS: Final = 0.5  # how long a request waits for a leader
+RETRY_INTERVAL_SECONDS: Final = 0.05
+SUBMIT_TIMEOUT_SECONDS: Final = 5.0  # how long a command may be under way
+READ_TIMEOUT_SECONDS: Final = 2.0
+
+NO_LEADER: Final = Failure(FailureReason.UNAVAILABLE, "no leader")
+_NO_LEADER_HEARD: Final = Failure(FailureReason.UNAVAILABLE, "no leader is heard here")
+_NOT_BEGUN: Final = (FailureReason.UNAVAILABLE, FailureReason.UNREACHABLE)
+
+
+@frozen
+class ServeHere:
+    """This replica leads."""
+
+
+@frozen
+class ForwardTo:
+    """The replica that leads, as far as is known here."""
+
+    leader: str
+
+
+@frozen
+class WaitForLeader:
+    """No leader is known now, or the request must not be forwarded again."""
+
+
+Route = ServeHere | ForwardTo | WaitForLeader
+
+
+def choose_route(replica: Replica, body: dict[str, Any], now: float) -> Route | Failure:
+    """Who is to serve a request now; a Failure where no leader is to be expected soon."""
+    if replica.silent(now):
+        return _NO_LEADER_HEARD
+    if replica.lead is not None:
+        return ServeHere()
+    if replica.leader is not None and not is_forwarded(body):
+        return ForwardTo(replica.leader)
+    return WaitForLeader()
+
+
+def may_retry(response: Any, body: dict[str, Any], now: float, deadline: float) -> bool:
+    """Whether to try once more: only where nothing was begun, so that nothing is done twice.
+
+    `deadline`: LEADER_WAIT_SECONDS after the request came.
+    """
+    if not isinstance(response, Failure) or response.reason not in _NOT_BEGUN:
+        return False
+    return now < deadline and not is_forwarded(body)
--- a/ashlift/configstore/pending_edits.py
+++ b/ashlift/configstore/pending_edits.py
@@ -1,4 +1,8 @@
-"""The member's shelf of edits of routes that wait: no part of the agreed map, and counted by nobody."""
+"""Edits of single routes that wait on this machine's disk until the leader has merged or rejected them.
+
+They are no part of the replicated map, and no vote depends on them. `PendingEdits` decides what to do with
+them and does no input or output; `PendingEditStorage` keeps them durable and logs what became of them.
+"""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, Final, Protocol
@@ -6,127 +10,150 @@
 import cbor2
 
 from ashlift.configstore import events
+from ashlift.configstore.requests import PENDING_EDITS, encode_merge
+from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE
 from ashlift.errors import Failure, FailureReason
 from ashlift.events import WARNING, log_event
+from ashlift.response_status import OK
 from ashlift.route_reconciliation.edits import Book, Edit, join, read_edit
 from ashlift.route_reconciliation.merging import CONFLICT, SETTLED
 
-MOST: Final = 256  # edits
-NAME: Final = "edits"
+MAX_PENDING_EDITS: Final = 256
+MERGE_INTERVAL_SECONDS: Final = 1.0  # between two attempts to have edits merged
 
+CommittedMap = tuple[int, Mapping[str, Any]]  # index and entries
+Outcome = Mapping[str, Any]  # of one edit, as the leader answers: `{outcome, why?, version?, lost_to?}`
 
-class Records(Protocol):
-    """A shelf, as `ashlift.configstore.snapshot_storage` has it."""
 
-    def read(self) -> dict[str, bytes] | Failure | None: ...
+class RecordStorage(Protocol):
+    """Durable records by name, as `snapshot_storage.SnapshotStorage` has them."""
 
-    def write(self, records: Mapping[str, bytes]) -> Failure | None: ...
+    def read(self) -> dict[str, bytes] | Failure | None:
+        """All records, None if there were never any."""
 
+    def write(self, records: Mapping[str, bytes]) -> Failure | None:
+        """Replace all records."""
 
-class Waiting:
-    """The edits that nothing is settled about. Pure."""
 
-    def __init__(self, book: Book) -> None:
-        self.book: dict[str, Edit] = dict(book)
-        self._told: dict[str, str] = {}  # id -> why it waits, as it was told
-        self._tried: tuple[int, frozenset[str]] | None = None  # index and ids of the last attempt
+class PendingEdits:
+    """The edits whose outcome is not committed yet, by id."""
 
-    def with_(self, edits: Iterable[Edit]) -> dict[str, Edit] | Failure:
-        """The book joined with these."""
-        joined = join(self.book, {edit.id: edit for edit in edits})
-        return (
-            joined if len(joined) <= MOST else Failure(FailureReason.REJECTED, f"{MOST} edits wait already")
-        )
+    def __init__(self, edits: Book) -> None:
+        self.edits: dict[str, Edit] = dict(edits)
+        self._logged_outcomes: dict[str, str] = {}  # by id, so that each is logged once
+        self._last_attempt: tuple[int, frozenset[str]] | None = None  # index, and ids that conflicted then
+
+    def with_edits(self, edits: Iterable[Edit]) -> dict[str, Edit] | Failure:
+        """The pending edits joined with these, or a Failure where they would be too many."""
+        joined = join(self.edits, {edit.id: edit for edit in edits})
+        if len(joined) > MAX_PENDING_EDITS:
+            return Failure(FailureReason.REJECTED, f"{MAX_PENDING_EDITS} edits wait already")
+        return joined
 
-    def without(self, map: Mapping[str, Any]) -> dict[str, Edit]:
-        """The book less what the agreed map says is settled."""
-        return {id: edit for id, edit in self.book.items() if SETTLED + id not in map}
+    def without_resolved(self, entries: Mapping[str, Any]) -> dict[str, Edit]:
+        """The pending edits without those whose outcome stands in the committed map."""
+        return {id: edit for id, edit in self.edits.items() if SETTLED + id not in entries}
 
-    def order(self, index: int) -> dict[str, Any] | None:
-        """What to submit, the committed map being at `index`; None: all is as at the last attempt."""
-        mine = [edit for edit in self.book.values() if edit.auto]
-        if not mine or self._tried == (index, frozenset(edit.id for edit in mine)):
+    def merge_request(self, index: int) -> dict[str, Any] | None:
+        """The merge to submit while the committed map is at `index`.
+
+        None where nothing may merge by itself, or nothing has changed since the last attempt.
+        """
+        automatic = [edit for edit in self.edits.values() if edit.auto]
+        if not automatic or self._last_attempt == (index, frozenset(edit.id for edit in automatic)):
             return None
-        return {"kind": "merge", "if_match": None, "body": {"edits": [edit.wire() for edit in mine]}}
+        return encode_merge([edit.wire() for edit in automatic])
 
-    def outcomes(self, index: int, found: Mapping[str, Any]) -> list[tuple[Edit, dict[str, Any]]]:
-        """Take the leader's answer, given when the map was at `index`: what of it is new to tell."""
-        new = []
-        for id, outcome in found.items():
-            edit = self.book.get(id)
+    def record_outcomes(self, index: int, outcomes: Mapping[str, Outcome]) -> list[tuple[Edit, Outcome]]:
+        """Take the leader's outcomes of a merge at `index`; those that are new here are returned."""
+        new_outcomes = []
+        for id, outcome in outcomes.items():
+            edit = self.edits.get(id)
             if edit is None:
                 continue
-            mark = str(outcome.get("why") or outcome["outcome"])
-            if self._told.get(id) != mark:
-                self._told[id] = mark
-                new.append((edit, outcome))
-        self._tried = (index, frozenset(id for id, one in found.items() if one["outcome"] == CONFLICT))
-        return new
+            summary = str(outcome.get("why") or outcome["outcome"])
+            if self._logged_outcomes.get(id) != summary:
+                self._logged_outcomes[id] = summary
+                new_outcomes.append((edit, outcome))
+        conflicting = (id for id, outcome in outcomes.items() if outcome["outcome"] == CONFLICT)
+        self._last_attempt = index, frozenset(conflicting)
+        return new_outcomes
+
 
+class PendingEditStorage:
+    """The pending edits of this machine on its disk.
 
-class Drafts:
-    """The shelf of what waits. `map`: index and committed map, as known here."""
+    `committed_map` gives the newest committed map known here; `log_event` is as `ashlift.events.log_event`.
+    """
 
     def __init__(
         self,
-        shelf: Records,
-        map: Callable[[], tuple[int, Mapping[str, Any]]],
-        tell: Callable[..., None] = log_event,
+        storage: RecordStorage,
+        committed_map: Callable[[], CommittedMap],
+        log_event: Callable[..., None] = log_event,
     ) -> None:
-        self._shelf, self._map, self.tell = shelf, map, tell
-        found = shelf.read()
-        if isinstance(found, Failure):
-            self.tell(events.UNREADABLE, level=WARNING, shelf=NAME, fault=found)
-        self.waiting = Waiting(_read(found) if isinstance(found, dict) else {})
-
-    def call(self, body: Any) -> Any:
-        """`{add: [edit]}` -> `{edits: [edit]}`: all that wait here, these included, durably; or a Failure."""
+        self._storage = storage
+        self._committed_map = committed_map
+        self.log_event = log_event
+        records = storage.read()
+        if isinstance(records, Failure):
+            self.log_event(events.UNREADABLE, level=WARNING, shelf=PENDING_EDIT_STORAGE, fault=records)
+        self.pending = PendingEdits(_decode_edits(records) if isinstance(records, dict) else {})
+
+    def handle_request(self, body: Any) -> dict[str, Any] | Failure:
+        """Add edits durably: `{add: [edit]}` -> `{edits: [edit]}`, all that are pending here."""
         try:
-            edits = [read_edit(one) for one in body["add"]]
+            decoded = [read_edit(value) for value in body["add"]]
         except (LookupError, TypeError):
-            return Failure(FailureReason.INVALID, "drafts")
-        sound = [edit for edit in edits if isinstance(edit, Edit)]
-        if len(sound) < len(edits):
+            return Failure(FailureReason.INVALID, PENDING_EDITS)
+        edits = [edit for edit in decoded if isinstance(edit, Edit)]
+        if len(edits) < len(decoded):
             return Failure(FailureReason.INVALID, "an edit that is none")
-        fault = self._keep(self.waiting.with_(sound))
-        if fault is not None:
-            return fault
-        for edit in sound:
-            self.tell(events.EDIT_KEPT, id=edit.id, route=edit.name, auto=edit.auto, who=edit.who)
-        return {"edits": [edit.wire() for edit in self.waiting.without(self._map()[1]).values()]}
-
-    def order(self) -> dict[str, Any] | None:
-        """What to submit now, so that what may merge is merged."""
-        return self.waiting.order(self._map()[0])
-
-    def answered(self, answer: Any) -> None:
-        """The leader's answer to it, None: nothing was asked. What is settled is forgotten here."""
-        index, map = self._map()
-        if isinstance(answer, dict) and answer.get("status") == 200:
-            for edit, outcome in self.waiting.outcomes(index, answer["outcomes"]):
-                if outcome["outcome"] == CONFLICT:
-                    why = outcome["why"]
-                    self.tell(events.EDIT_WAITS, level=WARNING, id=edit.id, route=edit.name, why=why)
-                else:
-                    self.tell(
-                        events.EDIT_SETTLED,
-                        id=edit.id,
-                        route=edit.name,
-                        outcome=outcome["outcome"],
-                        version=outcome["version"],
-                        lost_to=outcome["lost_to"],
-                    )
-        self._keep(self.waiting.without(map))
-
-    def _keep(self, book: dict[str, Edit] | Failure) -> Failure | None:
-        if isinstance(book, Failure) or book == self.waiting.book:
-            return book if isinstance(book, Failure) else None
-        fault = self._shelf.write({id: cbor2.dumps(edit.wire()) for id, edit in book.items()})
-        if fault is None:
-            self.waiting.book = book
-        return fault
-
-
-def _read(records: Mapping[str, bytes]) -> dict[str, Edit]:
-    found = (read_edit(cbor2.loads(data)) for data in records.values())
-    return {edit.id: edit for edit in found if isinstance(edit, Edit)}
+        failure = self._replace(self.pending.with_edits(edits))
+        if failure is not None:
+            return failure
+        for edit in edits:
+            self.log_event(events.EDIT_KEPT, id=edit.id, route=edit.name, auto=edit.auto, who=edit.who)
+        _, entries = self._committed_map()
+        return {"edits": [edit.wire() for edit in self.pending.without_resolved(entries).values()]}
+
+    def merge_request(self) -> dict[str, Any] | None:
+        """The merge to submit now; None: there is nothing to try."""
+        index, _ = self._committed_map()
+        return self.pending.merge_request(index)
+
+    def finish_merge(self, response: Any) -> None:
+        """Take the leader's response to a merge (None: none was submitted), and drop resolved edits."""
+        index, entries = self._committed_map()
+        if isinstance(response, dict) and response.get("status") == OK:
+            for edit, outcome in self.pending.record_outcomes(index, response["outcomes"]):
+                self._log_outcome(edit, outcome)
+        self._replace(self.pending.without_resolved(entries))
+
+    def _log_outcome(self, edit: Edit, outcome: Outcome) -> None:
+        if outcome["outcome"] == CONFLICT:
+            self.log_event(events.EDIT_WAITS, level=WARNING, id=edit.id, route=edit.name, why=outcome["why"])
+            return
+        self.log_event(
+            events.EDIT_SETTLED,
+            id=edit.id,
+            route=edit.name,
+            outcome=outcome["outcome"],
+            version=outcome["version"],
+            lost_to=outcome["lost_to"],
+        )
+
+    def _replace(self, edits: dict[str, Edit] | Failure) -> Failure | None:
+        if isinstance(edits, Failure):
+            return edits
+        if edits == self.pending.edits:
+            return None
+        failure = self._storage.write({id: cbor2.dumps(edit.wire()) for id, edit in edits.items()})
+        if failure is None:
+            self.pending.edits = edits
+        return failure
+
+
+def _decode_edits(records: Mapping[str, bytes]) -> dict[str, Edit]:
+    decoded = (read_edit(cbor2.loads(data)) for data in records.values())
+    return {edit.id: edit for edit in decoded if isinstance(edit, Edit)}
--- /dev/null
+++ b/ashlift/configstore/replica_runner.py
@@ -0,0 +1,155 @@
+"""Runs a replica: feeds events to it and carries its effects out on the network, the disk and the log.
+
+The replica decides everything and waits for nothing; this module is its only way out. The greenlet that feeds
+an event carries out the effects. Nothing there yields to other greenlets, writes to disk included, so a write
+is complete before any later event is handled.
+"""
+
+import time
+from collections import deque
+from collections.abc import Callable
+from typing import Any, Final
+
+import gevent
+from gevent.event import AsyncResult, Event
+
+from ashlift.configstore import events
+from ashlift.configstore.messages import (
+    CALL_TIMEOUT_SECONDS,
+    ClockTicked,
+    Effect,
+    HandoverComplete,
+    LogEvent,
+    PersistState,
+    ResponseReceived,
+    SendReply,
+    SendRequest,
+    StatePersisted,
+)
+from ashlift.configstore.messages import Event as ReplicaEvent
+from ashlift.configstore.replica import Replica
+from ashlift.configstore.replica_storage import ReplicaStorage
+from ashlift.errors import Failure, FailureReason
+from ashlift.events import WARNING, log_event
+from ashlift.rpc.client import ClientPool
+
+MAX_SLEEP_SECONDS: Final = 0.15  # between two looks at the clock
+MIN_SLEEP_SECONDS: Final = 0.01
+SLOW_WRITE_SECONDS: Final = 0.5  # a write that took so long is logged: the process stood still meanwhile
+
+Clock = Callable[[], float]
+
+
+class ReplicaRunner:
+    """The replica of this process. `port`: where all replicas listen."""
+
+    def __init__(
+        self,
+        replica: Replica,
+        storage: ReplicaStorage,
+        clients: ClientPool,
+        port: int,
+        clock: Clock = time.monotonic,
+    ) -> None:
+        self.replica = replica
+        self.clock = clock
+        self.stopped = Event()  # the replica has handed over: the process may end
+        self._storage = storage
+        self._clients = clients
+        self._port = port
+        self._effects: deque[Effect] = deque()
+        self._executing = False
+        self._commit_event = Event()  # set and replaced once something is committed
+        self._committed_index = 0
+        self._last_contact: dict[str, float] = {}  # when a peer responded, or its connection was given up
+
+    def start(self) -> None:
+        """Let the replica begin with what its disk holds."""
+        self._execute(self.replica.begin(self.clock()))
+
+    def run(self) -> None:
+        """Feed the clock to the replica until it has handed over."""
+        while not self.stopped.is_set():
+            if self.clock() >= self.replica.due():
+                self.feed(ClockTicked())
+            until_due = self.replica.due() - self.clock()
+            self.stopped.wait(min(MAX_SLEEP_SECONDS, max(MIN_SLEEP_SECONDS, until_due)))
+
+    def feed(self, event: ReplicaEvent) -> None:
+        """Let the replica handle an event, and carry out what it wants."""
+        self._execute(self.replica.handle(self.clock(), event))
+
+    def request(self, make_event: Callable[[Any], ReplicaEvent], timeout: float) -> Any:
+        """Feed the event that `make_event` makes of a reference, and wait for the reply to that reference.
+
+        :param timeout: seconds.
+        :returns: the reply, or a Failure `OUTCOME_UNKNOWN`.
+        """
+        reply: Any = AsyncResult()
+        self.feed(make_event(reply))
+        try:
+            return reply.get(timeout=timeout)
+        except gevent.Timeout:
+            return Failure(FailureReason.OUTCOME_UNKNOWN, f"{timeout:g} s")
+
+    def wait_for_commit(self, timeout: float) -> None:
+        """Wait until something is committed here, `timeout` seconds at most."""
+        self._commit_event.wait(timeout)
+
+    def _execute(self, effects: list[Effect]) -> None:
+        """Carry out effects in order; those of a call within this one are queued behind them."""
+        self._effects.extend(effects)
+        if self._executing:
+            return
+        self._executing = True
+        try:
+            while self._effects:
+                self._execute_one(self._effects.popleft())
+        finally:
+            self._executing = False
+        self._notify_watchers()
+
+    def _execute_one(self, effect: Effect) -> None:
+        match effect:
+            case SendRequest():
+                gevent.spawn(self._send, effect, self.clock())
+            case SendReply():
+                effect.ref.set(effect.body)
+            case PersistState():
+                self._persist(effect)
+            case LogEvent():
+                log_event(effect.event, **effect.fields)
+            case HandoverComplete():
+                self.stopped.set()
+
+    def _persist(self, effect: PersistState) -> None:
+        started_at = self.clock()
+        failure = self._storage.persist(effect)
+        seconds = self.clock() - started_at
+        if seconds >= SLOW_WRITE_SECONDS:
+            log_event(events.DISK_SLOW, level=WARNING, seconds=round(seconds, 1))
+        if failure is not None:
+            log_event(events.DISK_FAULT, level=WARNING, fault=failure)
+        self._effects.extend(self.replica.handle(self.clock(), StatePersisted(failure is None)))
+
+    def _notify_watchers(self) -> None:
+        index = self.replica.news.index
+        if index == self._committed_index:
+            return
+        self._committed_index = index
+        self._commit_event.set()
+        self._commit_event = Event()
+
+    def _send(self, request: SendRequest, sent_at: float) -> None:
+        client = self._clients.client((request.peer, self._port))
+        response = client.call(request.method, request.body, CALL_TIMEOUT_SECONDS)
+        if not isinstance(response, Failure):
+            self._last_contact[request.peer] = self.clock()
+        elif response.reason == FailureReason.OUTCOME_UNKNOWN and self._is_out_of_contact(request.peer):
+            # After a partition a new connection comes up sooner than an old one retransmits.
+            self._last_contact[request.peer] = self.clock()
+            client.close()
+        self.feed(ResponseReceived(request.peer, request.method, sent_at, request.context, response))
+
+    def _is_out_of_contact(self, peer: str) -> bool:
+        return self.clock() - self._last_contact.get(peer, 0.0) >= CALL_TIMEOUT_SECONDS
--- a/ashlift/configstore/replica_storage.py
+++ b/ashlift/configstore/replica_storage.py
@@ -10,10 +10,9 @@
 from ashlift.configstore.messages import PersistentVote, PersistState, Snapshot
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.snapshot_storage import Records, SnapshotStorage
+from ashlift.configstore.stored_names import SNAPSHOT_STORAGE, VOTE_STORAGE
 from ashlift.errors import Failure, FailureReason
 
-VOTE_STORAGE: Final = "vote"  # name of its files
-SNAPSHOT_STORAGE: Final = "map"
 _VOTE_RECORD: Final = "vote"
 _TERM_INDEX_RECORD: Final = "stamp"  # beside one record a hash range, named by its number
 
--- /dev/null
+++ b/ashlift/configstore/request_handlers.py
@@ -0,0 +1,129 @@
+"""Handlers of the store's RPC methods: those of registries, and those of other replicas.
+
+Each takes the request's body as it came and returns the response's body, or a Failure: no clear answer.
+"""
+
+from collections.abc import Callable
+from typing import Any, Final
+
+import gevent
+
+from ashlift.configstore import requests, watch
+from ashlift.configstore.leader_requests import (
+    LEADER_WAIT_SECONDS,
+    NO_LEADER,
+    READ_TIMEOUT_SECONDS,
+    RETRY_INTERVAL_SECONDS,
+    SUBMIT_TIMEOUT_SECONDS,
+    ForwardTo,
+    ServeHere,
+    choose_route,
+    may_retry,
+)
+from ashlift.configstore.messages import (
+    CALL_TIMEOUT_SECONDS,
+    CommandSubmitted,
+    Event,
+    ReadRequested,
+    RequestReceived,
+    Snapshot,
+)
+from ashlift.configstore.replica_runner import ReplicaRunner
+from ashlift.errors import Failure
+from ashlift.rpc.client import ClientPool
+
+Handler = Callable[[Any], Any]
+REPLICA_METHODS: Final = ("request_vote", "append", "join", "succeed")
+
+
+def replica_handlers(runner: ReplicaRunner) -> dict[str, Handler]:
+    """Handlers of what other replicas ask: the replica answers them itself."""
+
+    def make_handler(method: str) -> Handler:
+        return lambda body: runner.request(
+            lambda reference: RequestReceived(reference, method, body), CALL_TIMEOUT_SECONDS
+        )
+
+    return {method: make_handler(method) for method in REPLICA_METHODS}
+
+
+class RegistryRequestHandler:
+    """What registries ask. `port`: where all replicas listen."""
+
+    def __init__(self, runner: ReplicaRunner, clients: ClientPool, port: int) -> None:
+        self._runner = runner
+        self._replica = runner.replica
+        self._clients = clients
+        self._port = port
+        self._fragmenter = watch.new_fragmenter(runner.replica)
+
+    def handlers(self) -> dict[str, Handler]:
+        """The handlers by RPC method."""
+        return {
+            requests.SUBMIT: self.submit,
+            requests.READ: self.read,
+            requests.WATCH: self.watch,
+            requests.MEMBERS: self.members,
+        }
+
+    def submit(self, body: Any) -> Any:
+        """Have a command executed. The response: `{status, reason?, index}`."""
+        request = requests.decode_submit(body)
+        if isinstance(request, Failure):
+            return request
+        command, token = request.command, request.fencing_token
+
+        def make_event(reference: Any) -> Event:
+            return CommandSubmitted(reference, command, token)
+
+        return self._ask_leader(requests.SUBMIT, body, make_event, SUBMIT_TIMEOUT_SECONDS)
+
+    def read(self, body: Any) -> Any:
+        """The committed map, as the leader confirmed it after the request came."""
+        body = body if isinstance(body, dict) else {}
+        snapshot = self._ask_leader(requests.READ, body, ReadRequested, READ_TIMEOUT_SECONDS)
+        return requests.encode_snapshot(snapshot) if isinstance(snapshot, Snapshot) else snapshot
+
+    def members(self, body: Any) -> Any:
+        """Show the members, or change who votes. The response: `{status, reason?, members?}`."""
+        command = requests.decode_membership(body)
+        if isinstance(command, Failure):
+            return command
+        if command.do == requests.SHOW_MEMBERS and self._replica.lead is not None:
+            return requests.encode_members(self._replica.lead.table())
+
+        def make_event(reference: Any) -> Event:
+            return CommandSubmitted(reference, command)
+
+        return self._ask_leader(requests.MEMBERS, body, make_event, SUBMIT_TIMEOUT_SECONDS)
+
+    def watch(self, body: Any) -> Any:
+        """What changed since the watcher's index, as soon as there is something or its wait is over."""
+        request = requests.decode_watch(body)
+        if isinstance(request, Failure):
+            return request
+        clock = self._runner.clock
+        deadline = clock() + request.wait_seconds
+        while self._replica.news.index <= request.known_index and clock() < deadline:
+            self._runner.wait_for_commit(max(0.0, deadline - clock()))
+        return watch.respond(self._fragmenter, self._replica, request, clock())
+
+    def _ask_leader(
+        self, method: str, body: dict[str, Any], make_event: Callable[[Any], Event], timeout: float
+    ) -> Any:
+        """Have the leader serve a request: this process, or the one that is known here."""
+        clock = self._runner.clock
+        deadline = clock() + LEADER_WAIT_SECONDS
+        response: Any = NO_LEADER
+        while True:
+            route = choose_route(self._replica, body, clock())
+            if isinstance(route, Failure):
+                return route
+            if isinstance(route, ServeHere):
+                response = self._runner.request(make_event, timeout)
+            elif isinstance(route, ForwardTo):
+                client = self._clients.client((route.leader, self._port))
+                response = client.call(method, requests.forwarded(body), timeout)
+            if not may_retry(response, body, clock(), deadline):
+                return response
+            gevent.sleep(RETRY_INTERVAL_SECONDS)
--- a/ashlift/configstore/server.py
+++ b/ashlift/configstore/server.py
@@ -1,284 +1,117 @@
-"""The store's process: one member of the agreement on sockets, disk and clock."""
+"""The configuration store's process: one replica with its disk, its RPC server and its greenlets.
+
+`ConfigStoreServer` puts the parts together: `replica_runner` runs the replica, `request_handlers` serves RPC,
+`pending_edits` keeps edits of routes, which are loaded once one is there.
+"""
 
 import os
 import random
 import time
-from collections import deque
-from collections.abc import Callable, Mapping
-from typing import TYPE_CHECKING, Any
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Any, Final
 
 import gevent
-from gevent.event import AsyncResult, Event
 
 from ashlift.config.settings import Settings
-from ashlift.configstore import events, snapshot_storage
-from ashlift.configstore.commands import decide, read_fence
-from ashlift.configstore.membership import MembershipCommand
-from ashlift.configstore.messages import (
-    CALL_TIMEOUT_SECONDS,
-    ClockTicked,
-    CommandSubmitted,
-    Effect,
-    HandoverComplete,
-    LogEvent,
-    PersistState,
-    Proposal,
-    ReadOnlyResult,
-    ReadRequested,
-    RequestReceived,
-    ResponseReceived,
-    SendReply,
-    SendRequest,
-    ShutdownRequested,
-    Snapshot,
-    StatePersisted,
-)
+from ashlift.configstore import events, requests, snapshot_storage
+from ashlift.configstore.commands import OperatorCommand, decide_command
+from ashlift.configstore.messages import PersistentVote, Proposal, ReadOnlyResult, ShutdownRequested, Snapshot
 from ashlift.configstore.replica import Replica
+from ashlift.configstore.replica_runner import Clock, ReplicaRunner
 from ashlift.configstore.replica_storage import ReplicaStorage
-from ashlift.configstore.snapshot_storage import SnapshotStorage
-from ashlift.errors import Failure, FailureReason
+from ashlift.configstore.request_handlers import RegistryRequestHandler, replica_handlers
+from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE, SNAPSHOT_STORAGE, VOTE_STORAGE
+from ashlift.errors import Failure
 from ashlift.events import ERROR, WARNING, log_event
+from ashlift.response_status import SERVICE_UNAVAILABLE
 from ashlift.rpc.client import ClientPool
-from ashlift.rpc.fragmentation import Fragmenter
 from ashlift.rpc.server import serve
 
 if TYPE_CHECKING:
-    from ashlift.configstore.pending_edits import Drafts
-
-STEP_S = 0.15  # longest sleep between two looks at the clock
-SEEK_S = 0.5  # how long an order or a read waits for a leader
-ORDER_S = 5.0  # how long an order may be under way
-READ_S = 2.0
-PAUSE_S = 0.05
-WATCH_MOST_S = 30.0
-MERGE_S = 1.0  # between two attempts to have edits of routes merged
-SLOW_S = 0.5  # a write that took so long is told: the whole process has stood still
-WATCH_PIECE = 256 << 10  # bytes; what is smaller packed or not is told whole, as it is
-FLUSH_S = 0.05  # for the last answers to leave before the process ends
-
+    from ashlift.configstore.pending_edits import PendingEditStorage
 
-def watched(cutter: Fragmenter, told: dict[str, Any], body: Any, now: float) -> dict[str, Any]:
-    """What a watcher lacks, in pieces if it is large."""
-    if "part" not in body or not told["set"]:
-        return told
-    difference = {"version": told["index"], **told}
-    index = difference.pop("index")
-    cut = cutter.next_message(body["have"], difference, body["part"], now)
-    return {**cut, "index": index, "late": cut["version"] < index or "part" in cut}
+FLUSH_SECONDS: Final = 0.05  # for the last responses to leave before the process ends
+_RANDOM_SEED_BYTES: Final = 16
 
 
-def decide_safely(current: Mapping[str, Any], order: Any) -> Proposal | ReadOnlyResult:
-    """A fault in the checks must not take the store down, one leader after the other."""
+def decide_or_refuse(current: Mapping[str, Any], command: OperatorCommand) -> Proposal | ReadOnlyResult:
+    """Decide a command; an error in the checks must not stop one leader after the other."""
     try:
-        return decide(current, order)
+        return decide_command(current, command)
     except Exception as error:
         log_event(events.UNDECIDED, level=ERROR, error=repr(error))
-        return ReadOnlyResult({"status": 503, "reason": "the order could not be worked out"})
+        return ReadOnlyResult({"status": SERVICE_UNAVAILABLE, "reason": "the order could not be worked out"})
 
 
-class Daemon:
-    """Serves `submit`, `read`, `watch` to registries, and what members ask: see `methods`."""
+class ConfigStoreServer:
+    """One replica of the configuration store; `folder` is on its disk. Serves from its creation on."""
 
-    def __init__(self, settings: Settings, folder: str, clock: Callable[[], float] = time.monotonic) -> None:
-        self.clock, self.port = clock, settings.internal_ports[0]
-        self.disk = ReplicaStorage(folder)
-        vote, state = self.disk.read()
-        for name, held in (("vote", vote), ("map", state)):
-            if isinstance(held, Failure):
-                log_event(events.UNREADABLE, level=WARNING, shelf=name, fault=held)
-        seeds = sorted({host for host, _ in settings.seeds})
-        chance = random.Random(os.urandom(16))
-        self.member = Replica(settings.ip, seeds, settings.bootstrap, vote, state, decide_safely, chance)
-        self.member.tolerated = max(1, settings.tolerance.machines)
-        self.callers = ClientPool()
-        self.ended = Event()
-        self._news = Event()
-        self._seen = 0
-        self._heard: dict[str, float] = {}  # when a member last answered, or its connection was given up
-        methods = ("request_vote", "append", "join", "succeed")
-        handlers: dict[str, Callable[[Any], Any]] = {method: self._handler(method) for method in methods}
-        handlers |= {"submit": self.submit, "read": self.read, "watch": self.watch}
-        handlers |= {"drafts": self.drafts, "members": self.members}
-        self._todo: deque[Effect] = deque()
-        self._doing = False
+    def __init__(self, settings: Settings, folder: str, clock: Clock = time.monotonic) -> None:
         self._folder = folder
-        self._drafts: Drafts | None = None
-        self._cutter = Fragmenter(str(self.member.incarnation), WATCH_PIECE, WATCH_PIECE)
-        self._do(self.member.begin(self.clock()))
-        if snapshot_storage.exists(folder, "edits"):
-            self._waiting()
-        self.server = serve((settings.ip, self.port), handlers)
+        self._pending_edits: PendingEditStorage | None = None
+        port = settings.internal_ports[0]
+        clients = ClientPool()
+        storage = ReplicaStorage(folder)
+        self.replica = _restore_replica(settings, storage)
+        self._runner = ReplicaRunner(self.replica, storage, clients, port, clock)
+        self._requests = RegistryRequestHandler(self._runner, clients, port)
+        self._runner.start()
+        if snapshot_storage.exists(folder, PENDING_EDIT_STORAGE):
+            self._open_pending_edits()
+        handlers = {
+            **replica_handlers(self._runner),
+            **self._requests.handlers(),
+            requests.PENDING_EDITS: self._handle_pending_edits,
+        }
+        self.rpc_server = serve((settings.ip, port), handlers)
 
     def run(self) -> None:
-        """Until it has handed over."""
-        while not self.ended.is_set():
-            now = self.clock()
-            if now >= self.member.due():
-                self.feed(ClockTicked())
-            self.ended.wait(min(STEP_S, max(0.01, self.member.due() - self.clock())))
-        gevent.sleep(FLUSH_S)
-
-    def leave(self) -> None:
-        self.feed(ShutdownRequested())
-
-    # ---- the member's events and effects
-    def feed(self, event: Any) -> None:
-        self._do(self.member.handle(self.clock(), event))
-
-    def _do(self, effects: list[Effect]) -> None:
-        """Do effects in order. Nothing here gives way to other greenlets: a write is done before all else."""
-        self._todo.extend(effects)
-        if self._doing:
-            return
-        self._doing = True
-        try:
-            while self._todo:
-                self._effect(self._todo.popleft())
-        finally:
-            self._doing = False
-        self._wake()
-
-    def _effect(self, effect: Effect) -> None:
-        match effect:
-            case SendRequest():
-                gevent.spawn(self._call, effect, self.clock())
-            case SendReply():
-                effect.ref.set(effect.body)
-            case PersistState():
-                began = self.clock()
-                fault = self.disk.persist(effect)
-                took = self.clock() - began
-                if took >= SLOW_S:
-                    log_event(events.DISK_SLOW, level=WARNING, seconds=round(took, 1))
-                if fault is not None:
-                    log_event(events.DISK_FAULT, level=WARNING, fault=fault)
-                self._todo.extend(self.member.handle(self.clock(), StatePersisted(fault is None)))
-            case LogEvent():
-                log_event(effect.event, **effect.fields)
-            case HandoverComplete():
-                self.ended.set()
-
-    def _wake(self) -> None:
-        index = self.member.news.index
-        if index != self._seen:
-            self._seen = index
-            self._news.set()
-            self._news = Event()
+        """Serve until the replica has handed over after `shut_down`."""
+        self._runner.run()
+        gevent.sleep(FLUSH_SECONDS)
 
-    def _call(self, send: SendRequest, sent_at: float) -> None:
-        caller = self.callers.client((send.peer, self.port))
-        body = caller.call(send.method, send.body, CALL_TIMEOUT_SECONDS)
-        if not isinstance(body, Failure):
-            self._heard[send.peer] = self.clock()
-        elif (
-            body.reason == FailureReason.OUTCOME_UNKNOWN
-            and self.clock() - self._heard.get(send.peer, 0.0) >= CALL_TIMEOUT_SECONDS
-        ):
-            self._heard[send.peer] = self.clock()
-            caller.close()  # a new connection comes up sooner than an old one sends again after a cut
-        self.feed(ResponseReceived(send.peer, send.method, sent_at, send.context, body))
+    def shut_down(self) -> None:
+        """Let the replica hand its role over; `run` returns after that."""
+        self._runner.feed(ShutdownRequested())
 
-    def _handler(self, method: str) -> Callable[[Any], Any]:
-        def handler(body: Any) -> Any:
-            return self._ask(lambda ref: RequestReceived(ref, method, body), CALL_TIMEOUT_SECONDS)
+    def _handle_pending_edits(self, body: Any) -> Any:
+        return self._open_pending_edits().handle_request(body)
 
-        return handler
+    def _open_pending_edits(self) -> "PendingEditStorage":
+        """Open the pending edits, once, and have them merged from now on."""
+        if self._pending_edits is None:
+            from ashlift.configstore.pending_edits import PendingEditStorage  # most systems never need it
 
-    def _ask(self, event: Callable[[Any], Any], timeout: float) -> Any:
-        ref: Any = AsyncResult()
-        self.feed(event(ref))
-        try:
-            return ref.get(timeout=timeout)
-        except gevent.Timeout:
-            return Failure(FailureReason.OUTCOME_UNKNOWN, f"{timeout:g} s")
+            storage = snapshot_storage.SnapshotStorage(self._folder, PENDING_EDIT_STORAGE)
+            self._pending_edits = PendingEditStorage(storage, self._committed_map)
+            gevent.spawn(self._merge_pending_edits, self._pending_edits)
+        return self._pending_edits
 
-    # ---- calls of registries
-    def submit(self, body: Any) -> Any:
-        """`{kind, if_match, body, fence}` -> `{status, reason?, index}`; a Failure: no clear answer."""
-        fence = read_fence(body)
-        if isinstance(fence, Failure):
-            return fence
-        return self._led("submit", body, lambda ref: CommandSubmitted(ref, body, fence), ORDER_S)
+    def _committed_map(self) -> tuple[int, Mapping[str, Any]]:
+        committed = self.replica.news
+        return committed.index, committed.state.entries.map
 
-    def read(self, body: Any) -> Any:
-        """-> `{version, objects}`: the committed map, seen after the call came."""
-        body = body if isinstance(body, dict) else {}
-        found = self._led("read", body, ReadRequested, READ_S)
-        if not isinstance(found, Snapshot):
-            return found
-        map = dict(found.entries.map)
-        return {"version": map.get("Version"), "objects": map}
+    def _merge_pending_edits(self, pending_edits: "PendingEditStorage") -> None:
+        from ashlift.configstore.pending_edits import MERGE_INTERVAL_SECONDS
 
-    def members(self, body: Any) -> Any:
-        """`{do, ip}` -> `{status, reason?}`; do: remove, replace, add, or show: `{status, members}`."""
-        if not isinstance(body, dict) or not isinstance(body.get("do"), str):
-            return Failure(FailureReason.INVALID, "members")
-        order = MembershipCommand(body["do"], str(body.get("ip", "")))
-        if order.do == "show" and self.member.lead is not None:
-            return {"status": 200, "members": self.member.lead.table()}
-        return self._led("members", body, lambda ref: CommandSubmitted(ref, order), ORDER_S)
-
-    def drafts(self, body: Any) -> Any:
-        """`{add: [edit]}` -> `{edits: [edit]}`: edits of routes that wait here, no part of the map."""
-        return self._waiting().call(body)
-
-    def _waiting(self) -> "Drafts":
-        if self._drafts is None:
-            from ashlift.configstore.pending_edits import NAME, Drafts  # no route is edited on most systems
-
-            self._drafts = Drafts(SnapshotStorage(self._folder, NAME), self._committed)
-            gevent.spawn(self._merge, self._drafts)
-        return self._drafts
-
-    def _committed(self) -> tuple[int, Mapping[str, Any]]:
-        return self.member.news.index, self.member.news.state.entries.map
-
-    def _merge(self, drafts: "Drafts") -> None:
-        """Have what may merge merged, once there is a leader."""
         while True:
-            gevent.sleep(MERGE_S)
-            order = drafts.order()
-            drafts.answered(self.submit(order) if order else None)
-
-    def _led(self, method: str, body: dict[str, Any], event: Callable[[Any], Any], timeout: float) -> Any:
-        """Have the leader do it: this process, or the one it knows. Tried again while nothing was begun."""
-        until = self.clock() + SEEK_S
-        found: Any = Failure(FailureReason.UNAVAILABLE, "no leader")
-        while True:
-            leader = self.member.leader
-            if self.member.silent(self.clock()):
-                return Failure(FailureReason.UNAVAILABLE, "no leader is heard here")
-            if self.member.lead is not None:
-                found = self._ask(event, timeout)
-            elif leader is not None and not body.get("passed"):
-                caller = self.callers.client((leader, self.port))
-                found = caller.call(method, {**body, "passed": True}, timeout)
-            if not isinstance(found, Failure) or found.reason not in (
-                FailureReason.UNAVAILABLE,
-                FailureReason.UNREACHABLE,
-            ):
-                return found
-            if self.clock() >= until or body.get("passed"):
-                return found
-            gevent.sleep(PAUSE_S)
-
-    def watch(self, body: Any) -> Any:
-        """`{have, wait, part}` -> `{index, set, gone, full, age, term, leader, round}`, once there is more
-        than `have`; `round`: the newest known, with its term. Who tells a `part` can join pieces: a large one
-        comes as `ashlift.rpc.fragmentation` tells it."""
-        try:
-            have, wait = int(body["have"]), min(float(body["wait"]), WATCH_MOST_S)
-        except (LookupError, TypeError, ValueError):
-            return Failure(FailureReason.INVALID, "watch")
-        until = self.clock() + wait
-        while self.member.news.index <= have and self.clock() < until:
-            self._news.wait(max(0.0, until - self.clock()))
-        news = self.member.news
-        age = self.clock() - news.lease
-        known = age if age != float("inf") else None
-        told = {"age": known, "term": self.member.vote.term, "leader": self.member.leader}
-        return {
-            **watched(self._cutter, news.since(have), body, self.clock()),
-            **told,
-            "round": [*self.member.round_known()],
-        }
+            gevent.sleep(MERGE_INTERVAL_SECONDS)
+            request = pending_edits.merge_request()
+            pending_edits.finish_merge(self._requests.submit(request) if request else None)
+
+
+def _restore_replica(settings: Settings, storage: ReplicaStorage) -> Replica:
+    """The replica as its disk has it; unreadable parts are logged, and the replica learns them anew."""
+    vote, snapshot = storage.read()
+    _log_unreadable(VOTE_STORAGE, vote)
+    _log_unreadable(SNAPSHOT_STORAGE, snapshot)
+    seeds = sorted({host for host, _ in settings.seeds})
+    random_source = random.Random(os.urandom(_RANDOM_SEED_BYTES))
+    replica = Replica(settings.ip, seeds, settings.bootstrap, vote, snapshot, decide_or_refuse, random_source)
+    replica.tolerated = max(1, settings.tolerance.machines)
+    return replica
+
+
+def _log_unreadable(name: str, stored: PersistentVote | Snapshot | Failure | None) -> None:
+    if isinstance(stored, Failure):
+        log_event(events.UNREADABLE, level=WARNING, shelf=name, fault=stored)
--- /dev/null
+++ b/ashlift/configstore/watch.py
@@ -0,0 +1,45 @@
+"""What a watcher of the committed map is answered. Pure; the waiting is the server's and the simulator's."""
+
+from typing import Any, Final
+
+from ashlift.configstore.replica import Replica
+from ashlift.configstore.requests import WatchRequest, WatchStatus, encode_watch
+from ashlift.rpc.fragmentation import Fragmenter
+
+FRAGMENT_BYTES: Final = 256 << 10  # what is smaller, packed or not, is sent in one response, not packed
+
+
+def new_fragmenter(replica: Replica) -> Fragmenter:
+    """Cuts large responses into fragments, under a name of this incarnation."""
+    return Fragmenter(str(replica.incarnation), FRAGMENT_BYTES, FRAGMENT_BYTES)
+
+
+def respond(fragmenter: Fragmenter, replica: Replica, request: WatchRequest, now: float) -> dict[str, Any]:
+    """The response: what changed since the watcher's index, and what is known of leader and heartbeats."""
+    committed = replica.news
+    age = now - committed.lease
+    status = WatchStatus(
+        age_seconds=age if age != float("inf") else None,
+        term=replica.vote.term,
+        leader=replica.leader,
+        heartbeat_round=replica.round_known(),
+    )
+    changes = fragment_changes(fragmenter, committed.since(request.known_index), request, now)
+    return encode_watch(changes, status)
+
+
+def fragment_changes(
+    fragmenter: Fragmenter, changes: dict[str, Any], request: WatchRequest, now: float
+) -> dict[str, Any]:
+    """The changes `{index, set, gone, full}`, or the next fragment of them if they are large.
+
+    In a fragment `late` says whether more is to come before the watcher is at `index`.
+    """
+    if not request.accepts_fragments or not changes["set"]:
+        return changes
+    index = changes["index"]
+    difference = {"version": index, **changes}
+    del difference["index"]
+    fragment = fragmenter.next_message(request.known_index, difference, request.fragment, now)
+    is_late = fragment["version"] < index or "part" in fragment
+    return {**fragment, "index": index, "late": is_late}
--- a/ashlift/simulation/catching.py
+++ b/ashlift/simulation/catching.py
@@ -16,8 +16,9 @@
 from attrs import frozen
 
 from ashlift.configstore.catch_up import CatchUp
-from ashlift.configstore.commands import TAKEN, TAKEN_MOST
+from ashlift.configstore.commands import MAX_ACCEPTED_DIGESTS, OperatorCommand
 from ashlift.configstore.messages import Proposal, ReadOnlyResult
+from ashlift.configstore.stored_names import ACCEPTED_PREFIX
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation import store
 from ashlift.simulation.engine import Connection, Future, Loop, Machine, Net, Process, Steps
@@ -132,14 +133,14 @@
         CatchUp.next = real  # type: ignore[method-assign]
 
 
-def decide(map: Mapping[str, Any], order: Any) -> Proposal | ReadOnlyResult:
-    """`{set, base}`: on the version that is current."""
-    version, base = int(map.get("Version", "0"), 16), order["base"]
-    if base != version:
+def decide(map: Mapping[str, Any], command: OperatorCommand) -> Proposal | ReadOnlyResult:
+    """Set the keys of the body, if the command builds on the current version."""
+    version = int(map.get("Version", "0"), 16)
+    if command.if_match != version:
         return ReadOnlyResult({"status": 412})
     made = f"{version + 1:08x}"
-    old = sorted(key for key in map if key.startswith(TAKEN))[: -(TAKEN_MOST - 1)]
-    return Proposal({**order["set"], "Version": made, TAKEN + made: "0" * 32}, old, {"status": 200})
+    old = sorted(key for key in map if key.startswith(ACCEPTED_PREFIX))[: -(MAX_ACCEPTED_DIGESTS - 1)]
+    return Proposal({**command.body, "Version": made, ACCEPTED_PREFIX + made: "0" * 32}, old, {"status": 200})
 
 
 def route(number: int, size: int, chance: Any) -> dict[str, Any]:
@@ -222,7 +223,8 @@
             name = self.leader() or self.names[0]
             member = self.store(name).member
             round_ = member.round_known() if member else (0, 0)
-            order = {"set": sets, "base": self.version, "fence": [*round_, 0, PATIENCE_S]}
+            fence = [*round_, 0, PATIENCE_S]
+            order = {"kind": "put", "if_match": self.version, "body": sets, "fence": fence}
             answer = yield self.desk.call(name, store.KIND, "submit", order, PATIENCE_S)
             if not isinstance(answer, Failure) and answer["status"] in (200, 412):
                 self.version += 1
--- a/ashlift/simulation/clerks.py
+++ b/ashlift/simulation/clerks.py
@@ -89,7 +89,7 @@
     done = agreed(stores).get(SETTLED + id)
     if done:
         return str(done["outcome"])
-    waits = any(one.drafts and id in one.drafts.waiting.book for one in stores)
+    waits = any(one.pending_edits and id in one.pending_edits.pending.edits for one in stores)
     return "waits" if waits else "unknown"
 
 
--- a/ashlift/simulation/recording.py
+++ b/ashlift/simulation/recording.py
@@ -25,7 +25,7 @@
 from attrs import define
 
 from ashlift.configstore.messages import PersistentVote, Snapshot
-from ashlift.configstore.pending_edits import NAME as EDITS
+from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE as EDITS
 from ashlift.errors import Failure
 from ashlift.simulation import chance, worst
 from ashlift.simulation.engine import Observer, Process, simulated
--- a/ashlift/simulation/store.py
+++ b/ashlift/simulation/store.py
@@ -4,7 +4,19 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from ashlift.configstore.commands import decide, read_fence
+from ashlift.configstore import requests, watch
+from ashlift.configstore.commands import decide_command
+from ashlift.configstore.leader_requests import (
+    LEADER_WAIT_SECONDS,
+    NO_LEADER,
+    READ_TIMEOUT_SECONDS,
+    RETRY_INTERVAL_SECONDS,
+    SUBMIT_TIMEOUT_SECONDS,
+    ForwardTo,
+    ServeHere,
+    choose_route,
+    may_retry,
+)
 from ashlift.configstore.messages import (
     CALL_TIMEOUT_SECONDS,
     ClockTicked,
@@ -21,21 +33,11 @@
     Snapshot,
     StatePersisted,
 )
-from ashlift.configstore.pending_edits import NAME, Drafts
+from ashlift.configstore.pending_edits import MERGE_INTERVAL_SECONDS, PendingEditStorage
 from ashlift.configstore.replica import Replica
-from ashlift.configstore.server import (
-    MERGE_S,
-    ORDER_S,
-    PAUSE_S,
-    READ_S,
-    SEEK_S,
-    STEP_S,
-    WATCH_MOST_S,
-    WATCH_PIECE,
-    watched,
-)
+from ashlift.configstore.replica_runner import MAX_SLEEP_SECONDS, MIN_SLEEP_SECONDS
+from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE
 from ashlift.errors import Failure, FailureReason
-from ashlift.rpc.fragmentation import Fragmenter
 from ashlift.simulation.engine import Future, Loop, Machine, Net, Process, Signal, Steps, simulated
 
 KIND = "configstore"
@@ -51,11 +53,11 @@
         self._disk = disk
 
     def read(self) -> dict[str, bytes] | Failure | None:
-        found: dict[str, bytes] | None = self._disk.get(NAME)
+        found: dict[str, bytes] | None = self._disk.get(PENDING_EDIT_STORAGE)
         return found
 
     def write(self, records: Mapping[str, bytes]) -> Failure | None:
-        self._disk[NAME] = dict(records)
+        self._disk[PENDING_EDIT_STORAGE] = dict(records)
         return None
 
 
@@ -71,24 +73,29 @@
         self._held: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # until the write is done
         calls = ("request_vote", "append", "join", "succeed")
         self.handlers = {method: self._handler(method) for method in calls}
-        self.handlers |= {"submit": self.submit, "read": self.read, "watch": self.watch, "drafts": self._add}
-        self.drafts: Drafts | None = None
+        self.handlers |= {
+            requests.SUBMIT: self.submit,
+            requests.READ: self.read,
+            requests.WATCH: self.watch,
+            requests.PENDING_EDITS: self._handle_pending_edits,
+        }
+        self.pending_edits: PendingEditStorage | None = None
 
     def begin(self) -> None:
         disk = self.machine.disk
         vote, state = disk.get("vote"), disk.get("state")
         self.member = Replica(
-            self.name, sorted(self.seeds()), self.bootstrap, vote, state, decide, self.loop.chance
+            self.name, sorted(self.seeds()), self.bootstrap, vote, state, decide_command, self.loop.chance
         )
         self.bootstrap = False
         self.writing, self._todo, self._doing = None, deque[Effect](), False
         self._held = []
         self._news, self._seen = Signal(self), 0
         self._do(self.member.begin(self.clock()))
-        self._cutter = Fragmenter(str(self.member.incarnation), WATCH_PIECE, WATCH_PIECE)
-        self.drafts = None
-        if NAME in disk:
-            self._waiting()
+        self._fragmenter = watch.new_fragmenter(self.member)
+        self.pending_edits = None
+        if PENDING_EDIT_STORAGE in disk:
+            self._open_pending_edits()
         self._tick()
 
     def ended(self, silently: bool) -> None:
@@ -117,7 +124,7 @@
             return
         if self.clock() >= member.due():
             self._feed(ClockTicked())
-        self.later(min(STEP_S, max(0.01, member.due() - self.clock())), self._tick)
+        self.later(min(MAX_SLEEP_SECONDS, max(MIN_SLEEP_SECONDS, member.due() - self.clock())), self._tick)
 
     def _feed(self, event: Any) -> None:
         if self.member is not None:
@@ -179,73 +186,70 @@
         self._feed(event(ref))
         return (yield ref)
 
-    # ---- calls of pegboards, as the daemon serves them
+    # ---- requests of registries, as `configstore.request_handlers` serves them
     def submit(self, body: Any) -> Steps:
-        fence = read_fence(body)
-        if isinstance(fence, Failure):
-            return fence
-        found = yield from self._led("submit", body, lambda ref: CommandSubmitted(ref, body, fence), ORDER_S)
-        return found
+        request = requests.decode_submit(body)
+        if isinstance(request, Failure):
+            return request
+        command, token = request.command, request.fencing_token
+        response = yield from self._ask_leader(
+            requests.SUBMIT,
+            body,
+            lambda reference: CommandSubmitted(reference, command, token),
+            SUBMIT_TIMEOUT_SECONDS,
+        )
+        return response
 
     def read(self, body: Any) -> Steps:
-        found = yield from self._led("read", body, ReadRequested, READ_S)
-        if not isinstance(found, Snapshot):
-            return found
-        map = dict(found.entries.map)
-        return {"version": map.get("Version"), "objects": map}
-
-    def _add(self, body: Any) -> Any:
-        return self._waiting().call(body)
-
-    def _waiting(self) -> Drafts:
-        if self.drafts is None:
-            self.drafts = Drafts(_Records(self.machine.disk), self._committed, lambda *_, **__: None)
-            self.spawn(self._merge(self.drafts))
-        return self.drafts
-
-    def _committed(self) -> tuple[int, Mapping[str, Any]]:
+        snapshot = yield from self._ask_leader(requests.READ, body, ReadRequested, READ_TIMEOUT_SECONDS)
+        return requests.encode_snapshot(snapshot) if isinstance(snapshot, Snapshot) else snapshot
+
+    def _handle_pending_edits(self, body: Any) -> Any:
+        return self._open_pending_edits().handle_request(body)
+
+    def _open_pending_edits(self) -> PendingEditStorage:
+        if self.pending_edits is None:
+            storage = _Records(self.machine.disk)
+            self.pending_edits = PendingEditStorage(storage, self._committed_map, lambda *_, **__: None)
+            self.spawn(self._merge_pending_edits(self.pending_edits))
+        return self.pending_edits
+
+    def _committed_map(self) -> tuple[int, Mapping[str, Any]]:
         assert self.member is not None
         return self.member.news.index, self.member.news.state.entries.map
 
-    def _merge(self, drafts: Drafts) -> Steps:
+    def _merge_pending_edits(self, pending_edits: PendingEditStorage) -> Steps:
         while True:
-            yield MERGE_S
-            order = drafts.order()
-            answer = None
-            if order:
-                answer = yield from self.submit(order)
-            drafts.answered(answer)
-
-    def _led(self, method: str, body: dict[str, Any], event: Callable[[Any], Any], timeout: float) -> Steps:
-        until = self.clock() + SEEK_S
-        found: Any = Failure(FailureReason.UNAVAILABLE, "no leader")
+            yield MERGE_INTERVAL_SECONDS
+            request = pending_edits.merge_request()
+            response = None
+            if request:
+                response = yield from self.submit(request)
+            pending_edits.finish_merge(response)
+
+    def _ask_leader(
+        self, method: str, body: dict[str, Any], make_event: Callable[[Any], Any], timeout: float
+    ) -> Steps:
+        deadline = self.clock() + LEADER_WAIT_SECONDS
+        response: Any = NO_LEADER
         while self.member is not None:
-            leader = self.member.leader
-            if self.member.silent(self.clock()):
-                return Failure(FailureReason.UNAVAILABLE, "no leader is heard here")
-            if self.member.lead is not None:
-                found = yield from self._ask(event, timeout)
-            elif leader is not None and not body.get("passed"):
-                found = yield self.call(leader, KIND, method, {**body, "passed": True}, timeout)
-            if not isinstance(found, Failure) or found.reason not in (
-                FailureReason.UNAVAILABLE,
-                FailureReason.UNREACHABLE,
-            ):
-                return found
-            if self.clock() >= until or body.get("passed"):
-                return found
-            yield PAUSE_S
-        return found
+            route = choose_route(self.member, body, self.clock())
+            if isinstance(route, Failure):
+                return route
+            if isinstance(route, ServeHere):
+                response = yield from self._ask(make_event, timeout)
+            elif isinstance(route, ForwardTo):
+                response = yield self.call(route.leader, KIND, method, requests.forwarded(body), timeout)
+            if not may_retry(response, body, self.clock(), deadline):
+                return response
+            yield RETRY_INTERVAL_SECONDS
+        return response
 
     def watch(self, body: Any) -> Steps:
-        member = self.member
-        if member is None:
-            return Failure(FailureReason.INVALID, "watch")
-        have, until = body["have"], self.clock() + min(body["wait"], WATCH_MOST_S)
-        while member.news.index <= have and self.clock() < until:
-            yield self._news.wait(until - self.clock())
-        age = self.clock() - member.news.lease
-        known = age if age != float("inf") else None
-        told = {"age": known, "term": member.vote.term, "leader": member.leader}
-        news = watched(self._cutter, member.news.since(have), body, self.clock())
-        return {**news, **told, "round": [*member.round_known()]}
+        member, request = self.member, requests.decode_watch(body)
+        if member is None or isinstance(request, Failure):
+            return Failure(FailureReason.INVALID, requests.WATCH)
+        deadline = self.clock() + request.wait_seconds
+        while member.news.index <= request.known_index and self.clock() < deadline:
+            yield self._news.wait(deadline - self.clock())
+        return watch.respond(self._fragmenter, member, request, self.clock())
--- a/tests/cli/test_tenants.py
+++ b/tests/cli/test_tenants.py
@@ -13,7 +13,7 @@
 from ashlift.cli import changing, sources
 from ashlift.cli.commands import application
 from ashlift.config.operator_config import whole
-from ashlift.configstore.commands import decide
+from ashlift.configstore.commands import OperatorCommand, decide_command
 from ashlift.configstore.messages import Proposal
 from ashlift.errors import Failure, FailureReason
 from tests.config.test_operator_config import PUT
@@ -37,7 +37,7 @@
         self.order("put", "0", PUT)
 
     def order(self, kind: str, if_match: str, body: Any) -> Any:
-        found = decide(self.map, {"kind": kind, "if_match": if_match, "body": body})
+        found = decide_command(self.map, OperatorCommand(kind, if_match, body))
         if isinstance(found, Proposal):
             self.map = {key: value for key, value in self.map.items() if key not in found.gone} | found.set
             self.index += 1
--- a/tests/configstore/test_commands.py
+++ b/tests/configstore/test_commands.py
@@ -7,8 +7,14 @@
 from ward import each, test
 
 from ashlift.config.operator_config import digest
-from ashlift.configstore.commands import FORGOTTEN, REFUSED, REFUSED_MOST, TAKEN_MOST, decide
+from ashlift.configstore.commands import (
+    MAX_ACCEPTED_DIGESTS,
+    MAX_REFUSED_DIGESTS,
+    OperatorCommand,
+    decide_command,
+)
 from ashlift.configstore.messages import Proposal, ReadOnlyResult
+from ashlift.configstore.stored_names import ACCEPTED_PREFIX, ACCEPTED_TRIMMED, REFUSED_PREFIX
 from ashlift.errors import Failure, FailureReason
 from ashlift.registry.http_server import STALL_RECOVERY_SECONDS, STALL_THRESHOLD_SECONDS, StallDetector
 from ashlift.registry.operator_request import HEDGE_DELAY_SECONDS, RETRY_ROUND_DELAY_SECONDS, OperatorRequest
@@ -33,7 +39,7 @@
         assert self.ask(0, FIRST, "put") == 200
 
     def ask(self, base: int, body: Map, kind: str = "patch") -> int:
-        made = decide(self.map, {"kind": kind, "if_match": f"{base:08x}", "body": body})
+        made = decide_command(self.map, OperatorCommand(kind, f"{base:08x}", body))
         if isinstance(made, Proposal):
             kept = {key: value for key, value in self.map.items() if key not in made.gone}
             self.map = {**kept, **made.set}
@@ -47,18 +53,18 @@
 @test("what was taken is acknowledged again, after as many changes as are kept, and never refused after more")
 def _() -> None:
     register, sent = Register(), []
-    for number in range(TAKEN_MOST + 40):
+    for number in range(MAX_ACCEPTED_DIGESTS + 40):
         base = register.version
         sent.append((base, patch(base + 1 + number % 3, f"s{number % 9}")))
         assert register.ask(*sent[-1]) == 200
     before = dict(register.map)
     told = [register.ask(*one) for one in sent]
-    assert told == [503] * 40 + [200] * TAKEN_MOST and register.map == before
+    assert told == [503] * 40 + [200] * MAX_ACCEPTED_DIGESTS and register.map == before
     lost = [register.ask(base, patch(int(body["ConfigVersion"], 16), "other")) for base, body in sent]
-    assert lost == [503] * 40 + [412] * TAKEN_MOST and register.map == before
-    assert register.map[FORGOTTEN] == int(sent[39][1]["ConfigVersion"], 16)
-    kept = [key for key in register.map if key.startswith("Taken/")]
-    assert len(kept) == TAKEN_MOST and all(len(register.map[key]) == 8 for key in kept)
+    assert lost == [503] * 40 + [412] * MAX_ACCEPTED_DIGESTS and register.map == before
+    assert register.map[ACCEPTED_TRIMMED] == int(sent[39][1]["ConfigVersion"], 16)
+    kept = [key for key in register.map if key.startswith(ACCEPTED_PREFIX)]
+    assert len(kept) == MAX_ACCEPTED_DIGESTS and all(len(register.map[key]) == 8 for key in kept)
 
 
 @test("a record of an earlier release is known again")
@@ -99,8 +105,8 @@
     before = dict(register.map)
     for version in ("0000000a", "0000000A", "a"):
         text = written({**body, "ConfigVersion": version}, chance)
-        order = {"kind": "patch", "if_match": "1", "body": read_json(text.encode())}
-        assert decide(register.map, order) == ReadOnlyResult({"status": 200}), text
+        command = OperatorCommand("patch", "1", read_json(text.encode()))
+        assert decide_command(register.map, command) == ReadOnlyResult({"status": 200}), text
     for other in ({**spec, "Tls": 1}, {**spec, "MaxConnections": 3}, {**spec, "WarmupRateS": 5.5}):
         changed = {**body, "Upsert": {"Objects": [{**one, "Specification": other}]}}
         assert register.ask(1, changed) == 412
@@ -114,9 +120,11 @@
     assert register.ask(1, patch(5, "b")) == 200, "the base comes"
     assert register.ask(5, patch(6)) == 412, "refused once, and taken by a late copy"
     assert register.ask(5, patch(6, "c")) == 200
-    assert not [key for key in register.map if key.startswith(REFUSED)], "kept though its base has passed"
+    assert not [key for key in register.map if key.startswith(REFUSED_PREFIX)], (
+        "kept though its base has passed"
+    )
     assert register.ask(5, patch(6)) == 412
-    for number in range(REFUSED_MOST):
+    for number in range(MAX_REFUSED_DIGESTS):
         assert register.ask(9, patch(10, f"s{number}")) == 412
     assert register.ask(9, patch(10, "more")) == 503 and register.ask(9, patch(10, "s1")) == 412
     assert register.ask(6, patch(9)) == 200 and register.ask(9, patch(10, "more")) == 200
@@ -125,9 +133,9 @@
 @test("an evacuation changes its zone whatever it holds, and says so; a configuration is guarded by its base")
 def _() -> None:
     for kind, map in (("evacuate", {}), ("restore", {"Evacuations/z": True})):
-        made = decide(map, {"kind": kind, "if_match": None, "body": "z"})
+        made = decide_command(map, OperatorCommand(kind, None, "z"))
         assert isinstance(made, Proposal) and made.unguarded == ("Evacuations/z",)
-    made = decide({}, {"kind": "put", "if_match": "0", "body": FIRST})
+    made = decide_command({}, OperatorCommand("put", "0", FIRST))
     assert isinstance(made, Proposal) and not made.unguarded
 
 
--- a/tests/configstore/test_snapshot_storage.py
+++ b/tests/configstore/test_snapshot_storage.py
@@ -17,14 +17,14 @@
 from ward import each, fixture, raises, test
 
 from ashlift.config.settings import Settings
-from ashlift.configstore import events, snapshot_storage
-from ashlift.configstore import server as daemons
-from ashlift.configstore.commands import TAKEN, TAKEN_MOST, decide
+from ashlift.configstore import events, replica_runner, server, snapshot_storage
+from ashlift.configstore.commands import MAX_ACCEPTED_DIGESTS, OperatorCommand, decide_command
 from ashlift.configstore.committed_state import CommittedState
 from ashlift.configstore.messages import PersistentVote, PersistState, Proposal, ReadOnlyResult, Snapshot
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.replica_storage import ReplicaStorage
 from ashlift.configstore.snapshot_storage import SnapshotStorage
+from ashlift.configstore.stored_names import ACCEPTED_PREFIX
 from ashlift.errors import Failure, FailureReason
 
 SYNCS = 3  # of one write: data, index, folder
@@ -305,10 +305,10 @@
             told.extend((event, value) for value in fields.values())
 
         shutil.rmtree(folder, ignore_errors=True)
-        with instead(daemons, ReplicaStorage=Slow, log_event=tell):
-            daemon = daemons.Daemon(evolve(settings, bootstrap=True), str(folder), lambda: now[0])
-        daemon.server.stop()
-        assert daemon.member.vote.voter == (fault is None)
+        with instead(server, ReplicaStorage=Slow), instead(replica_runner, log_event=tell):
+            running = server.ConfigStoreServer(evolve(settings, bootstrap=True), str(folder), lambda: now[0])
+        running.rpc_server.stop()
+        assert running.replica.vote.voter == (fault is None)
     assert [value for event, value in told if event == events.DISK_SLOW] == [2.0, 3.0]
     assert [value.detail for event, value in told if event == events.DISK_FAULT] == ["full"]
 
@@ -368,7 +368,7 @@
     map: dict[str, Any] = {}
 
     def order(kind: str, body: Any, if_match: str | None = None) -> int:
-        outcome = decide(map, {"kind": kind, "if_match": if_match, "body": body})
+        outcome = decide_command(map, OperatorCommand(kind, if_match, body))
         if isinstance(outcome, Proposal):
             map.update(outcome.set)
             for key in outcome.gone:
@@ -385,7 +385,7 @@
     assert order("put", configuration(6), "0") == 412 and order("put", configuration(5), "5") == 400
     for kind, body in (("patch", []), ("put", None), ("sing", {}), ("evacuate", 3)):
         assert order(kind, body, "5") == 400
-    for version in range(6, 6 + 2 * TAKEN_MOST):
+    for version in range(6, 6 + 2 * MAX_ACCEPTED_DIGESTS):
         assert order("put", configuration(version), f"{version - 1:08x}") == 200
-    assert sum(key.startswith(TAKEN) for key in map) == TAKEN_MOST
+    assert sum(key.startswith(ACCEPTED_PREFIX) for key in map) == MAX_ACCEPTED_DIGESTS
     assert order("restore", "z1") == 200 and changes[-1] and "Evacuations/z1" not in map
--- a/tests/configstore/test_stored_data.py
+++ b/tests/configstore/test_stored_data.py
@@ -8,10 +8,11 @@
 from ward import each, fixture, test
 
 from ashlift.configstore.messages import PersistentVote, PersistState, Snapshot
-from ashlift.configstore.pending_edits import NAME, Drafts
+from ashlift.configstore.pending_edits import PendingEditStorage
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.replica_storage import ReplicaStorage
 from ashlift.configstore.snapshot_storage import SnapshotStorage
+from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE
 from tests.support import stored_data
 from tests.support.stored_data import TORN, WHOLE, Stored, Values
 
@@ -25,9 +26,11 @@
         yield Path(name)
 
 
-def waiting(folder: Path) -> Drafts:
+def waiting(folder: Path) -> PendingEditStorage:
     """The edits that wait on a disk."""
-    return Drafts(SnapshotStorage(str(folder), NAME), lambda: (0, {}), lambda *_, **__: None)
+    return PendingEditStorage(
+        SnapshotStorage(str(folder), PENDING_EDIT_STORAGE), lambda: (0, {}), lambda *_, **__: None
+    )
 
 
 def request(stored: Stored) -> PersistState:
@@ -42,9 +45,10 @@
 
 
 def add_edits(folder: str, calls: list[list[Values]]) -> None:
-    drafts = waiting(Path(folder))
+    pending_edits = waiting(Path(folder))
     for call in calls:
-        assert drafts.call({"add": call})["edits"]
+        response = pending_edits.handle_request({"add": call})
+        assert isinstance(response, dict) and response["edits"]
 
 
 def held(found: tuple[Any, Any]) -> tuple[PersistentVote, tuple[int, int], Values]:
@@ -66,7 +70,7 @@
     assert {name: type(value) for name, value in objects.items()} == {
         name: type(value) for name, value in newest.objects.items()
     }
-    found = waiting(folder / disk).waiting.book
+    found = waiting(folder / disk).pending.edits
     assert {id: edit.wire() for id, edit in found.items()} == {
         edit["id"]: edit for edit in stored_data.edits()
     }
--- a/tests/registry/test_routes.py
+++ b/tests/registry/test_routes.py
@@ -14,10 +14,11 @@
 
 from ashlift.cli import sources
 from ashlift.cli.commands import application
-from ashlift.configstore.commands import decide
+from ashlift.configstore.commands import OperatorCommand, decide_command
 from ashlift.configstore.messages import Proposal
-from ashlift.configstore.pending_edits import NAME, Drafts
+from ashlift.configstore.pending_edits import PendingEditStorage
 from ashlift.configstore.snapshot_storage import SnapshotStorage
+from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE
 from ashlift.errors import Failure, FailureReason
 from ashlift.registry.http_server import HttpRequest
 from ashlift.registry.registry import Registry, RegistryIdentity
@@ -40,14 +41,14 @@
         desk = RouteEditService(self.registry, self)  # type: ignore[arg-type]
         self.resources = {"routes": Routes(desk), "proposals": Proposals(desk)}
 
-    def opened(self, ip: str) -> Drafts:
-        shelf = SnapshotStorage(f"{self.folder}/{ip}", NAME)
-        return Drafts(shelf, lambda: (self.index, self.map), lambda *_, **__: None)
+    def opened(self, ip: str) -> PendingEditStorage:
+        shelf = SnapshotStorage(f"{self.folder}/{ip}", PENDING_EDIT_STORAGE)
+        return PendingEditStorage(shelf, lambda: (self.index, self.map), lambda *_, **__: None)
 
     def submit(self, kind: str, if_match: str | None, body: Any, size: int = 0) -> Any:
         if self.fault is not None:
             return self.fault
-        made = decide(self.map, {"kind": kind, "if_match": if_match, "body": body})
+        made = decide_command(self.map, OperatorCommand(kind, if_match, body))
         if isinstance(made, Proposal):
             self.map = {key: value for key, value in self.map.items() if key not in made.gone} | made.set
             self.index += 1
@@ -55,13 +56,13 @@
         return dict(made.answer)
 
     def exchange_pending_edits(self, add: list[Map]) -> Map:
-        return {ip: one.call({"add": add}) for ip, one in self.shelves.items()}
+        return {ip: one.handle_request({"add": add}) for ip, one in self.shelves.items()}
 
     def merge(self) -> None:
         """What every store does once a second."""
         for one in self.shelves.values():
-            order = one.order()
-            one.answered(order and self.submit(order["kind"], None, order["body"]))
+            order = one.merge_request()
+            one.finish_merge(order and self.submit(order["kind"], None, order["body"]))
 
     def run(self, line: str) -> tuple[int, str]:
         """Exit code and all output of a command, its calls taken by this core."""
@@ -123,7 +124,7 @@
     assert core.map["Routes/hold"] == ORDER
     assert core.run("reject c:1 p1 --on 00000002") == (0, "in force 00000002\n"), "settled once"
     core.merge()
-    assert not core.shelves["10.0.0.1"].waiting.book and "none" in core.run("proposals c:1")[1]
+    assert not core.shelves["10.0.0.1"].pending.edits and "none" in core.run("proposals c:1")[1]
     code, told = core.run("history c:1 hold")
     assert code == 0 and all(word in told for word in ("p1", "ann", "bob", "core-1", "00000001", "00000002"))
 
@@ -134,7 +135,7 @@
     code, told = core.edit("hold", ORDER, "d1")
     assert code == 3 and "in doubt" in told
     core.fault = None
-    kept = core.shelves["10.0.0.1"].waiting.book["d1"]
+    kept = core.shelves["10.0.0.1"].pending.edits["d1"]
     core.submit("edit", None, {"edit": kept.wire()})
     assert core.run("confirm c:1 d1 --on 00000001") == (0, "in force 00000002\n")
     assert core.map["Version"] == "00000002"
@@ -152,9 +153,9 @@
 def _(core: Core = core) -> None:
     core.fault = Failure(FailureReason.UNAVAILABLE, "no leader")
     assert "merges by itself" in core.edit("x", route("b"), "x1")[1]
-    (kept,) = core.shelves["10.0.0.1"].waiting.book.values()
+    (kept,) = core.shelves["10.0.0.1"].pending.edits.values()
     ahead = {"x1": attrs.evolve(kept, stamp=kept.stamp._replace(ms=kept.stamp.ms + 9000))}
-    core.shelves["10.0.0.2"].waiting.book = ahead  # of another machine, whose clock is ahead
+    core.shelves["10.0.0.2"].pending.edits = ahead  # of another machine, whose clock is ahead
     assert "merges by itself" in core.edit("x", None, "x2")[1]
     assert "confirm" in core.edit("y", route("a", "/hold/new/"), "y1")[1], "it takes an order's paths"
     core.merge()
@@ -164,19 +165,21 @@
     assert "Routes/x" not in core.map and "Routes/y" not in core.map
     told = core.run("history c:1 x")[1]
     assert "lost" in told and "x2" in told and "no such route" in told
-    assert core.shelves["10.0.0.1"].order() is None, "what waits for an operator is not sent again and again"
+    assert core.shelves["10.0.0.1"].merge_request() is None, (
+        "what waits for an operator is not sent again and again"
+    )
 
 
 @test("a shelf that is full refuses, and what is no edit is no call")
 def _(core: Core = core) -> None:
     core.fault = Failure(FailureReason.UNAVAILABLE, "no leader")
-    with patch("ashlift.configstore.pending_edits.MOST", 1):
+    with patch("ashlift.configstore.pending_edits.MAX_PENDING_EDITS", 1):
         assert core.edit("hold", ORDER, "p1")[0] == 3
         code, told = core.edit("hold", ORDER, "p2")
         assert code == 2 and "no store has kept it" in told
     bodies: list[Any] = [None, {}, {"add": 3}, {"add": [{}]}]
     for body in bodies:
-        assert isinstance(core.shelves["10.0.0.1"].call(body), Failure)
+        assert isinstance(core.shelves["10.0.0.1"].handle_request(body), Failure)
     assert core.run("edit c:1 x")[0] == 2 and core.run("confirm c:1 none --on 00000001")[0] == 2
     assert core.resources["proposals"].take(HttpRequest("POST", "/proposals/p1", {}, {}, b"[]")).status == 400
     assert core.resources["routes"].take(HttpRequest("POST", "/routes/x", {}, {}, b"{}")).status == 400
--- a/tests/rpc/test_fragmentation.py
+++ b/tests/rpc/test_fragmentation.py
@@ -10,7 +10,8 @@
 from ashlift.configstore.committed_state import CommittedState
 from ashlift.configstore.messages import Snapshot
 from ashlift.configstore.ranged_map import RangedMap
-from ashlift.configstore.server import watched
+from ashlift.configstore.requests import decode_watch
+from ashlift.configstore.watch import fragment_changes
 from ashlift.errors import Failure, FailureReason
 from ashlift.proxy.__main__ import Program
 from ashlift.proxy.registry_client import ANSWER_S, MOST_S, STALE_S, WAIT_S, RegistryClient
@@ -184,7 +185,9 @@
             news.advance(Snapshot((1, 6), map))
         have = mine.operator_config.version
         body = {"have": have, "wait": 0.1, "part": mine.wanted_fragment()}
-        answer = watched(cutter, news.since(have), body, now)
+        request = decode_watch(body)
+        assert not isinstance(request, Failure)
+        answer = fragment_changes(cutter, news.since(have), request, now)
         assert len(cbor2.dumps(answer)) < 300 << 10
         fresh = mine.receive_watch_response({**answer, "age": 0.01, "term": 1, "leader": None}, now, now)
         assert fresh and (mine.lease_age(now) is None or mine.operator_config.version == news.index)
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from ashlift.config import operator_config as configuration
-from ashlift.configstore import commands as orders
+from ashlift.configstore import commands
 from ashlift.configstore.catch_up import CatchUp
 from ashlift.configstore.leader import Leader
 from ashlift.configstore.replica import Replica
@@ -199,13 +199,25 @@
         "self.until",
         "a machine hears the leader and cannot call it: every order is passed on within a second",
     ),
-    "what was taken is not known again": (orders, "_configured", "_mark(taken) == mark", "False", EIGHT),
-    "a record of another order counts": (orders, "_configured", "_mark(taken) == mark", "True", EIGHT),
+    "what was taken is not known again": (
+        commands,
+        "_answer_to_resend",
+        "_accepted_digest(accepted) == digest",
+        "False",
+        EIGHT,
+    ),
+    "a record of another order counts": (
+        commands,
+        "_answer_to_resend",
+        "_accepted_digest(accepted) == digest",
+        "True",
+        EIGHT,
+    ),
     "no base is compared": (configuration, "apply", "base != now", "False", EIGHT),
     "a refusal is forgotten before its base comes": (
-        orders,
-        "_stale",
-        "base < now",
+        commands,
+        "_refuse_stale",
+        "base < current_version",
         "True",
         "refused before its base came: the same order is refused for good, whoever sends it again",
     ),
