--- a/ashlift/proxy/cluster_view.py
+++ b/ashlift/proxy/cluster_view.py
@@ -16,6 +16,7 @@
 from ashlift.config.routing_table import Table
 from ashlift.rpc.addresses import Address, parse_address
 from ashlift.rpc.sources import OPERATOR_SOURCE
+from ashlift.traffic.outlier_detection import FailureTotals
 from ashlift.traffic.unreported_usage import SourceCoverage
 
 SILENT_S = 5.0  # a source that no registry names for so long is dropped
@@ -211,15 +212,15 @@
                     outs[key[2:]] = outs.get(key[2:], 0) + value
         return outs
 
-    def faults(self, near: str | None = None) -> dict[str, tuple[int, int, int]]:
+    def faults(self, near: str | None = None) -> dict[str, FailureTotals]:
         """Failures of late by worker, and requests, in tenths, and how many gatekeepers saw failures: of all,
         or those told to the registry `near` alone."""
-        found: dict[str, tuple[int, int, int]] = {}
+        found: dict[str, FailureTotals] = {}
         for name, source in self._standing().items():
             for key, value in source.records.items() if near in (None, name) else ():
                 if key[0] == "f":
-                    one = found.get(key[2:], (0, 0, 0))
-                    found[key[2:]] = one[0] + value[0], one[1] + value[1], one[2] + value[2]
+                    one = found.get(key[2:], FailureTotals(0, 0, 0))
+                    found[key[2:]] = FailureTotals(one[0] + value[0], one[1] + value[1], one[2] + value[2])
         return found
 
     def behind(self) -> dict[str, SourceCoverage]:
--- a/ashlift/proxy/load_balancer.py
+++ b/ashlift/proxy/load_balancer.py
@@ -8,7 +8,7 @@
 from ashlift.config.routing_table import Route
 from ashlift.proxy.cluster_view import Worker
 from ashlift.proxy.locality import LocalityRouting
-from ashlift.traffic.outlier_detection import OutlierDetector
+from ashlift.traffic.outlier_detection import OutlierDetector, WorkerLoad
 
 GAIN = 0.2  # weight of one answer in a worker's latency ratio
 FADE_S = 8.0  # in which a judgement of a worker grows old
@@ -145,11 +145,11 @@
             return found
         found, doubts = set[str](), self.jury.suspects()
         if doubts:
-            groups: dict[str, dict[str, tuple[int, float]]] = {}
+            groups: dict[str, dict[str, WorkerLoad]] = {}
             for view in self.by_service.get(service, ()):
                 if view.worker.ready and view.worker.zone not in self.evacuated:
                     group = groups.setdefault(self.region(view), {})
-                    group[view.worker.id] = max(1, view.worker.capacity), view.out + view.others
+                    group[view.worker.id] = WorkerLoad(max(1, view.worker.capacity), view.out + view.others)
             for group in groups.values():
                 found |= self.jury.ejected_workers(now, group, self.members)
         self._out[service] = now, found
--- a/ashlift/traffic/retry_budget.py
+++ b/ashlift/traffic/retry_budget.py
@@ -1,77 +1,96 @@
-"""The budget of further tries, per service, at one gatekeeper: its part of the rule BUDGET over all machines.
+"""Retry budget of one proxy for each service: its part of the rule BUDGET, which is about all proxies.
 
-Over any window, arrivals after the first of each request stay within a ratio of the requests for the service
-and a slack. A gatekeeper spends on what came to itself, and its even part of the slack. Times are seconds.
+In any window, attempts after the first of each request may be at most a ratio of the service's requests, and
+a slack. A proxy spends the ratio of the requests that came to itself, and an even part of the slack, so that
+proxies need not agree on anything. The proxy owns the state; times are seconds of the steady clock.
 """
 
 from collections import deque
-from typing import Protocol
+from typing import Final, Protocol
 
-SAFETY = 0.8  # x what the rule gives: counts of others, and of calls that workers make, are not known here
-AT_START = 0.4  # x the slack: the life before may have spent it, and most may have been killed at once
-SLOT = 0.25  # s, width of a slot of counts
+# Part of the budget that is spent: requests at other proxies, and attempts that workers make by themselves,
+# are not known here.
+SAFETY_FACTOR: Final = 0.8
+# Part of the slack that is there at the start: the incarnation before may have spent the rest, and most
+# proxies may have been killed at once.
+INITIAL_SLACK_RATIO: Final = 0.4
+SLOT_SECONDS: Final = 0.25  # width of a slot of counts
 
 
 class RetryBudgetBounds(Protocol):
-    """What the settings say of the rule BUDGET: a share, s, tries."""
+    """The settings of the rule BUDGET."""
 
     @property
-    def retry_budget_ratio(self) -> float: ...
+    def retry_budget_ratio(self) -> float:
+        """Retries for each request."""
+
     @property
-    def retry_window(self) -> float: ...
+    def retry_window(self) -> float:
+        """Length of the sliding window, seconds."""
+
     @property
-    def retry_slack(self) -> float: ...
+    def retry_slack(self) -> float:
+        """Retries in a window that are allowed beside the ratio, over all proxies."""
 
 
-class _Slots:
-    """Counts in slots of time, oldest first, kept for a span (s), and their sum."""
+class _SlidingCount:
+    """Events of the last seconds, counted in slots of time, oldest first."""
 
-    def __init__(self, span: float) -> None:
-        self.span, self.sum = span, 0
-        self.slots: deque[list[int]] = deque()
+    def __init__(self, window_seconds: float) -> None:
+        self._window_seconds = window_seconds
+        self._total = 0
+        self._slots: deque[list[int]] = deque()  # [slot number, events]: lists, as the newest one counts up
 
     def add(self, now: float) -> None:
-        at = int(now // SLOT)
-        if not self.slots or self.slots[-1][0] != at:
-            self.slots.append([at, 0])
-        self.slots[-1][1] += 1
-        self.sum += 1
+        slot = int(now // SLOT_SECONDS)
+        if not self._slots or self._slots[-1][0] != slot:
+            self._slots.append([slot, 0])
+        self._slots[-1][1] += 1
+        self._total += 1
 
-    def count(self, now: float) -> int:
-        while self.slots and (self.slots[0][0] + 1) * SLOT <= now - self.span:
-            self.sum -= self.slots.popleft()[1]
-        return self.sum
+    def total(self, now: float) -> int:
+        while self._slots and (self._slots[0][0] + 1) * SLOT_SECONDS <= now - self._window_seconds:
+            self._total -= self._slots.popleft()[1]
+        return self._total
 
 
 class RetryBudget:
-    """What further tries this gatekeeper may make for each service."""
+    """The retries that this proxy may make for each service."""
 
     def __init__(self, bounds: RetryBudgetBounds) -> None:
         self._bounds = bounds
-        self._born: float | None = None
-        self._requests: dict[str, _Slots] = {}
-        self._spent: dict[str, _Slots] = {}
+        self._first_request_at: float | None = None
+        self._requests: dict[str, _SlidingCount] = {}  # by service
+        self._retries: dict[str, _SlidingCount] = {}  # by service
 
     def record_request(self, now: float, service: str) -> None:
-        """Count one request of a client for the service."""
-        self._born = now if self._born is None else self._born
-        slots = self._requests.get(service)
-        if slots is None:
-            slots = self._requests[service] = _Slots(self._bounds.retry_window)
-        slots.add(now)
-
-    def can_retry(self, now: float, service: str, members: int) -> bool:
-        """Whether one more further try stays inside this gatekeeper's part."""
-        bounds, requests, spent = self._bounds, self._requests.get(service), self._spent.get(service)
-        age = (now - self._born) / bounds.retry_window if self._born is not None else 0.0
-        slack = bounds.retry_slack * min(1.0, AT_START + (1 - AT_START) * age)
-        earned = bounds.retry_budget_ratio * (requests.count(now) if requests else 0)
-        most = SAFETY * (earned + slack / max(1, members))
-        return (spent.count(now) if spent else 0) + 1 <= most
+        """Count one client request for the service."""
+        if self._first_request_at is None:
+            self._first_request_at = now
+        self._count_of(self._requests, service).add(now)
+
+    def can_retry(self, now: float, service: str, proxy_count: int) -> bool:
+        """Return whether one more retry stays inside the budget of one of `proxy_count` proxies."""
+        requests = self._requests.get(service)
+        retries = self._retries.get(service)
+        earned = self._bounds.retry_budget_ratio * (requests.total(now) if requests else 0)
+        budget = SAFETY_FACTOR * (earned + self._available_slack(now) / max(1, proxy_count))
+        return (retries.total(now) if retries else 0) + 1 <= budget
 
     def record_retry(self, now: float, service: str) -> None:
-        """Count one further try."""
-        slots = self._spent.get(service)
-        if slots is None:
-            slots = self._spent[service] = _Slots(self._bounds.retry_window)
-        slots.add(now)
+        """Count one retry for the service."""
+        self._count_of(self._retries, service).add(now)
+
+    def _available_slack(self, now: float) -> float:
+        """Retries of the slack that may be made: all of it once a window has passed since the start."""
+        elapsed_windows = 0.0
+        if self._first_request_at is not None:
+            elapsed_windows = (now - self._first_request_at) / self._bounds.retry_window
+        available_ratio = min(1.0, INITIAL_SLACK_RATIO + (1 - INITIAL_SLACK_RATIO) * elapsed_windows)
+        return self._bounds.retry_slack * available_ratio
+
+    def _count_of(self, counts: dict[str, _SlidingCount], service: str) -> _SlidingCount:
+        count = counts.get(service)
+        if count is None:
+            count = counts[service] = _SlidingCount(self._bounds.retry_window)
+        return count
--- a/ashlift/traffic/slow_start.py
+++ b/ashlift/traffic/slow_start.py
@@ -1,52 +1,71 @@
-"""Who may send to a cold worker, and how fast: the rule FAILBACK, over all machines, in touch or not.
+"""Slow start: which proxies may send to a worker that is warming up, and how fast (rule FAILBACK).
 
-Times are seconds.
+The rule bounds the requests of all proxies together. It must hold while proxies cannot reach each other, so
+nothing is negotiated: proxies that know the same membership assign a worker to the same few proxies, and each
+of these sends its fixed share of the rate. The proxy owns the state; times are seconds of the steady clock.
 """
 
 from collections import deque
 from collections.abc import Container, Sequence
 from functools import lru_cache
 from hashlib import blake2b
+from typing import Final
 
+MAX_CACHED_WEIGHTS: Final = 16384  # pairs of worker and proxy
+RATE_WINDOW_SECONDS: Final = 1.0  # the rule counts the requests of any sliding second
+MAX_SENT_TIMES: Final = 256  # send times kept for a worker
 
-@lru_cache(maxsize=16384)
-def _weight(worker: str, member: str) -> bytes:
-    return blake2b(f"{worker}\n{member}".encode(), digest_size=8).digest()
 
+@lru_cache(maxsize=MAX_CACHED_WEIGHTS)
+def _rendezvous_weight(worker_id: str, proxy: str) -> bytes:
+    return blake2b(f"{worker_id}\n{proxy}".encode(), digest_size=8).digest()
 
-def assigned_proxies(worker_id: str, members: Sequence[str], count: int = 2) -> tuple[str, ...]:
-    """The gatekeepers that may send to a cold worker, highest rendezvous weight first: all who know the same
-    members draw the same, and a member more or less moves only what it owned."""
-    drawn = sorted(members, key=lambda member: (_weight(worker_id, member), member), reverse=True)
-    return tuple(drawn[:count])
+
+def assigned_proxies(worker_id: str, proxies: Sequence[str], count: int = 2) -> tuple[str, ...]:
+    """Choose the proxies that may send to a worker while it warms up, by rendezvous hashing.
+
+    The result does not depend on the order of `proxies`, and a proxy that joins or leaves changes the
+    assignment of only those workers that it is itself assigned to.
+    """
+    ranked = sorted(proxies, key=lambda proxy: (_rendezvous_weight(worker_id, proxy), proxy), reverse=True)
+    return tuple(ranked[:count])
 
 
 class SlowStartPacer:
-    """How fast this gatekeeper sends to each cold worker: at most `rate * share` in any second that slides.
+    """Paces the requests of this proxy to each worker that is warming up.
 
-    Below one a second the pause between two is the inverse, so that the mean over many seconds holds too.
+    At least one request a second: no sliding second holds more than `rate * share`. Less than one a second:
+    two requests are at least the inverse of that apart, so that the mean over many seconds holds too.
     """
 
     def __init__(self) -> None:
-        self._sent: dict[str, deque[float]] = {}
+        self._sent_times: dict[str, deque[float]] = {}  # by worker, oldest first
 
     def can_send(self, now: float, worker_id: str, rate: float, share: float) -> bool:
-        """Whether one more request may go now; `rate` is requests a second for all gatekeepers together."""
-        most, times = rate * share, self._sent.get(worker_id)
-        if most <= 0:
+        """Return whether one more request may be sent to the worker now.
+
+        `rate` is in requests a second for all proxies together, `share` the part of it that is this proxy's.
+        """
+        max_per_second = rate * share
+        if max_per_second <= 0:
             return False
-        if times is None:
+        sent_times = self._sent_times.get(worker_id)
+        if sent_times is None:
             return True
-        if most < 1:
-            return now - times[-1] >= 1 / most
-        while times and times[0] <= now - 1.0:
-            times.popleft()
-        return len(times) + 1 <= most
+        if max_per_second < 1:
+            return now - sent_times[-1] >= 1 / max_per_second
+        while sent_times and sent_times[0] <= now - RATE_WINDOW_SECONDS:
+            sent_times.popleft()
+        return len(sent_times) + 1 <= max_per_second
 
     def record_sent(self, now: float, worker_id: str) -> None:
-        """Count one request sent."""
-        self._sent.setdefault(worker_id, deque(maxlen=256)).append(now)
+        """Count one request sent to the worker."""
+        self._sent_times.setdefault(worker_id, deque(maxlen=MAX_SENT_TIMES)).append(now)
 
-    def retain_workers(self, workers: Container[str]) -> None:
-        """Drop all workers but these: an id never comes back."""
-        self._sent = {worker: times for worker, times in self._sent.items() if worker in workers}
+    def retain_workers(self, worker_ids: Container[str]) -> None:
+        """Forget all workers but these: an id is never used again."""
+        self._sent_times = {
+            worker_id: sent_times
+            for worker_id, sent_times in self._sent_times.items()
+            if worker_id in worker_ids
+        }
--- a/tests/traffic/test_outlier_detection.py
+++ b/tests/traffic/test_outlier_detection.py
@@ -10,7 +10,7 @@
 from ashlift.proxy.load_balancer import LoadBalancer
 from ashlift.registry.load_reports import LoadReport, LoadReports
 from ashlift.registry.replicated_source import ReplicatedSource
-from ashlift.traffic.outlier_detection import OutlierDetector
+from ashlift.traffic.outlier_detection import FailureTotals, OutlierDetector, WorkerLoad
 
 HOLD = Route(
     name="hold",
@@ -67,7 +67,7 @@
             self.tallies.said(
                 f"e{at}", LoadReport({}, {key: (one[0], one[1]) for key, one in faults.items()})
             )
-            found = {key: (one[0], one[1], one[2]) for key, one in self.sums[0].items()}
+            found = {key: FailureTotals(*one) for key, one in self.sums[0].items()}
             crew.jury.record_failure_totals(now, found, {}, faults)
         self.sums.append({key[2:]: value for key, value in self.source.values.items()})
         self.sums.popleft()
@@ -119,13 +119,13 @@
     for at in range(8):
         for _ in range(6):
             jury.record_result(10.0, f"w{at}", 1.0)
-    assert len(jury.ejected_workers(10.0, {f"w{at}": (6, 2.0) for at in range(8)}, 5)) == 2
-    assert not jury.ejected_workers(10.1, {f"w{at}": (6, 4.5) for at in range(8)}, 5)
+    assert len(jury.ejected_workers(10.0, {f"w{at}": WorkerLoad(6, 2.0) for at in range(8)}, 5)) == 2
+    assert not jury.ejected_workers(10.1, {f"w{at}": WorkerLoad(6, 4.5) for at in range(8)}, 5)
 
 
 @test("a worker that was out comes back, and is out for twice as long when it fails again")
 def _() -> None:
-    jury, group = OutlierDetector(), {f"w{at}": (6, 0.0) for at in range(5)}
+    jury, group = OutlierDetector(), {f"w{at}": WorkerLoad(6, 0.0) for at in range(5)}
     times = []
     for at in range(2000):
         now = 0.01 * at
