--- a/ashlift/cli/base.py
+++ b/ashlift/cli/base.py
@@ -6,7 +6,7 @@
 from cleo.io.outputs.output import Type
 
 from ashlift.cli import sources
-from ashlift.config import operator_config as configuration
+from ashlift.config import operator_config
 from ashlift.errors import Failure
 
 DIFFERENT = 1
@@ -30,7 +30,7 @@
     body = sources.configuration(source)
     if isinstance(body, Failure):
         return [body]
-    found = configuration.laid_out(body)
+    found = operator_config.load_configuration(body)
     if isinstance(found, list):
         return [Failure(one.reason, f"{source}: {one.detail}") for one in found]
     return found
--- a/ashlift/cli/commands.py
+++ b/ashlift/cli/commands.py
@@ -16,8 +16,7 @@
 from ashlift.cli.planning import PlanCapacity, PlanChange, PlanRollout
 from ashlift.cli.routes import COMMANDS
 from ashlift.cli.tenant_commands import TenantAdd, TenantPlan, TenantRemove, TenantStatus
-from ashlift.config import operator_config as configuration
-from ashlift.config import settings
+from ashlift.config import operator_config, settings
 from ashlift.errors import Failure, FailureReason
 
 
@@ -33,7 +32,7 @@
         if isinstance(data, Failure):
             return self.fail([data])
         if not (file.endswith(".json") or data.lstrip()[:1] == b"{"):
-            found = settings.read(file)
+            found = settings.read_settings(file)
             return self.fail(found) if isinstance(found, list) else self.tell([f"{file}: settings, no fault"])
         body = sources.parse_json(data, file)
         if isinstance(body, Failure):
@@ -48,14 +47,14 @@
             return [
                 Failure(FailureReason.INVALID, "is a change by name: tell what it is to follow with --on")
             ]
-        found = configuration.laid_out(body)
+        found = operator_config.load_configuration(body)
         return found if isinstance(found, list) else []
 
     def _follow(self, body: Any, on: str) -> list[Failure]:
         current = entries(on)
         if isinstance(current, list):
             return current
-        return configuration.faults(current, "patch" if _is_patch(body) else "put", body)
+        return operator_config.validate_change(current, "patch" if _is_patch(body) else "put", body)
 
 
 class Status(Tool):
--- a/ashlift/cli/planners.py
+++ b/ashlift/cli/planners.py
@@ -9,7 +9,7 @@
 
 from attrs import define, frozen
 
-from ashlift.config.routing_table import Route, Table
+from ashlift.config.routing_table import Route, RoutingTable
 from ashlift.errors import Failure, FailureReason
 
 
@@ -60,7 +60,9 @@
     return found
 
 
-def capacity(stations: Collection[Station], table: Table, asked: dict[str, Asked]) -> Iterator[Remains]:
+def capacity(
+    stations: Collection[Station], table: RoutingTable, asked: dict[str, Asked]
+) -> Iterator[Remains]:
     """What remains after each loss, and who is refused: routes of higher rank (0 first) are carried first.
 
     Routes with homes take only workers there; within a rank those that are bound to fewer workers go first.
@@ -71,8 +73,8 @@
         wanted = []
         for name, asks in asked.items():
             route = table.routes[name]
-            weights = sum(weight for _, weight in route.split)
-            for service, weight in route.split:
+            weights = sum(weight for _, weight in route.traffic_split)
+            for service, weight in route.traffic_split:
                 able = [one for one in left if one.service == service and _homely(route, one)]
                 wanted.append((route.priority, len(able), name, service, able, asks.rate * weight / weights))
         for _, count, name, service, able, rate in sorted(wanted, key=lambda one: one[:4]):
@@ -85,7 +87,7 @@
 
 
 def _homely(route: Route, station: Station) -> bool:
-    return not route.homes or station.region in route.homes
+    return not route.home_regions or station.region in route.home_regions
 
 
 @frozen
@@ -159,33 +161,35 @@
 Fate = tuple[str, ...]
 
 
-def fates(table: Table, requests: Iterable[Recorded]) -> Iterator[Fate]:
+def fates(table: RoutingTable, requests: Iterable[Recorded]) -> Iterator[Fate]:
     """Of each request, in order of time: ("unknown",), ("refused", "key"), ("refused", "quota"), or
     ("goes", its services)."""
     buckets: dict[str, Bucket] = {}
     for one in requests:
-        route = table.route(one.host, one.path)
+        route = table.find_route(one.host, one.path)
         if route is None:
             yield ("unknown",)
             continue
-        tenant = table.tenant_of(one.key)
+        tenant = table.find_tenant(one.key)
         if table.has_tenants and not route.anonymous and tenant is None:
             yield "refused", "key"
             continue
         if tenant is not None and not route.anonymous:
-            bucket = buckets.setdefault(tenant.name, Bucket(tenant.rate, tenant.burst))
+            bucket = buckets.setdefault(tenant.name, Bucket(tenant.rate_limit, tenant.burst_size))
             if not bucket.passes(one.at):
                 yield "refused", "quota"
                 continue
-        yield ("goes", *(f"{service} {weight:g}" for service, weight in route.split))
+        yield ("goes", *(f"{service} {weight:g}" for service, weight in route.traffic_split))
 
 
-def change(old: Table, new: Table, requests: Sequence[Recorded]) -> dict[tuple[str, Fate, Fate], int]:
+def change(
+    old: RoutingTable, new: RoutingTable, requests: Sequence[Recorded]
+) -> dict[tuple[str, Fate, Fate], int]:
     """How many requests of each route (of the old configuration; else host and path) have which fate before
     and after; those that stay as they were are counted with both alike."""
     ordered = sorted(requests, key=lambda one: one.at)
     found: dict[tuple[str, Fate, Fate], int] = defaultdict(int)
     for one, before, after in zip(ordered, fates(old, ordered), fates(new, ordered), strict=True):
-        route = old.route(one.host, one.path) or new.route(one.host, one.path)
+        route = old.find_route(one.host, one.path) or new.find_route(one.host, one.path)
         found[route.name if route else f"{one.host}{one.path}", before, after] += 1
     return dict(found)
--- a/ashlift/cli/planning.py
+++ b/ashlift/cli/planning.py
@@ -9,8 +9,8 @@
 from ashlift.cli.base import DIFFERENT, Tool, entries
 from ashlift.cli.planners import Asked, Fate, Part, Recorded, Station, capacity, change, rollout
 from ashlift.cli.showing import rows_of, table
-from ashlift.config import operator_config as configuration
-from ashlift.config.routing_table import Table
+from ashlift.config import operator_config
+from ashlift.config.routing_table import RoutingTable
 from ashlift.errors import Failure, FailureReason
 
 EVEN = 1e-9
@@ -25,7 +25,7 @@
     return answer
 
 
-def asks(texts: list[str], known: Table) -> dict[str, Asked] | Failure:
+def asks(texts: list[str], known: RoutingTable) -> dict[str, Asked] | Failure:
     """`ROUTE=RATE:WORK_MS`, each of a route of the configuration."""
     found = {}
     for text in texts:
@@ -60,7 +60,7 @@
         found = entries(self.option("on") or self.argument("status"))
         if isinstance(found, list):
             return self.fail(found)
-        known = Table.build(found)
+        known = RoutingTable.from_entries(found)
         asked = asks(self.option("ask"), known)
         if isinstance(asked, Failure):
             return self.fail([asked])
@@ -88,8 +88,8 @@
             }
             for one in capacity(stations, known, asked)
         ]
-        quotas = sum(tenant.rate for tenant in known.tenants.values())
-        open_ = sorted(name for name, tenant in known.tenants.items() if not tenant.rate)
+        quotas = sum(tenant.rate_limit for tenant in known.tenants.values())
+        open_ = sorted(name for name, tenant in known.tenants.items() if not tenant.rate_limit)
         self.tell(table(["lost", "route", "service", "workers", "asked", "carried", "refused"], rows))
         self.tell([f"quotas: {quotas:g} a second in all; no limit: {', '.join(open_) or 'nobody'}"])
         whole = [row for row in rows if row["lost"] == "nothing"]
@@ -161,11 +161,11 @@
 def followed(current: dict[str, Any], body: Any) -> dict[str, Any] | list[Failure]:
     """The map after the change, whole or by name, or all its faults."""
     kind = "put" if isinstance(body, dict) and "Objects" in body else "patch"
-    flaws = configuration.faults(current, kind, body)
-    made = configuration.apply(current, kind, configuration.current_version(current), body)
+    flaws = operator_config.validate_change(current, kind, body)
+    made = operator_config.apply_change(current, kind, operator_config.current_version(current), body)
     if flaws or isinstance(made, Failure):
         return flaws or ([made] if isinstance(made, Failure) else [])
-    return {key: value for key, value in {**current, **made.set}.items() if key not in made.gone}
+    return {key: value for key, value in {**current, **made.entries}.items() if key not in made.removed_keys}
 
 
 class PlanChange(Tool):
@@ -193,7 +193,7 @@
         requests = recorded(self.argument("record"))
         if isinstance(requests, Failure):
             return self.fail([requests])
-        found = change(Table.build(current), Table.build(following), requests)
+        found = change(RoutingTable.from_entries(current), RoutingTable.from_entries(following), requests)
         moved = {key: count for key, count in found.items() if key[1] != key[2]}
         rows = [
             {"route": route, "requests": count, "now": told(before), "then": told(after)}
--- a/ashlift/cli/tenant_commands.py
+++ b/ashlift/cli/tenant_commands.py
@@ -8,8 +8,8 @@
 from ashlift.cli import changing, showing, sources, tenants
 from ashlift.cli.base import DIFFERENT, Tool, entries
 from ashlift.cli.tenants import TENANTS, Held, Standing
-from ashlift.config import operator_config as configuration
-from ashlift.config.routing_table import Table
+from ashlift.config import operator_config
+from ashlift.config.routing_table import RoutingTable
 from ashlift.errors import Failure, FailureReason
 
 ADDRESS = argument("address", "A Control address, such as 10.0.0.4:8200.")
@@ -40,14 +40,14 @@
     if isinstance(objects, Failure):
         return [objects]
     if_match, patch = tenants.change(before, objects)
-    faults = configuration.faults(before, "patch", patch)
+    faults = operator_config.validate_change(before, "patch", patch)
     if faults:
         return [Failure(one.reason, f"{file}: {one.detail}") for one in faults]
-    change = configuration.apply(before, "patch", if_match, patch)
+    change = operator_config.apply_change(before, "patch", if_match, patch)
     now = changing.look(address)
     if isinstance(change, Failure) or isinstance(now, Failure):
         return [one for one in (change, now) if isinstance(one, Failure)]
-    after = {key: value for key, value in before.items() if key not in change.gone} | change.set
+    after = {key: value for key, value in before.items() if key not in change.removed_keys} | change.entries
     changes, doubts = showing.differences(before, after), tenants.doubts(after, objects, now)
     return Plan(if_match, patch, tenants.names(objects), changes, doubts, now)
 
@@ -142,10 +142,10 @@
         now = changing.look(address)
         if isinstance(now, Failure):
             return self.fail([now])
-        tenant = Table.build(found).tenants.get(name)
+        tenant = RoutingTable.from_entries(found).tenants.get(name)
         late = now.behind(now.index)
         word = tenants.told(tenant) if tenant else "is in no configuration that is in force"
-        version = configuration.current_version(found)
+        version = operator_config.current_version(found)
         self.tell([f"{name}: {word}", f"version {version}, index {now.index}", *self.holders(now, late)])
         return DIFFERENT if late or tenant is None else 0
 
@@ -177,7 +177,7 @@
                 return self.fail(
                     [Failure(FailureReason.INVALID, f"{name}: somebody else has changed it meanwhile")]
                 )
-        routes = Table.build(found).routes.values()
+        routes = RoutingTable.from_entries(found).routes.values()
         drain = min(DRAIN_MOST, max((route.timeout or DRAIN_MOST for route in routes), default=0.0))
         self.tell([f"drains for {drain:g} s, the longest timeout of a route"])
         changing.pause(drain)
--- a/ashlift/cli/tenants.py
+++ b/ashlift/cli/tenants.py
@@ -6,8 +6,8 @@
 
 from attrs import frozen
 
-from ashlift.config import operator_config as configuration
-from ashlift.config.routing_table import Route, Table, Tenant
+from ashlift.config import operator_config
+from ashlift.config.routing_table import Route, RoutingTable, Tenant
 from ashlift.errors import Failure, FailureReason
 
 Json = dict[str, Any]
@@ -48,7 +48,7 @@
 
 def standing(answers: Iterable[Mapping[str, Any]], silent: list[str]) -> Standing:
     """Of the answers of `GET /status`. A gatekeeper calls one core machine: who heard last counts."""
-    index, version = 0, configuration.FIRST
+    index, version = 0, operator_config.INITIAL_VERSION
     held: dict[str, Held] = {}
     slots: dict[tuple[str, str], int] = {}
     workers: dict[str, Mapping[str, Any]] = {}
@@ -103,7 +103,7 @@
 
 def change(entries: Mapping[str, Any], objects: list[Json], gone: Iterable[str] = ()) -> tuple[str, Json]:
     """If-Match and the body of a PATCH that brings these objects and withdraws these tenants."""
-    now = configuration.current_version(entries)
+    now = operator_config.current_version(entries)
     body: Json = {"ConfigVersion": f"{int(now, 16) + 1:08x}"}
     if objects:
         body["Upsert"] = {"Objects": objects}
@@ -121,7 +121,7 @@
 
 def doubts(after: Mapping[str, Any], objects: list[Json], now: Standing) -> list[str]:
     """What is allowed and yet seldom meant, for the tenants among `objects`."""
-    table = Table.build(after)
+    table = RoutingTable.from_entries(after)
     regions = {one.region for one in now.gatekeepers}
     zones = {one.zone: one.region for one in now.gatekeepers}
     named = [one["Metadata"].get("Name") for one in objects if one["ObjectType"] == "Routes"]
@@ -130,18 +130,18 @@
     found = []
     for name in names(objects):
         tenant = table.tenants[name]
-        if not tenant.keys:
+        if not tenant.api_keys:
             found.append(f"Tenants {name}: has no key: all of its requests get 401")
-        if tenant.rate <= 0:
+        if tenant.rate_limit <= 0:
             found.append(f"Tenants {name}: RatePerS: 0 or none is no limit at all")
-        for home in sorted(tenant.homes - regions) if regions else ():
+        for home in sorted(tenant.home_regions - regions) if regions else ():
             found.append(f"Tenants {name}: HomeRegions: no gatekeeper is in {home}")
         found += _homeless(tenant, routes)
         most, slots = _bears(tenant, routes, now, zones)
-        if tenant.rate > most:
+        if tenant.rate_limit > most:
             found.append(
-                f"Tenants {name}: RatePerS: {tenant.rate:g} is more than the {most:.0f} a second that the "
-                f"{slots} slots of its routes' workers bear, if each request takes its aim"
+                f"Tenants {name}: RatePerS: {tenant.rate_limit:g} is more than the {most:.0f} a second that "
+                f"the {slots} slots of its routes' workers bear, if each request takes its aim"
             )
     return found
 
@@ -150,7 +150,7 @@
     return [
         f"Tenants {tenant.name}: HomeRegions: has none in common with Routes {route.name}: requests get 503"
         for route in routes
-        if tenant.homes and route.homes and not tenant.homes & route.homes
+        if tenant.home_regions and route.home_regions and not tenant.home_regions & route.home_regions
     ]
 
 
@@ -160,11 +160,11 @@
     """Requests a second that the services of these routes bear at the aims, in the homes; their slots."""
     aims: dict[str, float] = {}
     for route in routes:
-        for service, _ in route.split:
-            aims[service] = max(route.aim, aims.get(service, 0.0))
+        for service, _ in route.traffic_split:
+            aims[service] = max(route.latency_target, aims.get(service, 0.0))
     most, slots = 0.0, 0
     for (service, zone), count in now.slots.items():
-        if service in aims and (not tenant.homes or zones.get(zone) in tenant.homes):
+        if service in aims and (not tenant.home_regions or zones.get(zone) in tenant.home_regions):
             most += count / aims[service]
             slots += count
     return most, slots
@@ -172,7 +172,11 @@
 
 def told(tenant: Tenant) -> str:
     """A tenant's limits on one line; keys are secret, and are counted only."""
-    limit = f"{tenant.rate:g} a second and {tenant.burst:g} at once" if tenant.rate > 0 else "no limit"
-    homes = ", ".join(sorted(tenant.homes)) or "any region"
+    limit = (
+        f"{tenant.rate_limit:g} a second and {tenant.burst_size:g} at once"
+        if tenant.rate_limit > 0
+        else "no limit"
+    )
+    homes = ", ".join(sorted(tenant.home_regions)) or "any region"
     priority = "that of the route" if tenant.priority is None else str(tenant.priority)
-    return f"{len(tenant.keys)} keys, {limit}, homes {homes}, priority {priority}"
+    return f"{len(tenant.api_keys)} keys, {limit}, homes {homes}, priority {priority}"
--- a/ashlift/config/__init__.py
+++ b/ashlift/config/__init__.py
@@ -1,1 +1,1 @@
-"""What the programs are told: the settings file and the operator's configuration, read and checked."""
+"""The settings file and the operator's configuration: read, checked, indexed. Importing it loads nothing."""
--- a/ashlift/config/routing_table.py
+++ b/ashlift/config/routing_table.py
@@ -1,90 +1,55 @@
-"""What a configuration says, ready for use: routes by host and prefix, tenants by key, services, limits.
+"""A configuration indexed for use: routes by host and path prefix, tenants by API key, services, limits."""
 
-The shapes of the operator's objects stand here: `ashlift.config.operator_config` checks with them.
-"""
-
-import math
 from collections.abc import Iterable, Mapping
 from typing import Any, Final, TypeVar
 
 import attrs
 
-from ashlift.config.structuring import Amount, Count, Flaw, Seconds, Texts, Weights, structure
-
-LAST_RANK: Final = 9  # of a route that tells no priority (0 is highest)
+from ashlift.config.object_schema import (
+    LIMITS,
+    ROUTES,
+    SERVICES,
+    TENANTS,
+    ClientLimits,
+    RouteSpecification,
+    ServiceSpecification,
+    TenantSpecification,
+)
+from ashlift.config.structuring import Strings, WeightedServices, structure
+from ashlift.config.versions import VERSION_KEY
+
+DEFAULT_LATENCY_TARGET_SECONDS: Final = 1.0  # of a route without a target latency or a time-out
+IDEMPOTENT: Final = "idempotent"  # the RouteType whose requests may be sent again
 T = TypeVar("T")
 
 
-@attrs.frozen(kw_only=True)
-class RouteShape:
-    host: str
-    path_prefix: str
-    route_type: str = ""
-    timeout: Seconds | None = None
-    target_latency: Seconds | None = None
-    priority: Count = LAST_RANK
-    service: str | None = None
-    traffic_split: Weights = ()
-    max_attempts: Count = 1
-    anonymous: bool = False
-    home_regions: Texts = ()
-
-
-@attrs.frozen(kw_only=True)
-class ServiceShape:
-    health_check: str = "/"
-    max_connections: Count = 0
-    warmup: Seconds = 0.0
-    warmup_rate_s: Amount = math.inf
-
-
-@attrs.frozen(kw_only=True)
-class TenantShape:
-    api_keys: Texts = ()
-    priority: Count | None = None
-    rate_per_s: Amount = 0.0
-    burst_size: Amount = 0.0
-    home_regions: Texts = ()
-
-
-@attrs.frozen(kw_only=True)
-class Limits:
-    """What a client may send, and how long it may take or stay idle: bytes, s."""
-
-    max_header_bytes: Count = 16384
-    max_body_bytes: Count = 64 << 20
-    header_timeout: Seconds = 3.0
-    idle_timeout: Seconds = 15.0
-
-
-SHAPES: Final[dict[str, type[Any]]] = {
-    "Routes": RouteShape,
-    "Services": ServiceShape,
-    "Tenants": TenantShape,
-    "Limits": Limits,
-}
-
-
 @attrs.frozen
 class Route:
-    """`split`: services with weights above 0; `aim`, `timeout`: s; `homes`: regions, empty = any will do."""
+    """One route. `traffic_split`: services with weights above 0. `timeout`, `latency_target`: s.
+
+    `priority`: 0 is the highest. `home_regions`: where its requests may run; empty: anywhere. `anonymous`:
+    needs no API key.
+    """
 
     name: str
     host: str
-    prefix: str
-    repeatable: bool
+    path_prefix: str
+    idempotent: bool
     timeout: float | None
-    aim: float
+    latency_target: float
     priority: int
-    split: Weights
-    attempts: int
+    traffic_split: WeightedServices
+    max_attempts: int
     anonymous: bool
-    homes: frozenset[str]
+    home_regions: frozenset[str]
 
 
 @attrs.frozen
 class Service:
-    """`max_connections`: of one worker, 0 = not told; `warmup`: s; `warmup_rate`: a second, or inf."""
+    """One service. `max_connections`: of one worker, 0: not limited. `warmup`: slow start, s.
+
+    `warmup_rate`: the most requests a second of a worker in slow start, or infinite.
+    """
 
     name: str
     health_check: str
@@ -95,155 +60,204 @@
 
 @attrs.frozen
 class Tenant:
-    """`rate`: requests a second, 0 = no limit; `burst`: on top; `priority`: None = that of the route."""
+    """One tenant. `rate_limit`: requests a second, 0: none. `burst_size`: requests beyond it.
+
+    `priority`: None: the route's. `home_regions`: as of a route.
+    """
 
     name: str
-    keys: Texts
-    rate: float
-    burst: float
+    api_keys: Strings
+    rate_limit: float
+    burst_size: float
     priority: int | None
-    homes: frozenset[str]
+    home_regions: frozenset[str]
 
 
-def host_of(header: str) -> str:
-    """A `Host` header in the form routes are kept by: small letters, without a port."""
+def normalize_host(header: str) -> str:
+    """A `Host` header in the form that routes are indexed by: lower case, without a port."""
     host, colon, port = header.strip().lower().rpartition(":")
     return host if colon and (not port or port.isdigit()) else header.strip().lower()
 
 
-def split_of(shape: RouteShape) -> Weights:
-    return shape.traffic_split or (((shape.service, 1.0),) if shape.service else ())
-
-
-def _route(name: str, value: Any) -> Route:
-    shape = _sound(RouteShape, name, value)
-    split = tuple(pair for pair in split_of(shape) if pair[1] > 0)
-    aim = shape.target_latency or shape.timeout or 1.0
-    return Route(
-        name,
-        host_of(shape.host),
-        shape.path_prefix,
-        shape.route_type == "idempotent",
-        shape.timeout or None,
-        aim,
-        shape.priority,
-        split,
-        max(1, shape.max_attempts),
-        shape.anonymous,
-        frozenset(shape.home_regions),
-    )
-
-
-def _service(name: str, value: Any) -> Service:
-    shape = _sound(ServiceShape, name, value)
-    return Service(name, shape.health_check, shape.max_connections, shape.warmup, shape.warmup_rate_s)
-
-
-def _tenant(name: str, value: Any) -> Tenant:
-    shape = _sound(TenantShape, name, value)
-    homes = frozenset(shape.home_regions)
-    return Tenant(name, shape.api_keys, shape.rate_per_s, shape.burst_size, shape.priority, homes)
-
-
-def _sound(cls: type[T], name: str, value: Any) -> T:
-    found: T | list[Flaw] = structure(cls, value)
-    if isinstance(found, list):
-        raise ValueError(f"{name}: {found}")  # it was checked before it was stored
-    return found
-
-
 @attrs.frozen
-class _Host:
-    """The routes of one host by prefix, and the length of the longest."""
+class _HostRoutes:
+    """The routes of one host by path prefix, and the length of the longest."""
 
     by_prefix: dict[str, Route]
-    longest: int
+    max_prefix_length: int
 
 
 @attrs.frozen
-class Table:
-    """A configuration in force. Never changed: `updated` makes another, which shares what is the same."""
+class RoutingTable:
+    """A configuration in force. Immutable: `updated` makes another, which shares what is the same."""
 
     version: int
     routes: dict[str, Route]
     services: dict[str, Service]
     tenants: dict[str, Tenant]
-    limits: Limits
-    _hosts: dict[str, _Host]
-    _keys: dict[str, Tenant]
+    limits: ClientLimits
+    _hosts: dict[str, _HostRoutes]
+    _tenants_by_key: dict[str, Tenant]
 
     @classmethod
-    def build(cls, entries: Mapping[str, Any]) -> "Table":
-        """Of a map as it is stored; keys that are no part of a configuration are passed over."""
-        return cls(0, {}, {}, {}, Limits(), {}, {}).updated(entries, ())
+    def from_entries(cls, entries: Mapping[str, Any]) -> "RoutingTable":
+        """The table of a stored map; keys that are no part of a configuration are ignored."""
+        return cls(0, {}, {}, {}, ClientLimits(), {}, {}).updated(entries, ())
 
     @property
     def has_tenants(self) -> bool:
+        """Whether there is any tenant: without one, no request needs an API key."""
         return bool(self.tenants)
 
-    def updated(self, entries: Mapping[str, Any], gone: Iterable[str]) -> "Table":
-        """With `entries` set and the keys in `gone` taken out. ValueError: an entry that cannot be right."""
-        version, limits = self.version, self.limits
-        routes, services, tenants = dict(self.routes), dict(self.services), dict(self.tenants)
-        hosts: set[str] = set()
-        for key in gone:
-            kind, _, name = key.partition("/")
-            if kind == "Routes" and (old := routes.pop(name, None)):
-                hosts.add(old.host)
-            elif kind == "Services":
-                services.pop(name, None)
-            elif kind == "Tenants":
-                tenants.pop(name, None)
-            elif key == "Limits":
-                limits = Limits()
-            elif key == "Version":
-                version = 0
+    def updated(self, entries: Mapping[str, Any], removed_keys: Iterable[str]) -> "RoutingTable":
+        """With `removed_keys` taken out, and then `entries` set.
+
+        Raises ValueError for an entry that is not valid: it should have been checked before it was stored.
+        """
+        update = _TableUpdate(self)
+        for key in removed_keys:
+            update.remove(key)
         for key, value in entries.items():
-            kind, _, name = key.partition("/")
-            if kind == "Routes":
-                route, old = _route(name, value), routes.get(name)
-                routes[name] = route
-                hosts |= {route.host} if old is None else {route.host, old.host}
-            elif kind == "Services":
-                services[name] = _service(name, value)
-            elif kind == "Tenants":
-                tenants[name] = _tenant(name, value)
-            elif key == "Limits":
-                limits = _sound(Limits, key, value)
-            elif key == "Version":
-                version = int(value, 16)
-        by_host, keys = self._hosts, self._keys
-        if hosts:
-            by_host = _indexed(by_host, routes, hosts)
-        if tenants != self.tenants:
-            keys = {key: tenant for tenant in tenants.values() for key in tenant.keys}
-        return Table(version, routes, services, tenants, limits, by_host, keys)
-
-    def route(self, host: str, path: str) -> Route | None:
-        """The route of that host (a `Host` header) whose prefix begins the path and is longest."""
-        found = self._hosts.get(host) or self._hosts.get(host_of(host))
-        if found is None:
+            update.set(key, value)
+        return update.table()
+
+    def find_route(self, host: str, path: str) -> Route | None:
+        """The route of that host (a `Host` header) with the longest prefix of the path."""
+        routes = self._hosts.get(host) or self._hosts.get(normalize_host(host))
+        if routes is None:
             return None
-        end = path.rfind("/", 0, found.longest)
+        end = path.rfind("/", 0, routes.max_prefix_length)
         while end >= 0:
-            route = found.by_prefix.get(path[: end + 1])
+            route = routes.by_prefix.get(path[: end + 1])
             if route is not None:
                 return route
             end = path.rfind("/", 0, end)
         return None
 
-    def tenant_of(self, key: str) -> Tenant | None:
-        return self._keys.get(key)
+    def find_tenant(self, api_key: str) -> Tenant | None:
+        """The tenant whose API key it is."""
+        return self._tenants_by_key.get(api_key)
+
 
+class _TableUpdate:
+    """The changes from one table to the next; only what is touched is indexed again."""
 
-def _indexed(old: dict[str, _Host], routes: dict[str, Route], hosts: set[str]) -> dict[str, _Host]:
-    """`old` with the index of `hosts` made anew."""
-    fresh: dict[str, dict[str, Route]] = {host: {} for host in hosts}
+    def __init__(self, previous: RoutingTable) -> None:
+        self._previous = previous
+        self._version = previous.version
+        self._limits = previous.limits
+        self._routes = dict(previous.routes)
+        self._services = dict(previous.services)
+        self._tenants = dict(previous.tenants)
+        self._changed_hosts: set[str] = set()
+
+    def remove(self, key: str) -> None:
+        object_type, _, name = key.partition("/")
+        if object_type == ROUTES:
+            route = self._routes.pop(name, None)
+            if route is not None:
+                self._changed_hosts.add(route.host)
+        elif object_type == SERVICES:
+            self._services.pop(name, None)
+        elif object_type == TENANTS:
+            self._tenants.pop(name, None)
+        elif key == LIMITS:
+            self._limits = ClientLimits()
+        elif key == VERSION_KEY:
+            self._version = 0
+
+    def set(self, key: str, value: Any) -> None:
+        object_type, _, name = key.partition("/")
+        if object_type == ROUTES:
+            self._set_route(_make_route(name, value))
+        elif object_type == SERVICES:
+            self._services[name] = _make_service(name, value)
+        elif object_type == TENANTS:
+            self._tenants[name] = _make_tenant(name, value)
+        elif key == LIMITS:
+            self._limits = _valid(ClientLimits, key, value)
+        elif key == VERSION_KEY:
+            self._version = int(value, 16)
+
+    def _set_route(self, route: Route) -> None:
+        previous = self._routes.get(route.name)
+        if previous is not None:
+            self._changed_hosts.add(previous.host)
+        self._changed_hosts.add(route.host)
+        self._routes[route.name] = route
+
+    def table(self) -> RoutingTable:
+        previous = self._previous
+        hosts = previous._hosts
+        if self._changed_hosts:
+            hosts = _reindexed(hosts, self._routes, self._changed_hosts)
+        tenants_by_key = previous._tenants_by_key
+        if self._tenants != previous.tenants:
+            tenants_by_key = {key: tenant for tenant in self._tenants.values() for key in tenant.api_keys}
+        return RoutingTable(
+            self._version, self._routes, self._services, self._tenants, self._limits, hosts, tenants_by_key
+        )
+
+
+def _reindexed(
+    previous: dict[str, _HostRoutes], routes: dict[str, Route], changed_hosts: set[str]
+) -> dict[str, _HostRoutes]:
+    """`previous` with the entries of `changed_hosts` made anew."""
+    by_host: dict[str, dict[str, Route]] = {host: {} for host in changed_hosts}
     for route in routes.values():
-        if route.host in fresh:
-            fresh[route.host][route.prefix] = route
-    made = {host: found for host, found in old.items() if host not in fresh}
-    for host, found in fresh.items():
-        if found:
-            made[host] = _Host(found, max(map(len, found)))
-    return made
+        if route.host in by_host:
+            by_host[route.host][route.path_prefix] = route
+    index = {host: host_routes for host, host_routes in previous.items() if host not in by_host}
+    for host, by_prefix in by_host.items():
+        if by_prefix:
+            index[host] = _HostRoutes(by_prefix, max(map(len, by_prefix)))
+    return index
+
+
+def _make_route(name: str, value: Any) -> Route:
+    specification = _valid(RouteSpecification, name, value)
+    return Route(
+        name=name,
+        host=normalize_host(specification.host),
+        path_prefix=specification.path_prefix,
+        idempotent=specification.route_type == IDEMPOTENT,
+        timeout=specification.timeout or None,
+        latency_target=(
+            specification.target_latency or specification.timeout or DEFAULT_LATENCY_TARGET_SECONDS
+        ),
+        priority=specification.priority,
+        traffic_split=tuple(pair for pair in specification.weighted_services if pair[1] > 0),
+        max_attempts=max(1, specification.max_attempts),
+        anonymous=specification.anonymous,
+        home_regions=frozenset(specification.home_regions),
+    )
+
+
+def _make_service(name: str, value: Any) -> Service:
+    specification = _valid(ServiceSpecification, name, value)
+    return Service(
+        name=name,
+        health_check=specification.health_check,
+        max_connections=specification.max_connections,
+        warmup=specification.warmup,
+        warmup_rate=specification.warmup_rate_s,
+    )
+
+
+def _make_tenant(name: str, value: Any) -> Tenant:
+    specification = _valid(TenantSpecification, name, value)
+    return Tenant(
+        name=name,
+        api_keys=specification.api_keys,
+        rate_limit=specification.rate_per_s,
+        burst_size=specification.burst_size,
+        priority=specification.priority,
+        home_regions=frozenset(specification.home_regions),
+    )
+
+
+def _valid(cls: type[T], name: str, value: Any) -> T:
+    found = structure(cls, value)
+    if isinstance(found, list):
+        raise ValueError(f"{name}: {'; '.join(map(str, found))}")  # it was checked before it was stored
+    return found
--- a/ashlift/config/settings.py
+++ b/ashlift/config/settings.py
@@ -1,20 +1,33 @@
-"""The settings file of one process (TOML), checked. Fields that are not known here are passed over.
+"""The settings file of one process (TOML), checked. Keys that are not known here are ignored.
 
-`read` and `parse` give Settings, or every fault in it, one line each with place and key.
+`read_settings` and `parse_settings` return Settings, or every error in the file with its place and key.
 """
 
 import tomllib
-from typing import Any
+from collections.abc import Iterator
+from typing import Final
 
 import attrs
 
-from ashlift.config.structuring import Amount, Count, Endpoint, Ports, Seconds, Texts, structure
+from ashlift.config.structuring import (
+    Endpoint,
+    FieldError,
+    NonNegativeFloat,
+    NonNegativeInt,
+    PortRange,
+    Seconds,
+    Strings,
+    structure,
+)
 from ashlift.errors import Failure, FailureReason
 
+EDGE: Final = "edge"  # in `serves`: takes client requests, on Bindings.Front
+CONTROL: Final = "control"  # in `serves`: takes operators' requests, on Bindings.Control
+
 
 @attrs.frozen
 class Bindings:
-    """Addresses for what the role serves; None where it does not."""
+    """Addresses to listen on, for what the role serves; None where it does not."""
 
     front: Endpoint | None = None
     readiness: Endpoint | None = None
@@ -23,29 +36,29 @@
 
 
 @attrs.frozen
-class Machine:
-    """What the machine has (`Limits`)."""
+class MachineLimits:
+    """The resources of the machine that the process may use."""
 
-    cpu_share: Amount = 1.0
-    cpu_cores: Count = 1
-    memory_mb: Amount = 256
-    file_descriptors: Count = 1024
-    link_mbps: Amount = 1000.0
-    disk_mb: Amount = 0
+    cpu_share: NonNegativeFloat = 1.0
+    cpu_cores: NonNegativeInt = 1
+    memory_mb: NonNegativeFloat = 256
+    file_descriptors: NonNegativeInt = 1024
+    link_mbps: NonNegativeFloat = 1000.0
+    disk_mb: NonNegativeFloat = 0
 
 
 @attrs.frozen
-class Tolerance:
-    """What may be lost at the same time while every rule is kept."""
+class FaultTolerance:
+    """How many may be lost at the same time while every guarantee holds."""
 
-    machines: Count = 1
-    zones: Count = 0
-    regions: Count = 0
+    machines: NonNegativeInt = 1
+    zones: NonNegativeInt = 0
+    regions: NonNegativeInt = 0
 
 
 @attrs.frozen
 class Bounds:
-    """The figures of the rules, times in s. A bound that is not told stands at the figure that is usual."""
+    """The figures of the service's guarantees. A missing one has its usual value."""
 
     seed_lag: Seconds = 3.0
     address_reuse: Seconds = 2.0
@@ -60,14 +73,14 @@
     max_stretch: Seconds = 8.0
     revocation_strict: bool = False
     revoke: Seconds = 5.0
-    retry_budget_ratio: Amount = 0.2
+    retry_budget_ratio: NonNegativeFloat = 0.2
     retry_window: Seconds = 10.0
-    retry_slack: Amount = 50.0
+    retry_slack: NonNegativeFloat = 50.0
     quota_window: Seconds = 5.0
-    quota_overrun: Amount = 0.1
-    quota_slack: Amount = 20.0
-    cold_overrun: Amount = 1.5
-    cold_slack: Amount = 5.0
+    quota_overrun: NonNegativeFloat = 0.1
+    quota_slack: NonNegativeFloat = 20.0
+    cold_overrun: NonNegativeFloat = 1.5
+    cold_slack: NonNegativeFloat = 5.0
     evacuation: Seconds = 5.0
     recovery: Seconds = 15.0
     ttl_max: Seconds = attrs.field(default=5.0, metadata={"key": "ttl_max"})
@@ -75,15 +88,19 @@
 
 @attrs.frozen(kw_only=True)
 class Settings:
-    """What one process is told. Ports of `internal_ports` are its first and its last."""
+    """The settings of one process.
+
+    `internal_ports`: the first and the last port for the system's own connections. `seeds`: registries to
+    contact first. `zones`: region by zone. `heartbeat`: the interval of workers' heartbeats.
+    """
 
     node_name: str
     ip: str
-    internal_ports: Ports = attrs.field(metadata={"key": "InternalPortRange"})
+    internal_ports: PortRange = attrs.field(metadata={"key": "InternalPortRange"})
     seeds: tuple[Endpoint, ...] = attrs.field(metadata={"key": "SeedNodes"})
     role: str = ""
     machine_class: str = ""
-    serves: Texts = ()
+    serves: Strings = ()
     zone: str = ""
     region: str = ""
     bootstrap: bool = False
@@ -92,53 +109,49 @@
     heartbeat: Seconds = 1.5
     discovery: str = ""
     entry_mode: str = ""
-    contracts: Texts = ()
+    contracts: Strings = ()
     zones: dict[str, str] = attrs.field(factory=dict)
     bindings: Bindings = Bindings()
-    limits: Machine = Machine()
-    tolerance: Tolerance = attrs.field(default=Tolerance(), metadata={"key": "FaultTolerance"})
+    machine_limits: MachineLimits = attrs.field(default=MachineLimits(), metadata={"key": "Limits"})
+    fault_tolerance: FaultTolerance = FaultTolerance()
     bounds: Bounds = Bounds()
 
 
-def read(path: str) -> Settings | list[Failure]:
-    """The settings in the file at `path`, or all its faults."""
+def read_settings(path: str) -> Settings | list[Failure]:
+    """The settings in the file at `path`, or all its errors."""
     try:
         with open(path, "rb") as file:
             text = file.read().decode()
     except (OSError, ValueError) as error:
         return [Failure(FailureReason.INVALID, f"{path}: cannot be read: {error}")]
-    return parse(text, path)
+    return parse_settings(text, path)
 
 
-def parse(text: str, place: str = "settings") -> Settings | list[Failure]:
-    """The settings in `text`, or all its faults, each told with `place`."""
+def parse_settings(text: str, place: str = "settings") -> Settings | list[Failure]:
+    """The settings in `text`, or all its errors, each with `place` before its key."""
     try:
-        value = tomllib.loads(text)
+        table = tomllib.loads(text)
     except (ValueError, RecursionError) as error:
         return [Failure(FailureReason.INVALID, f"{place}: is no TOML: {error}")]
-    found = structure(Settings, value)
+    found = structure(Settings, table)
     if isinstance(found, Settings):
-        flaws = _unfit(found)
-        if not flaws:
+        errors = list(_semantic_errors(found))
+        if not errors:
             return found
     else:
-        flaws = found
-    return [
-        Failure(FailureReason.INVALID, f"{place}: {key}: {what}" if key else f"{place}: {what}")
-        for key, what in flaws
-    ]
+        errors = found
+    return [Failure(FailureReason.INVALID, f"{place}: {error}") for error in errors]
 
 
-def _unfit(settings: Settings) -> list[tuple[str, str]]:
-    """What is well formed and still cannot do."""
-    found: list[tuple[str, Any]] = []
-    for key, value in (("NodeName", settings.node_name), ("Ip", settings.ip), ("SeedNodes", settings.seeds)):
+def _semantic_errors(settings: Settings) -> Iterator[FieldError]:
+    """Errors of values that are well formed."""
+    required = {"NodeName": settings.node_name, "Ip": settings.ip, "SeedNodes": settings.seeds}
+    for key, value in required.items():
         if not value:
-            found.append((key, "is empty"))
-    if "edge" in settings.serves and settings.bindings.front is None:
-        found.append(("Bindings.Front", "is missing, and the role serves edge"))
-    if "control" in settings.serves and settings.bindings.control is None:
-        found.append(("Bindings.Control", "is missing, and the role serves control"))
+            yield FieldError(key, "is empty")
+    if EDGE in settings.serves and settings.bindings.front is None:
+        yield FieldError("Bindings.Front", "is missing, and the role serves edge")
+    if CONTROL in settings.serves and settings.bindings.control is None:
+        yield FieldError("Bindings.Control", "is missing, and the role serves control")
     if settings.heartbeat <= 0:
-        found.append(("Heartbeat", "is 0"))
-    return found
+        yield FieldError("Heartbeat", "is 0")
--- a/ashlift/config/structuring.py
+++ b/ashlift/config/structuring.py
@@ -1,45 +1,88 @@
-"""Plain values (of TOML or JSON) into attrs classes, by cattrs: strict types, every fault with its place.
+"""Plain values (of TOML or JSON) into attrs classes, by cattrs: strict types, every error with its key.
 
-A field's key is its name in capitals (`seed_lag`: `SeedLag`), or `key` of its metadata. Keys that no field
-has are passed over; null stands for a key that is not there.
+A field's key is its name in CamelCase (`seed_lag`: `SeedLag`), or `key` of its metadata. Keys without a field
+are ignored; null stands for a missing key.
 """
 
 import math
 from collections.abc import Callable
 from functools import partial
 from operator import eq
-from typing import Annotated, Any, TypeVar
+from typing import Annotated, Any, Final, NamedTuple, TypeVar
 
 import attrs
 from cattrs import ClassValidationError, Converter
 from cattrs.gen import make_dict_structure_fn, override
 
-from ashlift.config.durations import parse_time
+from ashlift.config.durations import parse_duration
 from ashlift.errors import Failure
 
 T = TypeVar("T")
-Seconds = Annotated[float, "s"]  # written as a time
-Amount = Annotated[float, "not below 0"]
-Count = Annotated[int, "not below 0"]
-Texts = tuple[str, ...]
+Seconds = Annotated[float, "s"]  # written as a duration
+NonNegativeFloat = Annotated[float, "not below 0"]
+NonNegativeInt = Annotated[int, "not below 0"]
+Strings = tuple[str, ...]
 Endpoint = tuple[str, int]  # written as IP:PORT
-Ports = Annotated[tuple[int, int], "first, last"]
-Weights = tuple[tuple[str, float], ...]  # written as [{Service, Weight}]
-Flaw = tuple[str, str]  # the key (dotted where it is nested), what is wrong
+PortRange = Annotated[tuple[int, int], "first, last"]
+WeightedServices = tuple[tuple[str, float], ...]  # written as [{Service, Weight}]
+
+MAX_NUMBER: Final = 1e15  # larger ones are not exact in every program that reads them
+MAX_PORT: Final = 65535
+
+
+class FieldError(NamedTuple):
+    """What is wrong with one field. `key`: dotted where it is nested, empty for the value as a whole."""
+
+    key: str
+    message: str
+
+    def __str__(self) -> str:
+        return f"{self.key}: {self.message}" if self.key else self.message
 
 
 def key_of(field: "attrs.Attribute[Any]") -> str:
-    told: str | None = field.metadata.get("key")
-    return told or "".join(part.capitalize() for part in field.name.split("_"))
+    """The key that a field has in settings and bodies."""
+    key: str | None = field.metadata.get("key")
+    return key or "".join(word.capitalize() for word in field.name.split("_"))
+
+
+def structure(cls: type[T], value: Any) -> T | list[FieldError]:
+    """`value` as an instance of `cls`, or all that is wrong with it."""
+    try:
+        return _CONVERTER.structure(value, cls)
+    except (ClassValidationError, ValueError) as error:
+        return _field_errors(cls, error)
+
+
+def _field_errors(cls: Any, error: BaseException) -> list[FieldError]:
+    if not isinstance(error, ClassValidationError):
+        return [FieldError("", str(error))]
+    fields = {field.name: field for field in attrs.fields(cls)} if attrs.has(cls) else {}
+    errors: list[FieldError] = []
+    with_note, without_note = error.group_exceptions()
+    for cause, note in with_note:
+        field = fields[note.name]
+        key = key_of(field)
+        if isinstance(cause, KeyError) and cause.args == (key,):
+            errors.append(FieldError(key, "is missing"))
+            continue
+        for nested_key, message in _field_errors(field.type, cause):
+            errors.append(FieldError(f"{key}.{nested_key}" if nested_key else key, message))
+    for cause in without_note:
+        errors += _field_errors(None, cause)
+    return errors
+
 
+# Structure hooks, as cattrs calls them: the value, the wanted type. Each raises ValueError with its message.
 
-def _text(value: Any, _: Any = None) -> str:
+
+def _string(value: Any, _: Any = None) -> str:
     if not isinstance(value, str):
         raise ValueError("is not a text")
     return value
 
 
-def _flag(value: Any, _: Any = None) -> bool:
+def _boolean(value: Any, _: Any = None) -> bool:
     if not isinstance(value, bool):
         raise ValueError("is not true or false")
     return value
@@ -48,148 +91,128 @@
 def _number(value: Any, _: Any = None) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise ValueError("is not a number")
-    if not abs(value) < 1e15:  # NaN and the infinite too
+    if not abs(value) < MAX_NUMBER:  # NaN and the infinite too
         raise ValueError("is not a number that can be counted with")
     return float(value)
 
 
-def _whole(value: Any, _: Any = None) -> int:
+def _integer(value: Any, _: Any = None) -> int:
     number = _number(value)
     if number != math.floor(number):
         raise ValueError("is not a whole number")
     return int(value)
 
 
-def _amount(value: Any, _: Any = None) -> float:
+def _non_negative_float(value: Any, _: Any = None) -> float:
     number = _number(value)
     if number < 0:
         raise ValueError("is below 0")
     return number
 
 
-def _count(value: Any, _: Any = None) -> int:
-    number = _whole(value)
+def _non_negative_int(value: Any, _: Any = None) -> int:
+    number = _integer(value)
     if number < 0:
         raise ValueError("is below 0")
     return number
 
 
 def _seconds(value: Any, _: Any = None) -> float:
-    time = parse_time(value)
-    if isinstance(time, Failure):
-        raise ValueError(f"is {time.detail}")
-    return time
+    duration = parse_duration(value)
+    if isinstance(duration, Failure):
+        raise ValueError(f"is {duration.detail}")
+    return duration
 
 
-def _texts(value: Any, _: Any = None) -> Texts:
-    if not isinstance(value, list) or not all(isinstance(one, str) for one in value):
+def _strings(value: Any, _: Any = None) -> Strings:
+    if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
         raise ValueError("is not a list of texts")
     return tuple(value)
 
 
-def _words(value: Any, _: Any = None) -> dict[str, str]:
-    if not isinstance(value, dict) or not all(isinstance(one, str) for one in value.values()):
+def _string_table(value: Any, _: Any = None) -> dict[str, str]:
+    if not isinstance(value, dict) or not all(isinstance(item, str) for item in value.values()):
         raise ValueError("is not a table of texts")
     return dict(value)
 
 
 def _endpoint(value: Any, _: Any = None) -> Endpoint:
-    host, _colon, port = _text(value).rpartition(":")
-    if not host or not (port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536):
+    host, _colon, port = _string(value).rpartition(":")
+    # No sign, blank or leading part that int() would accept.
+    is_number = port.isascii() and port.isdigit() and len(port) <= len(str(MAX_PORT))
+    if not host or not is_number or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"is no address such as 10.1.0.8:8206: {value[:40]!r}")
     return host, int(port)
 
 
 def _endpoints(value: Any, _: Any = None) -> tuple[Endpoint, ...]:
-    return tuple(_endpoint(one) for one in _texts(value))
+    return tuple(_endpoint(item) for item in _strings(value))
 
 
-def _ports(value: Any, _: Any = None) -> tuple[int, int]:
+def _port_range(value: Any, _: Any = None) -> tuple[int, int]:
     if not isinstance(value, list) or len(value) != 2:
         raise ValueError("is not a pair of ports")
-    low, high = (_count(one) for one in value)
-    if not 0 < low <= high < 65536:
+    first = _non_negative_int(value[0])
+    last = _non_negative_int(value[1])
+    if not 0 < first <= last <= MAX_PORT:
         raise ValueError("is no range of ports")
-    return low, high
+    return first, last
 
 
-def _weights(value: Any, _: Any = None) -> Weights:
-    if not isinstance(value, list) or not all(isinstance(one, dict) for one in value):
+def _weighted_services(value: Any, _: Any = None) -> WeightedServices:
+    if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
         raise ValueError("is not a list of services with weights")
-    found = []
-    for place, one in enumerate(value, 1):
-        for key, check in (("Service", _text), ("Weight", _amount)):
-            if one.get(key) is None:
-                raise ValueError(f"entry {place}: {key} is missing")
-            try:
-                check(one[key])
-            except ValueError as error:
-                raise ValueError(f"entry {place}: {key} {error}") from None
-        found.append((one["Service"], float(one["Weight"])))
-    return tuple(found)
-
-
-def _table(cls: type[Any], converter: Converter) -> Callable[[Any, Any], Any]:
+    return tuple(_weighted_service(number, item) for number, item in enumerate(value, 1))
+
+
+def _weighted_service(number: int, item: dict[str, Any]) -> tuple[str, float]:
+    for key, check in (("Service", _string), ("Weight", _non_negative_float)):
+        if item.get(key) is None:
+            raise ValueError(f"entry {number}: {key} is missing")
+        try:
+            check(item[key])
+        except ValueError as error:
+            raise ValueError(f"entry {number}: {key} {error}") from None
+    return item["Service"], float(item["Weight"])
+
+
+def _attrs_class(cls: type[Any], converter: Converter) -> Callable[[Any, Any], Any]:
+    """The hook of an attrs class: its fields by their keys, null as missing."""
     overrides = {field.name: override(rename=key_of(field)) for field in attrs.fields(cls)}
-    inner = make_dict_structure_fn(cls, converter, **overrides)  # type: ignore[arg-type]
+    structure_fields = make_dict_structure_fn(cls, converter, **overrides)  # type: ignore[arg-type]
 
-    def structure(value: Any, _: Any = None) -> Any:
+    def structure_class(value: Any, _: Any = None) -> Any:
         if not isinstance(value, dict):
             raise ValueError("is not a table")
-        return inner({key: one for key, one in value.items() if one is not None}, cls)
+        return structure_fields({key: item for key, item in value.items() if item is not None}, cls)
 
-    return structure
+    return structure_class
 
 
-def _converter() -> Converter:
-    made = Converter(detailed_validation=True)
-    made.register_structure_hook_factory(attrs.has, _table)
+def _make_converter() -> Converter:
+    converter = Converter(detailed_validation=True)
+    converter.register_structure_hook_factory(attrs.has, _attrs_class)
     hooks: list[tuple[Any, Callable[[Any, Any], Any]]] = [
-        (str, _text),
-        (bool, _flag),
+        (str, _string),
+        (bool, _boolean),
         (float, _number),
-        (int, _whole),
+        (int, _integer),
         (Seconds, _seconds),
-        (Amount, _amount),
-        (Count, _count),
-        (Texts, _texts),
+        (NonNegativeFloat, _non_negative_float),
+        (NonNegativeInt, _non_negative_int),
+        (Strings, _strings),
         (Endpoint, _endpoint),
         (tuple[Endpoint, ...], _endpoints),
-        (Ports, _ports),
-        (Weights, _weights),
-        (dict[str, str], _words),
+        (PortRange, _port_range),
+        (WeightedServices, _weighted_services),
+        (dict[str, str], _string_table),
     ]
     for wanted, hook in hooks:
         if wanted in (str, bool, float, int):  # these go by class, before all that goes by a predicate
-            made.register_structure_hook(wanted, hook)
+            converter.register_structure_hook(wanted, hook)
         else:
-            made.register_structure_hook_func(partial(eq, wanted), hook)
-    return made
-
+            converter.register_structure_hook_func(partial(eq, wanted), hook)
+    return converter
 
-_CONVERTER = _converter()
 
-
-def _flaws(cls: Any, error: BaseException) -> list[Flaw]:
-    if isinstance(error, ClassValidationError):
-        fields = {field.name: field for field in attrs.fields(cls)} if attrs.has(cls) else {}
-        found = []
-        inner, rest = error.group_exceptions()
-        for one, note in inner:
-            field = fields[note.name]
-            key = key_of(field)
-            if isinstance(one, KeyError) and one.args == (key,):
-                found.append((key, "is missing"))
-                continue
-            for place, what in _flaws(field.type, one):
-                found.append((f"{key}.{place}" if place else key, what))
-        return found + [flaw for one in rest for flaw in _flaws(None, one)]
-    return [("", str(error))]
-
-
-def structure(cls: type[T], value: Any) -> T | list[Flaw]:
-    """`value` as a `cls`, or all that is wrong with it."""
-    try:
-        return _CONVERTER.structure(value, cls)
-    except (ClassValidationError, ValueError) as error:
-        return _flaws(cls, error)
+_CONVERTER: Final = _make_converter()
--- a/ashlift/configstore/__main__.py
+++ b/ashlift/configstore/__main__.py
@@ -21,7 +21,7 @@
 
     :returns: the exit status: 0, or `EX_CONFIG` where the settings are not usable.
     """
-    loaded = settings.read(process.settings_path())
+    loaded = settings.read_settings(process.settings_path())
     if not isinstance(loaded, Settings):
         configure(PROGRAM, "?")
         for failure in loaded:
--- a/ashlift/configstore/commands.py
+++ b/ashlift/configstore/commands.py
@@ -11,7 +11,7 @@
 
 from attrs import frozen
 
-from ashlift.config import operator_config as configuration
+from ashlift.config import operator_config
 from ashlift.configstore.messages import Proposal, ReadOnlyResult
 from ashlift.configstore.stored_names import (
     ACCEPTED_PREFIX,
@@ -99,24 +99,24 @@
     resend_answer = _answer_to_resend(current, command.body, digest)
     if resend_answer is not None:
         return resend_answer
-    change = configuration.apply(current, command.kind, if_match, command.body)
+    change = operator_config.apply_change(current, command.kind, if_match, command.body)
     if isinstance(change, Failure):
-        if change.reason == configuration.STALE:
+        if change.reason == operator_config.STALE_VERSION:
             return _refuse_stale(current, if_match, digest, change.detail)
         return _refusal(BAD_REQUEST, change.detail)
-    if _refused_key(configuration.current_version(current), digest) in current:
+    if _refused_key(operator_config.current_version(current), digest) in current:
         return _refusal(PRECONDITION_FAILED, _MADE_BEFORE_BASE)
     return _accept(current, change, digest)
 
 
 def _command_digest(kind: str, if_match: str, body: Any) -> bytes:
     """Empty for a command without one, which is not a configuration at all."""
-    return bytes.fromhex(configuration.digest(kind, if_match, body))[:COMMAND_DIGEST_BYTES]
+    return bytes.fromhex(operator_config.request_digest(kind, if_match, body))[:COMMAND_DIGEST_BYTES]
 
 
 def _answer_to_resend(current: Mapping[str, Any], body: Any, digest: bytes) -> ReadOnlyResult | None:
     """The answer to a command that was accepted before, or that may have been; None: it is new."""
-    version = configuration.number_of(body.get("ConfigVersion") if isinstance(body, dict) else None)
+    version = operator_config.parse_version(body.get("ConfigVersion") if isinstance(body, dict) else None)
     if not isinstance(version, int) or not digest:
         return None
     accepted = current.get(f"{ACCEPTED_PREFIX}{version:08x}")
@@ -133,7 +133,7 @@
     return bytes.fromhex(stored)[:COMMAND_DIGEST_BYTES] if isinstance(stored, str) else stored
 
 
-def _accept(current: Mapping[str, Any], change: configuration.Change, digest: bytes) -> Proposal:
+def _accept(current: Mapping[str, Any], change: operator_config.ConfigChange, digest: bytes) -> Proposal:
     """The change, with its digest; digests that are not needed any more go."""
     # Versions only rise, so the lowest are the oldest.
     accepted_keys = sorted(key for key in current if key.startswith(ACCEPTED_PREFIX))
@@ -141,11 +141,11 @@
     passed_refusals = [
         key for key in current if key.startswith(REFUSED_PREFIX) and key < REFUSED_PREFIX + change.version
     ]
-    set_keys = dict(change.set)
+    set_keys = dict(change.entries)
     if oldest_keys:
         set_keys[ACCEPTED_TRIMMED] = int(oldest_keys[-1].removeprefix(ACCEPTED_PREFIX), 16)
     set_keys[ACCEPTED_PREFIX + change.version] = digest
-    return Proposal(set_keys, [*change.gone, *oldest_keys, *passed_refusals], {"status": OK})
+    return Proposal(set_keys, [*change.removed_keys, *oldest_keys, *passed_refusals], {"status": OK})
 
 
 def _refused_key(base: str, digest: bytes) -> str:
@@ -161,8 +161,8 @@
     until that has passed.
     """
     answer = {"status": PRECONDITION_FAILED, "reason": reason}
-    base = configuration.number_of(if_match)
-    current_version = configuration.number_of(configuration.current_version(current))
+    base = operator_config.parse_version(if_match)
+    current_version = operator_config.parse_version(operator_config.current_version(current))
     if not digest or not isinstance(base, int) or not isinstance(current_version, int):
         return ReadOnlyResult(answer)
     if base < current_version:
--- a/ashlift/configstore/server.py
+++ b/ashlift/configstore/server.py
@@ -108,7 +108,7 @@
     seeds = sorted({host for host, _ in settings.seeds})
     random_source = random.Random(os.urandom(_RANDOM_SEED_BYTES))
     replica = Replica(settings.ip, seeds, settings.bootstrap, vote, snapshot, decide_or_refuse, random_source)
-    replica.tolerated = max(1, settings.tolerance.machines)
+    replica.tolerated = max(1, settings.fault_tolerance.machines)
     return replica
 
 
--- a/ashlift/proxy/__main__.py
+++ b/ashlift/proxy/__main__.py
@@ -11,8 +11,9 @@
 import gevent
 from gevent.event import Event
 
-from ashlift.config import settings as jig_settings
-from ashlift.config.routing_table import Limits, Tenant
+from ashlift.config.object_schema import ClientLimits
+from ashlift.config.routing_table import Tenant
+from ashlift.config.settings import Settings, read_settings
 from ashlift.events import (
     CRITICAL,
     ERROR,
@@ -39,7 +40,7 @@
 
 
 class Program:
-    def __init__(self, path: str, settings: jig_settings.Settings) -> None:
+    def __init__(self, path: str, settings: Settings) -> None:
         rng = random.Random(os.urandom(8))
         self.path, self.settings = path, settings
         self.gate = RequestRouter(settings, rng, time.monotonic())
@@ -52,9 +53,9 @@
         self.broken = False
         self._read_again = Event()
 
-    def _limits(self) -> Limits:
+    def _limits(self) -> ClientLimits:
         table = self.gate.ledger.table
-        return table.limits if table is not None else Limits()
+        return table.limits if table is not None else ClientLimits()
 
     def _changed(self) -> None:
         self.desk.heard()
@@ -127,7 +128,7 @@
             if self._read_again.wait(LOOK_S) or _stamp(self.path) != seen:
                 self._read_again.clear()
                 seen = _stamp(self.path)
-                read = jig_settings.read(self.path)
+                read = read_settings(self.path)
                 if isinstance(read, list):
                     for fault in read:
                         log_event(SETTINGS_INVALID, level=ERROR, error=fault.detail)
@@ -150,7 +151,7 @@
 
 def main() -> int:
     path = os.environ.get("ASHLIFT_SETTINGS", PATH)
-    read = jig_settings.read(path)
+    read = read_settings(path)
     if isinstance(read, list):
         for fault in read:
             print(f"proxy: {fault.detail}", file=sys.stderr)
--- a/ashlift/proxy/cluster_view.py
+++ b/ashlift/proxy/cluster_view.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from ashlift.config.routing_table import Table
+from ashlift.config.routing_table import RoutingTable
 from ashlift.rpc.addresses import Address, parse_address
 from ashlift.rpc.sources import OPERATOR_SOURCE
 from ashlift.traffic.outlier_detection import FailureTotals
@@ -63,7 +63,7 @@
         self.sources: dict[str, SourceState] = {}
         self.word: dict[str, Any] = {}  # the operator's map
         self.index = 0
-        self.table: Table | None = None
+        self.table: RoutingTable | None = None
         self.proven = -math.inf  # the configuration held was the newest at this time, or later
         self.evacuated: frozenset[str] = frozenset()
         self.workers: dict[str, Worker] = {}
@@ -123,7 +123,7 @@
         self.core = self._named("Members/")
         if "Version" in self.word:
             if self.table is None:
-                self.table = Table.build(self.word)
+                self.table = RoutingTable.from_entries(self.word)
             else:
                 self.table = self.table.updated(news["set"], gone)
 
--- a/ashlift/proxy/load_balancer.py
+++ b/ashlift/proxy/load_balancer.py
@@ -93,7 +93,7 @@
 
     def usual(self, route: Route) -> float:
         """The usual latency of a route's answers, s."""
-        return self.spill.usual(route.name, route.aim)
+        return self.spill.usual(route.name, route.latency_target)
 
     def open(self, service: str, homes: Collection[str], tried: Collection[str]) -> list[WorkerState]:
         """The workers that a request may be sent to."""
@@ -116,7 +116,13 @@
                 waits.setdefault(self.region(view), []).append(self.wait(view))
             for region, each in waits.items():
                 costs[region] = self.spill.cost(
-                    now, service, region, route.name, route.aim, route.repeatable, sum(each) / len(each)
+                    now,
+                    service,
+                    region,
+                    route.name,
+                    route.latency_target,
+                    route.idempotent,
+                    sum(each) / len(each),
                 )
         regions = self.spill.ranked(now, service, route.name, costs)
         ranks = {region: at * NEXT_REGION for at, region in enumerate(regions)}
@@ -180,7 +186,7 @@
         view.judged, view.fails, view.shunned_until = now, 0, -math.inf
         self.jury.record_result(now, view.worker.id, 0.0)
         service, region = view.worker.service, self.region(view)
-        self.spill.answered(now, service, region, route.name, route.aim, waited, size)
+        self.spill.answered(now, service, region, route.name, route.latency_target, waited, size)
 
     def failed(self, now: float, view: WorkerState) -> None:
         """Leave it out for a while: after a connection that did not come up, a reset, a silence."""
--- a/ashlift/proxy/request_handler.py
+++ b/ashlift/proxy/request_handler.py
@@ -157,7 +157,7 @@
         request, worker = _request(head, asked, view, left), view.worker
         most, dial = self.gate.connections(view), self.gate.dial(view)
         outcome = self.links.exchange(
-            one, worker.id, worker.address, request, attempt, most, dial, left, live.route.repeatable
+            one, worker.id, worker.address, request, attempt, most, dial, left, live.route.idempotent
         )
         del case.out[one]
         if case.closed:
--- a/ashlift/proxy/request_reader.py
+++ b/ashlift/proxy/request_reader.py
@@ -1,10 +1,10 @@
-"""Turns the bytes of one client connection into requests, within the operator's Limits. No sockets."""
+"""Turns the bytes of one client connection into requests, within the operator's limits. No sockets."""
 
 from dataclasses import dataclass, field
 
 import httptools
 
-from ashlift.config.routing_table import Limits
+from ashlift.config.object_schema import ClientLimits
 
 HOP = frozenset(
     (
@@ -66,7 +66,7 @@
     cannot be read behind them."""
 
     def __init__(self) -> None:
-        self.limits = Limits()
+        self.limits = ClientLimits()
         self.bad = 0
         self.asked: ClientRequest | None = None  # being read
         self.done: list[ClientRequest] = []
--- a/ashlift/proxy/request_router.py
+++ b/ashlift/proxy/request_router.py
@@ -85,7 +85,7 @@
             for name in set(self._quotas) - set(quotas):
                 self.limiter.forget_tenant(name)
             for tenant in quotas.values():
-                self.limiter.set_quota(tenant.name, tenant.rate, tenant.burst)
+                self.limiter.set_quota(tenant.name, tenant.rate_limit, tenant.burst_size)
             self._quotas = quotas
             if ledger.evacuated != self.crew.evacuated:
                 warmup = max((service.warmup for service in table.services.values()), default=0.0)
@@ -122,19 +122,19 @@
         if self.ledger.age(now) <= KNOWN_S:
             until = came + min(UNSURE_S, UNSURE_PART * (remaining + now - came))
             unsure = Rejection(503, "unsure", UNREADY_AGAIN_S, until)
-        route = table.route(host, path)
+        route = table.find_route(host, path)
         if route is None:
             return Rejection(404, "route") if known else unsure
         tenant = None
         if table.has_tenants and not route.anonymous:
-            tenant = table.tenant_of(key)
+            tenant = table.find_tenant(key)
             if tenant is None:
                 return Rejection(401, "key") if known else unsure
             if not self._fresh(now):
                 return unready
-        homes = route.homes
-        if tenant is not None and tenant.homes:
-            homes = homes & tenant.homes if homes else tenant.homes
+        homes = route.home_regions
+        if tenant is not None and tenant.home_regions:
+            homes = homes & tenant.home_regions if homes else tenant.home_regions
             if not homes:
                 return Rejection(503, "homes", 1.0)
         if tenant is not None:
@@ -147,10 +147,10 @@
         return AdmittedRequest(route, tenant, service, homes, now, deadline)
 
     def _service(self, route: Route) -> str:
-        if len(route.split) == 1:
-            return route.split[0][0]
-        names = [name for name, weight in route.split if weight > 0]
-        return self._rng.choices(names, [weight for _, weight in route.split if weight > 0])[0]
+        if len(route.traffic_split) == 1:
+            return route.traffic_split[0][0]
+        names = [name for name, weight in route.traffic_split if weight > 0]
+        return self._rng.choices(names, [weight for _, weight in route.traffic_split if weight > 0])[0]
 
     def pick(self, now: float, live: AdmittedRequest, further: bool) -> WorkerState | Rejection:
         """The worker for the next try. A `further` one (beside or after another) is paid from the budget,
@@ -158,8 +158,8 @@
         turn = self._give_up(live)
         if live.deadline <= now:
             return turn
-        spent = len(live.tried) >= live.route.attempts
-        if further and (spent or (live.may_run and not live.route.repeatable)):
+        spent = len(live.tried) >= live.route.max_attempts
+        if further and (spent or (live.may_run and not live.route.idempotent)):
             return turn
         members = max(1, len(self.ledger.members))
         if further:
@@ -218,10 +218,10 @@
 
     def hedge(self, live: AdmittedRequest) -> float | None:
         """When a silent try of a repeatable request gets another beside it (steady time); None: never."""
-        if not live.route.repeatable or live.alone or len(live.tried) >= live.route.attempts:
+        if not live.route.idempotent or live.alone or len(live.tried) >= live.route.max_attempts:
             return None
         usual = self.crew.usual(live.route)
-        at = live.came + max(HEDGE_LEAST * usual, live.route.aim - HEDGE_BEFORE * usual)
+        at = live.came + max(HEDGE_LEAST * usual, live.route.latency_target - HEDGE_BEFORE * usual)
         return at if at + usual < live.deadline else None
 
     def hedges(self, now: float, live: AdmittedRequest) -> bool:
@@ -248,7 +248,7 @@
                     return True
                 if reply.status != DEADLINE:
                     self.crew.erred(now, view)
-                return not live.route.repeatable or len(live.tried) >= live.route.attempts
+                return not live.route.idempotent or len(live.tried) >= live.route.max_attempts
             case AttemptResult.NOT_RUN:
                 self.crew.busy(now, view)
                 if outcome.reply is not None:
--- a/ashlift/proxy/server.py
+++ b/ashlift/proxy/server.py
@@ -1,4 +1,4 @@
-"""Clients' connections: requests read within the Limits, answers written in order. Readiness beside it."""
+"""Clients' connections: requests read within the limits, answers written in order. Readiness beside it."""
 
 import contextlib
 import time
@@ -8,7 +8,7 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from ashlift.config.routing_table import Limits
+from ashlift.config.object_schema import ClientLimits
 from ashlift.gatekeeper.net.links import hung_up
 from ashlift.proxy.request_handler import RequestContext, RequestHandler
 from ashlift.proxy.request_reader import ClientRequest, RequestReader
@@ -24,7 +24,7 @@
 class ProxyServer:
     """Listens for clients, and knows every open connection."""
 
-    def __init__(self, desk: RequestHandler, limits: Callable[[], Limits]) -> None:
+    def __init__(self, desk: RequestHandler, limits: Callable[[], ClientLimits]) -> None:
         self.desk, self.limits = desk, limits
         self.leaving = False
         self.connections: set[ClientConnection] = set()
@@ -88,7 +88,7 @@
         finally:
             self._busy = False
 
-    def _read(self, limits: Limits) -> ClientRequest | None:
+    def _read(self, limits: ClientLimits) -> ClientRequest | None:
         reader, told = self._reader, False
         if reader.done and hung_up(self._sock):
             return None  # it came together with the one before it, and nobody waits for it any more
--- a/ashlift/registry/__main__.py
+++ b/ashlift/registry/__main__.py
@@ -10,8 +10,7 @@
 import gevent
 from gevent.event import Event
 
-from ashlift.config import settings as jig_settings
-from ashlift.config.settings import Settings
+from ashlift.config.settings import Settings, read_settings
 from ashlift.events import ERROR, SETTINGS_INVALID, SETTINGS_READ, STARTED, STOPPING, configure, log_event
 from ashlift.registry.http_server import HttpServer, Resource
 from ashlift.registry.registry import Registry, RegistryIdentity
@@ -114,7 +113,7 @@
 
     def _read(self) -> None:
         self._stamp = self._look()
-        found = jig_settings.read(self._path)
+        found = read_settings(self._path)
         if isinstance(found, list):
             return log_event(SETTINGS_INVALID, level=ERROR, error="; ".join(map(str, found)))
         self._settings = found
@@ -124,7 +123,7 @@
 
 def main() -> int:
     path = os.environ.get("ASHLIFT_SETTINGS", PATH)
-    settings = jig_settings.read(path)
+    settings = read_settings(path)
     if isinstance(settings, list):
         configure("registry", "?")
         for fault in settings:
--- a/ashlift/registry/records.py
+++ b/ashlift/registry/records.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from ashlift.config.durations import parse_time
+from ashlift.config.durations import parse_duration
 from ashlift.errors import Failure, FailureReason
 
 READY: Final = "ready"
@@ -116,7 +116,7 @@
         return value
     try:
         node, status = value["NodeInfo"], value["Status"]
-        warm = parse_time(status.get("WarmupLeft", "0ms"))
+        warm = parse_duration(status.get("WarmupLeft", "0ms"))
         if isinstance(warm, Failure):
             return warm
         found = WorkerRecord(
--- a/ashlift/registry/resources.py
+++ b/ashlift/registry/resources.py
@@ -96,9 +96,9 @@
             return error_response(503, f"no clear answer: {answer.reason}", RETRY_AFTER_SECONDS)
         if not answer["objects"].get("Version"):
             return error_response(404, "there is no configuration yet")
-        from ashlift.config.operator_config import whole  # 6 ms of a start, and seldom needed
+        from ashlift.config.operator_config import export_configuration  # 6 ms of a start, and seldom needed
 
-        return HttpResponse(200, whole(answer["objects"]))
+        return HttpResponse(200, export_configuration(answer["objects"]))
 
     def put(self, request: HttpRequest) -> HttpResponse:
         return self._change("put", request)
--- a/ashlift/route_reconciliation/edits.py
+++ b/ashlift/route_reconciliation/edits.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from ashlift.config.routing_table import host_of
+from ashlift.config.routing_table import normalize_host
 from ashlift.errors import Failure, FailureReason
 from ashlift.route_reconciliation.hybrid_clock import Stamp
 
@@ -119,7 +119,7 @@
 
 
 def _place(text: Mapping[str, Any]) -> tuple[str, str]:
-    return host_of(str(text.get("Host", ""))), str(text.get("PathPrefix", ""))
+    return normalize_host(str(text.get("Host", ""))), str(text.get("PathPrefix", ""))
 
 
 def _overlap(one: tuple[str, str], other: tuple[str, str]) -> bool:
--- a/ashlift/route_reconciliation/merging.py
+++ b/ashlift/route_reconciliation/merging.py
@@ -11,7 +11,7 @@
 from hashlib import blake2b
 from typing import Any, Final, NamedTuple
 
-from ashlift.config import operator_config as configuration
+from ashlift.config import operator_config
 from ashlift.errors import Failure
 from ashlift.route_reconciliation.edits import Edit, Text, join, rank, read_edit, same, why_not
 from ashlift.route_reconciliation.hybrid_clock import NEVER, Stamp, above
@@ -90,7 +90,7 @@
 def _judged(current: Mapping[str, Any], edit: Edit, kind: str, if_match: Any, body: Order) -> Made:
     """An operator's word on a proposal or a conflict. `body`: `{edit, who, stamp, over}`; `over`: whatever
     the route has become. It builds on the version that the operator was shown."""
-    now = configuration.current_version(current)
+    now = operator_config.current_version(current)
     who, over = str(body.get("who") or "?"), body.get("over") is True
     if if_match != now:
         return _refused(412, f"builds on {if_match}, and {now} is current")
@@ -110,7 +110,7 @@
     now: Text = current.get(f"Routes/{edit.name}")
     if not over and not same(now, edit.base):
         both = {"yours": edit.text, "theirs": now, "base": edit.base}
-        version = configuration.current_version(current)
+        version = operator_config.current_version(current)
         return _refused(409, "the route has changed since", version=version, **both)
     draft = _Draft(current)
     why = draft.write(edit, above(stamp, draft.edited(edit.name) or NEVER), who)
@@ -160,14 +160,14 @@
         if not stamped and not same(now, edit.base):
             if not same(now, edit.text):
                 return "text"
-            self.settle(edit, IN_FORCE, configuration.current_version(self.map), edit.who)
+            self.settle(edit, IN_FORCE, operator_config.current_version(self.map), edit.who)
             return ""
         why = why_not(self.map, edit.name, edit.text, edit.base)
         return why or self.write(edit, edit.stamp, edit.who)
 
     def write(self, edit: Edit, stamp: Stamp, who: str) -> str:
         """Put it in force, one version on; else why not."""
-        key, version = f"Routes/{edit.name}", configuration.current_version(self.map)
+        key, version = f"Routes/{edit.name}", operator_config.current_version(self.map)
         if not same(self.map.get(key), edit.text):
             body: dict[str, Any] = {"ConfigVersion": f"{int(version, 16) + 1:08x}"}
             if edit.text is None:
@@ -175,15 +175,15 @@
             else:
                 one = {"ObjectType": "Routes", "Metadata": {"Name": edit.name}, "Specification": edit.text}
                 body["Upsert"] = {"Objects": [one]}
-            change = configuration.apply(self.map, "patch", version, body)
+            change = operator_config.apply_change(self.map, "patch", version, body)
             if isinstance(change, Failure):
                 return change.detail
-            for gone in change.gone:
+            for gone in change.removed_keys:
                 del self.map[gone]
-            self.map.update(change.set)
+            self.map.update(change.entries)
         record = {"stamp": [*stamp], "id": edit.id, "text": _digest(edit.text)}
         self.map[EDITED + edit.name] = {**self.map.get(EDITED + edit.name, {"log": []}), **record}
-        self.settle(edit, IN_FORCE, configuration.current_version(self.map), who)
+        self.settle(edit, IN_FORCE, operator_config.current_version(self.map), who)
         return ""
 
     def settle(self, edit: Edit, outcome: str, version: str, who: str) -> dict[str, Any]:
--- a/ashlift/simulation/board.py
+++ b/ashlift/simulation/board.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ashlift.config.operator_config import whole
+from ashlift.config.operator_config import export_configuration
 from ashlift.errors import Failure, FailureReason
 from ashlift.registry.operator_request import NOT_EXECUTED_REASONS, OperatorRequest
 from ashlift.registry.records import WorkerRecord
@@ -264,7 +264,7 @@
         if isinstance(answer, Failure):
             return 503, answer.reason
         map = answer["objects"]
-        return (200, (whole(map), map)) if map.get("Version") else (404, ({}, map))
+        return (200, (export_configuration(map), map)) if map.get("Version") else (404, ({}, map))
 
     # ---- calls on single routes (ashlift.registry.route_resources)
     def wall(self) -> float:
--- a/ashlift/simulation/checks.py
+++ b/ashlift/simulation/checks.py
@@ -9,7 +9,7 @@
 
 from attrs import evolve, frozen
 
-from ashlift.config.routing_table import Table
+from ashlift.config.routing_table import RoutingTable
 from ashlift.config.settings import Bounds
 from ashlift.simulation.history import Arrival, Change, History, Request
 from ashlift.simulation.linear import DOUBT, STALE, TAKEN, Call, unexplained
@@ -215,7 +215,7 @@
             if not key or not one.tenant:
                 continue
             if key not in holders:
-                holders[key] = [change for change in self.chain if change.table.tenant_of(key)]
+                holders[key] = [change for change in self.chain if change.table.find_tenant(key)]
             limit = request.sent - self.bounds.revoke
             gone = [change for change in self.chain if change.acked < limit and change not in holders[key]]
             if not gone or any(
@@ -378,8 +378,8 @@
             return request.arrivals[0].service
         for change in reversed(self.chain):
             if change.acked <= request.sent:
-                route = change.table.route("app.example", request.path)
-                return route.split[0][0] if route else ""
+                route = change.table.find_route("app.example", request.path)
+                return route.traffic_split[0][0] if route else ""
         return ""
 
     def quota(self) -> Iterator[Breach]:
@@ -419,7 +419,9 @@
         for change in self.chain:
             known = change.table.tenants.get(tenant)
             if change.version >= least and change.sent <= until and known is not None:
-                limits.append((known.rate, known.burst) if known.rate > 0 else (math.inf, math.inf))
+                limits.append(
+                    (known.rate_limit, known.burst_size) if known.rate_limit > 0 else (math.inf, math.inf)
+                )
         return max(limits, default=(math.inf, math.inf))
 
     def failback(self) -> Iterator[Breach]:
@@ -466,29 +468,30 @@
     return TAKEN if change.acked < math.inf else DOUBT
 
 
-def _allows(table: Table, request: Request, one: Arrival) -> bool:
+def _allows(table: RoutingTable, request: Request, one: Arrival) -> bool:
     """Whether the configuration lets this run there, for that tenant."""
-    route = table.route("app.example", request.path)
-    if route is None or one.service not in [name for name, _ in route.split]:
+    route = table.find_route("app.example", request.path)
+    if route is None or one.service not in [name for name, _ in route.traffic_split]:
         return False
     if route.anonymous or not table.has_tenants:
         return True
-    tenant = table.tenant_of(request.key)
+    tenant = table.find_tenant(request.key)
     return tenant is not None and tenant.name == one.tenant
 
 
-def _refuses(table: Table, request: Request) -> bool:
-    route = table.route("app.example", request.path)
+def _refuses(table: RoutingTable, request: Request) -> bool:
+    route = table.find_route("app.example", request.path)
     if route is None or request.status == 404:
         return route is None and request.status == 404
-    return table.has_tenants and not route.anonymous and table.tenant_of(request.key) is None
+    return table.has_tenants and not route.anonymous and table.find_tenant(request.key) is None
 
 
-def _homely(table: Table, request: Request, region: str) -> bool:
-    route = table.route("app.example", request.path)
-    tenant = table.tenant_of(request.key)
+def _homely(table: RoutingTable, request: Request, region: str) -> bool:
+    route = table.find_route("app.example", request.path)
+    tenant = table.find_tenant(request.key)
     if route is None:
         return False
     return all(
-        not homes or region in homes for homes in (route.homes, tenant.homes if tenant else frozenset())
+        not homes or region in homes
+        for homes in (route.home_regions, tenant.home_regions if tenant else frozenset())
     )
--- a/ashlift/simulation/clerks.py
+++ b/ashlift/simulation/clerks.py
@@ -5,8 +5,8 @@
 
 from attrs import define
 
-from ashlift.config.operator_config import whole
-from ashlift.config.routing_table import Table
+from ashlift.config.operator_config import export_configuration
+from ashlift.config.routing_table import RoutingTable
 from ashlift.route_reconciliation.merging import IN_FORCE, SETTLED
 from ashlift.simulation import board
 from ashlift.simulation.board import Board
@@ -111,7 +111,13 @@
             entries[f"Routes/{errand.name}"] = errand.text
         entries["Version"] = end["version"]
         change = Change(
-            version, version - 1, errand.who, errand.sent, whole(entries), entries, Table.build(entries)
+            version,
+            version - 1,
+            errand.who,
+            errand.sent,
+            export_configuration(entries),
+            entries,
+            RoutingTable.from_entries(entries),
         )
         change.acked = errand.acked
         history.changes.append(change)
--- a/ashlift/simulation/history.py
+++ b/ashlift/simulation/history.py
@@ -11,7 +11,7 @@
 
 from attrs import define, field
 
-from ashlift.config.routing_table import Table
+from ashlift.config.routing_table import RoutingTable
 from ashlift.simulation import linear
 
 HOST = "app.example"
@@ -100,7 +100,7 @@
     sent: float
     body: dict[str, Any]
     entries: Mapping[str, Any]
-    table: Table
+    table: RoutingTable
     valid: bool = True
     acked: float = math.inf
     refused: int = 0
--- a/ashlift/simulation/keeper.py
+++ b/ashlift/simulation/keeper.py
@@ -242,7 +242,7 @@
     def exchange(self, one: Try) -> None:
         worker, live = one.view.worker, one.case.live
         kept, now = self.idle.get(worker.id), self.clock()
-        most = min(IDLE_S, self.rests.most(now, live is not None and live.route.repeatable))
+        most = min(IDLE_S, self.rests.most(now, live is not None and live.route.idempotent))
         while kept:
             one.rested = now - kept.pop()
             if one.rested < most:
--- a/ashlift/simulation/people.py
+++ b/ashlift/simulation/people.py
@@ -6,8 +6,8 @@
 
 from attrs import define
 
-from ashlift.config import operator_config as configuration
-from ashlift.config.routing_table import Table
+from ashlift.config import operator_config
+from ashlift.config.routing_table import RoutingTable
 from ashlift.simulation import board, keeper
 from ashlift.simulation.engine import Loop, Machine, Network, Process, Steps, simulated
 from ashlift.simulation.history import Change, Copy, History, Order, Reading, Request
@@ -351,7 +351,7 @@
 
 def change(version: int, base: int, who: str, body: dict[str, Any], now: float) -> Change:
     """A whole configuration as an operator means it."""
-    entries = configuration.laid_out(body)
+    entries = operator_config.load_configuration(body)
     if isinstance(entries, list):
-        return Change(version, base, who, now, body, {}, Table.build({}), False)
-    return Change(version, base, who, now, body, entries, Table.build(entries))
+        return Change(version, base, who, now, body, {}, RoutingTable.from_entries({}), False)
+    return Change(version, base, who, now, body, entries, RoutingTable.from_entries(entries))
--- a/ashlift/simulation/scene.py
+++ b/ashlift/simulation/scene.py
@@ -40,7 +40,7 @@
 
 from attrs import define, evolve, fields
 
-from ashlift.config.routing_table import Table
+from ashlift.config.routing_table import RoutingTable
 from ashlift.simulation import clerks
 from ashlift.simulation.checks import Breach
 from ashlift.simulation.people import Operator, Want, change, edited, patched
@@ -411,7 +411,7 @@
     def _alike(self) -> str:
         """Whether all gatekeepers hold the same routes, byte for byte, and they are those agreed on."""
         map = clerks.agreed(self.world.stores())
-        wanted = _routes(Table.build(map))
+        wanted = _routes(RoutingTable.from_entries(map))
         wrong = [
             one.name
             for one in self.world.keepers()
@@ -442,5 +442,5 @@
         return ""
 
 
-def _routes(table: Table) -> bytes:
+def _routes(table: RoutingTable) -> bytes:
     return repr((table.version, sorted((name, str(one)) for name, one in table.routes.items()))).encode()
--- a/ashlift/simulation/wholeness.py
+++ b/ashlift/simulation/wholeness.py
@@ -27,7 +27,7 @@
         for run in request.arrivals:
             if not run.ran or not run.tenant:
                 continue
-            known = [table.tenant_of(request.key) for sent, table in tables if sent <= run.at]
+            known = [table.find_tenant(request.key) for sent, table in tables if sent <= run.at]
             if not any(tenant is not None and tenant.name == run.tenant for tenant in known):
                 yield Breach(
                     "UNASKED",
@@ -91,11 +91,11 @@
     for one in judge.history.requests:
         if math.isinf(one.ended) or not judge.in_touch(one.gate, one.ended):
             continue
-        if first.route("app.example", one.path) is not None:
+        if first.find_route("app.example", one.path) is not None:
             old.append(one)
             continue
         due = [change for change in rest if change.acked + judge.bounds.config_apply < one.sent]
-        if due and due[-1].table.route("app.example", one.path) is not None:
+        if due and due[-1].table.find_route("app.example", one.path) is not None:
             new.append(one)
     if len(new) >= ENOUGH and len(old) >= ENOUGH and _share(new) < _share(old) / 4:
         yield Breach(
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -22,8 +22,8 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from ashlift.config.routing_table import Limits
-from ashlift.config.settings import Settings, parse
+from ashlift.config.object_schema import ClientLimits
+from ashlift.config.settings import Settings, parse_settings
 from ashlift.proxy.request_handler import RequestHandler
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.server import ProxyServer
@@ -133,10 +133,10 @@
 
 
 def proxy(address: str) -> None:
-    settings = parse(SETTINGS, "bench")
+    settings = parse_settings(SETTINGS, "bench")
     assert isinstance(settings, Settings), settings
     gate = RequestRouter(settings, random.Random(1), time.monotonic())
-    front = ProxyServer(RequestHandler(gate), Limits)
+    front = ProxyServer(RequestHandler(gate), ClientLimits)
     record = {
         "service": "board",
         "zone": "z1",
--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -16,7 +16,7 @@
 import attrs
 import cbor2
 
-from ashlift.config import operator_config as configurations
+from ashlift.config import operator_config
 from ashlift.config.settings import Bindings, Settings
 from ashlift.configstore.committed_state import CommittedState
 from ashlift.configstore.messages import DELTA, PersistentVote, PersistState, Snapshot
@@ -423,14 +423,14 @@
     body = configuration(size)
     out.note("store: PUT of a whole configuration, bytes", len(json.dumps(body, separators=(",", ":"))))
     first = out.ms(
-        "store: PUT checked and laid out, ms", lambda: configurations.apply({}, "put", "0", body), 2
+        "store: PUT checked and laid out, ms", lambda: operator_config.apply_change({}, "put", "0", body), 2
     )
     assert not isinstance(first, Failure), first
     entries = RangedMap(first.set)
     out.ms("store: digests of all, first time, ms", entries.digest, 1)
     patch = out.ms(
         "store: PATCH of one route checked, ms",
-        lambda: configurations.apply(entries.map, "patch", "1", change(size, 2)),
+        lambda: operator_config.apply_change(entries.map, "patch", "1", change(size, 2)),
         2,
     )
     assert not isinstance(patch, Failure), patch
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -20,7 +20,7 @@
 from gevent import socket
 from gevent.fileobject import FileObject
 
-from ashlift.config.routing_table import Table
+from ashlift.config.routing_table import RoutingTable
 from ashlift.config.settings import Bindings, Settings
 from ashlift.errors import Failure
 from ashlift.gatekeeper.net.replies import Reply
@@ -36,7 +36,7 @@
 ANSWER_S = 1.0  # a worker waits so long for its beat's answer
 WARMUP_S = 3.0
 MISSED_S = 0.2  # and then so long until it tries again, elsewhere
-EMPTY = Table.build({})
+EMPTY = RoutingTable.from_entries({})
 _open = fragmentation.unpack_update
 _packs: dict[bytes, Json] = {}  # the newest pack, opened once for all of this process
 
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -13,7 +13,7 @@
 
 from ward import each, raises, test
 
-from ashlift.config.operator_config import laid_out
+from ashlift.config.operator_config import load_configuration
 from ashlift.proxy.registry_client import RegistryClient
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.registry.registry import Registry, RegistryIdentity
@@ -71,7 +71,7 @@
     assert (size.workers, size.services, size.routes, size.tenants) == (190, 9, 59, 1200)
     assert abs(size.rate / size.gatekeepers - TARGET.rate / TARGET.gatekeepers) < 1e-9
     assert TARGET.part(TARGET.gatekeepers) == TARGET
-    found = laid_out(configuration(size))
+    found = load_configuration(configuration(size))
     assert isinstance(found, dict) and sum(key.startswith("Tenants/") for key in found) == 1200
 
 
@@ -116,7 +116,7 @@
     own = Registry(
         RegistryIdentity("core-1", "ab", "10.9.0.1", "z00", "r00", 8200, 1.5), ["10.9.0.1"], zones(), 0.0
     )
-    word = laid_out(configuration(TARGET.part(5)))
+    word = load_configuration(configuration(TARGET.part(5)))
     assert isinstance(word, dict)
     own.receive_watch_response({"index": 4, "set": word, "gone": [], "full": True, "age": 0.1}, 9.0, 9.0)
     return own
--- a/tests/cli/test_planners.py
+++ b/tests/cli/test_planners.py
@@ -7,8 +7,8 @@
 from ward import each, test
 
 from ashlift.cli.planners import Asked, Part, Recorded, Station, capacity, change, rollout
-from ashlift.config.operator_config import laid_out
-from ashlift.config.routing_table import Table
+from ashlift.config.operator_config import load_configuration
+from ashlift.config.routing_table import RoutingTable
 from ashlift.errors import Failure
 from ashlift.simulation.people import edited, patched
 from ashlift.simulation.world import ZONES, Plan, first_configuration
@@ -18,10 +18,10 @@
 HOST = "app.example"
 
 
-def table(body: dict[str, Any]) -> Table:
-    found = laid_out(body)
+def table(body: dict[str, Any]) -> RoutingTable:
+    found = load_configuration(body)
     assert isinstance(found, dict), found
-    return Table.build(found)
+    return RoutingTable.from_entries(found)
 
 
 def stations(count: int = 6, capacity_: int = 4) -> list[Station]:
--- a/tests/cli/test_tenant_steps.py
+++ b/tests/cli/test_tenant_steps.py
@@ -11,7 +11,7 @@
 
 from ward import test
 
-from ashlift.config.settings import Settings, parse
+from ashlift.config.settings import Settings, parse_settings
 from ashlift.proxy.request_router import AdmittedRequest, Rejection, RequestRouter
 from ashlift.registry.registry import Registry, RegistryIdentity
 from tests.support.request_router_scenarios import SETTINGS, WORD
@@ -26,7 +26,7 @@
     """One gatekeeper, two registries, and a store that has just committed the tenant (at time 0)."""
 
     def __init__(self) -> None:
-        settings = parse(SETTINGS, "steps")
+        settings = parse_settings(SETTINGS, "steps")
         assert isinstance(settings, Settings)
         self.now = -2 * STEP_S
         self.gate = RequestRouter(settings, random.Random(1), self.now)
--- a/tests/cli/test_tenants.py
+++ b/tests/cli/test_tenants.py
@@ -12,7 +12,7 @@
 
 from ashlift.cli import changing, sources
 from ashlift.cli.commands import application
-from ashlift.config.operator_config import whole
+from ashlift.config.operator_config import export_configuration
 from ashlift.configstore.commands import OperatorCommand, decide_command
 from ashlift.configstore.messages import Proposal
 from ashlift.errors import Failure, FailureReason
@@ -69,7 +69,7 @@
                 },
             )
         if method == "GET":
-            return self.say(200, whole(self.map))
+            return self.say(200, export_configuration(self.map))
         befalls = self.lost.pop(0) if self.lost else ""
         if befalls == "between":
             base = self.map["Version"]
--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 from ward import each, test
 
-from ashlift.config.durations import parse_time, show_time
-from ashlift.config.operator_config import Change, apply, digest, laid_out
-from ashlift.config.routing_table import Table
+from ashlift.config.durations import format_duration, parse_duration
+from ashlift.config.operator_config import ConfigChange, apply_change, load_configuration, request_digest
+from ashlift.config.routing_table import RoutingTable
 from ashlift.errors import Failure
 from tests.support.config_play import Play, play
 
@@ -122,7 +122,7 @@
     @given(st.sampled_from(["put", "patch"]), STEPS)
     def fuzz(kind: str, steps: list[tuple[str, int, Any]]) -> None:
         now = Play()
-        assert isinstance(now.call("put", "0", {**PUT, "ConfigVersion": "1"}), Change)
+        assert isinstance(now.call("put", "0", {**PUT, "ConfigVersion": "1"}), ConfigChange)
         before = json.dumps(now.entries)
         got = now.call(kind, "1", damaged(PUT if kind == "put" else PATCH, steps))
         if isinstance(got, Failure):
@@ -139,8 +139,8 @@
 def _() -> None:
     split = [{"Service": "s", "Weight": 0}, {"Service": "t", "Weight": 3}]
     route = {"Host": "h", "PathPrefix": "/", "TrafficSplit": split, "MaxAttempts": 0}
-    made = Table.build({"Routes/r": route}).route("h", "/")
-    assert made is not None and made.split == (("t", 3.0),) and made.attempts == 1
+    made = RoutingTable.from_entries({"Routes/r": route}).find_route("h", "/")
+    assert made is not None and made.traffic_split == (("t", 3.0),) and made.max_attempts == 1
 
 
 @test("configurations: a put changes only what differs, and a patch replaces all of an object")
@@ -150,27 +150,40 @@
     assert now.call("put", "0", first)
     fewer = {"ConfigVersion": "8", "Objects": [first["Objects"][0], *first["Objects"][2:]]}
     change = now.call("put", "7", fewer)
-    assert isinstance(change, Change) and change.set == {"Version": "00000008"}
-    assert sorted(change.gone) == ["Place/Routes/q", "Routes/q"]
+    assert isinstance(change, ConfigChange) and change.entries == {"Version": "00000008"}
+    assert sorted(change.removed_keys) == ["Place/Routes/q", "Routes/q"]
     change = now.call("patch", "8", {**PATCH, "Upsert": {"Objects": PUT["Objects"][:1]}})
-    assert isinstance(change, Change) and "Rest/Routes/r" in change.gone
+    assert isinstance(change, ConfigChange) and "Rest/Routes/r" in change.removed_keys
 
 
 @test("configurations: equal calls have equal digests, others do not")
 def _() -> None:
     again = json.loads(json.dumps(PUT, sort_keys=True))
     other = damaged(PUT, [("set", 10, "x")])
-    assert digest("put", "0", PUT) == digest("put", "00000000", again) != digest("put", "1", PUT)
-    assert len({digest("put", "0", PUT), digest("patch", "0", PUT), digest("put", "0", other)}) == 3
-    change = apply({}, "put", "0", PUT)
-    assert isinstance(change, Change) and change.digest == digest("put", "0", PUT)
-    found = laid_out(PUT)
+    assert (
+        request_digest("put", "0", PUT)
+        == request_digest("put", "00000000", again)
+        != request_digest("put", "1", PUT)
+    )
+    assert (
+        len(
+            {
+                request_digest("put", "0", PUT),
+                request_digest("patch", "0", PUT),
+                request_digest("put", "0", other),
+            }
+        )
+        == 3
+    )
+    change = apply_change({}, "put", "0", PUT)
+    assert isinstance(change, ConfigChange) and change.digest == request_digest("put", "0", PUT)
+    found = load_configuration(PUT)
     assert isinstance(found, dict) and sound(found)
 
 
 @test("times: a number and its unit, and nothing else")
 def _() -> None:
     for text, seconds in {"1500ms": 1.5, "2.5s": 2.5, "0ms": 0.0, "0.125ms": 0.000125}.items():
-        assert parse_time(text) == seconds == parse_time(show_time(seconds))
+        assert parse_duration(text) == seconds == parse_duration(format_duration(seconds))
     for wrong in ("", "5", "-1s", "1 h", "1e999s", "\u0663s", "1,5s", "nans", 5, None, ["1s"]):
-        assert isinstance(parse_time(wrong), Failure), wrong
+        assert isinstance(parse_duration(wrong), Failure), wrong
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from ward import each, test
 
-from ashlift.config.settings import Bounds, Settings, parse, read
+from ashlift.config.settings import Bounds, Settings, parse_settings, read_settings
 from ashlift.errors import Failure
 from tests.support.config_play import SCENES
 
@@ -37,20 +37,28 @@
 
 @test("settings: all that is told is read, fields that are not known are passed over")
 def _() -> None:
-    found = read(PATH)
+    found = read_settings(PATH)
     assert isinstance(found, Settings), found
     assert (found.node_name, found.ip, found.zone, found.region) == ("core-a-1", "10.1.0.11", "a", "r")
     assert found.seeds == (("10.1.0.11", 8200), ("10.2.0.5", 8200)) and found.internal_ports == (7600, 7615)
     assert found.bindings.control == ("10.1.0.11", 8200) and found.bindings.front is None
     assert found.serves == ("control", "directory") and found.zones == {"a": "r"} and found.heartbeat == 1.5
-    assert (found.limits.cpu_share, found.limits.memory_mb, found.tolerance.machines) == (0.5, 296, 1)
+    assert (
+        found.machine_limits.cpu_share,
+        found.machine_limits.memory_mb,
+        found.fault_tolerance.machines,
+    ) == (
+        0.5,
+        296,
+        1,
+    )
     assert found.bounds == Bounds(contact=4.5, revocation_strict=True, retry_slack=62.0, ttl_max=2.5)
     assert found.bootstrap and found.quorum_member and found.data_directory == "/data/keeper"
 
 
 @test("settings: the least that a process needs is enough")
 def _() -> None:
-    found = parse(LEAST)
+    found = parse_settings(LEAST)
     assert isinstance(found, Settings) and found.bounds == Bounds() and found.data_directory is None
 
 
@@ -71,18 +79,18 @@
 @test("settings: {line} is told as {fault}")
 def _(line: str = each(*FAULTS), fault: str = each(*FAULTS.values())) -> None:
     base = [told for told in LEAST.splitlines() if told.split("=")[0] != line.split("=")[0]]
-    found = parse("\n".join([*base, line]), "f.toml")
+    found = parse_settings("\n".join([*base, line]), "f.toml")
     assert isinstance(found, list) and len(found) == 1, found
     assert found[0].detail.startswith(f"f.toml: {fault}"), found
 
 
 @test("settings: all faults are told at once, and a file that is not there is one")
 def _() -> None:
-    found = parse('Ip=3\nSeedNodes=["10.0.0.1:80"]\n[Bounds]\nDrain="3m"\n', "f")
+    found = parse_settings('Ip=3\nSeedNodes=["10.0.0.1:80"]\n[Bounds]\nDrain="3m"\n', "f")
     assert isinstance(found, list)
     keys = [fault.detail.split(": ")[1] for fault in found]
     assert sorted(keys) == ["Bounds.Drain", "InternalPortRange", "Ip", "NodeName"]
-    missing = read(PATH + ".none")
+    missing = read_settings(PATH + ".none")
     assert isinstance(missing, list) and "cannot be read" in missing[0].detail
 
 
@@ -99,7 +107,7 @@
         lines = list(LINES)
         for at, value in steps:
             lines[at] = f"{lines[at].split(' = ')[0]} = {value}" if value else ""
-        found = parse("\n".join(lines), "f")
+        found = parse_settings("\n".join(lines), "f")
         verdicts.append(isinstance(found, Settings))
         if isinstance(found, list):
             assert found and all(isinstance(one, Failure) and one.detail.startswith("f: ") for one in found)
--- a/tests/configstore/test_commands.py
+++ b/tests/configstore/test_commands.py
@@ -6,7 +6,7 @@
 
 from ward import each, test
 
-from ashlift.config.operator_config import digest
+from ashlift.config.operator_config import request_digest
 from ashlift.configstore.commands import (
     MAX_ACCEPTED_DIGESTS,
     MAX_REFUSED_DIGESTS,
@@ -71,7 +71,7 @@
 def _() -> None:
     register = Register()
     assert register.ask(1, patch(2)) == 200
-    register.map["Taken/00000002"] = digest("patch", "1", patch(2))
+    register.map["Taken/00000002"] = request_digest("patch", "1", patch(2))
     assert register.ask(1, patch(2)) == 200 and register.ask(1, patch(2, "b")) == 412
 
 
--- a/tests/lab/test_system.py
+++ b/tests/lab/test_system.py
@@ -31,7 +31,7 @@
     machines = places.places(Plan(core=3, edge=4), 77)
     for place in machines:
         text = places.settings(place, machines, ["core-1", "core-2"], "/disk", BOUNDS, True)
-        found = settings.parse(text)
+        found = settings.parse_settings(text)
         assert isinstance(found, settings.Settings), found
         assert found.bounds == BOUNDS and found.zones == ZONES and found.ip == place.ip
         assert found.internal_ports[0] == place.low and found.bootstrap
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -392,7 +392,7 @@
     ),
     "a resend after silence": (
         RequestRouter.pick,
-        "(live.may_run and not live.route.repeatable)",
+        "(live.may_run and not live.route.idempotent)",
         "False",
         moody("ran and resets"),
     ),
--- a/tests/proxy/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -13,15 +13,15 @@
 LOOK = Route(
     name="look",
     host="h",
-    prefix="/",
-    repeatable=True,
+    path_prefix="/",
+    idempotent=True,
     timeout=3.0,
-    aim=0.8,
+    latency_target=0.8,
     priority=2,
-    split=(("board", 1),),
-    attempts=2,
+    traffic_split=(("board", 1),),
+    max_attempts=2,
     anonymous=True,
-    homes=frozenset(),
+    home_regions=frozenset(),
 )
 
 
--- a/tests/proxy/test_registry_client.py
+++ b/tests/proxy/test_registry_client.py
@@ -5,7 +5,7 @@
 
 from ward import raises, test
 
-from ashlift.config.settings import Settings, parse
+from ashlift.config.settings import Settings, parse_settings
 from ashlift.errors import Failure, FailureReason
 from ashlift.proxy.registry_client import AVOID_S, RegistryClient
 from ashlift.proxy.request_router import RequestRouter
@@ -26,7 +26,7 @@
 
 
 def _pulling(seed: int) -> RegistryClient:
-    settings = parse(TEXT)
+    settings = parse_settings(TEXT)
     assert isinstance(settings, Settings)
     rng = random.Random(seed)
     return RegistryClient(settings, RequestRouter(settings, rng, 0.0), "0", rng)
--- a/tests/route_reconciliation/test_merging.py
+++ b/tests/route_reconciliation/test_merging.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as some
 from ward import each, test
 
-from ashlift.config import operator_config as configuration
+from ashlift.config import operator_config
 from ashlift.route_reconciliation import merging as settling
 from ashlift.route_reconciliation.edits import Edit, join, read_edit, why_not
 from ashlift.route_reconciliation.hybrid_clock import AHEAD_MS, NEVER, SLACK_MS, Clock, Stamp
@@ -34,7 +34,7 @@
 
 
 def laid(body: Map) -> Map:
-    found = configuration.laid_out(body)
+    found = operator_config.load_configuration(body)
     assert isinstance(found, dict)
     return found
 
@@ -51,7 +51,9 @@
     """The map after an order, and its answer."""
     made = settling.decide(map, {"kind": kind, "if_match": if_match, "body": body})
     after = {key: value for key, value in map.items() if key not in made.gone} | made.set
-    assert not isinstance(configuration.laid_out(configuration.whole(after)), list)
+    assert not isinstance(
+        operator_config.load_configuration(operator_config.export_configuration(after)), list
+    )
     return after, made.answer
 
 
@@ -149,10 +151,14 @@
                 map, answer = ordered(map, "edit", body)
                 assert answer["status"] == 200
             elif now != one.text:
-                version = configuration.current_version(map)
-                change = configuration.apply(map, "patch", version, _patch(one, int(version, 16) + 1))
-                assert isinstance(change, configuration.Change)
-                map = {key: value for key, value in map.items() if key not in change.gone} | change.set
+                version = operator_config.current_version(map)
+                change = operator_config.apply_change(
+                    map, "patch", version, _patch(one, int(version, 16) + 1)
+                )
+                assert isinstance(change, operator_config.ConfigChange)
+                map = {
+                    key: value for key, value in map.items() if key not in change.removed_keys
+                } | change.entries
         mark = repr(
             sorted(
                 (key, map[key], map.get(key.replace("Routes/", "Edited/"), {}).get("stamp"))
--- a/tests/rpc/test_fragmentation.py
+++ b/tests/rpc/test_fragmentation.py
@@ -6,7 +6,7 @@
 import cbor2
 from ward import each, raises, test
 
-from ashlift.config.settings import Settings, parse
+from ashlift.config.settings import Settings, parse_settings
 from ashlift.configstore.committed_state import CommittedState
 from ashlift.configstore.messages import Snapshot
 from ashlift.configstore.ranged_map import RangedMap
@@ -38,7 +38,7 @@
 
 
 def pulling(seed: int) -> RegistryClient:
-    settings = parse(TEXT.replace("edge-1", f"edge-{seed}"))
+    settings = parse_settings(TEXT.replace("edge-1", f"edge-{seed}"))
     assert isinstance(settings, Settings)
     rng = random.Random(seed)
     return RegistryClient(settings, RequestRouter(settings, rng, 0.0), str(seed), rng)
@@ -137,7 +137,7 @@
 
 @test("a loop of the gatekeeper that ends by an error ends the process: it does not go stale unseen")
 def _() -> None:
-    settings = parse(TEXT)
+    settings = parse_settings(TEXT)
     assert isinstance(settings, Settings)
     program = Program("none", settings)
 
--- a/tests/support/config_play.py
+++ b/tests/support/config_play.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
-from ashlift.config.operator_config import Change, apply, whole
-from ashlift.config.routing_table import Table
+from ashlift.config.operator_config import ConfigChange, apply_change, export_configuration
+from ashlift.config.routing_table import RoutingTable
 from ashlift.errors import Failure
 
 SCENES = Path(__file__).parent.parent / "scenarios"
@@ -27,20 +27,25 @@
 class Play:
     def __init__(self) -> None:
         self.entries: Json = dict(FOREIGN)
-        self.table = Table.build(self.entries)
+        self.table = RoutingTable.from_entries(self.entries)
 
-    def call(self, kind: str, if_match: str, body: Any) -> Change | Failure:
+    def call(self, kind: str, if_match: str, body: Any) -> ConfigChange | Failure:
         given = json.dumps([self.entries, body])
-        got = apply(self.entries, kind, if_match, body)
+        got = apply_change(self.entries, kind, if_match, body)
         assert json.dumps([self.entries, body]) == given, "what was given was changed"
         if isinstance(got, Failure):
             assert got.reason in ("stale", "invalid") and got.detail and "\n" not in got.detail, got
             return got
-        assert not got.set.keys() & set(got.gone) and not (got.set.keys() | set(got.gone)) & FOREIGN.keys()
-        self.entries = {key: value for key, value in self.entries.items() if key not in got.gone} | got.set
-        self.table = self.table.updated(got.set, got.gone)
-        assert self.table == Table.build(self.entries)
-        shown = whole(self.entries)
+        assert (
+            not got.entries.keys() & set(got.removed_keys)
+            and not (got.entries.keys() | set(got.removed_keys)) & FOREIGN.keys()
+        )
+        self.entries = {
+            key: value for key, value in self.entries.items() if key not in got.removed_keys
+        } | got.entries
+        self.table = self.table.updated(got.entries, got.removed_keys)
+        assert self.table == RoutingTable.from_entries(self.entries)
+        shown = export_configuration(self.entries)
         assert int(shown["ConfigVersion"], 16) == int(body["ConfigVersion"], 16) == self.table.version
         if kind == "put":
             assert json.dumps({**shown, "ConfigVersion": ""}) == json.dumps(
@@ -78,21 +83,21 @@
     return checked
 
 
-def _holds(now: Play, got: Change | Failure | None, word: str, told: str) -> bool:
+def _holds(now: Play, got: ConfigChange | Failure | None, word: str, told: str) -> bool:
     if word == "taken":
-        return isinstance(got, Change)
+        return isinstance(got, ConfigChange)
     if word in ("stale", "invalid"):
         return isinstance(got, Failure) and got.reason == word and told in got.detail
     if word == "objects":
-        shown = whole(now.entries)["Objects"]
+        shown = export_configuration(now.entries)["Objects"]
         return [one["Metadata"].get("Name", one["ObjectType"]) for one in shown] == told.split()
     if word == "route":
         host, path, name = told.split()
-        route = now.table.route(host, path)
+        route = now.table.find_route(host, path)
         return (route.name if route else "none") == name
     assert word == "key", word
     key, name = told.split()
-    tenant = now.table.tenant_of(key)
+    tenant = now.table.find_tenant(key)
     return (tenant.name if tenant else "none") == name
 
 
--- a/tests/support/gatekeeper.py
+++ b/tests/support/gatekeeper.py
@@ -18,8 +18,8 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from ashlift.config.routing_table import Limits
-from ashlift.config.settings import Settings, parse
+from ashlift.config.object_schema import ClientLimits
+from ashlift.config.settings import Settings, parse_settings
 from ashlift.proxy.request_handler import RequestHandler
 from ashlift.proxy.request_reader import ClientRequest, RequestReader
 from ashlift.proxy.request_router import RequestRouter
@@ -253,13 +253,13 @@
     /hold/NAME/ may not."""
 
     def __init__(self, routes: dict[str, dict[str, Address]]) -> None:
-        settings = parse(SETTINGS, "trial")
+        settings = parse_settings(SETTINGS, "trial")
         assert isinstance(settings, Settings), settings
         self.gate = RequestRouter(settings, random.Random(1), time.monotonic())
         # A process that stands still on a full machine must not take its own pause for a worker that is away.
         self.gate.dial = lambda view: ENOUGH_S  # type: ignore[method-assign]
         self.desk = RequestHandler(self.gate)
-        self.front = ProxyServer(self.desk, Limits)
+        self.front = ProxyServer(self.desk, ClientLimits)
         self.front.listen((HOST, 0))
         server = self.front._server
         assert server is not None
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -11,7 +11,7 @@
 from contextlib import contextmanager
 from typing import Any
 
-from ashlift.config import operator_config as configuration
+from ashlift.config import operator_config
 from ashlift.configstore import commands
 from ashlift.configstore.catch_up import CatchUp
 from ashlift.configstore.leader import Leader
@@ -213,7 +213,7 @@
         "True",
         EIGHT,
     ),
-    "no base is compared": (configuration, "apply", "base != now", "False", EIGHT),
+    "no base is compared": (operator_config, "apply_change", "base != now", "False", EIGHT),
     "a refusal is forgotten before its base comes": (
         commands,
         "_refuse_stale",
--- a/tests/support/request_router_scenarios.py
+++ b/tests/support/request_router_scenarios.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from ashlift.config.settings import Settings, parse
+from ashlift.config.settings import Settings, parse_settings
 from ashlift.proxy.request_router import AdmittedRequest, Rejection, RequestRouter
 from ashlift.proxy.responses import WorkerResponse
 from ashlift.proxy.upstream import AttemptOutcome, AttemptResult
@@ -77,7 +77,7 @@
 
 class Play:
     def __init__(self) -> None:
-        settings = parse(SETTINGS, "scene")
+        settings = parse_settings(SETTINGS, "scene")
         assert isinstance(settings, Settings), settings
         self.now, self.index = 100.0, 0
         self.gate = RequestRouter(settings, random.Random(7), self.now)
--- a/tests/traffic/test_outlier_detection.py
+++ b/tests/traffic/test_outlier_detection.py
@@ -15,15 +15,15 @@
 HOLD = Route(
     name="hold",
     host="h",
-    prefix="/",
-    repeatable=False,
+    path_prefix="/",
+    idempotent=False,
     timeout=3.0,
-    aim=0.8,
+    latency_target=0.8,
     priority=2,
-    split=(("desk", 1),),
-    attempts=2,
+    traffic_split=(("desk", 1),),
+    max_attempts=2,
     anonymous=True,
-    homes=frozenset(),
+    home_regions=frozenset(),
 )
 REGIONS = {"z1": "r1", "z2": "r2", "z3": "r3"}
 LATE = 3  # pulls of 0.25 s: so old are the sums that are heard
