--- a/ashlift/configstore/catch_up.py
+++ b/ashlift/configstore/catch_up.py
@@ -27,61 +27,68 @@
     """Another's copy as the leader knows it. `held`: None: nobody knows which state it is."""
 
     held: TermIndex | None
-    busy: bool = False  # a payload, or a question for digests, is on its way
-    chunk: int = (
+    payload_in_flight: bool = False  # a payload, or a question for digests, is on its way
+    chunk_bytes: int = (
         PAYLOAD_CHUNK_BYTES  # bytes of a payload, about: halved when one did not come through in time
     )
-    tried: TermIndex | None = None  # the state that the last delta went on from
-    sent: dict[int, tuple[int, bytes]] = field(factory=dict)  # range -> state it was sent of, its digest then
+    last_delta_base: TermIndex | None = None  # the state that the last delta went on from
+    sent_ranges: dict[int, tuple[int, bytes]] = field(
+        factory=dict
+    )  # range -> state it was sent of, its digest then
 
-    def stands(self, held: TermIndex | None) -> None:
+    def acknowledge(self, held: TermIndex | None) -> None:
         """It has said what it holds."""
         if held != self.held:
             self.held = held
-            self.sent.clear()
+            self.sent_ranges.clear()
 
-    def anew(self) -> None:
+    def reset(self) -> None:
         """Another life: of what was sent nothing may be there."""
-        self.sent.clear()
-        self.tried = None
+        self.sent_ranges.clear()
+        self.last_delta_base = None
 
-    def came(self, payload: bool, through: bool) -> None:
+    def payload_answered(self, payload: bool, through: bool) -> None:
         """What was on its way has been answered in time (`through`), or has not."""
-        self.busy = False
+        self.payload_in_flight = False
         if payload:
-            self.chunk = (
-                min(PAYLOAD_CHUNK_BYTES, self.chunk * 2)
+            self.chunk_bytes = (
+                min(PAYLOAD_CHUNK_BYTES, self.chunk_bytes * 2)
                 if through
-                else max(MIN_PAYLOAD_CHUNK_BYTES, self.chunk // 2)
+                else max(MIN_PAYLOAD_CHUNK_BYTES, self.chunk_bytes // 2)
             )
         if not through:
-            self.sent.clear()
+            self.sent_ranges.clear()
 
 
 class CatchUp:
     def __init__(self, changes: ChangeLog) -> None:
-        self.changes = changes
-        self._packed: tuple[int, dict[int, bytes | None]] = (0, {})  # newest state; deltas to it, by base
-
-    def next(self, copy: ReplicaProgress, newest: Snapshot, digests: bytes | None = None) -> bytes | bool:
+        self.change_log = changes
+        self._encoded_deltas: tuple[int, dict[int, bytes | None]] = (
+            0,
+            {},
+        )  # newest state; deltas to it, by base
+
+    def next_payload(
+        self, copy: ReplicaProgress, newest: Snapshot, digests: bytes | None = None
+    ) -> bytes | bool:
         """The payload that brings the copy on; True: its digests are asked for."""
-        if not copy.sent and not (digests and copy.held == copy.tried):
+        if not copy.sent_ranges and not (digests and copy.held == copy.last_delta_base):
             delta = self._delta(copy.held, newest) if copy.held else None
-            if delta is not None and len(delta) <= copy.chunk:
-                copy.tried = copy.held
+            if delta is not None and len(delta) <= copy.chunk_bytes:
+                copy.last_delta_base = copy.held
                 return delta
         return self._parts(copy, newest, digests) if digests else True
 
     def _delta(self, held: TermIndex, newest: Snapshot) -> bytes | None:
         """All that differs from a state that was held; None: it is not known, or that is too much."""
-        base, number = self.changes.at(held), self.changes.number
+        base, number = self.change_log.number_of(held), self.change_log.newest_number
         if base is None:
             return None
-        if self._packed[0] != number:
-            self._packed = number, {}
-        deltas = self._packed[1]
+        if self._encoded_deltas[0] != number:
+            self._encoded_deltas = number, {}
+        deltas = self._encoded_deltas[1]
         if base not in deltas:
-            map, keys = newest.entries.map, self.changes.since(base)
+            map, keys = newest.entries.map, self.change_log.keys_changed_since(base)
             sets = {key: map[key] for key in keys if key in map}
             gone = [key for key in keys if key not in map]
             packed = pack([DELTA, *held, sets, gone, newest.entries.digest()])
@@ -90,29 +97,29 @@
 
     def _parts(self, copy: ReplicaProgress, newest: Snapshot, digests: bytes) -> bytes:
         """Of the ranges that differ as many as a call may carry; the answer brings the next digests."""
-        entries, number, size = newest.entries, self.changes.number, 0
-        base = self.changes.at(copy.held) if copy.held else None
+        entries, number, size = newest.entries, self.change_log.newest_number, 0
+        base = self.change_log.number_of(copy.held) if copy.held else None
         ranges: dict[int, bytes] = {}
         sets: dict[str, Any] = {}
         gone: list[str] = []
-        late = self.changes.by_range(base) if base is not None else {}
-        for one in entries.differing(digests):
-            if size > UNCOMPRESSED_BYTES_PER_PAYLOAD_BYTE * copy.chunk:
+        late = self.change_log.keys_changed_since_by_range(base) if base is not None else {}
+        for one in entries.differing_ranges(digests):
+            if size > UNCOMPRESSED_BYTES_PER_PAYLOAD_BYTE * copy.chunk_bytes:
                 break
-            sent = copy.sent.get(one)
+            sent = copy.sent_ranges.get(one)
             keys: list[str] = []
             if sent is None:
                 keys = late.get(one, [])
-            elif sent[1] == entries.digest_in(digests, one):
-                keys = self.changes.by_range(sent[0]).get(one, [])
+            elif sent[1] == entries.range_digest_in(digests, one):
+                keys = self.change_log.keys_changed_since_by_range(sent[0]).get(one, [])
             if keys:
                 sets |= {key: entries.map[key] for key in keys if key in entries.map}
                 gone += [key for key in keys if key not in entries.map]
                 size += sum(len(cbor2.dumps(entries.map.get(key))) for key in keys)
             else:
-                ranges[one] = entries.packed(one)
+                ranges[one] = entries.encoded_range(one)
                 size += len(ranges[one])
-            copy.sent[one] = number, entries.digest_of(one)
+            copy.sent_ranges[one] = number, entries.range_digest(one)
         if sets or gone:
             return pack([PARTS, ranges, sets, gone, entries.digest()])
         return pack([RANGES, ranges, entries.digest()])
--- a/ashlift/configstore/change_log.py
+++ b/ashlift/configstore/change_log.py
@@ -19,26 +19,30 @@
 
     def __init__(self) -> None:
         self.entries = RangedMap()
-        self.number = 0  # of the newest state
+        self.newest_number = 0  # of the newest state
         self._floor = 0  # older states are not known any more
         self._at: dict[str, int] = {}  # key -> state that changed it last, oldest first; gone keys too
         self._gone: dict[str, int] = {}
         self._ranged: tuple[int, int, dict[int, list[str]]] = (0, 0, {})
         self._runs: list[tuple[int, int, int]] = []  # (term, first index, its number)
 
-    def advance(self, term_index: TermIndex, entries: RangedMap) -> None:
+    def record(self, term_index: TermIndex, entries: RangedMap) -> None:
         """The next state. One that was held before as the newest is passed over."""
-        if self.number and self.entries is entries and self.at(term_index) == self.number:
+        if (
+            self.newest_number
+            and self.entries is entries
+            and self.number_of(term_index) == self.newest_number
+        ):
             return
-        self.number += 1
+        self.newest_number += 1
         term, index = term_index
         last = self._runs[-1] if self._runs else None
-        if last is None or last[0] != term or index - last[1] != self.number - last[2]:
-            self._runs.append((term, index, self.number))
-        if self.number == 1:
+        if last is None or last[0] != term or index - last[1] != self.newest_number - last[2]:
+            self._runs.append((term, index, self.newest_number))
+        if self.newest_number == 1:
             self._floor = 1
         else:
-            for key in entries.changed_from(self.entries):
+            for key in entries.keys_differing_from(self.entries):
                 self._mark(key, key in entries.map)
         self.entries = entries
         while len(self._gone) > MAX_DELETED_KEYS:
@@ -51,15 +55,15 @@
 
     def _mark(self, key: str, there: bool) -> None:
         self._at.pop(key, None)
-        self._at[key] = self.number
+        self._at[key] = self.newest_number
         self._gone.pop(key, None)
         if not there:
-            self._gone[key] = self.number
+            self._gone[key] = self.newest_number
 
-    def at(self, term_index: TermIndex) -> int | None:
+    def number_of(self, term_index: TermIndex) -> int | None:
         """The number of a state that was held; None: it is not known, or not any more."""
         term, index = term_index
-        end = self.number
+        end = self.newest_number
         for its, first, number in reversed(self._runs):
             if its == term and first <= index <= first + end - number:
                 found = number + index - first
@@ -67,10 +71,10 @@
             end = number - 1
         return None
 
-    def exact(self, index: int) -> int | None:
+    def number_at_index(self, index: int) -> int | None:
         """The newest state held at that very index; None: none that is known. The one below will not do: what
         changed at an index that was passed over, and changed back, is no change between the states held."""
-        end = self.number
+        end = self.newest_number
         for _, first, number in reversed(self._runs):
             if first <= index:
                 found = number + index - first
@@ -78,9 +82,9 @@
             end = number - 1
         return None
 
-    def below(self, index: int) -> int | None:
+    def number_at_or_before_index(self, index: int) -> int | None:
         """The newest state held at that index or before it; None: none that is known."""
-        end = self.number
+        end = self.newest_number
         for _, first, number in reversed(self._runs):
             if first <= index:
                 found = min(end, number + index - first)
@@ -88,11 +92,11 @@
             end = number - 1
         return None
 
-    def last(self, key: str) -> int:
+    def last_change_of(self, key: str) -> int:
         """The state that changed the key last; 0: none that is known."""
         return self._at.get(key, 0)
 
-    def since(self, number: int) -> list[str]:
+    def keys_changed_since(self, number: int) -> list[str]:
         """The keys that changed after that state, gone ones too."""
         found = []
         for key in reversed(self._at):
@@ -101,13 +105,13 @@
             found.append(key)
         return found
 
-    def by_range(self, number: int) -> dict[int, list[str]]:
+    def keys_changed_since_by_range(self, number: int) -> dict[int, list[str]]:
         """The same by hash range."""
-        if self._ranged[:2] != (number, self.number):
+        if self._ranged[:2] != (number, self.newest_number):
             found: dict[int, list[str]] = {}
-            for key in self.since(number):
+            for key in self.keys_changed_since(number):
                 found.setdefault(range_of(key), []).append(key)
-            self._ranged = number, self.number, found
+            self._ranged = number, self.newest_number, found
         return self._ranged[2]
 
     def __len__(self) -> int:
--- a/ashlift/configstore/commands.py
+++ b/ashlift/configstore/commands.py
@@ -90,7 +90,7 @@
         return ReadOnlyResult({"status": OK})
     set_keys = {key: True} if evacuated else {}
     removed_keys = [] if evacuated else [key]
-    return Proposal(set_keys, removed_keys, {"status": OK}, unguarded=(key,))
+    return Proposal(set_keys, removed_keys, {"status": OK}, unconditional_keys=(key,))
 
 
 def _decide_configuration(current: Mapping[str, Any], command: OperatorCommand) -> Proposal | ReadOnlyResult:
--- a/ashlift/configstore/leader_requests.py
+++ b/ashlift/configstore/leader_requests.py
@@ -43,12 +43,12 @@
 
 def choose_route(replica: Replica, body: dict[str, Any], now: float) -> Route | Failure:
     """Who is to serve a request now; a Failure where no leader is to be expected soon."""
-    if replica.silent(now):
+    if replica.hears_no_leader(now):
         return _NO_LEADER_HEARD
-    if replica.lead is not None:
+    if replica.leader_role is not None:
         return ServeHere()
-    if replica.leader is not None and not is_forwarded(body):
-        return ForwardTo(replica.leader)
+    if replica.leader_ip is not None and not is_forwarded(body):
+        return ForwardTo(replica.leader_ip)
     return WaitForLeader()
 
 
--- a/ashlift/configstore/membership.py
+++ b/ashlift/configstore/membership.py
@@ -35,7 +35,7 @@
 class MembershipCommand(NamedTuple):
     """An operator's order: `do` is remove, replace or add."""
 
-    do: str
+    action: str
     ip: str
 
 
@@ -43,9 +43,9 @@
 class ReplicaView:
     """What the leader sees of a process. `unheard`: s; `able`: heard now, counts, holds the newest map."""
 
-    unheard: float = float("inf")
-    able: bool = False
-    life: int | None = None  # of a learner that is ready to vote
+    silent_seconds: float = float("inf")
+    is_up_to_date: bool = False
+    incarnation: int | None = None  # of a learner that is ready to vote
 
 
 ReplicaViews = Mapping[str, ReplicaView]
@@ -87,7 +87,7 @@
 
 def spare_voters(voters: Sequence[str], views: ReplicaViews) -> int:
     """How many more voters may be lost; below 0: there is no majority."""
-    return sum(views.get(ip, NEVER).able for ip in voters) - quorum(len(voters))
+    return sum(views.get(ip, NEVER).is_up_to_date for ip in voters) - quorum(len(voters))
 
 
 def voters_without(voters: Sequence[str], ip: str) -> list[str]:
@@ -99,7 +99,12 @@
     found = []
     for ip in addresses_under(map, LEARNER_PREFIX):
         view, told = views.get(ip, NEVER), map[LEARNER_PREFIX + ip]
-        if view.able and view.life is not None and view.life == told.get("life") and not told.get("held"):
+        if (
+            view.is_up_to_date
+            and view.incarnation is not None
+            and view.incarnation == told.get("life")
+            and not told.get("held")
+        ):
             found.append(ip)
     return found
 
@@ -121,7 +126,9 @@
     more = spare_voters(left, views)
     if more < 0:
         return f"{len(left)} would be left, and {-more} more of them must be heard and up to date"
-    if more < (tolerated if views.get(ip, NEVER).able else min(spare_voters(voters, views), tolerated)):
+    if more < (
+        tolerated if views.get(ip, NEVER).is_up_to_date else min(spare_voters(voters, views), tolerated)
+    ):
         return f"only {more} more could be lost then"
     return None
 
@@ -132,7 +139,7 @@
     """An operator's order on the leader's newest map. Answers as `configstore.commands.decide` gives them."""
     ip, voter = order.ip, map.get(VOTER_PREFIX + order.ip)
     done = {"status": 200}
-    if order.do == ADD:
+    if order.action == ADD:
         if isinstance(voter, dict):
             stays = {key: value for key, value in voter.items() if key == "life"}
             return Proposal({VOTER_PREFIX + ip: stays}, [], done) if stays != voter else ReadOnlyResult(done)
@@ -141,8 +148,8 @@
             return ReadOnlyResult({"status": 409, "reason": f"{ip} has not asked to join"})
         frees = {key: value for key, value in learner.items() if key != "held"}
         return Proposal({LEARNER_PREFIX + ip: frees}, [], done) if frees != learner else ReadOnlyResult(done)
-    if order.do not in (REMOVE, REPLACE):
-        return ReadOnlyResult({"status": 400, "reason": f"no change of members: {order.do[:40]}"})
+    if order.action not in (REMOVE, REPLACE):
+        return ReadOnlyResult({"status": 400, "reason": f"no change of members: {order.action[:40]}"})
     if not isinstance(voter, dict):
         if isinstance(map.get(LEARNER_PREFIX + ip), dict):
             return ReadOnlyResult(done)  # taken off before
@@ -150,8 +157,8 @@
     others = [one for one in leaving_voters(map) if one != ip]
     if others:
         return ReadOnlyResult({"status": 409, "reason": f"{', '.join(others)} leaves already: one at a time"})
-    wanted = {**voter, "leaving": order.do}
-    if order.do == REPLACE:
+    wanted = {**voter, "leaving": order.action}
+    if order.action == REPLACE:
         wanted["until"] = voter.get("until", len(addresses_under(map, VOTER_PREFIX)))
     else:
         wanted.pop("until", None)
@@ -178,7 +185,7 @@
         for ip in addresses_under(map, LEARNER_PREFIX)
         if ip not in asked
         and not map[LEARNER_PREFIX + ip].get("held")
-        and views.get(ip, NEVER).unheard >= REMOVE_VOTER_AFTER_SECONDS
+        and views.get(ip, NEVER).silent_seconds >= REMOVE_VOTER_AFTER_SECONDS
     ]
     if new or silent:
         return Proposal(new, silent, None)  # no quorum depends on learners: all at once
@@ -186,22 +193,22 @@
         do = map[VOTER_PREFIX + ip]["leaving"]
         if ip != me and removal_refusal(map, ip, views, tolerated, do) is None:
             return Proposal({LEARNER_PREFIX + ip: {"life": 0, "held": True}}, [VOTER_PREFIX + ip], None)
-    able = sum(views.get(ip, NEVER).able for ip in voters)
+    able = sum(views.get(ip, NEVER).is_up_to_date for ip in voters)
     waiting = ready_learners(map, views)
-    silent_for = max((views.get(ip, NEVER).unheard for ip in voters if ip != me), default=0.0)
+    silent_for = max((views.get(ip, NEVER).silent_seconds for ip in voters if ip != me), default=0.0)
     if (
         waiting
         and silent_for < MAX_SILENCE_FOR_PROMOTION_SECONDS
         and (able >= quorum(len(voters) + 1) or len(voters) == 1)
     ):
         ip = waiting[0]  # the others alone can commit it: it lowers nothing that may be lost
-        return Proposal({VOTER_PREFIX + ip: {"life": views[ip].life}}, [LEARNER_PREFIX + ip], None)
+        return Proposal({VOTER_PREFIX + ip: {"life": views[ip].incarnation}}, [LEARNER_PREFIX + ip], None)
     after = REPLACE_VOTER_AFTER_SECONDS if waiting else REMOVE_VOTER_AFTER_SECONDS
     lost = sorted(
-        (ip for ip in voters if ip != me and views.get(ip, NEVER).unheard >= after),
-        key=lambda ip: (-views.get(ip, NEVER).unheard, ip),
+        (ip for ip in voters if ip != me and views.get(ip, NEVER).silent_seconds >= after),
+        key=lambda ip: (-views.get(ip, NEVER).silent_seconds, ip),
     )
-    longer = sum(views.get(ip, NEVER).unheard >= REMOVE_VOTER_PAIR_AFTER_SECONDS for ip in lost)
+    longer = sum(views.get(ip, NEVER).silent_seconds >= REMOVE_VOTER_PAIR_AFTER_SECONDS for ip in lost)
     if len(voters) % 2 and not waiting and longer < 2:
         return None  # nothing is gained by one of an odd number
     for ip in lost:
--- a/ashlift/configstore/messages.py
+++ b/ashlift/configstore/messages.py
@@ -55,8 +55,10 @@
 
     term: int
     voted_for: str | None
-    voter: bool
-    life: int = 0  # the disk's incarnation: drawn with its first write, and anew once nothing of it counts
+    is_voter: bool
+    incarnation: int = (
+        0  # the disk's incarnation: drawn with its first write, and anew once nothing of it counts
+    )
 
 
 class Snapshot(NamedTuple):
@@ -72,25 +74,25 @@
     `known` is the newest committed index known to it when it took the order."""
 
     term: int
-    round: int
-    known: int
-    left: float
+    heartbeat_round: int
+    known_index: int
+    remaining_seconds: float
 
 
 class Proposal(NamedTuple):
     """What an order changes, and its answer once that is committed. `unguarded`: keys that it changes
     whatever they hold; if one has changed since the order was taken, the order is void."""
 
-    set: dict[str, Any]
-    gone: list[str]
-    answer: Any
-    unguarded: tuple[str, ...] = ()
+    updates: dict[str, Any]
+    deletions: list[str]
+    response: Any
+    unconditional_keys: tuple[str, ...] = ()
 
 
 class ReadOnlyResult(NamedTuple):
     """An order that changes nothing; its answer stands once the leader is seen to lead still."""
 
-    answer: Any
+    response: Any
 
 
 # ---- events
@@ -103,7 +105,7 @@
 class RequestReceived:
     """Another member calls; answered by a `SendReply` with the same `ref`."""
 
-    ref: Any
+    reply_to: Any
     method: str  # request_vote, append, join, succeed
     body: Any
 
@@ -123,7 +125,7 @@
 class StatePersisted:
     """The `PersistState` before this is durable, or (`ok` False) may or may not be."""
 
-    ok: bool
+    succeeded: bool
 
 
 @frozen
@@ -131,16 +133,16 @@
     """An order; answered by a `SendReply`: its answer, or a Failure: UNAVAILABLE not begun, EXPIRED never
     to be begun, OUTCOME_UNKNOWN in doubt. `fence` None: it may be begun whenever it comes."""
 
-    ref: Any
-    order: Any
-    fence: FencingToken | None = None
+    reply_to: Any
+    command: Any
+    fencing_token: FencingToken | None = None
 
 
 @frozen
 class ReadRequested:
     """answered by a `SendReply` with the committed `Snapshot`, or a Failure."""
 
-    ref: Any
+    reply_to: Any
 
 
 @frozen
@@ -164,7 +166,7 @@
 
 @frozen
 class SendReply:
-    ref: Any
+    reply_to: Any
     body: Any
 
 
@@ -173,7 +175,7 @@
     """Make these durable, the state first, then feed `StatePersisted`. Always the last effect."""
 
     vote: PersistentVote | None
-    state: Snapshot | None
+    snapshot: Snapshot | None
 
 
 @frozen
--- a/ashlift/configstore/replica.py
+++ b/ashlift/configstore/replica.py
@@ -90,42 +90,48 @@
     ) -> None:
         held_vote = vote if isinstance(vote, PersistentVote) else PersistentVote(0, None, False)
         held = state if isinstance(state, Snapshot) else Snapshot((0, 0), RangedMap())
-        voter = held_vote.voter and isinstance(state, Snapshot)
+        voter = held_vote.is_voter and isinstance(state, Snapshot)
         term = max(held_vote.term, held.term_index[0])
-        self._first = vote is None and state is None and bootstrap and me in seeds
-        self._was_voter = held_vote.voter and not voter  # on the disk: to be taken back
+        self._bootstraps = vote is None and state is None and bootstrap and me in seeds
+        self._clears_lost_vote = held_vote.is_voter and not voter  # on the disk: to be taken back
         voted = held_vote.voted_for if term == held_vote.term else None
-        kept = PersistentVote(term, voted, True, held_vote.life) if voter else PersistentVote(0, None, False)
+        kept = (
+            PersistentVote(term, voted, True, held_vote.incarnation)
+            if voter
+            else PersistentVote(0, None, False)
+        )
         super().__init__(me, chance, kept, held if voter else Snapshot((0, 0), RangedMap()))
-        self.seeds, self.decide = seeds, decide
+        self.seeds, self.command_handler = seeds, decide
         self.incarnation = chance.getrandbits(31)
-        self.leader: str | None = None
-        self.lead: Leader | None = None
-        self.attempt: ElectionAttempt | None = None
-        self.staged: RangedMap | None = None if voter else held.entries  # of a repair, so far
-        self.mute_until = self.heard_at = self.deadline = self.join_at = 0.0
-        self.calm_from = 0.0  # after a vote its candidate is given the time to lead before another may stand
-        self.leaving: float | None = None
+        self.leader_ip: str | None = None
+        self.leader_role: Leader | None = None
+        self.election: ElectionAttempt | None = None
+        self.staged_entries: RangedMap | None = None if voter else held.entries  # of a repair, so far
+        self.quarantined_until = self.leader_heard_at = self.election_deadline = self.next_join_at = 0.0
+        self.votes_withheld_until = (
+            0.0  # after a vote its candidate is given the time to lead before another may stand
+        )
+        self.shutdown_deadline: float | None = None
         self._deferred: deque[Event] = deque()
-        self._token = chance.getrandbits(30)
-        self._tokens: dict[int, float] = {}
-        self._echoes: list[tuple[int, int, int]] = []  # (round, token, commit told) of this term
-        self._round_heard = 0, 0  # (term, round) of the newest append
+        self._last_clock_token = chance.getrandbits(30)
+        self._clock_tokens: dict[int, float] = {}
+        self._clock_echoes: list[tuple[int, int, int]] = []  # (round, token, commit told) of this term
+        self._newest_round_heard = 0, 0  # (term, round) of the newest append
 
     # ---- running
-    def begin(self, now: float) -> list[Effect]:
+    def start(self, now: float) -> list[Effect]:
         self.now, self.effects = now, []
-        self._put_off(INITIAL_ELECTION_TIMEOUT_SECONDS)
-        self.heard_at = now - QUORUM_CONTACT_TIMEOUT_SECONDS
-        if self._first:
+        self._reset_election_timer(INITIAL_ELECTION_TIMEOUT_SECONDS)
+        self.leader_heard_at = now - QUORUM_CONTACT_TIMEOUT_SECONDS
+        if self._bootstraps:
             members: dict[str, Any] = {VOTER_PREFIX + ip: {} for ip in self.seeds}
             state = Snapshot((0, 0), RangedMap(members))
-            self.tell(events.BEGUN, members=len(members))
-            self.keep(PersistentVote(0, None, True, self.incarnation), state, self._begun)
-        elif not self.vote.voter:
+            self.log_event(events.BEGUN, members=len(members))
+            self.persist(PersistentVote(0, None, True, self.incarnation), state, self._begun)
+        elif not self.vote.is_voter:
             self._become_learner()
-            if self._was_voter:
-                self.keep(self.vote, None, lambda ok: None)
+            if self._clears_lost_vote:
+                self.persist(self.vote, None, lambda ok: None)
         return self._done()
 
     def _begun(self, ok: bool) -> None:
@@ -133,40 +139,44 @@
             self._become_learner()
 
     def _become_learner(self) -> None:
-        self.vote = self.vote._replace(voter=False)
-        self.mute_until = self.now + LEARNER_QUARANTINE_SECONDS
-        self.tell(events.LEARNS, incarnation=self.incarnation)
+        self.vote = self.vote._replace(is_voter=False)
+        self.quarantined_until = self.now + LEARNER_QUARANTINE_SECONDS
+        self.log_event(events.LEARNS, incarnation=self.incarnation)
 
     def handle(self, now: float, event: Event) -> list[Effect]:
         """Take one event; do the effects in order. Raises InvariantError: stop the process."""
         self.now, self.effects = max(now, self.now), []
         if isinstance(event, StatePersisted):
-            self.kept(event.ok)
+            self.complete_persist(event.succeeded)
         else:
             self._deferred.append(event)
-        while self._deferred and self.then is None:
+        while self._deferred and self._after_persist is None:
             self._take(self._deferred.popleft())
         return self._done()
 
     def _done(self) -> list[Effect]:
         """The effects, a `PersistState` last."""
-        if self.leaving is not None and self.lead is None and self.then is None:
+        if self.shutdown_deadline is not None and self.leader_role is None and self._after_persist is None:
             self.effects.append(HandoverComplete())
         return sorted(self.effects, key=lambda effect: isinstance(effect, PersistState))
 
-    def round_known(self) -> tuple[int, int]:
+    def newest_heartbeat_round(self) -> tuple[int, int]:
         """The newest round of a leader known here, with its term (`FencingToken`)."""
-        return (self.lead.term, self.lead.round) if self.lead else self._round_heard
+        return (
+            (self.leader_role.term, self.leader_role.heartbeat_round)
+            if self.leader_role
+            else self._newest_round_heard
+        )
 
-    def silent(self, now: float) -> bool:
+    def hears_no_leader(self, now: float) -> bool:
         """Whether no leader is to be expected here: who wants one had better ask another member."""
-        return self.lead is None and now - self.heard_at > SILENT_S
+        return self.leader_role is None and now - self.leader_heard_at > SILENT_S
 
-    def due(self) -> float:
+    def next_tick_at(self) -> float:
         """When the next `ClockTicked` is wanted, if nothing comes before."""
-        if self.lead:
-            return self.lead.next_beat
-        return self.deadline if self._stands() else self.join_at
+        if self.leader_role:
+            return self.leader_role.next_heartbeat_at
+        return self.election_deadline if self._can_stand_for_election() else self.next_join_at
 
     def _take(self, event: Event) -> None:
         match event:
@@ -174,152 +184,157 @@
                 self._tick()
             case RequestReceived():
                 self._called(event)
-            case ResponseReceived(method="append") if self.lead:
-                self.lead.answered(event.peer, event.sent_at, event.context, event.body)
+            case ResponseReceived(method="append") if self.leader_role:
+                self.leader_role.answered(event.peer, event.sent_at, event.context, event.body)
             case ResponseReceived(method="request_vote"):
                 self._voted(event)
             case ResponseReceived(method="join", body=[leader, evidence]):
                 self._told(event.peer, leader, evidence)
             case CommandSubmitted():
-                if self.lead:
-                    self.lead.submit(event.ref, event.order, event.fence)
+                if self.leader_role:
+                    self.leader_role.submit(event.reply_to, event.command, event.fencing_token)
                 else:
-                    self.reply(event.ref, Failure(FailureReason.UNAVAILABLE, "leads not"))
+                    self.reply(event.reply_to, Failure(FailureReason.UNAVAILABLE, "leads not"))
             case ReadRequested():
-                if self.lead:
-                    self.lead.read(event.ref)
+                if self.leader_role:
+                    self.leader_role.read(event.reply_to)
                 else:
-                    self.reply(event.ref, Failure(FailureReason.UNAVAILABLE, "leads not"))
-            case ShutdownRequested() if self.leaving is None:
-                self.leaving = self.now + LEADERSHIP_TRANSFER_SECONDS
-                if self.lead:
-                    self.lead.leave()
+                    self.reply(event.reply_to, Failure(FailureReason.UNAVAILABLE, "leads not"))
+            case ShutdownRequested() if self.shutdown_deadline is None:
+                self.shutdown_deadline = self.now + LEADERSHIP_TRANSFER_SECONDS
+                if self.leader_role:
+                    self.leader_role.leave()
 
     def _tick(self) -> None:
-        if self.lead:
-            if self.leaving is not None and self.now >= self.leaving:
+        if self.leader_role:
+            if self.shutdown_deadline is not None and self.now >= self.shutdown_deadline:
                 return self.step_down("the process ends")
-            return self.lead.tick()
-        if not self._stands():
+            return self.leader_role.tick()
+        if not self._can_stand_for_election():
             if (
-                self.now >= max(self.join_at, self.mute_until)
-                and self.now - self.heard_at >= QUORUM_CONTACT_TIMEOUT_SECONDS
+                self.now >= max(self.next_join_at, self.quarantined_until)
+                and self.now - self.leader_heard_at >= QUORUM_CONTACT_TIMEOUT_SECONDS
             ):
                 self._join()
-        elif self.now >= self.deadline and self.leaving is None:
-            if self.now >= max(self.join_at, self.heard_at + LONELY_S):
+        elif self.now >= self.election_deadline and self.shutdown_deadline is None:
+            if self.now >= max(self.next_join_at, self.leader_heard_at + LONELY_S):
                 self._join()  # it may have been taken off meanwhile
             self._try()
 
     def _join(self) -> None:
-        self.join_at = self.now + JOIN_S
-        for ip in sorted({*self.seeds, *self.members()} - {self.me}):
+        self.next_join_at = self.now + JOIN_S
+        for ip in sorted({*self.seeds, *self.voters()} - {self.ip}):
             self._ask_to_join(ip)
 
     def _ask_to_join(self, ip: str) -> None:
         """With its disk's incarnation (a learner: this process's); and whether it believes itself a voter."""
-        life = self.vote.life if self.vote.voter else self.incarnation
-        self.send(ip, "join", [self.me, life, self._stands()], None)
+        life = self.vote.incarnation if self.vote.is_voter else self.incarnation
+        self.send(ip, "join", [self.ip, life, self._can_stand_for_election()], None)
 
     def _told(self, peer: str, leader: str | None, evidence: Any) -> None:
         """An answer to `join`: who leads, and which committed map says that nothing of this disk counts."""
-        if evidence is not None and self._stands() and tuple(evidence) > self.term_index:
+        if evidence is not None and self._can_stand_for_election() and tuple(evidence) > self.term_index:
             return self._give_up()
-        if leader not in (None, peer, self.me):
+        if leader not in (None, peer, self.ip):
             self._ask_to_join(str(leader))
 
     def _give_up(self) -> None:
         """Nothing of this disk counts any more: on from here as with an empty one, in a new incarnation."""
         self.step_down("is no voter any more")
-        self.tell(events.TAKEN_OFF, life=self.vote.life, term=self.term_index[0], index=self.term_index[1])
-        self.incarnation = max(self.incarnation, self.vote.life) % LIVES + 1
-        self.staged, self.state = self.state.entries, Snapshot((0, 0), RangedMap())
+        self.log_event(
+            events.TAKEN_OFF, life=self.vote.incarnation, term=self.term_index[0], index=self.term_index[1]
+        )
+        self.incarnation = max(self.incarnation, self.vote.incarnation) % LIVES + 1
+        self.staged_entries, self.snapshot = self.snapshot.entries, Snapshot((0, 0), RangedMap())
         self.changes = ChangeLog()
-        self.vote, self.leader = PersistentVote(0, None, False), None
+        self.vote, self.leader_ip = PersistentVote(0, None, False), None
         self._become_learner()
-        self.keep(self.vote, None, lambda ok: None)
+        self.persist(self.vote, None, lambda ok: None)
 
     def _evidence(self, ip: str, life: int) -> list[int] | None:
         """The committed map's term and index, if by it nothing of that disk counts."""
-        known = self.news.state
+        known = self.committed_state.snapshot
         told = known.term_index != (0, 0) and is_displaced(known.entries.map, ip, life)
         return [*known.term_index] if told else None
 
-    def _stands(self) -> bool:
+    def _can_stand_for_election(self) -> bool:
         """Whether this member may stand for election."""
-        return self.vote.voter and incarnation_matches(self.state.entries.map, self.me, self.vote.life)
+        entries = self.snapshot.entries.map
+        return self.vote.is_voter and incarnation_matches(entries, self.ip, self.vote.incarnation)
 
-    def _put_off(self, span: tuple[float, float] = ELECTION_TIMEOUT_SECONDS) -> None:
-        slow = 2 * self.write_s if span is AGAIN_S else 0.0  # votes are written before they are given
-        self.deadline = self.now + self.chance.uniform(*span) + slow
+    def _reset_election_timer(self, span: tuple[float, float] = ELECTION_TIMEOUT_SECONDS) -> None:
+        slow = (
+            2 * self.last_write_seconds if span is AGAIN_S else 0.0
+        )  # votes are written before they are given
+        self.election_deadline = self.now + self.random.uniform(*span) + slow
 
     def _called(self, event: RequestReceived) -> None:
-        if not self.vote.voter and self.now < self.mute_until:
-            return self.reply(event.ref, Failure(FailureReason.UNAVAILABLE, "mute"))
+        if not self.vote.is_voter and self.now < self.quarantined_until:
+            return self.reply(event.reply_to, Failure(FailureReason.UNAVAILABLE, "mute"))
         try:
             match event.method, event.body:
                 case "append", [int(), str(), int(), int(), int(), int(), int(), _]:
-                    self._append(event.ref, event.body)
+                    self._append(event.reply_to, event.body)
                 case "request_vote", [int(), str(), int(), int(), bool()]:
-                    self._request_vote(event.ref, *event.body)
+                    self._request_vote(event.reply_to, *event.body)
                 case "join", [str(), int(), bool()]:
                     ip, life, stands = event.body
-                    if self.lead and not stands:
-                        self.lead.learn(ip, life)
-                    self.reply(event.ref, [self.leader, self._evidence(ip, life) if stands else None])
+                    if self.leader_role and not stands:
+                        self.leader_role.learn(ip, life)
+                    self.reply(event.reply_to, [self.leader_ip, self._evidence(ip, life) if stands else None])
                 case "succeed", [int()]:
-                    self._succeed(event.ref, event.body[0])
+                    self._succeed(event.reply_to, event.body[0])
                 case _:
-                    self.reply(event.ref, Failure(FailureReason.INVALID, event.method))
+                    self.reply(event.reply_to, Failure(FailureReason.INVALID, event.method))
         except (ValueError, TypeError, LookupError) as error:
-            self.reply(event.ref, Failure(FailureReason.INVALID, str(error)))
+            self.reply(event.reply_to, Failure(FailureReason.INVALID, str(error)))
 
     # ---- elections
     def _try(self) -> None:
         """Ask whether a majority would vote for this member."""
-        self._put_off(AGAIN_S)
-        self.leader = None
-        self.attempt = self._attempt(self.vote.term + 1, True)
+        self._reset_election_timer(AGAIN_S)
+        self.leader_ip = None
+        self.election = self._attempt(self.vote.term + 1, True)
         self._ask()
 
     def _attempt(self, term: int, pre: bool) -> ElectionAttempt:
-        return ElectionAttempt(term, pre, voter_incarnations(self.state.entries.map), self.now, {self.me})
+        return ElectionAttempt(term, pre, voter_incarnations(self.snapshot.entries.map), self.now, {self.ip})
 
     def _stand(self) -> None:
         """Ask for votes, having voted for oneself."""
-        self._put_off(AGAIN_S)
-        self.leader = None
-        self.attempt = None
+        self._reset_election_timer(AGAIN_S)
+        self.leader_ip = None
+        self.election = None
         term = self.vote.term + 1
-        self.keep(self.vote._replace(term=term, voted_for=self.me), None, lambda ok: self._stood(ok, term))
+        self.persist(self.vote._replace(term=term, voted_for=self.ip), None, lambda ok: self._stood(ok, term))
 
     def _stood(self, ok: bool, term: int) -> None:
         if ok:
-            self._put_off(AGAIN_S)
-            self.attempt = self._attempt(term, False)
+            self._reset_election_timer(AGAIN_S)
+            self.election = self._attempt(term, False)
             self._ask()
         else:
-            self._put_off()
+            self._reset_election_timer()
 
     def _ask(self) -> None:
-        attempt = self.attempt
+        attempt = self.election
         assert attempt is not None
-        body = [attempt.term, self.me, *self.term_index, attempt.pre]
+        body = [attempt.term, self.ip, *self.term_index, attempt.pre]
         for ip in attempt.members:
-            if ip != self.me:
+            if ip != self.ip:
                 self.send(ip, "request_vote", body, (attempt.term, attempt.pre))
         self._elected()
 
     def _elected(self) -> None:
-        attempt = self.attempt
+        attempt = self.election
         if attempt is None or len(attempt.votes & {*attempt.members}) < quorum(len(attempt.members)):
             return
         if attempt.pre:
             return self._stand()
-        self.attempt, self.leader, self.staged = None, self.me, None
-        self._echoes = []
-        self.lead = Leader(self, self.decide)
-        self.lead.begin()
+        self.election, self.leader_ip, self.staged_entries = None, self.ip, None
+        self._clock_echoes = []
+        self.leader_role = Leader(self, self.command_handler)
+        self.leader_role.begin()
 
     def _request_vote(
         self,
@@ -330,41 +345,41 @@
         index: int,
         pre: bool,
     ) -> None:
-        if not self.vote.voter:
+        if not self.vote.is_voter:
             return self.reply(ref, Failure(FailureReason.UNAVAILABLE, "learner"))
         fit = (last_term, index) >= self.term_index
         if pre:
-            calm = self.lead is None and self.now >= max(
-                self.calm_from, self.heard_at + ELECTION_TIMEOUT_SECONDS[0]
+            calm = self.leader_role is None and self.now >= max(
+                self.votes_withheld_until, self.leader_heard_at + ELECTION_TIMEOUT_SECONDS[0]
             )
             granted = fit and calm and term > self.vote.term
             if granted:
-                self.deadline = max(self.deadline, self.now + GRACE_S)
-            return self.reply(ref, [self.vote.term, granted, self.vote.life])
+                self.election_deadline = max(self.election_deadline, self.now + GRACE_S)
+            return self.reply(ref, [self.vote.term, granted, self.vote.incarnation])
         if term < self.vote.term:
             return self.reply(ref, [self.vote.term, False])
         if term == self.vote.term and self.vote.voted_for is not None:
-            return self.reply(ref, [term, self.vote.voted_for == candidate, self.vote.life])
+            return self.reply(ref, [term, self.vote.voted_for == candidate, self.vote.incarnation])
         self.step_down("a higher term")
-        self.leader = None
+        self.leader_ip = None
         if fit:
-            self._put_off()
-            self.calm_from = self.now + GRACE_S + 2 * self.write_s
+            self._reset_election_timer()
+            self.votes_withheld_until = self.now + GRACE_S + 2 * self.last_write_seconds
         vote = self.vote._replace(term=term, voted_for=candidate if fit else None)
         if vote == self.vote:
             return self.reply(ref, [term, False])
-        yes = [term, fit, vote.life]
-        self.keep(
+        yes = [term, fit, vote.incarnation]
+        self.persist(
             vote, None, lambda ok: self.reply(ref, yes if ok else Failure(FailureReason.REJECTED, "disk"))
         )
 
     def _voted(self, event: ResponseReceived) -> None:
-        attempt = self.attempt
-        if isinstance(event.body, Failure) or not self.vote.voter:
+        attempt = self.election
+        if isinstance(event.body, Failure) or not self.vote.is_voter:
             return
         theirs, granted, *life = event.body
         if theirs > (self.vote.term if attempt is None or attempt.pre else attempt.term):
-            return self.higher(theirs)
+            return self.observe_higher_term(theirs)
         if attempt is None or event.context != (attempt.term, attempt.pre):
             return
         if (
@@ -379,42 +394,47 @@
         self._elected()
 
     def _succeed(self, ref: Any, term: int) -> None:
-        if term != self.vote.term or not self._stands() or self.lead or self.leaving is not None:
+        if (
+            term != self.vote.term
+            or not self._can_stand_for_election()
+            or self.leader_role
+            or self.shutdown_deadline is not None
+        ):
             return self.reply(ref, Failure(FailureReason.REJECTED, "not now"))
         self.reply(ref, [True])
         self._stand()
 
-    def higher(self, term: int) -> None:
+    def observe_higher_term(self, term: int) -> None:
         """Someone is at a higher term: so is this member from now on."""
         if term <= self.vote.term:
             return
         self.step_down("a higher term")
-        self.leader = None
-        self.keep(self.vote._replace(term=term, voted_for=None), None, lambda ok: None)
+        self.leader_ip = None
+        self.persist(self.vote._replace(term=term, voted_for=None), None, lambda ok: None)
 
     def step_down(self, why: str) -> None:
-        self.attempt = None
-        self._echoes = []
-        if self.lead:
-            self.tell(events.STEPPED_DOWN, term=self.lead.term, why=why)
-            lead, self.lead, self.leader = self.lead, None, None
+        self.election = None
+        self._clock_echoes = []
+        if self.leader_role:
+            self.log_event(events.STEPPED_DOWN, term=self.leader_role.term, why=why)
+            lead, self.leader_role, self.leader_ip = self.leader_role, None, None
             lead.end()
-            self._put_off()
+            self._reset_election_timer()
 
     # ---- following
     def _append(self, ref: Any, body: list[Any]) -> None:
         term, leader, round_, index, commit, echo, proved, payload = body
         if term < self.vote.term:
             return self.reply(ref, [self.vote.term, OLD, 0])
-        if term == self.vote.term and self.lead:
+        if term == self.vote.term and self.leader_role:
             raise InvariantError(f"two leaders in term {term}")
         newer = term > self.vote.term
-        if newer or self.leader != leader:
+        if newer or self.leader_ip != leader:
             self.step_down("another leads")
-            self.tell(events.FOLLOWS, term=term, leader=leader)
-        self.attempt, self.leader, self.heard_at = None, leader, self.now
-        self._round_heard = max(self._round_heard, (term, round_))
-        self._put_off()
+            self.log_event(events.FOLLOWS, term=term, leader=leader)
+        self.election, self.leader_ip, self.leader_heard_at = None, leader, self.now
+        self._newest_round_heard = max(self._newest_round_heard, (term, round_))
+        self._reset_election_timer()
         named = (term, index)
         self._learn(term, commit)
         entries = self._received(payload, named)
@@ -426,11 +446,11 @@
             if not ok:
                 return self.reply(ref, Failure(FailureReason.REJECTED, "disk"))
             if restored:
-                self.tell(events.PROMOTED, term=term, index=index)
-            elif state is not None and entries is self.staged:
-                self.tell(events.MENDED, term=term, index=index)
+                self.log_event(events.PROMOTED, term=term, index=index)
+            elif state is not None and entries is self.staged_entries:
+                self.log_event(events.MENDED, term=term, index=index)
             if state is not None or restored:
-                self.staged = None
+                self.staged_entries = None
             self._learn(term, commit)
             self._renew(round_, echo, commit, proved)
             self.reply(ref, self._answer(term, named, payload))
@@ -438,15 +458,15 @@
                 self._give_up()
 
         if restored:
-            self.keep(
-                PersistentVote(term, self.vote.voted_for or leader, True, self.incarnation), self.state, on
+            self.persist(
+                PersistentVote(term, self.vote.voted_for or leader, True, self.incarnation), self.snapshot, on
             )
-        elif not self.vote.voter:  # in memory only: on the disk nothing of it may count before it votes
+        elif not self.vote.is_voter:  # in memory only: on the disk nothing of it may count before it votes
             self.vote = vote or self.vote
-            self.accept(state or self.state)
+            self.accept_snapshot(state or self.snapshot)
             on(True)
         elif vote or state:
-            self.keep(vote, state, on)
+            self.persist(vote, state, on)
         else:
             on(True)
 
@@ -459,57 +479,72 @@
             term, index, set_, gone, digest = rest
             if (term, index) != self.term_index:
                 return None
-            entries = self.state.entries.changed(set_, gone)
+            entries = self.snapshot.entries.with_changes(set_, gone)
         elif kind in (RANGES, PARTS):
             ranges, digest = rest[0], rest[-1]
             sets, gone = rest[1:3] if kind == PARTS else ({}, [])
-            entries = self.staged = (self.staged or self.state.entries).replaced(ranges).changed(sets, gone)
+            entries = self.staged_entries = (
+                (self.staged_entries or self.snapshot.entries).with_ranges(ranges).with_changes(sets, gone)
+            )
         else:
             return None
         return entries if entries.digest() == digest else None
 
     def _promoted(self, payload: Any, named: tuple[int, int]) -> bool:
         """Whether the leader says that this life of a learner counts from now on."""
-        if self.vote.voter or not isinstance(payload, bytes):
+        if self.vote.is_voter or not isinstance(payload, bytes):
             return False
         kind, *rest = unpack(payload)
         return kind == PROMOTE and rest[0] == self.incarnation and self.term_index == tuple(rest[1:] or named)
 
     def _answer(self, term: int, named: tuple[int, int], payload: Any) -> list[Any]:
-        self._token += 1
-        self._tokens[self._token] = self.now
-        while len(self._tokens) > ECHOES:
-            del self._tokens[next(iter(self._tokens))]
+        self._last_clock_token += 1
+        self._clock_tokens[self._last_clock_token] = self.now
+        while len(self._clock_tokens) > ECHOES:
+            del self._clock_tokens[next(iter(self._clock_tokens))]
         holds = self.term_index == named
         digests = None
         if not holds and payload is not None and self.term_index < named:
-            digests = (self.staged or self.state.entries).digests()
-        if not self.vote.voter:
-            return [term, LEARNER, self._token, self.incarnation, holds, digests, [*self.term_index]]
+            digests = (self.staged_entries or self.snapshot.entries).range_digests()
+        if not self.vote.is_voter:
+            return [
+                term,
+                LEARNER,
+                self._last_clock_token,
+                self.incarnation,
+                holds,
+                digests,
+                [*self.term_index],
+            ]
         if not holds:
-            return [term, BEHIND, self._token, digests, [*self.term_index]]
-        return [term, YES, self._token, *([] if self._stands() else [self.vote.life])]
+            return [term, BEHIND, self._last_clock_token, digests, [*self.term_index]]
+        return [
+            term,
+            YES,
+            self._last_clock_token,
+            *([] if self._can_stand_for_election() else [self.vote.incarnation]),
+        ]
 
     def _displaced(self) -> bool:
         """Whether the map that it holds is committed, and says that nothing of this disk counts."""
         return (
-            self.vote.voter
-            and self.news.term_index == self.term_index
-            and is_displaced(self.state.entries.map, self.me, self.vote.life)
+            self.vote.is_voter
+            and self.committed_state.term_index == self.term_index
+            and is_displaced(self.snapshot.entries.map, self.ip, self.vote.incarnation)
         )
 
     def _learn(self, term: int, commit: int) -> None:
         """A leader proposes one at a time: what it proposed up to its `commit` is committed."""
         if self.term_index[0] == term and self.term_index[1] <= commit:
-            self.committed(self.state)
+            self.advance_committed(self.snapshot)
 
     def _renew(self, round_: int, echo: int, commit: int, proved: int) -> None:
         """`echo` was this member's time before round `round_` began, when `commit` was the newest; rounds up
         to `proved` were answered by a majority: so there was no newer leader at that time."""
-        self._echoes = [*self._echoes[-ECHOES:], (round_, echo, commit)]
-        term_index = self.news.term_index
-        for round_, echo, commit in self._echoes:
+        self._clock_echoes = [*self._clock_echoes[-ECHOES:], (round_, echo, commit)]
+        term_index = self.committed_state.term_index
+        for round_, echo, commit in self._clock_echoes:
             known = commit and term_index >= (self.vote.term, commit)
-            if round_ <= proved and known and echo in self._tokens:
-                self.proven(self._tokens[echo])
-        self._echoes = [one for one in self._echoes if one[0] > proved]
+            if round_ <= proved and known and echo in self._clock_tokens:
+                self.confirm_freshness(self._clock_tokens[echo])
+        self._clock_echoes = [one for one in self._clock_echoes if one[0] > proved]
--- a/ashlift/configstore/replica_runner.py
+++ b/ashlift/configstore/replica_runner.py
@@ -65,14 +65,14 @@
 
     def start(self) -> None:
         """Let the replica begin with what its disk holds."""
-        self._execute(self.replica.begin(self.clock()))
+        self._execute(self.replica.start(self.clock()))
 
     def run(self) -> None:
         """Feed the clock to the replica until it has handed over."""
         while not self.stopped.is_set():
-            if self.clock() >= self.replica.due():
+            if self.clock() >= self.replica.next_tick_at():
                 self.feed(ClockTicked())
-            until_due = self.replica.due() - self.clock()
+            until_due = self.replica.next_tick_at() - self.clock()
             self.stopped.wait(min(MAX_SLEEP_SECONDS, max(MIN_SLEEP_SECONDS, until_due)))
 
     def feed(self, event: ReplicaEvent) -> None:
@@ -114,7 +114,7 @@
             case SendRequest():
                 gevent.spawn(self._send, effect, self.clock())
             case SendReply():
-                effect.ref.set(effect.body)
+                effect.reply_to.set(effect.body)
             case PersistState():
                 self._persist(effect)
             case LogEvent():
@@ -133,7 +133,7 @@
         self._effects.extend(self.replica.handle(self.clock(), StatePersisted(failure is None)))
 
     def _notify_watchers(self) -> None:
-        index = self.replica.news.index
+        index = self.replica.committed_state.index
         if index == self._committed_index:
             return
         self._committed_index = index
--- a/ashlift/configstore/replica_state.py
+++ b/ashlift/configstore/replica_state.py
@@ -48,44 +48,46 @@
     """Durable state changes only through `keep`; nothing that depends on it is said before it is kept."""
 
     def __init__(self, me: str, chance: random.Random, vote: PersistentVote, state: Snapshot) -> None:
-        self.me, self.chance = me, chance
-        self.vote, self.state = vote, state
-        self.tolerated = 1  # losses at once that the voters must bear
+        self.ip, self.random = me, chance
+        self.vote, self.snapshot = vote, state
+        self.tolerated_failures = 1  # losses at once that the voters must bear
         self.now = 0.0
-        self.news = CommittedState()
-        self.changes = ChangeLog()  # of all that was accepted in this life
-        self.changes.advance(state.term_index, state.entries)
+        self.committed_state = CommittedState()
+        self.change_log = ChangeLog()  # of all that was accepted in this life
+        self.change_log.record(state.term_index, state.entries)
         self.effects: list[Effect] = []
-        self.then: Callable[[bool], None] | None = None
-        self.write_s = 0.0  # what the last write took
-        self._kept_from = 0.0
-        self._listed: tuple[RangedMap, list[str]] | None = None  # the members of the map asked for last
-        self._keeping: tuple[PersistentVote | None, Snapshot | None] = (None, None)
+        self._after_persist: Callable[[bool], None] | None = None
+        self.last_write_seconds = 0.0  # what the last write took
+        self._persist_started_at = 0.0
+        self._voters_cache: tuple[RangedMap, list[str]] | None = None  # the members of the map asked for last
+        self._pending_persist: tuple[PersistentVote | None, Snapshot | None] = (None, None)
 
     # ---- effects
-    def keep(self, vote: PersistentVote | None, state: Snapshot | None, then: Callable[[bool], None]) -> None:
+    def persist(
+        self, vote: PersistentVote | None, state: Snapshot | None, then: Callable[[bool], None]
+    ) -> None:
         """Make these durable and go on with `then(ok)`. Last thing a handler does."""
-        if self.then is not None:
+        if self._after_persist is not None:
             raise InvariantError("two writes at a time")
         if vote is not None:
             if vote.term < self.vote.term:
                 raise InvariantError(f"term {vote.term} after {self.vote.term}")
             if vote.term == self.vote.term and self.vote.voted_for not in (None, vote.voted_for):
                 raise InvariantError(f"a second vote in term {vote.term}")
-        if state is not None and self.vote.voter and state.term_index <= self.state.term_index:
-            raise InvariantError(f"stamp {state.term_index} after {self.state.term_index}")
-        self._keeping, self.then, self._kept_from = (vote, state), then, self.now
+        if state is not None and self.vote.is_voter and state.term_index <= self.snapshot.term_index:
+            raise InvariantError(f"stamp {state.term_index} after {self.snapshot.term_index}")
+        self._pending_persist, self._after_persist, self._persist_started_at = (vote, state), then, self.now
         self.effects.append(PersistState(vote, state))
 
-    def kept(self, ok: bool) -> None:
-        vote, state = self._keeping
-        then, self.then = self.then, None
-        self.write_s = min(self.now - self._kept_from, WRITE_MOST_S)
+    def complete_persist(self, ok: bool) -> None:
+        vote, state = self._pending_persist
+        then, self._after_persist = self._after_persist, None
+        self.last_write_seconds = min(self.now - self._persist_started_at, WRITE_MOST_S)
         if then is None:
             raise InvariantError("kept what was not to be kept")
         if ok:
             self.vote = vote or self.vote
-            self.accept(state or self.state)
+            self.accept_snapshot(state or self.snapshot)
         then(ok)
 
     def send(self, peer: str, method: str, body: Any, context: Any) -> None:
@@ -95,35 +97,35 @@
         if ref is not None:
             self.effects.append(SendReply(ref, body))
 
-    def tell(self, event: tuple[int, str], **fields: Any) -> None:
+    def log_event(self, event: tuple[int, str], **fields: Any) -> None:
         self.effects.append(LogEvent(event, fields))
 
     # ---- state
-    def accept(self, state: Snapshot) -> None:
-        self.state = state
-        self.changes.advance(state.term_index, state.entries)
+    def accept_snapshot(self, state: Snapshot) -> None:
+        self.snapshot = state
+        self.change_log.record(state.term_index, state.entries)
 
     @property
     def term_index(self) -> TermIndex:
-        return self.state.term_index
+        return self.snapshot.term_index
 
-    def members(self, state: Snapshot | None = None) -> list[str]:
+    def voters(self, state: Snapshot | None = None) -> list[str]:
         """The voters of the newest accepted map, in order."""
-        entries = (state or self.state).entries
-        if self._listed is None or self._listed[0] is not entries:
-            self._listed = entries, addresses_under(entries.map, VOTER_PREFIX)
-        return [*self._listed[1]]
+        entries = (state or self.snapshot).entries
+        if self._voters_cache is None or self._voters_cache[0] is not entries:
+            self._voters_cache = entries, addresses_under(entries.map, VOTER_PREFIX)
+        return [*self._voters_cache[1]]
 
-    def committed(self, state: Snapshot) -> None:
-        self.news.advance(state)
+    def advance_committed(self, state: Snapshot) -> None:
+        self.committed_state.advance(state)
 
-    def proven(self, at: float) -> None:
+    def confirm_freshness(self, at: float) -> None:
         """The committed map was the newest of all at the steady time `at`."""
-        self.news.lease = max(self.news.lease, at)
+        self.committed_state.freshness_confirmed_at = max(self.committed_state.freshness_confirmed_at, at)
 
     # ---- the member's part
     def step_down(self, why: str) -> None:
         raise NotImplementedError
 
-    def higher(self, term: int) -> None:
+    def observe_higher_term(self, term: int) -> None:
         raise NotImplementedError
--- a/ashlift/configstore/replica_storage.py
+++ b/ashlift/configstore/replica_storage.py
@@ -30,8 +30,8 @@
 
     def persist(self, request: PersistState) -> Failure | None:
         """Make the given parts durable, the snapshot first. After a Failure none, one or both are."""
-        if request.state is not None:
-            failure = self._snapshots.write(_encode_snapshot(request.state))
+        if request.snapshot is not None:
+            failure = self._snapshots.write(_encode_snapshot(request.snapshot))
             if failure is not None:
                 return failure
         if request.vote is None:
@@ -50,7 +50,7 @@
 
 def _encode_snapshot(snapshot: Snapshot) -> Records:
     entries = snapshot.entries
-    ranges = {f"{number:02}": entries.packed(number) for number in entries.filled()}
+    ranges = {f"{number:02}": entries.encoded_range(number) for number in entries.nonempty_ranges()}
     return {**ranges, _TERM_INDEX_RECORD: cbor2.dumps([*snapshot.term_index])}
 
 
@@ -60,6 +60,6 @@
     try:
         term, index = cbor2.loads(records.pop(_TERM_INDEX_RECORD))
         ranges = {int(number): data for number, data in records.items()}
-        return Snapshot((term, index), RangedMap().replaced(ranges))
+        return Snapshot((term, index), RangedMap().with_ranges(ranges))
     except (cbor2.CBORDecodeError, LookupError, TypeError, ValueError) as error:
         return Failure(FailureReason.INVALID, str(error))
--- a/ashlift/configstore/request_handlers.py
+++ b/ashlift/configstore/request_handlers.py
@@ -89,8 +89,8 @@
         command = requests.decode_membership(body)
         if isinstance(command, Failure):
             return command
-        if command.do == requests.SHOW_MEMBERS and self._replica.lead is not None:
-            return requests.encode_members(self._replica.lead.table())
+        if command.action == requests.SHOW_MEMBERS and self._replica.leader_role is not None:
+            return requests.encode_members(self._replica.leader_role.membership_table())
 
         def make_event(reference: Any) -> Event:
             return CommandSubmitted(reference, command)
@@ -104,7 +104,7 @@
             return request
         clock = self._runner.clock
         deadline = clock() + request.wait_seconds
-        while self._replica.news.index <= request.known_index and clock() < deadline:
+        while self._replica.committed_state.index <= request.known_index and clock() < deadline:
             self._runner.wait_for_commit(max(0.0, deadline - clock()))
         return watch.respond(self._fragmenter, self._replica, request, clock())
 
--- a/ashlift/configstore/server.py
+++ b/ashlift/configstore/server.py
@@ -88,8 +88,8 @@
         return self._pending_edits
 
     def _committed_map(self) -> tuple[int, Mapping[str, Any]]:
-        committed = self.replica.news
-        return committed.index, committed.state.entries.map
+        committed = self.replica.committed_state
+        return committed.index, committed.snapshot.entries.map
 
     def _merge_pending_edits(self, pending_edits: "PendingEditStorage") -> None:
         from ashlift.configstore.pending_edits import MERGE_INTERVAL_SECONDS
@@ -108,7 +108,7 @@
     seeds = sorted({host for host, _ in settings.seeds})
     random_source = random.Random(os.urandom(_RANDOM_SEED_BYTES))
     replica = Replica(settings.ip, seeds, settings.bootstrap, vote, snapshot, decide_or_refuse, random_source)
-    replica.tolerated = max(1, settings.fault_tolerance.machines)
+    replica.tolerated_failures = max(1, settings.fault_tolerance.machines)
     return replica
 
 
--- a/ashlift/configstore/watch.py
+++ b/ashlift/configstore/watch.py
@@ -16,15 +16,15 @@
 
 def respond(fragmenter: Fragmenter, replica: Replica, request: WatchRequest, now: float) -> dict[str, Any]:
     """The response: what changed since the watcher's index, and what is known of leader and heartbeats."""
-    committed = replica.news
-    age = now - committed.lease
+    committed = replica.committed_state
+    age = now - committed.freshness_confirmed_at
     status = WatchStatus(
         age_seconds=age if age != float("inf") else None,
         term=replica.vote.term,
-        leader=replica.leader,
-        heartbeat_round=replica.round_known(),
+        leader=replica.leader_ip,
+        heartbeat_round=replica.newest_heartbeat_round(),
     )
-    changes = fragment_changes(fragmenter, committed.since(request.known_index), request, now)
+    changes = fragment_changes(fragmenter, committed.changes_since(request.known_index), request, now)
     return encode_watch(changes, status)
 
 
--- a/ashlift/simulation/catching.py
+++ b/ashlift/simulation/catching.py
@@ -106,7 +106,7 @@
     def begin(self) -> None:
         super().begin()
         assert self.member is not None
-        self.member.decide = decide
+        self.member.command_handler = decide
 
     def _feed(self, event: Any) -> None:
         began = time.process_time()
@@ -192,9 +192,11 @@
 
     def leader(self) -> str | None:
         leads = [
-            (one.member.lead.term, name)
+            (one.member.leader_role.term, name)
             for name in self.names
-            if (one := self.store(name)).member and one.member.lead and one.member.lead.commit
+            if (one := self.store(name)).member
+            and one.member.leader_role
+            and one.member.leader_role.commit_index
         ]
         return max(leads)[1] if leads else None
 
@@ -205,7 +207,7 @@
             self.loop.run(min(until, self.loop.now + 0.01))
             name = self.leader()
             member = self.store(name).member if name else None
-            index = member.news.index if member else 0
+            index = member.committed_state.index if member else 0
             if index > (self.commits[-1][1] if self.commits else 0):
                 self.commits.append((self.loop.now, index))
 
@@ -222,7 +224,7 @@
         while True:
             name = self.leader() or self.names[0]
             member = self.store(name).member
-            round_ = member.round_known() if member else (0, 0)
+            round_ = member.newest_heartbeat_round() if member else (0, 0)
             fence = [*round_, 0, PATIENCE_S]
             order = {"kind": "put", "if_match": self.version, "body": sets, "fence": fence}
             answer = yield self.desk.call(name, store.KIND, "submit", order, PATIENCE_S)
@@ -271,7 +273,7 @@
     def _members(self) -> int:
         name = self.leader()
         member = self.store(name).member if name else None
-        return len(member.members(member.news.state)) if member else 0
+        return len(member.voters(member.committed_state.snapshot)) if member else 0
 
     def votes(self, name: str) -> bool:
         member = self.store(name).member
@@ -280,7 +282,7 @@
     def late(self, name: str) -> float:
         """s since the first commit that it does not know to be one."""
         member = self.store(name).member
-        index = member.news.index if member and self.votes(name) else 0
+        index = member.committed_state.index if member and self.votes(name) else 0
         behind = [at for at, one in reversed(self.commits[-4000:]) if one > index]
         return self.loop.now - behind[-1] if behind else 0.0
 
--- a/ashlift/simulation/cell.py
+++ b/ashlift/simulation/cell.py
@@ -30,15 +30,15 @@
     (
         "now",
         "effects",
-        "write_s",
-        "_kept_from",
-        "_keeping",
+        "last_write_seconds",
+        "_persist_started_at",
+        "_pending_persist",
         "_deferred",
-        "me",
+        "ip",
         "seeds",
-        "decide",
-        "chance",
-        "_packed",
+        "command_handler",
+        "random",
+        "_encoded_deltas",
         "_ranged",
     )
 )
@@ -109,7 +109,7 @@
     if kind is set:
         return tuple(sorted(one))
     if kind in (ReadRequested, CommandSubmitted):
-        return kind.__name__, getattr(one, "order", None), getattr(one, "fence", None)
+        return kind.__name__, getattr(one, "command", None), getattr(one, "fencing_token", None)
     if isinstance(one, (list, tuple, deque)):
         return tuple([known(value, seen) for value in one])
     return kind.__name__
@@ -133,12 +133,12 @@
         """When its timer ends; as in the daemon, it is not asked without a pause."""
         if self.member is None:
             return float("inf")
-        due = self.member.due()
+        due = self.member.next_tick_at()
         return max(self.frozen, due if due > self.woken else round(self.woken + PAUSE_S, 6))
 
     def leads(self) -> bool:
         """Whether it believes so."""
-        return self.member is not None and self.member.lead is not None
+        return self.member is not None and self.member.leader_role is not None
 
     def key(self) -> Hashable:
         if self._key is None:
@@ -243,4 +243,4 @@
         newest = max(states, key=lambda state: state.term_index, default=None)
         names = [ip for ip in self.places if newest and VOTER_PREFIX + ip in newest.entries.map]
         begun = [self.places[ip] for ip in names if self.places[ip].life]
-        return sum(one.vote is None or not one.vote.voter for one in begun)
+        return sum(one.vote is None or not one.vote.is_voter for one in begun)
--- a/ashlift/simulation/clerks.py
+++ b/ashlift/simulation/clerks.py
@@ -79,7 +79,7 @@
 
 def agreed(stores: list[Store]) -> Mapping[str, Any]:
     """The newest map known to be committed."""
-    states = [one.member.news.state for one in stores if one.member]
+    states = [one.member.committed_state.snapshot for one in stores if one.member]
     found: Mapping[str, Any] = max(states, key=lambda state: state.term_index).entries.map if states else {}
     return found
 
--- a/ashlift/simulation/figures.py
+++ b/ashlift/simulation/figures.py
@@ -186,8 +186,14 @@
         if process.up:
             begun = min(begun, world.loop.now)
         member = process.member if isinstance(process, store.Store) else None
-        newest = max((other.member.news.state for other in world.stores() if other.member), key=_stamp)
-        if member and member.vote.voter and member.news.state.term_index == newest.term_index:
+        newest = max(
+            (other.member.committed_state.snapshot for other in world.stores() if other.member), key=_stamp
+        )
+        if (
+            member
+            and member.vote.is_voter
+            and member.committed_state.snapshot.term_index == newest.term_index
+        ):
             return world.loop.now - begun, counted.bytes / 1000, counted.calls
     return math.inf, math.inf, 0
 
--- a/ashlift/simulation/members.py
+++ b/ashlift/simulation/members.py
@@ -149,7 +149,7 @@
         node.offset = self.chance.uniform(0, 1000)  # another steady clock in each life
         seeds = node.seeds or self.seeds
         node.member = Replica(ip, seeds, bootstrap, node.vote, node.state, decide, self.chance)
-        self._do(node, node.member.begin(self._clock(node)))
+        self._do(node, node.member.start(self._clock(node)))
         self._tick(node, node.life)
 
     def kill(self, ip: str) -> None:
@@ -158,8 +158,8 @@
         keep, node.writing, node.member = node.writing, None, None
         if keep is not None:
             done = self.chance.randrange(3)
-            if done and keep.state is not None:
-                node.state = keep.state
+            if done and keep.snapshot is not None:
+                node.state = keep.snapshot
             if done == 2 and keep.vote is not None:
                 node.vote = keep.vote
 
@@ -224,7 +224,7 @@
             self.start(ip)
 
     def learners(self) -> int:
-        return sum(node.vote is None or not node.vote.voter for node in self.nodes.values())
+        return sum(node.vote is None or not node.vote.is_voter for node in self.nodes.values())
 
     def count(self) -> int:
         """Members by the newest map on a disk."""
@@ -245,14 +245,14 @@
         counting = [
             ip
             for ip, vote in there.items()
-            if vote and vote.voter and incarnation_matches(map, ip, vote.life)
+            if vote and vote.is_voter and incarnation_matches(map, ip, vote.incarnation)
         ]
         return len(counting) - quorum(len(voters) + 1)
 
     def leader(self) -> str | None:
         """One that believes that it leads; of several the newest."""
         up = [(ip, node.member) for ip, node in self.nodes.items() if node.member]
-        return max(((one.lead.term, ip) for ip, one in up if one.lead), default=(0, None))[1]
+        return max(((one.leader_role.term, ip) for ip, one in up if one.leader_role), default=(0, None))[1]
 
     # ---- clients
     def put(self, ip: str, base: int | None = None, name: str = "") -> Op:
@@ -285,7 +285,7 @@
         if node.inbox is None:
             self._feed(node, life, ClockTicked())
         if node.member is not None:
-            wait = node.member.due() - self._clock(node)
+            wait = node.member.next_tick_at() - self._clock(node)
             self.later(min(0.15, max(0.01, wait)), lambda: self._tick(node, life))
 
     def _feed(self, node: Node, life: int, event: Any) -> None:
@@ -301,7 +301,7 @@
             match effect:
                 case SendRequest():
                     self._send(node, effect)
-                case SendReply(ref=Op() as op):
+                case SendReply(reply_to=Op() as op):
                     self._answer(op, effect.body)
                 case SendReply():
                     self._reply(node, effect)
@@ -324,13 +324,13 @@
             self.kill_write(node, keep)
             return self._feed(node, life, StatePersisted(False))
         node.writing = None
-        node.state, node.vote = keep.state or node.state, keep.vote or node.vote
+        node.state, node.vote = keep.snapshot or node.state, keep.vote or node.vote
         self._feed(node, life, StatePersisted(True))
 
     def kill_write(self, node: Node, keep: PersistState) -> None:
         node.writing = None
-        if keep.state is not None and self.chance.random() < 0.5:
-            node.state = keep.state
+        if keep.snapshot is not None and self.chance.random() < 0.5:
+            node.state = keep.snapshot
 
     def _delay(self) -> float:
         return self.chance.uniform(0.001, 0.02) * (30 if self.chance.random() < self.slow else 1)
@@ -372,7 +372,7 @@
         self.later(CALL_TIMEOUT_SECONDS, over)
 
     def _reply(self, node: Node, reply: SendReply) -> None:
-        call, send, sent_at = reply.ref
+        call, send, sent_at = reply.reply_to
         asked = send.method == "request_vote" and not send.body[4]
         if asked and isinstance(reply.body, list) and reply.body[1]:
             self.sworn = self.sworn.voted(node.ip, node.disk_life, send.body[0], call[0], node.vote)
--- a/ashlift/simulation/moves.py
+++ b/ashlift/simulation/moves.py
@@ -82,20 +82,20 @@
     """A leader has committed, all are members and vote, and all know it."""
     for place in cell.places.values():
         member = place.member
-        if member is None or not member.vote.voter or len(member.members()) < len(cell.places):
+        if member is None or not member.vote.is_voter or len(member.voters()) < len(cell.places):
             return False
-    term_indexes = {place.member.news.term_index for place in cell.places.values() if place.member}
+    term_indexes = {place.member.committed_state.term_index for place in cell.places.values() if place.member}
     return len(term_indexes) == 1 and (0, 0) not in term_indexes
 
 
 def _held(cell: Cell, ip: str) -> bool:
     """It was taken off, has learnt all from the start, and all know it."""
     member = cell.places[ip].member
-    if member is None or not member.vote.voter:
+    if member is None or not member.vote.is_voter:
         return False
-    known = {one.member.news.term_index for one in cell.places.values() if one.member}
+    known = {one.member.committed_state.term_index for one in cell.places.values() if one.member}
     held = {one.state.term_index for one in cell.places.values() if one.state}
-    return len(known) == 1 and known == held and LEARNER_PREFIX + ip in member.state.entries.map
+    return len(known) == 1 and known == held and LEARNER_PREFIX + ip in member.snapshot.entries.map
 
 
 def coming(cell: Cell) -> Mail | str:
@@ -168,7 +168,7 @@
                 yield f"{ip} is frozen{how}", Work(spent).freeze(ip, turned).done()
         if learners < cell.rules.wiped and (spent := _spent(cell, "wipe")):
             yield f"{ip} loses its disk", Work(spent).wipe(ip).done()
-        idle = place.member and not place.member.lead and place.frozen <= cell.now
+        idle = place.member and not place.member.leader_role and place.frozen <= cell.now
         if idle and (spent := _spent(cell, "early")):
             yield f"the timer of {ip} ends early", Work(spent).early(ip).done()
         if learners < cell.rules.wiped and (spent := _spent(cell, "power")):
@@ -189,7 +189,7 @@
     for number, keep in enumerate(work.kept):
         for fate in FATES:
             spent = _spent(cell, "refuse" if fate == "refused" else "crash")
-            if spent is None or (fate == "half" and None in (keep.vote, keep.state)):
+            if spent is None or (fate == "half" and None in (keep.vote, keep.snapshot)):
                 continue
             other = Work(spent, number, fate)
             other.take(what)
@@ -279,7 +279,7 @@
         draw = Draw(int(ip), place.life + 1)
         member = Replica(ip, seeds, bootstrap, place.vote, place.state, decide, draw)
         self._put(ip, member=member, life=place.life + 1)
-        self._do(ip, member, member.begin(self.now))
+        self._do(ip, member, member.start(self.now))
 
     def kill(self, ip: str) -> "Work":
         if self.places[ip].member is not None:
@@ -304,7 +304,7 @@
     def early(self, ip: str) -> "Work":
         member = self._member(ip)
         assert member is not None
-        member.deadline = self.now
+        member.election_deadline = self.now
         self._feed(ip, ClockTicked())
         return self
 
@@ -333,7 +333,7 @@
     def _do(self, ip: str, member: Replica, effects: list[Any]) -> None:
         todo = deque(effects)
         while todo:
-            if member.lead is not None:  # before a write that it may not outlive
+            if member.leader_role is not None:  # before a write that it may not outlive
                 disks = [(at, one.vote, one.state) for at, one in self.places.items()]
                 self.sworn = self.sworn.counted(member, disks)
             effect = todo.popleft()
@@ -347,15 +347,15 @@
                             "over", ip, ref, CALL_TIMEOUT_SECONDS, Failure(FailureReason.OUTCOME_UNKNOWN)
                         )
                     self.post("call", effect.peer, ref, TRIP_S, effect.body)
-                case SendReply(ref=int() as number):
+                case SendReply(reply_to=int() as number):
                     self._told(number, effect.body)
                 case SendReply():
                     self._answer(ip, effect)
                 case PersistState():
                     self.kept.append(effect)
                     fate = self.fate if len(self.kept) - 1 == self.fails else "kept"
-                    if effect.state is not None and fate in ("kept", "half", "there"):
-                        self._put(ip, state=effect.state)
+                    if effect.snapshot is not None and fate in ("kept", "half", "there"):
+                        self._put(ip, state=effect.snapshot)
                     if effect.vote is not None and fate in ("kept", "there"):
                         self._put(ip, vote=effect.vote)
                     if fate in FATES[1:]:
@@ -370,12 +370,12 @@
         self.sworn = self.sworn.seen(self.now, member, 0.0, self.places[ip].vote)
 
     def _answer(self, ip: str, reply: SendReply) -> None:
-        number, caller, _, method, _, (_, context) = reply.ref
+        number, caller, _, method, _, (_, context) = reply.reply_to
         if method == "request_vote" and not context[1] and isinstance(reply.body, list) and reply.body[1]:
             place = self.places[ip]
             self.sworn = self.sworn.voted(ip, place.disk, context[0], caller, place.vote)
         if number in self.open:
-            self.post("answer", caller, reply.ref, TRIP_S, reply.body)
+            self.post("answer", caller, reply.reply_to, TRIP_S, reply.body)
 
     # ---- clients
     def _go_on(self) -> None:
@@ -385,7 +385,7 @@
         if not self.heard and self.now < self.asked_at + PATIENCE_S:
             return
         awake = [one.member for one in self.places.values() if one.frozen <= self.now]
-        ready = any(one and one.lead and one.lead.commit for one in awake)
+        ready = any(one and one.leader_role and one.leader_role.commit_index for one in awake)
         if ready and (self.script[0] not in AGREE or self.now >= self.cell.calm_at):
             self.ask()
 
@@ -433,7 +433,9 @@
         until = begun + 0.5 if held else float("inf")
         self.calls[number] = Call(begun, float("inf"), zone=(ZONE, name == "+"), until=until)
         order = CommandSubmitted(
-            number, (0, name), FencingToken(*member.round_known(), member.news.index, LEFT_S)
+            number,
+            (0, name),
+            FencingToken(*member.newest_heartbeat_round(), member.committed_state.index, LEFT_S),
         )
         if held or self.places[ip].frozen > self.now:
             self.post("ask", ip, None, HELD_S if held else 0.0, order)
--- a/ashlift/simulation/store.py
+++ b/ashlift/simulation/store.py
@@ -91,7 +91,7 @@
         self.writing, self._todo, self._doing = None, deque[Effect](), False
         self._held = []
         self._news, self._seen = Signal(self), 0
-        self._do(self.member.begin(self.clock()))
+        self._do(self.member.start(self.clock()))
         self._fragmenter = watch.new_fragmenter(self.member)
         self.pending_edits = None
         if PENDING_EDIT_STORAGE in disk:
@@ -103,8 +103,8 @@
         keep, self.writing, self.member = self.writing, None, None
         if keep is not None:
             came = self.loop.chance.choice(DISK_FAULTS)
-            if came != "undone" and keep.state is not None:
-                self.machine.disk["state"] = keep.state
+            if came != "undone" and keep.snapshot is not None:
+                self.machine.disk["state"] = keep.snapshot
             if came == "done" and keep.vote is not None:
                 self.machine.disk["vote"] = keep.vote
             simulated(self.net).observer.stored(self)
@@ -122,9 +122,11 @@
         member = self.member
         if member is None:
             return
-        if self.clock() >= member.due():
+        if self.clock() >= member.next_tick_at():
             self._feed(ClockTicked())
-        self.later(min(MAX_SLEEP_SECONDS, max(MIN_SLEEP_SECONDS, member.due() - self.clock())), self._tick)
+        self.later(
+            min(MAX_SLEEP_SECONDS, max(MIN_SLEEP_SECONDS, member.next_tick_at() - self.clock())), self._tick
+        )
 
     def _feed(self, event: Any) -> None:
         if self.member is not None:
@@ -139,8 +141,8 @@
             self._effect(self._todo.popleft())
         self._doing = False
         member = self.member
-        if member is not None and member.news.index != self._seen:
-            self._seen = member.news.index
+        if member is not None and member.committed_state.index != self._seen:
+            self._seen = member.committed_state.index
             self._news.ring()
 
     def _effect(self, effect: Effect) -> None:
@@ -148,7 +150,7 @@
             case SendRequest():  # this and answers leave once all effects are done, a write too
                 self.later(0.0, self.spawn, self._send(effect, self.clock()))
             case SendReply():
-                self.later(0.0, effect.ref.set, effect.body)
+                self.later(0.0, effect.reply_to.set, effect.body)
             case PersistState():
                 self.writing = effect
                 self.later(self.loop.chance.uniform(*SYNC_S) + self.machine.disk_s, self._kept)
@@ -162,8 +164,8 @@
         assert keep is not None
         self.writing = None
         if not machine.disk_refuses:
-            if keep.state is not None:
-                machine.disk["state"] = keep.state
+            if keep.snapshot is not None:
+                machine.disk["state"] = keep.snapshot
             if keep.vote is not None:
                 machine.disk["vote"] = keep.vote
         simulated(self.net).observer.stored(self)
@@ -216,7 +218,7 @@
 
     def _committed_map(self) -> tuple[int, Mapping[str, Any]]:
         assert self.member is not None
-        return self.member.news.index, self.member.news.state.entries.map
+        return self.member.committed_state.index, self.member.committed_state.snapshot.entries.map
 
     def _merge_pending_edits(self, pending_edits: PendingEditStorage) -> Steps:
         while True:
@@ -250,6 +252,6 @@
         if member is None or isinstance(request, Failure):
             return Failure(FailureReason.INVALID, requests.WATCH)
         deadline = self.clock() + request.wait_seconds
-        while member.news.index <= request.known_index and self.clock() < deadline:
+        while member.committed_state.index <= request.known_index and self.clock() < deadline:
             yield self._news.wait(deadline - self.clock())
         return watch.respond(self._fragmenter, member, request, self.clock())
--- a/ashlift/simulation/sworn.py
+++ b/ashlift/simulation/sworn.py
@@ -51,9 +51,9 @@
 
     def led(self, term: int, member: Replica, life: int) -> "Sworn":
         """I1, M3. A life of a process leads a term."""
-        ip, map = member.me, member.state.entries.map
+        ip, map = member.ip, member.snapshot.entries.map
         yes = {(who, disk) for who, _, at, whom, disk in self.votes if (at, whom) == (term, ip)}
-        yes.add((ip, member.vote.life))
+        yes.add((ip, member.vote.incarnation))
         voters, votes = (
             addresses_under(map, VOTER_PREFIX),
             {who for who, disk in yes if incarnation_matches(map, who, disk)},
@@ -68,37 +68,37 @@
         """I2. It says yes to a candidate, with this on its disk."""
         if any(one[:3] == (ip, disk, term) and one[3] != candidate for one in self.votes):
             raise Wrong(f"I2: {ip} votes a second time in term {term}")
-        if held is None or not held.voter or held.term < term:
+        if held is None or not held.is_voter or held.term < term:
             raise Wrong(f"I2: the vote of {ip} in term {term} is not durable")
-        return evolve(self, votes=self.votes | {(ip, disk, term, candidate, held.life)})
+        return evolve(self, votes=self.votes | {(ip, disk, term, candidate, held.incarnation)})
 
     def seen(self, now: float, member: Replica, offset: float, held: PersistentVote | None) -> "Sworn":
         """I3, I7, I8. After each event of a member; its clock is `now + offset`, `held` is on its disk."""
-        if member.lead and not (member.vote.voter and held is not None and held.voter):
-            raise Wrong(f"I8: {member.me} leads, and is a learner")
-        if member.lead and not incarnation_matches(
-            member.lead.naming.entries.map, member.me, member.vote.life
+        if member.leader_role and not (member.vote.is_voter and held is not None and held.is_voter):
+            raise Wrong(f"I8: {member.ip} leads, and is a learner")
+        if member.leader_role and not incarnation_matches(
+            member.leader_role.proposed.entries.map, member.ip, member.vote.incarnation
         ):
-            raise Wrong(f"M4: {member.me} leads, and is no voter")
-        history, sworn = tuple(history_of(member.news.state)), self
+            raise Wrong(f"M4: {member.ip} leads, and is no voter")
+        history, sworn = tuple(history_of(member.committed_state.snapshot)), self
         shorter = min(len(history), len(self.chain))
         if history[:shorter] != self.chain[:shorter]:
-            raise Wrong(f"I3: {member.me} has {history} beside {self.chain}")
+            raise Wrong(f"I3: {member.ip} has {history} beside {self.chain}")
         if len(history) > len(self.chain):
             known = self.known_at + (now,) * (len(history) - len(self.chain))
             sworn = evolve(self, chain=history, known_at=known)
-        proof = member.news.lease - offset
+        proof = member.committed_state.freshness_confirmed_at - offset
         due = sum(at < proof for at in sworn.known_at)
         if len(history) < due:
-            raise Wrong(f"I7: {member.me} is proven current at {proof:.3f} with {len(history)} of {due}")
+            raise Wrong(f"I7: {member.ip} is proven current at {proof:.3f} with {len(history)} of {due}")
         return sworn
 
     def counted(
         self, member: Replica, disks: Iterable[tuple[str, PersistentVote | None, Snapshot | None]]
     ) -> "Sworn":
         """M1, M2. After each event of a member that leads, with what all disks hold then."""
-        known = member.news.state
-        if member.lead is None or known.term_index <= self.config[0]:
+        known = member.committed_state.snapshot
+        if member.leader_role is None or known.term_index <= self.config[0]:
             return self
         map, before = known.entries.map, self.config[1]
         voters = tuple(addresses_under(map, VOTER_PREFIX))
@@ -121,6 +121,10 @@
     term_index: TermIndex,
 ) -> bool:
     """Whether a voter's disk holds a committed map; one that was lost after its yes may stand for it."""
-    if vote is None or not vote.voter:
+    if vote is None or not vote.is_voter:
         return True
-    return incarnation_matches(map, ip, vote.life) and state is not None and state.term_index >= term_index
+    return (
+        incarnation_matches(map, ip, vote.incarnation)
+        and state is not None
+        and state.term_index >= term_index
+    )
--- a/ashlift/simulation/turnover.py
+++ b/ashlift/simulation/turnover.py
@@ -53,7 +53,7 @@
     asked = {*there} - {
         ip for ip in addresses_under(map, LEARNER_PREFIX) if map[LEARNER_PREFIX + ip].get("held")
     }
-    if any((vote := world.nodes[ip].vote) is None or not vote.voter for ip in asked):
+    if any((vote := world.nodes[ip].vote) is None or not vote.is_voter for ip in asked):
         return False
     return asked <= {*voters} and (len(voters) % 2 == 1 or len(voters) < 4 or not lost)
 
@@ -79,7 +79,7 @@
             case 0 | 1 as kind:
                 for one in world.ips:
                     member = world.nodes[one].member
-                    if member and (member.lead or chance.random() < 0.1):
+                    if member and (member.leader_role or chance.random() < 0.1):
                         world.read(one) if kind else world.put(one)
             case 2:
                 world.kill(ip)
--- a/ashlift/simulation/world.py
+++ b/ashlift/simulation/world.py
@@ -222,7 +222,9 @@
     def leader(self) -> str | None:
         """The machine of the newest of those who believe that they lead."""
         leading = [
-            (one.member.lead.term, one.name) for one in self.stores() if one.member and one.member.lead
+            (one.member.leader_role.term, one.name)
+            for one in self.stores()
+            if one.member and one.member.leader_role
         ]
         return max(leading)[1] if leading else None
 
@@ -242,7 +244,7 @@
     def leads(self) -> bool:
         """Whether somebody leads and has committed in this term."""
         member = next((one.member for one in self.stores() if one.name == self.leader()), None)
-        return bool(member and member.lead and member.lead.commit)
+        return bool(member and member.leader_role and member.leader_role.commit_index)
 
     # ---- what befalls machines
     def runs(self, name: str) -> bool:
--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -435,24 +435,29 @@
     )
     assert not isinstance(patch, Failure), patch
     new = out.ms(
-        "store: map changed and digested, ms", lambda: _digested(entries.changed(patch.set, patch.gone))
+        "store: map changed and digested, ms", lambda: _digested(entries.with_changes(patch.set, patch.gone))
     )
     payload = packed_payload([DELTA, 1, 1, patch.set, patch.gone, new.digest()])
     out.note("store: a change to a follower, bytes", len(payload))
     out.note(
         "store: whole map to a follower, bytes compressed",
-        sum(len(packed_payload([new.packed(number)])) for number in new.filled()),
+        sum(len(packed_payload([new.encoded_range(number)])) for number in new.nonempty_ranges()),
+    )
+    out.note(
+        "store: largest of 64 ranges, bytes",
+        max(len(new.encoded_range(number)) for number in new.nonempty_ranges()),
     )
-    out.note("store: largest of 64 ranges, bytes", max(len(new.packed(number)) for number in new.filled()))
     news = CommittedState()
     news.advance(Snapshot((1, 1), entries))
     states = [
-        Snapshot((1, 2 + at), entries.changed({"Routes/r00000": {"Host": str(at)}}, ())) for at in range(3)
+        Snapshot((1, 2 + at), entries.with_changes({"Routes/r00000": {"Host": str(at)}}, ()))
+        for at in range(3)
     ]
     each = iter(states)
     out.ms("store: what changed since, ms", lambda: news.advance(next(each)), 3)
     out.note(
-        "store: whole map to a registry, bytes", len(encode_frame(RESPONSE_CRC_SEED, [1, news.since(0)]))
+        "store: whole map to a registry, bytes",
+        len(encode_frame(RESPONSE_CRC_SEED, [1, news.changes_since(0)])),
     )
     with tempfile.TemporaryDirectory() as folder:
         disk = ReplicaStorage(folder)
--- a/tests/cli/test_tenants.py
+++ b/tests/cli/test_tenants.py
@@ -39,9 +39,11 @@
     def order(self, kind: str, if_match: str, body: Any) -> Any:
         found = decide_command(self.map, OperatorCommand(kind, if_match, body))
         if isinstance(found, Proposal):
-            self.map = {key: value for key, value in self.map.items() if key not in found.gone} | found.set
+            self.map = {
+                key: value for key, value in self.map.items() if key not in found.deletions
+            } | found.updates
             self.index += 1
-        return found.answer
+        return found.response
 
     def ask(
         self,
--- a/tests/configstore/test_catch_up.py
+++ b/tests/configstore/test_catch_up.py
@@ -40,7 +40,9 @@
     """Some keys set anew or taken out."""
     keys = [f"Routes/{chance.randrange(120)}" for _ in range(chance.randint(0, most))]
     gone = {key for key in keys if chance.random() < 0.4}
-    return entries.changed({key: chance.choice([1, 1.0, True, 2]) for key in keys if key not in gone}, gone)
+    return entries.with_changes(
+        {key: chance.choice([1, 1.0, True, 2]) for key in keys if key not in gone}, gone
+    )
 
 
 def walk(chance: random.Random, steps: int) -> tuple[ChangeLog, dict[TermIndex, RangedMap]]:
@@ -51,8 +53,8 @@
         if step != 1:
             term += 1
         index, entries = max(1, index + step), altered(entries, chance)
-        changes.advance((term, index), entries)
-        changes.advance((term, index), entries)
+        changes.record((term, index), entries)
+        changes.record((term, index), entries)
         held[term, index] = entries
     return changes, held
 
@@ -63,17 +65,17 @@
     changes, held = walk(chance, 60)
     newest = changes.entries
     for term_index, entries in held.items():
-        number = changes.at(term_index)
+        number = changes.number_of(term_index)
         assert number is not None, term_index
-        keys = changes.since(number)
-        ranged = [key for some in changes.by_range(number).values() for key in some]
+        keys = changes.keys_changed_since(number)
+        ranged = [key for some in changes.keys_changed_since_by_range(number).values() for key in some]
         assert len(keys) == len({*keys}) and sorted(ranged) == sorted(keys)
-        made = entries.changed(
+        made = entries.with_changes(
             {key: newest.map[key] for key in keys if key in newest.map},
             [key for key in keys if key not in newest.map],
         )
         assert made.digest() == newest.digest()
-    assert changes.since(changes.number) == [] and changes.at((99, 1)) is None
+    assert changes.keys_changed_since(changes.newest_number) == [] and changes.number_of((99, 1)) is None
 
 
 @test("changes: what is kept is bounded, and who asks for more than that is told so")
@@ -83,28 +85,34 @@
     try:
         for number in range(1, 1000):  # each change lets one key go, as those of `Taken/` do
             gone = [f"Taken/{number - 8}"] if number > 8 else []
-            entries = entries.changed({f"Taken/{number}": 1, "Version": number}, gone)
-            changes.advance((1 + number // 300, number), entries)
+            entries = entries.with_changes({f"Taken/{number}": 1, "Version": number}, gone)
+            changes.record((1 + number // 300, number), entries)
             sizes.append(len(changes))
     finally:
         kept.MAX_DELETED_KEYS = most
     assert max(sizes) <= 2 * 50 + 12 + 3 * 4, max(sizes)
-    assert changes.at((4, 960)) and changes.exact(960) and changes.at((4, 940)) is None
-    assert changes.exact(940) is None and changes.exact(5) is None
+    assert (
+        changes.number_of((4, 960)) and changes.number_at_index(960) and changes.number_of((4, 940)) is None
+    )
+    assert changes.number_at_index(940) is None and changes.number_at_index(5) is None
     for term in range(10, 10 + 2 * kept.MAX_RUNS):  # another leader for each change
-        changes.advance((term, 1000 + term), entries)
-    assert len(changes) <= 120 + 3 * kept.MAX_RUNS and changes.at((11, 1011)) is None
+        changes.record((term, 1000 + term), entries)
+    assert len(changes) <= 120 + 3 * kept.MAX_RUNS and changes.number_of((11, 1011)) is None
 
 
 @test("news: who has an index that was passed over is told everything: a key may have changed, and back")
 def _() -> None:
     news, entries = CommittedState(), RangedMap({"a": 1, "b": 1})
     for index, value in ((4, 1), (5, 2), (7, 2), (8, 3)):  # at 6, known to others, b was 9
-        news.advance(Snapshot((1, index), entries := entries.changed({"a": value, "c": index}, [])))
-    assert [news.since(have)["full"] for have in (3, 4, 5, 6, 7)] == [True, False, False, True, False]
-    assert news.since(5)["set"] == {"a": 3, "c": 8} and news.since(6)["set"] == {"a": 3, "b": 1, "c": 8}
+        news.advance(Snapshot((1, index), entries := entries.with_changes({"a": value, "c": index}, [])))
+    assert [news.changes_since(have)["full"] for have in (3, 4, 5, 6, 7)] == [True, False, False, True, False]
+    assert news.changes_since(5)["set"] == {"a": 3, "c": 8} and news.changes_since(6)["set"] == {
+        "a": 3,
+        "b": 1,
+        "c": 8,
+    }
     news.advance(Snapshot((2, 9), entries))
-    assert not news.since(8)["full"] and news.since(8)["set"] == {}
+    assert not news.changes_since(8)["full"] and news.changes_since(8)["set"] == {}
 
 
 class Other:
@@ -120,11 +128,11 @@
         if kind == DELTA:
             if tuple(rest[:2]) != self.state.term_index:
                 return
-            made = self.state.entries.changed(rest[2], rest[3])
+            made = self.state.entries.with_changes(rest[2], rest[3])
         else:
             assert kind in (RANGES, PARTS)
             sets, gone = rest[1:3] if kind == PARTS else ({}, [])
-            made = self.staged = self.staged.replaced(rest[0]).changed(sets, gone)
+            made = self.staged = self.staged.with_ranges(rest[0]).with_changes(sets, gone)
         if made.digest() == rest[-1]:
             self.state, self.staged = Snapshot(named, made), made
 
@@ -142,15 +150,15 @@
     chance = random.Random(away)
     base = RangedMap(wide(chance, many, 300))
     seat, index = ChangeLog(), 1
-    seat.advance((1, 1), base)
+    seat.record((1, 1), base)
     entries = base
 
     def change() -> Snapshot:
         nonlocal entries, index
         index += 1
         value = {"text": chance.randbytes(150).hex()}
-        entries = entries.changed({f"Routes/{chance.randrange(many)}": value, "Version": index}, [])
-        seat.advance((1, index), entries)
+        entries = entries.with_changes({f"Routes/{chance.randrange(many)}": value, "Version": index}, [])
+        seat.record((1, index), entries)
         return Snapshot((1, index), entries)
 
     for _ in range(away):
@@ -163,7 +171,7 @@
     calls = 0
     while calls < 200:
         calls += 1
-        payload = mending.next(copy, newest, digests)
+        payload = mending.next_payload(copy, newest, digests)
         if isinstance(payload, bytes):
             assert len(payload) < 2 * PAYLOAD_CHUNK_BYTES, len(payload)
             other.take(payload, newest.term_index)
@@ -171,8 +179,8 @@
             break
         change()
         newest = change()
-        copy.stands(other.state.term_index)
-        digests = other.staged.digests()
+        copy.acknowledge(other.state.term_index)
+        digests = other.staged.range_digests()
     assert other.state.entries.digest() == newest.entries.digest()
     differing = (away + 2 * calls) * 340
     whole = many * 340
@@ -184,14 +192,14 @@
     """Calls until a copy is level of which nothing is known, and which loses what it was sent after a few."""
     chance = random.Random(1)
     seat, entries = ChangeLog(), RangedMap(wide(chance, 600, 900))
-    seat.advance((1, 1), entries)
+    seat.record((1, 1), entries)
     other, mending = Other(Snapshot((0, 0), RangedMap())), CatchUp(seat)
     copy = ReplicaProgress(None)
     for number in range(2, most):
-        entries = entries.changed({"Routes/1": number}, [])
-        seat.advance((1, number), entries)
+        entries = entries.with_changes({"Routes/1": number}, [])
+        seat.record((1, number), entries)
         newest = Snapshot((1, number), entries)
-        payload = mending.next(copy, newest, other.staged.digests())
+        payload = mending.next_payload(copy, newest, other.staged.range_digests())
         assert isinstance(payload, bytes)
         other.take(payload, newest.term_index)
         if number == 5:
@@ -241,7 +249,7 @@
     """What promotes a learner that is said to hold one of a leader's proposals: those since it was heard of
     are numbered from 1, so many are committed."""
     one = elected()
-    first = one.state.term_index[1]
+    first = one.snapshot.term_index[1]
     for peer in "34":
         feed(one, 2.0, ResponseReceived(peer, "append", 2.0, (2, 1, first, True), [2, YES, 5]))
 
@@ -253,7 +261,7 @@
     for number in range(1, proposed + 1):
         if number > 1:
             feed(one, 2.1, CommandSubmitted(f"c{number}", (number - 2, f"c{number}")))
-        assert one.lead is not None and one.lead.naming.term_index == (2, first + number)
+        assert one.leader_role is not None and one.leader_role.proposed.term_index == (2, first + number)
         if number <= committed:
             for peer in "34":
                 feed(
@@ -282,7 +290,7 @@
     state = Snapshot((term, index), held().entries)
     one = member(PersistentVote(term, "2", True), state)
     feed(one, 5.0, RequestReceived("r", "append", [2, "2", 1, 9, commit, 0, 0, None]))
-    return one.news.index
+    return one.committed_state.index
 
 
 @test("a state of the leader's own term at or below its commit is committed, one of another term is not")
--- a/tests/configstore/test_commands.py
+++ b/tests/configstore/test_commands.py
@@ -41,9 +41,9 @@
     def ask(self, base: int, body: Map, kind: str = "patch") -> int:
         made = decide_command(self.map, OperatorCommand(kind, f"{base:08x}", body))
         if isinstance(made, Proposal):
-            kept = {key: value for key, value in self.map.items() if key not in made.gone}
-            self.map = {**kept, **made.set}
-        return int(made.answer["status"])
+            kept = {key: value for key, value in self.map.items() if key not in made.deletions}
+            self.map = {**kept, **made.updates}
+        return int(made.response["status"])
 
     @property
     def version(self) -> int:
@@ -134,9 +134,9 @@
 def _() -> None:
     for kind, map in (("evacuate", {}), ("restore", {"Evacuations/z": True})):
         made = decide_command(map, OperatorCommand(kind, None, "z"))
-        assert isinstance(made, Proposal) and made.unguarded == ("Evacuations/z",)
+        assert isinstance(made, Proposal) and made.unconditional_keys == ("Evacuations/z",)
     made = decide_command({}, OperatorCommand("put", "0", FIRST))
-    assert isinstance(made, Proposal) and not made.unguarded
+    assert isinstance(made, Proposal) and not made.unconditional_keys
 
 
 @test("stores are asked in turn: at once after a refusal, beside a silent one, until one answers: {story}")
--- a/tests/configstore/test_membership.py
+++ b/tests/configstore/test_membership.py
@@ -63,7 +63,7 @@
 
 
 def after(map: dict[str, Any], change: Proposal) -> dict[str, Any]:
-    return {key: value for key, value in {**map, **change.set}.items() if key not in change.gone}
+    return {key: value for key, value in {**map, **change.updates}.items() if key not in change.deletions}
 
 
 @test("no change that a leader makes by itself lowers what may be lost, nor hangs on the newcomer")
@@ -87,7 +87,7 @@
                 assert spare_voters(now, views) >= spare_voters(voters, views), (voters, now, views)
                 assert spare_voters(now, views) >= 0, "nobody could commit it"
                 promoted = {*now} - {*voters}
-                able = sum(views[ip].able for ip in now if ip not in promoted)
+                able = sum(views[ip].is_up_to_date for ip in now if ip not in promoted)
                 assert able >= quorum(len(now)), "it hangs on the newcomer alone"
                 assert len(now) + len(addresses_under(map, LEARNER_PREFIX)) >= min(
                     count, max(3, 2 * tolerated + 1)
@@ -152,7 +152,7 @@
     """Whether member 1 of these is elected by that one's vote beside its own."""
     state = Snapshot((1, 3), RangedMap(entries))
     one = Replica("1", ["1", "2"], False, PersistentVote(1, None, True, 11), state, decide, random.Random(4))
-    one.begin(0.0)
+    one.start(0.0)
     effects = one.handle(2.0, ClockTicked())
     for _ in range(2):  # asked beforehand, then voted
         asked = [one for one in effects if isinstance(one, SendRequest) and one.method == "request_vote"]
@@ -162,9 +162,9 @@
                 effects += one.handle(
                     2.0, ResponseReceived(peer, "request_vote", 2.0, send.context, [1, True, life])
                 )
-        if one.then is not None:
+        if one._after_persist is not None:
             effects += one.handle(2.0, StatePersisted(True))
-    return one.lead is not None
+    return one.leader_role is not None
 
 
 def with_disks(**lives: int) -> dict[str, Any]:
@@ -205,8 +205,8 @@
     for line in lines:
         play.line(line)
     member = play.world.nodes[str(play.world.leader())].member
-    assert member is not None and member.lead is not None
-    return member.lead.table()
+    assert member is not None and member.leader_role is not None
+    return member.leader_role.membership_table()
 
 
 @test("the operator's table shows voters, learners and leaving ones, how far behind, and why one stays")
--- a/tests/configstore/test_replica.py
+++ b/tests/configstore/test_replica.py
@@ -145,7 +145,7 @@
     vote: PersistentVote | None, state: Snapshot | None, me: str = "1", members: str = "123"
 ) -> Replica:
     made = Replica(me, list(members), False, vote, state, decide, random.Random(4))
-    for effect in made.begin(0.0):
+    for effect in made.start(0.0):
         assert not isinstance(effect, SendRequest)
     return made
 
@@ -153,7 +153,7 @@
 def feed(one: Replica, now: float, event: Any) -> list[Any]:
     """The effects, those after a successful write included."""
     effects = one.handle(now, event)
-    while one.then is not None:
+    while one._after_persist is not None:
         effects += one.handle(now, StatePersisted(True))
     return effects
 
@@ -180,7 +180,7 @@
             effects += feed(
                 one, 2.0, ResponseReceived(send.peer, "request_vote", 2.0, send.context, [term, True])
             )
-    assert one.lead is not None and one.vote == PersistentVote(2, "1", True)
+    assert one.leader_role is not None and one.vote == PersistentVote(2, "1", True)
     return one
 
 
@@ -195,7 +195,7 @@
     assert replies(feed(one, LEARNER_QUARANTINE_SECONDS + 0.01, append))[0][1] == LEARNER
     assert isinstance(replies(feed(one, LEARNER_QUARANTINE_SECONDS + 0.02, request_vote))[0], Failure)
     feed(one, 60.0, ClockTicked())
-    assert one.attempt is None and not one.vote.voter
+    assert one.election is None and not one.vote.is_voter
 
 
 @test("I2: a vote counts only within the call's time-out, and only from a member")
@@ -204,28 +204,30 @@
     ask = sends(feed(one, 2.0, ClockTicked()), "request_vote")[0]
     feed(one, 2.1, ResponseReceived("9", "request_vote", 2.0, ask.context, [1, True]))
     feed(one, 2.01 + CALL_TIMEOUT_SECONDS, ResponseReceived("2", "request_vote", 2.0, ask.context, [1, True]))
-    assert one.attempt is not None and one.attempt.pre and one.vote.term == 1
+    assert one.election is not None and one.election.pre and one.vote.term == 1
 
 
 @test("I8: a learner is promoted only by a commit after the leader heard of that life, without its own yes")
 def _() -> None:
     one = elected()
-    index = one.state.term_index[1]
+    index = one.snapshot.term_index[1]
     for peer in "23":  # a majority, with 2, commits
         feed(one, 2.0, ResponseReceived(peer, "append", 2.0, (2, 1, index, True), [2, 1, 5]))
-    assert one.lead is not None and one.lead.commit == index
+    assert one.leader_role is not None and one.leader_role.commit_index == index
     told = feed(
         one, 2.1, ResponseReceived("2", "append", 2.1, (2, 2, index, False), [2, LEARNER, 6, 77, True, None])
     )
     payloads = [unpack(send.body[7]) for send in sends(told, "append") if isinstance(send.body[7], bytes)]
     assert payloads and all(payload[0] == DELTA for payload in payloads)
-    assert one.lead.naming.term_index == (2, index + 1), "nothing was proposed after hearing of the new life"
+    assert one.leader_role.proposed.term_index == (2, index + 1), (
+        "nothing was proposed after hearing of the new life"
+    )
     learner = ResponseReceived("2", "append", 2.15, (2, 3, index + 1, True), [2, LEARNER, 7, 77, True, None])
     feed(one, 2.2, ResponseReceived("3", "append", 2.15, (2, 3, index + 1, True), [2, 1, 6]))
     feed(one, 2.2, learner)
-    assert one.lead.commit == index, "a learner was counted"
+    assert one.leader_role.commit_index == index, "a learner was counted"
     feed(one, 2.2, ResponseReceived("4", "append", 2.15, (2, 3, index + 1, True), [2, 1, 6]))
-    assert one.lead.commit == index + 1
+    assert one.leader_role.commit_index == index + 1
     promoted = [unpack(send.body[7]) for send in sends(feed(one, 2.2, learner), "append") if send.peer == "2"]
     assert promoted == [[3, 77]]
 
@@ -233,7 +235,7 @@
 @test("I6 I8: nothing is read by answers that are late, of a learner or to a round begun before the call")
 def _() -> None:
     one = elected()
-    index = one.state.term_index[1]
+    index = one.snapshot.term_index[1]
     for peer in "23":
         feed(one, 2.0, ResponseReceived(peer, "append", 2.0, (2, 1, index, True), [2, 1, 5]))
     asked = feed(one, 2.1, ReadRequested("read")) + feed(one, 2.1, CommandSubmitted("stale", (9, "x")))
@@ -244,19 +246,19 @@
         yes = ResponseReceived(peer, "append", 2.1, (2, number, index, False), [2, 1, 6])
         assert not replies(feed(one, 2.1, yes))
     done = replies(feed(one, 2.1, ResponseReceived("5", "append", 2.1, (2, 4, index, False), [2, 1, 6])))
-    assert done == [one.news.state, {"status": 412, "index": index}]
+    assert done == [one.committed_state.snapshot, {"status": 412, "index": index}]
     feed(one, 2.1 + QUORUM_CONTACT_TIMEOUT_SECONDS + 0.1, ClockTicked())
-    assert one.lead is None, "it leads on though it hears nobody"
+    assert one.leader_role is None, "it leads on though it hears nobody"
 
 
 def settled() -> tuple[Replica, int]:
     """A leader that has committed at index `[1]`, one order decided by `zones`; time is 2.0 s."""
     one = elected()
-    index = one.state.term_index[1]
+    index = one.snapshot.term_index[1]
     for peer in "23":
         feed(one, 2.0, ResponseReceived(peer, "append", 2.0, (2, 1, index, True), [2, 1, 5]))
-    assert one.lead is not None and one.lead.commit == index
-    one.lead.decide = zones
+    assert one.leader_role is not None and one.leader_role.commit_index == index
+    one.leader_role.command_handler = zones
     return one, index
 
 
@@ -270,8 +272,8 @@
 
 def taken(one: Replica, now: float, round_: int) -> list[Any]:
     """All replies once a majority has what is under way and has answered that round."""
-    assert one.lead is not None
-    index, found = one.lead.naming.term_index[1], []
+    assert one.leader_role is not None
+    index, found = one.leader_role.proposed.term_index[1], []
     for peer in "23":
         yes = ResponseReceived(peer, "append", now, (2, round_, index, True), [2, 1, 7])
         found += replies(feed(one, now, yes))
@@ -283,41 +285,57 @@
     story: str = each("in time", "held up", "of another leader", "of no round", "behind another", "void"),
 ) -> None:
     one, index = settled()
-    lead = one.lead
+    lead = one.leader_role
     assert lead is not None
     feed(one, 2.05, ClockTicked())
-    known = lead.round
+    known = lead.heartbeat_round
     match story:
         case "in time":
             feed(one, 2.6, CommandSubmitted("a", "+z", FencingToken(2, known, index, 0.9)))
-            assert lead.under_way and taken(one, 2.61, lead.round) == [{"status": 200, "index": index + 1}]
+            assert lead.proposal_in_flight and taken(one, 2.61, lead.heartbeat_round) == [
+                {"status": 200, "index": index + 1}
+            ]
         case "held up":
             found = replies(feed(one, 2.96, CommandSubmitted("a", "+z", FencingToken(2, known, index, 0.9))))
-            assert [fault.reason for fault in found] == [FailureReason.EXPIRED] and not lead.under_way
+            assert [fault.reason for fault in found] == [
+                FailureReason.EXPIRED
+            ] and not lead.proposal_in_flight
         case "of another leader":
             found = replies(feed(one, 2.06, CommandSubmitted("a", "+z", FencingToken(1, known, index, 0.9))))
-            assert [fault.reason for fault in found] == [FailureReason.EXPIRED] and not lead.under_way
+            assert [fault.reason for fault in found] == [
+                FailureReason.EXPIRED
+            ] and not lead.proposal_in_flight
         case "of no round":
             found = replies(feed(one, 2.06, CommandSubmitted("a", "+z", FencingToken(2, 0, index, 0.9))))
-            assert [fault.reason for fault in found] == [FailureReason.EXPIRED] and not lead.under_way
+            assert [fault.reason for fault in found] == [
+                FailureReason.EXPIRED
+            ] and not lead.proposal_in_flight
         case "behind another":
             feed(one, 2.1, CommandSubmitted("a", "+y", FencingToken(2, known, index, 0.9)))
             assert not replies(
                 feed(one, 2.1, CommandSubmitted("b", "+z", FencingToken(2, known, index, 0.9)))
             )
-            done, late = taken(one, 3.0, lead.round)
-            assert done["status"] == 200 and late.reason == FailureReason.EXPIRED and not lead.under_way
+            done, late = taken(one, 3.0, lead.heartbeat_round)
+            assert (
+                done["status"] == 200 and late.reason == FailureReason.EXPIRED and not lead.proposal_in_flight
+            )
         case "void":
             for at, order in ((2.1, "+z"), (2.15, "-z")):
-                feed(one, at, CommandSubmitted("a", order, FencingToken(2, lead.round, lead.commit, 0.9)))
-                taken(one, at, lead.round)
-            assert lead.commit == index + 2 and "Evacuations/z" not in lead.naming.entries.map
+                feed(
+                    one,
+                    at,
+                    CommandSubmitted(
+                        "a", order, FencingToken(2, lead.heartbeat_round, lead.commit_index, 0.9)
+                    ),
+                )
+                taken(one, at, lead.heartbeat_round)
+            assert lead.commit_index == index + 2 and "Evacuations/z" not in lead.proposed.entries.map
             found = replies(feed(one, 2.2, CommandSubmitted("b", "+z", FencingToken(2, known, index, 0.9))))
             assert [fault.reason for fault in found] == [FailureReason.EXPIRED], (
                 "taken back meanwhile, and in force again"
             )
             feed(one, 2.2, CommandSubmitted("c", "+z", FencingToken(2, known, index + 2, 0.9)))
-            assert lead.under_way, "who knows of it may evacuate again"
+            assert lead.proposal_in_flight, "who knows of it may evacuate again"
 
 
 @test("I2 I4: a member says yes only to what it holds durably and whole, and is promoted only in this life")
@@ -333,11 +351,11 @@
         3,
     )
     lost = member(None, held())
-    assert not lost.vote.voter, "a member without its vote counts"
+    assert not lost.vote.is_voter, "a member without its vote counts"
     ranges = pack([RANGES, {}, held().entries.digest()])
     for payload in (pack([PROMOTE, lost.incarnation]), ranges, pack([PROMOTE, lost.incarnation + 1])):
         feed(lost, 5.0, RequestReceived("r", "append", [2, "2", 1, 4, 0, 0, 0, payload]))
-        assert not lost.vote.voter
+        assert not lost.vote.is_voter
     feed(
         lost, 5.0, RequestReceived("r", "append", [2, "2", 1, 4, 0, 0, 0, pack([PROMOTE, lost.incarnation])])
     )
@@ -352,19 +370,19 @@
     first = replies(feed(one, 5.0, RequestReceived("r", "append", [2, "2", 1, 4, 0, 0, 0, delta])))[0]
     token = first[2]
     feed(one, 5.2, RequestReceived("r", "append", [2, "2", 2, 4, 5, token, 1, None]))  # commit 5 is not held
-    assert one.news.lease == float("-inf")
+    assert one.committed_state.freshness_confirmed_at == float("-inf")
     feed(one, 5.3, RequestReceived("r", "append", [2, "2", 3, 4, 4, token, 1, None]))
-    assert one.news.index == 4 and one.news.lease == float("-inf")
+    assert one.committed_state.index == 4 and one.committed_state.freshness_confirmed_at == float("-inf")
     feed(one, 5.4, RequestReceived("r", "append", [2, "2", 4, 4, 4, 0, 3, None]))
-    assert one.news.lease == 5.0
+    assert one.committed_state.freshness_confirmed_at == 5.0
 
 
 @test("broken invariants stop: a second vote, an older term_index, two leaders in a term")
 def _() -> None:
     one = member(PersistentVote(1, "2", True), held())
     with raises(InvariantError):
-        one.keep(PersistentVote(1, "3", True), None, lambda ok: None)
+        one.persist(PersistentVote(1, "3", True), None, lambda ok: None)
     with raises(InvariantError):
-        one.keep(None, held(2), lambda ok: None)
+        one.persist(None, held(2), lambda ok: None)
     with raises(InvariantError):
         feed(elected(), 2.0, RequestReceived("r", "append", [2, "2", 1, 9, 0, 0, 0, None]))
--- a/tests/configstore/test_snapshot_storage.py
+++ b/tests/configstore/test_snapshot_storage.py
@@ -308,7 +308,7 @@
         with instead(server, ReplicaStorage=Slow), instead(replica_runner, log_event=tell):
             running = server.ConfigStoreServer(evolve(settings, bootstrap=True), str(folder), lambda: now[0])
         running.rpc_server.stop()
-        assert running.replica.vote.voter == (fault is None)
+        assert running.replica.vote.is_voter == (fault is None)
     assert [value for event, value in told if event == events.DISK_SLOW] == [2.0, 3.0]
     assert [value.detail for event, value in told if event == events.DISK_FAULT] == ["full"]
 
@@ -318,7 +318,7 @@
     disk, entries = ReplicaStorage(str(folder)), RangedMap({"Members/1": {}})
     assert disk.read() == (None, None)
     for number in range(1, 60):
-        entries = entries.changed({"k": "x" * 700 * number}, [])
+        entries = entries.with_changes({"k": "x" * 700 * number}, [])
         vote = PersistentVote(number, "1", True)
         assert disk.persist(PersistState(vote, Snapshot((number, number), entries))) is None
     assert (
@@ -335,26 +335,26 @@
     map = {f"Routes/{number}": {"n": number} for number in range(300)}
     base = RangedMap(map)
     base.digest()
-    one = base.changed({"Routes/7": 7, "new": 1}, ["Routes/8", "none"])
+    one = base.with_changes({"Routes/7": 7, "new": 1}, ["Routes/8", "none"])
     kept = {key: map[key] for key in reversed(map) if key != "Routes/8"}
     other = RangedMap({**kept, "Routes/7": 7, "new": 1})
     assert one.map == other.map and one.digest() == other.digest() != RangedMap(map).digest()
-    differing = one.differing(RangedMap(map).digests())
+    differing = one.differing_ranges(RangedMap(map).range_digests())
     assert 1 <= len(differing) <= 3
-    mended = RangedMap(map).replaced({number: one.packed(number) for number in differing})
+    mended = RangedMap(map).with_ranges({number: one.encoded_range(number) for number in differing})
     assert mended.map == one.map and mended.digest() == one.digest()
 
 
 @test("news: what changed since an index, gone keys too; all of it to one who has less than this life knows")
 def _() -> None:
     news, entries = CommittedState(), RangedMap({"a": 1, "b": 1})
-    assert news.since(0) == {"index": 0, "set": {}, "gone": [], "full": False}
+    assert news.changes_since(0) == {"index": 0, "set": {}, "gone": [], "full": False}
     news.advance(Snapshot((1, 4), entries))
-    news.advance(Snapshot((1, 5), entries.changed({"a": 2, "c": 1}, ["b"])))
+    news.advance(Snapshot((1, 5), entries.with_changes({"a": 2, "c": 1}, ["b"])))
     assert not news.advance(Snapshot((1, 4), entries))
-    assert news.since(4) == {"index": 5, "set": {"a": 2, "c": 1}, "gone": ["b"], "full": False}
-    assert news.since(3)["full"] and news.since(3)["set"] == {"a": 2, "c": 1}
-    assert news.since(5)["set"] == {} and news.since(9)["index"] == 5
+    assert news.changes_since(4) == {"index": 5, "set": {"a": 2, "c": 1}, "gone": ["b"], "full": False}
+    assert news.changes_since(3)["full"] and news.changes_since(3)["set"] == {"a": 2, "c": 1}
+    assert news.changes_since(5)["set"] == {} and news.changes_since(9)["index"] == 5
 
 
 def configuration(version: int) -> dict[str, Any]:
@@ -370,12 +370,12 @@
     def order(kind: str, body: Any, if_match: str | None = None) -> int:
         outcome = decide_command(map, OperatorCommand(kind, if_match, body))
         if isinstance(outcome, Proposal):
-            map.update(outcome.set)
-            for key in outcome.gone:
+            map.update(outcome.updates)
+            for key in outcome.deletions:
                 del map[key]
         changes.append(isinstance(outcome, Proposal))
         assert isinstance(outcome, Proposal | ReadOnlyResult)
-        status: int = outcome.answer["status"]
+        status: int = outcome.response["status"]
         return status
 
     changes: list[bool] = []
--- a/tests/configstore/test_stored_data.py
+++ b/tests/configstore/test_stored_data.py
@@ -64,7 +64,7 @@
     newest = NEWEST[disk]
     vote, term_index, objects = held(ReplicaStorage(str(folder / disk)).read())
     assert vote == PersistentVote(*stored_data.writes()[-1].vote)
-    assert (vote.term, vote.voted_for, vote.voter, vote.life) == stored_data.writes()[-1].vote
+    assert (vote.term, vote.voted_for, vote.is_voter, vote.incarnation) == stored_data.writes()[-1].vote
     assert term_index == newest.term_index
     assert objects == newest.objects and len(objects) > 200
     assert {name: type(value) for name, value in objects.items()} == {
--- a/tests/proxy/test_staleness.py
+++ b/tests/proxy/test_staleness.py
@@ -53,8 +53,8 @@
 
     def leads() -> bool:
         ip = world.leader()
-        lead = world.nodes[ip].member.lead if ip else None  # type: ignore[union-attr]
-        return bool(lead and lead.commit)
+        lead = world.nodes[ip].member.leader_role if ip else None  # type: ignore[union-attr]
+        return bool(lead and lead.commit_index)
 
     assert world.run(15.0, leads), "nobody leads"
     leader = world.leader()
--- a/tests/registry/test_parts.py
+++ b/tests/registry/test_parts.py
@@ -73,14 +73,14 @@
     for index in range(2, 300):
         key = f"Routes/{rng.randrange(4)}"
         gone = [key] if key in map.map and rng.random() < 0.3 else []
-        map = map.changed({} if gone else {key: rng.randrange(2)}, gone)
+        map = map.with_changes({} if gone else {key: rng.randrange(2)}, gone)
         states.append(Snapshot((1, index), map))
         for store, word in zip(stores, words, strict=True):
             if rng.random() < 0.5:  # else it is away, and passes over this one
                 store.advance(states[-1])
             teller = rng.choice([store, *stores])
             if rng.random() < 0.4 and teller.index > word.version:
-                registry_takes(word, teller.since(word.version))
+                registry_takes(word, teller.changes_since(word.version))
         which = rng.randrange(6)
         if which < len(askers):
             askers[which] = take(askers[which], rng.choice(words))
--- a/tests/registry/test_routes.py
+++ b/tests/registry/test_routes.py
@@ -50,10 +50,12 @@
             return self.fault
         made = decide_command(self.map, OperatorCommand(kind, if_match, body))
         if isinstance(made, Proposal):
-            self.map = {key: value for key, value in self.map.items() if key not in made.gone} | made.set
+            self.map = {
+                key: value for key, value in self.map.items() if key not in made.deletions
+            } | made.updates
             self.index += 1
             self.registry.operator_config.replace(self.index, self.map)
-        return dict(made.answer)
+        return dict(made.response)
 
     def exchange_pending_edits(self, add: list[Map]) -> Map:
         return {ip: one.handle_request({"add": add}) for ip, one in self.shelves.items()}
--- a/tests/rpc/test_fragmentation.py
+++ b/tests/rpc/test_fragmentation.py
@@ -181,15 +181,15 @@
     while mine.operator_config.version < news.index:
         calls, now = calls + 1, now + 0.1
         if calls == 2:
-            map = news.state.entries.changed({"Routes/7": {"Host": "new"}}, ["Routes/8"])
+            map = news.snapshot.entries.with_changes({"Routes/7": {"Host": "new"}}, ["Routes/8"])
             news.advance(Snapshot((1, 6), map))
         have = mine.operator_config.version
         body = {"have": have, "wait": 0.1, "part": mine.wanted_fragment()}
         request = decode_watch(body)
         assert not isinstance(request, Failure)
-        answer = fragment_changes(cutter, news.since(have), request, now)
+        answer = fragment_changes(cutter, news.changes_since(have), request, now)
         assert len(cbor2.dumps(answer)) < 300 << 10
         fresh = mine.receive_watch_response({**answer, "age": 0.01, "term": 1, "leader": None}, now, now)
         assert fresh and (mine.lease_age(now) is None or mine.operator_config.version == news.index)
-    assert mine.operator_config.values == news.state.entries.map and 5 < calls < 14
+    assert mine.operator_config.values == news.snapshot.entries.map and 5 < calls < 14
     assert abs((mine.lease_age(now) or 0.0) - 0.01) < 1e-6
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -25,13 +25,13 @@
     "elected by one": (Replica, "_elected", "quorum(len(attempt.members))", "1"),
     "committed by one": (Leader, "_count", "quorum(len(members))", "1"),
     "confirmed by one": (Leader, "_confirm", "quorum(len(answered))", "1"),
-    "a round begun before the read": (Leader, "read", "self.round + 1", "self.round"),
-    "read before a commit of the term": (Leader, "_confirm", "not self.commit or ", ""),
+    "a round begun before the read": (Leader, "read", "self.heartbeat_round + 1", "self.heartbeat_round"),
+    "read before a commit of the term": (Leader, "_confirm", "not self.commit_index or ", ""),
     "a 412 without a round": (
         Leader,
         "_advance",
-        "self.waiting.append((self.round + 1, ref, outcome.answer))",
-        "self.seat.reply(ref, {**outcome.answer, 'index': self.commit})",
+        "self.pending_reads.append((self.heartbeat_round + 1, ref, outcome.response))",
+        "self.replica.reply(ref, {**outcome.response, 'index': self.commit_index})",
     ),
     "an older map is voted for": (Replica, "_request_vote", "(last_term, index) >= self.term_index", "True"),
     "two votes in a term": (Replica, "_request_vote", "self.vote.voted_for == candidate", "True"),
@@ -46,13 +46,18 @@
     "the leader counts before it has kept": (
         Leader,
         "_holds",
-        "self.seat.term_index == self.naming.term_index",
+        "self.replica.term_index == self.proposed.term_index",
         "True",
     ),
     "a learner is counted": (Leader, "_holds", "peer.learning is None and ", ""),
-    "a learner confirms": (Leader, "_answered_round", "0 if peer.learning else peer.round", "peer.round"),
-    "a learner votes": (Replica, "_request_vote", "if not self.vote.voter:", "if False:"),
-    "a lost disk counts": (Replica, "_become_learner", "voter=False", "voter=True"),
+    "a learner confirms": (
+        Leader,
+        "_answered_round",
+        "0 if peer.learning else peer.acknowledged_round",
+        "peer.acknowledged_round",
+    ),
+    "a learner votes": (Replica, "_request_vote", "if not self.vote.is_voter:", "if False:"),
+    "a lost disk counts": (Replica, "_become_learner", "is_voter=False", "is_voter=True"),
     "promoted without a commit after": (Leader, "_learner", "(incarnation, newest + 1)", "(incarnation, 0)"),
     "promoted in any life": (
         Replica,
@@ -63,14 +68,14 @@
     "promoted with what is not committed": (
         Leader,
         "_learner",
-        "<= index <= self.commit",
+        "<= index <= self.commit_index",
         "<= index",
     ),
     "promoted with what was committed before": (
         Leader,
         "_learner",
-        "peer.learning[1] <= index <= self.commit",
-        "index <= self.commit",
+        "peer.learning[1] <= index <= self.commit_index",
+        "index <= self.commit_index",
     ),
     "a later state taken for committed": (
         Replica,
@@ -86,7 +91,7 @@
         "        or self.now - attempt.started >= CALL_TIMEOUT_SECONDS",
         "",
     ),
-    "late yeses count": (Leader, "answered", "or self.seat.now - sent_at >= CALL_TIMEOUT_SECONDS", ""),
+    "late yeses count": (Leader, "answered", "or self.replica.now - sent_at >= CALL_TIMEOUT_SECONDS", ""),
     "an older leader is heard": (Replica, "_append", "if term < self.vote.term:", "if False:"),
     "a delta on another map": (Replica, "_received", "(term, index) != self.term_index", "False"),
     "a digest not compared": (Replica, "_received", "entries.digest() == digest", "True"),
@@ -103,7 +108,12 @@
         "self.term_index[0] == term and ",
         "",
     ),
-    "a proposal before the term's first is committed": (Leader, "_advance", "and self.commit and", "and"),
+    "a proposal before the term's first is committed": (
+        Leader,
+        "_advance",
+        "and self.commit_index and",
+        "and",
+    ),
     "in doubt told as not begun": (
         Leader,
         "end",
@@ -114,7 +124,7 @@
         Leader,
         "_count",
         "members = self._members()",
-        "members = self.seat.members(self.seat.news.state) or self._members()",
+        "members = self.replica.voters(self.replica.committed_state.snapshot) or self._members()",
     ),
     "a learner that counts": (
         Leader,
@@ -137,25 +147,25 @@
     ),
     "a removed one stands": (
         Replica,
-        "_stands",
-        "incarnation_matches(self.state.entries.map, self.me, self.vote.life)",
+        "_can_stand_for_election",
+        "incarnation_matches(entries, self.ip, self.vote.incarnation)",
         "True",
     ),
     "orders have no fence": (Leader, "_advance", "fence is not None and self._late(fence, outcome)", "False"),
-    "two proposals at a time": (Leader, "_advance", "not self.under_way and ", ""),
+    "two proposals at a time": (Leader, "_advance", "not self.proposal_in_flight and ", ""),
 }
 # These break no invariant: one that was away does not catch up (`tests/configstore/test_catch_up.py`).
 LATE: dict[str, tuple[Any, str, str, str]] = {
     "promoted only with the newest": (
         Leader,
         "_learner",
-        "<= index <= self.commit",
-        "<= index == newest == self.commit",
+        "<= index <= self.commit_index",
+        "<= index == newest == self.commit_index",
     ),
     "taken for there because it was sent": (
         CatchUp,
         "_parts",
-        "elif sent[1] == entries.digest_in(digests, one):",
+        "elif sent[1] == entries.range_digest_in(digests, one):",
         "else:",
     ),
 }
@@ -166,14 +176,14 @@
     "an order of any age is begun": (
         Leader,
         "_late",
-        "began is None or self.seat.now - began >= fence.left",
+        "began is None or self.replica.now - began >= fence.remaining_seconds",
         "False",
         "an evacuation that its operator has given up does not come into force 20 s later",
     ),
     "an order is begun whatever has changed since": (
         Leader,
         "_late",
-        "self.seat.news.touched(key, fence.known)",
+        "self.replica.committed_state.may_have_changed_since(key, fence.known_index)",
         "False",
         "taken back within the second: a call held up for half of it is void, and so are its copies at other "
         "stores",
--- a/tests/support/replica_scenarios.py
+++ b/tests/support/replica_scenarios.py
@@ -62,7 +62,7 @@
     def leads(self) -> bool:
         ip = self.world.leader()
         member = self.world.nodes[ip].member if ip else None
-        return bool(member and member.lead and member.lead.commit)
+        return bool(member and member.leader_role and member.leader_role.commit_index)
 
     def who(self, words: list[str]) -> list[str]:
         all_, leader = self.world.ips, self.world.leader()
