--- a/tests/simulation/test_recorded_histories.py
+++ b/tests/simulation/test_recorded_histories.py
@@ -3,6 +3,7 @@
 import subprocess
 import sys
 from copy import deepcopy
+from io import StringIO
 
 from ward import test
 
@@ -51,6 +52,18 @@
     assert recording.values_of({"a": [1, {"b": 2}], "c": (3,)}) == [[1, [2]], [3]]
 
 
+@test("a dump has a line for each entry, with its section first")
+def _() -> None:
+    dump = StringIO()
+    recorder = recording.Recorder(dump)
+    recorder.add("tries", 1.5, "edge-1", {"a": b"b"})
+    recorder.add("end", 20.0, True)
+    lines = dump.getvalue().splitlines()
+    assert [line.split()[0] for line in lines] == ["tries", "end"]
+    assert lines[0].endswith("1.5 edge-1 {'a': b'b'}")
+    assert recorder.summary()["tries"]["count"] == recorder.summary()["end"]["count"] == 1
+
+
 @test("a part is spread over all plays")
 def _() -> None:
     names = [str(number) for number in range(10)]
