--- a/ashlift/configstore/commands.py
+++ b/ashlift/configstore/commands.py
@@ -79,9 +79,18 @@
 def _decide_edit(current: Mapping[str, Any], command: OperatorCommand) -> Proposal | ReadOnlyResult:
     from ashlift.route_reconciliation import merging  # most systems never need it
 
-    order = {"kind": command.kind, "if_match": command.if_match, "body": command.body}
-    result = merging.decide(current, order)
-    return Proposal(*result) if result.set or result.gone else ReadOnlyResult(result.answer)
+    match command.kind:
+        case CommandKind.MERGE:
+            result = merging.decide_merge(current, command.body)
+        case CommandKind.CONFIRM:
+            result = merging.decide_confirmation(current, command.if_match, command.body)
+        case CommandKind.REJECT:
+            result = merging.decide_rejection(current, command.if_match, command.body)
+        case _:
+            result = merging.decide_edit(current, command.body)
+    if not result.changed and not result.removed:
+        return ReadOnlyResult(result.answer)
+    return Proposal(result.changed, result.removed, result.answer)
 
 
 def _decide_evacuation(current: Mapping[str, Any], zone: str, evacuated: bool) -> Proposal | ReadOnlyResult:
--- a/ashlift/configstore/pending_edits.py
+++ b/ashlift/configstore/pending_edits.py
@@ -15,14 +15,16 @@
 from ashlift.errors import Failure, FailureReason
 from ashlift.events import WARNING, log_event
 from ashlift.response_status import OK
-from ashlift.route_reconciliation.edits import Book, Edit, join, read_edit
-from ashlift.route_reconciliation.merging import CONFLICT, SETTLED
+from ashlift.route_reconciliation.edit_codec import decode_edit, encode_edit
+from ashlift.route_reconciliation.edit_sets import EditsById, decode_edits, join_edits
+from ashlift.route_reconciliation.edits import RouteEdit
+from ashlift.route_reconciliation.stored_records import Outcome, outcome_of
 
 MAX_PENDING_EDITS: Final = 256
 MERGE_INTERVAL_SECONDS: Final = 1.0  # between two attempts to have edits merged
 
 CommittedMap = tuple[int, Mapping[str, Any]]  # index and entries
-Outcome = Mapping[str, Any]  # of one edit, as the leader answers: `{outcome, why?, version?, lost_to?}`
+OutcomeAnswer = Mapping[str, Any]  # of one edit, as the leader answers: `{outcome, why?, version?, lost_to?}`
 
 
 class RecordStorage(Protocol):
@@ -38,33 +40,35 @@
 class PendingEdits:
     """The edits whose outcome is not committed yet, by id."""
 
-    def __init__(self, edits: Book) -> None:
-        self.edits: dict[str, Edit] = dict(edits)
+    def __init__(self, edits: EditsById) -> None:
+        self.edits: dict[str, RouteEdit] = dict(edits)
         self._logged_outcomes: dict[str, str] = {}  # by id, so that each is logged once
         self._last_attempt: tuple[int, frozenset[str]] | None = None  # index, and ids that conflicted then
 
-    def with_edits(self, edits: Iterable[Edit]) -> dict[str, Edit] | Failure:
+    def with_edits(self, edits: Iterable[RouteEdit]) -> dict[str, RouteEdit] | Failure:
         """The pending edits joined with these, or a Failure where they would be too many."""
-        joined = join(self.edits, {edit.id: edit for edit in edits})
+        joined = join_edits(self.edits, {edit.id: edit for edit in edits})
         if len(joined) > MAX_PENDING_EDITS:
             return Failure(FailureReason.REJECTED, f"{MAX_PENDING_EDITS} edits wait already")
         return joined
 
-    def without_resolved(self, entries: Mapping[str, Any]) -> dict[str, Edit]:
+    def without_resolved(self, entries: Mapping[str, Any]) -> dict[str, RouteEdit]:
         """The pending edits without those whose outcome stands in the committed map."""
-        return {id: edit for id, edit in self.edits.items() if SETTLED + id not in entries}
+        return {id: edit for id, edit in self.edits.items() if outcome_of(entries, id) is None}
 
     def merge_request(self, index: int) -> dict[str, Any] | None:
         """The merge to submit while the committed map is at `index`.
 
         None where nothing may merge by itself, or nothing has changed since the last attempt.
         """
-        automatic = [edit for edit in self.edits.values() if edit.auto]
+        automatic = [edit for edit in self.edits.values() if edit.automatic]
         if not automatic or self._last_attempt == (index, frozenset(edit.id for edit in automatic)):
             return None
-        return encode_merge([edit.wire() for edit in automatic])
+        return encode_merge([encode_edit(edit) for edit in automatic])
 
-    def record_outcomes(self, index: int, outcomes: Mapping[str, Outcome]) -> list[tuple[Edit, Outcome]]:
+    def record_outcomes(
+        self, index: int, outcomes: Mapping[str, OutcomeAnswer]
+    ) -> list[tuple[RouteEdit, OutcomeAnswer]]:
         """Take the leader's outcomes of a merge at `index`; those that are new here are returned."""
         new_outcomes = []
         for id, outcome in outcomes.items():
@@ -75,7 +79,7 @@
             if self._logged_outcomes.get(id) != summary:
                 self._logged_outcomes[id] = summary
                 new_outcomes.append((edit, outcome))
-        conflicting = (id for id, outcome in outcomes.items() if outcome["outcome"] == CONFLICT)
+        conflicting = (id for id, outcome in outcomes.items() if outcome["outcome"] == Outcome.CONFLICT)
         self._last_attempt = index, frozenset(conflicting)
         return new_outcomes
 
@@ -98,24 +102,26 @@
         records = storage.read()
         if isinstance(records, Failure):
             self.log_event(events.UNREADABLE, level=WARNING, shelf=PENDING_EDIT_STORAGE, fault=records)
-        self.pending = PendingEdits(_decode_edits(records) if isinstance(records, dict) else {})
+        self.pending = PendingEdits(_decode_records(records) if isinstance(records, dict) else {})
 
     def handle_request(self, body: Any) -> dict[str, Any] | Failure:
         """Add edits durably: `{add: [edit]}` -> `{edits: [edit]}`, all that are pending here."""
         try:
-            decoded = [read_edit(value) for value in body["add"]]
+            decoded = [decode_edit(value) for value in body["add"]]
         except (LookupError, TypeError):
             return Failure(FailureReason.INVALID, PENDING_EDITS)
-        edits = [edit for edit in decoded if isinstance(edit, Edit)]
+        edits = [edit for edit in decoded if isinstance(edit, RouteEdit)]
         if len(edits) < len(decoded):
             return Failure(FailureReason.INVALID, "an edit that is none")
         failure = self._replace(self.pending.with_edits(edits))
         if failure is not None:
             return failure
         for edit in edits:
-            self.log_event(events.EDIT_KEPT, id=edit.id, route=edit.name, auto=edit.auto, who=edit.who)
+            self.log_event(
+                events.EDIT_KEPT, id=edit.id, route=edit.route, auto=edit.automatic, who=edit.author
+            )
         _, entries = self._committed_map()
-        return {"edits": [edit.wire() for edit in self.pending.without_resolved(entries).values()]}
+        return {"edits": [encode_edit(edit) for edit in self.pending.without_resolved(entries).values()]}
 
     def merge_request(self) -> dict[str, Any] | None:
         """The merge to submit now; None: there is nothing to try."""
@@ -130,30 +136,29 @@
                 self._log_outcome(edit, outcome)
         self._replace(self.pending.without_resolved(entries))
 
-    def _log_outcome(self, edit: Edit, outcome: Outcome) -> None:
-        if outcome["outcome"] == CONFLICT:
-            self.log_event(events.EDIT_WAITS, level=WARNING, id=edit.id, route=edit.name, why=outcome["why"])
+    def _log_outcome(self, edit: RouteEdit, outcome: OutcomeAnswer) -> None:
+        if outcome["outcome"] == Outcome.CONFLICT:
+            self.log_event(events.EDIT_WAITS, level=WARNING, id=edit.id, route=edit.route, why=outcome["why"])
             return
         self.log_event(
             events.EDIT_SETTLED,
             id=edit.id,
-            route=edit.name,
+            route=edit.route,
             outcome=outcome["outcome"],
             version=outcome["version"],
             lost_to=outcome["lost_to"],
         )
 
-    def _replace(self, edits: dict[str, Edit] | Failure) -> Failure | None:
+    def _replace(self, edits: dict[str, RouteEdit] | Failure) -> Failure | None:
         if isinstance(edits, Failure):
             return edits
         if edits == self.pending.edits:
             return None
-        failure = self._storage.write({id: cbor2.dumps(edit.wire()) for id, edit in edits.items()})
+        failure = self._storage.write({id: cbor2.dumps(encode_edit(edit)) for id, edit in edits.items()})
         if failure is None:
             self.pending.edits = edits
         return failure
 
 
-def _decode_edits(records: Mapping[str, bytes]) -> dict[str, Edit]:
-    decoded = (read_edit(cbor2.loads(data)) for data in records.values())
-    return {edit.id: edit for edit in decoded if isinstance(edit, Edit)}
+def _decode_records(records: Mapping[str, bytes]) -> dict[str, RouteEdit]:
+    return decode_edits(cbor2.loads(data) for data in records.values())
--- a/ashlift/route_reconciliation/__init__.py
+++ b/ashlift/route_reconciliation/__init__.py
@@ -1,1 +1,1 @@
-"""Edits of single routes on both sides of a cut: which may merge by themselves, and what all make of it."""
+"""Edits of single routes made on both sides of a network partition, and how they are merged after it."""
--- a/ashlift/route_reconciliation/merging.py
+++ b/ashlift/route_reconciliation/merging.py
@@ -1,214 +1,149 @@
-"""What edits make of the agreed map: a majority's word, worked out by the leader on the newest map. Pure.
+"""How the leader decides commands about edits of routes, on its newest map. Pure.
 
-Besides the configuration's keys the map holds, only where edits were made: `Settled/ID`: how an edit ended,
-`{seq, outcome, version, lost_to}`; `Edited/NAME`: `{stamp, id, text, log}`, the newest edit of that name in
-force (`text`: digest of what it wrote; kept after a withdrawal) and who did what; `Forgotten`: the newest
-stamp of an `Edited` that was dropped.
+An edit that could not be committed where it was made is merged after the partition by itself, if nothing
+speaks against it, or waits for an operator. Whether it is in force is decided here alone: see
+docs/design/rejoin.md.
 """
 
-import json
-from collections.abc import Callable, Iterable, Mapping
-from hashlib import blake2b
-from typing import Any, Final, NamedTuple
+from collections.abc import Iterable, Mapping
+from typing import Any
 
 from ashlift.config import operator_config
 from ashlift.errors import Failure
-from ashlift.route_reconciliation.edits import Edit, Text, join, rank, read_edit, same, why_not
-from ashlift.route_reconciliation.hybrid_clock import NEVER, Stamp, above
+from ashlift.response_status import BAD_REQUEST, CONFLICT, OK, PRECONDITION_FAILED
+from ashlift.route_reconciliation.edit_codec import decode_edit, decode_timestamp
+from ashlift.route_reconciliation.edit_sets import join_edits, recency
+from ashlift.route_reconciliation.edits import (
+    ConflictReason,
+    RouteChanged,
+    RouteEdit,
+    Specification,
+    are_equal,
+)
+from ashlift.route_reconciliation.hybrid_clock import NEVER, HybridTimestamp, later_than
+from ashlift.route_reconciliation.map_draft import CommandResult, MapDraft
+from ashlift.route_reconciliation.stored_records import Outcome, outcome_of, route_key
+
+_UNKNOWN_OPERATOR = "?"
+
+
+def decide_merge(current: Mapping[str, Any], body: Any) -> CommandResult:
+    """A store's request to merge its pending edits: `{edits: [edit]}`."""
+    if not isinstance(body, dict):
+        return _refusal(BAD_REQUEST, "the body is no object")
+    decoded = [decode_edit(value) for value in body.get("edits", ())]
+    edits = [edit for edit in decoded if isinstance(edit, RouteEdit)]
+    if len(edits) < len(decoded):
+        return _refusal(BAD_REQUEST, "no edits")
+    return merge(current, edits)
 
-SETTLED: Final = "Settled/"
-EDITED: Final = "Edited/"
-FORGOTTEN: Final = "Forgotten"
-SETTLED_MOST: Final = 256
-EDITED_MOST: Final = 256
-LOG_MOST: Final = 8  # entries of a route's history
 
-IN_FORCE: Final = "in force"
-LOST: Final = "lost"
-REJECTED: Final = "rejected"
-CONFLICT: Final = "conflict"  # never settled: it waits for an operator, or for the map to change
+def decide_edit(current: Mapping[str, Any], body: Any) -> CommandResult:
+    """An operator's edit, made with a majority in reach: `{edit}`."""
+    edit = _decode_command_edit(current, body)
+    if not isinstance(edit, RouteEdit):
+        return edit
+    return _put_in_force(current, edit, edit.author, edit.timestamp, overwrite=False)
 
-Order = Mapping[str, Any]
 
+def decide_confirmation(current: Mapping[str, Any], if_match: Any, body: Any) -> CommandResult:
+    """An operator's confirmation of a pending edit: `{edit, who, stamp, over}`.
 
-class Made(NamedTuple):
-    """What an order sets and takes out (nothing, if it changes nothing), and its answer `{status, ...}`."""
+    It builds on the version `if_match` that the operator was shown. `over`: whatever the route has become.
+    """
+    edit = _decode_command_edit(current, body)
+    if not isinstance(edit, RouteEdit):
+        return edit
+    stale = _refuse_stale(current, if_match)
+    if stale is not None:
+        return stale
+    try:
+        timestamp = decode_timestamp(body["stamp"])
+    except (LookupError, TypeError, ValueError):
+        return _refusal(BAD_REQUEST, "no stamp")
+    return _put_in_force(current, edit, _operator(body), timestamp, overwrite=body.get("over") is True)
 
-    set: dict[str, Any]
-    gone: list[str]
-    answer: dict[str, Any]
 
+def decide_rejection(current: Mapping[str, Any], if_match: Any, body: Any) -> CommandResult:
+    """An operator's rejection of a pending edit, `{edit, who}`, on the version that they were shown."""
+    edit = _decode_command_edit(current, body)
+    if not isinstance(edit, RouteEdit):
+        return edit
+    stale = _refuse_stale(current, if_match)
+    if stale is not None:
+        return stale
+    draft = MapDraft(current)
+    return draft.result({"status": OK, **draft.record_outcome(edit, Outcome.REJECTED, "", _operator(body))})
 
-def decide(current: Mapping[str, Any], order: Order) -> Made:
-    """`order`: `{kind, if_match, body}`; `kind`: `edit`, `confirm`, `reject`, `merge`."""
-    body = order.get("body")
-    if not isinstance(body, dict):
-        return _refused(400, "the body is no object")
-    if order.get("kind") == "merge":
-        found = [read_edit(one) for one in body.get("edits", ())]
-        edits = [one for one in found if isinstance(one, Edit)]
-        return merge(current, edits) if len(edits) == len(found) else _refused(400, "no edits")
-    edit = read_edit(body.get("edit"))
-    if isinstance(edit, Failure):
-        return _refused(400, edit.detail)
-    done = current.get(SETTLED + edit.id)
-    if done:
-        return Made({}, [], {"status": 200, **done})
-    match order.get("kind"):
-        case "edit":
-            return _placed(current, edit, edit.who, edit.stamp, False)
-        case "confirm" | "reject" as kind:
-            return _judged(current, edit, kind, order.get("if_match"), body)
-    return _refused(400, "no such order")
-
-
-def merge(current: Mapping[str, Any], edits: Iterable[Edit]) -> Made:
-    """Put in force what may be: the answer tells every edit's outcome, `outcomes: {id: {outcome, ...}}`.
-
-    Of each name the newest edit counts. One that cannot be right now may be once another is in force, so
-    they are gone through until nothing more comes of it: that makes the order of arrival indifferent.
+
+def merge(current: Mapping[str, Any], edits: Iterable[RouteEdit]) -> CommandResult:
+    """Put in force what may be; the answer has each edit's outcome, `outcomes: {id: {outcome, ...}}`.
+
+    Of each route the newest edit counts. One that is a conflict now may be none once another is in force, so
+    all are tried again until nothing more changes: the result does not depend on the order of arrival.
     """
-    draft = _Draft(current)
-    book = join({edit.id: edit for edit in edits})
-    waiting = [book[id] for id in book if SETTLED + id not in current]
-    waiting.sort(key=rank, reverse=True)
+    draft = MapDraft(current)
+    by_id = join_edits({edit.id: edit for edit in edits})
+    pending = [edit for edit in by_id.values() if outcome_of(current, edit.id) is None]
+    pending.sort(key=recency, reverse=True)
     conflicts: dict[str, str] = {}
-    moved = True
-    while moved:
-        moved = False
-        for edit in list(waiting):
-            why = draft.take(edit) if edit.auto else "kind"
-            if why:
-                conflicts[edit.id] = why
+    progressed = True
+    while progressed:
+        progressed = False
+        for edit in list(pending):
+            reason = draft.merge(edit) if edit.automatic else ConflictReason.ROUTE_TYPE.value
+            if reason is not None:
+                conflicts[edit.id] = reason
             else:
-                waiting.remove(edit)
-                moved = True
-    told = {id: draft.map.get(SETTLED + id) or {"outcome": CONFLICT, "why": conflicts[id]} for id in book}
-    return draft.made({"status": 200, "outcomes": told})
-
-
-def _judged(current: Mapping[str, Any], edit: Edit, kind: str, if_match: Any, body: Order) -> Made:
-    """An operator's word on a proposal or a conflict. `body`: `{edit, who, stamp, over}`; `over`: whatever
-    the route has become. It builds on the version that the operator was shown."""
-    now = operator_config.current_version(current)
-    who, over = str(body.get("who") or "?"), body.get("over") is True
-    if if_match != now:
-        return _refused(412, f"builds on {if_match}, and {now} is current")
-    if kind == "reject":
-        draft = _Draft(current)
-        return draft.made({"status": 200, **draft.settle(edit, REJECTED, "", who)})
-    try:
-        ms, turn, node = body["stamp"]
-        stamp = Stamp(int(ms), int(turn), str(node))
-    except (LookupError, TypeError, ValueError):
-        return _refused(400, "no stamp")
-    return _placed(current, edit, who, stamp, over)
+                pending.remove(edit)
+                progressed = True
+    outcomes = {
+        id: outcome_of(draft.entries, id) or {"outcome": Outcome.CONFLICT.value, "why": conflicts[id]}
+        for id in by_id
+    }
+    return draft.result({"status": OK, "outcomes": outcomes})
 
 
-def _placed(current: Mapping[str, Any], edit: Edit, who: str, stamp: Stamp, over: bool) -> Made:
-    """The edit on top of the newest map, if the route is still what the edit was made on."""
-    now: Text = current.get(f"Routes/{edit.name}")
-    if not over and not same(now, edit.base):
-        both = {"yours": edit.text, "theirs": now, "base": edit.base}
+def _decode_command_edit(current: Mapping[str, Any], body: Any) -> RouteEdit | CommandResult:
+    """The edit that a command is about; or the answer, if it is none or its outcome stands already."""
+    if not isinstance(body, dict):
+        return _refusal(BAD_REQUEST, "the body is no object")
+    edit = decode_edit(body.get("edit"))
+    if isinstance(edit, Failure):
+        return _refusal(BAD_REQUEST, edit.detail)
+    outcome = outcome_of(current, edit.id)
+    if outcome:
+        return CommandResult({}, [], {"status": OK, **outcome})
+    return edit
+
+
+def _operator(body: Mapping[str, Any]) -> str:
+    return str(body.get("who") or _UNKNOWN_OPERATOR)
+
+
+def _refuse_stale(current: Mapping[str, Any], if_match: Any) -> CommandResult | None:
+    version = operator_config.current_version(current)
+    if if_match == version:
+        return None
+    return _refusal(PRECONDITION_FAILED, f"builds on {if_match}, and {version} is current")
+
+
+def _put_in_force(
+    current: Mapping[str, Any], edit: RouteEdit, operator: str, timestamp: HybridTimestamp, overwrite: bool
+) -> CommandResult:
+    """The edit on top of the newest map, if the route is still what it was made on, or `overwrite`."""
+    route: Specification = current.get(route_key(edit.route))
+    if not overwrite and not are_equal(route, edit.base_specification):
+        changed = RouteChanged(wanted=edit.specification, current=route, base=edit.base_specification)
         version = operator_config.current_version(current)
-        return _refused(409, "the route has changed since", version=version, **both)
-    draft = _Draft(current)
-    why = draft.write(edit, above(stamp, draft.edited(edit.name) or NEVER), who)
-    return _refused(400, why) if why else draft.made({"status": 200, **draft.map[SETTLED + edit.id]})
-
-
-def _refused(status: int, why: str, **more: Any) -> Made:
-    return Made({}, [], {"status": status, "reason": why, **more})
-
-
-class _Draft:
-    """The map while an order is worked out."""
-
-    def __init__(self, current: Mapping[str, Any]) -> None:
-        self._current = current
-        self.map = dict(current)
-
-    def made(self, answer: dict[str, Any]) -> Made:
-        old, new = self._current, self.map
-        if new == old:
-            return Made({}, [], answer)
-        self._trim(SETTLED, SETTLED_MOST, lambda value: value["seq"])
-        for dropped in self._trim(EDITED, EDITED_MOST, lambda value: value["stamp"]):
-            new[FORGOTTEN] = max(new.get(FORGOTTEN, [*NEVER]), dropped["stamp"])
-        changed = {key: value for key, value in new.items() if key not in old or old[key] is not value}
-        return Made(changed, [key for key in old if key not in new], answer)
-
-    def _trim(self, kind: str, most: int, rank: Callable[[Any], Any]) -> list[Any]:
-        keys = sorted((key for key in self.map if key.startswith(kind)), key=lambda key: rank(self.map[key]))
-        return [self.map.pop(key) for key in keys[: max(0, len(keys) - most)]]
-
-    def edited(self, name: str) -> Stamp | None:
-        """The stamp of the newest edit of that name that is known to have been in force."""
-        known = self.map.get(EDITED + name)
-        return Stamp(*known["stamp"]) if known else None
-
-    def take(self, edit: Edit) -> str:
-        """Merge one; else why it is a conflict."""
-        now: Text = self.map.get(f"Routes/{edit.name}")
-        known = self.edited(edit.name)
-        if known is not None and edit.stamp < known:
-            self.settle(edit, LOST, "", edit.who)
-            return ""
-        if known is None and [*edit.stamp] <= self.map.get(FORGOTTEN, [*NEVER]):
-            return "too old to be told from what came after it"
-        stamped = known is not None and self.map[EDITED + edit.name]["text"] == _digest(now)
-        if not stamped and not same(now, edit.base):
-            if not same(now, edit.text):
-                return "text"
-            self.settle(edit, IN_FORCE, operator_config.current_version(self.map), edit.who)
-            return ""
-        why = why_not(self.map, edit.name, edit.text, edit.base)
-        return why or self.write(edit, edit.stamp, edit.who)
-
-    def write(self, edit: Edit, stamp: Stamp, who: str) -> str:
-        """Put it in force, one version on; else why not."""
-        key, version = f"Routes/{edit.name}", operator_config.current_version(self.map)
-        if not same(self.map.get(key), edit.text):
-            body: dict[str, Any] = {"ConfigVersion": f"{int(version, 16) + 1:08x}"}
-            if edit.text is None:
-                body["Withdraw"] = {"Routes": [edit.name]}
-            else:
-                one = {"ObjectType": "Routes", "Metadata": {"Name": edit.name}, "Specification": edit.text}
-                body["Upsert"] = {"Objects": [one]}
-            change = operator_config.apply_change(self.map, "patch", version, body)
-            if isinstance(change, Failure):
-                return change.detail
-            for gone in change.removed_keys:
-                del self.map[gone]
-            self.map.update(change.entries)
-        record = {"stamp": [*stamp], "id": edit.id, "text": _digest(edit.text)}
-        self.map[EDITED + edit.name] = {**self.map.get(EDITED + edit.name, {"log": []}), **record}
-        self.settle(edit, IN_FORCE, operator_config.current_version(self.map), who)
-        return ""
-
-    def settle(self, edit: Edit, outcome: str, version: str, who: str) -> dict[str, Any]:
-        """Remember how it ended, for good."""
-        known = self.map.get(EDITED + edit.name)
-        lost_to = known["id"] if known and outcome == LOST else ""
-        seqs = [value["seq"] for key, value in self.map.items() if key.startswith(SETTLED)]
-        done = {"seq": max(seqs, default=0) + 1, "outcome": outcome, "version": version, "lost_to": lost_to}
-        self.map[SETTLED + edit.id] = done
-        entry = {
-            "id": edit.id,
-            "outcome": outcome,
-            "version": version,
-            "on": edit.version,
-            "who": edit.who,
-            "where": edit.where,
-            "by": who,
-            "at_ms": edit.stamp.ms,
-            "lost_to": lost_to,
-        }
-        if known is None:  # a rejected edit of a route that no edit has touched: told, and worth no stamp
-            known = {"stamp": [*NEVER], "id": "", "text": "", "log": []}
-        self.map[EDITED + edit.name] = {**known, "log": [*known["log"], entry][-LOG_MOST:]}
-        return done
-
-
-def _digest(text: Text) -> str:
-    return blake2b(json.dumps(text, sort_keys=True).encode(), digest_size=8).hexdigest()
+        return _refusal(CONFLICT, "the route has changed since", version=version, **changed.encode())
+    draft = MapDraft(current)
+    newest = draft.newest_timestamp(edit.route) or NEVER
+    reason = draft.put_in_force(edit, later_than(timestamp, newest), operator)
+    if reason is not None:
+        return _refusal(BAD_REQUEST, reason)
+    return draft.result({"status": OK, **(outcome_of(draft.entries, edit.id) or {})})
+
+
+def _refusal(status: int, reason: str, **details: Any) -> CommandResult:
+    return CommandResult({}, [], {"status": status, "reason": reason, **details})
--- a/ashlift/route_reconciliation/proposals.py
+++ b/ashlift/route_reconciliation/proposals.py
@@ -1,83 +1,123 @@
-"""What an operator's call makes of an edit, and what operators are shown. Pure."""
+"""Edits of routes at a registry: made of an operator's request, kept pending, shown to operators. Pure."""
 
 from collections.abc import Mapping
 from typing import Any
 
-import attrs
+from attrs import evolve
 
 from ashlift.config.operator_config import current_version
 from ashlift.errors import Failure
-from ashlift.route_reconciliation.edits import Book, Edit, Text, read_edit, same, why_not
-from ashlift.route_reconciliation.hybrid_clock import NEVER, Stamp, above
-from ashlift.route_reconciliation.merging import EDITED, SETTLED, merge
+from ashlift.route_reconciliation.edit_codec import decode_edit, encode_edit
+from ashlift.route_reconciliation.edit_sets import EditsById, recency
+from ashlift.route_reconciliation.edits import (
+    ConflictReason,
+    RouteChanged,
+    RouteEdit,
+    Specification,
+    are_equal,
+    conflict_reason,
+)
+from ashlift.route_reconciliation.hybrid_clock import NEVER, HybridTimestamp, later_than
+from ashlift.route_reconciliation.map_draft import encode_log_entry
+from ashlift.route_reconciliation.merging import merge
+from ashlift.route_reconciliation.stored_records import (
+    Outcome,
+    Record,
+    history_of,
+    log_of,
+    newest_timestamp,
+    outcome_of,
+    route_key,
+)
 
 
-def past(map: Mapping[str, Any], book: Book, name: str) -> Stamp:
-    """The newest stamp known of that name."""
-    known = map.get(EDITED + name)
-    found = [Stamp(*known["stamp"])] if known else []
-    return max([NEVER, *found, *(edit.stamp for edit in book.values() if edit.name == name)])
+def latest_timestamp(entries: Mapping[str, Any], pending: EditsById, route: str) -> HybridTimestamp:
+    """The newest timestamp known of a route, in the committed map or among pending edits; else NEVER."""
+    history = history_of(entries, route)
+    committed = newest_timestamp(history) if history else NEVER
+    return max([committed, *(edit.timestamp for edit in pending.values() if edit.route == route)])
 
 
-def made(map: Mapping[str, Any], name: str, body: Any, stamp: Stamp, where: str) -> Edit | Failure:
-    """The edit that a call asks for. `body`: `{id, who, text, base}`; `map`: agreed on, as known here."""
+def decode_request(
+    entries: Mapping[str, Any], route: str, body: Any, timestamp: HybridTimestamp, node: str
+) -> RouteEdit | Failure:
+    """The edit that an operator's request asks for.
+
+    :param entries: the committed map as known here.
+    :param body: `{id, who, text, base}`.
+    """
     body = body if isinstance(body, dict) else {}
-    fields = {key: body.get(key) for key in ("id", "who", "text", "base")}
-    rest = {"name": name, "version": current_version(map), "stamp": [*stamp], "where": where, "auto": False}
-    return read_edit({**fields, **rest})
+    given = {key: body.get(key) for key in ("id", "who", "text", "base")}
+    added = {
+        "name": route,
+        "version": current_version(entries),
+        "stamp": [*timestamp],
+        "where": node,
+        "auto": False,
+    }
+    return decode_edit({**given, **added})
 
 
-def kept(map: Mapping[str, Any], book: Book, edit: Edit, doubt: bool) -> Edit | dict[str, Any]:
-    """The edit as it is to wait, or both texts where the route is not what it was made on.
+def prepare_pending(
+    entries: Mapping[str, Any], pending: EditsById, edit: RouteEdit, in_doubt: bool
+) -> RouteEdit | RouteChanged:
+    """The edit as it is to be kept pending, or how its route has changed since.
 
-    Whether it may merge by itself is told on the map as it will be with what waits already; it is stamped
-    above all that waits of that name, on whatever clock that was.
+    Whether it may merge by itself is decided on the map as it will be after the pending ones are merged; its
+    timestamp is later than all that are pending for its route, whatever clocks those had.
     """
-    now: Text = map.get(f"Routes/{edit.name}")
-    if not same(now, edit.base):
-        return {"yours": edit.text, "theirs": now, "base": edit.base}
-    ahead = merge(map, [one for one in book.values() if one.auto])
-    view = {key: value for key, value in map.items() if key not in ahead.gone} | ahead.set
-    others = {id: one for id, one in book.items() if id != edit.id}
-    return attrs.evolve(
+    current: Specification = entries.get(route_key(edit.route))
+    if not are_equal(current, edit.base_specification):
+        return RouteChanged(wanted=edit.specification, current=current, base=edit.base_specification)
+    expected = merge(entries, [other for other in pending.values() if other.automatic])
+    remaining = {key: value for key, value in entries.items() if key not in expected.removed}
+    reason = conflict_reason(
+        remaining | expected.changed, edit.route, edit.specification, edit.base_specification
+    )
+    others = {id: other for id, other in pending.items() if id != edit.id}
+    return evolve(
         edit,
-        auto=not why_not(view, edit.name, edit.text, edit.base),
-        stamp=above(edit.stamp, past(map, others, edit.name)),
-        doubt=doubt,
+        automatic=reason is None,
+        timestamp=later_than(edit.timestamp, latest_timestamp(entries, others, edit.route)),
+        in_doubt=in_doubt,
     )
 
 
-def listed(map: Mapping[str, Any], book: Book) -> list[dict[str, Any]]:
-    """What waits, oldest first: each edit with the route as it is now, and why it does not merge."""
-    found = []
-    for edit in sorted(book.values(), key=lambda one: (one.stamp, one.id)):
-        if SETTLED + edit.id in map:
-            continue
-        now: Text = map.get(f"Routes/{edit.name}")
-        if not same(now, edit.base):
-            why = "text"
-        else:
-            why = why_not(map, edit.name, edit.text, edit.base) or ("" if edit.auto else "kind")
-        found.append({**edit.wire(), "now": now, "conflict": not same(now, edit.base), "why": why})
-    return found
-
-
-def history(map: Mapping[str, Any], book: Book, name: str) -> list[dict[str, Any]]:
-    """What became of the edits of a route, oldest first, those that wait last."""
-    entries: list[dict[str, Any]] = list(map.get(EDITED + name, {"log": []})["log"])
-    for one in listed(map, book):
-        if one["name"] == name:
-            entries.append(
-                {
-                    "id": one["id"],
-                    "outcome": "waits",
-                    "version": "",
-                    "on": one["version"],
-                    "who": one["who"],
-                    "where": one["where"],
-                    "by": "",
-                    "at_ms": one["stamp"][0],
-                    "lost_to": "",
-                }
-            )
-    return entries
+def list_pending(entries: Mapping[str, Any], pending: EditsById) -> list[Record]:
+    """The pending edits, oldest first, each with its route as it is now, and why it does not merge."""
+    return [_describe(entries, edit) for edit in _unresolved(entries, pending)]
+
+
+def _unresolved(entries: Mapping[str, Any], pending: EditsById) -> list[RouteEdit]:
+    edits = sorted(pending.values(), key=recency)
+    return [edit for edit in edits if outcome_of(entries, edit.id) is None]
+
+
+def _describe(entries: Mapping[str, Any], edit: RouteEdit) -> Record:
+    current: Specification = entries.get(route_key(edit.route))
+    is_conflict = not are_equal(current, edit.base_specification)
+    reason = _reason_to_wait(entries, edit, is_conflict)
+    return {
+        **encode_edit(edit),
+        "now": current,
+        "conflict": is_conflict,
+        "why": reason.value if reason is not None else "",
+    }
+
+
+def _reason_to_wait(entries: Mapping[str, Any], edit: RouteEdit, is_conflict: bool) -> ConflictReason | None:
+    if is_conflict:
+        return ConflictReason.SPECIFICATION
+    reason = conflict_reason(entries, edit.route, edit.specification, edit.base_specification)
+    if reason is None and not edit.automatic:
+        return ConflictReason.ROUTE_TYPE
+    return reason
+
+
+def route_history(entries: Mapping[str, Any], pending: EditsById, route: str) -> list[Record]:
+    """What became of the edits of a route, oldest first, the pending ones last."""
+    edits = [edit for edit in _unresolved(entries, pending) if edit.route == route]
+    return [
+        *log_of(history_of(entries, route)),
+        *(encode_log_entry(edit, Outcome.PENDING) for edit in edits),
+    ]
--- a/ashlift/simulation/board.py
+++ b/ashlift/simulation/board.py
@@ -25,10 +25,12 @@
     PENDING_EDITS_TIMEOUT_SECONDS,
     WATCH_GRACE_SECONDS,
 )
-from ashlift.route_reconciliation.edits import Edit, join, read_edit
-from ashlift.route_reconciliation.hybrid_clock import Clock, Stamp
-from ashlift.route_reconciliation.merging import SETTLED
-from ashlift.route_reconciliation.proposals import kept, made, past
+from ashlift.route_reconciliation.edit_codec import encode_edit
+from ashlift.route_reconciliation.edit_sets import decode_edits, join_edits
+from ashlift.route_reconciliation.edits import RouteChanged, RouteEdit
+from ashlift.route_reconciliation.hybrid_clock import HybridLogicalClock, HybridTimestamp
+from ashlift.route_reconciliation.proposals import decode_request, latest_timestamp, prepare_pending
+from ashlift.route_reconciliation.stored_records import outcome_of
 from ashlift.simulation import store
 from ashlift.simulation.engine import Future, Loop, Machine, Net, Process, Signal, Steps
 
@@ -72,7 +74,7 @@
         self._bell, self._told = Signal(self), 0
         self._swaps: set[str] = set()
         self._turn = 0
-        self._stamps = Clock(machine.name, self.wall(), self.clock())
+        self._stamps = HybridLogicalClock(machine.name, self.wall(), self.clock())
         self._hangs = False
         self._round, self._index = [0, 0], 0
         self.spawn(self._watch())
@@ -275,46 +277,45 @@
         asked = {
             ip: self.call(ip, store.KIND, "drafts", {"add": add}, PENDING_EDITS_TIMEOUT_SECONDS) for ip in ips
         }
-        book: dict[str, Edit] = {}
+        book: dict[str, RouteEdit] = {}
         held = []
         for ip, future in asked.items():
             answer = yield future
             if not isinstance(answer, Failure):
                 held.append(ip)
-                found = [read_edit(one) for one in answer["edits"]]
-                book = join(book, {one.id: one for one in found if isinstance(one, Edit)})
+                book = join_edits(book, decode_edits(answer["edits"]))
         return book, held
 
-    def _stamp(self, name: str, book: dict[str, Edit]) -> Stamp:
-        seen = past(self.registry.operator_config.values, book, name)
-        self._stamps.seen(seen, self.wall(), self.clock())
-        return self._stamps.stamp(seen, self.wall(), self.clock())
+    def _stamp(self, name: str, book: dict[str, RouteEdit]) -> HybridTimestamp:
+        seen = latest_timestamp(self.registry.operator_config.values, book, name)
+        self._stamps.observe(seen, self.wall(), self.clock())
+        return self._stamps.next_timestamp(seen, self.wall(), self.clock())
 
     def _edit(self, body: dict[str, Any]) -> Steps:
         name, map = body["name"], self.registry.operator_config.values
-        edit = made(map, name, body, self._stamp(name, {}), self.name)
-        assert isinstance(edit, Edit)
-        order = {"kind": "edit", "if_match": None, "body": {"edit": edit.wire()}}
+        edit = decode_request(map, name, body, self._stamp(name, {}), self.name)
+        assert isinstance(edit, RouteEdit)
+        order = {"kind": "edit", "if_match": None, "body": {"edit": encode_edit(edit)}}
         answer = yield from self._submitted(order)
         if not isinstance(answer, Failure):
             return answer["status"], answer
         book, _ = yield from self._waiting([])
-        waits = kept(map, book, edit, answer.reason not in NOT_EXECUTED_REASONS)
-        if isinstance(waits, dict):
-            return 409, waits
-        _, held = yield from self._waiting([waits.wire()])
-        return (202, {"outcome": "waits", "auto": waits.auto, "held": held}) if held else (503, {})
+        waits = prepare_pending(map, book, edit, answer.reason not in NOT_EXECUTED_REASONS)
+        if isinstance(waits, RouteChanged):
+            return 409, waits.encode()
+        _, held = yield from self._waiting([encode_edit(waits)])
+        return (202, {"outcome": "waits", "auto": waits.automatic, "held": held}) if held else (503, {})
 
     def _word(self, body: dict[str, Any]) -> Steps:
-        done = self.registry.operator_config.values.get(SETTLED + body["id"])
+        done = outcome_of(self.registry.operator_config.values, body["id"])
         if done:
             return 200, done
         book, _ = yield from self._waiting([])
         if body["id"] not in book:
             return 404, {}
         edit = book[body["id"]]
-        said = {"edit": edit.wire(), "who": body["who"], "over": body["over"]}
-        said["stamp"] = [*self._stamp(edit.name, book)]
+        said = {"edit": encode_edit(edit), "who": body["who"], "over": body["over"]}
+        said["stamp"] = [*self._stamp(edit.route, book)]
         version = self.registry.operator_config.values.get("Version")
         order = {"kind": body["word"], "if_match": version, "body": said}
         answer = yield from self._submitted(order)
--- a/ashlift/simulation/clerks.py
+++ b/ashlift/simulation/clerks.py
@@ -7,7 +7,7 @@
 
 from ashlift.config.operator_config import export_configuration
 from ashlift.config.routing_table import RoutingTable
-from ashlift.route_reconciliation.merging import IN_FORCE, SETTLED
+from ashlift.route_reconciliation.stored_records import Outcome, outcome_of
 from ashlift.simulation import board
 from ashlift.simulation.board import Board
 from ashlift.simulation.history import HOST, Change, History
@@ -32,7 +32,7 @@
     def heard(self, answer: Any, now: float) -> None:
         if isinstance(answer, tuple):
             self.status = answer[0]
-            if answer[0] == 200 and answer[1]["outcome"] == IN_FORCE:
+            if answer[0] == 200 and answer[1]["outcome"] == Outcome.IN_FORCE:
                 self.acked = now
 
 
@@ -86,7 +86,7 @@
 
 def outcome(id: str, stores: list[Store]) -> str:
     """What the agreed map says of an edit; `waits`, or `unknown` where no store holds it either."""
-    done = agreed(stores).get(SETTLED + id)
+    done = outcome_of(agreed(stores), id)
     if done:
         return str(done["outcome"])
     waits = any(one.pending_edits and id in one.pending_edits.pending.edits for one in stores)
@@ -96,10 +96,10 @@
 def settle(history: History, map: Mapping[str, Any]) -> None:
     """Tell the checkers what the agreed map says of each edit: the version that it made, or that it was
     never in force, so that whatever ran by it is a breach."""
-    ends = {id: map.get(SETTLED + id, {}) for id in history.errands}
+    ends = {id: outcome_of(map, id) or {} for id in history.errands}
     for id in sorted(ends, key=lambda id: str(ends[id].get("version"))):
         errand, end = history.errands[id], ends[id]
-        made = end.get("outcome") == IN_FORCE
+        made = end.get("outcome") == Outcome.IN_FORCE
         version = int(end["version"], 16) if made else 0
         older = [one for one in history.changes if not one.refused and one.version < version]
         base = max(older, key=lambda one: one.version, default=None)
--- a/tests/configstore/test_stored_data.py
+++ b/tests/configstore/test_stored_data.py
@@ -13,6 +13,7 @@
 from ashlift.configstore.replica_storage import ReplicaStorage
 from ashlift.configstore.snapshot_storage import SnapshotStorage
 from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE
+from ashlift.route_reconciliation.edit_codec import encode_edit
 from tests.support import stored_data
 from tests.support.stored_data import TORN, WHOLE, Stored, Values
 
@@ -71,7 +72,7 @@
         name: type(value) for name, value in newest.objects.items()
     }
     found = waiting(folder / disk).pending.edits
-    assert {id: edit.wire() for id, edit in found.items()} == {
+    assert {id: encode_edit(edit) for id, edit in found.items()} == {
         edit["id"]: edit for edit in stored_data.edits()
     }
 
--- a/tests/registry/test_routes.py
+++ b/tests/registry/test_routes.py
@@ -23,7 +23,8 @@
 from ashlift.registry.http_server import HttpRequest
 from ashlift.registry.registry import Registry, RegistryIdentity
 from ashlift.registry.route_resources import Proposals, RouteEditService, Routes
-from tests.route_reconciliation.test_merging import BASE, FIRST, Map, route
+from ashlift.route_reconciliation.edit_codec import encode_edit
+from tests.support.route_edits import BASE, FIRST_ROUTES, Map, route
 
 ORDER = route("c", "/hold/", "non_idempotent")
 
@@ -99,7 +100,7 @@
     code, told = core.edit("hold", ORDER, "e1")
     assert code == 0 and "in force, version 00000002" in told and core.map["Routes/hold"] == ORDER
     core.registry.operator_config.replace(9, BASE)  # this registry lags behind
-    code, told = core.edit("hold", FIRST["hold"], "e2")
+    code, told = core.edit("hold", FIRST_ROUTES["hold"], "e2")
     assert code == 3 and "conflict" in told and json.dumps(ORDER, sort_keys=True) in told
     assert core.map["Routes/hold"] == ORDER
     assert core.edit("hold", ORDER, "e1")[0] == 0 and core.map["Version"] == "00000002", "asked again: once"
@@ -114,7 +115,7 @@
     assert code == 2 and "503" in told and core.map == BASE
     core.fault = None
     core.merge()
-    assert core.map["Routes/hold"] == FIRST["hold"], "it does not merge by itself"
+    assert core.map["Routes/hold"] == FIRST_ROUTES["hold"], "it does not merge by itself"
     assert Path(core.folder, "10.0.0.1", "edits-b.dat").exists(), "what a daemon looks for at its start"
     core.shelves["10.0.0.1"] = core.opened("10.0.0.1")  # it starts anew
     del core.shelves["10.0.0.2"]  # and the other is gone
@@ -138,11 +139,11 @@
     assert code == 3 and "in doubt" in told
     core.fault = None
     kept = core.shelves["10.0.0.1"].pending.edits["d1"]
-    core.submit("edit", None, {"edit": kept.wire()})
+    core.submit("edit", None, {"edit": encode_edit(kept)})
     assert core.run("confirm c:1 d1 --on 00000001") == (0, "in force 00000002\n")
     assert core.map["Version"] == "00000002"
     core.fault = Failure(FailureReason.UNAVAILABLE, "no leader")
-    assert core.edit("hold", FIRST["hold"], "c1")[0] == 3
+    assert core.edit("hold", FIRST_ROUTES["hold"], "c1")[0] == 3
     core.fault = None
     assert core.edit("hold", route("a", "/hold/", "non_idempotent"), "m1")[0] == 0
     code, told = core.run("confirm c:1 c1 --on 00000003")
@@ -156,7 +157,9 @@
     core.fault = Failure(FailureReason.UNAVAILABLE, "no leader")
     assert "merges by itself" in core.edit("x", route("b"), "x1")[1]
     (kept,) = core.shelves["10.0.0.1"].pending.edits.values()
-    ahead = {"x1": attrs.evolve(kept, stamp=kept.stamp._replace(ms=kept.stamp.ms + 9000))}
+    ahead = {
+        "x1": attrs.evolve(kept, timestamp=kept.timestamp._replace(wall_ms=kept.timestamp.wall_ms + 9000))
+    }
     core.shelves["10.0.0.2"].pending.edits = ahead  # of another machine, whose clock is ahead
     assert "merges by itself" in core.edit("x", None, "x2")[1]
     assert "confirm" in core.edit("y", route("a", "/hold/new/"), "y1")[1], "it takes an order's paths"
