--- a/ashlift/simulation/catching.py
+++ b/ashlift/simulation/catching.py
@@ -118,7 +118,7 @@
 def timed() -> Iterator[list[float]]:
     """s of processor time that leaders spend on payloads while it lasts."""
     spent: list[float] = []
-    real = CatchUp.next
+    real = CatchUp.next_payload
 
     def next_(self: CatchUp, *what: Any) -> bytes | bool:
         began = time.process_time()
@@ -126,11 +126,11 @@
         spent.append(time.process_time() - began)
         return found
 
-    CatchUp.next = next_  # type: ignore[method-assign, assignment]
+    CatchUp.next_payload = next_  # type: ignore[method-assign, assignment]
     try:
         yield spent
     finally:
-        CatchUp.next = real  # type: ignore[method-assign]
+        CatchUp.next_payload = real  # type: ignore[method-assign]
 
 
 def decide(map: Mapping[str, Any], command: OperatorCommand) -> Proposal | ReadOnlyResult:
