--- a/ashlift/lab/system/yard.py
+++ b/ashlift/lab/system/yard.py
@@ -213,10 +213,10 @@
 
     def answer(self, worker: Worker, one: Try, outcome: AttemptOutcome) -> None:
         wire = cast(WireTry, one)
-        if outcome.ended is AttemptResult.LOST or outcome.reply is None:
+        if outcome.result is AttemptResult.CONNECTION_LOST or outcome.response is None:
             gevent.spawn(wire.line.close)
         else:
-            wire.line.answer(wire, outcome.reply.status, outcome.ended is AttemptResult.ANSWERED)
+            wire.line.answer(wire, outcome.response.status, outcome.result is AttemptResult.RESPONSE)
 
     def stop(self) -> None:
         for worker in list(self.workers.values()):
--- a/ashlift/proxy/__main__.py
+++ b/ashlift/proxy/__main__.py
@@ -31,50 +31,52 @@
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.server import ProxyServer, serve_readiness
 
-PATH = "/etc/ashlift/settings.toml"
-LOOK_S = 1.0  # between looks at the settings file
-SWEEP_S = 1.0
-NAMES_MOST = 5  # told in one event
-LEAVE_SHARE = 0.55  # of Grace: so long connections are taken, for clients may hold an old /lookup
-END_SHARE = 0.93  # of Grace: then the process ends
+DEFAULT_SETTINGS_PATH = "/etc/ashlift/settings.toml"
+SETTINGS_CHECK_SECONDS = 1.0  # between looks at the settings file
+IDLE_CHECK_SECONDS = 1.0
+MAX_LOGGED_NAMES = 5  # told in one event
+ACCEPT_FRACTION = 0.55  # of Grace: so long connections are taken, for clients may hold an old /lookup
+EXIT_FRACTION = 0.93  # of Grace: then the process ends
 
 
 class Program:
     def __init__(self, path: str, settings: Settings) -> None:
         rng = random.Random(os.urandom(8))
         self.path, self.settings = path, settings
-        self.gate = RequestRouter(settings, rng, time.monotonic())
-        self.desk = RequestHandler(self.gate)
-        self.front = ProxyServer(self.desk, self._limits)
-        self.news = RegistryPoller(settings, self.gate, os.urandom(4).hex(), rng, self._changed)
+        self.router = RequestRouter(settings, rng, time.monotonic())
+        self.request_handler = RequestHandler(self.router)
+        self.proxy_server = ProxyServer(self.request_handler, self._limits)
+        self.registry_poller = RegistryPoller(
+            settings, self.router, os.urandom(4).hex(), rng, self._configuration_changed
+        )
         self._ready = False
-        self._held: dict[str, Tenant] | None = None  # tenants
+        self._known_tenants: dict[str, Tenant] | None = None  # tenants
         self._stop = Event()
         self.broken = False
-        self._read_again = Event()
+        self._reload = Event()
 
     def _limits(self) -> ClientLimits:
-        table = self.gate.ledger.table
+        table = self.router.cluster.routing_table
         return table.limits if table is not None else ClientLimits()
 
-    def _changed(self) -> None:
-        self.desk.heard()
-        self._tenants()
-        ready = self.gate.ready(time.monotonic())
+    def _configuration_changed(self) -> None:
+        self.request_handler.configuration_changed()
+        self._log_tenant_changes()
+        ready = self.router.is_ready(time.monotonic())
         if ready != self._ready:
             self._ready = ready
-            log_event(events.READY if ready else events.UNREADY, index=self.gate.ledger.index)
+            log_event(events.READY if ready else events.UNREADY, index=self.router.cluster.config_index)
 
-    def _tenants(self) -> None:
+    def _log_tenant_changes(self) -> None:
         """Tell tenants that are new here, changed or gone: all that is said of one came together."""
-        table, held = self.gate.ledger.table, self._held
+        table, held = self.router.cluster.routing_table, self._known_tenants
         if table is None or table.tenants is held:
             return
-        now = self._held = table.tenants
+        now = self._known_tenants = table.tenants
         if held is not None and now != held:
             here = sorted(name for name, tenant in now.items() if held.get(name) != tenant)
             gone = sorted(held.keys() - now.keys())
-            version, index = f"{table.version:08x}", self.gate.ledger.index
+            version, index = f"{table.version:08x}", self.router.cluster.config_index
             log_event(events.TENANTS, version=version, index=index, here=_some(here), gone=_some(gone))
 
     def run(self) -> int:
@@ -82,24 +84,24 @@
         if front is None or readiness is None:
             log_event(SETTINGS_INVALID, level=ERROR, error="Bindings: Front and Readiness are needed")
             return 2
-        serve_readiness(readiness, lambda: self.gate.ready(time.monotonic()))
-        self.front.listen(front)
+        serve_readiness(readiness, lambda: self.router.is_ready(time.monotonic()))
+        self.proxy_server.listen(front)
         gevent.signal_handler(signal.SIGTERM, self._stop.set)
-        gevent.signal_handler(signal.SIGHUP, self._read_again.set)
-        for loop in (self.news.run, self._sweep, self._watch):
+        gevent.signal_handler(signal.SIGHUP, self._reload.set)
+        for loop in (self.registry_poller.run, self._sweep, self._watch_settings):
             self._spawn(loop)
         log_event(STARTED, zone=self.settings.zone)
         self._stop.wait()
-        return self._leave()
+        return self._shut_down()
 
-    def _leave(self) -> int:
+    def _shut_down(self) -> int:
         """Out of /lookup first; then no new connections; then the end, with all answered or Grace over."""
         began, grace = time.monotonic(), self.settings.bounds.grace
-        self.gate.leaving = self.front.leaving = True
-        log_event(STOPPING, in_flight=self.desk.busy)
-        gevent.sleep(LEAVE_SHARE * grace)
-        self.front.close()
-        while self.desk.busy and time.monotonic() < began + END_SHARE * grace:
+        self.router.draining = self.proxy_server.draining = True
+        log_event(STOPPING, in_flight=self.request_handler.in_flight)
+        gevent.sleep(ACCEPT_FRACTION * grace)
+        self.proxy_server.close()
+        while self.request_handler.in_flight and time.monotonic() < began + EXIT_FRACTION * grace:
             gevent.sleep(0.02)
         gevent.sleep(0.05)
         return 70 if self.broken else 0
@@ -118,27 +120,29 @@
 
     def _sweep(self) -> None:
         while True:
-            gevent.sleep(SWEEP_S)
-            self.desk.links.sweep(set(self.gate.crew.views))
+            gevent.sleep(IDLE_CHECK_SECONDS)
+            self.request_handler.connection_pool.close_expired(set(self.router.load_balancer.workers))
 
-    def _watch(self) -> None:
+    def _watch_settings(self) -> None:
         """Read the settings again after SIGHUP, or when the file has changed without one."""
         seen = _stamp(self.path)
         while True:
-            if self._read_again.wait(LOOK_S) or _stamp(self.path) != seen:
-                self._read_again.clear()
+            if self._reload.wait(SETTINGS_CHECK_SECONDS) or _stamp(self.path) != seen:
+                self._reload.clear()
                 seen = _stamp(self.path)
                 read = read_settings(self.path)
                 if isinstance(read, list):
                     for fault in read:
                         log_event(SETTINGS_INVALID, level=ERROR, error=fault.detail)
                 else:
-                    self.news.seeds = [host for host, _ in read.seeds]
-                    log_event(SETTINGS_READ, seeds=",".join(self.news.seeds))
+                    self.registry_poller.seeds = [host for host, _ in read.seeds]
+                    log_event(SETTINGS_READ, seeds=",".join(self.registry_poller.seeds))
 
 
 def _some(names: list[str]) -> str:
-    return ",".join(names[:NAMES_MOST]) + (f",and {len(names) - NAMES_MOST} more" * (len(names) > NAMES_MOST))
+    return ",".join(names[:MAX_LOGGED_NAMES]) + (
+        f",and {len(names) - MAX_LOGGED_NAMES} more" * (len(names) > MAX_LOGGED_NAMES)
+    )
 
 
 def _stamp(path: str) -> tuple[int, int]:
@@ -150,7 +154,7 @@
 
 
 def main() -> int:
-    path = os.environ.get("ASHLIFT_SETTINGS", PATH)
+    path = os.environ.get("ASHLIFT_SETTINGS", DEFAULT_SETTINGS_PATH)
     read = read_settings(path)
     if isinstance(read, list):
         for fault in read:
--- a/ashlift/proxy/configuration_updates.py
+++ b/ashlift/proxy/configuration_updates.py
@@ -7,11 +7,16 @@
 from gevent.event import Event
 
 from ashlift.config.settings import Settings
-from ashlift.proxy.registry_client import ANSWER_S, MOST_S, WAIT_S, RegistryClient
+from ashlift.proxy.registry_client import (
+    LONG_POLL_SECONDS,
+    MAX_RESPONSE_SECONDS,
+    RESPONSE_TIMEOUT_SECONDS,
+    RegistryClient,
+)
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.rpc.client import ClientPool
 
-PAUSE_S = 0.05
+RETRY_PAUSE_SECONDS = 0.05
 
 
 class RegistryPoller:
@@ -23,34 +28,40 @@
         rng: random.Random,
         changed: Callable[[], None],
     ) -> None:
-        self._port, self._changed = settings.internal_ports[0] + 1, changed
-        self._pulling = RegistryClient(settings, gate, incarnation, rng)
-        self._callers = ClientPool()
+        self._port, self._on_change = settings.internal_ports[0] + 1, changed
+        self._registry_client = RegistryClient(settings, gate, incarnation, rng)
+        self._rpc_clients = ClientPool()
         self._stopped = Event()
 
     @property
     def seeds(self) -> list[str]:
-        return self._pulling.seeds
+        return self._registry_client.seeds
 
     @seeds.setter
     def seeds(self, seeds: list[str]) -> None:
-        self._pulling.seeds = seeds
+        self._registry_client.seeds = seeds
 
     def run(self) -> None:
         while not self._stopped.is_set():
             if not self._pull():
-                self._stopped.wait(PAUSE_S)
+                self._stopped.wait(RETRY_PAUSE_SECONDS)
 
     def stop(self) -> None:
         self._stopped.set()
 
     def _pull(self) -> bool:
-        pull = self._pulling.begin(time.monotonic())
+        pull = self._registry_client.next_request(time.monotonic())
         if pull is None:
             return False
-        caller = self._callers.client((pull.ip, self._port))
-        answer = caller.call("pull", pull.body, WAIT_S + ANSWER_S, MOST_S, pull.dial)
-        if not self._pulling.ended(pull, time.monotonic(), answer):
+        caller = self._rpc_clients.client((pull.registry_ip, self._port))
+        answer = caller.call(
+            "pull",
+            pull.body,
+            LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS,
+            MAX_RESPONSE_SECONDS,
+            pull.connect_timeout,
+        )
+        if not self._registry_client.handle_response(pull, time.monotonic(), answer):
             return False
-        self._changed()
+        self._on_change()
         return True
--- a/ashlift/proxy/responses.py
+++ b/ashlift/proxy/responses.py
@@ -5,11 +5,15 @@
 from typing import Final
 
 from ashlift.gatekeeper.net.replies import Reply
-from ashlift.proxy.request_reader import HOP, Headers
+from ashlift.proxy.request_reader import HOP_BY_HOP_HEADERS, Headers
 
-ATTEMPT: Final = b"x-attempt-id"
-SEAL: Final = b"x-server-seal"
-PROMISES: Final = (408, 429, 503)  # to a client they say that it has not run and never will; so does 421
+ATTEMPT_ID_HEADER: Final = b"x-attempt-id"
+SERVER_SEAL_HEADER: Final = b"x-server-seal"
+NOT_RUN_STATUSES: Final = (
+    408,
+    429,
+    503,
+)  # to a client they say that it has not run and never will; so does 421
 
 
 class WorkerResponse(Reply):
@@ -19,7 +23,7 @@
     def long(self) -> bool:
         return False
 
-    def one(self, name: bytes) -> bytes | None:
+    def header(self, name: bytes) -> bytes | None:
         """The value of a header of the answer, None where there is none or several."""
         found = [value for key, value in self.headers if key == name]
         return found[0] if len(found) == 1 else None
@@ -29,14 +33,14 @@
         """The worker says that it has not run the request, and never will."""
         return self.status == 421 or any(key == b"x-not-executed" for key, _ in self.headers)
 
-    def sound(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether it may be passed on as the worker's own word: whole, a success with its seal, and no
         promise that the worker has not given (only X-Not-Executed says that a request has not run)."""
-        if not self.done or self.to_close or not 200 <= self.status <= 599 or self.status in PROMISES:
+        if not self.done or self.to_close or not 200 <= self.status <= 599 or self.status in NOT_RUN_STATUSES:
             return False
         if self.status >= 300:
             return True
-        return bool(self.one(SEAL)) and self.one(b"content-encoding") is None
+        return bool(self.header(SERVER_SEAL_HEADER)) and self.header(b"content-encoding") is None
 
 
 @dataclass(slots=True)
@@ -46,12 +50,12 @@
     status: int
     headers: Headers = field(default_factory=list)
     body: bytes = b""
-    again: float | None = None  # s, Retry-After
+    retry_after: float | None = None  # s, Retry-After
     cause: str = ""  # of our own answers, for the log
 
 
 def relay(reply: WorkerResponse) -> ClientResponse:
-    kept = [(name, value) for name, value in reply.headers if name not in HOP]
+    kept = [(name, value) for name, value in reply.headers if name not in HOP_BY_HOP_HEADERS]
     return ClientResponse(reply.status, kept, b"".join(reply.parts))
 
 
@@ -65,8 +69,8 @@
     lines += [b"%b: %b" % header for header in answer.headers]
     if answer.status not in (204, 304):
         lines.append(b"Content-Length: %d" % len(answer.body))
-    if answer.again is not None:
-        lines.append(b"Retry-After: %.3f" % answer.again)
+    if answer.retry_after is not None:
+        lines.append(b"Retry-After: %.3f" % answer.retry_after)
     if not keep:
         lines.append(b"Connection: close")
     head = b"\r\n".join(lines) + b"\r\n\r\n"
--- a/ashlift/proxy/server.py
+++ b/ashlift/proxy/server.py
@@ -15,18 +15,18 @@
 from ashlift.proxy.responses import ClientResponse, render
 from ashlift.rpc.addresses import Address
 
-WRITE_S = 5.0  # a client that takes no bytes for so long is gone
-BODY_S = 10.0  # between two pieces of a body
-LOOK_S = 0.05  # between looks whether a client is gone that has sent its next request already
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+WRITE_TIMEOUT_SECONDS = 5.0  # a client that takes no bytes for so long is gone
+BODY_TIMEOUT_SECONDS = 10.0  # between two pieces of a body
+HANG_UP_CHECK_SECONDS = 0.05  # between looks whether a client is gone that has sent its next request already
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class ProxyServer:
     """Listens for clients, and knows every open connection."""
 
     def __init__(self, desk: RequestHandler, limits: Callable[[], ClientLimits]) -> None:
-        self.desk, self.limits = desk, limits
-        self.leaving = False
+        self.request_handler, self.limits = desk, limits
+        self.draining = False
         self.connections: set[ClientConnection] = set()
         self._server: StreamServer | None = None
 
@@ -50,64 +50,64 @@
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
-            connection.rest()
+            connection.close_if_idle()
 
 
 class ClientConnection:
     def __init__(self, front: ProxyServer, sock: socket.socket) -> None:
-        self._front, self._sock = front, sock
+        self._proxy_server, self._sock = front, sock
         self._reader = RequestReader()
-        self._busy = False
-        self._last = b""  # id of the newest request
+        self._in_request = False
+        self._last_attempt_id = b""  # id of the newest request
 
     def run(self) -> None:
         with contextlib.suppress(OSError, gevent.Timeout):
-            while self._step():
+            while self._serve_request():
                 pass
 
-    def rest(self) -> None:
+    def close_if_idle(self) -> None:
         """End it if nothing is asked on it."""
-        if not self._busy and self._reader.asked is None:
+        if not self._in_request and self._reader.current is None:
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_RD)
 
-    def _step(self) -> bool:
+    def _serve_request(self) -> bool:
         """One request; whether the connection goes on."""
-        self._reader.limits = limits = self._front.limits()
-        asked = self._read(limits)
+        self._reader.limits = limits = self._proxy_server.limits()
+        asked = self._read_request(limits)
         if asked is None:
             return False
-        self._busy = True
+        self._in_request = True
         try:
             answer = self._handle(asked)
             if answer is None:
                 return False
-            keep = asked.keep and not self._front.leaving
+            keep = asked.keep_alive and not self._proxy_server.draining
             self._write(render(answer, keep, asked.method == b"HEAD"))
             return keep
         finally:
-            self._busy = False
+            self._in_request = False
 
-    def _read(self, limits: ClientLimits) -> ClientRequest | None:
+    def _read_request(self, limits: ClientLimits) -> ClientRequest | None:
         reader, told = self._reader, False
-        if reader.done and hung_up(self._sock):
+        if reader.complete and hung_up(self._sock):
             return None  # it came together with the one before it, and nobody waits for it any more
         since = time.monotonic()
-        while not reader.done:
-            if reader.bad:
-                self._refuse(reader.bad)
+        while not reader.complete:
+            if reader.error_status:
+                self._reject(reader.error_status)
                 return None
-            asked = reader.asked
+            asked = reader.current
             if asked is None:
                 most = limits.idle_timeout - (time.monotonic() - since)
-            elif not asked.headed:
+            elif not asked.head_complete:
                 most = limits.header_timeout - (time.monotonic() - since)
             else:
-                most = BODY_S
-            if asked is not None and asked.headed and not told and not asked.size:
+                most = BODY_TIMEOUT_SECONDS
+            if asked is not None and asked.head_complete and not told and not asked.body_bytes:
                 told = True
-                if asked.expects:
-                    self._write(CONTINUE)
+                if asked.expects_continue:
+                    self._write(CONTINUE_RESPONSE)
             timer = gevent.Timeout(max(0.001, most))
             timer.start()
             try:
@@ -116,20 +116,20 @@
                 if over is not timer:
                     raise
                 if asked is not None:
-                    self._refuse(408)
+                    self._reject(408)
                 return None
             finally:
                 timer.close()
             if not data:
                 return None
-            if reader.asked is None:
+            if reader.current is None:
                 since = time.monotonic()
             reader.feed(data)
-        return reader.done.pop(0)
+        return reader.complete.pop(0)
 
     def _handle(self, asked: ClientRequest) -> ClientResponse | None:
         """The answer, or None where there is none to give: its client has gone, as a rule."""
-        case = RequestContext(self._last)
+        case = RequestContext(self._last_attempt_id)
         loop = gevent.get_hub().loop
         watcher, again = loop.io(self._sock.fileno(), 1), None
 
@@ -137,24 +137,24 @@
             nonlocal again
             watcher.stop()
             if hung_up(self._sock):
-                case.gone = True
-                case.woken.set()
+                case.client_gone = True
+                case.wake.set()
             elif again is None:  # its next request: whether it is still there is to be seen by looking
-                again = loop.timer(LOOK_S, LOOK_S)
+                again = loop.timer(HANG_UP_CHECK_SECONDS, HANG_UP_CHECK_SECONDS)
                 again.start(look)
 
         watcher.start(look)
         try:
-            return self._front.desk.handle(asked, case)
+            return self._proxy_server.request_handler.handle(asked, case)
         finally:
-            self._last = case.attempt
+            self._last_attempt_id = case.attempt_id
             watcher.stop()
             watcher.close()
             if again is not None:
                 again.stop()
                 again.close()
 
-    def _refuse(self, status: int) -> None:
+    def _reject(self, status: int) -> None:
         """Answer what cannot be read, and let its sender see the answer before the end."""
         self._write(render(ClientResponse(status), False))
         with contextlib.suppress(OSError, gevent.Timeout), gevent.Timeout(1.0):
@@ -163,7 +163,7 @@
                 pass
 
     def _write(self, data: bytes) -> None:
-        with gevent.Timeout(WRITE_S):
+        with gevent.Timeout(WRITE_TIMEOUT_SECONDS):
             self._sock.sendall(data)
 
 
@@ -174,14 +174,14 @@
         reader = RequestReader()
         try:
             with gevent.Timeout(5.0):
-                while not reader.done:
+                while not reader.complete:
                     data = sock.recv(4096)
                     if not data:
                         return
                     reader.feed(data)
-                    if reader.bad:
+                    if reader.error_status:
                         return
-                path = reader.done[0].target.partition(b"?")[0]
+                path = reader.complete[0].target.partition(b"?")[0]
                 status = 404 if path != b"/readiness" else 200 if ready() else 503
                 sock.sendall(render(ClientResponse(status), False))
         except (OSError, gevent.Timeout):
--- a/ashlift/proxy/upstream.py
+++ b/ashlift/proxy/upstream.py
@@ -11,31 +11,35 @@
 from ashlift.gatekeeper.net.links import quiet
 from ashlift.gatekeeper.net.replies import SpoiltAnswerError
 from ashlift.proxy.idle_connections import IdleConnectionAges
-from ashlift.proxy.responses import ATTEMPT, WorkerResponse
+from ashlift.proxy.responses import ATTEMPT_ID_HEADER, WorkerResponse
 from ashlift.rpc.addresses import Address
 
-IDLE_S = 4.0  # an idle connection is used again for so long, or as long as `Keep-Alive` says, less a second
-IDLE_EACH = 16  # kept to one worker
-EARLY_LEAST = 16 << 10  # bytes of a request, from which on an answer may come before all of it has been read
+# an idle connection is used again for so long, or as long as `Keep-Alive` says, less a second
+MAX_IDLE_SECONDS = 4.0
+MAX_IDLE_PER_WORKER = 16  # kept to one worker
+# bytes of a request, from which on an answer may come before all of it has been read
+MIN_EARLY_RESPONSE_REQUEST_BYTES = 16 << 10
 
 
 class AttemptResult(Enum):
     """How one try at one worker ended."""
 
-    ANSWERED = auto()  # the worker's own sound answer
+    RESPONSE = auto()  # the worker's own sound answer
     NOT_RUN = auto()  # it says that it has not run it, or no connection came up
-    UNREACHED = auto()  # no connection came up
-    LOST = auto()  # it may have run, and there is no answer of use
-    LATE = auto()  # it may be running still
-    FULL = auto()  # no connection to be had here: nothing was sent
+    CONNECT_FAILED = auto()  # no connection came up
+    CONNECTION_LOST = auto()  # it may have run, and there is no answer of use
+    TIMED_OUT = auto()  # it may be running still
+    NO_CONNECTION_FREE = auto()  # no connection to be had here: nothing was sent
 
 
 @dataclass(slots=True)
 class AttemptOutcome:
-    ended: AttemptResult
-    reply: WorkerResponse | None = None
-    waited: float = 0.0  # s
-    rested: bool = False  # lost because its connection had rested too long: this tells nothing of the worker
+    result: AttemptResult
+    response: WorkerResponse | None = None
+    elapsed: float = 0.0  # s
+    idle_reset: bool = (
+        False  # lost because its connection had rested too long: this tells nothing of the worker
+    )
 
 
 @dataclass(slots=True, eq=False)
@@ -43,7 +47,7 @@
     sock: socket.socket
     address: Address
     usable_until: float = 0.0
-    since: float = 0.0  # resting
+    idle_since: float = 0.0  # resting
 
 
 class Attempt:
@@ -65,7 +69,7 @@
     def __init__(self) -> None:
         self._idle: dict[str, deque[WorkerConnection]] = {}
         self._open: dict[str, int] = {}
-        self._rests = IdleConnectionAges()
+        self._idle_ages = IdleConnectionAges()
 
     def exchange(
         self,
@@ -87,48 +91,55 @@
         link: WorkerConnection | None = None
         keep_s = 0.0
         try:
-            link = self._take(worker, address, self._rests.most(began, repeatable))
+            link = self._take_idle(worker, address, self._idle_ages.max_idle(began, repeatable))
             if link is not None:
-                rested = began - link.since
+                rested = began - link.idle_since
             else:
                 if self._open.get(worker, 0) >= most:
-                    return AttemptOutcome(AttemptResult.FULL)
-                link = self._dial(worker, address, min(dial, left))
+                    return AttemptOutcome(AttemptResult.NO_CONNECTION_FREE)
+                link = self._connect(worker, address, min(dial, left))
             if one.cancelled:
-                keep_s = IDLE_S
+                keep_s = MAX_IDLE_SECONDS
                 return AttemptOutcome(AttemptResult.NOT_RUN)
             one.sock, one.sent = link.sock, True
             link.sock.sendall(request)
-            early = len(request) > EARLY_LEAST and not quiet(link.sock)
-            reply, keep_s = self._read(link.sock, attempt)
+            early = len(request) > MIN_EARLY_RESPONSE_REQUEST_BYTES and not quiet(link.sock)
+            reply, keep_s = self._read_response(link.sock, attempt)
             if early:
                 keep_s = 0.0  # who answers before the end of a request may take the rest of it for another
             waited = time.monotonic() - began
             if reply is None:
-                return AttemptOutcome(AttemptResult.LOST, None, waited)
+                return AttemptOutcome(AttemptResult.CONNECTION_LOST, None, waited)
             return AttemptOutcome(
-                AttemptResult.NOT_RUN if reply.not_run else AttemptResult.ANSWERED, reply, waited
+                AttemptResult.NOT_RUN if reply.not_run else AttemptResult.RESPONSE, reply, waited
             )
         except gevent.Timeout as over:
             if over is not timer:
                 raise
             return AttemptOutcome(
-                AttemptResult.LATE if one.sent else AttemptResult.UNREACHED, None, time.monotonic() - began
+                AttemptResult.TIMED_OUT if one.sent else AttemptResult.CONNECT_FAILED,
+                None,
+                time.monotonic() - began,
             )
         except (OSError, SpoiltAnswerError) as error:
             now = time.monotonic()
-            forgotten = isinstance(error, ConnectionError) and self._rests.broke(now, rested, now - began)
+            forgotten = isinstance(error, ConnectionError) and self._idle_ages.record_reset(
+                now, rested, now - began
+            )
             return AttemptOutcome(
-                AttemptResult.LOST if one.sent else AttemptResult.UNREACHED, None, now - began, forgotten
+                AttemptResult.CONNECTION_LOST if one.sent else AttemptResult.CONNECT_FAILED,
+                None,
+                now - began,
+                forgotten,
             )
         finally:
             timer.close()
             one.sock = None
             if link is not None:
-                self._give(worker, link, 0.0 if one.cancelled and one.sent else keep_s)
+                self._release(worker, link, 0.0 if one.cancelled and one.sent else keep_s)
 
     @staticmethod
-    def _read(sock: socket.socket, attempt: bytes) -> tuple[WorkerResponse | None, float]:
+    def _read_response(sock: socket.socket, attempt: bytes) -> tuple[WorkerResponse | None, float]:
         """The answer with our id, and for how long the connection may be used again. An answer with another
         id is a late second one of an earlier request: ours may follow, and then the connection goes."""
         doubted = False
@@ -139,32 +150,32 @@
                 if not data:
                     return None, 0.0
                 reply.feed(data)
-            if reply.one(ATTEMPT) == attempt:
+            if reply.header(ATTEMPT_ID_HEADER) == attempt:
                 break
             if not reply.keep or doubted:
                 return None, 0.0
             doubted = True
-        if not (reply.sound() or reply.not_run):
+        if not (reply.is_valid() or reply.not_run):
             return None, 0.0
         if doubted or not reply.keep or reply.to_close:
             return reply, 0.0
-        told = reply.one(b"keep-alive") or b""
+        told = reply.header(b"keep-alive") or b""
         seconds = told.partition(b"timeout=")[2].split(b",")[0].strip()
-        return reply, min(IDLE_S, int(seconds) - 1.0) if seconds.isdigit() else IDLE_S
+        return reply, min(MAX_IDLE_SECONDS, int(seconds) - 1.0) if seconds.isdigit() else MAX_IDLE_SECONDS
 
-    def _take(self, worker: str, address: Address, rest: float) -> WorkerConnection | None:
+    def _take_idle(self, worker: str, address: Address, rest: float) -> WorkerConnection | None:
         """The connection used last that still stands, leads to `address` (a worker that starts again with its
         id may have another), on which nothing lies unread, and that has rested for no more than `rest` s."""
         links, now = self._idle.get(worker), time.monotonic()
         while links:
             link = links.pop()
-            fresh = now < link.usable_until and now - link.since <= rest
+            fresh = now < link.usable_until and now - link.idle_since <= rest
             if fresh and link.address == address and quiet(link.sock):
                 return link
             self._close(worker, link)
         return None
 
-    def _dial(self, worker: str, address: Address, within: float) -> WorkerConnection:
+    def _connect(self, worker: str, address: Address, within: float) -> WorkerConnection:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._open[worker] = self._open.get(worker, 0) + 1
         link = WorkerConnection(sock, address)
@@ -177,14 +188,14 @@
             raise
         return link
 
-    def _give(self, worker: str, link: WorkerConnection, keep_s: float) -> None:
+    def _release(self, worker: str, link: WorkerConnection, keep_s: float) -> None:
         if keep_s <= 0:
             return self._close(worker, link)
-        link.since = time.monotonic()
-        link.usable_until = link.since + keep_s
+        link.idle_since = time.monotonic()
+        link.usable_until = link.idle_since + keep_s
         links = self._idle.setdefault(worker, deque())
         links.append(link)
-        if len(links) > IDLE_EACH:
+        if len(links) > MAX_IDLE_PER_WORKER:
             self._close(worker, links.popleft())
 
     def _close(self, worker: str, link: WorkerConnection) -> None:
@@ -195,7 +206,7 @@
         else:
             self._open.pop(worker, None)
 
-    def sweep(self, wanted: set[str]) -> None:
+    def close_expired(self, wanted: set[str]) -> None:
         """Close what has stood idle too long or leads to a worker that is gone."""
         now = time.monotonic()
         for worker, links in list(self._idle.items()):
--- a/ashlift/simulation/keeper.py
+++ b/ashlift/simulation/keeper.py
@@ -6,13 +6,13 @@
 from typing import Any, Protocol
 
 from ashlift.config.settings import Settings
-from ashlift.proxy.configuration_updates import PAUSE_S
+from ashlift.proxy.configuration_updates import RETRY_PAUSE_SECONDS
 from ashlift.proxy.idle_connections import IdleConnectionAges
 from ashlift.proxy.load_balancer import WorkerState
-from ashlift.proxy.registry_client import ANSWER_S, WAIT_S, RegistryClient
+from ashlift.proxy.registry_client import LONG_POLL_SECONDS, RESPONSE_TIMEOUT_SECONDS, RegistryClient
 from ashlift.proxy.request_router import AdmittedRequest, Rejection, RequestRouter
 from ashlift.proxy.responses import WorkerResponse
-from ashlift.proxy.upstream import IDLE_EACH, IDLE_S, AttemptOutcome, AttemptResult
+from ashlift.proxy.upstream import MAX_IDLE_PER_WORKER, MAX_IDLE_SECONDS, AttemptOutcome, AttemptResult
 from ashlift.simulation import board
 from ashlift.simulation.engine import Loop, Machine, Net, Process, Steps
 from ashlift.simulation.history import HOST, Request
@@ -87,16 +87,16 @@
         keeper, now, request = self.keeper, self.keeper.clock(), self.request
         if self.closed or self.live is not None:
             return
-        live = keeper.gate.arrive(now, HOST, request.path, request.key, self._until - now, self._came)
+        live = keeper.gate.admit(now, HOST, request.path, request.key, self._until - now, self._came)
         if isinstance(live, Rejection):
-            if now >= live.until:
-                return self._answer(live.status, live.cause, live.again)
+            if now >= live.reconsider_until:
+                return self._answer(live.status, live.cause, live.retry_after)
             if self not in keeper.held:
                 keeper.held.append(self)
-                keeper.later(live.until - now + 1e-6, self.enter)
+                keeper.later(live.reconsider_until - now + 1e-6, self.enter)
             return
         self.live = live
-        self._go(keeper.gate.pick(now, live, False))
+        self._go(keeper.gate.choose_worker(now, live, False))
 
     def hang_up(self) -> None:
         """The client has gone."""
@@ -107,7 +107,7 @@
         assert self.live is not None
         view = self.out.pop(one)
         if self.closed:
-            self.keeper.gate.ended(self.keeper.clock(), self.live, view, outcome, True)
+            self.keeper.gate.record_outcome(self.keeper.clock(), self.live, view, outcome, True)
         else:
             self.ended.append((one, view, outcome))
             self._look()
@@ -124,11 +124,11 @@
         elif not self.out:
             if self.failure:
                 return self._answer(self.failure, "", None)
-            return self._answer(view.status, view.cause, view.again)
+            return self._answer(view.status, view.cause, view.retry_after)
         if self.closed or self.ended:
             return
         now = self.keeper.clock()
-        at = gate.hedge(live) if len(self.out) == 1 else None
+        at = gate.hedge_time(live) if len(self.out) == 1 else None
         until = min(live.deadline, live.deadline if at is None else at)
         self._wake += 1
         self.keeper.later(max(0.0, until - now) + 1e-6, self._timer, self._wake)
@@ -138,14 +138,18 @@
         assert live is not None
         while self.ended:
             one, view, outcome = self.ended.pop()
-            final = gate.ended(now, live, view, outcome, one.cancelled)
-            if outcome.ended is AttemptResult.ANSWERED and outcome.reply is not None:
-                self.failure = outcome.reply.status
+            final = gate.record_outcome(now, live, view, outcome, one.cancelled)
+            if outcome.result is AttemptResult.RESPONSE and outcome.response is not None:
+                self.failure = outcome.response.status
                 if final:
                     return self._answer(self.failure, "", None)
         if now >= live.deadline:
             return self._answer(self.failure or 504, "" if self.failure else "late", None)
-        self._go(gate.pick(now, live, True) if not self.out or gate.hedges(now, live) else gate.stay(live))
+        self._go(
+            gate.choose_worker(now, live, True)
+            if not self.out or gate.hedge_is_due(now, live)
+            else gate.final_rejection(live)
+        )
 
     def _start(self, view: WorkerState) -> None:
         assert self.live is not None
@@ -160,16 +164,20 @@
         if live is not None:
             now = keeper.clock()
             for _, view, outcome in self.ended:
-                keeper.gate.ended(now, live, view, outcome, True)
+                keeper.gate.record_outcome(now, live, view, outcome, True)
             for one in list(self.out):
                 one.cancelled = True
                 keeper.yard.hung_up(one)
                 # Its connection is closed: the outcome comes at once.
                 keeper.later(
-                    0.0, one.end, AttemptOutcome(AttemptResult.LOST if one.sent else AttemptResult.UNREACHED)
+                    0.0,
+                    one.end,
+                    AttemptOutcome(
+                        AttemptResult.CONNECTION_LOST if one.sent else AttemptResult.CONNECT_FAILED
+                    ),
                 )
-            if not live.may_run and not live.out:
-                keeper.gate.never_ran(now, live)
+            if not live.may_have_run and not live.attempts_in_flight:
+                keeper.gate.refund_admission(now, live)
         word = cause or str(status)
         keeper.told[word] = keeper.told.get(word, 0) + 1
         self.request.cause = cause
@@ -206,31 +214,33 @@
 
     def _news(self) -> Steps:
         while True:
-            pull = self.pulling.begin(self.clock())
+            pull = self.pulling.next_request(self.clock())
             if pull is not None:
-                within = WAIT_S + ANSWER_S
-                answer: Any = yield self.call(pull.ip, board.KIND, "pull", pull.body, within, pull.dial)
-                if self.pulling.ended(pull, self.clock(), answer):
+                within = LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS
+                answer: Any = yield self.call(
+                    pull.registry_ip, board.KIND, "pull", pull.body, within, pull.connect_timeout
+                )
+                if self.pulling.handle_response(pull, self.clock(), answer):
                     held, self.held = self.held, []
                     for case in held:
                         case.enter()
                     continue
-            yield PAUSE_S
+            yield RETRY_PAUSE_SECONDS
 
     def leave(self) -> None:
         """SIGTERM."""
-        self.gate.leaving = True
+        self.gate.draining = True
         self.spawn(self._leave())
 
     def _leave(self) -> Steps:
-        began, grace = self.clock(), self.gate.bounds.grace
+        began, grace = self.clock(), self.gate.timing_bounds.grace
         yield LEAVE_SHARE * grace
         while self.cases and self.clock() < began + END_SHARE * grace:
             yield 0.02
         self.kill()
 
     def ready(self) -> bool:
-        return self.up and not self.frozen and self.gate.ready(self.clock())
+        return self.up and not self.frozen and self.gate.is_ready(self.clock())
 
     def take(self, request: Request, remaining: float, answered: Callable[[int, float | None], None]) -> None:
         """A request of a client has come whole."""
@@ -242,33 +252,37 @@
     def exchange(self, one: Try) -> None:
         worker, live = one.view.worker, one.case.live
         kept, now = self.idle.get(worker.id), self.clock()
-        most = min(IDLE_S, self.rests.most(now, live is not None and live.route.idempotent))
+        most = min(MAX_IDLE_SECONDS, self.rests.max_idle(now, live is not None and live.route.idempotent))
         while kept:
             one.rested = now - kept.pop()
             if one.rested < most:
                 self.later(max(0.0, one.left), self._late, one)
                 return self.yard.carry(one, True, 0.0)
             self.open[worker.id] -= 1
-        if self.open.get(worker.id, 0) >= self.gate.connections(one.view):
+        if self.open.get(worker.id, 0) >= self.gate.max_connections(one.view):
             self.open[worker.id] = self.open.get(worker.id, 0) + 1  # given back with its outcome
             one.case.request.full += 1
-            return self.later(TURN_S, one.end, AttemptOutcome(AttemptResult.FULL))
+            return self.later(TURN_S, one.end, AttemptOutcome(AttemptResult.NO_CONNECTION_FREE))
         self.open[worker.id] = self.open.get(worker.id, 0) + 1
         self.later(max(0.0, one.left), self._late, one)
-        self.yard.carry(one, False, min(self.gate.dial(one.view), one.left))
+        self.yard.carry(one, False, min(self.gate.connect_timeout(one.view), one.left))
 
     def forgotten(self, one: Try) -> None:
         """Its connection, kept from before, was reset."""
         waited = self.loop.now - one.begun
-        rested = self.rests.broke(self.clock(), one.rested, waited)
-        one.end(AttemptOutcome(AttemptResult.LOST, None, waited, rested))
+        rested = self.rests.record_reset(self.clock(), one.rested, waited)
+        one.end(AttemptOutcome(AttemptResult.CONNECTION_LOST, None, waited, rested))
 
     def _late(self, one: Try) -> None:
-        one.end(AttemptOutcome(AttemptResult.LATE if one.sent else AttemptResult.UNREACHED, None, one.left))
+        one.end(
+            AttemptOutcome(
+                AttemptResult.TIMED_OUT if one.sent else AttemptResult.CONNECT_FAILED, None, one.left
+            )
+        )
 
     def release(self, worker: str, keep: bool) -> None:
         idle = self.idle.setdefault(worker, [])
-        if keep and len(idle) < IDLE_EACH:
+        if keep and len(idle) < MAX_IDLE_PER_WORKER:
             idle.append(self.clock())
         else:
             self.open[worker] -= 1
--- a/ashlift/simulation/scene.py
+++ b/ashlift/simulation/scene.py
@@ -415,7 +415,8 @@
         wrong = [
             one.name
             for one in self.world.keepers()
-            if one.up and (one.gate.ledger.table is None or _routes(one.gate.ledger.table) != wanted)
+            if one.up
+            and (one.gate.cluster.routing_table is None or _routes(one.gate.cluster.routing_table) != wanted)
         ]
         return f"others at {', '.join(wrong)}" if wrong else ""
 
--- a/ashlift/simulation/workers.py
+++ b/ashlift/simulation/workers.py
@@ -60,7 +60,7 @@
         held = [*self.running, *(one for one, _ in self.queue)]
         self.running, self.queue = {}, deque()
         for one in held if not silently else ():
-            self.yard.answer(self, one, AttemptOutcome(AttemptResult.LOST))
+            self.yard.answer(self, one, AttemptOutcome(AttemptResult.CONNECTION_LOST))
         self.yard.free(self)
 
     # ---- requests
@@ -87,9 +87,9 @@
         if self.running.pop(one, one) is one:
             return
         if status == 200 and self.breaking and self.loop.chance.random() < self.breaking:
-            self.yard.answer(self, one, AttemptOutcome(AttemptResult.LOST))
+            self.yard.answer(self, one, AttemptOutcome(AttemptResult.CONNECTION_LOST))
         elif status:
-            self.yard.answer(self, one, AttemptOutcome(AttemptResult.ANSWERED, reply(status), 0.0))
+            self.yard.answer(self, one, AttemptOutcome(AttemptResult.RESPONSE, reply(status), 0.0))
         self._next()
 
     def dropped(self, one: Try) -> None:
@@ -225,7 +225,7 @@
     def answer(self, worker: Worker, one: Try, outcome: AttemptOutcome) -> None:
         """Bytes from a worker to the gatekeeper that asked."""
         keeper, net = one.case.keeper, simulated(self.net)
-        status = outcome.reply.status if outcome.reply else 0
+        status = outcome.response.status if outcome.response else 0
         net.observer.replied(worker, keeper, one.case.request.id, status)
         if one.gone or not net.open(keeper.machine.link, worker.machine.link):
             return
@@ -233,8 +233,8 @@
         trip = net.delay(worker.machine, keeper.machine)
 
         def come() -> None:
-            outcome.waited = keeper.loop.now - begun
-            one.end(outcome, outcome.ended is not AttemptResult.LOST)
+            outcome.elapsed = keeper.loop.now - begun
+            one.end(outcome, outcome.result is not AttemptResult.CONNECTION_LOST)
 
         keeper.later(trip, come)
 
@@ -249,7 +249,7 @@
         if place is None or not net.open(keeper.machine.link, place.machine.link):
             one.sent = kept
             if not kept:
-                keeper.later(dial, one.end, AttemptOutcome(AttemptResult.UNREACHED))
+                keeper.later(dial, one.end, AttemptOutcome(AttemptResult.CONNECT_FAILED))
             return
         there = net.delay(keeper.machine, place.machine)
         if kept and target is not None and self.loop.now - target.record.ended > there:
@@ -263,7 +263,7 @@
 
         def dialled() -> None:
             if target is None or not target.up:
-                return one.end(AttemptOutcome(AttemptResult.UNREACHED))
+                return one.end(AttemptOutcome(AttemptResult.CONNECT_FAILED))
             if one.gone:
                 return
             one.sent = True
@@ -276,7 +276,7 @@
         if target is None or not target.up:
             place = self.workers.get(wanted)
             trip = net.delay(place.machine, one.case.keeper.machine) if place else 0.001
-            return one.case.keeper.later(trip, one.end, AttemptOutcome(AttemptResult.LOST))
+            return one.case.keeper.later(trip, one.end, AttemptOutcome(AttemptResult.CONNECTION_LOST))
         if one.gone:
             return
         if not net.open(one.case.keeper.machine.link, target.machine.link):
--- a/ashlift/simulation/world.py
+++ b/ashlift/simulation/world.py
@@ -230,13 +230,13 @@
 
     def versions(self) -> dict[str, int]:
         """The version that each running gatekeeper has."""
-        tables = {one.name: one.gate.ledger.table for one in self.keepers() if one.up}
+        tables = {one.name: one.gate.cluster.routing_table for one in self.keepers() if one.up}
         return {name: table.version if table else 0 for name, table in tables.items()}
 
     def crews(self) -> dict[str, dict[str, bool]]:
         """What each running gatekeeper knows of workers: whether they are ready."""
         return {
-            one.name: {name: worker.ready for name, worker in one.gate.ledger.workers.items()}
+            one.name: {name: worker.ready for name, worker in one.gate.cluster.workers.items()}
             for one in self.keepers()
             if one.up
         }
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -152,7 +152,7 @@
         version, sums = 0, [0, 0]
         while True:
             now, version = time.monotonic(), version + 1
-            counts = gate.limiter.take_new_counts()
+            counts = gate.rate_limiter.take_new_counts()
             total, declined = counts.get("t1", (0, 0))
             sums = [sums[0] + total, sums[1] + declined]
             first = version == 1
@@ -166,10 +166,10 @@
                 },
             }
             answer = {"sources": told, "alive": ["p#1"], "age": 0.1, "held": 0.0}
-            gate.limiter.confirm_counts(counts)
-            gate.news(now, gate.ledger.take(now, now, answer))
-            gate.limiter.record_usage_totals(
-                now, gate.ledger.sums(), gate.ledger.behind(), gate.ledger.born()
+            gate.rate_limiter.confirm_counts(counts)
+            gate.apply_change(now, gate.cluster.apply(now, now, answer))
+            gate.rate_limiter.record_usage_totals(
+                now, gate.cluster.usage_counts(), gate.cluster.proxies_behind(), gate.cluster.started_at()
             )
             gevent.sleep(0.25)
 
--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -300,10 +300,10 @@
     def take(sources: Json) -> None:
         nonlocal now
         now += TOLD_S
-        pull = pulling.begin(now)
+        pull = pulling.next_request(now)
         assert pull is not None
         encode_frame(REQUEST_CRC_SEED, [1, "pull", pull.body])
-        pulling.ended(pull, now, {**whole, "sources": sources})
+        pulling.handle_response(pull, now, {**whole, "sources": sources})
 
     out.note(
         "gatekeeper: configuration, bytes compressed", len(whole["sources"][OPERATOR_SOURCE].get("pack", b""))
@@ -343,14 +343,14 @@
         timed(lambda: grown(out, "gatekeeper: memory of sums, MB", lambda: take(sums)), 1)[0],
     )
     out.ms("gatekeeper: a pull, nothing new, ms", lambda: take({}))
-    ledger, limiter, crew = gate.ledger, gate.limiter, gate.crew
+    ledger, limiter, crew = gate.cluster, gate.rate_limiter, gate.load_balancer
 
     def of_limiter() -> None:
         limiter.take_new_counts()
-        limiter.record_usage_totals(now, ledger.sums())
+        limiter.record_usage_totals(now, ledger.usage_counts())
 
     def of_crew() -> None:
-        crew.heard(ledger.outs(), crew.outs())
+        crew.update_peer_load(ledger.in_flight(), crew.in_flight())
         ledger.faults()
 
     out.ms("gatekeeper: of that, limiter's news of all sums, ms", of_limiter)
@@ -376,7 +376,7 @@
             )
 
         out.ms(f"gatekeeper: a pull with sums, ms @ {CORE * len(names)}", news)
-    index = ledger.index
+    index = ledger.config_index
 
     def changed() -> None:
         nonlocal index
@@ -388,7 +388,7 @@
             "gone": [],
             "set": {f"Routes/{value['Metadata']['Name']}": value["Specification"], "Version": f"{index:08x}"},
         }
-        gate.news(now, ledger.take(now, now, {**whole, "sources": {OPERATOR_SOURCE: one}}))
+        gate.apply_change(now, ledger.apply(now, now, {**whole, "sources": {OPERATOR_SOURCE: one}}))
 
     out.ms("gatekeeper: a change of one route, ms", changed)
     source = next(iter(ledger.sources))
@@ -408,7 +408,7 @@
                 }
             },
         }
-        gate.news(now, ledger.take(now, now, {**whole, "sources": {source: one}}))
+        gate.apply_change(now, ledger.apply(now, now, {**whole, "sources": {source: one}}))
 
     out.ms("gatekeeper: a worker that starts or ends, ms", another)
     out.ms(
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -57,18 +57,18 @@
         self.seen = 0
         self.reached: dict[int, float] = {}
 
-    def _word(self, news: Mapping[str, Any], change: ClusterChange) -> None:
-        if news["version"] > self.index:
-            self.index = news["version"]
-            self.reached[self.index] = time.monotonic()
+    def _apply_operator_config(self, news: Mapping[str, Any], change: ClusterChange) -> None:
+        if news["version"] > self.config_index:
+            self.config_index = news["version"]
+            self.reached[self.config_index] = time.monotonic()
             members = {key[8:]: value for key, value in news["set"].items() if key.startswith("Members/")}
-            self.core = {**({} if news["full"] else self.core), **members}
-            if self.table is None and "Version" in news["set"]:
-                self.table = EMPTY
+            self.core_machines = {**({} if news["full"] else self.core_machines), **members}
+            if self.routing_table is None and "Version" in news["set"]:
+                self.routing_table = EMPTY
 
-    def _source(self, name: str, news: Mapping[str, Any], now: float, change: ClusterChange) -> None:
+    def _apply_source(self, name: str, news: Mapping[str, Any], now: float, change: ClusterChange) -> None:
         self.seen += len(news["set"]) + len(news["gone"])
-        super()._source(name, {**news, "set": {}, "gone": []}, now, ClusterChange())
+        super()._apply_source(name, {**news, "set": {}, "gone": []}, now, ClusterChange())
 
 
 class HollowLimiter(RateLimiter):
@@ -98,12 +98,12 @@
     calls = missed = 0
     waited = longest = 0.0
 
-    def ended(self, pull: pulling.PullRequest, now: float, answer: Json | Failure) -> bool:
+    def handle_response(self, pull: pulling.PullRequest, now: float, answer: Json | Failure) -> bool:
         self.calls += 1
         self.missed += isinstance(answer, Failure)
-        self.waited += now - pull.sent
-        self.longest = max(self.longest, now - pull.sent)
-        return super().ended(pull, now, answer)
+        self.waited += now - pull.sent_at
+        self.longest = max(self.longest, now - pull.sent_at)
+        return super().handle_response(pull, now, answer)
 
 
 class Gatekeeper:
@@ -122,14 +122,14 @@
         )
         chance = random.Random(number)
         self.gate = RequestRouter(made, chance, time.monotonic())
-        self.ledger = self.gate.ledger = HollowLedger()
-        self.limiter = self.gate.limiter = HollowLimiter(chance, made.bounds)
+        self.ledger = self.gate.cluster = HollowLedger()
+        self.limiter = self.gate.rate_limiter = HollowLimiter(chance, made.bounds)
         self.began = self.ready_at = 0.0
         self.news = RegistryPoller(made, self.gate, f"{number:08x}", chance, self._changed)
-        self.pulling = self.news._pulling = HollowPulling(made, self.gate, f"{number:08x}", chance)
+        self.pulling = self.news._registry_client = HollowPulling(made, self.gate, f"{number:08x}", chance)
 
     def _changed(self) -> None:
-        if not self.ready_at and self.gate.ready(time.monotonic()):
+        if not self.ready_at and self.gate.is_ready(time.monotonic()):
             self.ready_at = time.monotonic()
 
 
@@ -295,9 +295,9 @@
             "waited": sum(one.pulling.waited for one in self.gatekeepers),
             "longest": max((one.pulling.longest for one in self.gatekeepers), default=0.0),
             "seen": sum(one.ledger.seen for one in self.gatekeepers),
-            "ready": sum(one.gate.ready(now) for one in self.gatekeepers),
+            "ready": sum(one.gate.is_ready(now) for one in self.gatekeepers),
             "took": [one.ready_at - one.began for one in self.gatekeepers if one.ready_at],
-            "age": max((one.ledger.age(now) for one in self.gatekeepers), default=0.0),
+            "age": max((one.ledger.configuration_age(now) for one in self.gatekeepers), default=0.0),
             "beats": sum(line.calls for line in self.lines),
             "beats_missed": sum(line.missed for line in self.lines),
             "beats_out": sum(line.bytes_out for line in self.lines),
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -149,8 +149,11 @@
                     len(encode_frame(REQUEST_CRC_SEED, [1, answer])),
                 )
             )
-            assert pulling.ended(pull, now + 0.25, answer) and gate.ready(now + 0.25)
-        assert hollow.ledger.have() == real.ledger.have() and hollow.ledger.proven == real.ledger.proven
+            assert pulling.ended(pull, now + 0.25, answer) and gate.is_ready(now + 0.25)
+        assert (
+            hollow.ledger.versions() == real.cluster.versions()
+            and hollow.ledger.confirmed_at == real.cluster.confirmed_at
+        )
         now += 0.25
     assert told[0] == told[1], told
     assert hollow.ledger.seen > 0 and not any(source.records for source in hollow.ledger.sources.values())
--- a/tests/cli/test_tenant_steps.py
+++ b/tests/cli/test_tenant_steps.py
@@ -47,14 +47,14 @@
         board.receive_watch_response(told, self.now, self.now)
 
     def _told(self, number: int) -> Any:
-        body = {"have": self.gate.ledger.have(), "zone": "z1", "region": "r1"}
+        body = {"have": self.gate.cluster.versions(), "zone": "z1", "region": "r1"}
         return self.boards[number].pull_response(body, self.now, self.now)
 
     def pull(self, number: int) -> None:
         self._take(self.now, self._told(number))
 
     def _take(self, sent: float, answer: Any) -> None:
-        self.gate.news(self.now, self.gate.ledger.take(sent, self.now, answer))
+        self.gate.apply_change(self.now, self.gate.cluster.apply(sent, self.now, answer))
 
     def do(self, action: str) -> bool:
         """False: it cannot be now."""
@@ -80,14 +80,14 @@
                 if self.said not in ("", "unsure"):
                     return False
                 self.asked = self.now if self.asked is None else self.asked
-                found = self.gate.arrive(self.now, "h", "/look/x", "n", 3.0, self.asked)
+                found = self.gate.admit(self.now, "h", "/look/x", "n", 3.0, self.asked)
                 self.said = "in" if isinstance(found, AdmittedRequest) else _word_of(found, self.now)
         return True
 
     def state(self) -> tuple[Any, ...]:
-        ledger, told = self.gate.ledger, self.under_way
-        held = [ledger.index, *(board.operator_config.version for board in self.boards), self.said]
-        times = [ledger.proven, *(board.proven_at for board in self.boards), self.asked]
+        ledger, told = self.gate.cluster, self.under_way
+        held = [ledger.config_index, *(board.operator_config.version for board in self.boards), self.said]
+        times = [ledger.confirmed_at, *(board.proven_at for board in self.boards), self.asked]
         if told is not None:
             held.append(tuple(sorted((name, one["version"]) for name, one in told[1]["sources"].items())))
             times.append(told[0] - told[1]["age"])
@@ -96,7 +96,7 @@
 
 
 def _word_of(turn: Rejection, now: float) -> str:
-    return "unsure" if now < turn.until else f"{turn.status}"
+    return "unsure" if now < turn.reconsider_until else f"{turn.status}"
 
 
 @test("every order of the steps: what was committed gets no 401, and who lets it in holds all of it")
@@ -113,7 +113,7 @@
             seen.add(state)
             said.add(world.said)
             if world.said == "in":
-                table = world.gate.ledger.table
+                table = world.gate.cluster.routing_table
                 assert table is not None and table.version == 2 and "new" in world.gate._quotas, path
             else:
                 front.append((*path, action))
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -72,9 +72,9 @@
 
 def aged(site: Site) -> None:
     """As if every connection to a worker had rested for a second."""
-    for links in site.gatekeeper.desk.links._idle.values():
+    for links in site.gatekeeper.desk.connection_pool._idle.values():
         for link in links:
-            link.since -= 1.0
+            link.idle_since -= 1.0
 
 
 class Answers(RuleBasedStateMachine):
@@ -138,9 +138,9 @@
             if client is not None:
                 client.close()
         self.calm()
-        views = self.site.gatekeeper.gate.crew.views.values()
+        views = self.site.gatekeeper.gate.load_balancer.workers.values()
         with gevent.Timeout(ENOUGH_S, TOO_LONG):
-            while any(view.out for view in views):
+            while any(view.in_flight for view in views):
                 gevent.idle()
         asked = (self.site.ask().status for _ in range(5))  # what a worker still owes may spoil the first
         assert 200 in asked, "all is well, and nothing is served"
@@ -169,9 +169,9 @@
     for at in range(1, len(data)):
         reader = RequestReader()
         reader.feed(data[:at])
-        assert not reader.done
+        assert not reader.complete
         reader.feed(data[at:])
-        assert [one.body for one in reader.done] == [BODY] and not reader.bad
+        assert [one.body for one in reader.complete] == [BODY] and not reader.error_status
     client.ask(whole, pieces=range(len(data)))
     assert whole.status == 200
     site.close()
@@ -203,7 +203,7 @@
     with gevent.Timeout(ENOUGH_S, TOO_LONG):
         while site.gatekeeper.front.connections:
             gevent.idle()
-    assert site.gatekeeper.desk.busy == 0
+    assert site.gatekeeper.desk.in_flight == 0
     site.close()
 
 
@@ -216,12 +216,12 @@
     client.sock.sendall(one.wire())
     desk = site.gatekeeper.desk
     with gevent.Timeout(ENOUGH_S, TOO_LONG):
-        while not desk._held:
+        while not desk._awaiting_configuration:
             gevent.idle()
         client.close()
-        while desk.busy:
+        while desk.in_flight:
             gevent.idle()
-    assert not site.history.runs and not desk.told
+    assert not site.history.runs and not desk.responses
     site.close()
 
 
@@ -232,14 +232,14 @@
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
     site.workers.moods = dict.fromkeys(site.routes["0"], "large")
     asked = [site.history.request("/look/0/x", True, BODY) for _ in range(2)]
-    kept, front.WRITE_S = front.WRITE_S, 0.1
+    kept, front.WRITE_TIMEOUT_SECONDS = front.WRITE_TIMEOUT_SECONDS, 0.1
     try:
         client.sock.sendall(b"".join(one.wire() for one in asked))
         with gevent.Timeout(ENOUGH_S, TOO_LONG):
             while not site.history.runs or site.gatekeeper.front.connections:
                 gevent.idle()
     finally:
-        front.WRITE_S = kept
+        front.WRITE_TIMEOUT_SECONDS = kept
     client.owed = 2
     client._read(asked[0])
     client._read(asked[1])
@@ -267,7 +267,7 @@
     site.workers.saw = lambda asked: seen.append([name.lower() for name, _ in asked.headers])
     assert site.ask(head=head).status == 200
     assert b"x-own" not in seen[0] and b"connection" not in seen[0]
-    assert site.gatekeeper.gate.crew.views and not site.gatekeeper.gate.crew.outs()
+    assert site.gatekeeper.gate.load_balancer.workers and not site.gatekeeper.gate.load_balancer.in_flight()
     site.close()
 
 
@@ -355,7 +355,7 @@
     assert site.ask().status == 200
     aged(site)
     # On a busy machine a reset takes longer.
-    with planted(IdleConnectionAges.broke, "waited > QUICK_S", "waited > 5"):
+    with planted(IdleConnectionAges.record_reset, "waited > MAX_RESET_DELAY_SECONDS", "waited > 5"):
         site.ask(repeatable=True)
     assert site.ask().status == 200
     aged(site)
@@ -385,43 +385,43 @@
 
 BREACHES: dict[str, tuple[Callable[..., Any], str, str, Callable[[], None]]] = {
     "an idle connection after a reset, for a POST": (
-        IdleConnectionAges.most,
-        "self._sure if",
-        "self._sure if repeatable and",
+        IdleConnectionAges.max_idle,
+        "self._safe_age if",
+        "self._safe_age if repeatable and",
         forgotten,
     ),
     "a resend after silence": (
-        RequestRouter.pick,
-        "(live.may_run and not live.route.idempotent)",
+        RequestRouter.choose_worker,
+        "(live.may_have_run and not live.route.idempotent)",
         "False",
         moody("ran and resets"),
     ),
     "the id is not compared": (
-        ConnectionPool._read,
-        "reply.one(ATTEMPT) == attempt",
+        ConnectionPool._read_response,
+        "reply.header(ATTEMPT_ID_HEADER) == attempt",
         "True",
         moody("a second answer later"),
     ),
     "refused, though it may have run": (
         RequestRouter._give_up,
-        "live.may_run or live.out",
+        "live.may_have_run or live.attempts_in_flight",
         "False",
         moody("ran and resets"),
     ),
     "a worker's own 503 is passed on": (
-        WorkerResponse.sound,
-        "or self.status in PROMISES",
+        WorkerResponse.is_valid,
+        "or self.status in NOT_RUN_STATUSES",
         "",
         moody("a false promise"),
     ),
     "an answer without the worker's seal is passed on": (
-        WorkerResponse.sound,
-        "bool(self.one(SEAL)) and ",
+        WorkerResponse.is_valid,
+        "bool(self.header(SERVER_SEAL_HEADER)) and ",
         "",
         moody("no seal"),
     ),
     "an answer that was cut is passed on": (
-        ConnectionPool._read,
+        ConnectionPool._read_response,
         "    return None, 0.0\n            reply.feed",
         "    reply.status, reply.done = reply.code, True\n                break\n            reply.feed",
         moody("short"),
--- a/tests/proxy/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -27,19 +27,19 @@
 
 def crew() -> LoadBalancer:
     made = LoadBalancer("z1", {"z1": "r1", "z2": "r2"}, random.Random(5))
-    made.know(
+    made.set_workers(
         Worker(name, "board", zone, ("127.0.0.1", 9), 6, True, 1, 0.0)
         for name, zone in (("a1", "z1"), ("a2", "z1"), ("b1", "z2"), ("b2", "z2"))
     )
     for at in range(60):
-        made.answered(0.1 * at, made.views["a1"], LOOK, 0.2, 500)
+        made.record_response(0.1 * at, made.workers["a1"], LOOK, 0.2, 500)
     return made
 
 
 def share_far(made: LoadBalancer, now: float, for_s: float = 1.0) -> float:
     """Of 200 requests within `for_s`."""
     firsts = [
-        made.order(now + for_s * at / 200, made.open("board", (), ()), LOOK)[0].worker.zone
+        made.rank(now + for_s * at / 200, made.eligible("board", (), ()), LOOK)[0].worker.zone
         for at in range(200)
     ]
     return firsts.count("z2") / len(firsts)
@@ -49,7 +49,7 @@
 def _(under_way: int = each(0, 6, 14, 24), least: float = each(0, 0, 0.2, 1), most: float = each(0, 0, 1, 1)):
     made = crew()
     for _ in range(8):
-        made.heard({"a1": under_way, "a2": under_way}, {})
+        made.update_peer_load({"a1": under_way, "a2": under_way}, {})
     share_far(made, 6.0, 8.0)
     assert least * 0.95 <= share_far(made, 14.0) <= most
 
@@ -60,7 +60,7 @@
     share_far(made, 6.0)
     shares = []
     for at in range(80):
-        made.answered(7.0 + 0.05 * at, made.views["a1"], LOOK, 1.0, 500)
+        made.record_response(7.0 + 0.05 * at, made.workers["a1"], LOOK, 1.0, 500)
         shares.append(share_far(made, 7.0 + 0.05 * at, 0.05))
     assert shares[20] < 0.5 and sum(shares[-5:]) / 5 > 0.75
     share_far(made, 18.0, 16.0)
@@ -75,7 +75,7 @@
     ids = [f"{zone}-{number}" for zone in regions for number in range(16)]
     crews = [LoadBalancer(f"z{number % 3}", regions, random.Random(number)) for number in range(gatekeepers)]
     for one in crews:
-        one.know(Worker(name, "board", name[:2], ("127.0.0.1", 9), 2, True, 1, 0.0) for name in ids)
+        one.set_workers(Worker(name, "board", name[:2], ("127.0.0.1", 9), 2, True, 1, 0.0) for name in ids)
     queues: dict[str, list[tuple[int, float, float]]] = {name: [] for name in ids}  # whose, since, work left
     told: list[dict[str, int]] = []
     totals = []
@@ -83,8 +83,8 @@
         now = 0.01 * step
         for _ in range(5 if rng.random() < 0.8 else 4):  # 480 a second
             crew = rng.randrange(gatekeepers)
-            view = crews[crew].order(now, crews[crew].open("board", (), ()), LOOK)[0]
-            crews[crew].sent(now, view)
+            view = crews[crew].rank(now, crews[crew].eligible("board", (), ()), LOOK)[0]
+            crews[crew].attempt_started(now, view)
             queues[view.worker.id].append((crew, now, rng.uniform(0.05, 0.15)))
         for name, queue in queues.items():
             if 4 <= now < 6 and name[:2] == "z0" and name[-1] in "02468":
@@ -94,15 +94,15 @@
                 if left > 0.01:
                     queue.insert(0, (crew, since, left - 0.01))
                     continue
-                view = crews[crew].views[name]
-                crews[crew].back(view)
-                crews[crew].answered(now, view, LOOK, now - since, 1500)
+                view = crews[crew].workers[name]
+                crews[crew].attempt_ended(view)
+                crews[crew].record_response(now, view, LOOK, now - since, 1500)
         if step % 10 == 0:
             told.append({name: len(queue) for name, queue in queues.items()})
             totals.append(sum(told[-1].values()))
         if step % 30 == 0 and len(told) > 6:
             for one in crews:
-                one.heard(told[-6], {})
+                one.update_peer_load(told[-6], {})
     return totals
 
 
@@ -117,10 +117,10 @@
 def _():
     made = crew()
     for _ in range(5):
-        made.sent(6.0, made.views["a1"])
+        made.attempt_started(6.0, made.workers["a1"])
     for _ in range(8):
-        made.heard({"a1": 5}, made.outs())
-    assert made.views["a1"].others == 0
+        made.update_peer_load({"a1": 5}, made.in_flight())
+    assert made.workers["a1"].peers_in_flight == 0
 
 
 @test("registry: requests under way are summed over gatekeepers, told coarsely, and gone with their session")
@@ -147,7 +147,7 @@
 def _() -> None:
     made = crew()
     for at in range(2000):
-        made.answered(6.0 + at / 1000, made.views["a1"], LOOK, 0.0002, 500)
-    made.sent(8.0, made.views["a1"])
-    assert 0 < made.usual(LOOK) < 0.002
-    assert len(made.order(12.0, made.open("board", (), ()), LOOK)) == 4
+        made.record_response(6.0 + at / 1000, made.workers["a1"], LOOK, 0.0002, 500)
+    made.attempt_started(8.0, made.workers["a1"])
+    assert 0 < made.usual_latency(LOOK) < 0.002
+    assert len(made.rank(12.0, made.eligible("board", (), ()), LOOK)) == 4
--- a/tests/proxy/test_registry_client.py
+++ b/tests/proxy/test_registry_client.py
@@ -7,7 +7,7 @@
 
 from ashlift.config.settings import Settings, parse_settings
 from ashlift.errors import Failure, FailureReason
-from ashlift.proxy.registry_client import AVOID_S, RegistryClient
+from ashlift.proxy.registry_client import AVOID_SECONDS, RegistryClient
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.registry.registry import Registry, RegistryIdentity
 from ashlift.rpc.client import CONNECT_TIMEOUT_SECONDS, PROGRESS_TIMEOUT_SECONDS, ProgressDeadline
@@ -37,10 +37,10 @@
 
 
 def _play(pulling: RegistryClient, now: float, answer: dict[str, Any] | Failure) -> str:
-    pull = pulling.begin(now)
+    pull = pulling.next_request(now)
     assert pull is not None
-    pulling.ended(pull, now, answer)
-    return pull.ip
+    pulling.handle_response(pull, now, answer)
+    return pull.registry_ip
 
 
 @test("the nearest is pulled from; without it the next one, until that one names the nearest first again")
@@ -53,9 +53,9 @@
         assert _play(pulling, 0.3, near) == NEXT
         lost = _answer(NEXT, FAR, NEAR)  # the others do not hear it either
         assert _play(pulling, 0.4, lost) == NEXT
-        assert _play(pulling, 0.3 + 2 * AVOID_S, lost) == NEXT
-        assert _play(pulling, 0.4 + 2 * AVOID_S, near) == NEXT
-        assert _play(pulling, 0.5 + 2 * AVOID_S, near) == NEAR
+        assert _play(pulling, 0.3 + 2 * AVOID_SECONDS, lost) == NEXT
+        assert _play(pulling, 0.4 + 2 * AVOID_SECONDS, near) == NEXT
+        assert _play(pulling, 0.5 + 2 * AVOID_SECONDS, near) == NEAR
 
 
 @test("one whose proof is old is left for the next")
@@ -71,15 +71,15 @@
 def _() -> None:
     pulling, seen, dials = _pulling(3), set[str](), []
     for step in range(5):
-        pull = pulling.begin(0.4 * step)
+        pull = pulling.next_request(0.4 * step)
         assert pull is not None
-        pulling.ended(pull, 0.4 * step, Failure(FailureReason.UNREACHABLE))
-        seen.add(pull.ip)
-        dials.append(pull.dial)
+        pulling.handle_response(pull, 0.4 * step, Failure(FailureReason.UNREACHABLE))
+        seen.add(pull.registry_ip)
+        dials.append(pull.connect_timeout)
     assert seen == {NEAR, NEXT, FAR} and dials[0] < 0.2 and dials[2:] == [CONNECT_TIMEOUT_SECONDS] * 3
     _play(pulling, 2.0, _answer(NEAR, NEXT, FAR))
-    again = pulling.begin(2.1)
-    assert again is not None and again.dial == dials[0]
+    again = pulling.next_request(2.1)
+    assert again is not None and again.connect_timeout == dials[0]
 
 
 @test("what comes compressed is taken as if it came plain; one that is cut is told")
--- a/tests/proxy/test_request_router.py
+++ b/tests/proxy/test_request_router.py
@@ -37,4 +37,4 @@
 def _(head: str = each(*ANSWERS), wanted: str = each(*ANSWERS.values())):
     reply = WorkerResponse()
     reply.feed("HTTP/1.1 {}\r\nok".format(head.replace("|", "\r\n")).encode())
-    assert wanted == ("not run" if reply.not_run else "passed on" if reply.sound() else "spoilt")
+    assert wanted == ("not run" if reply.not_run else "passed on" if reply.is_valid() else "spoilt")
--- a/tests/registry/test_scenarios.py
+++ b/tests/registry/test_scenarios.py
@@ -130,14 +130,14 @@
                 assert mine.receive_swap_response(ip, told, self.now, self.now) is None
 
     def _pull(self, edge: Edge, body: dict[str, Any]) -> None:
-        registry, body = self.all[edge.at], body | {"have": edge.ledger.have()}
+        registry, body = self.all[edge.at], body | {"have": edge.ledger.versions()}
         assert registry.begin_pull(body, self.now) is None
         answer = registry.pull_response(body, self.now, self.now)
-        edge.ledger.take(self.now, self.now, answer)
+        edge.ledger.apply(self.now, self.now, answer)
         registry.end_pull(edge.name)
         copies = registry.peers
         silent = {name: copies[name].source.version for name in copies.keys() - set(answer["alive"])}
-        assert not registry.has_updates_for(silent | edge.ledger.have()), (
+        assert not registry.has_updates_for(silent | edge.ledger.versions()), (
             "would be answered at once, on and on"
         )
 
@@ -152,7 +152,7 @@
         assert found == wanted, str(found)
 
     def _check_sum(self, at: str, tenant: str, *counts: str) -> None:
-        found = [one[tenant] for one in self.edges[at].ledger.sums().values() if tenant in one]
+        found = [one[tenant] for one in self.edges[at].ledger.usage_counts().values() if tenant in one]
         sums = [sum(column) for column in zip(*found, strict=True)]
         assert sums == [int(one) for one in counts], str(found)
 
@@ -161,7 +161,9 @@
         assert (["unready"] if isinstance(found, Failure) else sorted(found)) == sorted(fronts), str(found)
 
     def _check_answers(self, at: str, edge: str, wanted: str) -> None:
-        told = self.all[at].operator_config.delta_since(self.edges[edge].ledger.have().get(OPERATOR_SOURCE))
+        told = self.all[at].operator_config.delta_since(
+            self.edges[edge].ledger.versions().get(OPERATOR_SOURCE)
+        )
         assert ("nothing" if told is None else "full" if told.full else "difference") == wanted, str(told)
 
     def _check_alone(self, at: str, wanted: str) -> None:
@@ -229,7 +231,7 @@
         ready = {key for key, (_, state) in truth.items() if state == "ready"}
         assert {key for key, one in seen.items() if one.ready} == ready
         assert truth.keys() <= seen.keys(), str(truth.keys() - seen.keys())
-        assert set(edge.ledger.members) == set(play.edges), str(edge.ledger.members)
+        assert set(edge.ledger.proxies) == set(play.edges), str(edge.ledger.proxies)
     for name in names:
         assert sorted(play.all[name].live_sessions(play.now)) == sorted(play.edges)
         assert play.all[name].workers().keys() == truth.keys()
--- a/tests/registry/test_soft_state.py
+++ b/tests/registry/test_soft_state.py
@@ -7,8 +7,8 @@
 from attrs import define
 from ward import each, test
 
-from ashlift.proxy.cluster_view import HELD_MOST_S, VOUCH_S, ClusterView
-from ashlift.proxy.registry_client import STALE_S
+from ashlift.proxy.cluster_view import MAX_RETENTION_SECONDS, PROXY_LEASE_SECONDS, ClusterView
+from ashlift.proxy.registry_client import MAX_CONFIGURATION_AGE_SECONDS
 from ashlift.simulation.scene import Play, read
 from ashlift.traffic.rate_limiter import RateLimiter
 from ashlift.traffic.unreported_usage import SourceCoverage
@@ -35,8 +35,8 @@
     world, found = play.world, Seen()
 
     def look() -> None:
-        known = [one.gate.ledger for one in world.keepers() if one.up]
-        found.members = min(found.members, *(len(one.members) for one in known))
+        known = [one.gate.cluster for one in world.keepers() if one.up]
+        found.members = min(found.members, *(len(one.proxies) for one in known))
         found.workers = min(found.workers, *(len(one.workers) for one in known))
         if world.loop.now < until:
             world.loop.later(0.05, look)
@@ -101,38 +101,38 @@
 
 
 def _members(ledger: ClusterView) -> str:
-    return " ".join(ledger.members)
+    return " ".join(ledger.proxies)
 
 
 @test("ledger: who is not told yet is not gone, until registries have run for a lease, or for a bounded time")
 def _() -> None:
     ledger = ClusterView(lease=4.5)
-    ledger.take(0.0, 0.0, _answer(60.0, "g/a", "g/b", "g/c", "w/1", "w/2", alive="p#1"))
+    ledger.apply(0.0, 0.0, _answer(60.0, "g/a", "g/b", "g/c", "w/1", "w/2", alive="p#1"))
     # p#1 is dead, and is dropped after five seconds; p#2 has heard of one so far.
-    ledger.take(6.0, 6.0, _answer(0.5, "g/a", "w/1"))
+    ledger.apply(6.0, 6.0, _answer(0.5, "g/a", "w/1"))
     assert _members(ledger) == "a b c" and set(ledger.workers) == {"1", "2"}
-    change = ledger.take(7.0, 7.0, _answer(1.5, "g/a", "g/b", "w/1"))
-    assert _members(ledger) == "a b c" and not change.members
-    change = ledger.take(8.6, 8.6, _answer(VOUCH_S + 0.1, "g/a", "g/b", "w/1"))
-    assert _members(ledger) == "a b" and change.members and ledger.missed == 6.0
+    change = ledger.apply(7.0, 7.0, _answer(1.5, "g/a", "g/b", "w/1"))
+    assert _members(ledger) == "a b c" and not change.proxies
+    change = ledger.apply(8.6, 8.6, _answer(PROXY_LEASE_SECONDS + 0.1, "g/a", "g/b", "w/1"))
+    assert _members(ledger) == "a b" and change.proxies and ledger.departed_since == 6.0
     assert set(ledger.workers) == {"1", "2"}, "its lease is longer"
-    change = ledger.take(10.1, 10.1, _answer(4.6, "g/a", "g/b", "w/1"))
+    change = ledger.apply(10.1, 10.1, _answer(4.6, "g/a", "g/b", "w/1"))
     assert set(ledger.workers) == {"1"} and change.workers
     # One whose registry has long run leaves at once; where one starts again and again, after a bounded time.
-    ledger.take(11.0, 11.0, _answer(5.5, "g/a", "w/1"))
+    ledger.apply(11.0, 11.0, _answer(5.5, "g/a", "w/1"))
     assert _members(ledger) == "a"
     for at in range(18):
-        ledger.take(12.0 + at, 12.0 + at, _answer(1.0 + 0.01 * at, "w/1", alive=f"p#{at + 3}"))
-        assert _members(ledger) == ("a" if at < 5 + HELD_MOST_S else "")
+        ledger.apply(12.0 + at, 12.0 + at, _answer(1.0 + 0.01 * at, "w/1", alive=f"p#{at + 3}"))
+        assert _members(ledger) == ("a" if at < 5 + MAX_RETENTION_SECONDS else "")
 
 
 @test("ledger: load and failures told to a registry that is gone count no more, as they are told again")
 def _() -> None:
     ledger = ClusterView()
-    ledger.take(0.0, 0.0, _answer(60.0, "w/1", alive="p#1", **{"o/1": 5, "f/1": [7, 9, 1]}))
-    assert ledger.outs() == {"1": 5} and ledger.faults() == {"1": (7, 9, 1)}
-    ledger.take(2.0, 2.0, _answer(1.0, "w/1", alive="p#2", **{"o/1": 4, "f/1": [6, 8, 1]}))
-    assert ledger.outs() == {"1": 4} and ledger.faults() == {"1": (6, 8, 1)}
+    ledger.apply(0.0, 0.0, _answer(60.0, "w/1", alive="p#1", **{"o/1": 5, "f/1": [7, 9, 1]}))
+    assert ledger.in_flight() == {"1": 5} and ledger.faults() == {"1": (7, 9, 1)}
+    ledger.apply(2.0, 2.0, _answer(1.0, "w/1", alive="p#2", **{"o/1": 4, "f/1": [6, 8, 1]}))
+    assert ledger.in_flight() == {"1": 4} and ledger.faults() == {"1": (6, 8, 1)}
 
 
 @test("limiter: a source whose gatekeepers have gone hides nothing by its silence: {how}")
@@ -199,7 +199,11 @@
             "version": "v",
         }
         answers = isinstance(registry.lookup("z4", "r1", now), list)
-        return board._beat(("probe", fields))[0], answers, age is not None and age <= STALE_S
+        return (
+            board._beat(("probe", fields))[0],
+            answers,
+            age is not None and age <= MAX_CONFIGURATION_AGE_SECONDS,
+        )
 
     def expect(at: float, *wanted: Any) -> None:
         world.run(at)
--- a/tests/rpc/test_fragmentation.py
+++ b/tests/rpc/test_fragmentation.py
@@ -14,7 +14,13 @@
 from ashlift.configstore.watch import fragment_changes
 from ashlift.errors import Failure, FailureReason
 from ashlift.proxy.__main__ import Program
-from ashlift.proxy.registry_client import ANSWER_S, MOST_S, STALE_S, WAIT_S, RegistryClient
+from ashlift.proxy.registry_client import (
+    LONG_POLL_SECONDS,
+    MAX_CONFIGURATION_AGE_SECONDS,
+    MAX_RESPONSE_SECONDS,
+    RESPONSE_TIMEOUT_SECONDS,
+    RegistryClient,
+)
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.registry.registry import Registry, RegistryIdentity
 from ashlift.rpc.fragmentation import FRAGMENT_BYTES, MAX_CACHED_UPDATES, Fragmenter, Reassembler
@@ -71,7 +77,7 @@
 
     def pull(self, one: RegistryClient, at: float, whole: bool = False) -> float:
         """One pull begun at `at` -> when it has ended. `whole`: as one does that can join no pieces."""
-        call = one.begin(at)
+        call = one.next_request(at)
         assert call is not None
         if whole:
             del call.body["part"]
@@ -79,11 +85,11 @@
         answer: Any = self.registry.pull_response(call.body, self.now, self.now)
         took = 2 * TRIP_S + len(cbor2.dumps(answer)) / LINE
         self.longest = max(self.longest, took)
-        if took > MOST_S:
-            took, answer = MOST_S, Failure(FailureReason.OUTCOME_UNKNOWN)
-        one.ended(call, at + took, answer)
-        ledger = one._gate.ledger
-        if ledger.index != self.index and ledger.age(at + took) < 0.05:
+        if took > MAX_RESPONSE_SECONDS:
+            took, answer = MAX_RESPONSE_SECONDS, Failure(FailureReason.OUTCOME_UNKNOWN)
+        one.handle_response(call, at + took, answer)
+        ledger = one._router.cluster
+        if ledger.config_index != self.index and ledger.configuration_age(at + took) < 0.05:
             raise AssertionError("a proof was taken of a word that is not held")
         return at + took
 
@@ -96,17 +102,17 @@
     while any(at < 14.0 for at in due.values()):
         who = min(due, key=lambda one: due[one])
         due[who] = line.pull(gates[who], due[who])
-        index = gates[who]._gate.ledger.index
+        index = gates[who]._router.cluster.config_index
         if who not in level and index > 1 and index >= line.index - 5:
             level[who] = due[who]
         elif who in level:  # and it stays so
             assert index >= line.index - 5
-            assert gates[who]._gate.ledger.age(due[who]) < STALE_S
+            assert gates[who]._router.cluster.configuration_age(due[who]) < MAX_CONFIGURATION_AGE_SECONDS
     packed = routes * (size * 0.55 + 60)
     assert {*level} == {0, 1, 2}
     took = [level[0], level[1] - 0.7, level[2] - 3.1]
     assert max(took) < 2.0 + 2.5 * packed / LINE, took
-    assert line.longest < WAIT_S + ANSWER_S, "an answer is too large for a call"
+    assert line.longest < LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS, "an answer is too large for a call"
     assert len(line.registry._cutter._packs) <= MAX_CACHED_UPDATES
 
 
@@ -116,7 +122,7 @@
     at = 0.0
     for _ in range(5):
         at = line.pull(one, at, whole=True)
-    assert one._gate.ledger.index == 0 and line.longest > MOST_S
+    assert one._router.cluster.config_index == 0 and line.longest > MAX_RESPONSE_SECONDS
 
 
 @test("an answer that cannot be read is as none: the next registry is asked")
@@ -128,11 +134,11 @@
         None,
         {"vise": {"part": b""}},
     ):
-        call = one.begin(10.0)
+        call = one.next_request(10.0)
         assert call is not None
-        assert not one.ended(call, 10.0, {**good, "sources": sources})
-    call = one.begin(20.0)
-    assert call is not None and one.ended(call, 20.0, good)
+        assert not one.handle_response(call, 10.0, {**good, "sources": sources})
+    call = one.next_request(20.0)
+    assert call is not None and one.handle_response(call, 20.0, good)
 
 
 @test("a loop of the gatekeeper that ends by an error ends the process: it does not go stale unseen")
--- a/tests/support/gatekeeper.py
+++ b/tests/support/gatekeeper.py
@@ -124,7 +124,7 @@
         return made
 
     def ran(self, asked: ClientRequest) -> None:
-        id = asked.one(b"x-attempt-id").decode()
+        id = asked.header(b"x-attempt-id").decode()
         self.runs[id] += 1
         sent = self.requests.get(id)
         came = asked.method.decode(), asked.target.decode(), asked.body
@@ -165,15 +165,15 @@
         reader, served, behind = RequestReader(), 0, b""
         try:
             while True:
-                while not reader.done:
+                while not reader.complete:
                     data = sock.recv(65536)
-                    if not data or reader.bad:
+                    if not data or reader.error_status:
                         return
                     reader.feed(data)
                 self.kept += served > 0
                 if behind:
                     sock.sendall(behind)
-                behind = self._serve(sock, reader.done.pop(0), served)
+                behind = self._serve(sock, reader.complete.pop(0), served)
                 served += 1
         except OSError:
             pass
@@ -182,7 +182,7 @@
 
     def _serve(self, sock: socket.socket, asked: ClientRequest, served: int) -> bytes:
         """Answer one request; what is to be sent before the next one's answer. OSError: the end."""
-        wanted, id = asked.one(b"x-target-instance").decode(), asked.one(b"x-attempt-id").decode()
+        wanted, id = asked.header(b"x-target-instance").decode(), asked.header(b"x-attempt-id").decode()
         mood = self.moods.get(wanted, "well") if wanted.startswith(self.ids) else "not: meant"
         if mood == "not: resets when kept" and not served:
             mood = "well"
@@ -257,7 +257,7 @@
         assert isinstance(settings, Settings), settings
         self.gate = RequestRouter(settings, random.Random(1), time.monotonic())
         # A process that stands still on a full machine must not take its own pause for a worker that is away.
-        self.gate.dial = lambda view: ENOUGH_S  # type: ignore[method-assign]
+        self.gate.connect_timeout = lambda view: ENOUGH_S  # type: ignore[method-assign]
         self.desk = RequestHandler(self.gate)
         self.front = ProxyServer(self.desk, ClientLimits)
         self.front.listen((HOST, 0))
@@ -308,15 +308,17 @@
             },
         }
         now = time.monotonic()
-        change = self.gate.ledger.take(now, now, {"sources": told, "alive": ["p#1"], "age": 0.0, "held": 0.0})
-        self.gate.news(now, change)
+        change = self.gate.cluster.apply(
+            now, now, {"sources": told, "alive": ["p#1"], "age": 0.0, "held": 0.0}
+        )
+        self.gate.apply_change(now, change)
 
     def close(self) -> None:
         self.front.close()
         for connection in list(self.front.connections):
             with suppress(OSError):
                 connection._sock.shutdown(socket.SHUT_RDWR)
-        for links in self.desk.links._idle.values():
+        for links in self.desk.connection_pool._idle.values():
             for link in links:
                 link.sock.close()
 
--- a/tests/support/request_router_scenarios.py
+++ b/tests/support/request_router_scenarios.py
@@ -9,8 +9,8 @@
 ask A /look/ k1 -> in            a request named A arrives; `-> 503 unready` where it is turned away
 again A -> in                    a request that was `unsure` asks again: there is news, or time is up
 pick A -> w1|w2                  its (next) try goes to one of these; `-> 504 unanswered` where it ends
-end A lost -> again              its last try ends: answered:STATUS, not_run, unreached, lost, late;
-                                 `final` or `again`
+end A connection_lost -> again   its last attempt ends: response:STATUS, not_run, connect_failed,
+                                 connection_lost, timed_out; `final` or `again`
 """
 
 import random
@@ -124,10 +124,10 @@
         }
         told = None if age == "age=none" else float(age[4:])
         answer = {"sources": sources, "alive": ["p#1"], "age": told, "held": 0.0}
-        self.gate.news(self.now, self.gate.ledger.take(self.now, self.now, answer))
+        self.gate.apply_change(self.now, self.gate.cluster.apply(self.now, self.now, answer))
 
     def do_crowd(self, name: str, others: str) -> None:
-        self.gate.crew.views[name].others = float(others)
+        self.gate.load_balancer.workers[name].peers_in_flight = float(others)
 
     def do_ask(self, name: str, path: str, key: str) -> str:
         self.asked[name] = path + "x", key, self.now
@@ -135,8 +135,8 @@
 
     def do_again(self, name: str) -> str:
         path, key, came = self.asked[name]
-        live = self.gate.arrive(self.now, "h", path, key, 3.0 - (self.now - came), came)
-        if isinstance(live, Rejection) and self.now < live.until:
+        live = self.gate.admit(self.now, "h", path, key, 3.0 - (self.now - came), came)
+        if isinstance(live, Rejection) and self.now < live.reconsider_until:
             return "unsure"
         if isinstance(live, Rejection):
             return f"{live.status} {live.cause}"
@@ -145,7 +145,7 @@
 
     def do_pick(self, name: str) -> str:
         live = self.lives[name]
-        view = self.gate.pick(self.now, live, bool(live.tried))
+        view = self.gate.choose_worker(self.now, live, bool(live.attempted_workers))
         if isinstance(view, Rejection):
             return f"{view.status} {view.cause}"
         self.views[name] = view
@@ -154,11 +154,11 @@
     def do_end(self, name: str, how: str) -> str:
         word, _, status = how.partition(":")
         reply = None
-        if word in ("answered", "not_run"):
+        if word in ("response", "not_run"):
             reply = WorkerResponse()
             reply.status, reply.done = int(status or 503), True
         outcome = AttemptOutcome(AttemptResult[word.upper()], reply, 0.1)
-        final = self.gate.ended(self.now, self.lives[name], self.views[name], outcome, False)
+        final = self.gate.record_outcome(self.now, self.lives[name], self.views[name], outcome, False)
         return "final" if final else "again"
 
 
--- a/tests/traffic/test_outlier_detection.py
+++ b/tests/traffic/test_outlier_detection.py
@@ -38,8 +38,8 @@
         ids = [f"{zone}-{number}" for zone in REGIONS for number in range(8)]
         self.crews = [LoadBalancer(f"z{at % 3 + 1}", REGIONS, random.Random(at)) for at in range(gatekeepers)]
         for crew in self.crews:
-            crew.members = gatekeepers
-            crew.know(Worker(one, "desk", one[:2], ("127.0.0.1", 9), 6, True, 1, 0.0) for one in ids)
+            crew.proxy_count = gatekeepers
+            crew.set_workers(Worker(one, "desk", one[:2], ("127.0.0.1", 9), 6, True, 1, 0.0) for one in ids)
         self.tallies = LoadReports(source := ReplicatedSource(), lambda _: 6)
         self.source, self.sums = source, deque([dict[str, list[int]]()] * LATE)
         self.sent: list[tuple[float, str]] = []
@@ -52,23 +52,23 @@
             for _ in range(2 if self.rng.random() < 0.44 else 1):
                 at = self.rng.randrange(len(self.crews))
                 crew = self.crews[at]
-                view = crew.order(now, crew.open("desk", (), ()), HOLD)[0]
+                view = crew.rank(now, crew.eligible("desk", (), ()), HOLD)[0]
                 self.sent.append((now, view.worker.id))
                 if at in self.erring or self.rng.random() < self.failing.get(view.worker.id, 0.0):
-                    crew.erred(now, view)
+                    crew.record_fault(now, view)
                 else:
-                    crew.answered(now, view, HOLD, 0.1, 500)
+                    crew.record_response(now, view, HOLD, 0.1, 500)
             if self.step % PULL == 0 and self.together:
                 self._pull(now)
 
     def _pull(self, now: float) -> None:
         for at, crew in enumerate(self.crews):
-            faults = crew.jury.failure_counts(now)
+            faults = crew.outlier_detector.failure_counts(now)
             self.tallies.said(
                 f"e{at}", LoadReport({}, {key: (one[0], one[1]) for key, one in faults.items()})
             )
             found = {key: FailureTotals(*one) for key, one in self.sums[0].items()}
-            crew.jury.record_failure_totals(now, found, {}, faults)
+            crew.outlier_detector.record_failure_totals(now, found, {}, faults)
         self.sums.append({key[2:]: value for key, value in self.source.values.items()})
         self.sums.popleft()
 
@@ -109,7 +109,7 @@
     yard = Yard(10, True)
     yard.erring = {3}
     yard.run(8.0)
-    out = [crew._bad(8.0, "desk") for crew in yard.crews]
+    out = [crew._ejected_workers(8.0, "desk") for crew in yard.crews]
     assert len(out[3]) <= 6 and not any(out[at] for at in range(10) if at != 3)
 
 
--- a/tests/traffic/test_rate_limiter.py
+++ b/tests/traffic/test_rate_limiter.py
@@ -93,9 +93,9 @@
 @test("gate: a source that the ledger dropped is kept for a while, then starts anew")
 def _() -> None:
     play = gate_scenes.Play()
-    limiter, ledger = play.gate.limiter, play.gate.ledger
+    limiter, ledger = play.gate.rate_limiter, play.gate.cluster
     for now in (1.0, 9.0, 13.0):
-        play.gate.news(now, ClusterChange(members=True))
+        play.gate.apply_change(now, ClusterChange(proxies=True))
         if now == 1.0:
             limiter.record_usage_totals(now, {"p#1": {"t": (3, 0)}})
         assert ("p#1" in limiter._sources) is (now < 12), now
