--- a/ashlift/configstore/replica.py
+++ b/ashlift/configstore/replica.py
@@ -249,7 +249,7 @@
         )
         self.incarnation = max(self.incarnation, self.vote.incarnation) % LIVES + 1
         self.staged_entries, self.snapshot = self.snapshot.entries, Snapshot((0, 0), RangedMap())
-        self.changes = ChangeLog()
+        self.change_log = ChangeLog()
         self.vote, self.leader_ip = PersistentVote(0, None, False), None
         self._become_learner()
         self.persist(self.vote, None, lambda ok: None)
