--- a/tests/support/wire_samples.py
+++ b/tests/support/wire_samples.py
@@ -175,7 +175,7 @@
 
 
 VARYING: Final = (
-    "age|born|heard|held|life|ran|round|run|silent|stamp|unheard|warm"  # keys of ages and the like
+    "age|at_ms|born|heard|held|life|ran|round|run|silent|stamp|unheard|warm"  # keys of ages and the like
 )
 MASKS: Final = (
     (re.compile(r"127\.\d+\."), "127.N."),
@@ -307,6 +307,16 @@
 }
 
 
+WAITING_EDIT: Final[dict[str, Any]] = {
+    "id": "e3",
+    "name": "more",
+    "version": "00000003",
+    "stamp": [1_790_000_000_000, 1, "core-1"],
+    "who": "A",
+    "where": "core-1",
+    "auto": False,
+    "doubt": False,
+}
 LOOKUP: Final = "GET /lookup?Name=edge&Zone=z1&Region=r1"
 
 
@@ -334,9 +344,9 @@
             time.sleep(0.1)
         self._keep(f"registry: {line} {name}".strip(), answer)
 
-    def _call(self, address: Address, what: str, method: str, body: Any) -> None:
+    def _call(self, address: Address, what: str, method: str, body: Any, name: str = "") -> None:
         answer = json.dumps(call(address, method, body), default=bytes.hex, sort_keys=True)
-        self.samples[f"{what}: {method}"] = masked(answer)
+        self.samples[f"{what}: {method} {name}".strip()] = masked(answer)
 
     def _client(self, line: str, body: bytes = b"", name: str = "", **headers: str) -> None:
         """A client's request; the worker's part of it, if it comes there, is kept too."""
@@ -360,6 +370,7 @@
         self._calls()
         until(lambda: http(self._system.front, "GET /look/200", X_Attempt_Id=f"{time.monotonic()}"), b" 200 ")
         self._clients()
+        self._edits()
         return self.samples
 
     def _configurations(self) -> None:
@@ -421,6 +432,23 @@
         self._call(store, "store", "members", {"do": "show", "ip": ""})
         self._call(store, "store", "nothing", {})
 
+    def _edits(self) -> None:
+        text = _route("more")["Specification"]
+        edit = {"id": "e1", "who": "A", "text": {**text, "MaxAttempts": 3}, "base": text}
+        self._order("POST /routes/more", json.dumps(edit).encode(), "in force")
+        self._order("POST /routes/more", json.dumps({**edit, "id": "e2"}).encode(), "on an old text")
+        until(lambda: http(self._system.registry, "GET /routes/more"), b'"version":"00000003"')
+        waits = {**WAITING_EDIT, "text": {**text, "MaxAttempts": 1}, "base": {**text, "MaxAttempts": 3}}
+        self._call(self._system.store, "store", "drafts", {"add": [waits]}, "with an edit")
+        self._order("GET /proposals", name="with one")
+        self._order("GET /routes/more", name="with a history")
+        word = json.dumps({"word": "reject", "who": "B", "version": "00000003"}).encode()
+        self._order("POST /proposals/e3", word.replace(b"00000003", b"00000002"), "on an old version")
+        self._order("POST /proposals/e3", word, "rejected")
+        until(lambda: http(self._system.registry, "GET /routes/more"), b'"outcome":"rejected"')
+        self._order("POST /proposals/e3", word, "rejected again")
+        self._order("GET /config", name="at the end")
+
     def _clients(self) -> None:
         key = {"Authorization": "Bearer k1"}
         self._client("GET /look/200?a=b")
