--- a/tests/traffic/test_rate_limiter.py
+++ b/tests/traffic/test_rate_limiter.py
@@ -98,7 +98,7 @@
         play.gate.apply_change(now, ClusterChange(proxies=True))
         if now == 1.0:
             limiter.record_usage_totals(now, {"p#1": {"t": (3, 0)}})
-        assert ("p#1" in limiter._sources) is (now < 12), now
+        assert ("p#1" in limiter._totals.sources) is (now < 12), now
     assert not ledger.sources
 
 
