--- a/ashlift/lab/system/yard.py
+++ b/ashlift/lab/system/yard.py
@@ -15,7 +15,7 @@
 from gevent.server import StreamServer
 
 from ashlift.lab.system.places import WORKER_PORT
-from ashlift.proxy.upstream import AttemptOutcome, AttemptResult
+from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
 from ashlift.simulation.engine import Loop, Network
 from ashlift.simulation.history import Arrival, History, Request, Stray
 from ashlift.simulation.keeper import Try
--- /dev/null
+++ b/ashlift/proxy/admission.py
@@ -0,0 +1,141 @@
+"""Admission of requests: matches the route, checks the API key, takes a unit of the tenant's quota. Pure."""
+
+import random
+from dataclasses import dataclass, field
+from typing import Final
+
+from ashlift.config.routing_table import Route, Tenant
+from ashlift.config.settings import Bounds
+from ashlift.proxy import rejections
+from ashlift.proxy.cluster_view import ClusterView
+from ashlift.proxy.rejections import Rejection, RejectionReason
+from ashlift.traffic.rate_limiter import RateLimiter
+from ashlift.traffic.retry_budget import RetryBudget
+
+# With a configuration confirmed within this time, the next confirmation arrives soon.
+FRESH_CONFIGURATION_SECONDS: Final = 1.0
+# A request that matches nothing waits so long for a confirmed configuration, and for at most a fraction of
+# the time that its client waits.
+MAX_CONFIGURATION_WAIT_SECONDS: Final = 0.8
+CONFIGURATION_WAIT_FRACTION: Final = 0.25
+REVOCATION_MARGIN_SECONDS: Final = 0.3  # of the bound `Revoke`, for the way of the request to the worker
+START_UP_SECONDS: Final = 1.2  # after which a proxy usually has a configuration
+RESPONSE_MARGIN_SECONDS: Final = 0.02  # before the deadline, for the response's way to the client
+INITIAL_SIZE_BYTES: Final = 500
+
+
+@dataclass(slots=True, eq=False)
+class AdmittedRequest:
+    """A request on its way to workers, and what its attempts have come to. Times are steady, in seconds."""
+
+    route: Route
+    tenant: Tenant | None
+    service: str
+    allowed_regions: frozenset[str]  # empty: any
+    admitted_at: float
+    deadline: float
+    attempted_workers: list[str] = field(default_factory=list)  # ids
+    attempts_in_flight: int = 0
+    may_have_run: bool = False
+    retry_forbidden: bool = False
+    reached_worker: bool = False
+    size_bytes: int = INITIAL_SIZE_BYTES  # head and body
+    no_further_hedge: bool = False  # no attempt beside the one in flight
+
+
+def configuration_is_current(cluster: ClusterView, bounds: Bounds, now: float) -> bool:
+    """Whether revoked API keys can be told by the configuration: it was the newest less than `Revoke` ago."""
+    return cluster.configuration_age(now) <= bounds.revoke - REVOCATION_MARGIN_SECONDS
+
+
+class Admission:
+    """Decides whether a request is forwarded at all. Owns no state but that of the policies given to it."""
+
+    def __init__(  # noqa: PLR0913, PLR0917
+        self,
+        cluster: ClusterView,
+        rate_limiter: RateLimiter,
+        retry_budget: RetryBudget,
+        bounds: Bounds,
+        rng: random.Random,
+        started_at: float,
+    ) -> None:
+        self._cluster = cluster
+        self._rate_limiter = rate_limiter
+        self._retry_budget = retry_budget
+        self._bounds = bounds
+        self._rng = rng
+        self._started_at = started_at
+
+    def admit(  # noqa: PLR0913
+        self, now: float, host: str, path: str, key: str, remaining: float, received_at: float
+    ) -> AdmittedRequest | Rejection:
+        """Admit a request that was received completely at `received_at`.
+
+        `key`: its API key. `remaining`: seconds that its client will still wait.
+        """
+        table = self._cluster.routing_table
+        if table is None:
+            return self._starting(now)
+        route = table.find_route(host, path)
+        if route is None:
+            return self._unmatched(rejections.NO_ROUTE, now, remaining, received_at)
+        tenant = None
+        if table.has_tenants and not route.anonymous:
+            tenant = table.find_tenant(key)
+            if tenant is None:
+                return self._unmatched(rejections.UNKNOWN_API_KEY, now, remaining, received_at)
+            if not configuration_is_current(self._cluster, self._bounds, now):
+                return rejections.NOT_READY
+        return self._admit_matched(now, route, tenant, remaining)
+
+    def refund(self, now: float, request: AdmittedRequest) -> None:
+        """Give the unit of quota back: the request was admitted, and no worker has run it."""
+        if request.tenant is not None and not request.may_have_run:
+            self._rate_limiter.refund(now, request.tenant.name)
+
+    def _admit_matched(
+        self, now: float, route: Route, tenant: Tenant | None, remaining: float
+    ) -> AdmittedRequest | Rejection:
+        regions = route.home_regions
+        if tenant is not None:
+            if tenant.home_regions:
+                regions = regions & tenant.home_regions if regions else tenant.home_regions
+                if not regions:
+                    return rejections.NO_ALLOWED_REGION
+            retry_after = self._rate_limiter.admit(now, tenant.name)
+            if retry_after is not None:
+                return Rejection(429, RejectionReason.QUOTA_EXCEEDED, retry_after)
+        service = self._choose_service(route)
+        deadline = now + min(remaining, route.timeout or remaining) - RESPONSE_MARGIN_SECONDS
+        self._retry_budget.record_request(now, service)
+        return AdmittedRequest(route, tenant, service, regions, now, deadline)
+
+    def _choose_service(self, route: Route) -> str:
+        """One service of the route's traffic split, by weight."""
+        if len(route.traffic_split) == 1:
+            return route.traffic_split[0][0]
+        names = [name for name, weight in route.traffic_split if weight > 0]
+        weights = [weight for _, weight in route.traffic_split if weight > 0]
+        return self._rng.choices(names, weights)[0]
+
+    def _starting(self, now: float) -> Rejection:
+        """There is no configuration yet."""
+        ready_in = self._started_at + START_UP_SECONDS - now
+        retry_after = max(rejections.UNAVAILABLE_RETRY_AFTER_SECONDS, ready_in)
+        return Rejection(503, RejectionReason.NOT_READY, retry_after)
+
+    def _unmatched(self, rejection: Rejection, now: float, remaining: float, received_at: float) -> Rejection:
+        """Reject what the configuration does not hold.
+
+        `rejection` is certain only if the configuration was the newest after the request was received: an
+        older one may lack a change whose acknowledgement its client has already seen.
+        """
+        if self._cluster.confirmed_at >= received_at:
+            return rejection
+        if self._cluster.configuration_age(now) > FRESH_CONFIGURATION_SECONDS:
+            return rejections.NOT_READY
+        patience = CONFIGURATION_WAIT_FRACTION * (remaining + now - received_at)
+        reconsider_until = received_at + min(MAX_CONFIGURATION_WAIT_SECONDS, patience)
+        retry_after = rejections.UNAVAILABLE_RETRY_AFTER_SECONDS
+        return Rejection(503, RejectionReason.UNCONFIRMED, retry_after, reconsider_until)
--- a/ashlift/proxy/request_handler.py
+++ b/ashlift/proxy/request_handler.py
@@ -5,11 +5,14 @@
 import gevent
 from gevent.event import Event
 
+from ashlift.proxy.admission import AdmittedRequest
+from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
 from ashlift.proxy.load_balancer import WorkerState
+from ashlift.proxy.rejections import Rejection
 from ashlift.proxy.request_reader import HOP_BY_HOP_HEADERS, BadRequestError, ClientRequest
-from ashlift.proxy.request_router import AdmittedRequest, Rejection, RequestRouter
+from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.responses import ATTEMPT_ID_HEADER, ClientResponse, relay
-from ashlift.proxy.upstream import Attempt, AttemptOutcome, AttemptResult, ConnectionPool
+from ashlift.proxy.upstream import Attempt, ConnectionPool
 
 CONSUMED_HEADERS = HOP_BY_HOP_HEADERS | {
     b"x-tenant",
@@ -181,7 +184,7 @@
 
 
 def _own(turn: Rejection) -> ClientResponse:
-    return ClientResponse(turn.status, retry_after=turn.retry_after, cause=turn.cause)
+    return ClientResponse(turn.status, retry_after=turn.retry_after, cause=turn.reason.value)
 
 
 def _head(asked: ClientRequest, live: AdmittedRequest) -> bytes:
--- a/ashlift/proxy/request_router.py
+++ b/ashlift/proxy/request_router.py
@@ -1,318 +1,242 @@
-"""What happens to a request: let in or turned away, which worker, once more or the end. Pure.
+"""The way of a request as decisions: admit, choose a worker, learn from the attempt, retry, give up. Pure.
 
-A turn says at once what a client gets. 429 and 503 promise that the request has not run and never will.
+`ashlift.proxy.request_handler` carries the decisions out and owns sockets and greenlets. Admission is in
+`ashlift.proxy.admission`, the ranking of workers in `ashlift.proxy.load_balancer`, limits of single workers
+in `ashlift.proxy.worker_selection`, and the rules for further attempts in `ashlift.proxy.attempts`.
 """
 
-import math
 import random
-from dataclasses import dataclass, field
+from typing import Final
 
-from ashlift.config.routing_table import Route, Service, Tenant
 from ashlift.config.settings import Settings
+from ashlift.proxy import rejections
+from ashlift.proxy.admission import Admission, AdmittedRequest, configuration_is_current
+from ashlift.proxy.attempts import ATTEMPT_RULES, AttemptOutcome, AttemptResult
 from ashlift.proxy.cluster_view import ClusterChange, ClusterView
 from ashlift.proxy.load_balancer import LoadBalancer, WorkerState
-from ashlift.proxy.upstream import AttemptOutcome, AttemptResult
+from ashlift.proxy.rejections import Rejection
+from ashlift.proxy.worker_selection import WorkerSelection
 from ashlift.traffic.rate_limiter import RateLimiter
 from ashlift.traffic.retry_budget import RetryBudget
-from ashlift.traffic.slow_start import SlowStartPacer, assigned_proxies
 
-# with a proof younger than this, one from after a request's coming is soon there
-FRESH_CONFIGURATION_SECONDS = 1.0
-MAX_CONFIGURATION_WAIT_SECONDS, CONFIGURATION_WAIT_FRACTION = (
-    0.8,
-    0.25,
-)  # s, x what its client will wait: what is not known is held so long for it
-REVOCATION_MARGIN_SECONDS = 0.3  # of Revoke, for the way of the request to the worker
-UNREADY_RETRY_AFTER_SECONDS = 0.4
-START_UP_SECONDS = 1.2  # so long after its start a gatekeeper usually has all it needs
-NO_WORKER_RETRY_AFTER_SECONDS = 0.15
-OVERLOAD_RETRY_AFTER_SECONDS = 0.5
-MAX_WAIT_FRACTION = 0.95  # x the time left that the highest rank waits for a worker; less by rank,
-TENANT_PRIORITY_STEP, ROUTE_PRIORITY_STEP = 0.12, 0.02  # the tenant's before the route's
-CONNECT_TIMEOUT_SAME_REGION_SECONDS, CONNECT_TIMEOUT_OTHER_REGION_SECONDS = 0.25, 0.4
-SLOW_START_OWNERS = 2
-WORKER_LEASE_HEARTBEATS = 3  # a worker's lease, in heartbeats
-MAX_HEARTBEAT_AGE = 1.2  # x heartbeat: so old may be what a worker last told of its warmth
-DEADLINE_EXCEEDED_STATUS = 504  # a worker's answer when the time is up: this tells nothing of it
-RESPONSE_MARGIN_SECONDS = 0.02  # before a deadline, the answer must be on its way
-HEDGE_AFTER_LATENCIES, HEDGE_BEFORE_TARGET_LATENCIES = (
-    1.8,
-    1.6,
-)  # x usual latency: after so long a silence; so long before the aim
-
-
-@dataclass(frozen=True, slots=True)
-class Rejection:
-    """The end of a request by our own word."""
-
-    status: int
-    cause: str
-    retry_after: float | None = None  # s
-    reconsider_until: float = (
-        -math.inf
-    )  # before this (steady time), news may say better: ask the gate again then
-
-
-@dataclass(slots=True, eq=False)
-class AdmittedRequest:
-    """A request that has been let in."""
-
-    route: Route
-    tenant: Tenant | None
-    service: str
-    allowed_regions: frozenset[str]
-    admitted_at: float
-    deadline: float
-    attempted_workers: list[str] = field(default_factory=list)
-    attempts_in_flight: int = 0  # tries under way
-    may_have_run: bool = False
-    reached_worker: bool = False  # one of its tries reached a worker
-    size_bytes: int = 500  # bytes of it, head and body
-    no_further_hedge: bool = False  # no further try beside the one that is out
+WORKER_LEASE_HEARTBEATS: Final = 3
+MAX_HEARTBEAT_AGE: Final = 1.2  # heartbeats: so old may be what a worker last reported of its slow start
+MIN_FAILURE_STATUS: Final = 500
+DEADLINE_EXCEEDED_STATUS: Final = 504  # from a worker: the time was up, which says nothing about the worker
+# A hedged request is sent after a silence of so many usual latencies, and so many before the latency target.
+HEDGE_AFTER_LATENCIES: Final = 1.8
+HEDGE_BEFORE_TARGET_LATENCIES: Final = 1.6
 
 
 class RequestRouter:
+    """Decides about requests by the cluster's state as this proxy knows it. Times are steady, in seconds."""
+
     def __init__(self, settings: Settings, rng: random.Random, now: float) -> None:
-        self.settings, self.timing_bounds, self._rng = settings, settings.bounds, rng
+        self.settings = settings
+        self.bounds = settings.bounds
         self.cluster = ClusterView(WORKER_LEASE_HEARTBEATS * settings.heartbeat)
         self.load_balancer = LoadBalancer(settings.zone, settings.zones, rng)
         self.rate_limiter = RateLimiter(rng, settings.bounds)
         self.retry_budget = RetryBudget(settings.bounds)
-        self.slow_start = SlowStartPacer()
+        self.selection = WorkerSelection(settings, self.cluster, self.load_balancer)
+        self._admission = Admission(
+            self.cluster, self.rate_limiter, self.retry_budget, settings.bounds, rng, now
+        )
         self.draining = False
-        self._since = now
-        self._quotas: dict[str, Tenant] = {}
+        self._quota_tenants: set[str] = set()
 
-    # ---- news
+    # ---- the cluster's state
 
     def apply_change(self, now: float, change: ClusterChange) -> None:
-        """Bring everything in line with the ledger."""
-        ledger = self.cluster
-        table = ledger.routing_table
-        if change.config and table is not None:
-            quotas = table.tenants
-            for name in set(self._quotas) - set(quotas):
-                self.rate_limiter.forget_tenant(name)
-            for tenant in quotas.values():
-                self.rate_limiter.set_quota(tenant.name, tenant.rate_limit, tenant.burst_size)
-            self._quotas = quotas
-            if ledger.evacuated_zones != self.load_balancer.evacuated_zones:
-                warmup = max((service.warmup for service in table.services.values()), default=0.0)
-                self.load_balancer.evacuate(
-                    now, ledger.evacuated_zones, warmup + MAX_HEARTBEAT_AGE * self.settings.heartbeat
-                )
+        """Bring the policies in line with the cluster view after `change`."""
+        if change.config:
+            self._apply_configuration(now)
         if change.workers:
-            self.load_balancer.set_workers(ledger.workers.values())
-            self.slow_start.retain_workers(ledger.workers)
-        self.rate_limiter.retain_sources(now, ledger.sources)
+            self.load_balancer.set_workers(self.cluster.workers.values())
+            self.selection.slow_start.retain_workers(self.cluster.workers)
+        self.rate_limiter.retain_sources(now, self.cluster.sources)
         if change.proxies:
-            self.load_balancer.proxy_count = max(1, len(ledger.proxies))
-            self.rate_limiter.set_proxy_count(now, max(1, len(ledger.proxies)), ledger.departed_since)
-
-    def is_ready(self, now: float) -> bool:
-        """Whether clients may be sent here."""
-        return not self.draining and self.cluster.routing_table is not None and self._fresh(now)
-
-    def _fresh(self, now: float) -> bool:
-        return self.cluster.configuration_age(now) <= self.timing_bounds.revoke - REVOCATION_MARGIN_SECONDS
-
-    # ---- a request
-
-    def admit(
-        self, now: float, host: str, path: str, key: str, remaining: float, came: float | None = None
-    ) -> AdmittedRequest | Rejection:
-        """Let a request in that came whole at `came` (now). `remaining`: s that its client will wait.
+            proxy_count = max(1, len(self.cluster.proxies))
+            self.load_balancer.proxy_count = proxy_count
+            self.rate_limiter.set_proxy_count(now, proxy_count, self.cluster.departed_since)
 
-        What is not known is called so only by a configuration that was the newest after the request came: an
-        older proof may be from before an acknowledgement that its client knows of."""
-        table, came = self.cluster.routing_table, now if came is None else came
-        unready = Rejection(503, "unready", UNREADY_RETRY_AFTER_SECONDS)
+    def _apply_configuration(self, now: float) -> None:
+        table = self.cluster.routing_table
         if table is None:
-            return Rejection(
-                503, "unready", max(UNREADY_RETRY_AFTER_SECONDS, self._since + START_UP_SECONDS - now)
-            )
-        known, unsure = self.cluster.confirmed_at >= came, unready
-        if self.cluster.configuration_age(now) <= FRESH_CONFIGURATION_SECONDS:
-            until = came + min(
-                MAX_CONFIGURATION_WAIT_SECONDS, CONFIGURATION_WAIT_FRACTION * (remaining + now - came)
-            )
-            unsure = Rejection(503, "unsure", UNREADY_RETRY_AFTER_SECONDS, until)
-        route = table.find_route(host, path)
-        if route is None:
-            return Rejection(404, "route") if known else unsure
-        tenant = None
-        if table.has_tenants and not route.anonymous:
-            tenant = table.find_tenant(key)
-            if tenant is None:
-                return Rejection(401, "key") if known else unsure
-            if not self._fresh(now):
-                return unready
-        homes = route.home_regions
-        if tenant is not None and tenant.home_regions:
-            homes = homes & tenant.home_regions if homes else tenant.home_regions
-            if not homes:
-                return Rejection(503, "homes", 1.0)
-        if tenant is not None:
-            again = self.rate_limiter.admit(now, tenant.name)
-            if again is not None:
-                return Rejection(429, "quota", again)
-        service = self._service(route)
-        deadline = now + min(remaining, route.timeout or remaining) - RESPONSE_MARGIN_SECONDS
-        self.retry_budget.record_request(now, service)
-        return AdmittedRequest(route, tenant, service, homes, now, deadline)
-
-    def _service(self, route: Route) -> str:
-        if len(route.traffic_split) == 1:
-            return route.traffic_split[0][0]
-        names = [name for name, weight in route.traffic_split if weight > 0]
-        return self._rng.choices(names, [weight for _, weight in route.traffic_split if weight > 0])[0]
+            return
+        for name in self._quota_tenants - table.tenants.keys():
+            self.rate_limiter.forget_tenant(name)
+        for tenant in table.tenants.values():
+            self.rate_limiter.set_quota(tenant.name, tenant.rate_limit, tenant.burst_size)
+        self._quota_tenants = set(table.tenants)
+        if self.cluster.evacuated_zones != self.load_balancer.evacuated_zones:
+            warmup = max((service.warmup for service in table.services.values()), default=0.0)
+            warming = warmup + MAX_HEARTBEAT_AGE * self.settings.heartbeat
+            self.load_balancer.evacuate(now, self.cluster.evacuated_zones, warming)
 
-    def choose_worker(self, now: float, live: AdmittedRequest, further: bool) -> WorkerState | Rejection:
-        """The worker for the next try. A `further` one (beside or after another) is paid from the budget,
-        unless no worker has been reached yet."""
-        turn = self._give_up(live)
-        if live.deadline <= now:
-            return turn
-        spent = len(live.attempted_workers) >= live.route.max_attempts
-        if further and (spent or (live.may_have_run and not live.route.idempotent)):
-            return turn
-        members = max(1, len(self.cluster.proxies))
-        if further:
-            live.no_further_hedge = True  # beside what is out now, nothing more is tried unless this one is
-        paid = live.reached_worker or live.attempts_in_flight > 0
-        if paid and not self.retry_budget.can_retry(now, live.service, members):
-            return turn
-        views = self.load_balancer.eligible(live.service, live.allowed_regions, live.attempted_workers)
-        for view in self.load_balancer.rank(now, views, live.route):
-            if self._may(now, view):
-                if not further and self._crowded(now, live, view):
-                    return Rejection(503, "crowded", OVERLOAD_RETRY_AFTER_SECONDS)
-                if paid:
-                    self.retry_budget.record_retry(now, live.service)
-                self.load_balancer.attempt_started(now, view)
-                live.attempted_workers.append(view.worker.id)
-                live.attempts_in_flight += 1
-                return view
-        return turn
-
-    def _may(self, now: float, view: WorkerState) -> bool:
-        """A cold worker gets little, from few."""
-        cold = max(view.warming_until, view.worker.warm_at)
-        service = self._known(view)
-        if view.in_flight >= self.max_connections(view):
-            return False  # each try has a connection: none is left, and asking again would not end
-        if now >= cold or service is None or service.warmup_rate <= 0:
-            return view.in_flight < 2 * max(1, view.worker.capacity) + 2
-        if self.settings.node_name not in assigned_proxies(
-            view.worker.id, self.cluster.proxies, SLOW_START_OWNERS
-        ):
-            return False
-        sure = self.cluster.configuration_age(now) <= FRESH_CONFIGURATION_SECONDS
-        if not sure or not self.slow_start.can_send(
-            now, view.worker.id, service.warmup_rate, 1 / SLOW_START_OWNERS
-        ):
+    def is_ready(self, now: float) -> bool:
+        """Whether clients may be sent to this proxy."""
+        if self.draining or self.cluster.routing_table is None:
             return False
-        self.slow_start.record_sent(now, view.worker.id)
-        return True
-
-    def _crowded(self, now: float, live: AdmittedRequest, view: WorkerState) -> bool:
-        """Whether it would wait there for most of the time that it has: what ranks low gives way first."""
-        first = live.tenant.priority if live.tenant is not None and live.tenant.priority is not None else 0
-        patience = (
-            MAX_WAIT_FRACTION
-            - TENANT_PRIORITY_STEP * min(4, first)
-            - ROUTE_PRIORITY_STEP * min(5, live.route.priority)
-        )
-        expected = self.load_balancer.usual_latency(live.route) * (
-            1.0 + self.load_balancer.expected_wait(view)
-        )
-        return expected > patience * (live.deadline - now)
-
-    def _known(self, view: WorkerState) -> Service | None:
-        table = self.cluster.routing_table
-        return table.services.get(view.worker.service) if table is not None else None
-
-    def max_connections(self, view: WorkerState) -> int:
-        """How many connections to a worker are ours."""
-        service = self._known(view)
-        most = service.max_connections if service is not None and service.max_connections else 64
-        return max(2, int(0.9 * most / max(1, len(self.cluster.proxies))))
-
-    def connect_timeout(self, view: WorkerState) -> float:
-        return (
-            CONNECT_TIMEOUT_SAME_REGION_SECONDS
-            if self.load_balancer.region_of(view) == self.settings.region
-            else CONNECT_TIMEOUT_OTHER_REGION_SECONDS
+        return configuration_is_current(self.cluster, self.bounds, now)
+
+    # ---- a request, step by step
+
+    def admit(  # noqa: PLR0913
+        self,
+        now: float,
+        host: str,
+        path: str,
+        key: str,
+        remaining: float,
+        received_at: float | None = None,
+    ) -> AdmittedRequest | Rejection:
+        """Admit or reject a request that was received completely at `received_at`, by default now."""
+        received_at = now if received_at is None else received_at
+        return self._admission.admit(now, host, path, key, remaining, received_at)
+
+    def refund_admission(self, now: float, request: AdmittedRequest) -> None:
+        """Give the tenant's unit of quota back for a request that no worker has run."""
+        self._admission.refund(now, request)
+
+    def choose_worker(self, now: float, request: AdmittedRequest, retry: bool) -> WorkerState | Rejection:
+        """The worker for the next attempt, which counts as started.
+
+        `retry`: beside or after another attempt. It takes a unit of the retry budget if a worker has been
+        reached, or may have been.
+        """
+        if request.deadline <= now or (retry and not self._may_retry(request)):
+            return self.final_rejection(request)
+        if retry:
+            request.no_further_hedge = (
+                True  # unless this attempt starts, nothing runs beside the one in flight
+            )
+        takes_budget = request.reached_worker or request.attempts_in_flight > 0
+        proxy_count = max(1, len(self.cluster.proxies))
+        if takes_budget and not self.retry_budget.can_retry(now, request.service, proxy_count):
+            return self.final_rejection(request)
+        worker = self._first_available(now, request)
+        if worker is None:
+            return self.final_rejection(request)
+        if not retry and self.selection.is_overloaded(now, request, worker):
+            return rejections.OVERLOADED
+        if takes_budget:
+            self.retry_budget.record_retry(now, request.service)
+        self.load_balancer.attempt_started(now, worker)
+        request.attempted_workers.append(worker.worker.id)
+        request.attempts_in_flight += 1
+        return worker
+
+    def _first_available(self, now: float, request: AdmittedRequest) -> WorkerState | None:
+        eligible = self.load_balancer.eligible(
+            request.service, request.allowed_regions, request.attempted_workers
         )
-
-    def hedge_time(self, live: AdmittedRequest) -> float | None:
-        """When a silent try of a repeatable request gets another beside it (steady time); None: never."""
-        if (
-            not live.route.idempotent
-            or live.no_further_hedge
-            or len(live.attempted_workers) >= live.route.max_attempts
-        ):
+        for worker in self.load_balancer.rank(now, eligible, request.route):
+            if self.selection.reserve(now, worker):
+                return worker
+        return None
+
+    @staticmethod
+    def _may_retry(request: AdmittedRequest) -> bool:
+        attempts_left = len(request.attempted_workers) < request.route.max_attempts
+        return attempts_left and not request.retry_forbidden
+
+    def hedge_time(self, request: AdmittedRequest) -> float | None:
+        """When an attempt without a response gets another one beside it; None: never."""
+        route = request.route
+        attempts_used = len(request.attempted_workers) >= route.max_attempts
+        if not route.idempotent or request.no_further_hedge or attempts_used:
             return None
-        usual = self.load_balancer.usual_latency(live.route)
-        at = live.admitted_at + max(
-            HEDGE_AFTER_LATENCIES * usual, live.route.latency_target - HEDGE_BEFORE_TARGET_LATENCIES * usual
-        )
-        return at if at + usual < live.deadline else None
-
-    def hedge_is_due(self, now: float, live: AdmittedRequest) -> bool:
-        at = self.hedge_time(live)
-        return at is not None and now >= at
+        usual_latency = self.load_balancer.usual_latency(route)
+        before_target = route.latency_target - HEDGE_BEFORE_TARGET_LATENCIES * usual_latency
+        delay = max(HEDGE_AFTER_LATENCIES * usual_latency, before_target)
+        hedge_at = request.admitted_at + delay
+        return hedge_at if hedge_at + usual_latency < request.deadline else None
 
-    def final_rejection(self, live: AdmittedRequest) -> Rejection:
-        """No further try now."""
-        return self._give_up(live)
+    def hedge_is_due(self, now: float, request: AdmittedRequest) -> bool:
+        """Whether the time for a hedged request has come."""
+        hedge_at = self.hedge_time(request)
+        return hedge_at is not None and now >= hedge_at
 
     def record_outcome(
-        self, now: float, live: AdmittedRequest, view: WorkerState, outcome: AttemptOutcome, cancelled: bool
+        self,
+        now: float,
+        request: AdmittedRequest,
+        worker: WorkerState,
+        outcome: AttemptOutcome,
+        cancelled: bool,
     ) -> bool:
-        """Learn from a try that ended; whether its answer is the request's answer."""
-        live.attempts_in_flight -= 1
-        self.load_balancer.attempt_ended(view)
+        """Learn from an attempt that ended; whether its response is the request's response.
+
+        `cancelled`: this proxy ended the attempt, since another one had a response or the client had gone.
+        """
+        request.attempts_in_flight -= 1
+        self.load_balancer.attempt_ended(worker)
+        rule = ATTEMPT_RULES[outcome.result]
+        if rule.may_have_run:
+            request.reached_worker = True
+            request.may_have_run = True
+        if not rule.allows_retry(request.route.idempotent):
+            request.retry_forbidden = True
         match outcome.result:
             case AttemptResult.RESPONSE:
-                live.reached_worker = live.may_have_run = True
-                reply = outcome.response
-                assert reply is not None
-                if reply.status < 500:
-                    self.load_balancer.record_response(
-                        now, view, live.route, outcome.elapsed, live.size_bytes + reply.size
-                    )
-                    return True
-                if reply.status != DEADLINE_EXCEEDED_STATUS:
-                    self.load_balancer.record_fault(now, view)
-                return not live.route.idempotent or len(live.attempted_workers) >= live.route.max_attempts
+                return self._record_response(now, request, worker, outcome)
             case AttemptResult.NOT_RUN:
-                self.load_balancer.record_overload(now, view)
+                self.load_balancer.record_overload(now, worker)
                 if outcome.response is not None:
-                    live.reached_worker = True
-                    self.load_balancer.record_refusal(now, view)
+                    request.reached_worker = True
+                    self.load_balancer.record_refusal(now, worker)
             case AttemptResult.CONNECT_FAILED:
-                self.load_balancer.record_failure(now, view)
+                self.load_balancer.record_failure(now, worker)
             case AttemptResult.CONNECTION_LOST | AttemptResult.TIMED_OUT:
-                live.reached_worker = live.may_have_run = True
-                if not cancelled and not outcome.idle_reset:
-                    self.load_balancer.record_failure(now, view)
-                elif cancelled and outcome.elapsed > HEDGE_AFTER_LATENCIES * self.load_balancer.usual_latency(
-                    live.route
-                ):
-                    self.load_balancer.record_silence(now, view)
+                self._record_no_response(now, request, worker, outcome, cancelled)
             case AttemptResult.NO_CONNECTION_FREE:
-                live.attempted_workers.remove(view.worker.id)
-                self.load_balancer.record_overload(now, view)
+                request.attempted_workers.remove(worker.worker.id)
+                self.load_balancer.record_overload(now, worker)
         return False
 
-    def _give_up(self, live: AdmittedRequest) -> Rejection:
-        """What the client gets when there is no further try: a promise only where it holds."""
-        if live.may_have_run or live.attempts_in_flight:
-            return Rejection(504, "unanswered")
-        return Rejection(503, "no worker", NO_WORKER_RETRY_AFTER_SECONDS)
-
-    def refund_admission(self, now: float, live: AdmittedRequest) -> None:
-        """It was let in, and no worker has had it: its unit is free again."""
-        if live.tenant is not None and not live.may_have_run:
-            self.rate_limiter.refund(now, live.tenant.name)
+    def _record_response(
+        self, now: float, request: AdmittedRequest, worker: WorkerState, outcome: AttemptOutcome
+    ) -> bool:
+        """Whether the response is final: a success, or a failure after which nothing more may be tried."""
+        response = outcome.response
+        assert response is not None
+        if response.status < MIN_FAILURE_STATUS:
+            size_bytes = request.size_bytes + response.size
+            self.load_balancer.record_response(now, worker, request.route, outcome.elapsed, size_bytes)
+            return True
+        if response.status != DEADLINE_EXCEEDED_STATUS:
+            self.load_balancer.record_fault(now, worker)
+        return not self._may_retry(request)
+
+    def _record_no_response(
+        self,
+        now: float,
+        request: AdmittedRequest,
+        worker: WorkerState,
+        outcome: AttemptOutcome,
+        cancelled: bool,
+    ) -> None:
+        if cancelled:
+            usual_latency = self.load_balancer.usual_latency(request.route)
+            if outcome.elapsed > HEDGE_AFTER_LATENCIES * usual_latency:
+                self.load_balancer.record_silence(now, worker)
+        elif not outcome.idle_reset:
+            self.load_balancer.record_failure(now, worker)
+
+    @staticmethod
+    def final_rejection(request: AdmittedRequest) -> Rejection:
+        """The response when no attempt follows: a promise that it has not run only where that is certain."""
+        if request.may_have_run or request.attempts_in_flight:
+            return rejections.OUTCOME_UNKNOWN
+        return rejections.NO_WORKER
+
+    # ---- limits of single workers
+
+    def max_connections(self, worker: WorkerState) -> int:
+        """How many connections this proxy may have to a worker."""
+        return self.selection.max_connections(worker)
+
+    def connect_timeout(self, worker: WorkerState) -> float:
+        """Seconds that a connection to a worker may take to be established."""
+        return self.selection.connect_timeout(worker)
--- a/ashlift/proxy/upstream.py
+++ b/ashlift/proxy/upstream.py
@@ -3,13 +3,13 @@
 import time
 from collections import deque
 from dataclasses import dataclass
-from enum import Enum, auto
 
 import gevent
 from gevent import socket
 
 from ashlift.gatekeeper.net.links import quiet
 from ashlift.gatekeeper.net.replies import SpoiltAnswerError
+from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
 from ashlift.proxy.idle_connections import IdleConnectionAges
 from ashlift.proxy.responses import ATTEMPT_ID_HEADER, WorkerResponse
 from ashlift.rpc.addresses import Address
@@ -21,27 +21,6 @@
 MIN_EARLY_RESPONSE_REQUEST_BYTES = 16 << 10
 
 
-class AttemptResult(Enum):
-    """How one try at one worker ended."""
-
-    RESPONSE = auto()  # the worker's own sound answer
-    NOT_RUN = auto()  # it says that it has not run it, or no connection came up
-    CONNECT_FAILED = auto()  # no connection came up
-    CONNECTION_LOST = auto()  # it may have run, and there is no answer of use
-    TIMED_OUT = auto()  # it may be running still
-    NO_CONNECTION_FREE = auto()  # no connection to be had here: nothing was sent
-
-
-@dataclass(slots=True)
-class AttemptOutcome:
-    result: AttemptResult
-    response: WorkerResponse | None = None
-    elapsed: float = 0.0  # s
-    idle_reset: bool = (
-        False  # lost because its connection had rested too long: this tells nothing of the worker
-    )
-
-
 @dataclass(slots=True, eq=False)
 class WorkerConnection:
     sock: socket.socket
--- /dev/null
+++ b/ashlift/proxy/worker_selection.py
@@ -0,0 +1,96 @@
+"""Whether a worker may be sent an attempt now: connections, slow start, backlog. Pure.
+
+`ashlift.proxy.load_balancer` ranks the workers; this module says which of the ranked may be used at all.
+"""
+
+from typing import Final
+
+from ashlift.config.routing_table import Service
+from ashlift.config.settings import Settings
+from ashlift.proxy.admission import FRESH_CONFIGURATION_SECONDS, AdmittedRequest
+from ashlift.proxy.cluster_view import ClusterView
+from ashlift.proxy.load_balancer import LoadBalancer, WorkerState
+from ashlift.traffic.slow_start import SlowStartPacer, assigned_proxies
+
+SLOW_START_OWNERS: Final = 2  # proxies that send to a worker in slow start
+# A request waits at a worker for at most this fraction of its remaining time, less a step for each rank of
+# priority below the highest: the tenant's before the route's.
+MAX_WAIT_FRACTION: Final = 0.95
+TENANT_PRIORITY_STEP: Final = 0.12
+ROUTE_PRIORITY_STEP: Final = 0.02
+LOWEST_TENANT_PRIORITY: Final = 4
+LOWEST_ROUTE_PRIORITY: Final = 5
+DEFAULT_MAX_CONNECTIONS: Final = 64  # of a worker whose service names no limit
+MIN_CONNECTIONS: Final = 2
+CONNECTIONS_FRACTION: Final = 0.9  # of a worker's limit, shared by all proxies
+BACKLOG_CAPACITIES: Final = 2  # a worker takes so many times its capacity from one proxy, and
+BACKLOG_EXTRA: Final = 2  # so many more
+CONNECT_TIMEOUT_SAME_REGION_SECONDS: Final = 0.25
+CONNECT_TIMEOUT_OTHER_REGION_SECONDS: Final = 0.4
+
+
+class WorkerSelection:
+    """Applies the limits of single workers. Its only own state is that of the slow start pacer."""
+
+    def __init__(self, settings: Settings, cluster: ClusterView, load_balancer: LoadBalancer) -> None:
+        self._node_name = settings.node_name
+        self._region = settings.region
+        self._cluster = cluster
+        self._load_balancer = load_balancer
+        self.slow_start = SlowStartPacer()
+
+    def reserve(self, now: float, worker: WorkerState) -> bool:
+        """Whether an attempt may be sent to the worker; in slow start this takes a unit of its rate."""
+        service = self._service_of(worker)
+        if worker.in_flight >= self.max_connections(worker):
+            return False  # each attempt needs a connection, and asking the pool again would not end
+        warm_at = max(worker.warming_until, worker.worker.warm_at)
+        if now >= warm_at or service is None or service.warmup_rate <= 0:
+            capacity = max(1, worker.worker.capacity)
+            return worker.in_flight < BACKLOG_CAPACITIES * capacity + BACKLOG_EXTRA
+        return self._reserve_slow_start(now, worker, service)
+
+    def _reserve_slow_start(self, now: float, worker: WorkerState, service: Service) -> bool:
+        """A worker in slow start gets few requests, from few proxies, and none from a proxy with old data."""
+        worker_id = worker.worker.id
+        if self._node_name not in assigned_proxies(worker_id, self._cluster.proxies, SLOW_START_OWNERS):
+            return False
+        if self._cluster.configuration_age(now) > FRESH_CONFIGURATION_SECONDS:
+            return False
+        if not self.slow_start.can_send(now, worker_id, service.warmup_rate, 1 / SLOW_START_OWNERS):
+            return False
+        self.slow_start.record_sent(now, worker_id)
+        return True
+
+    def is_overloaded(self, now: float, request: AdmittedRequest, worker: WorkerState) -> bool:
+        """Whether the request would wait there for too much of its time; low priorities give way first."""
+        tenant_priority = 0
+        if request.tenant is not None and request.tenant.priority is not None:
+            tenant_priority = request.tenant.priority
+        wait_fraction = (
+            MAX_WAIT_FRACTION
+            - TENANT_PRIORITY_STEP * min(LOWEST_TENANT_PRIORITY, tenant_priority)
+            - ROUTE_PRIORITY_STEP * min(LOWEST_ROUTE_PRIORITY, request.route.priority)
+        )
+        usual_latency = self._load_balancer.usual_latency(request.route)
+        expected_latency = usual_latency * (1.0 + self._load_balancer.expected_wait(worker))
+        return expected_latency > wait_fraction * (request.deadline - now)
+
+    def max_connections(self, worker: WorkerState) -> int:
+        """How many connections this proxy may have to a worker: its share of the worker's limit."""
+        service = self._service_of(worker)
+        limit = DEFAULT_MAX_CONNECTIONS
+        if service is not None and service.max_connections:
+            limit = service.max_connections
+        proxy_count = max(1, len(self._cluster.proxies))
+        return max(MIN_CONNECTIONS, int(CONNECTIONS_FRACTION * limit / proxy_count))
+
+    def connect_timeout(self, worker: WorkerState) -> float:
+        """Seconds that a connection to a worker may take to be established."""
+        if self._load_balancer.region_of(worker) == self._region:
+            return CONNECT_TIMEOUT_SAME_REGION_SECONDS
+        return CONNECT_TIMEOUT_OTHER_REGION_SECONDS
+
+    def _service_of(self, worker: WorkerState) -> Service | None:
+        table = self._cluster.routing_table
+        return table.services.get(worker.worker.service) if table is not None else None
--- a/ashlift/simulation/keeper.py
+++ b/ashlift/simulation/keeper.py
@@ -6,13 +6,16 @@
 from typing import Any, Protocol
 
 from ashlift.config.settings import Settings
+from ashlift.proxy.admission import AdmittedRequest
+from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
 from ashlift.proxy.configuration_updates import RETRY_PAUSE_SECONDS
 from ashlift.proxy.idle_connections import IdleConnectionAges
 from ashlift.proxy.load_balancer import WorkerState
 from ashlift.proxy.registry_client import LONG_POLL_SECONDS, RESPONSE_TIMEOUT_SECONDS, RegistryClient
-from ashlift.proxy.request_router import AdmittedRequest, Rejection, RequestRouter
+from ashlift.proxy.rejections import Rejection
+from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.responses import WorkerResponse
-from ashlift.proxy.upstream import MAX_IDLE_PER_WORKER, MAX_IDLE_SECONDS, AttemptOutcome, AttemptResult
+from ashlift.proxy.upstream import MAX_IDLE_PER_WORKER, MAX_IDLE_SECONDS
 from ashlift.simulation import board
 from ashlift.simulation.engine import Loop, Machine, Net, Process, Steps
 from ashlift.simulation.history import HOST, Request
@@ -90,7 +93,7 @@
         live = keeper.gate.admit(now, HOST, request.path, request.key, self._until - now, self._came)
         if isinstance(live, Rejection):
             if now >= live.reconsider_until:
-                return self._answer(live.status, live.cause, live.retry_after)
+                return self._answer(live.status, live.reason.value, live.retry_after)
             if self not in keeper.held:
                 keeper.held.append(self)
                 keeper.later(live.reconsider_until - now + 1e-6, self.enter)
@@ -124,7 +127,7 @@
         elif not self.out:
             if self.failure:
                 return self._answer(self.failure, "", None)
-            return self._answer(view.status, view.cause, view.retry_after)
+            return self._answer(view.status, view.reason.value, view.retry_after)
         if self.closed or self.ended:
             return
         now = self.keeper.clock()
@@ -233,7 +236,7 @@
         self.spawn(self._leave())
 
     def _leave(self) -> Steps:
-        began, grace = self.clock(), self.gate.timing_bounds.grace
+        began, grace = self.clock(), self.gate.bounds.grace
         yield LEAVE_SHARE * grace
         while self.cases and self.clock() < began + END_SHARE * grace:
             yield 0.02
--- a/ashlift/simulation/workers.py
+++ b/ashlift/simulation/workers.py
@@ -4,7 +4,7 @@
 from collections import deque
 from typing import Any
 
-from ashlift.proxy.upstream import AttemptOutcome, AttemptResult
+from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
 from ashlift.simulation import board
 from ashlift.simulation.engine import Loop, Machine, Network, Process, Steps, simulated
 from ashlift.simulation.history import Arrival, History, WorkerLife
--- a/tests/cli/test_tenant_steps.py
+++ b/tests/cli/test_tenant_steps.py
@@ -12,7 +12,9 @@
 from ward import test
 
 from ashlift.config.settings import Settings, parse_settings
-from ashlift.proxy.request_router import AdmittedRequest, Rejection, RequestRouter
+from ashlift.proxy.admission import AdmittedRequest
+from ashlift.proxy.rejections import Rejection
+from ashlift.proxy.request_router import RequestRouter
 from ashlift.registry.registry import Registry, RegistryIdentity
 from tests.support.request_router_scenarios import SETTINGS, WORD
 
@@ -114,7 +116,7 @@
             said.add(world.said)
             if world.said == "in":
                 table = world.gate.cluster.routing_table
-                assert table is not None and table.version == 2 and "new" in world.gate._quotas, path
+                assert table is not None and table.version == 2 and "new" in world.gate._quota_tenants, path
             else:
                 front.append((*path, action))
     assert len(seen) > 500 and said == {"", "unsure", "in"}, (len(seen), said)
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -391,9 +391,9 @@
         forgotten,
     ),
     "a resend after silence": (
-        RequestRouter.choose_worker,
-        "(live.may_have_run and not live.route.idempotent)",
-        "False",
+        RequestRouter._may_retry,
+        "not request.retry_forbidden",
+        "True",
         moody("ran and resets"),
     ),
     "the id is not compared": (
@@ -403,8 +403,8 @@
         moody("a second answer later"),
     ),
     "refused, though it may have run": (
-        RequestRouter._give_up,
-        "live.may_have_run or live.attempts_in_flight",
+        RequestRouter.final_rejection,
+        "request.may_have_run or request.attempts_in_flight",
         "False",
         moody("ran and resets"),
     ),
--- a/tests/proxy/test_request_router.py
+++ b/tests/proxy/test_request_router.py
@@ -4,6 +4,7 @@
 
 from ward import each, test
 
+from ashlift.proxy.attempts import ATTEMPT_RULES, AttemptResult
 from ashlift.proxy.responses import WorkerResponse
 from tests.support.request_router_scenarios import Play, scenes
 
@@ -38,3 +39,10 @@
     reply = WorkerResponse()
     reply.feed("HTTP/1.1 {}\r\nok".format(head.replace("|", "\r\n")).encode())
     assert wanted == ("not run" if reply.not_run else "passed on" if reply.is_valid() else "spoilt")
+
+
+@test("attempts: {result.name} has a rule, and what may have run is tried again on idempotent routes alone")
+def _(result: AttemptResult = each(*AttemptResult)):
+    rule = ATTEMPT_RULES[result]
+    assert rule.allows_retry(idempotent=True)
+    assert rule.allows_retry(idempotent=False) == (not rule.may_have_run)
--- a/tests/support/gatekeeper.py
+++ b/tests/support/gatekeeper.py
@@ -257,7 +257,7 @@
         assert isinstance(settings, Settings), settings
         self.gate = RequestRouter(settings, random.Random(1), time.monotonic())
         # A process that stands still on a full machine must not take its own pause for a worker that is away.
-        self.gate.connect_timeout = lambda view: ENOUGH_S  # type: ignore[method-assign]
+        self.gate.connect_timeout = lambda worker: ENOUGH_S  # type: ignore[method-assign]
         self.desk = RequestHandler(self.gate)
         self.front = ProxyServer(self.desk, ClientLimits)
         self.front.listen((HOST, 0))
--- a/tests/support/request_router_scenarios.py
+++ b/tests/support/request_router_scenarios.py
@@ -18,9 +18,11 @@
 from typing import Any
 
 from ashlift.config.settings import Settings, parse_settings
-from ashlift.proxy.request_router import AdmittedRequest, Rejection, RequestRouter
+from ashlift.proxy.admission import AdmittedRequest
+from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
+from ashlift.proxy.rejections import Rejection
+from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.responses import WorkerResponse
-from ashlift.proxy.upstream import AttemptOutcome, AttemptResult
 from ashlift.rpc.sources import OPERATOR_SOURCE
 
 SETTINGS = """
@@ -139,7 +141,7 @@
         if isinstance(live, Rejection) and self.now < live.reconsider_until:
             return "unsure"
         if isinstance(live, Rejection):
-            return f"{live.status} {live.cause}"
+            return f"{live.status} {live.reason}"
         self.lives[name] = live
         return "in"
 
@@ -147,7 +149,7 @@
         live = self.lives[name]
         view = self.gate.choose_worker(self.now, live, bool(live.attempted_workers))
         if isinstance(view, Rejection):
-            return f"{view.status} {view.cause}"
+            return f"{view.status} {view.reason}"
         self.views[name] = view
         return view.worker.id
 
