--- a/ashlift/simulation/cell.py
+++ b/ashlift/simulation/cell.py
@@ -21,7 +21,7 @@
 from ashlift.configstore.messages import CommandSubmitted, PersistentVote, ReadRequested, Snapshot
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.replica import ElectionAttempt, Replica
-from ashlift.simulation.linear import Call, Change
+from ashlift.simulation.linearizability import Call, ConfigurationWrite
 from ashlift.simulation.sworn import Sworn
 
 PAUSE_S = 0.1  # between two ends of one timer at least
@@ -53,7 +53,7 @@
     ReplicaProgress,
 )
 
-Asked = tuple[int, Change | None, float]  # number, of a read None, the moment
+Asked = tuple[int, ConfigurationWrite | None, float]  # number, of a read None, the moment
 Kind = Literal["lose", "double", "late", "crash", "refuse", "wipe", "power", "early", "freeze", "timer"]
 
 
--- a/ashlift/simulation/checks.py
+++ b/ashlift/simulation/checks.py
@@ -12,7 +12,7 @@
 from ashlift.config.routing_table import RoutingTable
 from ashlift.config.settings import Bounds
 from ashlift.simulation.history import Arrival, Change, History, Request
-from ashlift.simulation.linear import DOUBT, STALE, TAKEN, Call, unexplained
+from ashlift.simulation.linearizability import ACKNOWLEDGED, CONFLICT, IN_DOUBT, Call, find_unexplained_call
 
 DENIED_FREE, DENIED_SHARE = 5, 1 / 500
 SPUN = 50  # turns
@@ -259,20 +259,27 @@
                 yield Breach("CONFIG", reading.ended, f"{lost[0].told()} was refused and is in force")
 
     def linear(self) -> Iterator[Breach]:
-        """CONFIG: one order of all the operator's calls explains every answer (`simulation.linear`)."""
+        """CONFIG: one order of all the operator's calls explains every answer."""
         calls = [
-            Call(one.sent, one.ended, one.asked(), _told(one), name=one.who)
+            Call(one.sent, one.ended, one.asked(), _told(one), operator=one.who)
             for one in self.changes
             if one.valid and one.refused in (0, 412)
         ]
         calls += [
-            Call(one.begun, one.ended, seen=one.seen(), zones=one.zones()) for one in self.history.readings
+            Call(one.begun, one.ended, observed=one.seen(), evacuated_zones=one.zones())
+            for one in self.history.readings
         ]
         calls += [
-            Call(one.sent, one.ended, zone=(one.zone, one.on), until=one.until, name=one.who)
+            Call(
+                one.sent,
+                one.ended,
+                evacuation=(one.zone, one.on),
+                effect_deadline=one.until,
+                operator=one.who,
+            )
             for one in self.history.copies
         ]
-        wrong = unexplained(calls)
+        wrong = find_unexplained_call(calls)
         if wrong is not None:
             yield Breach("CONFIG", wrong.ended, f"no order of all calls explains {wrong}")
 
@@ -464,8 +471,8 @@
 
 def _told(change: Change) -> str | None:
     if change.refused:
-        return STALE
-    return TAKEN if change.acked < math.inf else DOUBT
+        return CONFLICT
+    return ACKNOWLEDGED if change.acked < math.inf else IN_DOUBT
 
 
 def _allows(table: RoutingTable, request: Request, one: Arrival) -> bool:
--- a/ashlift/simulation/history.py
+++ b/ashlift/simulation/history.py
@@ -12,7 +12,7 @@
 from attrs import define, field
 
 from ashlift.config.routing_table import RoutingTable
-from ashlift.simulation import linear
+from ashlift.simulation import linearizability
 
 HOST = "app.example"
 
@@ -84,10 +84,10 @@
         return any(since <= at < until for since, until in self.cold)
 
 
-def objects(found: list[dict[str, Any]]) -> linear.Items:
+def objects(found: list[dict[str, Any]]) -> linearizability.Items:
     """A configuration's objects as values that can be compared."""
     named = {f"{one['ObjectType']}/{one['Metadata'].get('Name', '')}": one for one in found}
-    return linear.items({key: json.dumps(one, sort_keys=True) for key, one in named.items()})
+    return linearizability.items_of({key: json.dumps(one, sort_keys=True) for key, one in named.items()})
 
 
 @define(eq=False, slots=True)
@@ -107,13 +107,13 @@
     ended: float = math.inf
     patch: dict[str, Any] | None = None  # what is sent in place of the whole
 
-    def asked(self) -> linear.Change:
+    def asked(self) -> linearizability.ConfigurationWrite:
         """As the checker of linearizability takes it."""
         if self.patch is None:
-            return linear.Change(self.base, self.version, objects(self.body["Objects"]))
+            return linearizability.ConfigurationWrite(self.base, self.version, objects(self.body["Objects"]))
         gone = [f"{kind}/{name}" for kind, names in self.patch["Withdraw"].items() for name in names]
         upsert = objects(self.patch["Upsert"]["Objects"])
-        return linear.Change(self.base, self.version, upsert, frozenset(gone))
+        return linearizability.ConfigurationWrite(self.base, self.version, upsert, frozenset(gone))
 
     def order(self) -> dict[str, Any]:
         """As it is sent."""
@@ -145,7 +145,7 @@
     body: Mapping[str, Any]
     entries: Mapping[str, Any] | None
 
-    def seen(self) -> tuple[int, linear.Items]:
+    def seen(self) -> tuple[int, linearizability.Items]:
         return self.version, objects(self.body.get("Objects", []))
 
     def zones(self) -> frozenset[str] | None:
--- a/ashlift/simulation/members.py
+++ b/ashlift/simulation/members.py
@@ -2,7 +2,7 @@
 too), disks that fail or are caught in the middle of a write, processes killed, frozen, without power, wiped.
 
 Every world checks the invariants of docs/design/store.md: I1, I2, I3, I7 and I8 at every event
-(`simulation.sworn`), I4, I5 and I6 at its end by the history of all calls (`simulation.linear`).
+(`simulation.sworn`), I4, I5 and I6 at its end by the history of all calls (`simulation.linearizability`).
 """
 
 import functools
@@ -38,7 +38,14 @@
 )
 from ashlift.configstore.replica import Replica
 from ashlift.errors import Failure, FailureReason
-from ashlift.simulation.linear import STALE, TAKEN, Call, Change, items, unexplained
+from ashlift.simulation.linearizability import (
+    ACKNOWLEDGED,
+    CONFLICT,
+    Call,
+    ConfigurationWrite,
+    find_unexplained_call,
+    items_of,
+)
 from ashlift.simulation.sworn import Sworn, Wrong, decide, history_of
 
 SEED_MOST = 3
@@ -63,14 +70,18 @@
         if self.kind == "read":
             if not isinstance(self.answer, list):
                 return None
-            held = items({str(at): name for at, name in enumerate(self.answer)})
-            return Call(self.begun, self.ended, seen=(len(self.answer), held))
-        change = Change(self.base, self.base + 1, items({str(self.base): self.name}), frozenset())
+            held = items_of({str(at): name for at, name in enumerate(self.answer)})
+            return Call(self.begun, self.ended, observed=(len(self.answer), held))
+        change = ConfigurationWrite(
+            self.base, self.base + 1, items_of({str(self.base): self.name}), frozenset()
+        )
         if isinstance(self.answer, dict):
-            return Call(self.begun, self.ended, change, TAKEN if self.done else STALE, name=self.name)
+            return Call(
+                self.begun, self.ended, change, ACKNOWLEDGED if self.done else CONFLICT, operator=self.name
+            )
         if isinstance(self.answer, Failure) and self.answer.reason == FailureReason.UNAVAILABLE:
             return None  # not begun
-        return Call(self.begun, float("inf"), change, name=self.name)
+        return Call(self.begun, float("inf"), change, operator=self.name)
 
 
 class Node:
@@ -402,7 +413,7 @@
 
     def judge(self) -> None:
         """The whole history, at the end."""
-        wrong = unexplained(call for op in self.ops if (call := op.told()) is not None)
+        wrong = find_unexplained_call(call for op in self.ops if (call := op.told()) is not None)
         if wrong is not None:
             raise Wrong(f"I4 I5 I6: no order of all calls explains {wrong}")
 
--- a/ashlift/simulation/moves.py
+++ b/ashlift/simulation/moves.py
@@ -31,7 +31,14 @@
 from ashlift.configstore.replica import Replica
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation.cell import Asked, Cell, Draw, Kind, Mail, Place, Rules, forked
-from ashlift.simulation.linear import STALE, TAKEN, Call, Change, items, unexplained
+from ashlift.simulation.linearizability import (
+    ACKNOWLEDGED,
+    CONFLICT,
+    Call,
+    ConfigurationWrite,
+    find_unexplained_call,
+    items_of,
+)
 from ashlift.simulation.sworn import ZONE, Sworn, Wrong, decide, history_of
 
 TRIP_S = 0.004  # of a message, when nothing befalls it
@@ -398,8 +405,8 @@
         if word == "put":
             base, names = int(rest[0]), rest[1:]
         if word == "again":
-            made = [call.change for _, call in sorted(self.calls.items()) if call.change]
-            base, names = made[-1].base, [name for _, name in made[-1].set if isinstance(name, str)]
+            made = [call.write for _, call in sorted(self.calls.items()) if call.write]
+            base, names = made[-1].base, [name for _, name in made[-1].upserts if isinstance(name, str)]
         self.asked_at, self.line, self.heard = self.now, self.count, False
         if word in ("add", "remove", "replace"):
             return self.order(MembershipCommand(word, rest[0]))
@@ -411,7 +418,7 @@
                 self._zone(ip, rest[0], word == "held")
                 continue
             for name in names:
-                change = Change(base, base + 1, items({str(base): name}), frozenset())
+                change = ConfigurationWrite(base, base + 1, items_of({str(base): name}), frozenset())
                 self._call(ip, change, lambda ref, name=name: CommandSubmitted(ref, (base, name)))  # type: ignore[misc]
         return self
 
@@ -431,7 +438,7 @@
         self.moments += 1
         self.asking.append((number, None, begun))
         until = begun + 0.5 if held else float("inf")
-        self.calls[number] = Call(begun, float("inf"), zone=(ZONE, name == "+"), until=until)
+        self.calls[number] = Call(begun, float("inf"), evacuation=(ZONE, name == "+"), effect_deadline=until)
         order = CommandSubmitted(
             number,
             (0, name),
@@ -442,7 +449,7 @@
         else:
             self._feed(ip, order)
 
-    def _call(self, ip: str, change: Change | None, event: Callable[[int], Any]) -> None:
+    def _call(self, ip: str, change: ConfigurationWrite | None, event: Callable[[int], Any]) -> None:
         number, begun = self.count, float(self.moments)
         self.count += 1
         self.moments += 1
@@ -466,21 +473,21 @@
         good = False
         if isinstance(body, Snapshot):
             history = history_of(body)
-            held = items({str(at): name for at, name in enumerate(history)})
+            held = items_of({str(at): name for at, name in enumerate(history)})
             zones = frozenset([ZONE]) if body.entries.map.get(ZONE) else frozenset[str]()
-            self.calls[number] = Call(begun, now, seen=(len(history), held), zones=zones)
+            self.calls[number] = Call(begun, now, observed=(len(history), held), evacuated_zones=zones)
             good = mine and self.script[:1] == AGREE[1:]
         elif isinstance(body, Failure):
             if number in self.calls and body.reason in (FailureReason.UNAVAILABLE, FailureReason.EXPIRED):
                 del self.calls[number]  # not begun
-        elif number in self.calls and self.calls[number].zone:
+        elif number in self.calls and self.calls[number].evacuation:
             self.calls[number] = evolve(self.calls[number], ended=now)
         elif change is not None:
             taken = body["status"] == 200
-            self.calls[number] = Call(begun, now, change, TAKEN if taken else STALE)
+            self.calls[number] = Call(begun, now, change, ACKNOWLEDGED if taken else CONFLICT)
             good = mine and taken and self.script == AGREE
         if good:
             self.script = self.script[1:]
-        wrong = unexplained(self.calls.values())
+        wrong = find_unexplained_call(self.calls.values())
         if wrong is not None:
             raise Wrong(f"no order of all calls explains {wrong}: {[*map(str, self.calls.values())]}")
--- a/tests/simulation/test_linearizability.py
+++ b/tests/simulation/test_linearizability.py
@@ -5,7 +5,15 @@
 
 from ward import each, test
 
-from ashlift.simulation.linear import DOUBT, STALE, TAKEN, Call, Change, items, unexplained
+from ashlift.simulation.linearizability import (
+    ACKNOWLEDGED,
+    CONFLICT,
+    IN_DOUBT,
+    Call,
+    ConfigurationWrite,
+    find_unexplained_call,
+    items_of,
+)
 
 # One call a word: `w1@0-1:200` writes version 1 on 0 (`w3on1@...` on another base), `p2` patches, `r1` reads,
 # `w2b` writes something else as version 2; `?`: in doubt. `+z@0-1` evacuates z, `-z@0-?2` takes it back, in
@@ -45,70 +53,70 @@
 }
 
 
-def called(word: str) -> Call:
+def parse_call(word: str) -> Call:
     what, _, rest = word.partition("@")
     span, _, status = rest.partition(":")
     begun, _, ended = span.partition("-")
     times = float(begun), math.inf if ended.startswith("?") else float(ended)
     if what[0] in "+-":
         until = float(ended[1:]) if ended.startswith("?") else math.inf
-        return Call(*times, zone=(what[1:], what[0] == "+"), until=until)
+        return Call(*times, evacuation=(what[1:], what[0] == "+"), effect_deadline=until)
     if what[0] == "s":
         number = int(what[1])
-        seen = number, items({f"k{number}": str(number)} if number else {})
-        return Call(*times, seen=seen, zones=frozenset(what[2:]))
+        seen = number, items_of({f"k{number}": str(number)} if number else {})
+        return Call(*times, observed=seen, evacuated_zones=frozenset(what[2:]))
     name, _, base = what.partition("on")
     name, _, more = name.partition("+")
     number = int(name[1:].rstrip("b"))
     held = {f"k{number}": name[1:]} | ({f"k{more}": more} if more else {})
     if name[0] == "r":
-        return Call(*times, seen=(number, items(held if number else {})))
+        return Call(*times, observed=(number, items_of(held if number else {})))
     gone = frozenset[str]() if name[0] == "p" else None
-    change = Change(int(base) if base else number - 1, number, items(held), gone)
-    return Call(*times, change, {"200": TAKEN, "412": STALE, "": DOUBT}[status])
+    change = ConfigurationWrite(int(base) if base else number - 1, number, items_of(held), gone)
+    return Call(*times, change, {"200": ACKNOWLEDGED, "412": CONFLICT, "": IN_DOUBT}[status])
 
 
 @test("linearizable: {name}")
 def _(name: str = each(*GOOD)) -> None:
-    assert unexplained(map(called, GOOD[name].split())) is None
+    assert find_unexplained_call(map(parse_call, GOOD[name].split())) is None
 
 
 @test("not linearizable: {name}")
 def _(name: str = each(*BAD)) -> None:
-    calls = [called(word) for word in BAD[name].split()]
-    assert unexplained(calls) is not None
-    assert unexplained(calls[:1]) is None or name.startswith("in force before")
+    calls = [parse_call(word) for word in BAD[name].split()]
+    assert find_unexplained_call(calls) is not None
+    assert find_unexplained_call(calls[:1]) is None or name.startswith("in force before")
 
 
 @test("not linearizable: a call that was answered, and whose effect came later than it may")
 def _() -> None:
-    late = Call(0.0, 5.0, zone=("z", True), until=1.0)
-    before = Call(2.0, 3.0, zones=frozenset())
-    assert unexplained([late, before]) is not None and unexplained([late]) is None
+    late = Call(0.0, 5.0, evacuation=("z", True), effect_deadline=1.0)
+    before = Call(2.0, 3.0, evacuated_zones=frozenset())
+    assert find_unexplained_call([late, before]) is not None and find_unexplained_call([late]) is None
 
 
-def made(seed: int, count: int = 120) -> list[Call]:
+def random_history(seed: int, count: int = 120) -> list[Call]:
     """A history of one true register, with effects at a random moment of each call."""
     chance, version, held, calls = random.Random(seed), 0, dict[str, str](), list[Call]()
-    changes: list[Change] = []
+    changes: list[ConfigurationWrite] = []
     for at in range(count):
         begun, ended = at - chance.uniform(0.1, 3), at + chance.uniform(0.1, 3)
         kind = chance.choice("rwwd")
         if kind == "r":
-            calls.append(Call(begun, ended, seen=(version, items(held))))
+            calls.append(Call(begun, ended, observed=(version, items_of(held))))
             continue
         base = version if chance.random() < 0.6 else max(0, version - 1)
         gone = frozenset([f"k{at % 3}"]) if chance.random() < 0.5 else None
-        change = Change(base, max(base, version) + 1, items({f"k{at % 5}": str(at)}), gone)
+        change = ConfigurationWrite(base, max(base, version) + 1, items_of({f"k{at % 5}": str(at)}), gone)
         fits = base == version
         if fits and (kind == "w" or chance.random() < 0.5):
             kept = {} if gone is None else {key: value for key, value in held.items() if key not in gone}
-            version, held = change.version, {**kept, **dict(change.set)}  # type: ignore[arg-type]
+            version, held = change.version, {**kept, **dict(change.upserts)}  # type: ignore[arg-type]
             changes.append(change)
         calls.append(
             Call(begun, math.inf, change)
             if kind == "d"
-            else Call(begun, ended, change, TAKEN if fits else STALE)
+            else Call(begun, ended, change, ACKNOWLEDGED if fits else CONFLICT)
         )
     return calls
 
@@ -116,8 +124,8 @@
 @test("long histories of a true register pass, and a read put out of place in them fails")
 def _() -> None:
     for seed in range(6):
-        calls = made(seed)
-        assert unexplained(calls) is None
-        first = next(call for call in calls if call.change is None)
-        late = Call(1000.0, 1001.0, seen=first.seen)
-        assert unexplained([*calls, late]) is not None
+        calls = random_history(seed)
+        assert find_unexplained_call(calls) is None
+        first = next(call for call in calls if call.write is None)
+        late = Call(1000.0, 1001.0, observed=first.observed)
+        assert find_unexplained_call([*calls, late]) is not None
