--- a/ashlift/lab/system/clients.py
+++ b/ashlift/lab/system/clients.py
@@ -28,7 +28,7 @@
         loop, left = self.loop, max(0.001, errand.until - self.loop.now)
         attempt = f"{request.id:016x}"
         self._sent[attempt] = request
-        request.life = self._life(request.gate)
+        request.proxy_incarnation = self._life(request.proxy)
         method, target, body = asked(request)
         head = request_head(
             method.decode(),
@@ -41,9 +41,9 @@
         )
 
         def read() -> None:
-            request.taken = loop.now
+            request.received = loop.now
 
-        answer: Any = exchange((self._ips[request.gate], FRONT), head, body, left, read, CONNECT_S)
+        answer: Any = exchange((self._ips[request.proxy], FRONT), head, body, left, read, CONNECT_S)
         if not isinstance(answer, Failure):
             told = dict(answer.headers)
             if 200 <= answer.status < 300:
--- a/ashlift/lab/system/kept.py
+++ b/ashlift/lab/system/kept.py
@@ -5,9 +5,9 @@
 from ashlift.lab.checker import Verdict
 from ashlift.lab.history import History as LabHistory
 from ashlift.lab.history import Job, Plan
-from ashlift.simulation.checks import Breach
+from ashlift.simulation.checkers.rules import RULE_TEXTS
+from ashlift.simulation.checkers.violation import Violation
 from ashlift.simulation.history import History
-from ashlift.simulation.rules import WORDS
 from ashlift.simulation.scene import Failed
 
 MS = 1000.0
@@ -21,13 +21,14 @@
     for one in history.requests:
         if one.ended > history.end and history.end < one.sent + 3.0:
             continue  # still under way at the end
-        job = Job(str(one.id), one.key, "system", 1.0, one.gate, one.sent * MS)
+        job = Job(str(one.id), one.key, "system", 1.0, one.proxy, one.sent * MS)
         if one.status:
             job.answers.append((one.ended * MS, one.status, None))
         found.jobs[job.job] = job
     together: dict[tuple[float, float], list[str]] = {}  # of the same span, to a tenth of a second
-    for machine, spans in [*sorted(history.troubles.items()), ("core unsettled", history.unsettled)]:
-        for since, until in spans:
+    for machine, spans in [*sorted(history.faults.items()), ("core unsettled", history.core_unsettled)]:
+        for interval in spans:
+            since, until = interval.started, interval.ended
             if min(until, history.end) - since > SEEN_S:
                 span = round(since, 1), round(min(until, history.end), 1)
                 together.setdefault(span, []).append(machine)
@@ -43,22 +44,26 @@
     told: Did = []
     for change in history.changes:
         told.append((change.sent, "operator", f"version {change.version} sent"))
-        if change.acked < math.inf:
-            told.append((change.acked, "operator", f"version {change.version} taken"))
-    for order in history.orders:
-        told.append((order.sent, "operator", f"{'evacuate' if order.on else 'restore'} {order.zone}"))
+        if change.acknowledged < math.inf:
+            told.append((change.acknowledged, "operator", f"version {change.version} taken"))
+    for order in history.evacuations:
+        told.append((order.sent, "operator", f"{'evacuate' if order.evacuated else 'restore'} {order.zone}"))
     for worker in history.workers.values():
-        if worker.left < math.inf:
-            told.append((worker.left, worker.id, "leaves"))
+        if worker.draining_acknowledged < math.inf:
+            told.append((worker.draining_acknowledged, worker.id, "leaves"))
         if worker.ended < history.end:
             told.append((worker.ended, worker.id, "ended"))
     return told
 
 
-def lines(found: dict[str, Breach | None], failed: Failed | None) -> list[Verdict]:
+def lines(found: dict[str, Violation | None], failed: Failed | None) -> list[Verdict]:
     """A verdict a rule, and one of the scene's expectations."""
     told = [
-        Verdict(rule, breach is None, WORDS[rule] if breach is None else f"{breach} ({WORDS[rule]})")
-        for rule, breach in found.items()
+        Verdict(
+            rule,
+            violation is None,
+            RULE_TEXTS[rule] if violation is None else f"{violation} ({RULE_TEXTS[rule]})",
+        )
+        for rule, violation in found.items()
     ]
     return [*told, Verdict("expected", failed is None, str(failed or "all that the scene expects"))]
--- a/ashlift/lab/system/runs.py
+++ b/ashlift/lab/system/runs.py
@@ -13,8 +13,8 @@
 from ashlift.lab.results import Results
 from ashlift.lab.system.kept import Did, as_lab, lines
 from ashlift.lab.system.world import ProcessWorld
+from ashlift.simulation.checkers.rules import check_rules
 from ashlift.simulation.history import History
-from ashlift.simulation.rules import verdicts
 from ashlift.simulation.scene import Line, Play, Scene
 from ashlift.simulation.world import World
 
@@ -64,7 +64,7 @@
 
 def _played(play: Play, seed: int, did: Did, began: float) -> Played:
     world = play.world
-    found = verdicts(world.history, world.bounds, world.zones)
+    found = check_rules(world.history, world.bounds)
     took = time.perf_counter() - began
     return Played(play.scene, seed, world.history, lines(found, play.failed), did, took)
 
--- a/ashlift/lab/system/yard.py
+++ b/ashlift/lab/system/yard.py
@@ -17,7 +17,7 @@
 from ashlift.lab.system.places import WORKER_PORT
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
 from ashlift.simulation.engine import Loop, Network
-from ashlift.simulation.history import Arrival, History, Request, Stray
+from ashlift.simulation.history import Arrival, History, Request, UnexpectedArrival
 from ashlift.simulation.keeper import Try
 from ashlift.simulation.workers import Worker, Yard
 
@@ -100,7 +100,9 @@
         request = self.yard.sent.get(attempt)
         if request is None or asked(request) != (method, target, body):
             what = f"{method.decode()} {target.decode('latin-1')} of id {attempt}"
-            self.yard.history.strays.append(Stray(self.yard.loop.now, worker.id, what))
+            self.yard.history.unexpected_arrivals.append(
+                UnexpectedArrival(self.yard.loop.now, worker.id, what)
+            )
             return self.write(400, b"", {"X-Not-Executed": "1"})
         one = self.out = WireTry(self, request, headers.get("x-tenant", ""), attempt)
         wanted = headers.get("x-target-instance", worker.id)
@@ -144,7 +146,7 @@
 
 def asked(request: Request) -> tuple[bytes, bytes, bytes]:
     """Method, target and body of a request of these clients."""
-    body = b"" if request.repeatable else f"request {request.id}".encode()
+    body = b"" if request.idempotent else f"request {request.id}".encode()
     return b"POST" if body else b"GET", request.path.encode(), body
 
 
@@ -207,7 +209,7 @@
 
     def arrived(self, worker: Worker, one: Try, ran: bool, code: int = 0) -> None:
         wire = cast(WireTry, one)
-        made = Arrival(self.loop.now, worker.id, worker.service, wire.tenant, wire.request.gate, ran, code)
+        made = Arrival(self.loop.now, worker.id, worker.service, wire.tenant, wire.request.proxy, ran, code)
         wire.arrival = made
         wire.request.arrivals.append(made)
 
--- a/ashlift/simulation/__main__.py
+++ b/ashlift/simulation/__main__.py
@@ -17,9 +17,9 @@
 
 from ashlift.simulation import catching, explore, recording, turnover, worst
 from ashlift.simulation.chance import drawn, shrunk
-from ashlift.simulation.checks import Breach
+from ashlift.simulation.checkers.rules import explain
+from ashlift.simulation.checkers.violation import Violation
 from ashlift.simulation.figures import TABLES
-from ashlift.simulation.rules import explained
 from ashlift.simulation.scene import Play, Scene, read_file
 
 
@@ -71,7 +71,7 @@
     play = Play(scene, seed)
     found = play.run()
     took = time.perf_counter() - began
-    told = explained(found) if isinstance(found, Breach) else found
+    told = explain(found) if isinstance(found, Violation) else found
     print(
         f"{scene.title}, seed {seed}: {told or 'well'} ({play.world.loop.now:g} s in {took:.2f} s)",
         flush=True,
--- a/ashlift/simulation/callers.py
+++ b/ashlift/simulation/callers.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from ashlift.simulation.engine import Steps
-from ashlift.simulation.history import Change, Resend
+from ashlift.simulation.history import ConfigurationChange, Resend
 from ashlift.simulation.people import Operator, change, edited, patched
 
 PAUSE_S = (0.4, 1.6)  # between one order and the next, by chance
@@ -21,7 +21,7 @@
     until = 0.0
 
     def begin(self) -> None:
-        self._made: list[Change] = []
+        self._made: list[ConfigurationChange] = []
         self._emptied = False
         self.spawn(self._orders())
 
@@ -57,14 +57,14 @@
             made.patch = patched(base.body, made.body)
         self.history.changes.append(made)
         yield from self.changed(made, self._first())
-        if not made.refused:
+        if not made.rejected_status:
             self._made.append(made)
             if chance.random() < AGAIN:
                 yield from self._resend(made)
 
-    def _resend(self, made: Change) -> Steps:
+    def _resend(self, made: ConfigurationChange) -> Steps:
         """One call of what was taken."""
         sent, at = self.loop.now, self._first()
-        answer: Any = yield self.call(at, "registry", "order", made.order(), 1.0)
+        answer: Any = yield self.call(at, "registry", "order", made.as_command(), 1.0)
         status = answer[0] if isinstance(answer, tuple) else 0
         self.history.resends.append(Resend(made, at, sent, self.loop.now, status))
--- /dev/null
+++ b/ashlift/simulation/checkers/limit_checks.py
@@ -0,0 +1,169 @@
+"""Rules for sums over all proxies: retry budget, rate limits, and slow start of workers."""
+
+import math
+from collections import defaultdict
+from collections.abc import Iterator
+from typing import Final
+
+from attrs import evolve, frozen
+
+from ashlift.simulation.checkers.checked_history import CheckedHistory
+from ashlift.simulation.checkers.departure_checks import MISDIRECTED_STATUS
+from ashlift.simulation.checkers.violation import Violation
+from ashlift.simulation.history import HOST, Request
+
+WARMUP_WINDOW_SECONDS: Final = 1.0
+
+
+@frozen
+class Event:
+    """A request, or a retry of it, at a worker."""
+
+    at: float
+    request: Request
+
+
+def check_retry_budget(checked: CheckedHistory) -> Iterator[Violation]:
+    """BUDGET: retries at a service stay within the ratio of its requests and the slack."""
+    requests: dict[str, list[float]] = defaultdict(list)
+    retries: dict[str, list[Event]] = defaultdict(list)
+    for request in checked.history.requests:
+        service = _service_of(checked, request)
+        if service:
+            requests[service].append(request.sent)
+        for arrival in request.arrivals[1:]:
+            retries[arrival.service].append(Event(arrival.at, request))
+    for service, service_retries in retries.items():
+        yield from _first_excess_retry(checked, service, service_retries, requests[service])
+
+
+def _first_excess_retry(
+    checked: CheckedHistory, service: str, retries: list[Event], requests: list[float]
+) -> Iterator[Violation]:
+    bounds = checked.bounds
+    window = bounds.retry_window
+    for retry, in_window in _windows(retries, window):
+        count = len(in_window)
+        if count <= bounds.retry_slack:
+            continue
+        window_starts = [retry.at - window - shift for shift in (0.0, window / 2, window)]
+        request_count = max(
+            sum(start < sent <= start + window for sent in requests) for start in window_starts
+        )
+        if count > bounds.retry_budget_ratio * request_count + bounds.retry_slack:
+            description = (
+                f"{count} retries at {service} within {window:g} s, for {request_count} requests; "
+                f"the last of {retry.request.describe()} by {retry.request.proxy}"
+            )
+            yield Violation("BUDGET", retry.at, description)
+            break
+
+
+def _windows(events: list[Event], length: float) -> Iterator[tuple[Event, list[Event]]]:
+    """Each event in the order of time, with those of the window that ends at it, itself included."""
+    ordered = sorted(events, key=lambda event: event.at)
+    first = 0
+    for last, event in enumerate(ordered):
+        while ordered[first].at <= event.at - length:
+            first += 1
+        yield event, ordered[first : last + 1]
+
+
+def _service_of(checked: CheckedHistory, request: Request) -> str:
+    """Where the request goes by the newest configuration acknowledged before it was sent."""
+    if request.arrivals:
+        return request.arrivals[0].service
+    for change in reversed(checked.possible_changes):
+        if change.acknowledged <= request.sent:
+            route = change.table.find_route(HOST, request.path)
+            return route.traffic_split[0][0] if route else ""
+    return ""
+
+
+def check_rate_limits(checked: CheckedHistory) -> Iterator[Violation]:
+    """QUOTA: a tenant's requests that run stay within its rate, its burst and the overrun."""
+    runs: dict[str, list[Event]] = defaultdict(list)
+    for request, run in checked.runs():
+        if run.tenant:
+            runs[run.tenant].append(Event(run.at, request))
+    for tenant, tenant_runs in runs.items():
+        violation = _rate_limit_violation(checked, tenant, tenant_runs)
+        if violation is not None:
+            yield violation
+
+
+def _rate_limit_violation(checked: CheckedHistory, tenant: str, runs: list[Event]) -> Violation | None:
+    """The first run too many, with the worst count of all windows."""
+    bounds = checked.bounds
+    window = bounds.quota_window
+    worst_count = 0
+    first: Violation | None = None
+    for run, in_window in _windows(runs, window):
+        rate, burst = _highest_limit(checked, tenant, run.at - window, run.at)
+        allowed = (rate * window + burst) * (1 + bounds.quota_overrun) + bounds.quota_slack
+        if len(in_window) <= allowed:
+            continue
+        count = _sent_since(in_window, run.at - window)
+        if count > allowed:
+            worst_count = max(worst_count, count)
+            description = (
+                f"{tenant} within {window:g} s, {allowed:g} allowed, "
+                f"the first too many {run.request.describe()}"
+            )
+            first = first or Violation("QUOTA", run.at, description)
+    return None if first is None else evolve(first, description=f"up to {worst_count} of {first.description}")
+
+
+def _sent_since(events: list[Event], start: float) -> int:
+    """How many were also sent after that: the others may have waited on their way."""
+    return sum(event.request.sent > start for event in events)
+
+
+def _highest_limit(checked: CheckedHistory, tenant: str, start: float, end: float) -> tuple[float, float]:
+    """The highest rate and burst that may be in force in the span: a lower limit takes effect late."""
+    bounds = checked.bounds
+    apply_bound = bounds.config_apply + bounds.max_stretch + bounds.quota_window
+    oldest_version = max(
+        (change.version for change in checked.possible_changes if change.acknowledged + apply_bound < start),
+        default=0,
+    )
+    limits = []
+    for change in checked.possible_changes:
+        policy = change.table.tenants.get(tenant)
+        if change.version >= oldest_version and change.sent <= end and policy is not None:
+            is_limited = policy.rate_limit > 0
+            limits.append((policy.rate_limit, policy.burst_size) if is_limited else (math.inf, math.inf))
+    return max(limits, default=(math.inf, math.inf))
+
+
+def check_slow_start(checked: CheckedHistory) -> Iterator[Violation]:
+    """FAILBACK: a worker that warms up gets no more than its service's warm-up rate allows in a second."""
+    workers = checked.history.workers
+    arrivals: dict[str, list[Event]] = defaultdict(list)
+    for request in checked.history.requests:
+        for arrival in request.arrivals:
+            if arrival.rejection_status == MISDIRECTED_STATUS:
+                continue
+            if workers[arrival.worker].is_warming_up(arrival.at):
+                arrivals[arrival.worker].append(Event(arrival.at, request))
+    for worker, worker_arrivals in arrivals.items():
+        yield from _first_excess_arrival(checked, worker, worker_arrivals)
+
+
+def _first_excess_arrival(checked: CheckedHistory, worker: str, arrivals: list[Event]) -> Iterator[Violation]:
+    service_name = checked.history.workers[worker].service
+    rates = [
+        service.warmup_rate
+        for change in checked.possible_changes
+        if (service := change.table.services.get(service_name))
+    ]
+    allowed = max(rates, default=math.inf) * checked.bounds.cold_overrun + checked.bounds.cold_slack
+    for arrival, in_window in _windows(arrivals, WARMUP_WINDOW_SECONDS):
+        count = _sent_since(in_window, arrival.at - WARMUP_WINDOW_SECONDS)
+        if count > allowed:
+            description = (
+                f"{count} at {worker}, which warms up, within a second, {allowed:g} allowed; "
+                f"the last {arrival.request.describe()} by {arrival.request.proxy}"
+            )
+            yield Violation("FAILBACK", arrival.at, description)
+            break
--- /dev/null
+++ b/ashlift/simulation/checkers/response_checks.py
@@ -0,0 +1,150 @@
+"""Rules for what clients get: the worker's own answers, complete, on all routes, and again after a loss."""
+
+import math
+from collections.abc import Iterator
+from typing import Final
+
+from ashlift.simulation.checkers.checked_history import CheckedHistory
+from ashlift.simulation.checkers.violation import Violation
+from ashlift.simulation.history import HOST, Request
+
+MIN_REQUESTS_FOR_SHARE: Final = 20  # fewer tell nothing of a share
+RECOVERED_SHARE: Final = 0.25
+MIN_LATER_ROUTES_RATIO: Final = 0.25  # of the success share of the first routes
+
+
+def check_answers_unmixed(checked: CheckedHistory) -> Iterator[Violation]:
+    """MIXED: a success is the one that a worker gave to this request, where seals are recorded."""
+    for request in checked.history.requests:
+        if request.seal is None or not _succeeded(request):
+            continue
+        if not any(
+            arrival.seal == request.seal and 200 <= arrival.status < 300
+            for arrival in request.arrivals
+            if arrival.ran
+        ):
+            description = f"{request.describe()} got {request.status}, which no worker gave it so"
+            yield Violation("MIXED", request.ended, description)
+
+
+def check_only_sent_requests_run(checked: CheckedHistory) -> Iterator[Violation]:
+    """UNASKED: workers run what clients sent, for the tenant that holds the key."""
+    for arrival in checked.history.unexpected_arrivals:
+        description = f"{arrival.description} at {arrival.worker}: no client sent it so"
+        yield Violation("UNASKED", arrival.at, description)
+    tables = [(change.sent, change.table) for change in checked.changes if change.valid]
+    for request, run in checked.runs():
+        if not run.tenant:
+            continue
+        tenants = [table.find_tenant(request.key) for sent, table in tables if sent <= run.at]
+        if not any(tenant is not None and tenant.name == run.tenant for tenant in tenants):
+            description = f"{request.describe()} ran at {run.worker} for {run.tenant}, who never held its key"
+            yield Violation("UNASKED", run.at, description)
+
+
+def check_complete_answers(checked: CheckedHistory) -> Iterator[Violation]:
+    """LOST: a proxy that read a request does not break its connection off without an answer."""
+    for request in checked.history.requests:
+        if not request.connection_broken or math.isinf(request.received):
+            continue
+        if not request.arrivals and request.ended <= request.received + checked.bounds.loss_slack:
+            continue
+        if not _break_is_excused(checked, request):
+            description = f"{request.describe()} was read, and its connection ended without an answer"
+            yield Violation("LOST", request.ended, description)
+
+
+def _break_is_excused(checked: CheckedHistory, request: Request) -> bool:
+    """Whether a fault, a termination whose grace is half over, or the worker is to blame."""
+    history = checked.history
+    start = request.sent - checked.bounds.contact
+    terminations = [at for at in history.terminations.get(request.proxy, ()) if start <= at <= request.ended]
+    if any(
+        interval.overlaps(start, request.ended) and interval.started not in terminations
+        for interval in history.faults.get(request.proxy, ())
+    ):
+        return True
+    if not checked.core_was_settled(start, request.ended):
+        return True
+    if (
+        terminations
+        and request.ended > terminations[-1] + checked.bounds.grace / 2
+        and any(arrival.ran for arrival in request.arrivals)
+    ):
+        return True
+    return any(history.workers[arrival.worker].ended <= request.ended for arrival in request.arrivals)
+
+
+def check_recovery(checked: CheckedHistory) -> Iterator[Violation]:
+    """RECOVER: where a quarter was served before the closing fault, a quarter is once all is back."""
+    history = checked.history
+    if math.isinf(history.closing_fault_at):
+        return
+    fault_ends = [
+        interval.ended
+        for intervals in history.faults.values()
+        for interval in intervals
+        if interval.started >= history.closing_fault_at and not math.isinf(interval.ended)
+    ]
+    all_back_at = max(fault_ends, default=history.closing_fault_at)
+    recovered_at = all_back_at + checked.bounds.recovery
+    before = [request for request in history.requests if request.ended < history.closing_fault_at]
+    after = [
+        request for request in history.requests if request.sent > recovered_at and request.ended < math.inf
+    ]
+    if len(before) < MIN_REQUESTS_FOR_SHARE or len(after) < MIN_REQUESTS_FOR_SHARE:
+        return
+    if _success_share(before) >= RECOVERED_SHARE > _success_share(after):
+        description = (
+            f"{_success_share(after):.3f} of {len(after)} requests served after all was back "
+            f"at {all_back_at:.3f}; the first is {after[0].describe()}"
+        )
+        yield Violation("RECOVER", after[0].ended, description)
+
+
+def check_later_routes_served(checked: CheckedHistory) -> Iterator[Violation]:
+    """CONFIG: routes that were added later are served at least a quarter as often as the first ones."""
+    if not checked.possible_changes:
+        return
+    on_first_routes, on_later_routes = _by_age_of_route(checked)
+    if len(on_later_routes) < MIN_REQUESTS_FOR_SHARE or len(on_first_routes) < MIN_REQUESTS_FOR_SHARE:
+        return
+    first_share = _success_share(on_first_routes)
+    later_share = _success_share(on_later_routes)
+    if later_share < first_share * MIN_LATER_ROUTES_RATIO:
+        last = on_later_routes[-1]
+        description = (
+            f"{later_share:.3f} of {len(on_later_routes)} requests on later routes served, "
+            f"{first_share:.3f} on the first; the last {last.describe()}"
+        )
+        yield Violation("CONFIG", last.ended, description)
+
+
+def _by_age_of_route(checked: CheckedHistory) -> tuple[list[Request], list[Request]]:
+    """Ended requests at proxies in touch: those on routes of the first version, and those on later ones."""
+    first_table = checked.possible_changes[0].table
+    later_changes = checked.possible_changes[1:]
+    on_first_routes: list[Request] = []
+    on_later_routes: list[Request] = []
+    for request in checked.history.requests:
+        if math.isinf(request.ended) or not checked.was_in_touch(request.proxy, request.ended):
+            continue
+        if first_table.find_route(HOST, request.path) is not None:
+            on_first_routes.append(request)
+            continue
+        applied = [
+            change
+            for change in later_changes
+            if change.acknowledged + checked.bounds.config_apply < request.sent
+        ]
+        if applied and applied[-1].table.find_route(HOST, request.path) is not None:
+            on_later_routes.append(request)
+    return on_first_routes, on_later_routes
+
+
+def _succeeded(request: Request) -> bool:
+    return 200 <= request.status < 300
+
+
+def _success_share(requests: list[Request]) -> float:
+    return sum(map(_succeeded, requests)) / max(1, len(requests))
--- a/ashlift/simulation/clerks.py
+++ b/ashlift/simulation/clerks.py
@@ -10,7 +10,7 @@
 from ashlift.route_reconciliation.stored_records import Outcome, outcome_of
 from ashlift.simulation import board
 from ashlift.simulation.board import Board
-from ashlift.simulation.history import HOST, Change, History
+from ashlift.simulation.history import HOST, ConfigurationChange, History
 from ashlift.simulation.people import Operator
 from ashlift.simulation.store import Store
 
@@ -27,13 +27,13 @@
     who: str
     sent: float
     status: int = 0
-    acked: float = float("inf")
+    acknowledged: float = float("inf")
 
     def heard(self, answer: Any, now: float) -> None:
         if isinstance(answer, tuple):
             self.status = answer[0]
             if answer[0] == 200 and answer[1]["outcome"] == Outcome.IN_FORCE:
-                self.acked = now
+                self.acknowledged = now
 
 
 def wanted(now: Mapping[str, Any], word: str) -> tuple[str, dict[str, Any] | None]:
@@ -57,14 +57,14 @@
     map = at.registry.operator_config.values
     name, text = wanted(map, word)
     errand = Errand(id, name, text, operator.name, operator.loop.now)
-    history.errands[id] = errand
+    history.route_edits[id] = errand
     body = {"id": id, "who": operator.name, "name": name, "text": text, "base": map.get(f"Routes/{name}")}
     _ask(operator, errand, at.name, "edit", body)
 
 
 def word(operator: Operator, history: History, id: str, what: str, at: str, over: bool) -> None:
     body = {"id": id, "who": operator.name, "word": what, "over": over}
-    _ask(operator, history.errands[id], at, "word", body)
+    _ask(operator, history.route_edits[id], at, "word", body)
 
 
 def _ask(operator: Operator, errand: Errand, at: str, method: str, body: dict[str, Any]) -> None:
@@ -96,12 +96,12 @@
 def settle(history: History, map: Mapping[str, Any]) -> None:
     """Tell the checkers what the agreed map says of each edit: the version that it made, or that it was
     never in force, so that whatever ran by it is a breach."""
-    ends = {id: outcome_of(map, id) or {} for id in history.errands}
+    ends = {id: outcome_of(map, id) or {} for id in history.route_edits}
     for id in sorted(ends, key=lambda id: str(ends[id].get("version"))):
-        errand, end = history.errands[id], ends[id]
+        errand, end = history.route_edits[id], ends[id]
         made = end.get("outcome") == Outcome.IN_FORCE
         version = int(end["version"], 16) if made else 0
-        older = [one for one in history.changes if not one.refused and one.version < version]
+        older = [one for one in history.changes if not one.rejected_status and one.version < version]
         base = max(older, key=lambda one: one.version, default=None)
         if not made or base is None or any(one.version == version for one in history.changes):
             continue  # never in force, or the route was as it wanted already
@@ -110,7 +110,7 @@
         if errand.text is not None:
             entries[f"Routes/{errand.name}"] = errand.text
         entries["Version"] = end["version"]
-        change = Change(
+        change = ConfigurationChange(
             version,
             version - 1,
             errand.who,
@@ -119,5 +119,5 @@
             entries,
             RoutingTable.from_entries(entries),
         )
-        change.acked = errand.acked
+        change.acknowledged = errand.acknowledged
         history.changes.append(change)
--- a/ashlift/simulation/figures.py
+++ b/ashlift/simulation/figures.py
@@ -122,7 +122,7 @@
         play.do(told)
     play.do(["put", "2", "look=desk"])
     world.run(fault + LOOK_S + DEADLINE_S)
-    acked = [one.acked for one in world.history.changes if one.version == 2]
+    acked = [one.acknowledged for one in world.history.changes if one.version == 2]
     errands = [one for crowd in world.crowds for one in crowd.errands]
     return served_again(errands, fault), min(acked) - fault
 
--- a/ashlift/simulation/history.py
+++ b/ashlift/simulation/history.py
@@ -1,135 +1,142 @@
-"""What clients, workers and operators have seen, and what befell the machines: all that the checkers judge.
+"""What clients, workers and operators observed, and which machines had faults: all that the checkers judge.
 
-Times are the world's, s. A request is one try of a client, with its own id.
+Times are seconds on the clock of the world. The world and its actors append; checkers only read.
 """
 
-import bisect
 import json
 import math
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, Final
 
 from attrs import define, field
 
 from ashlift.config.routing_table import RoutingTable
 from ashlift.simulation import linearizability
 
-HOST = "app.example"
+HOST: Final = "app.example"
 
 
 @define(eq=False, slots=True)
 class Arrival:
-    """A request at a worker; `ran`: False, it was turned away; `code`: what it was turned away with."""
+    """A request at a worker. `ran` is False if the worker rejected it with `rejection_status`."""
 
     at: float
     worker: str
     service: str
     tenant: str
-    gate: str
+    proxy: str
     ran: bool
-    code: int = 0
+    rejection_status: int = 0
     status: int = 0  # the worker's answer; 0: none, or not recorded
     seal: str = ""  # of its answer, with a digest of the body
 
 
 @define(eq=False, slots=True)
 class Request:
+    """One attempt of a client, with an id of its own."""
+
     id: int
     path: str
-    repeatable: bool
+    idempotent: bool
     key: str
     zone: str
     region: str
     sent: float
-    gate: str = ""
-    life: int = 0
-    taken: float = math.inf  # when the gatekeeper had read it
+    proxy: str = ""
+    proxy_incarnation: int = 0
+    received: float = math.inf  # when the proxy had read it
     status: int = 0  # 0: no answer
-    cause: str = ""  # of the gatekeeper's own answer
+    cause: str = ""  # of an answer that the proxy gave itself
     ended: float = math.inf
-    broken: bool = False  # the gatekeeper closed the connection without a whole answer
+    connection_broken: bool = False  # the proxy closed the connection without a complete answer
     seal: str | None = None  # as the client got it; None: not recorded
-    full: int = 0  # how often there was no connection to be had for a try of it
+    pool_exhausted_count: int = 0  # how often an attempt at a worker found no connection to use
     arrivals: list[Arrival] = field(factory=list)
 
-    def told(self) -> str:
+    def describe(self) -> str:
+        """The request in a violation's text."""
         key = self.key or "no key"
-        return f"request {self.id} {self.path} ({key}) sent {self.sent:.3f} to {self.gate or '-'}"
+        return f"request {self.id} {self.path} ({key}) sent {self.sent:.3f} to {self.proxy or '-'}"
 
 
 @define(frozen=True)
-class Stray:
-    """What came to a worker and no client had sent so."""
+class UnexpectedArrival:
+    """What reached a worker although no client had sent it so."""
 
     at: float
     worker: str
-    what: str
+    description: str
 
 
 @define(eq=False, slots=True)
-class WorkerLife:
+class WorkerRecord:
+    """One incarnation of a worker."""
+
     id: str
     service: str
     zone: str
     region: str
     address: str
-    born: float
+    started: float
     ended: float = math.inf
-    cold: list[tuple[float, float]] = field(factory=list)  # from, until
-    left: float = math.inf  # when `draining` or its end was acknowledged
-    left_at: str = ""  # by this machine
-    deleted: float = math.inf  # when its DELETE was acknowledged
+    warmups: list[tuple[float, float]] = field(factory=list)  # from, until
+    draining_acknowledged: float = math.inf  # of the heartbeat that says `draining`, or of its end
+    draining_registry: str = ""  # the machine that acknowledged it
+    deregistered: float = math.inf  # when its DELETE was acknowledged
 
-    def is_cold(self, at: float) -> bool:
-        return any(since <= at < until for since, until in self.cold)
+    def is_warming_up(self, at: float) -> bool:
+        """Whether slow start applied to it at that moment."""
+        return any(start <= at < end for start, end in self.warmups)
 
 
-def objects(found: list[dict[str, Any]]) -> linearizability.Items:
+def comparable_objects(objects: list[dict[str, Any]]) -> linearizability.Items:
     """A configuration's objects as values that can be compared."""
-    named = {f"{one['ObjectType']}/{one['Metadata'].get('Name', '')}": one for one in found}
-    return linearizability.items_of({key: json.dumps(one, sort_keys=True) for key, one in named.items()})
+    by_key = {f"{item['ObjectType']}/{item['Metadata'].get('Name', '')}": item for item in objects}
+    return linearizability.items_of({key: json.dumps(item, sort_keys=True) for key, item in by_key.items()})
 
 
 @define(eq=False, slots=True)
-class Change:
-    """A configuration that an operator sent; `entries`: the map that it stands for, `table` made of it."""
+class ConfigurationChange:
+    """A configuration that an operator sent: `entries` as it is stored, and the `table` built of them."""
 
     version: int
     base: int
-    who: str
+    operator: str
     sent: float
     body: dict[str, Any]
     entries: Mapping[str, Any]
     table: RoutingTable
     valid: bool = True
-    acked: float = math.inf
-    refused: int = 0
+    acknowledged: float = math.inf
+    rejected_status: int = 0
     ended: float = math.inf
-    patch: dict[str, Any] | None = None  # what is sent in place of the whole
+    patch: dict[str, Any] | None = None  # sent in place of the whole body
 
-    def asked(self) -> linearizability.ConfigurationWrite:
-        """As the checker of linearizability takes it."""
+    def as_write(self) -> linearizability.ConfigurationWrite:
+        """The change as the linearizability checker takes it."""
         if self.patch is None:
-            return linearizability.ConfigurationWrite(self.base, self.version, objects(self.body["Objects"]))
-        gone = [f"{kind}/{name}" for kind, names in self.patch["Withdraw"].items() for name in names]
-        upsert = objects(self.patch["Upsert"]["Objects"])
-        return linearizability.ConfigurationWrite(self.base, self.version, upsert, frozenset(gone))
-
-    def order(self) -> dict[str, Any]:
-        """As it is sent."""
+            upserts = comparable_objects(self.body["Objects"])
+            return linearizability.ConfigurationWrite(self.base, self.version, upserts)
+        withdrawn = [f"{kind}/{name}" for kind, names in self.patch["Withdraw"].items() for name in names]
+        upserts = comparable_objects(self.patch["Upsert"]["Objects"])
+        return linearizability.ConfigurationWrite(self.base, self.version, upserts, frozenset(withdrawn))
+
+    def as_command(self) -> dict[str, Any]:
+        """The body of the call that asks for it."""
         kind, body = ("put", self.body) if self.patch is None else ("patch", self.patch)
         return {"kind": kind, "if_match": f"{self.base:08x}", "body": body}
 
-    def told(self) -> str:
-        return f"version {self.version} of {self.who} on {self.base}"
+    def describe(self) -> str:
+        """The change in a violation's text."""
+        return f"version {self.version} of {self.operator} on {self.base}"
 
 
 @define(eq=False, slots=True)
 class Resend:
-    """One more call of a change that was taken; `status` 0: no answer."""
+    """One more call of a change that was accepted; `status` 0: no answer."""
 
-    change: Change
-    at: str
+    change: ConfigurationChange
+    registry: str
     sent: float
     ended: float
     status: int
@@ -137,94 +144,97 @@
 
 @define(eq=False, slots=True)
 class Reading:
-    """A GET /config that was answered; `entries`: the map that stands for it, None where it is not seen."""
+    """A GET /config that was answered; `entries` as it is stored, None where that is not recorded."""
 
-    begun: float
+    started: float
     ended: float
     version: int
     body: Mapping[str, Any]
     entries: Mapping[str, Any] | None
 
-    def seen(self) -> tuple[int, linearizability.Items]:
-        return self.version, objects(self.body.get("Objects", []))
+    def observed(self) -> tuple[int, linearizability.Items]:
+        """What was read, as the linearizability checker takes it."""
+        return self.version, comparable_objects(self.body.get("Objects", []))
 
-    def zones(self) -> frozenset[str] | None:
-        """The zones evacuated then; None: not seen."""
+    def evacuated_zones(self) -> frozenset[str] | None:
+        """The zones evacuated then; None: not recorded."""
         if self.entries is None:
             return None
-        found = (key.partition("/") for key in self.entries)
-        return frozenset(name for kind, _, name in found if kind == "Evacuations")
+        parts = (key.partition("/") for key in self.entries)
+        return frozenset(name for kind, _, name in parts if kind == "Evacuations")
 
 
 @define(eq=False, slots=True)
-class Order:
-    """An evacuation (`on`) or its end."""
+class EvacuationChange:
+    """An operator evacuates a zone, or (`evacuated` False) ends its evacuation."""
 
     zone: str
-    on: bool
+    evacuated: bool
     sent: float
-    acked: float = math.inf
+    acknowledged: float = math.inf
 
 
 @define(eq=False, slots=True)
-class Copy:
-    """One call of an `Order`, as one core machine got it; its effect comes by `until` or never."""
+class EvacuationCall:
+    """One call of an `EvacuationChange` to one core machine.
+
+    It takes effect by `effect_deadline` or never; `ended` is when it was acknowledged.
+    """
 
     zone: str
-    on: bool
+    evacuated: bool
     sent: float
-    until: float
-    who: str = ""
-    ended: float = math.inf  # acknowledged
-
+    effect_deadline: float
+    operator: str = ""
+    ended: float = math.inf
 
-class Spans:
-    """Times of trouble, from and until; open ones last."""
 
-    def __init__(self) -> None:
-        self._from: list[float] = []
-        self._until: list[float] = []  # the latest of all up to here
+@define(eq=False, slots=True)
+class FaultInterval:
+    """When a machine had a fault, or the core was unsettled; an open interval ends at infinity."""
 
-    def add(self, since: float, until: float) -> None:
-        """`since` never goes back."""
-        self._from.append(since)
-        self._until.append(max(until, self._until[-1] if self._until else until))
+    started: float
+    ended: float = math.inf
 
-    def meets(self, since: float, until: float) -> bool:
-        """Whether any of them lies in this span, in part."""
-        at = bisect.bisect_right(self._from, until)
-        return at > 0 and self._until[at - 1] >= since
+    def overlaps(self, start: float, end: float) -> bool:
+        """Whether the interval has a moment in common with this span."""
+        return self.started <= end and self.ended >= start
 
 
 class History:
+    """Everything that was observed in one run."""
+
     def __init__(self) -> None:
         self.requests: list[Request] = []
-        self.workers: dict[str, WorkerLife] = {}
-        self.strays: list[Stray] = []
-        self.changes: list[Change] = []
+        self.workers: dict[str, WorkerRecord] = {}
+        self.unexpected_arrivals: list[UnexpectedArrival] = []
+        self.changes: list[ConfigurationChange] = []
         self.readings: list[Reading] = []
         self.resends: list[Resend] = []
-        self.orders: list[Order] = []
-        self.copies: list[Copy] = []
-        self.errands: dict[str, Any] = {}  # edits of single routes by id (`ashlift.simulation.clerks`)
-        self.troubles: dict[str, list[list[float]]] = {}  # machine -> [from, until]
-        self.planned: dict[str, list[float]] = {}  # machine -> when a trouble began that was a SIGTERM
-        self.unsettled: list[list[float]] = []  # of the core
-        self.closing = math.inf  # when the closing fault came
+        self.evacuations: list[EvacuationChange] = []
+        self.evacuation_calls: list[EvacuationCall] = []
+        self.route_edits: dict[str, Any] = {}  # by id, of `ashlift.simulation.clerks`
+        self.faults: dict[str, list[FaultInterval]] = {}  # by machine
+        self.terminations: dict[str, list[float]] = {}  # machine -> when faults started that were a SIGTERM
+        self.core_unsettled: list[FaultInterval] = []
+        self.closing_fault_at = math.inf
         self.end = 0.0
 
-    def request(self, path: str, repeatable: bool, key: str, zone: str, region: str, sent: float) -> Request:
-        made = Request(len(self.requests) + 1, path, repeatable, key, zone, region, sent)
-        self.requests.append(made)
-        return made
-
-    def trouble(self, machine: str, now: float, planned: bool = False) -> None:
-        """Something begins to befall the machine; `planned`: a SIGTERM."""
-        self.troubles.setdefault(machine, []).append([now, math.inf])
-        if planned:
-            self.planned.setdefault(machine, []).append(now)
-
-    def over(self, machine: str, now: float) -> None:
-        """All that befell the machine is over."""
-        for span in self.troubles.get(machine, ()):
-            span[1] = min(span[1], now)
+    def add_request(
+        self, path: str, idempotent: bool, key: str, zone: str, region: str, sent: float
+    ) -> Request:
+        """Record that a client sends a request, under the next id."""
+        request = Request(len(self.requests) + 1, path, idempotent, key, zone, region, sent)
+        self.requests.append(request)
+        return request
+
+    def begin_fault(self, machine: str, now: float, termination: bool = False) -> None:
+        """Record that a fault of the machine starts; `termination`: a SIGTERM."""
+        self.faults.setdefault(machine, []).append(FaultInterval(now))
+        if termination:
+            self.terminations.setdefault(machine, []).append(now)
+
+    def end_faults(self, machine: str, now: float) -> None:
+        """Record that all faults of the machine are over."""
+        for interval in self.faults.get(machine, ()):
+            interval.ended = min(interval.ended, now)
--- a/ashlift/simulation/keeper.py
+++ b/ashlift/simulation/keeper.py
@@ -81,7 +81,7 @@
         self._wake = 0
 
     def begin(self, remaining: float) -> None:
-        self.request.taken = self.keeper.loop.now
+        self.request.received = self.keeper.loop.now
         self._came, self._until = self.keeper.clock(), self.keeper.clock() + remaining
         self.enter()
 
@@ -247,7 +247,7 @@
 
     def take(self, request: Request, remaining: float, answered: Callable[[int, float | None], None]) -> None:
         """A request of a client has come whole."""
-        request.gate, request.life = self.name, self.life
+        request.proxy, request.proxy_incarnation = self.name, self.life
         case = self.cases[request] = Case(self, request, answered)
         case.begin(remaining)
 
@@ -264,7 +264,7 @@
             self.open[worker.id] -= 1
         if self.open.get(worker.id, 0) >= self.gate.max_connections(one.view):
             self.open[worker.id] = self.open.get(worker.id, 0) + 1  # given back with its outcome
-            one.case.request.full += 1
+            one.case.request.pool_exhausted_count += 1
             return self.later(TURN_S, one.end, AttemptOutcome(AttemptResult.NO_CONNECTION_FREE))
         self.open[worker.id] = self.open.get(worker.id, 0) + 1
         self.later(max(0.0, one.left), self._late, one)
--- a/ashlift/simulation/marks.py
+++ b/ashlift/simulation/marks.py
@@ -3,7 +3,7 @@
 import math
 from abc import ABC, abstractmethod
 
-from ashlift.simulation.history import History
+from ashlift.simulation.history import FaultInterval, History
 
 
 class Marks(ABC):
@@ -27,21 +27,21 @@
 
     def befalls(self, machine: str, planned: bool = False) -> None:
         """Something begins; `planned`: a SIGTERM, which excuses less."""
-        self.history.trouble(machine, self.now(), planned)
+        self.history.begin_fault(machine, self.now(), planned)
         if machine in self.core:
             self.shaken()
 
     def passes(self, machine: str) -> None:
-        self.history.over(machine, self.now())
+        self.history.end_faults(machine, self.now())
         if machine in self.core:
             self.shaken()
 
     def shaken(self) -> None:
         """The core has changed: unsettled now, and on while no majority of it runs and is connected."""
-        now, spans = self.now(), self.history.unsettled
-        if spans and math.isinf(spans[-1][1]):
-            spans[-1][1] = now
-        spans.append([now, now if self.majority() else math.inf])
+        now, spans = self.now(), self.history.core_unsettled
+        if spans and math.isinf(spans[-1].ended):
+            spans[-1].ended = now
+        spans.append(FaultInterval(now, now if self.majority() else math.inf))
 
     def majority(self) -> set[str]:
         """The core machines that run and reach more than half of the core, if there are such."""
@@ -63,12 +63,12 @@
             away = any(not self.open(name, other) for other in most)
             if away and name not in self.standing:
                 self.standing.add(name)
-                self.history.trouble(name, now)
+                self.history.begin_fault(name, now)
             elif not away and name in self.standing:
                 self.standing.discard(name)
-                self.history.over(name, now)
+                self.history.end_faults(name, now)
         for name in self.core:
             if name in names and name in still:
-                self.history.trouble(name, now)
+                self.history.begin_fault(name, now)
             elif name in names and self.runs(name):
-                self.history.over(name, now)
+                self.history.end_faults(name, now)
--- a/ashlift/simulation/people.py
+++ b/ashlift/simulation/people.py
@@ -10,7 +10,14 @@
 from ashlift.config.routing_table import RoutingTable
 from ashlift.simulation import board, keeper
 from ashlift.simulation.engine import Loop, Machine, Network, Process, Steps, simulated
-from ashlift.simulation.history import Change, Copy, History, Order, Reading, Request
+from ashlift.simulation.history import (
+    ConfigurationChange,
+    EvacuationCall,
+    EvacuationChange,
+    History,
+    Reading,
+    Request,
+)
 from ashlift.simulation.keeper import Keeper
 
 TRIES = 3  # of a client, for one thing it wants
@@ -25,7 +32,7 @@
     """What is asked, how often, by whom. `rate`: a second, over all zones; `deadline`: s."""
 
     path: str
-    repeatable: bool
+    idempotent: bool
     key: str
     rate: float
     deadline: float = 3.0
@@ -113,15 +120,15 @@
         if not fit:
             return self.loop.later(0.3, self.attempt, errand)
         at = chance.choice(fit)
-        request = self.history.request(
-            want.path, want.repeatable, want.key, self.machine.zone, self.machine.region, now
+        request = self.history.add_request(
+            want.path, want.idempotent, want.key, self.machine.zone, self.machine.region, now
         )
-        request.gate = at
+        request.proxy = at
         self.deliver(errand, request)
 
     def deliver(self, errand: Errand, request: Request) -> None:
         """Carry the request to its gatekeeper."""
-        at, net = request.gate, simulated(self.net)
+        at, net = request.proxy, simulated(self.net)
         machine = net.machines[at]
         target = machine.processes[keeper.KIND]
         assert isinstance(target, Keeper)
@@ -164,8 +171,8 @@
 
     def _failed(self, errand: Errand, request: Request, unread: bool) -> None:
         request.ended = self.loop.now
-        self.failed[request.gate] = self.loop.now + 2.0
-        if unread or errand.want.repeatable:
+        self.failed[request.proxy] = self.loop.now + 2.0
+        if unread or errand.want.idempotent:
             self.attempt(errand)
         else:
             errand.over = True
@@ -175,14 +182,14 @@
             return
         now = self.loop.now
         request.status, request.ended = status, now
-        request.broken = status == 0
+        request.connection_broken = status == 0
         if status == 0:
             return self._failed(errand, request, False)
         if 200 <= status < 300:
             errand.served = errand.over = True
         elif status in (429, 503):
             self.loop.later(min(again or 0.0, (errand.until - now) / 3), self.attempt, errand)
-        elif status in (400, 401, 404, 413, 431) or not errand.want.repeatable:
+        elif status in (400, 401, 404, 413, 431) or not errand.want.idempotent:
             errand.over = True
         else:
             self.attempt(errand)
@@ -291,8 +298,10 @@
         for _ in range(1 + FOLLOWED):
             sent, copy = self.loop.now, None
             if body["kind"] in ("evacuate", "restore"):
-                copy = Copy(body["body"], body["kind"] == "evacuate", sent, sent + timeout, self.name)
-                self.history.copies.append(copy)
+                copy = EvacuationCall(
+                    body["body"], body["kind"] == "evacuate", sent, sent + timeout, self.name
+                )
+                self.history.evacuation_calls.append(copy)
             answer = yield self.call(at, board.KIND, "order", body, timeout)
             if copy is not None and isinstance(answer, tuple) and answer[0] == 200:
                 copy.ended = self.loop.now
@@ -301,32 +310,32 @@
                 break
         return answer
 
-    def put(self, change: Change, first: str | None = None) -> None:
+    def put(self, change: ConfigurationChange, first: str | None = None) -> None:
         change.sent = self.loop.now
         self.history.changes.append(change)
         self.spawn(self.changed(change, first))
 
-    def changed(self, change: Change, first: str | None) -> Steps:
+    def changed(self, change: ConfigurationChange, first: str | None) -> Steps:
 
         def told(status: int) -> None:
             change.ended = self.loop.now
             if status == 200:
-                change.acked = self.loop.now
+                change.acknowledged = self.loop.now
             else:
-                change.refused = status
+                change.rejected_status = status
 
-        yield from self._order(change.order(), first, told)
+        yield from self._order(change.as_command(), first, told)
 
     def empty(self, zone: str, on: bool, first: str | None = None, once: bool = False) -> None:
         self.spawn(self.zoned(zone, on, first, once))
 
     def zoned(self, zone: str, on: bool, first: str | None, once: bool = False) -> Steps:
-        order = Order(zone, on, self.loop.now)
-        self.history.orders.append(order)
+        order = EvacuationChange(zone, on, self.loop.now)
+        self.history.evacuations.append(order)
 
         def told(status: int) -> None:
             if status == 200:
-                order.acked = self.loop.now
+                order.acknowledged = self.loop.now
 
         kind = "evacuate" if on else "restore"
         yield from self._order({"kind": kind, "if_match": None, "body": zone}, first, told, once)
@@ -349,9 +358,9 @@
             yield 0.2
 
 
-def change(version: int, base: int, who: str, body: dict[str, Any], now: float) -> Change:
+def change(version: int, base: int, who: str, body: dict[str, Any], now: float) -> ConfigurationChange:
     """A whole configuration as an operator means it."""
     entries = operator_config.load_configuration(body)
     if isinstance(entries, list):
-        return Change(version, base, who, now, body, {}, RoutingTable.from_entries({}), False)
-    return Change(version, base, who, now, body, entries, RoutingTable.from_entries(entries))
+        return ConfigurationChange(version, base, who, now, body, {}, RoutingTable.from_entries({}), False)
+    return ConfigurationChange(version, base, who, now, body, entries, RoutingTable.from_entries(entries))
--- a/ashlift/simulation/recording.py
+++ b/ashlift/simulation/recording.py
@@ -29,7 +29,7 @@
 from ashlift.errors import Failure
 from ashlift.simulation import chance, worst
 from ashlift.simulation.engine import Observer, Process, simulated
-from ashlift.simulation.history import History
+from ashlift.simulation.history import FaultInterval, History
 from ashlift.simulation.scene import Play, Scene, read_file
 from ashlift.simulation.world import Plan, World
 
@@ -168,15 +168,18 @@
                 one.key,
                 one.zone,
                 one.sent,
-                one.gate,
-                one.life,
-                one.taken,
+                one.proxy,
+                one.proxy_incarnation,
+                one.received,
                 one.status,
                 one.cause,
                 one.ended,
-                one.broken,
-                one.full,
-                [[run.at, run.worker, run.tenant, run.gate, run.ran, run.code] for run in one.arrivals],
+                one.connection_broken,
+                one.pool_exhausted_count,
+                [
+                    [run.at, run.worker, run.tenant, run.proxy, run.ran, run.rejection_status]
+                    for run in one.arrivals
+                ],
             )
 
     def _operators(self, history: History) -> None:
@@ -188,24 +191,34 @@
                 change.base,
                 change.sent,
                 change.valid,
-                change.acked,
-                change.refused,
+                change.acknowledged,
+                change.rejected_status,
                 change.ended,
                 change.body,
                 change.patch,
             )
         for reading in history.readings:
-            self.add("operators", "read", reading.begun, reading.ended, reading.version, reading.body)
+            self.add("operators", "read", reading.started, reading.ended, reading.version, reading.body)
         for again in history.resends:
             self.add(
-                "operators", "again", again.change.version, again.at, again.sent, again.ended, again.status
+                "operators",
+                "again",
+                again.change.version,
+                again.registry,
+                again.sent,
+                again.ended,
+                again.status,
+            )
+        for order in history.evacuations:
+            self.add("operators", "zone", order.zone, order.evacuated, order.sent, order.acknowledged)
+        for copy in history.evacuation_calls:
+            self.add(
+                "operators", "copy", copy.zone, copy.evacuated, copy.sent, copy.effect_deadline, copy.ended
+            )
+        for edit in history.route_edits.values():
+            self.add(
+                "operators", "edit", edit.id, edit.name, edit.text, edit.sent, edit.status, edit.acknowledged
             )
-        for order in history.orders:
-            self.add("operators", "zone", order.zone, order.on, order.sent, order.acked)
-        for copy in history.copies:
-            self.add("operators", "copy", copy.zone, copy.on, copy.sent, copy.until, copy.ended)
-        for edit in history.errands.values():
-            self.add("operators", "edit", edit.id, edit.name, edit.text, edit.sent, edit.status, edit.acked)
 
     def _workers(self, history: History) -> None:
         for one in history.workers.values():
@@ -215,18 +228,22 @@
                 one.service,
                 one.zone,
                 one.address,
-                one.born,
+                one.started,
                 one.ended,
-                one.cold,
-                one.left,
-                one.left_at,
-                one.deleted,
+                one.warmups,
+                one.draining_acknowledged,
+                one.draining_registry,
+                one.deregistered,
             )
 
     def _machines(self, history: History) -> None:
-        for machine, spans in history.troubles.items():
-            self.add("machines", machine, spans, history.planned.get(machine, []))
-        self.add("machines", history.unsettled, history.closing, history.end)
+        for machine, intervals in history.faults.items():
+            self.add("machines", machine, _spans(intervals), history.terminations.get(machine, []))
+        self.add("machines", _spans(history.core_unsettled), history.closing_fault_at, history.end)
+
+
+def _spans(intervals: list[FaultInterval]) -> list[list[float]]:
+    return [[interval.started, interval.ended] for interval in intervals]
 
 
 @define(frozen=True)
--- a/ashlift/simulation/scene.py
+++ b/ashlift/simulation/scene.py
@@ -42,9 +42,9 @@
 
 from ashlift.config.routing_table import RoutingTable
 from ashlift.simulation import clerks
-from ashlift.simulation.checks import Breach
+from ashlift.simulation.checkers.rules import first_violation
+from ashlift.simulation.checkers.violation import Violation
 from ashlift.simulation.people import Operator, Want, change, edited, patched
-from ashlift.simulation.rules import judge
 from ashlift.simulation.world import ROUTES, Plan, World, first_configuration
 
 RARELY = (200_000, 50, 1000)  # of gc.set_threshold
@@ -136,7 +136,7 @@
 
 
 class Play:
-    """One scene with one seed; `run` gives the first breach or failed expectation, or None."""
+    """One scene with one seed; `run` gives the first violation or failed expectation, or None."""
 
     def __init__(
         self,
@@ -154,7 +154,7 @@
         self._since = 0.0
         self._put(self.world.operator("A"), 1, 0, None)
 
-    def run(self) -> Breach | Failed | None:
+    def run(self) -> Violation | Failed | None:
         """Garbage is looked for seldom meanwhile: a fifth of the time goes to that, and little is found."""
         usual = gc.get_threshold()
         gc.set_threshold(*RARELY)
@@ -163,7 +163,7 @@
         finally:
             gc.set_threshold(*usual)
 
-    def _run(self) -> Breach | Failed | None:
+    def _run(self) -> Violation | Failed | None:
         world = self.world
         for line in self.scene.lines:
             world.run(line.at)
@@ -174,9 +174,9 @@
                 break
         else:
             world.run(max(world.plan.until, world.loop.now))
-        if world.history.errands:
+        if world.history.route_edits:
             clerks.settle(world.history, clerks.agreed(world.stores()))
-        return judge(world.history, world.bounds, world.zones) or self.failed
+        return first_violation(world.history, world.bounds) or self.failed
 
     def _who(self, words: list[str], kind: str = "all") -> list[str]:
         world, leader = self.world, self.world.leader()
@@ -238,7 +238,7 @@
             case "mark":
                 self._since = world.loop.now
             case "closing":
-                world.history.closing = world.loop.now
+                world.history.closing_fault_at = world.loop.now
             case "loss":
                 world.lossy(float(rest[0]))
             case "torn":
@@ -296,10 +296,12 @@
             self.world.loop.later(seconds, self.world.disk, names)
 
     def _newest(self) -> int:
-        return max((one.version for one in self.world.history.changes if not one.refused), default=1)
+        return max((one.version for one in self.world.history.changes if not one.rejected_status), default=1)
 
     def _acked(self) -> int:
-        return max((one.version for one in self.world.history.changes if one.acked < math.inf), default=1)
+        return max(
+            (one.version for one in self.world.history.changes if one.acknowledged < math.inf), default=1
+        )
 
     def _hot(self, tenant: str, times: float) -> None:
         for crowd in self.world.crowds:
@@ -310,7 +312,9 @@
     def _ask(self, key: str, rate: float, after: int) -> None:
         """The clients begin; with `after`, once their operator has seen that version acknowledged."""
         world = self.world
-        if after and not any(one.version == after and one.acked < math.inf for one in world.history.changes):
+        if after and not any(
+            one.version == after and one.acknowledged < math.inf for one in world.history.changes
+        ):
             return world.loop.later(0.001, self._ask, key, rate, after)
         for crowd in world.crowds:
             for name, (_, repeatable) in ROUTES.items():
@@ -349,13 +353,22 @@
                 return ", ".join(wrong)
             case "acked" | "refused":
                 found = [one for one in history.changes if one.version == int(rest[1])]
-                good = all(one.acked < math.inf if rest[0] == "acked" else one.refused for one in found)
+                good = all(
+                    one.acknowledged < math.inf if rest[0] == "acked" else one.rejected_status
+                    for one in found
+                )
                 if not found:
                     return "it was never sent"
-                return "" if good else ", ".join(f"{one.told()}: {one.refused or one.acked}" for one in found)
+                return (
+                    ""
+                    if good
+                    else ", ".join(
+                        f"{one.describe()}: {one.rejected_status or one.acknowledged}" for one in found
+                    )
+                )
             case "one":
                 sent = [one for one in history.changes if one.version == int(rest[1])]
-                acked = {one.asked() for one in sent if one.acked < math.inf}
+                acked = {one.as_write() for one in sent if one.acknowledged < math.inf}
                 return "" if len(acked) == 1 else f"{len(acked)} acknowledged"
             case "swift":
                 self._since = world.loop.now
@@ -363,7 +376,7 @@
             case "evacuated":
                 return (
                     ""
-                    if any(one.acked < math.inf for one in history.orders if one.zone == rest[1])
+                    if any(one.acknowledged < math.inf for one in history.evacuations if one.zone == rest[1])
                     else "not yet"
                 )
             case "served":
@@ -383,7 +396,7 @@
                 found_ = clerks.outcome(rest[1], world.stores())
                 return "" if found_ == rest[2].replace("-", " ") else found_
             case "told":
-                status = world.history.errands[rest[1]].status
+                status = world.history.route_edits[rest[1]].status
                 return "" if status == int(rest[2]) else str(status)
             case "alike":
                 return self._alike()
@@ -423,8 +436,8 @@
     def _slow(self, most: float, since: float) -> str:
         """The first order sent since then, so long ago at least, whose clear answer took longer."""
         history, now = self.world.history, self.world.loop.now
-        spans = [(one.sent, one.ended, one.told()) for one in history.changes]
-        spans += [(one.sent, one.acked, f"{one.zone} {one.on}") for one in history.orders]
+        spans = [(one.sent, one.ended, one.describe()) for one in history.changes]
+        spans += [(one.sent, one.acknowledged, f"{one.zone} {one.evacuated}") for one in history.evacuations]
         found = [one for one in spans if since <= one[0] < now - most]
         late = next((one for one in found if one[1] - one[0] > most), None)
         if late is not None:
--- a/ashlift/simulation/workers.py
+++ b/ashlift/simulation/workers.py
@@ -7,7 +7,7 @@
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
 from ashlift.simulation import board
 from ashlift.simulation.engine import Loop, Machine, Network, Process, Steps, simulated
-from ashlift.simulation.history import Arrival, History, WorkerLife
+from ashlift.simulation.history import Arrival, History, WorkerRecord
 from ashlift.simulation.keeper import Try, reply
 
 KIND = "worker"
@@ -41,9 +41,9 @@
         self.breaking = 0.0  # share of requests that it runs, and then breaks their connection
         self.forgets = math.inf  # s of rest after which it has silently dropped a connection
         address = yard.address()
-        self.record = WorkerLife(self.id, service, machine.zone, machine.region, address, loop.now)
+        self.record = WorkerRecord(self.id, service, machine.zone, machine.region, address, loop.now)
         if cold_s:
-            self.record.cold.append((loop.now, self.warm_at))
+            self.record.warmups.append((loop.now, self.warm_at))
         self.address = address
         yard.history.workers[self.id] = self.record
 
@@ -53,7 +53,7 @@
     def chill(self, seconds: float) -> None:
         """It is cold again."""
         self.warm_at = self.loop.now + seconds
-        self.record.cold.append((self.loop.now, self.warm_at))
+        self.record.warmups.append((self.loop.now, self.warm_at))
 
     def ended(self, silently: bool) -> None:
         self.record.ended = self.loop.now
@@ -142,8 +142,8 @@
             state = self.state
             answer = yield from self._say("beat", at)
             if isinstance(answer, tuple) and answer[0] == 200:
-                if state == "draining" and self.record.left == math.inf:
-                    self.record.left, self.record.left_at = self.loop.now, at
+                if state == "draining" and self.record.draining_acknowledged == math.inf:
+                    self.record.draining_acknowledged, self.record.draining_registry = self.loop.now, at
                 return answer[1].rpartition(":")[0]
         return None
 
@@ -156,7 +156,7 @@
 
     def _leave(self) -> Steps:
         target, tries = None, 0
-        while self.record.left == math.inf and tries < TRIES:
+        while self.record.draining_acknowledged == math.inf and tries < TRIES:
             target = yield from self._beat(target)
             tries += 1
             yield 0.0 if target else 0.3
@@ -167,7 +167,7 @@
         for at in [*([target] if target else []), *self.yard.boards]:
             answer = yield from self._say("delete", at)
             if isinstance(answer, tuple) and answer[0] == 200:
-                self.record.deleted = self.loop.now
+                self.record.deregistered = self.loop.now
                 break
         self.kill()
 
--- a/ashlift/simulation/world.py
+++ b/ashlift/simulation/world.py
@@ -326,7 +326,7 @@
         for name in names:
             machine = self.net.machines[name]
             machine.disk_hangs, machine.disk_refuses, machine.disk_s = hangs, refuses, slow
-            (self.history.trouble if ill else self.history.over)(name, self.loop.now)
+            (self.history.begin_fault if ill else self.history.end_faults)(name, self.loop.now)
 
     def freeze(self, kind: str, names: list[str], seconds: float) -> None:
         for process in self._each(kind, names):
@@ -389,9 +389,9 @@
         self.net.loss = share
         for name in [*self.core, *self.edge]:
             if share:
-                self.history.trouble(name, self.loop.now)
+                self.history.begin_fault(name, self.loop.now)
             else:
-                self.history.over(name, self.loop.now)
+                self.history.end_faults(name, self.loop.now)
         self.shaken()
 
     def run(self, until: float) -> None:
--- a/tests/lab/test_system.py
+++ b/tests/lab/test_system.py
@@ -18,7 +18,7 @@
 from ashlift.lab.system.world import unfit
 from ashlift.lab.system.yard import asked
 from ashlift.registry.records import parse_heartbeat
-from ashlift.simulation.rules import WORDS, verdicts
+from ashlift.simulation.checkers.rules import RULE_TEXTS, check_rules
 from ashlift.simulation.scene import Play, read, read_file
 from ashlift.simulation.world import ZONES, Plan
 
@@ -88,8 +88,8 @@
     play = Play(read_file(DEMO)[0], 1)
     assert play.run() is None
     history = play.world.history
-    told = lines(verdicts(history, play.world.bounds, play.world.zones), play.failed)
-    assert len(told) == len(WORDS) + 1 and all(one.ok for one in told)
+    told = lines(check_rules(history, play.world.bounds), play.failed)
+    assert len(told) == len(RULE_TEXTS) + 1 and all(one.ok for one in told)
     lab = as_lab(history, [(10.0, "edge-2", "proxy killed")], 40.0)
     assert len(lab.jobs) > 800 and sum(bool(job.answers) for job in lab.jobs.values()) > 0.95 * len(lab.jobs)
     words = [what for _, _, what in lab.processes]
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -7,10 +7,22 @@
 from ward import each, test
 
 from ashlift.config.settings import Bounds
-from ashlift.simulation.checks import Judge
-from ashlift.simulation.history import Arrival, History, Order, Reading, Request, Stray, WorkerLife
+from ashlift.simulation.checkers.checked_history import CheckedHistory
+from ashlift.simulation.checkers.configuration_checks import (
+    check_configuration_in_force,
+    check_linearizability,
+)
+from ashlift.simulation.checkers.rules import RULE_TEXTS, check_rules, explain, first_violation
+from ashlift.simulation.history import (
+    Arrival,
+    EvacuationChange,
+    History,
+    Reading,
+    Request,
+    UnexpectedArrival,
+    WorkerRecord,
+)
 from ashlift.simulation.people import change, edited, patched
-from ashlift.simulation.rules import WORDS, explained, judge, verdicts
 from ashlift.simulation.world import ZONES, Plan, first_configuration
 
 BOUNDS = Bounds(revocation_strict=True)
@@ -24,13 +36,13 @@
         self.body = first_configuration(Plan(homes=["r1"], quota=10.0))
         places = {"fleet-1": "z1", "fleet-2": "z2", "desk-1": "z1", "bill-1": "z1", "bill-2": "z2"}
         for name, zone in places.items():
-            life = WorkerLife(name, name.partition("-")[0], zone, ZONES[zone], name, 0.0)
+            life = WorkerRecord(name, name.partition("-")[0], zone, ZONES[zone], name, 0.0)
             self.history.workers[name] = life
         self.put(1, 0, [], 1.0)
 
     def put(self, version: int, base: int, words: list[str], acked: float) -> Any:
         made = change(version, base, "A", edited(self.body, version, words), acked - 0.5)
-        made.acked = made.ended = acked
+        made.acknowledged = made.ended = acked
         self.history.changes.append(made)
         return made
 
@@ -46,8 +58,8 @@
         tenant: str = "t1",
         code: int = 0,
     ) -> Request:
-        one = self.history.request(path, path.startswith("/look"), key, "z1", "r1", at)
-        one.gate, one.taken, one.status, one.ended = gate, at, status, at + 0.2
+        one = self.history.add_request(path, path.startswith("/look"), key, "z1", "r1", at)
+        one.proxy, one.received, one.status, one.ended = gate, at, status, at + 0.2
         if worker:
             self.more(one, at + 0.1, worker, ran, tenant, code)
         return one
@@ -56,7 +68,7 @@
         self, one: Request, at: float, worker: str, ran: bool = True, tenant: str = "t1", code: int = 0
     ) -> None:
         service = self.history.workers[worker].service
-        one.arrivals.append(Arrival(at, worker, service, tenant, one.gate, ran, code))
+        one.arrivals.append(Arrival(at, worker, service, tenant, one.proxy, ran, code))
 
     def read(self, at: float, version: int, body: Any = None, **entries: Any) -> None:
         sent = next(one for one in self.history.changes if one.version == version)
@@ -112,7 +124,7 @@
 
 def revoked(made: Made, bad: bool) -> None:
     made.put(2, 1, ["k-t1-a"], 10)
-    made.history.trouble("edge-1", 9.0)  # out of touch: only Revoke binds
+    made.history.begin_fault("edge-1", 9.0)  # out of touch: only Revoke binds
     made.ask(15.1 if bad else 14.9, "/look/x", "fleet-1")
 
 
@@ -127,22 +139,25 @@
 
 def read_refused(made: Made, bad: bool) -> None:
     late = made.put(2, 1, ["look=desk"], 10)
-    late.acked, late.refused = math.inf, 412 if bad else 0
+    late.acknowledged, late.rejected_status = math.inf, 412 if bad else 0
     made.read(11, 2)
 
 
 def lost(made: Made, bad: bool) -> None:
-    made.history.orders.append(Order("z1", True, 9, 10))
+    made.history.evacuations.append(EvacuationChange("z1", True, 9, 10))
     made.read(11, 1, None, **{} if bad else {"Evacuations/z1": True})
 
 
 def drain(made: Made, bad: bool) -> None:
-    made.history.workers["fleet-1"].left, made.history.workers["fleet-1"].left_at = 10, "core-1"
+    (
+        made.history.workers["fleet-1"].draining_acknowledged,
+        made.history.workers["fleet-1"].draining_registry,
+    ) = 10, "core-1"
     made.ask(13.1 if bad else 12.7, "/look/x", "fleet-1")
 
 
 def evacuated(made: Made, bad: bool) -> None:
-    made.history.orders.append(Order("z1", True, 9, 10))
+    made.history.evacuations.append(EvacuationChange("z1", True, 9, 10))
     made.ask(15.1, "/look/x", "fleet-1" if bad else "fleet-2")
 
 
@@ -157,7 +172,7 @@
 
 
 def failback(made: Made, bad: bool) -> None:
-    made.history.workers["fleet-1"].cold.append((9, 20))
+    made.history.workers["fleet-1"].warmups.append((9, 20))
     for number in range(14):  # 5 x 1.5 + 5 = 12.5
         made.ask(10 + number / (20 if bad else 10), "/look/x", "fleet-1")
 
@@ -167,7 +182,7 @@
 
 
 def spun(made: Made, bad: bool) -> None:
-    made.ask(10, "/look/x", "fleet-1").full = 1000 if bad else 3
+    made.ask(10, "/look/x", "fleet-1").pool_exhausted_count = 1000 if bad else 3
 
 
 def mixed(made: Made, bad: bool) -> None:
@@ -183,27 +198,27 @@
 
 def stray(made: Made, bad: bool) -> None:
     if bad:
-        made.history.strays.append(Stray(10, "fleet-1", "GET /look/y of id 1"))
+        made.history.unexpected_arrivals.append(UnexpectedArrival(10, "fleet-1", "GET /look/y of id 1"))
 
 
 def cut_off(made: Made, bad: bool) -> None:
     one = made.ask(10, "/look/x", "fleet-1", status=0)
-    one.broken = True
+    one.connection_broken = True
     if not bad:
-        made.history.trouble("edge-1", 9.9)
+        made.history.begin_fault("edge-1", 9.9)
 
 
 def cut_off_leaving(made: Made, bad: bool) -> None:
     """In the first half of Grace, or in the second with the worker at work."""
     one = made.ask(10, "/look/x", "fleet-1", status=0)
-    one.broken = True
-    made.history.trouble("edge-1", 9.9 if bad else 7.0, planned=True)
+    one.connection_broken = True
+    made.history.begin_fault("edge-1", 9.9 if bad else 7.0, termination=True)
 
 
 def recovered(made: Made, bad: bool) -> None:
-    made.history.closing = 20.0
-    made.history.trouble("core-1", 20.0)
-    made.history.over("core-1", 21.0)
+    made.history.closing_fault_at = 20.0
+    made.history.begin_fault("core-1", 20.0)
+    made.history.end_faults("core-1", 21.0)
     for number in range(30):
         made.ask(10 + number / 10, "/look/x", "fleet-1")
         made.ask(40 + number / 10, "/look/x", status=503 if bad else 200)
@@ -256,7 +271,7 @@
     for bad in (True, False):
         made = Made()
         plant(made, bad)
-        found = [one for one, breach in verdicts(made.history, BOUNDS, ZONES).items() if breach]
+        found = [one for one, breach in check_rules(made.history, BOUNDS).items() if breach]
         assert (rule in found) == bad, f"{'planted' if bad else 'clean'}: {found}"
 
 
@@ -265,30 +280,30 @@
     for seen, torn in ((1, False), (2, True), (2, False)):
         made = Made()
         late = made.put(2, 1, ["look=desk", "r+new=desk"], 10)
-        late.acked = late.ended = math.inf  # in doubt
+        late.acknowledged = late.ended = math.inf  # in doubt
         late.patch = patched(made.body, late.body)
         made.read(11, 2)
         made.read(12, seen, made.body if torn else None)
-        found = list(Judge(made.history, BOUNDS, ZONES).linear())
+        found = list(check_linearizability(CheckedHistory(made.history, BOUNDS)))
         assert bool(found) == (seen == 1 or torn)
 
 
 @test("dovetail's checkers: what is out of touch is bound later, or not")
 def _() -> None:
     made = Made()
-    made.history.trouble("edge-1", 8.0)
+    made.history.begin_fault("edge-1", 8.0)
     stale(made, True)
-    assert not list(Judge(made.history, BOUNDS, ZONES).config())
+    assert not list(check_configuration_in_force(CheckedHistory(made.history, BOUNDS)))
 
 
 @test("dovetail's checkers: each rule has a planted breach; one is told with the rule's words")
 def _() -> None:
-    assert {rule for rule, _ in PLANTED.values()} == {*WORDS}
+    assert {rule for rule, _ in PLANTED.values()} == {*RULE_TEXTS}
     made = Made()
     twice(made, True)
     refused(made, True)
-    found = judge(made.history, BOUNDS, ZONES)
+    found = first_violation(made.history, BOUNDS)
     assert found is not None
-    told = explained(found)
+    told = explain(found)
     assert told.startswith("TWICE at 10.200: request 1 /hold/x (t1-a) sent 10.000 to edge-1 ran at desk-1")
     assert told.endswith("TWICE: a request that is not repeatable runs at most once")
--- a/tests/simulation/test_system_scenarios.py
+++ b/tests/simulation/test_system_scenarios.py
@@ -46,7 +46,7 @@
     play = Play(worst.drawn(seed), seed)
     found = play.run()
     assert found is None, str(found)
-    assert sum(one.acked < inf for one in play.world.history.changes) > 5, "too little was ordered"
+    assert sum(one.acknowledged < inf for one in play.world.history.changes) > 5, "too little was ordered"
 
 
 @test("the same scene and seed give the same history")
@@ -55,7 +55,7 @@
     for _ in range(2):
         play = Play(drawn(2, until=16.0), 2)
         play.run()
-        told.append([(one.sent, one.gate, one.status, one.ended) for one in play.world.history.requests])
+        told.append([(one.sent, one.proxy, one.status, one.ended) for one in play.world.history.requests])
     assert told[0] == told[1]
 
 
