--- /dev/null
+++ b/tests/configstore/test_committed_state.py
@@ -0,0 +1,39 @@
+"""The committed map: its ranges' digests, and what watchers of it are told."""
+
+from ward import test
+
+from ashlift.configstore.committed_state import CommittedState
+from ashlift.configstore.messages import Snapshot
+from ashlift.configstore.ranged_map import RangedMap
+
+
+@test("ranges: the digest is of the content however it came about; exchanged ranges make maps alike")
+def _() -> None:
+    entries = {f"Routes/{number}": {"n": number} for number in range(300)}
+    base = RangedMap(entries)
+    base.digest()
+    changed = base.with_changes({"Routes/7": 7, "new": 1}, ["Routes/8", "none"])
+    remaining = {key: entries[key] for key in reversed(entries) if key != "Routes/8"}
+    rebuilt = RangedMap({**remaining, "Routes/7": 7, "new": 1})
+    assert changed.map == rebuilt.map
+    assert changed.digest() == rebuilt.digest() != RangedMap(entries).digest()
+    differing = changed.differing_ranges(RangedMap(entries).range_digests())
+    assert 1 <= len(differing) <= 3
+    repaired = RangedMap(entries).with_ranges({number: changed.encoded_range(number) for number in differing})
+    assert repaired.map == changed.map
+    assert repaired.digest() == changed.digest()
+
+
+@test("changes: since an index, removed keys too; the whole map to one whose index is not known here")
+def _() -> None:
+    committed = CommittedState()
+    entries = RangedMap({"a": 1, "b": 1})
+    assert committed.changes_since(0) == {"index": 0, "set": {}, "gone": [], "full": False}
+    committed.advance(Snapshot((1, 4), entries))
+    committed.advance(Snapshot((1, 5), entries.with_changes({"a": 2, "c": 1}, ["b"])))
+    assert not committed.advance(Snapshot((1, 4), entries))
+    assert committed.changes_since(4) == {"index": 5, "set": {"a": 2, "c": 1}, "gone": ["b"], "full": False}
+    assert committed.changes_since(3)["full"]
+    assert committed.changes_since(3)["set"] == {"a": 2, "c": 1}
+    assert committed.changes_since(5)["set"] == {}
+    assert committed.changes_since(9)["index"] == 5
