--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -426,7 +426,7 @@
         "store: PUT checked and laid out, ms", lambda: operator_config.apply_change({}, "put", "0", body), 2
     )
     assert not isinstance(first, Failure), first
-    entries = RangedMap(first.set)
+    entries = RangedMap(first.entries)
     out.ms("store: digests of all, first time, ms", entries.digest, 1)
     patch = out.ms(
         "store: PATCH of one route checked, ms",
@@ -435,9 +435,10 @@
     )
     assert not isinstance(patch, Failure), patch
     new = out.ms(
-        "store: map changed and digested, ms", lambda: _digested(entries.with_changes(patch.set, patch.gone))
+        "store: map changed and digested, ms",
+        lambda: _digested(entries.with_changes(patch.entries, patch.removed_keys)),
     )
-    payload = packed_payload([DELTA, 1, 1, patch.set, patch.gone, new.digest()])
+    payload = packed_payload([DELTA, 1, 1, patch.entries, patch.removed_keys, new.digest()])
     out.note("store: a change to a follower, bytes", len(payload))
     out.note(
         "store: whole map to a follower, bytes compressed",
@@ -478,7 +479,7 @@
             sum(os.path.getsize(os.path.join(folder, name)) for name in os.listdir(folder)) / 1e6,
         )
         out.ms("store: map from disk, ms", lambda: ReplicaStorage(folder).read(), 2)
-    found: dict[str, Any] = first.set
+    found: dict[str, Any] = first.entries
     return found
 
 
