--- a/ashlift/registry/__main__.py
+++ b/ashlift/registry/__main__.py
@@ -1,139 +1,173 @@
 """`python3 -m ashlift.registry`: the registry of one core machine, as its settings file says."""
 
-import os
 import secrets
-import signal
 import sys
 import time
 import zlib
+from typing import Final
 
 import gevent
 from gevent.event import Event
 
+from ashlift import process
 from ashlift.config.settings import Settings, read_settings
 from ashlift.events import ERROR, SETTINGS_INVALID, SETTINGS_READ, STARTED, STOPPING, configure, log_event
-from ashlift.registry.http_server import HttpServer, Resource
-from ashlift.registry.registry import Registry, RegistryIdentity
-from ashlift.registry.resources import Config, Evacuation, Instances, Lookup, Status
-from ashlift.registry.route_resources import Proposals, RouteEditService, Routes
-from ashlift.registry.server import ChangeNotifier, RegistryRpcService, ReplicationLoops
+from ashlift.registry.api.config import ConfigResource
+from ashlift.registry.api.evacuation import EvacuationResource
+from ashlift.registry.api.instances import InstancesResource
+from ashlift.registry.api.lookup import LookupResource
+from ashlift.registry.api.members import MembersResource
+from ashlift.registry.api.proposals import ProposalsResource
+from ashlift.registry.api.resource import Resource
+from ashlift.registry.api.route_edits import RouteEditService
+from ashlift.registry.api.routes import RoutesResource
+from ashlift.registry.api.server import HttpServer
+from ashlift.registry.api.status import StatusResource
+from ashlift.registry.change_notifier import ChangeNotifier
+from ashlift.registry.identity import RegistryIdentity
+from ashlift.registry.registry import Registry
+from ashlift.registry.replication_loops import ReplicationLoops
+from ashlift.registry.rpc_service import RegistryRpcService
 from ashlift.registry.store_client import StoreClient
-from ashlift.registry.store_membership import MembersResource
-from ashlift.rpc.addresses import Address
 from ashlift.rpc.client import ClientPool
 from ashlift.rpc.server import serve
 
-PATH = "/etc/ashlift/settings.toml"
-LOOK_S = 1.0  # the settings file is looked at so often
-LEAVE_S = 0.6  # what is at work when the end is asked for is answered within this
-
-
-class Program:
-    def __init__(self, path: str, settings: Settings) -> None:
-        self._path, self._settings = path, settings
-        self._stamp = self._look()
-        self._ended = Event()
-        low = settings.internal_ports[0]
-        control = settings.bindings.control or settings.bindings.directory
-        assert control is not None
-        me = RegistryIdentity(
-            settings.node_name,
-            secrets.token_hex(4),
-            settings.ip,
-            settings.zone,
-            settings.region,
-            control[1],
-            settings.heartbeat,
-        )
-        self._registry = Registry(me, self._seeds(), settings.zones, time.monotonic())
-        self._bell, callers = ChangeNotifier(self._registry), ClientPool()
-        store = StoreClient(settings.ip, low, self._stores, callers)
-        self._loops = ReplicationLoops(self._registry, store, self._bell, callers, low + 1)
-        ring, desk = self._bell.notify_if_changed, RouteEditService(self._registry, store)
-        resources: dict[str, Resource] = {
-            "instances": Instances(self._registry, ring),
-            "config": Config(store),
-            "evacuation": Evacuation(store, lambda: self._settings),
-            "lookup": Lookup(self._registry),
-            "members": MembersResource(store),
-            "proposals": Proposals(desk),
-            "routes": Routes(desk),
-            "status": Status(self._registry),
-        }
-        addresses = {settings.bindings.control, settings.bindings.directory} - {None}
-        self._doors = [HttpServer(address, resources) for address in addresses if address]
-        self._frames: Address = (settings.ip, low + 1)
+EXIT_INVALID_SETTINGS: Final = 2
+SETTINGS_CHECK_SECONDS: Final = 1.0  # between two checks whether the settings file has changed
+SHUTDOWN_SECONDS: Final = 0.6  # within which calls in progress are answered at the end
+SHUTDOWN_CHECK_SECONDS: Final = 0.01
+FLUSH_SECONDS: Final = 0.02  # for responses of the last moment, which greenlets of their own write
+INCARNATION_BYTES: Final = 4
 
-    def _seeds(self) -> list[str]:
-        return list(dict.fromkeys(host for host, _ in self._settings.seeds))
 
-    def _stores(self) -> list[str]:
-        """IPs of the stores, those whose registries stand and are near first."""
-        me = self._registry.identity
-        known = self._registry.core_members()
-        return [
-            ip
-            for ip in self._registry.registries_by_distance(me.zone, me.region, time.monotonic())
-            if ip in known
-        ]
+class RegistryProgram:
+    """Builds the parts from the settings, and runs them until the process is to end."""
+
+    def __init__(self, settings_path: str, settings: Settings) -> None:
+        self._settings_path = settings_path
+        self._settings = settings
+        self._settings_checksum = self._checksum()
+        self._end_requested = Event()
+        identity = _identity(settings)
+        store_port = settings.internal_ports[0]
+        self._rpc_address = settings.ip, store_port + 1
+        self._registry = Registry(identity, self._seeds(), settings.zones, time.monotonic())
+        self._notifier = ChangeNotifier(lambda: self._registry.change_count)
+        clients = ClientPool()
+        store = StoreClient(settings.ip, store_port, self._stores_by_distance, clients)
+        self._loops = ReplicationLoops(self._registry, store, self._notifier, clients, store_port + 1)
+        resources = self._resources(store)
+        addresses = {settings.bindings.control, settings.bindings.directory} - {None}
+        self._http_servers = [HttpServer(address, resources) for address in addresses if address]
 
     def run(self) -> int:
-        """Until the end is asked for; the process's exit status."""
-        for number in (signal.SIGTERM, signal.SIGINT):
-            gevent.signal_handler(number, self._ended.set)
-        gevent.signal_handler(signal.SIGHUP, self._read)
-        server = serve(self._frames, RegistryRpcService(self._registry, self._bell).handlers)
-        for door in self._doors:
-            door.start()
+        """Serve until the process is told to end, or a loop has failed; the exit status."""
+        process.on_termination(self._end_requested.set)
+        process.on_reload(self._reload_settings)
+        rpc_server = serve(self._rpc_address, RegistryRpcService(self._registry, self._notifier).handlers)
+        for http_server in self._http_servers:
+            http_server.start()
         self._loops.start()
-        self._loops.broken.rawlink(lambda _: self._ended.set())
+        self._loops.failed.rawlink(lambda _: self._end_requested.set())
         log_event(STARTED, source=self._registry.identity.source, seeds=",".join(self._registry.seeds))
-        while not self._ended.wait(LOOK_S):
-            if self._look() != self._stamp:
-                self._read()
+        while not self._end_requested.wait(SETTINGS_CHECK_SECONDS):
+            if self._checksum() != self._settings_checksum:
+                self._reload_settings()
         log_event(STOPPING)
-        server.close()
-        self._bell.shut_down()
-        for door in self._doors:
-            door.shut_down()
-        until = time.monotonic() + LEAVE_S
-        while time.monotonic() < until and (self._bell.held or any(door.busy for door in self._doors)):
-            gevent.sleep(0.01)
-        gevent.sleep(0.02)  # answers given in the last moment are written by greenlets of their own
+        rpc_server.close()
+        self._shut_down()
+        return process.EXIT_INTERNAL_ERROR if self._loops.failed.is_set() else 0
+
+    def _resources(self, store: StoreClient) -> dict[str, Resource]:
+        """By the first segment of the path."""
+        route_edits = RouteEditService(self._registry, store)
+        return {
+            "instances": InstancesResource(self._registry, self._notifier.notify_if_changed),
+            "config": ConfigResource(store),
+            "evacuation": EvacuationResource(store, lambda: self._settings),
+            "lookup": LookupResource(self._registry),
+            "members": MembersResource(store),
+            "proposals": ProposalsResource(route_edits),
+            "routes": RoutesResource(route_edits),
+            "status": StatusResource(self._registry),
+        }
+
+    def _shut_down(self) -> None:
+        """Answer the calls in progress, and end the loops."""
+        self._notifier.shut_down()
+        for http_server in self._http_servers:
+            http_server.shut_down()
+        deadline = time.monotonic() + SHUTDOWN_SECONDS
+        while time.monotonic() < deadline and self._is_answering():
+            gevent.sleep(SHUTDOWN_CHECK_SECONDS)
+        gevent.sleep(FLUSH_SECONDS)
         self._loops.stop()
-        return 70 if self._loops.broken.is_set() else 0
 
-    def _look(self) -> int:
+    def _is_answering(self) -> bool:
+        return bool(self._notifier.calls_in_progress) or any(
+            http_server.is_answering for http_server in self._http_servers
+        )
+
+    def _seeds(self) -> list[str]:
+        """IPs of the seeds, each once."""
+        return list(dict.fromkeys(host for host, _ in self._settings.seeds))
+
+    def _stores_by_distance(self) -> list[str]:
+        """IPs of the stores, those whose registries are in reach and near first."""
+        identity = self._registry.identity
+        members = self._registry.core_members()
+        registries = self._registry.registries_by_distance(identity.zone, identity.region, time.monotonic())
+        return [ip for ip in registries if ip in members]
+
+    def _checksum(self) -> int:
         """A number that changes with the settings file."""
         try:
-            with open(self._path, "rb") as file:
+            with open(self._settings_path, "rb") as file:
                 return zlib.crc32(file.read())
         except OSError:
             return 0
 
-    def _read(self) -> None:
-        self._stamp = self._look()
-        found = read_settings(self._path)
-        if isinstance(found, list):
-            return log_event(SETTINGS_INVALID, level=ERROR, error="; ".join(map(str, found)))
-        self._settings = found
-        self._registry.seeds, self._registry.zones = self._seeds(), found.zones
+    def _reload_settings(self) -> None:
+        self._settings_checksum = self._checksum()
+        settings = read_settings(self._settings_path)
+        if isinstance(settings, list):
+            log_event(SETTINGS_INVALID, level=ERROR, error="; ".join(map(str, settings)))
+            return
+        self._settings = settings
+        self._registry.seeds = self._seeds()
+        self._registry.zones = settings.zones
         log_event(SETTINGS_READ, seeds=",".join(self._registry.seeds))
 
 
+def _identity(settings: Settings) -> RegistryIdentity:
+    http_address = settings.bindings.control or settings.bindings.directory
+    assert http_address is not None
+    _, http_port = http_address
+    return RegistryIdentity(
+        node=settings.node_name,
+        incarnation=secrets.token_hex(INCARNATION_BYTES),
+        ip=settings.ip,
+        zone=settings.zone,
+        region=settings.region,
+        http_port=http_port,
+        heartbeat_seconds=settings.heartbeat,
+    )
+
+
 def main() -> int:
-    path = os.environ.get("ASHLIFT_SETTINGS", PATH)
+    """Run the program; the exit status."""
+    path = process.settings_path()
     settings = read_settings(path)
     if isinstance(settings, list):
         configure("registry", "?")
-        for fault in settings:
-            log_event(SETTINGS_INVALID, level=ERROR, error=fault.detail)
-        return 2
+        for failure in settings:
+            log_event(SETTINGS_INVALID, level=ERROR, error=failure.detail)
+        return EXIT_INVALID_SETTINGS
     configure("registry", settings.node_name)
     if settings.bindings.control is None and settings.bindings.directory is None:
         log_event(SETTINGS_INVALID, level=ERROR, error="neither Bindings.Control nor Bindings.Directory")
-        return 2
-    return Program(path, settings).run()
+        return EXIT_INVALID_SETTINGS
+    return RegistryProgram(path, settings).run()
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/ashlift/registry/api/config.py
@@ -0,0 +1,53 @@
+"""`/config`: the operator's configuration as a whole."""
+
+from typing import Final
+
+from ashlift.errors import Failure
+from ashlift.registry.api.command_responses import command_response, no_clear_answer
+from ashlift.registry.api.messages import HttpRequest, HttpResponse, error_response
+from ashlift.registry.api.resource import Resource, parse_json
+from ashlift.registry.store_client import StoreClient
+
+MAX_CONFIG_BYTES: Final = 8 << 20
+
+
+class ConfigResource(Resource):
+    """Read and changed at the store; `If-Match` names the version that the operator has seen."""
+
+    max_body_bytes = MAX_CONFIG_BYTES
+
+    def __init__(self, store: StoreClient) -> None:
+        self._store = store
+
+    def get(self, _request: HttpRequest) -> HttpResponse:
+        """The configuration as committed; 404 before there is one."""
+        entries = self._store.read()
+        if isinstance(entries, Failure):
+            return no_clear_answer(entries)
+        if not entries.get("Version"):
+            return error_response(404, "there is no configuration yet")
+        from ashlift.config.operator_config import export_configuration  # 6 ms of a start, and seldom needed
+
+        return HttpResponse(200, export_configuration(entries))
+
+    def put(self, request: HttpRequest) -> HttpResponse:
+        """Replace it."""
+        return self._change("put", request)
+
+    def patch(self, request: HttpRequest) -> HttpResponse:
+        """Change a part of it."""
+        return self._change("patch", request)
+
+    def _change(self, kind: str, request: HttpRequest) -> HttpResponse:
+        value = parse_json(request.body)
+        if isinstance(value, Failure):
+            return error_response(400, value.detail)
+        if not isinstance(value, dict):
+            return error_response(400, "the body is no JSON object")
+        result = self._store.submit(kind, _if_match(request), value, len(request.body))
+        return command_response(kind, result)
+
+
+def _if_match(request: HttpRequest) -> str | None:
+    header = request.headers.get("if-match")
+    return header.strip().strip('"') if header else None
--- /dev/null
+++ b/ashlift/registry/api/evacuation.py
@@ -0,0 +1,59 @@
+"""`/evacuation/ZONE`: no traffic to a zone, until it is taken back."""
+
+import time
+from collections.abc import Callable
+from typing import Final
+
+from ashlift.config.settings import Settings
+from ashlift.errors import Failure, FailureReason
+from ashlift.events import log_event
+from ashlift.registry import events
+from ashlift.registry.api.command_responses import command_response
+from ashlift.registry.api.messages import HttpRequest, HttpResponse, error_response
+from ashlift.registry.api.resource import RETRY_AFTER_SECONDS, Resource
+from ashlift.registry.store_client import StoreClient
+
+MAX_REQUEST_AGE_SECONDS: Final = 0.4  # a request that names no version, and may be older, is to be sent again
+
+
+class EvacuationResource(Resource):
+    """No version guards these commands: only what was certainly written just now is executed."""
+
+    def __init__(self, store: StoreClient, settings: Callable[[], Settings]) -> None:
+        """`settings`: the current ones, which name the zones."""
+        self._store = store
+        self._settings = settings
+
+    def post(self, request: HttpRequest) -> HttpResponse:
+        """Evacuate the zone."""
+        return self._change("evacuate", request)
+
+    def delete(self, request: HttpRequest) -> HttpResponse:
+        """End the evacuation."""
+        return self._change("restore", request)
+
+    def _change(self, kind: str, request: HttpRequest) -> HttpResponse:
+        zone = "/".join(request.segments)
+        if zone not in self._settings().zones:
+            return error_response(404, f"no zone {zone[:100]}")
+        if time.monotonic() - request.not_written_before > MAX_REQUEST_AGE_SECONDS:
+            return _send_again(kind, request)
+        result = self._store.submit(
+            kind, None, zone, body_bytes=0, not_written_before=request.not_written_before
+        )
+        if isinstance(result, Failure) and result.reason == FailureReason.EXPIRED:
+            return _send_again(kind, request)
+        return command_response(kind, result)
+
+
+def _send_again(kind: str, request: HttpRequest) -> HttpResponse:
+    """Redirect to the same place: who still waits sends the request again at once.
+
+    It may have lain in a buffer or been held up by a partition, or another's was taken meanwhile: its sender
+    may have gone, and what it asks for may have been taken back.
+    """
+    log_event(events.COMMAND_ANSWERED, kind=kind, status=307)
+    host = request.headers.get("host")
+    if not host:
+        return error_response(503, "it may be too old: send it again", RETRY_AFTER_SECONDS)
+    return HttpResponse(307, {"error": "send it again"}, location=f"http://{host}{request.path}")
--- /dev/null
+++ b/ashlift/registry/api/instances.py
@@ -0,0 +1,58 @@
+"""`/instances/ID`: heartbeats of workers, answered at once."""
+
+import time
+from collections.abc import Callable
+from typing import Final
+
+from ashlift.errors import Failure
+from ashlift.events import log_event
+from ashlift.registry import events
+from ashlift.registry.api.heartbeat_body import parse_heartbeat
+from ashlift.registry.api.messages import HttpRequest, HttpResponse, error_response
+from ashlift.registry.api.resource import RETRY_AFTER_SECONDS, Resource
+from ashlift.registry.registry import Registry
+
+MAX_WORKER_ID_LENGTH: Final = 200
+
+
+class InstancesResource(Resource):
+    """A late heartbeat is not acknowledged: its sender would rely on what nobody knows."""
+
+    def __init__(self, registry: Registry, notify_if_changed: Callable[[], None]) -> None:
+        """`notify_if_changed`: wakes whoever holds a call open."""
+        self._registry = registry
+        self._notify_if_changed = notify_if_changed
+
+    def put(self, request: HttpRequest) -> HttpResponse:
+        """A heartbeat; the response names the registry to send the next one to."""
+        now = time.monotonic()
+        worker_id = _worker_id(request)
+        if worker_id is None:
+            return error_response(400, "PUT /instances/ID")
+        record = parse_heartbeat(request.body, now)
+        if isinstance(record, Failure):
+            return error_response(400, record.detail)
+        is_taken = self._registry.instances.record_heartbeat(worker_id, record, now)
+        self._notify_if_changed()
+        if not is_taken:
+            return error_response(503, "a call with a higher CallSeq has come", RETRY_AFTER_SECONDS)
+        if self._registry.is_isolated(now):  # the heartbeat counts here, and the worker goes elsewhere
+            return error_response(503, "out of reach of the other registries", RETRY_AFTER_SECONDS)
+        return HttpResponse(200, {"HeartbeatTarget": self._registry.heartbeat_target(record.zone, now)})
+
+    def delete(self, request: HttpRequest) -> HttpResponse:
+        """The worker shuts down for good."""
+        worker_id = _worker_id(request)
+        if worker_id is None:
+            return error_response(400, "DELETE /instances/ID")
+        self._registry.instances.deregister(worker_id, time.monotonic())
+        self._notify_if_changed()
+        log_event(events.WORKER_DEREGISTERED, worker=worker_id)
+        return HttpResponse(200)
+
+
+def _worker_id(request: HttpRequest) -> str | None:
+    segments = request.segments
+    if len(segments) != 1 or not 0 < len(segments[0]) <= MAX_WORKER_ID_LENGTH:
+        return None
+    return segments[0]
--- /dev/null
+++ b/ashlift/registry/api/resource.py
@@ -0,0 +1,37 @@
+"""What all resources of the HTTP API share: dispatch by method, and JSON bodies."""
+
+import json
+from typing import Any, Final
+
+from ashlift.errors import Failure, FailureReason
+from ashlift.registry.api.messages import HttpRequest, HttpResponse, error_response
+
+DEFAULT_MAX_BODY_BYTES: Final = 64 << 10
+RETRY_AFTER_SECONDS: Final = 0.3  # where there was no clear answer
+METHODS: Final = frozenset(("GET", "PUT", "PATCH", "POST", "DELETE"))
+
+
+class Resource:
+    """Handles the requests of one resource by its methods `get`, `put`, `patch`, `post` and `delete`."""
+
+    max_body_bytes = DEFAULT_MAX_BODY_BYTES
+
+    def handle(self, request: HttpRequest) -> HttpResponse:
+        """The response; 405 where the resource has no such method."""
+        handler = getattr(self, request.method.lower(), None) if request.method in METHODS else None
+        if handler is None:
+            return error_response(405, f"no {request.method} here")
+        response: HttpResponse = handler(request)
+        return response
+
+
+def parse_json(body: bytes) -> Any:
+    """The JSON value, or an INVALID failure. NaN and infinities are no JSON."""
+    try:
+        return json.loads(body, parse_constant=_reject_constant)
+    except (ValueError, RecursionError) as error:
+        return Failure(FailureReason.INVALID, f"the body is no JSON: {error}")
+
+
+def _reject_constant(word: str) -> Any:
+    raise ValueError(f"{word} is no JSON")
--- /dev/null
+++ b/ashlift/registry/api/stall_detector.py
@@ -0,0 +1,29 @@
+"""Whether the process has stood still, so that what it finds in the kernel's buffers may be old. Pure."""
+
+from typing import Final
+
+CHECK_INTERVAL_SECONDS: Final = 0.1  # between two signs that the process runs
+STALL_THRESHOLD_SECONDS: Final = 0.3  # without a sign for so long, it has stood still
+STALL_RECOVERY_SECONDS: Final = 0.3  # after a stall, in which what waited meanwhile is accepted
+
+
+class StallDetector:
+    """Remembers the last time that the process stood still."""
+
+    def __init__(self, now: float) -> None:
+        self._last_check_at = now
+        self._stalled_since = -STALL_RECOVERY_SECONDS
+        self._stalled_until = -STALL_RECOVERY_SECONDS
+
+    def check(self, now: float) -> None:
+        """To be called every `CHECK_INTERVAL_SECONDS`."""
+        if now - self._last_check_at > STALL_THRESHOLD_SECONDS:
+            self._stalled_since = self._last_check_at
+            self._stalled_until = now
+        self._last_check_at = now
+
+    def earliest_connect(self, now: float) -> float:
+        """Since when a connection that is accepted now may have waited for it."""
+        self.check(now)
+        has_recovered = now - self._stalled_until >= STALL_RECOVERY_SECONDS
+        return now if has_recovered else self._stalled_since
--- /dev/null
+++ b/ashlift/registry/change_notifier.py
@@ -0,0 +1,47 @@
+"""Wakes the greenlets that hold calls open until something changes."""
+
+import time
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+
+from gevent.event import Event
+
+
+class ChangeNotifier:
+    """`is_shutting_down`: nobody waits any more. `calls_in_progress`: calls that are yet to be answered."""
+
+    def __init__(self, change_count: Callable[[], int]) -> None:
+        """`change_count`: rises with every change."""
+        self._change_count = change_count
+        self._notified_count = change_count()
+        self._event = Event()
+        self.is_shutting_down = False
+        self.calls_in_progress = 0
+
+    def notify_if_changed(self) -> None:
+        """Wake all that wait, if there was a change since the last time."""
+        if self._notified_count != self._change_count() or self.is_shutting_down:
+            self._notified_count = self._change_count()
+            event, self._event = self._event, Event()
+            event.set()
+
+    def shut_down(self) -> None:
+        """Wake all; from now on nobody waits."""
+        self.is_shutting_down = True
+        self.notify_if_changed()
+
+    def wait_for_change(self, deadline: float) -> bool:
+        """Wait until something changes; False: the deadline (steady time) came first, or the process ends."""
+        timeout = deadline - time.monotonic()
+        if self.is_shutting_down or timeout <= 0:
+            return False
+        return bool(self._event.wait(timeout)) and not self.is_shutting_down
+
+    @contextmanager
+    def call_in_progress(self) -> Iterator[None]:
+        """Counts a call while it is served."""
+        self.calls_in_progress += 1
+        try:
+            yield
+        finally:
+            self.calls_in_progress -= 1
--- /dev/null
+++ b/ashlift/registry/codec.py
@@ -0,0 +1,314 @@
+"""How records and RPC bodies of the registry stand on the wire: the one place that knows keys and positions.
+
+Decoding raises KeyError, TypeError or ValueError for what cannot be read, unless it returns a `Failure`.
+"""
+
+from collections.abc import Mapping
+from typing import Any, Final
+
+from ashlift.errors import Failure, FailureReason
+from ashlift.registry.delta import Delta
+from ashlift.registry.messages import (
+    CommandResult,
+    Json,
+    LoadReport,
+    PullRequest,
+    PullResponse,
+    SourceUpdate,
+    SwapOrigin,
+    SwapRequest,
+    SwapResponse,
+    UsageReport,
+    WatchResponse,
+)
+from ashlift.registry.records import SessionRecord, WorkerRecord, WorkerState
+from ashlift.rpc.sources import OPERATOR_SOURCE
+
+# Kinds of records, by the prefixes of their keys.
+WORKER_PREFIX: Final = "w/"
+SESSION_PREFIX: Final = "g/"
+USAGE_PREFIX: Final = "c/"
+IN_FLIGHT_PREFIX: Final = "o/"
+FAILURES_PREFIX: Final = "f/"
+INSIGNIFICANT_PREFIXES: Final = (USAGE_PREFIX, IN_FLIGHT_PREFIX, FAILURES_PREFIX)
+PREFIX_LENGTH: Final = 2
+WORKER_KIND: Final = WORKER_PREFIX[0]  # compared with `key[0]` in loops over all records: half of the time of
+SESSION_KIND: Final = SESSION_PREFIX[0]  # `startswith`
+# Keys of the operator's configuration.
+CORE_MEMBER_PREFIX: Final = "Members/"
+STORE_INTERNAL_PREFIXES: Final = ("Taken", "Refused/")  # by which stores recognize resent commands
+
+WORKER_KEYS: Final = frozenset(("service", "address", "zone", "capacity", "state", "seq", "warm", "version"))
+SESSION_KEYS: Final = frozenset(("front", "zone", "region", "ready"))
+WARM_DECIMALS: Final = 2
+UPTIME_DECIMALS: Final = 2
+AGE_DECIMALS: Final = 4
+PAST_ALL_INDEXES: Final = 1 << 62
+
+
+# ---- records
+
+
+def encode_worker(record: WorkerRecord, now: float) -> Json:
+    """`warm`: seconds from `now` until its slow start ends."""
+    return {
+        "service": record.service,
+        "address": record.address,
+        "zone": record.zone,
+        "capacity": record.capacity,
+        "state": record.state.value,
+        "seq": record.call_seq,
+        "warm": round(max(0.0, record.warm_at - now), WARM_DECIMALS),
+        "version": record.config_version,
+    }
+
+
+def decode_worker(wire: Mapping[str, Any], now: float) -> WorkerRecord:
+    """A worker as another registry told it at `now`."""
+    if wire.keys() != WORKER_KEYS:
+        raise ValueError(f"not the fields of a worker: {sorted(wire)}")
+    return WorkerRecord(
+        service=wire["service"],
+        address=wire["address"],
+        zone=wire["zone"],
+        capacity=wire["capacity"],
+        state=WorkerState(wire["state"]),
+        call_seq=wire["seq"],
+        warm_at=now + wire["warm"],
+        config_version=wire["version"],
+    )
+
+
+def encode_session(record: SessionRecord) -> Json:
+    """Without the time of renewal: who receives it counts from its own receipt."""
+    return {"front": record.front, "zone": record.zone, "region": record.region, "ready": record.ready}
+
+
+def decode_session(wire: Mapping[str, Any], now: float) -> SessionRecord:
+    """A proxy as another registry told it at `now`."""
+    if wire.keys() != SESSION_KEYS:
+        raise ValueError(f"not the fields of a session: {sorted(wire)}")
+    return SessionRecord(wire["front"], wire["zone"], wire["region"], wire["ready"], renewed_at=now)
+
+
+def decode_record(key: str, wire: Any, now: float) -> Any:
+    """A record of any kind; usage, load and the operator's entries stand as they are."""
+    if key.startswith(WORKER_PREFIX):
+        return decode_worker(wire, now)
+    if key.startswith(SESSION_PREFIX):
+        return decode_session(wire, now)
+    return wire
+
+
+def encode_delta(delta: Delta, now: float) -> Json:
+    """A delta of a registry's records or of the operator's configuration."""
+    values = {}
+    for key, value in delta.values.items():
+        if isinstance(value, WorkerRecord):
+            value = encode_worker(value, now)
+        elif isinstance(value, SessionRecord):
+            value = encode_session(value)
+        values[key] = value
+    return {"version": delta.version, "full": delta.full, "set": values, "gone": delta.removed}
+
+
+# ---- pull
+
+
+def decode_pull_request(wire: Any) -> PullRequest | Failure:
+    """The request, or an INVALID failure that says what is wrong."""
+    try:
+        node = wire["node"]
+        usage = wire.get("adds") or {}
+        versions = dict(wire["have"])
+        config_index = int(versions.get(OPERATOR_SOURCE, 0))
+        ready = bool(wire["ready"]) and not wire.get("leaving")
+        return PullRequest(
+            node=node,
+            config_index=config_index,
+            ready=ready,
+            front=wire["front"],
+            zone=wire["zone"],
+            region=wire["region"],
+            incarnation=wire["incarnation"],
+            versions=versions,
+            load=_decode_load_report(wire),
+            usage=_decode_usage_report(usage),
+            wait_seconds=float(wire.get("wait", 0.0)),
+            eager=bool(wire.get("eager")),
+            accepts_packed=bool(wire.get("packs")),
+            accepts_fragments="part" in wire,
+            fragment=wire.get("part"),
+        )
+    except (KeyError, TypeError, ValueError, AttributeError) as error:
+        return Failure(FailureReason.INVALID, f"pull: {error!r}")
+
+
+def _decode_load_report(wire: Mapping[str, Any]) -> LoadReport:
+    in_flight = dict(wire.get("outs") or {})
+    failures = dict(wire.get("faults") or {})
+    return LoadReport(
+        {str(worker_id): int(count) for worker_id, count in in_flight.items()},
+        {str(worker_id): (int(failed), int(ran)) for worker_id, (failed, ran) in failures.items()},
+    )
+
+
+def _decode_usage_report(wire: Mapping[str, Any]) -> UsageReport:
+    counts = dict(wire.get("counts") or {})
+    increments = [(tenant, int(total), int(declined)) for tenant, (total, declined) in counts.items()]
+    return UsageReport(wire.get("number", 0), increments)
+
+
+def encode_pull_response(response: PullResponse, now: float) -> Json:
+    """Times rounded, to keep what is sent to every proxy all the time short."""
+    sources = {name: _encode_source_update(update, now) for name, update in response.updates.items()}
+    if response.config_update is not None:
+        sources[OPERATOR_SOURCE] = response.config_update
+    age = response.lease_age
+    return {
+        "sources": sources,
+        "alive": response.alive,
+        "age": None if age is None else round(age, AGE_DECIMALS),
+        "held": round(response.held_seconds, AGE_DECIMALS),
+        "ran": round(response.uptime, UPTIME_DECIMALS),
+        "late": response.config_is_behind,
+        "controls": response.registries,
+        "members": response.proxy_count,
+    }
+
+
+def _encode_source_update(update: SourceUpdate, now: float) -> Json:
+    wire = encode_delta(update.delta, now)
+    if update.uptime is not None:
+        wire["run"] = round(update.uptime, UPTIME_DECIMALS)
+    return wire
+
+
+def is_partial_config_update(wire: Json, newest_version: int) -> bool:
+    """Whether an encoded update of the configuration is a fragment, or older than the newest version."""
+    return wire["version"] < newest_version or "part" in wire
+
+
+# ---- swap: lists without keys, as these calls go between regions all day
+
+
+def encode_swap_request(request: SwapRequest) -> list[Any]:
+    """`[incarnation, version]`, and the caller's IP where it is given."""
+    wire: list[Any] = [request.incarnation, request.version]
+    return wire if request.caller_ip is None else [*wire, request.caller_ip]
+
+
+def decode_swap_request(wire: Any) -> SwapRequest | Failure:
+    """The request, or an INVALID failure that says what is wrong."""
+    try:
+        incarnation, version, *caller_ip = wire
+        return SwapRequest(str(incarnation), int(version), str(caller_ip[0]) if caller_ip else None)
+    except (TypeError, ValueError) as error:
+        return Failure(FailureReason.INVALID, f"swap: {error!r}")
+
+
+def encode_swap_response(response: SwapResponse, now: float) -> Any:
+    """The version alone where nothing is new, else `[version, set, gone]`; of a snapshot also the origin:
+    `[version, set, [], node, incarnation, zone, region, uptime]`."""
+    if response.delta is None:
+        return response.version
+    delta = encode_delta(response.delta, now)
+    wire = [delta["version"], delta["set"], delta["gone"]]
+    origin = response.origin
+    if origin is not None:
+        uptime = round(now - origin.started_at, UPTIME_DECIMALS)
+        wire += [origin.node, origin.incarnation, origin.zone, origin.region, uptime]
+    return wire
+
+
+def decode_swap_response(wire: Any, now: float) -> SwapResponse | Failure:
+    """The response as received at `now`, or an INVALID failure that says what is wrong."""
+    if isinstance(wire, int):
+        return SwapResponse(wire, None)
+    try:
+        version, values, removed, *origin_fields = wire
+        records = {key: decode_record(key, value, now) for key, value in values.items()}
+        delta = Delta(version, bool(origin_fields), records, removed)
+        if not origin_fields:
+            return SwapResponse(version, delta)
+        node, incarnation, zone, region, uptime = origin_fields
+        return SwapResponse(version, delta, SwapOrigin(node, incarnation, zone, region, now - uptime))
+    except (KeyError, TypeError, ValueError) as error:
+        return Failure(FailureReason.INVALID, f"swap: {error!r}")
+
+
+# ---- calls to the configuration store
+
+
+def encode_watch_request(held_index: int, wait_seconds: float, fragment: list[Any] | None) -> Json:
+    """`fragment`: which one of a large configuration is asked for."""
+    return {"have": held_index, "wait": wait_seconds, "part": fragment}
+
+
+def encode_position_request() -> Json:
+    """A `watch` that is answered at once, with the store's position and no entries."""
+    return {"have": PAST_ALL_INDEXES, "wait": 0.0}
+
+
+def decode_watch_response(wire: Mapping[str, Any], assembled: Mapping[str, Any]) -> WatchResponse:
+    """`assembled`: the same answer, with the configuration put together again where it came in fragments.
+
+    What only stores need, to recognize resent commands, is left out.
+    """
+    answer = {**wire, **assembled}
+    full = bool(answer.get("full"))
+    values = {
+        key: value for key, value in answer["set"].items() if not key.startswith(STORE_INTERNAL_PREFIXES)
+    }
+    removed = [] if full else [key for key in answer["gone"] if not key.startswith(STORE_INTERNAL_PREFIXES)]
+    is_behind = bool(answer.get("late"))
+    return WatchResponse(
+        delta=Delta(assembled.get("version", wire["index"]), full, values, removed),
+        term=answer.get("term", 0),
+        leader=answer.get("leader"),
+        lease_age=None if is_behind else answer.get("age"),
+        held_seconds=answer.get("held", 0.0),
+        is_behind=is_behind,
+    )
+
+
+def decode_store_position(wire: Mapping[str, Any]) -> tuple[list[int], int]:
+    """`[term, heartbeat round]` and committed index as a `watch` response tells them."""
+    return wire.get("round", [0, 0]), wire.get("index", 0)
+
+
+def encode_command(kind: str, if_match: str | None, body: Any) -> Json:
+    """An operator's command without its fencing token."""
+    return {"kind": kind, "if_match": if_match, "body": body}
+
+
+def encode_fenced_command(command: Json, round_seen: list[int], index: int, seconds_left: float) -> Json:
+    """With the fencing token `[term, round, index, seconds left]`."""
+    return {**command, "fence": [*round_seen, index, seconds_left]}
+
+
+def decode_command_result(wire: Mapping[str, Any]) -> CommandResult:
+    """A store's clear answer to `submit` or `members`."""
+    return CommandResult(wire["status"], {key: value for key, value in wire.items() if key != "status"})
+
+
+def encode_membership_command(action: str, ip: str) -> Json:
+    """`action`: `show`, `remove`, `replace` or `add`."""
+    return {"do": action, "ip": ip}
+
+
+def decode_configuration(wire: Mapping[str, Any]) -> Json:
+    """The operator's entries by key, from the response to `read`."""
+    entries: Json = wire["objects"]
+    return entries
+
+
+def encode_pending_edits_request(edits: list[Json]) -> Json:
+    """Edits that each store is to keep; it answers with all that it holds."""
+    return {"add": edits}
+
+
+def decode_pending_edits(wire: Mapping[str, Any]) -> list[Json]:
+    """Edits that a store holds, each as encoded by `ashlift.route_reconciliation.edits`."""
+    edits: list[Json] = wire["edits"]
+    return edits
--- a/ashlift/registry/endpoint_directory.py
+++ b/ashlift/registry/endpoint_directory.py
@@ -1,40 +1,47 @@
-"""Which gatekeepers a client is told of. Pure."""
+"""Which proxies a client is sent to by a look-up. Pure; times in seconds."""
 
 import zlib
 from collections.abc import Callable, Iterable, Mapping
+from typing import Final
 
 from ashlift.registry.records import SessionRecord
 
-MOST = 64  # addresses in one answer
-LOOK_S = 0.1  # what a zone's clients are told is worked out so often
-MAX_CACHED_LOOKUPS = 100  # zones, as asked for
-FEW = 2  # fewer near ones than this: a single gatekeeper must not carry a whole zone, nor be the only way
+MAX_ADDRESSES: Final = 64  # in one answer
+MIN_NEAR_PROXIES: Final = 2  # a single proxy must not carry a whole zone, nor be the only way in
+CACHE_SECONDS: Final = 0.1
+MAX_CACHED_LOOKUPS: Final = 100  # zones, as asked for
 
 
-def addresses(sessions: Iterable[SessionRecord], zone: str, region: str) -> list[str]:
-    """Fronts of the ready ones: the zone's; if they are few, the region's too; if still few, all."""
-    ready = [one for one in sessions if one.ready]
-    ready.sort(key=lambda one: zlib.crc32(f"{zone} {one.front}".encode()))
-    found = [one for one in ready if one.zone == zone]
-    if len(found) < FEW:
-        found += [one for one in ready if one.zone != zone and one.region == region]
-    if len(found) < FEW:
-        found += [one for one in ready if one.zone != zone and one.region != region]
-    return [one.front for one in found[:MOST]]
+def ready_fronts(sessions: Iterable[SessionRecord], zone: str, region: str) -> list[str]:
+    """Addresses of the ready proxies of the zone; if they are few, the region's too; if still few, all."""
+    ready = [session for session in sessions if session.ready]
+    ready.sort(
+        key=lambda session: zlib.crc32(f"{zone} {session.front}".encode())
+    )  # another order for each zone
+    chosen = [session for session in ready if session.zone == zone]
+    if len(chosen) < MIN_NEAR_PROXIES:
+        chosen += [session for session in ready if session.zone != zone and session.region == region]
+    if len(chosen) < MIN_NEAR_PROXIES:
+        chosen += [session for session in ready if session.zone != zone and session.region != region]
+    return [session.front for session in chosen[:MAX_ADDRESSES]]
 
 
 class EndpointDirectory:
-    """Answers kept for LOOK_S: hundreds of clients ask the same every second."""
+    """Answers to look-ups, cached for a moment: hundreds of clients ask the same every second."""
 
-    def __init__(self, sessions: Callable[[float], Mapping[str, SessionRecord]]) -> None:
-        self._sessions = sessions
-        self.kept: dict[tuple[str, str], tuple[float, list[str]]] = {}  # when, fronts
+    def __init__(self, live_sessions: Callable[[float], Mapping[str, SessionRecord]]) -> None:
+        """`live_sessions`: proxies whose leases stand at a time."""
+        self._live_sessions = live_sessions
+        self.cache: dict[
+            tuple[str, str], tuple[float, list[str]]
+        ] = {}  # by zone and region: since when, what
 
     def addresses(self, zone: str, region: str, now: float) -> list[str]:
-        at, found = self.kept.get((zone, region), (-1.0, []))
-        if at < now - LOOK_S:
-            found = addresses(self._sessions(now).values(), zone, region)
-            if len(self.kept) >= MAX_CACHED_LOOKUPS:
-                self.kept.clear()
-            self.kept[zone, region] = now, found
-        return found
+        """Where clients of that place are sent."""
+        cached_at, fronts = self.cache.get((zone, region), (-1.0, []))
+        if cached_at < now - CACHE_SECONDS:
+            fronts = ready_fronts(self._live_sessions(now).values(), zone, region)
+            if len(self.cache) >= MAX_CACHED_LOOKUPS:
+                self.cache.clear()
+            self.cache[zone, region] = now, fronts
+        return fronts
--- a/ashlift/registry/events.py
+++ b/ashlift/registry/events.py
@@ -2,10 +2,10 @@
 
 from typing import Final
 
-PEER_FOUND: Final = (301, "another registry answers")
-PEER_LOST: Final = (302, "a silent registry's records are dropped")
-WORKER_GONE: Final = (303, "a worker has left")
-WOKE: Final = (304, "woke after a standstill: leases start anew")
-ORDER: Final = (305, "an order of the operator was answered")
-STORE_AWAY: Final = (306, "the own store does not answer")
-EDIT: Final = (307, "an edit of a route was answered")
+PEER_FOUND: Final = (301, "peer registry found")
+PEER_LOST: Final = (302, "peer registry lost: its records are dropped")
+WORKER_DEREGISTERED: Final = (303, "worker deregistered")
+STOOD_STILL: Final = (304, "resumed after a standstill: leases are renewed")
+COMMAND_ANSWERED: Final = (305, "operator command answered")
+STORE_UNREACHABLE: Final = (306, "own configuration store unreachable")
+EDIT_ANSWERED: Final = (307, "route edit answered")
--- /dev/null
+++ b/ashlift/registry/identity.py
@@ -0,0 +1,25 @@
+"""Who a registry is, as its settings and its start determine it."""
+
+import attrs
+
+
+@attrs.frozen
+class RegistryIdentity:
+    """Name, place and addresses of one registry process.
+
+    `incarnation` is drawn anew at each start. `http_port` is the port of the HTTP API, the same on all core
+    machines. `heartbeat_seconds` is the interval at which workers send heartbeats.
+    """
+
+    node: str
+    incarnation: str
+    ip: str
+    zone: str
+    region: str
+    http_port: int
+    heartbeat_seconds: float
+
+    @property
+    def source(self) -> str:
+        """The name of this registry's own records in version vectors."""
+        return f"{self.node}#{self.incarnation}"
--- /dev/null
+++ b/ashlift/registry/lease_clock.py
@@ -0,0 +1,28 @@
+"""When leases expire, though this process may have stood still meanwhile. Pure; times in seconds."""
+
+from typing import Final
+
+STANDSTILL_SECONDS: Final = (
+    1.0  # no tick for so long: this process stood still, the others did not fall silent
+)
+
+
+class LeaseClock:
+    """Counts leases from their last renewal, or from the end of this process's last standstill if later."""
+
+    def __init__(self, now: float) -> None:
+        self.started_at = now
+        self.awake_since = now
+        self._last_tick_at = now
+
+    def tick(self, now: float) -> bool:
+        """To be called several times a second; True: the process stood still since the last call."""
+        stood_still = now - self._last_tick_at > STANDSTILL_SECONDS
+        self._last_tick_at = now
+        if stood_still:
+            self.awake_since = now
+        return stood_still
+
+    def has_expired(self, renewed_at: float, lease_seconds: float, now: float) -> bool:
+        """Whether a lease of that length has run out that was renewed at that time."""
+        return now - max(renewed_at, self.awake_since) > lease_seconds
--- a/ashlift/registry/load_reports.py
+++ b/ashlift/registry/load_reports.py
@@ -1,78 +1,82 @@
-"""What gatekeepers say of workers with their calls, summed in the own source. Pure.
+"""What proxies report of workers with their pulls, summed into this registry's own records. Pure.
 
-`o/ID`: requests under way. `f/ID`: [failures of late, requests, gatekeepers that saw failures], the first two
-in tenths.
-
-Sums that have moved enough are told: each is pulled by all gatekeepers.
+A sum is published only when it has moved enough: each change is pulled by all proxies.
 """
 
-from collections.abc import Callable, Mapping
-from typing import Any, Final
-
-import attrs
+from collections.abc import Callable
+from typing import Final
 
-from ashlift.registry.replicated_source import FAULT, OUT, ReplicatedSource
+from ashlift.registry.codec import FAILURES_PREFIX, IN_FLIGHT_PREFIX
+from ashlift.registry.messages import LoadReport
+from ashlift.registry.replicated_source import ReplicatedSource
 
-OUT_GRAIN, OUT_LEAST = 0.3, 2.0  # x capacity, and requests: so far off may those told to be under way be
-SAW: Final = 3  # tenths of a failure, from which on a gatekeeper has seen any
-FAULT_GRAIN: Final = 7  # tenths of a failure: so far off may those told be,
-RUN_GRAIN, RUN_LEAST = 0.3, 20  # x requests, and tenths of them
+MIN_IN_FLIGHT_SHIFT: Final = 2.0  # requests by which the published sum may be off
+IN_FLIGHT_SHIFT_PER_SLOT: Final = 0.3  # or as much as this times the worker's capacity
+MIN_SEEN_FAILURE_TENTHS: Final = 3  # from here on a proxy counts as one that has seen failures
+MIN_FAILURE_SHIFT_TENTHS: Final = 7  # by which published failures may be off
+MIN_REQUEST_SHIFT_TENTHS: Final = 20  # by which published requests may be off
+REQUEST_SHIFT_RATIO: Final = 0.3  # or as much as this times what is published
 
 
-@attrs.define
-class LoadReport:
-    """What one gatekeeper last said, by worker."""
+class LoadReports:
+    """The newest report of each proxy, and the sums of all."""
 
-    outs: dict[str, int] = attrs.field(factory=dict)
-    faults: dict[str, tuple[int, int]] = attrs.field(factory=dict)
+    def __init__(self, own_source: ReplicatedSource, capacity: Callable[[str], int | None]) -> None:
+        """`capacity` of a worker by its ID; None: it is not known."""
+        self._own_source = own_source
+        self._capacity = capacity
+        self._reports: dict[str, LoadReport] = {}
 
-    @classmethod
-    def read(cls, body: Mapping[str, Any]) -> "LoadReport":
-        """Raises KeyError, TypeError or ValueError for what is none."""
-        outs, faults = dict(body.get("outs") or {}), dict(body.get("faults") or {})
-        return cls(
-            {str(key): int(count) for key, count in outs.items()},
-            {str(key): (int(failed), int(ran)) for key, (failed, ran) in faults.items()},
-        )
+    def update(self, node: str, report: LoadReport) -> None:
+        """A proxy's newest report."""
+        previous = self._reports.pop(node, LoadReport())
+        if report.in_flight or report.failures:
+            self._reports[node] = report
+        for worker_id in previous.in_flight.keys() | report.in_flight.keys():
+            if previous.in_flight.get(worker_id) != report.in_flight.get(worker_id):
+                self._publish_in_flight(worker_id)
+        for worker_id in previous.failures.keys() | report.failures.keys():
+            if previous.failures.get(worker_id) != report.failures.get(worker_id):
+                self._publish_failures(worker_id)
 
+    def remove(self, node: str) -> None:
+        """A proxy is gone, or reports to another registry."""
+        self.update(node, LoadReport())
 
-class LoadReports:
-    def __init__(self, own: ReplicatedSource, capacity: Callable[[str], int | None]) -> None:
-        """`capacity` of a worker; None: it is not known."""
-        self._own, self._capacity = own, capacity
-        self._said: dict[str, LoadReport] = {}
+    def _publish_in_flight(self, worker_id: str) -> None:
+        key = IN_FLIGHT_PREFIX + worker_id
+        total = sum(report.in_flight.get(worker_id, 0) for report in self._reports.values())
+        published = self._own_source.values.get(key, 0)
+        capacity = self._capacity(worker_id)
+        if not total or capacity is None:
+            self._own_source.drop(key)
+        elif abs(total - published) >= max(MIN_IN_FLIGHT_SHIFT, IN_FLIGHT_SHIFT_PER_SLOT * capacity):
+            self._own_source.put(key, total)
 
-    def said(self, node: str, said: LoadReport) -> None:
-        """A gatekeeper's figures are now these; none: it is gone."""
-        before = self._said.pop(node, LoadReport())
-        if said.outs or said.faults:
-            self._said[node] = said
-        for key in before.outs.keys() | said.outs.keys():
-            if before.outs.get(key) != said.outs.get(key):
-                self._out(key)
-        for key in before.faults.keys() | said.faults.keys():
-            if before.faults.get(key) != said.faults.get(key):
-                self._fault(key)
+    def _publish_failures(self, worker_id: str) -> None:
+        """As `[failures, requests, proxies that have seen failures]`, the first two in tenths."""
+        key = FAILURES_PREFIX + worker_id
+        reported = [
+            report.failures[worker_id] for report in self._reports.values() if worker_id in report.failures
+        ]
+        failed = sum(failures for failures, _ in reported)
+        ran = sum(requests for _, requests in reported)
+        witnesses = sum(failures >= MIN_SEEN_FAILURE_TENTHS for failures, _ in reported)
+        sums = [failed, ran, witnesses]
+        if not ran or self._capacity(worker_id) is None:
+            self._own_source.drop(key)
+        elif _has_moved(self._own_source.values.get(key), sums):
+            self._own_source.put(key, sums)
 
-    def _out(self, key: str) -> None:
-        total = sum(one.outs.get(key, 0) for one in self._said.values())
-        told, capacity = self._own.values.get(OUT + key, 0), self._capacity(key)
-        if not total or capacity is None:
-            self._own.drop(OUT + key)
-        elif abs(total - told) >= max(OUT_LEAST, OUT_GRAIN * capacity):
-            self._own.put(OUT + key, total)
 
-    def _fault(self, key: str) -> None:
-        told = self._own.values.get(FAULT + key)
-        found = [one.faults[key] for one in self._said.values() if key in one.faults]
-        failed, ran = sum(one[0] for one in found), sum(one[1] for one in found)
-        saw = sum(one[0] >= SAW for one in found)
-        if not ran or self._capacity(key) is None:
-            self._own.drop(FAULT + key)
-        elif (
-            told is None
-            or abs(failed - told[0]) >= FAULT_GRAIN
-            or abs(ran - told[1]) >= max(RUN_LEAST, RUN_GRAIN * told[1])
-            or (saw == 0) != (told[2] == 0)
-        ):
-            self._own.put(FAULT + key, [failed, ran, saw])
+def _has_moved(published: list[int] | None, sums: list[int]) -> bool:
+    """Whether the sums of failures are far enough from those published last."""
+    if published is None:
+        return True
+    published_failed, published_ran, published_witnesses = published
+    failed, ran, witnesses = sums
+    return (
+        abs(failed - published_failed) >= MIN_FAILURE_SHIFT_TENTHS
+        or abs(ran - published_ran) >= max(MIN_REQUEST_SHIFT_TENTHS, REQUEST_SHIFT_RATIO * published_ran)
+        or (witnesses == 0) != (published_witnesses == 0)
+    )
--- /dev/null
+++ b/ashlift/registry/messages.py
@@ -0,0 +1,152 @@
+"""The bodies of the RPC calls that a registry serves and makes. Keys and positions: `ashlift.registry.codec`.
+
+Times are in seconds. A *version vector* names the version held of each source.
+"""
+
+from collections.abc import Mapping
+from typing import Any
+
+import attrs
+
+from ashlift.registry.delta import Delta
+
+Json = dict[str, Any]
+
+
+@attrs.frozen
+class LoadReport:
+    """What one proxy reports of the workers that it calls, by worker ID.
+
+    `failures`: recent failures and requests, both in tenths.
+    """
+
+    in_flight: dict[str, int] = attrs.field(factory=dict)
+    failures: dict[str, tuple[int, int]] = attrs.field(factory=dict)
+
+
+@attrs.frozen
+class UsageReport:
+    """`(tenant, requests, declined)` since a proxy's last report; `number` rises: none counts twice."""
+
+    number: int
+    increments: list[tuple[str, int, int]]
+
+
+@attrs.frozen
+class PullRequest:
+    """`pull`: a proxy renews its session, reports usage and load, and asks for what it lacks.
+
+    `fragment`: which fragment of a large configuration it asks for, as `[id, offset]`.
+    """
+
+    node: str
+    incarnation: str
+    zone: str
+    region: str
+    front: str
+    ready: bool
+    versions: Mapping[str, int]
+    config_index: int
+    wait_seconds: float
+    eager: bool
+    usage: UsageReport
+    load: LoadReport
+    accepts_packed: bool
+    accepts_fragments: bool
+    fragment: list[Any] | None
+
+
+@attrs.frozen
+class SourceUpdate:
+    """A delta of one registry's records; `uptime`, in a snapshot: how long that registry has run."""
+
+    delta: Delta
+    uptime: float | None
+
+
+@attrs.frozen
+class PullResponse:
+    """The answer to `pull`.
+
+    `config_update`: the operator's configuration, already encoded, as it may be a fragment or packed.
+    `config_is_behind`: this response does not bring the proxy up to the newest configuration held here.
+    `lease_age`: seconds since that was proven newest. `uptime`: of this registry and all that it hears.
+    `registries`: IPs in the order in which to go to them. `proxy_count`: proxies with a session.
+    """
+
+    updates: dict[str, SourceUpdate]
+    config_update: Json | None
+    alive: list[str]
+    lease_age: float | None
+    held_seconds: float
+    uptime: float
+    config_is_behind: bool
+    registries: list[str]
+    proxy_count: int
+
+
+@attrs.frozen
+class SwapRequest:
+    """`swap`: another registry asks for this one's records; `caller_ip`: where it may not be known yet."""
+
+    incarnation: str
+    version: int
+    caller_ip: str | None
+
+
+@attrs.frozen
+class SwapOrigin:
+    """Whose snapshot a `swap` response holds, and at which steady time that registry started."""
+
+    node: str
+    incarnation: str
+    zone: str
+    region: str
+    started_at: float
+
+    @property
+    def source(self) -> str:
+        """The name of its records in version vectors."""
+        return f"{self.node}#{self.incarnation}"
+
+
+@attrs.frozen
+class SwapResponse:
+    """The answer to `swap`: nothing new (`delta` is None), a delta, or a snapshot with its `origin`."""
+
+    version: int
+    delta: Delta | None
+    origin: SwapOrigin | None = None
+
+
+@attrs.frozen
+class WatchResponse:
+    """A store's answer to `watch`: what changed of the operator's configuration, and when it was the newest.
+
+    `is_behind`: the store holds a newer one, and proves nothing. `held_seconds`: how long it held the call.
+    """
+
+    delta: Delta
+    term: int
+    leader: str | None
+    lease_age: float | None
+    held_seconds: float
+    is_behind: bool
+
+
+@attrs.frozen
+class CommandResult:
+    """A store's clear answer to an operator's command; `details` are the fields besides the status."""
+
+    status: int
+    details: Json
+
+    @property
+    def reason(self) -> str:
+        """Why it was refused, for people."""
+        return self.details.get("reason") or ""
+
+    @property
+    def index(self) -> int | None:
+        """The index of the configuration as of this command, if told."""
+        return self.details.get("index")
--- a/ashlift/registry/operator_request.py
+++ b/ashlift/registry/operator_request.py
@@ -1,82 +1,92 @@
-"""Which stores are asked for one call, and when. Pure; times are of this machine's steady clock, s.
+"""Which stores are sent one request of an operator, and when. Pure; times are of the steady clock, seconds.
 
-A call may be asked for at several stores: an order that was taken is acknowledged again, and none is begun
-once its caller may have gone (`ashlift.configstore.messages.Fence`).
+A request may be sent to several stores: a command that was taken is acknowledged again, and none is begun
+once its caller may have gone (the fencing token, `ashlift.registry.store_position`).
 """
 
 from collections import deque
-from typing import Any
+from typing import Any, Final
 
 from ashlift.errors import Failure, FailureReason
 
-RETRYABLE_REASONS = frozenset(
+RETRYABLE_REASONS: Final = frozenset(
     (FailureReason.UNREACHABLE, FailureReason.UNAVAILABLE, FailureReason.NOT_FOUND)
-)  # not done, and it may be asked for again
-NOT_EXECUTED_REASONS = RETRYABLE_REASONS | {FailureReason.EXPIRED}  # not done
-HEDGE_DELAY_SECONDS = 0.3  # a store that says nothing for so long is not waited for alone
-RETRY_ROUND_DELAY_SECONDS = 0.2  # between two times that all have been asked
-MIN_ATTEMPT_SECONDS = 0.1  # nobody is asked with less time than this
+)  # not executed, and may be sent again
+NOT_EXECUTED_REASONS: Final = RETRYABLE_REASONS | {FailureReason.EXPIRED}
+HEDGE_DELAY_SECONDS: Final = 0.3  # a store that is silent for so long is not waited for alone
+RETRY_ROUND_DELAY_SECONDS: Final = 0.2  # after all stores have answered that they cannot
+MIN_ATTEMPT_SECONDS: Final = 0.1  # no store is asked with less time left than this
+MIN_WAIT_SECONDS: Final = 0.001
 
 
 class OperatorRequest:
-    """`stores`: in the order in which to ask them; `until`: when there must be an answer."""
+    """One request on its way: attempts in progress, stores to try next, and the outcome so far."""
 
-    def __init__(self, stores: list[str], now: float, until: float) -> None:
-        self.until = until
-        self._answer: Any = Failure(FailureReason.UNREACHABLE, "there is no store")
+    def __init__(self, stores: list[str], now: float, deadline: float) -> None:
+        """`stores`: IPs in the order in which to try them; `deadline`: when there must be an outcome."""
+        self.deadline = deadline
         self.is_finished = not stores
-        self._todo, self._again = deque(stores), list[str]()
-        self._out: set[str] = set()
-        self._next_at = now
+        self._outcome: Any = Failure(FailureReason.UNREACHABLE, "there is no store")
+        self._untried = deque(stores)
+        self._retryable: list[str] = []
+        self._in_progress: set[str] = set()
+        self._next_attempt_at = now
+
+    @property
+    def outcome(self) -> Any:
+        """The clear answer; else a Failure: what is not known to be not executed is of unknown outcome."""
+        outcome = self._outcome
+        is_not_executed = isinstance(outcome, Failure) and outcome.reason in NOT_EXECUTED_REASONS
+        if self._in_progress and is_not_executed:
+            return Failure(FailureReason.OUTCOME_UNKNOWN, "no store has answered")
+        return outcome
 
     def next_store(self, now: float) -> str | None:
-        """Whom to ask now."""
-        if now < self._next_at or self.until - now < MIN_ATTEMPT_SECONDS:
+        """The store to send it to now, if any."""
+        if now < self._next_attempt_at or self.deadline - now < MIN_ATTEMPT_SECONDS:
             return None
-        if not self._todo:
-            self._todo, self._again = deque(self._again), []
-        if self.is_finished or not self._todo:
+        if not self._untried:
+            self._untried = deque(self._retryable)
+            self._retryable = []
+        if self.is_finished or not self._untried:
             return None
-        ip = self._todo.popleft()
-        self._out.add(ip)
-        self._next_at = now + HEDGE_DELAY_SECONDS
+        ip = self._untried.popleft()
+        self._in_progress.add(ip)
+        self._next_attempt_at = now + HEDGE_DELAY_SECONDS
         return ip
 
-    @property
-    def outcome(self) -> Any:
-        """The clear answer; else a Failure: what is not known to be undone is in doubt."""
-        if self._out and isinstance(self._answer, Failure) and self._answer.reason in NOT_EXECUTED_REASONS:
-            return Failure(FailureReason.OUTCOME_UNKNOWN, "no store has answered")
-        return self._answer
-
     def wait_seconds(self, now: float) -> float:
-        """s to wait for an answer before `due` is to be asked again; 0: it is over."""
-        if self.is_finished or now >= self.until:
+        """How long to wait for a response before `next_store` is to be asked again; 0: it is over."""
+        if self.is_finished or now >= self.deadline:
             return 0.0
-        able = bool(self._todo or self._again) and now < self.until - MIN_ATTEMPT_SECONDS
-        return max(0.001, (self._next_at if able else self.until) - now)
+        may_try_another = bool(self._untried or self._retryable) and now < self.deadline - MIN_ATTEMPT_SECONDS
+        wake_at = self._next_attempt_at if may_try_another else self.deadline
+        return max(MIN_WAIT_SECONDS, wake_at - now)
 
-    def record_response(self, ip: str, answer: Any, now: float) -> None:
-        """That store's answer to the call, or its Failure."""
-        self._out.discard(ip)
+    def record_response(self, ip: str, response: Any, now: float) -> None:
+        """What that store has answered, or the Failure of the attempt."""
+        self._in_progress.discard(ip)
         if self.is_finished:
             return
-        undone = isinstance(answer, Failure) and answer.reason in RETRYABLE_REASONS
-        if not undone and not _doubtful(answer):
-            late = isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED
-            if not (late and _doubtful(self._answer)):
-                self._answer = answer  # else another copy is in doubt
-            self.is_finished = True
+        is_retryable = isinstance(response, Failure) and response.reason in RETRYABLE_REASONS
+        if not is_retryable and not _is_outcome_unknown(response):
+            self._finish(response)
             return
-        if not _doubtful(self._answer):  # in doubt goes before not done
-            self._answer = answer
-        if undone:
-            self._again.append(ip)
-        if self._todo:
-            self._next_at = now
-        elif not self._out:
-            self._next_at = now + RETRY_ROUND_DELAY_SECONDS
+        if not _is_outcome_unknown(self._outcome):  # unknown goes before not executed
+            self._outcome = response
+        if is_retryable:
+            self._retryable.append(ip)
+        if self._untried:
+            self._next_attempt_at = now
+        elif not self._in_progress:
+            self._next_attempt_at = now + RETRY_ROUND_DELAY_SECONDS
+
+    def _finish(self, response: Any) -> None:
+        is_expired = isinstance(response, Failure) and response.reason == FailureReason.EXPIRED
+        if not (is_expired and _is_outcome_unknown(self._outcome)):
+            self._outcome = response  # else another attempt may have executed it
+        self.is_finished = True
 
 
-def _doubtful(answer: Any) -> bool:
-    return isinstance(answer, Failure) and answer.reason == FailureReason.OUTCOME_UNKNOWN
+def _is_outcome_unknown(response: Any) -> bool:
+    return isinstance(response, Failure) and response.reason == FailureReason.OUTCOME_UNKNOWN
--- /dev/null
+++ b/ashlift/registry/peer_registries.py
@@ -0,0 +1,164 @@
+"""The other registries: replicas of their records, who is in reach, and how long they have run. Pure."""
+
+from collections.abc import Collection, Iterator
+from typing import Final
+
+import attrs
+
+from ashlift.registry.delta import Delta
+from ashlift.registry.identity import RegistryIdentity
+from ashlift.registry.lease_clock import LeaseClock
+from ashlift.registry.locality import Place
+from ashlift.registry.messages import SwapOrigin, SwapRequest, SwapResponse
+from ashlift.registry.own_records import ChangeCounter
+from ashlift.registry.replicated_source import ReplicatedSource
+
+SILENT_PEER_SECONDS: Final = 5.0  # the records of a peer that is silent for so long are dropped
+ALIVE_SECONDS: Final = (
+    1.0  # a peer heard within this is named as alive: proxies count its silence from then on
+)
+ISOLATION_SECONDS: Final = 1.5  # peers unheard for so long are out of reach
+SETTLING_SECONDS: Final = 1.5  # a registry that has run for less may know few of those there are
+
+
+@attrs.define
+class PeerReplica:
+    """Another registry's records as last heard.
+
+    `started_at`: when it started. `heard_at`: when the last request was sent that it answered (steady time).
+    """
+
+    ip: str
+    place: Place
+    started_at: float
+    heard_at: float
+    source: ReplicatedSource = attrs.field(factory=ReplicatedSource)
+
+
+class PeerRegistries:
+    """Replicas by the name of their source, kept up to date by `swap` calls."""
+
+    def __init__(self, identity: RegistryIdentity, clock: LeaseClock, changes: ChangeCounter) -> None:
+        self._identity = identity
+        self._clock = clock
+        self._changes = changes
+        self.replicas: dict[str, PeerReplica] = {}
+        self._source_by_ip: dict[str, str] = {}  # the newest incarnation at each IP
+        self._called_at: dict[str, float] = {}  # IPs of registries that have called here
+
+    def sources(self) -> Iterator[ReplicatedSource]:
+        """The records of each peer."""
+        return (replica.source for replica in self.replicas.values())
+
+    def ips(self, core_members: Collection[str], now: float) -> set[str]:
+        """Registries to pull from: core members, and who has called or answered of late."""
+        recent_callers = {
+            ip for ip, called_at in self._called_at.items() if now - called_at <= SILENT_PEER_SECONDS
+        }
+        known = {replica.ip for replica in self.replicas.values()}
+        return (set(core_members) | recent_callers | known) - {self._identity.ip}
+
+    def heard_within(self, seconds: float, now: float) -> list[str]:
+        """Sources of the peers that have answered within that time, not counting standstills."""
+        return [
+            name
+            for name, replica in self.replicas.items()
+            if not self._clock.has_expired(replica.heard_at, seconds, now)
+        ]
+
+    def note_call(self, ip: str, now: float) -> None:
+        """A registry at this IP has called."""
+        self._called_at[ip] = now
+
+    def swap_request(self, ip: str, introduce: bool) -> SwapRequest:
+        """What to ask the registry at `ip` for; `introduce`: it may not know of this one."""
+        name = self._source_by_ip.get(ip)
+        replica = self.replicas.get(name) if name else None
+        if name is None or replica is None:
+            return SwapRequest("", 0, self._identity.ip)
+        incarnation = name.rpartition("#")[2]
+        return SwapRequest(incarnation, replica.source.version, self._identity.ip if introduce else None)
+
+    def receive_swap_response(self, ip: str, response: SwapResponse, sent_at: float) -> Collection[str]:
+        """Bring a replica up to date by the answer to a request sent at `sent_at`; the keys that it tells, if
+        it holds a significant change."""
+        name = self._source_by_ip.get(ip, "")
+        replica = self.replicas.get(name)
+        delta, origin = response.delta, response.origin
+        if delta is None:
+            if replica is not None:
+                replica.heard_at = max(replica.heard_at, sent_at)
+            return ()
+        if origin is not None:
+            name = origin.source
+            replica = self.replicas.get(name) or _new_replica(ip, origin, sent_at)
+        if replica is None or response.version < replica.source.version:
+            return ()
+        self._source_by_ip[ip] = name
+        self.replicas[name] = replica
+        replica.heard_at = max(replica.heard_at, sent_at)
+        if not _apply(delta, replica.source):
+            return ()
+        self._changes.increment()
+        return delta.values.keys()
+
+    def latest_start(self, now: float) -> float:
+        """When the youngest of this registry and its living peers started, or this one's standstill ended."""
+        started = [self.replicas[name].started_at for name in self.heard_within(ALIVE_SECONDS, now)]
+        return max(self._clock.started_at, self._clock.awake_since, *started)
+
+    def started_at(self, source: str) -> float:
+        """When the registry started whose records these are; this one, if it is no peer's source."""
+        replica = self.replicas.get(source)
+        return self._clock.started_at if replica is None else replica.started_at
+
+    def is_isolated(self, core_members: Collection[str], now: float) -> bool:
+        """Whether this registry, counting itself, has long heard no more than half of the core members: the
+        others go on without it, and who can reach them had better go there."""
+        own_ip = self._identity.ip
+        members = set(core_members) | {own_ip}
+        in_reach = {self.replicas[name].ip for name in self.heard_within(ISOLATION_SECONDS, now)} | {own_ip}
+        is_awake = now - self._clock.awake_since > ISOLATION_SECONDS
+        return is_awake and 2 * len(members & in_reach) <= len(members)
+
+    def is_settled(self, core_members: Collection[str], now: float) -> bool:
+        """Whether what is known here is what there is: this registry has run for a while, or has heard all
+        others, and one of those has."""
+        if now - self._clock.started_at >= SETTLING_SECONDS:
+            return True
+        heard = [replica for replica in self.replicas.values() if replica.heard_at >= self._clock.started_at]
+        any_has_settled = any(now - replica.started_at >= SETTLING_SECONDS for replica in heard)
+        return any_has_settled and self.ips(core_members, now) <= {replica.ip for replica in heard}
+
+    def expire(self, now: float) -> list[str]:
+        """Drop the records of silent peers; their sources."""
+        silent = [
+            name
+            for name, replica in self.replicas.items()
+            if self._clock.has_expired(replica.heard_at, SILENT_PEER_SECONDS, now)
+        ]
+        for name in silent:
+            replica = self.replicas.pop(name)
+            if self._source_by_ip.get(replica.ip) == name:
+                del self._source_by_ip[replica.ip]
+            self._changes.increment()
+        self._called_at = {
+            ip: called_at
+            for ip, called_at in self._called_at.items()
+            if now - called_at <= SILENT_PEER_SECONDS
+        }
+        return silent
+
+
+def _new_replica(ip: str, origin: SwapOrigin, sent_at: float) -> PeerReplica:
+    return PeerReplica(ip, Place(origin.zone, origin.region), origin.started_at, sent_at)
+
+
+def _apply(delta: Delta, source: ReplicatedSource) -> bool:
+    """Whether there was a significant change; a snapshot counts as one."""
+    if delta.full:
+        source.replace(delta.version, delta.values)
+        return True
+    significant_before = source.last_significant_version
+    source.merge(delta.version, delta.values, delta.removed)
+    return source.last_significant_version != significant_before
--- /dev/null
+++ b/ashlift/registry/proxy_sessions.py
@@ -0,0 +1,132 @@
+"""Sessions of the proxies that pull from this registry, and what all registries know of proxies. Pure.
+
+A session is a lease of two seconds, renewed by each pull. With its pulls a proxy reports usage and load.
+"""
+
+from collections.abc import Iterable
+from typing import Any, Final
+
+import attrs
+
+from ashlift.registry.codec import PREFIX_LENGTH, SESSION_KIND, SESSION_PREFIX
+from ashlift.registry.lease_clock import LeaseClock
+from ashlift.registry.load_reports import LoadReports
+from ashlift.registry.messages import PullRequest
+from ashlift.registry.own_records import ChangeCounter, OwnRecords
+from ashlift.registry.peer_registries import PeerRegistries
+from ashlift.registry.records import SessionRecord
+from ashlift.registry.usage_counters import UsageCounters
+
+SESSION_LEASE_SECONDS: Final = 2.0  # from the last pull
+USAGE_MEMORY_SECONDS: Final = 30.0  # how long the numbers of usage reports are remembered after the last pull
+
+
+@attrs.define
+class ProxySession:
+    """A proxy's pulls: the last, those in progress, and the last usage report of each of its incarnations."""
+
+    last_pull_at: float
+    pulls_in_progress: int = 0
+    config_index: int = 0  # of the operator's configuration that the proxy holds
+    last_usage_report: dict[str, int] = attrs.field(factory=dict)
+
+
+class ProxySessions:
+    """Renewal, expiry and hand-over of the sessions of this registry."""
+
+    def __init__(
+        self,
+        own: OwnRecords,
+        peers: PeerRegistries,
+        clock: LeaseClock,
+        changes: ChangeCounter,
+        load_reports: LoadReports,
+    ) -> None:
+        self._own = own
+        self._peers = peers
+        self._clock = clock
+        self._changes = changes
+        self._load_reports = load_reports
+        self._usage = UsageCounters(own.source)
+        self._sessions: dict[str, ProxySession] = {}
+        self._recorded_count = 0
+        self._recorded_count_at = -1  # change count at which it was counted
+
+    def __len__(self) -> int:
+        """How many proxies have pulled of late."""
+        return len(self._sessions)
+
+    def begin_pull(self, request: PullRequest, now: float) -> None:
+        """Renew the session, and take the reports that come with the pull."""
+        session = self._sessions.setdefault(request.node, ProxySession(now))
+        session.last_pull_at = now
+        session.pulls_in_progress += 1
+        session.config_index = request.config_index
+        record = SessionRecord(request.front, request.zone, request.region, request.ready, now)
+        if self._own.get(SESSION_PREFIX + request.node) != record:
+            self._own.put(SESSION_PREFIX + request.node, record)
+        self._load_reports.update(request.node, request.load)
+        if request.usage.number > session.last_usage_report.get(request.incarnation, -1):
+            session.last_usage_report[request.incarnation] = request.usage.number
+            self._usage.add(request.usage)
+
+    def end_pull(self, node: str) -> None:
+        """A pull has been answered, or its connection is lost."""
+        self._sessions[node].pulls_in_progress -= 1
+
+    def live(self, now: float) -> dict[str, SessionRecord]:
+        """Proxies whose leases stand at a registry in reach, each by its newest record."""
+        newest: dict[str, SessionRecord] = {}
+        for replica in self._peers.replicas.values():
+            if not self._clock.has_expired(replica.heard_at, SESSION_LEASE_SECONDS, now):
+                for key, record in replica.source.values.items():
+                    if key[0] == SESSION_KIND and (
+                        key not in newest or record.renewed_at > newest[key].renewed_at
+                    ):
+                        newest[key] = record
+        for key, record in self._own.source.values.items():
+            if key[0] == SESSION_KIND:
+                last_pull_at = self._sessions[key[PREFIX_LENGTH:]].last_pull_at
+                if not self._clock.has_expired(last_pull_at, SESSION_LEASE_SECONDS, now):
+                    newest[key] = record
+        return {key[PREFIX_LENGTH:]: record for key, record in newest.items()}
+
+    def recorded_count(self) -> int:
+        """Proxies with a record at any registry, counted anew only after a change."""
+        if self._recorded_count_at != self._changes.count:
+            sources = [self._own.source, *self._peers.sources()]
+            keys = {key for source in sources for key in source.values if key[0] == SESSION_KIND}
+            self._recorded_count_at = self._changes.count
+            self._recorded_count = len(keys)
+        return self._recorded_count
+
+    def release_moved(self, keys: Iterable[str]) -> None:
+        """Another registry has just told these records: a proxy among them with no pull in progress here has
+        moved there."""
+        for key in keys:
+            if key[0] != SESSION_KIND:
+                continue
+            node = key[PREFIX_LENGTH:]
+            session = self._sessions.get(node)
+            if session is not None and not session.pulls_in_progress:
+                self._release(node)
+
+    def progress(self, node: str, now: float) -> dict[str, Any]:
+        """For people: which configuration a proxy holds that pulls here, and how long ago it last did."""
+        session = self._sessions.get(node)
+        if session is None or self._clock.has_expired(session.last_pull_at, SESSION_LEASE_SECONDS, now):
+            return {}
+        return {"index": session.config_index, "heard": round(now - session.last_pull_at, 3)}
+
+    def expire(self, now: float) -> None:
+        """Drop the records of proxies whose leases have expired, and later what was kept of their reports."""
+        for node, session in list(self._sessions.items()):
+            if self._clock.has_expired(session.last_pull_at, SESSION_LEASE_SECONDS, now):
+                self._release(node)
+                is_forgotten = now - session.last_pull_at > USAGE_MEMORY_SECONDS
+                if is_forgotten and not session.pulls_in_progress:
+                    del self._sessions[node]
+
+    def _release(self, node: str) -> None:
+        self._own.drop(SESSION_PREFIX + node)
+        self._load_reports.remove(node)
--- a/ashlift/registry/records.py
+++ b/ashlift/registry/records.py
@@ -1,148 +1,64 @@
-"""What the registry keeps of workers and gatekeepers, and how it reads it. Pure."""
+"""What the registry records about workers and proxies. Pure; times are of the steady clock, in seconds.
 
-import json
-from typing import Any, Final
+How a record is encoded for other processes is decided by `ashlift.registry.codec` alone.
+"""
+
+from enum import StrEnum
+from typing import Final
 
 import attrs
 
-from ashlift.config.durations import parse_duration
-from ashlift.errors import Failure, FailureReason
+TOMBSTONE_SEQ: Final = (
+    1 << 40
+)  # above every call sequence number: nothing later revives a deregistered worker
+WARM_AT_TOLERANCE_SECONDS: Final = 0.3  # heartbeats arrive late by up to this: a smaller shift is no change
+
 
-READY: Final = "ready"
-DRAINING: Final = "draining"
-TOMBSTONE: Final = "gone"  # said by DELETE: final
-TOMBSTONE_SEQ: Final = 1 << 40  # above every CallSeq, so that nothing later speaks for a worker that has left
-LAPSED_S: Final = 60.0  # s that a worker whose lease has ended is remembered
-ALIKE_S: Final = 0.3  # s: beats are told late by so much; an end of warming that moves by less is the same
+class WorkerState(StrEnum):
+    """What a worker reports; `TOMBSTONE` marks one that has deregistered, which is final."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    TOMBSTONE = "gone"
 
 
 @attrs.frozen
 class WorkerRecord:
-    """A worker as last heard; `until`: steady time when it is warm; `seq`: CallSeq of the call saying so."""
+    """A worker as its newest heartbeat describes it.
+
+    `call_seq` is that heartbeat's sequence number, `warm_at` the steady time at which its slow start ends.
+    """
 
     service: str
     address: str
     zone: str
     capacity: int
-    state: str
-    seq: int
-    until: float
-    version: str
-
-    def wire(self, now: float) -> dict[str, Any]:
-        """The record as told to others, `warm` in s from now on."""
-        return {
-            "service": self.service,
-            "address": self.address,
-            "zone": self.zone,
-            "capacity": self.capacity,
-            "state": self.state,
-            "seq": self.seq,
-            "warm": round(max(0.0, self.until - now), 2),
-            "version": self.version,
-        }
-
-    def says(self, other: "WorkerRecord", now: float) -> bool:
-        """Whether both say the same of a worker."""
-        return (
-            attrs.evolve(self, seq=0, until=0.0) == attrs.evolve(other, seq=0, until=0.0)
-            and abs(max(self.until, now) - max(other.until, now)) <= ALIKE_S
-        )
-
-
-@attrs.define
-class LastHeartbeat:
-    """What a worker last said here."""
-
-    at: float
-    seq: int
-
-
-class ExpiredWorkers:
-    """Workers whose lease has ended, each as it last said: a call that comes late is told from news."""
-
-    def __init__(self) -> None:
-        self._last: dict[str, tuple[float, WorkerRecord]] = {}
-
-    def add(self, key: str, said: WorkerRecord | None, seq: int, now: float) -> None:
-        if said is not None:
-            self._last[key] = now, attrs.evolve(said, seq=seq)
+    state: WorkerState
+    call_seq: int
+    warm_at: float
+    config_version: str
 
-    def late(self, key: str, said: WorkerRecord) -> bool:
-        """Whether this was said before the last word of that life; one that starts anew stands elsewhere."""
-        _, last = self._last.get(key, (0.0, said))
-        return said.seq < last.seq and said.address == last.address
+    def is_equivalent(self, other: "WorkerRecord", now: float) -> bool:
+        """Whether both describe the same worker alike, apart from the sequence number and small delays."""
+        own_fields = attrs.evolve(self, call_seq=0, warm_at=0.0)
+        other_fields = attrs.evolve(other, call_seq=0, warm_at=0.0)
+        warm_at_shift = abs(max(self.warm_at, now) - max(other.warm_at, now))
+        return own_fields == other_fields and warm_at_shift <= WARM_AT_TOLERANCE_SECONDS
 
-    def tick(self, now: float) -> None:
-        self._last = {key: one for key, one in self._last.items() if now - one[0] <= LAPSED_S}
+    def as_tombstone(self) -> "WorkerRecord":
+        """The record that replaces this one when the worker deregisters."""
+        return attrs.evolve(self, state=WorkerState.TOMBSTONE, call_seq=TOMBSTONE_SEQ, warm_at=0.0)
 
 
-def worker(record: dict[str, Any], now: float) -> WorkerRecord:
-    """From another registry's record, heard now."""
-    fields = dict(record)
-    return WorkerRecord(until=now + fields.pop("warm"), **fields)
+UNKNOWN_WORKER: Final = WorkerRecord("", "0.0.0.0:1", "", 0, WorkerState.TOMBSTONE, 0, 0.0, "")
 
 
 @attrs.frozen
 class SessionRecord:
-    """A gatekeeper as it says itself; `since`: steady time when this registry heard so."""
+    """A proxy as it describes itself; `renewed_at`: steady time at which this registry received this."""
 
     front: str
     zone: str
     region: str
     ready: bool
-    since: float = attrs.field(default=0.0, eq=False)
-
-    def wire(self) -> dict[str, Any]:
-        return {"front": self.front, "zone": self.zone, "region": self.region, "ready": self.ready}
-
-
-def _refuse_constant(word: str) -> Any:
-    raise ValueError(f"{word} is no JSON")
-
-
-def read_json(body: bytes) -> Any:
-    """The JSON value, or a Failure(FailureReason.INVALID)."""
-    try:
-        return json.loads(body, parse_constant=_refuse_constant)
-    except (ValueError, RecursionError) as error:
-        return Failure(FailureReason.INVALID, f"the body is no JSON: {error}")
-
-
-def parse_heartbeat(body: bytes, now: float) -> WorkerRecord | Failure:
-    """The worker that a beat's JSON body describes, or a Failure(FailureReason.INVALID)."""
-    value = read_json(body)
-    if isinstance(value, Failure):
-        return value
-    try:
-        node, status = value["NodeInfo"], value["Status"]
-        warm = parse_duration(status.get("WarmupLeft", "0ms"))
-        if isinstance(warm, Failure):
-            return warm
-        found = WorkerRecord(
-            service=node["Service"],
-            address=value["Address"],
-            zone=node["Zone"],
-            capacity=node.get("Capacity", 1),
-            state=status["State"],
-            seq=status["CallSeq"],
-            until=now + warm,
-            version=node.get("ConfigVersion", ""),
-        )
-        host, _, port = found.address.rpartition(":")
-        texts = (found.service, host, found.zone)
-        if not all(texts) or not all(isinstance(text, str) for text in (*texts, found.version)):
-            raise ValueError("Service, Address and Zone are texts")
-        if not 0 < int(port) < 65536:
-            raise ValueError(f"no port: {found.address}")
-        if any(type(figure) is not int or figure < 0 for figure in (found.capacity, found.seq)):
-            raise ValueError("Capacity and CallSeq are whole numbers")
-        if found.seq >= TOMBSTONE_SEQ:
-            raise ValueError("CallSeq is too high")
-        if found.state not in (READY, DRAINING):
-            raise ValueError(f"no State: {found.state}")
-    except KeyError as error:
-        return Failure(FailureReason.INVALID, f"{error.args[0]} is missing")
-    except (ValueError, TypeError, AttributeError) as error:
-        return Failure(FailureReason.INVALID, str(error))
-    return found
+    renewed_at: float = attrs.field(default=0.0, eq=False)
--- a/ashlift/registry/replicated_source.py
+++ b/ashlift/registry/replicated_source.py
@@ -1,104 +1,97 @@
-"""Records of one origin with a version that rises with every change, told to others as differences.
+"""The records of one origin under a version that rises with every change, replicated by deltas. Pure.
 
-A key starting with `c/`, `o/` or `f/` is a sum: its changes count as versions but are no news that anybody is
-woken for.
+Records of usage and load change all the time: their changes count as versions, but are not significant, and
+nobody who waits for changes is woken by them.
 """
 
 from collections.abc import Iterable, Mapping
-from typing import Any
+from typing import Any, Final
 
-import attrs
+from ashlift.registry.codec import INSIGNIFICANT_PREFIXES
+from ashlift.registry.delta import Delta, SnapshotHorizon
 
-SUM, OUT, FAULT = "c/", "o/", "f/"
-MAX_TOMBSTONES = 1000  # keys gone that are remembered, so that differences can name them
-GAPS_MOST = 64  # runs of versions passed over that are remembered
-
-
-@attrs.frozen
-class Delta:
-    """What changed: the version reached, whether `set` is everything there is, values set, keys gone."""
-
-    version: int
-    full: bool
-    set: dict[str, Any]
-    gone: list[str]
+MAX_TOMBSTONES: Final = 1000  # removed keys that are remembered, so that deltas can name them
 
 
 class ReplicatedSource:
-    """The records of one origin, ours or a copy of another's."""
+    """The records of one origin: this registry's own, or a replica of another origin's."""
 
     def __init__(self) -> None:
         self.version = 0
-        self.last_significant_version = 0  # version of the last change that is no sum
+        self.last_significant_version = 0
         self.values: dict[str, Any] = {}
-        self._at: dict[str, int] = {}  # key -> version of its last change, oldest first; gone keys too
-        self._gone: dict[str, int] = {}  # key -> version, oldest first
-        self._floor = 0  # older askers get everything
-        self._gaps: list[tuple[int, int]] = []  # askers between get everything: what came and went is unseen
+        self._changed_at: dict[
+            str, int
+        ] = {}  # key -> version of its last change, oldest first; removed keys too
+        self._removed_at: dict[str, int] = {}  # removed key -> version, oldest first
+        self._horizon = SnapshotHorizon()
 
     def put(self, key: str, value: Any) -> None:
-        """A change of one's own: version + 1."""
+        """Set one record under the next version."""
         self.merge(self.version + 1, {key: value}, ())
 
     def drop(self, key: str) -> None:
+        """Remove one record under the next version; nothing where there is none."""
         if key in self.values:
             self.merge(self.version + 1, {}, (key,))
 
-    def merge(self, version: int, values: Mapping[str, Any], gone: Iterable[str]) -> None:
-        """Go on to `version` by a difference from the version held, or from an older one."""
+    def merge(self, version: int, values: Mapping[str, Any], removed: Iterable[str]) -> None:
+        """Advance to `version` by a delta from the version held, or from an older one."""
         self.version = version
         for key, value in values.items():
-            self._gone.pop(key, None)
+            self._removed_at.pop(key, None)
             self.values[key] = value
-            self._mark(key, version)
-        for key in gone:
+            self._mark_changed(key, version)
+        for key in removed:
             self.values.pop(key, None)
-            self._gone.pop(key, None)
-            self._gone[key] = version
-            self._mark(key, version)
-        while len(self._gone) > MAX_TOMBSTONES:
-            key = next(iter(self._gone))
-            self._floor = max(self._floor, self._gone.pop(key))
-            del self._at[key]
-
-    def note_skipped_versions(self, version: int) -> None:
-        """The next change goes to `version` from ours, told by one who may not have seen those between: a key
-        that changed and changed back there is named by nobody."""
-        if not self.version:
-            self._floor = version
-        elif version > self.version + 1:
-            self._gaps.append((self.version, version))
-            if len(self._gaps) > GAPS_MOST:
-                self._floor = max(self._floor, self._gaps.pop(0)[1])
+            self._removed_at.pop(key, None)
+            self._removed_at[key] = version
+            self._mark_changed(key, version)
+        self._forget_oldest_tombstones()
 
     def replace(self, version: int, values: Mapping[str, Any]) -> None:
-        """Go on to `version`, whose whole content is given."""
+        """Advance to `version` by a snapshot: its complete content is `values`."""
         self.note_skipped_versions(version)
         changed = {key: value for key, value in values.items() if self.values.get(key) != value}
         self.merge(version, changed, [key for key in self.values if key not in values])
 
-    def delta_since(self, have: int | None) -> Delta | None:
-        """What somebody lacks who is at version `have`; None: nothing."""
-        if have is None or have < self._floor or any(low < have < high for low, high in self._gaps):
+    def note_skipped_versions(self, version: int) -> None:
+        """The next change leads from the version held to `version`, and comes from a replica that may have
+        skipped versions between: a key that changed there and changed back is named by no delta."""
+        if not self.version:
+            self._horizon.raise_floor(version)
+        elif version > self.version + 1:
+            self._horizon.add_gap(self.version, version)
+
+    def delta_since(self, held_version: int | None) -> Delta | None:
+        """What a holder of that version lacks (None: it holds nothing), or None if it is up to date."""
+        if held_version is None or self._horizon.needs_snapshot(held_version):
             return Delta(self.version, True, dict(self.values), [])
-        if have >= self.version:
+        if held_version >= self.version:
             return None
-        values, gone = {}, []
-        for key in reversed(self._at):
-            if self._at[key] <= have:
+        values = {}
+        removed = []
+        for key in reversed(self._changed_at):
+            if self._changed_at[key] <= held_version:
                 break
             if key in self.values:
                 values[key] = self.values[key]
             else:
-                gone.append(key)
-        return Delta(self.version, False, values, gone)
+                removed.append(key)
+        return Delta(self.version, False, values, removed)
 
-    def has_significant_change_since(self, have: int | None) -> bool:
-        """Whether somebody at version `have` lacks something other than sums."""
-        return have is None or have < self.last_significant_version
+    def has_significant_change_since(self, held_version: int | None) -> bool:
+        """Whether a holder of that version lacks something other than usage and load."""
+        return held_version is None or held_version < self.last_significant_version
 
-    def _mark(self, key: str, version: int) -> None:
-        self._at.pop(key, None)
-        self._at[key] = version
-        if not key.startswith((SUM, OUT, FAULT)):
+    def _mark_changed(self, key: str, version: int) -> None:
+        self._changed_at.pop(key, None)  # to the end of the order
+        self._changed_at[key] = version
+        if not key.startswith(INSIGNIFICANT_PREFIXES):
             self.last_significant_version = version
+
+    def _forget_oldest_tombstones(self) -> None:
+        while len(self._removed_at) > MAX_TOMBSTONES:
+            key = next(iter(self._removed_at))
+            self._horizon.raise_floor(self._removed_at.pop(key))
+            del self._changed_at[key]
--- /dev/null
+++ b/ashlift/registry/replication_loops.py
@@ -0,0 +1,154 @@
+"""Greenlets that pull from the other registries and from the store, and expire leases.
+
+The wanted state is a set of peers: a swap loop runs for each of them, started and ended once a tick.
+"""
+
+import time
+from collections.abc import Callable
+
+import gevent
+from gevent.event import Event
+
+from ashlift.errors import Failure, FailureReason
+from ashlift.events import CRITICAL, INVARIANT_VIOLATED, log_event
+from ashlift.registry import codec, events
+from ashlift.registry.change_notifier import ChangeNotifier
+from ashlift.registry.messages import Json
+from ashlift.registry.pacing import (
+    BATCHING_DELAY_SECONDS,
+    INITIAL_BACKOFF_SECONDS,
+    LONG_POLL_SECONDS,
+    UNTHROTTLED_PEERS,
+    call_interval,
+    next_backoff,
+)
+from ashlift.registry.registry import Registry
+from ashlift.registry.store_client import StoreClient
+from ashlift.rpc.client import ClientPool
+
+RESPONSE_TIMEOUT_SECONDS = 0.6  # for a response beyond the time for which the call may be held
+OWN_STORE_WATCH_SECONDS = 0.1  # the own store is asked so often: the age of the freshness lease grows by this
+TICK_INTERVAL_SECONDS = 0.25
+
+
+class ReplicationLoops:
+    """`failed` is set once a loop has ended by an error: what it keeps up would go stale unseen."""
+
+    def __init__(
+        self, registry: Registry, store: StoreClient, notifier: ChangeNotifier, clients: ClientPool, port: int
+    ) -> None:
+        """`port`: of the RPC calls, the same on all core machines."""
+        self._registry = registry
+        self._store = store
+        self._notifier = notifier
+        self._clients = clients
+        self._port = port
+        self._swap_loops: dict[str, gevent.Greenlet[..., None]] = {}  # by the peer's IP
+        self._other_loops: list[gevent.Greenlet[..., None]] = []
+        self.failed = Event()
+
+    def start(self) -> None:
+        """Start all loops."""
+        self._other_loops = [self._spawn(self._watch_loop), self._spawn(self._tick_loop)]
+
+    def stop(self) -> None:
+        """End all loops, in the middle of what they do."""
+        gevent.killall([*self._swap_loops.values(), *self._other_loops], block=False)
+
+    def _spawn(self, run: Callable[..., None], *args: str) -> "gevent.Greenlet[..., None]":
+        greenlet = gevent.spawn(run, *args)
+        greenlet.link_exception(self._fail)
+        return greenlet
+
+    def _fail(self, greenlet: "gevent.Greenlet[..., None]") -> None:
+        log_event(INVARIANT_VIOLATED, level=CRITICAL, error=repr(greenlet.exception))
+        self.failed.set()
+
+    def _tick_loop(self) -> None:
+        while True:
+            result = self._registry.tick(time.monotonic())
+            if result.stood_still:
+                log_event(events.STOOD_STILL)
+            for source in result.dropped_peers:
+                log_event(events.PEER_LOST, source=source)
+            self._notifier.notify_if_changed()
+            self._adjust_swap_loops()
+            gevent.sleep(TICK_INTERVAL_SECONDS)
+
+    def _adjust_swap_loops(self) -> None:
+        wanted = self._registry.peer_ips(time.monotonic())
+        for ip in wanted - set(self._swap_loops):
+            self._swap_loops[ip] = self._spawn(self._swap_loop, ip)
+        for ip in set(self._swap_loops) - wanted:
+            self._swap_loops.pop(ip).kill(block=False)
+            self._clients.client((ip, self._port)).close()
+
+    def _swap_loop(self, ip: str) -> None:
+        introduce = True
+        backoff = INITIAL_BACKOFF_SECONDS
+        announced: set[str] = set()
+        while True:
+            sent_at = time.monotonic()
+            failure = self._swap(ip, introduce, sent_at)
+            introduce = failure is not None
+            if failure is not None:
+                if failure.reason == FailureReason.OUTCOME_UNKNOWN:
+                    self._clients.client(
+                        (ip, self._port)
+                    ).close()  # a silent connection is not waited for again
+                gevent.sleep(backoff)
+                backoff = next_backoff(backoff)
+                continue
+            received_at = time.monotonic()
+            backoff = INITIAL_BACKOFF_SECONDS
+            self._notifier.notify_if_changed()
+            self._announce_peer(ip, announced)
+            interval = call_interval(len(self._swap_loops), UNTHROTTLED_PEERS)
+            gevent.sleep(max(BATCHING_DELAY_SECONDS, sent_at + interval - received_at))
+
+    def _swap(self, ip: str, introduce: bool, sent_at: float) -> Failure | None:
+        """Ask a peer once for its records."""
+        body = codec.encode_swap_request(self._registry.peers.swap_request(ip, introduce))
+        client = self._clients.client((ip, self._port))
+        answer = client.call("swap", body, LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS)
+        if isinstance(answer, Failure):
+            return answer
+        response = codec.decode_swap_response(answer, time.monotonic())
+        if isinstance(response, Failure):
+            return response
+        self._registry.receive_swap_response(ip, response, sent_at)
+        return None
+
+    def _announce_peer(self, ip: str, announced: set[str]) -> None:
+        """Log each incarnation of the peer at `ip` once."""
+        replicas = self._registry.peers.replicas
+        for source in set(replicas) - announced:
+            if replicas[source].ip == ip:
+                log_event(events.PEER_FOUND, source=source, ip=ip)
+                announced.add(source)
+
+    def _watch_loop(self) -> None:
+        """Watches the own store; another one after each answer of it that proves nothing."""
+        ask_own = True
+        own_is_unreachable = False
+        while True:
+            sent_at = time.monotonic()
+            answer = self._watch(ask_own)
+            received_at = time.monotonic()
+            in_touch = False
+            if isinstance(answer, Failure):
+                if ask_own and not own_is_unreachable:
+                    log_event(events.STORE_UNREACHABLE, error=answer)
+                own_is_unreachable = own_is_unreachable or ask_own
+            else:
+                in_touch = self._registry.operator_config.receive_watch_response(answer, sent_at)
+                own_is_unreachable = own_is_unreachable and not ask_own
+                self._notifier.notify_if_changed()
+            ask_own = in_touch or not ask_own
+            if not in_touch:
+                gevent.sleep(max(0.0, sent_at + INITIAL_BACKOFF_SECONDS - received_at))
+
+    def _watch(self, ask_own: bool) -> Json | Failure:
+        config = self._registry.operator_config
+        wait_seconds = OWN_STORE_WATCH_SECONDS if ask_own else LONG_POLL_SECONDS
+        return self._store.watch(config.version, wait_seconds, ask_own, config.wanted_fragment())
--- /dev/null
+++ b/ashlift/registry/rpc_service.py
@@ -0,0 +1,78 @@
+"""The RPC methods of a registry: `pull` for proxies, `swap` for other registries. Both are long polls."""
+
+import time
+from typing import Any
+
+import gevent
+
+from ashlift.errors import Failure
+from ashlift.registry import codec
+from ashlift.registry.change_notifier import ChangeNotifier
+from ashlift.registry.messages import PullRequest
+from ashlift.registry.pacing import (
+    BATCHING_DELAY_SECONDS,
+    LONG_POLL_SECONDS,
+    MIN_LONG_POLL_SECONDS,
+    UNTHROTTLED_SESSIONS,
+    call_interval,
+    pull_deadline,
+)
+from ashlift.registry.registry import Registry
+
+
+class RegistryRpcService:
+    """`handlers`: by method, as `ashlift.rpc.server.serve` takes them."""
+
+    def __init__(self, registry: Registry, notifier: ChangeNotifier) -> None:
+        self._registry = registry
+        self._notifier = notifier
+        self.handlers = {"pull": self._pull, "swap": self._swap}
+
+    def _pull(self, body: Any) -> Any:
+        received_at = time.monotonic()
+        request = codec.decode_pull_request(body)
+        if isinstance(request, Failure):
+            return request
+        self._registry.sessions.begin_pull(request, received_at)
+        self._notifier.notify_if_changed()
+        try:
+            with self._notifier.call_in_progress():
+                self._wait_for_updates(request, received_at)
+                now = time.monotonic()
+                response = self._registry.pull_response(request, received_at, now)
+                return codec.encode_pull_response(response, now)
+        finally:
+            self._registry.sessions.end_pull(request.node)
+
+    def _wait_for_updates(self, request: PullRequest, received_at: float) -> None:
+        """Until there is something for this proxy; then for a moment, so that changes are told together."""
+        interval = self._pull_interval()  # at a start, all proxies are in a hurry
+        min_wait = max(MIN_LONG_POLL_SECONDS, interval)
+        deadline = pull_deadline(received_at, request.wait_seconds, min_wait)
+        while not self._is_answered_at_once(request):
+            if not self._notifier.wait_for_change(deadline):
+                break
+        has_updates = bool(request.versions) and self._registry.has_updates_for(request.versions)
+        if has_updates and not self._notifier.is_shutting_down and not request.fragment:
+            earliest = received_at + self._pull_interval()
+            gevent.sleep(max(BATCHING_DELAY_SECONDS, earliest - time.monotonic()))
+
+    def _is_answered_at_once(self, request: PullRequest) -> bool:
+        if self._registry.has_updates_for(request.versions):
+            return True
+        return request.eager and self._registry.operator_config.has_fresh_lease(time.monotonic())
+
+    def _pull_interval(self) -> float:
+        return call_interval(len(self._registry.sessions), UNTHROTTLED_SESSIONS)
+
+    def _swap(self, body: Any) -> Any:
+        received_at = time.monotonic()
+        request = codec.decode_swap_request(body)
+        if isinstance(request, Failure):
+            return request
+        self._registry.receive_swap_request(request, received_at)
+        with self._notifier.call_in_progress():
+            while not self._registry.has_updates_for_peer(request):
+                if not self._notifier.wait_for_change(received_at + LONG_POLL_SECONDS):
+                    break
+            return codec.encode_swap_response(self._registry.swap_response(request), time.monotonic())
--- a/ashlift/registry/status_report.py
+++ b/ashlift/registry/status_report.py
@@ -1,29 +1,34 @@
-"""What one registry knows, for people: `GET /status`. Pure."""
+"""What one registry knows, for people: the answer to `GET /status`. Pure."""
 
 from typing import Any
 
+from ashlift.registry.codec import encode_session, encode_worker
 from ashlift.registry.registry import Registry
 
 
-def overview(registry: Registry, now: float) -> dict[str, Any]:
-    """Of gatekeepers that call here, also the `index` of the operator's word that they hold."""
-    age, word = registry.lease_age(now), registry.operator_config
+def status_report(registry: Registry, now: float) -> dict[str, Any]:
+    """Of proxies that pull here, also the `index` of the operator's configuration that they hold."""
+    config = registry.operator_config
+    age = config.lease_age(now)
     return {
         "node": registry.identity.node,
         "source": registry.identity.source,
-        "leader": registry.leader,
-        "term": registry.term,
-        "index": word.version,
-        "version": word.values.get("Version"),
+        "leader": config.leader,
+        "term": config.term,
+        "index": config.version,
+        "version": config.values.get("Version"),
         "age": None if age is None else round(age, 3),
         "members": sorted(registry.core_members()),
         "sources": {
-            name: {"version": copy.source.version, "silent": round(now - copy.heard, 3)}
-            for name, copy in sorted(registry.peers.items())
+            name: {"version": peer.source.version, "silent": round(now - peer.heard_at, 3)}
+            for name, peer in sorted(registry.peers.replicas.items())
         },
         "gatekeepers": [
-            {"node": key, **one.wire(), **registry.session_progress(key, now)}
-            for key, one in sorted(registry.live_sessions(now).items())
+            {"node": node, **encode_session(session), **registry.sessions.progress(node, now)}
+            for node, session in sorted(registry.sessions.live(now).items())
+        ],
+        "workers": [
+            {"id": worker_id, **encode_worker(worker, now)}
+            for worker_id, worker in sorted(registry.instances.all_known().items())
         ],
-        "workers": [{"id": key, **one.wire(now)} for key, one in sorted(registry.workers().items())],
     }
--- a/ashlift/registry/store_client.py
+++ b/ashlift/registry/store_client.py
@@ -1,128 +1,151 @@
-"""The way to the store: the own machine's, or another member's where that one is not there."""
+"""Calls to the configuration store: of the own machine, or of another core member where that is not there."""
 
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Final
 
 import gevent
 from gevent.queue import Empty, Queue
 
 from ashlift.errors import Failure, FailureReason
+from ashlift.registry import codec
+from ashlift.registry.messages import CommandResult, Json
 from ashlift.registry.operator_request import OperatorRequest
+from ashlift.registry.store_position import POSITION_REQUEST, StorePosition, stores_to_try
 from ashlift.rpc.client import ClientPool
 
-COMMAND_TIMEOUT_SECONDS = 0.9  # callers move on after a second
-EXTRA_TIMEOUT_SECONDS_PER_BYTE = 1e-5  # s more for each byte of a body: callers wait longer for large ones
-WATCH_GRACE_SECONDS = 0.6  # s for a watch's answer beyond its wait
-IMMEDIATE_WATCH = {
-    "have": 1 << 62,
-    "wait": 0.0,
-}  # a watch that is answered at once, with nothing but the round
-PENDING_EDITS_TIMEOUT_SECONDS = 0.6  # s for all stores' answers about edits of routes
+COMMAND_TIMEOUT_SECONDS: Final = 0.9  # operators' clients try the next registry after a second
+EXTRA_TIMEOUT_SECONDS_PER_BYTE: Final = 1e-5  # of a body: clients wait longer for large ones
+WATCH_GRACE_SECONDS: Final = 0.6  # for a response beyond the time for which the call may be held
+PENDING_EDITS_TIMEOUT_SECONDS: Final = 0.6  # for the responses of all stores
 
 
 class StoreClient:
-    def __init__(self, own: str, port: int, members: Callable[[], list[str]], callers: ClientPool) -> None:
-        """`own`: IP; `members`: IPs of all stores, near ones first."""
-        self._own, self._port, self._members, self._callers = own, port, members, callers
-        self._watchers = ClientPool()  # apart: closed when it says nothing, and orders must not go with it
-        self._turn = 0
-        self._hangs = False  # the own store takes calls and says nothing: its disk hangs, or it is frozen
-        self._round, self._index = [0, 0], 0  # the newest known, for the fence of orders
+    """Sends commands to one store after the other until one answers clearly; watches the configuration."""
+
+    def __init__(self, own_ip: str, port: int, members: Callable[[], list[str]], clients: ClientPool) -> None:
+        """`port`: of the stores' RPC calls. `members`: IPs of all stores, near ones first."""
+        self._own_ip = own_ip
+        self._port = port
+        self._members = members
+        self._clients = clients
+        self._watch_clients = (
+            ClientPool()
+        )  # apart: these are closed when silent, and commands must not be lost by it
+        self._watch_turn = 0
+        self._own_is_silent = False  # it takes calls and says nothing: its disk hangs, or it is frozen
+        self._position = StorePosition()
 
     def submit(
-        self, kind: str, if_match: str | None, body: Any, size: int = 0, since: float | None = None
-    ) -> Any:
-        """`{status, reason?, index?}` or a Failure: no clear answer. `size`: bytes of the body as it came;
-        `since`: steady time before which the call was not written, None: now."""
-        now, index = time.monotonic(), self._index
-        until = (
-            (now if since is None else since)
-            + COMMAND_TIMEOUT_SECONDS
-            + size * EXTRA_TIMEOUT_SECONDS_PER_BYTE
+        self,
+        kind: str,
+        if_match: str | None,
+        body: Any,
+        body_bytes: int = 0,
+        not_written_before: float | None = None,
+    ) -> CommandResult | Failure:
+        """Have an operator's command executed; a Failure: there is no clear answer.
+
+        `if_match`: the version that the operator has seen. `body_bytes`: size of the request's body.
+        `not_written_before`: steady time before which the request was not written; None: now.
+        """
+        written_at = time.monotonic() if not_written_before is None else not_written_before
+        deadline = written_at + COMMAND_TIMEOUT_SECONDS + body_bytes * EXTRA_TIMEOUT_SECONDS_PER_BYTE
+        command = codec.encode_command(kind, if_match, body)
+        index_when_taken = self._position.index
+
+        def fenced_now() -> Json:
+            return self._position.fenced(command, index_when_taken, deadline - time.monotonic())
+
+        return _command_result(self._call_any("submit", fenced_now, deadline))
+
+    def read(self) -> Json | Failure:
+        """The operator's entries as committed, by key."""
+        answer = self._call_any("read", dict, time.monotonic() + COMMAND_TIMEOUT_SECONDS)
+        return answer if isinstance(answer, Failure) else codec.decode_configuration(answer)
+
+    def members(self, action: str, ip: str) -> CommandResult | Failure:
+        """Who votes and learns (`show`), or a change of that (`remove`, `replace`, `add`)."""
+        body = codec.encode_membership_command(action, ip)
+        return _command_result(
+            self._call_any("members", lambda: body, time.monotonic() + COMMAND_TIMEOUT_SECONDS)
         )
 
-        def call() -> dict[str, Any]:
-            """With a fence of this moment, so many s before the caller gives up."""
-            fence = [*self._round, index, until - time.monotonic()]
-            return {"kind": kind, "if_match": if_match, "body": body, "fence": fence}
-
-        return self._call("submit", call, until)
-
-    def read(self) -> Any:
-        """The operator's word as committed, or a Failure."""
-        return self._call("read", dict, time.monotonic() + COMMAND_TIMEOUT_SECONDS)
-
-    def members(self, do: str, ip: str) -> Any:
-        """Who votes and learns (`show`), or a change of that: `{status, reason?, members?}`, or a Failure."""
-        return self._call("members", lambda: {"do": do, "ip": ip}, time.monotonic() + COMMAND_TIMEOUT_SECONDS)
-
-    def watch(self, have: int, wait: float, own: bool, part: list[Any] | None = None) -> Any:
-        """News of the operator's word from the own store, or from the next of the others.
-
-        `part`: the piece that is wanted of a large one."""
-        address = self._own, self._port
-        if not own:
-            others = [ip for ip in self._members() if ip != self._own]
-            if not others:
-                return Failure(FailureReason.UNREACHABLE, "there is no other store")
-            self._turn += 1
-            address = others[self._turn % len(others)], self._port
-        caller = self._watchers.client(address)
-        answer = caller.call("watch", {"have": have, "wait": wait, "part": part}, wait + WATCH_GRACE_SECONDS)
-        silent = isinstance(answer, Failure) and answer.reason == FailureReason.OUTCOME_UNKNOWN
-        if silent:
-            caller.close()
-        if own:
-            self._hangs = silent
-        self._note(answer)
+    def watch(
+        self, held_index: int, wait_seconds: float, ask_own: bool, fragment: list[Any] | None = None
+    ) -> Json | Failure:
+        """What is new of the operator's configuration, from the own store or from the next of the others.
+
+        `fragment`: which one of a large configuration is wanted.
+        """
+        ip = self._own_ip if ask_own else self._next_other_store()
+        if ip is None:
+            return Failure(FailureReason.UNREACHABLE, "there is no other store")
+        client = self._watch_clients.client((ip, self._port))
+        body = codec.encode_watch_request(held_index, wait_seconds, fragment)
+        answer: Json | Failure = client.call("watch", body, wait_seconds + WATCH_GRACE_SECONDS)
+        is_silent = isinstance(answer, Failure) and answer.reason == FailureReason.OUTCOME_UNKNOWN
+        if is_silent:
+            client.close()
+        if ask_own:
+            self._own_is_silent = is_silent
+        self._position.observe(answer)
         return answer
 
-    def _note(self, news: Any) -> None:
-        if not isinstance(news, Failure):
-            self._round = max(self._round, news.get("round", [0, 0]))
-            self._index = max(self._index, news.get("index", 0))
-
-    def exchange_pending_edits(self, add: list[dict[str, Any]]) -> dict[str, Any]:
-        """By IP, what every store answers to `drafts`, or its Failure."""
-        ips = dict.fromkeys([self._own, *self._members()])
-        asked = {
+    def exchange_pending_edits(self, edits: list[Json]) -> dict[str, list[Json] | Failure]:
+        """Give all stores these edits to keep; what each of them holds then, by IP."""
+        body = codec.encode_pending_edits_request(edits)
+        calls = {
             ip: gevent.spawn(
-                self._callers.client((ip, self._port)).call,
-                "drafts",
-                {"add": add},
-                PENDING_EDITS_TIMEOUT_SECONDS,
+                self._clients.client((ip, self._port)).call, "drafts", body, PENDING_EDITS_TIMEOUT_SECONDS
             )
-            for ip in ips
+            for ip in dict.fromkeys([self._own_ip, *self._members()])
+        }
+        answers = {ip: call.get() for ip, call in calls.items()}
+        return {
+            ip: answer if isinstance(answer, Failure) else codec.decode_pending_edits(answer)
+            for ip, answer in answers.items()
         }
-        return {ip: one.get() for ip, one in asked.items()}
 
-    def _call(self, method: str, body: Callable[[], dict[str, Any]], until: float) -> Any:
+    def _next_other_store(self) -> str | None:
+        others = [ip for ip in self._members() if ip != self._own_ip]
+        if not others:
+            return None
+        self._watch_turn += 1
+        return others[self._watch_turn % len(others)]
+
+    def _call_any(self, method: str, body: Callable[[], Json], deadline: float) -> Any:
         """The first clear answer of a store; else the least clear Failure."""
-        others = [ip for ip in self._members() if ip != self._own]
-        stores = [*others, self._own] if self._hangs else [self._own, *others]
-        asking, answers = OperatorRequest(stores, time.monotonic(), until), Queue[tuple[str, Any]]()
-
-        def ask(ip: str) -> None:
-            caller = self._callers.client((ip, self._port))
-            answer = caller.call(method, body(), until - time.monotonic())
-            if (
-                isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED
-            ):  # what is known of rounds here may be old
-                self._note(caller.call("watch", IMMEDIATE_WATCH, until - time.monotonic()))
-                answer = caller.call(method, body(), until - time.monotonic())
-            answers.put((ip, answer))
-
-        asked = []
-        while wait := asking.wait_seconds(time.monotonic()):
-            ip = asking.next_store(time.monotonic())
+        stores = stores_to_try(self._own_ip, self._members(), self._own_is_silent)
+        request = OperatorRequest(stores, time.monotonic(), deadline)
+        responses = Queue[tuple[str, Any]]()
+
+        def attempt(ip: str) -> None:
+            responses.put((ip, self._call(ip, method, body, deadline)))
+
+        attempts = []
+        while wait_seconds := request.wait_seconds(time.monotonic()):
+            ip = request.next_store(time.monotonic())
             if ip is not None:
-                asked.append(gevent.spawn(ask, ip))
+                attempts.append(gevent.spawn(attempt, ip))
                 continue
             try:
-                heard, answer = answers.get(timeout=wait)
+                answered_ip, response = responses.get(timeout=wait_seconds)
             except Empty:
                 continue
-            asking.record_response(heard, answer, time.monotonic())
-        gevent.killall(asked, block=False)
-        return asking.outcome
+            request.record_response(answered_ip, response, time.monotonic())
+        gevent.killall(attempts, block=False)
+        return request.outcome
+
+    def _call(self, ip: str, method: str, body: Callable[[], Json], deadline: float) -> Any:
+        """Call one store; again if the fencing token was too old, with the position that it tells."""
+        client = self._clients.client((ip, self._port))
+        answer = client.call(method, body(), deadline - time.monotonic())
+        if isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
+            self._position.observe(client.call("watch", POSITION_REQUEST, deadline - time.monotonic()))
+            answer = client.call(method, body(), deadline - time.monotonic())
+        return answer
+
+
+def _command_result(answer: Any) -> CommandResult | Failure:
+    return answer if isinstance(answer, Failure) else codec.decode_command_result(answer)
--- /dev/null
+++ b/ashlift/registry/store_position.py
@@ -0,0 +1,39 @@
+"""How far the configuration store is, as this registry has heard: the fencing token of commands. Pure."""
+
+from typing import Any, Final
+
+from ashlift.errors import Failure
+from ashlift.registry.codec import decode_store_position, encode_fenced_command, encode_position_request
+from ashlift.registry.messages import Json
+
+POSITION_REQUEST: Final = encode_position_request()
+
+
+class StorePosition:
+    """The newest term, heartbeat round and committed index that a store has told."""
+
+    def __init__(self) -> None:
+        self.index = 0
+        self._round = [0, 0]  # term, heartbeat round
+
+    def observe(self, answer: Any) -> None:
+        """A store's answer to `watch`, or its Failure, which tells nothing."""
+        if isinstance(answer, Failure):
+            return
+        heartbeat_round, index = decode_store_position(answer)
+        self._round = max(self._round, heartbeat_round)
+        self.index = max(self.index, index)
+
+    def fenced(self, command: Json, index_when_taken: int, seconds_left: float) -> Json:
+        """The command with a fencing token of this moment.
+
+        `index_when_taken`: the index known when the operator's request came. `seconds_left`: how long its
+        sender is still waiting.
+        """
+        return encode_fenced_command(command, self._round, index_when_taken, seconds_left)
+
+
+def stores_to_try(own_ip: str, members: list[str], own_is_silent: bool) -> list[str]:
+    """The own store first, or last while it takes calls and says nothing; the others as they are ordered."""
+    others = [ip for ip in members if ip != own_ip]
+    return [*others, own_ip] if own_is_silent else [own_ip, *others]
--- /dev/null
+++ b/ashlift/registry/worker_instances.py
@@ -0,0 +1,152 @@
+"""Workers that send their heartbeats to this registry, and what all registries know of workers. Pure.
+
+A worker's record is the one with the highest sequence number over all sources. Its lease is three heartbeats;
+one that deregisters leaves a tombstone, so that no late heartbeat revives it.
+"""
+
+from collections.abc import Iterable
+from typing import Final
+
+import attrs
+
+from ashlift.registry.codec import PREFIX_LENGTH, WORKER_KIND, WORKER_PREFIX
+from ashlift.registry.lease_clock import LeaseClock
+from ashlift.registry.own_records import OwnRecords
+from ashlift.registry.peer_registries import PeerRegistries
+from ashlift.registry.records import UNKNOWN_WORKER, WorkerRecord, WorkerState
+from ashlift.registry.replicated_source import ReplicatedSource
+
+LEASE_HEARTBEATS: Final = 3
+TOMBSTONE_SECONDS: Final = 30.0  # how long a deregistration is remembered
+EXPIRED_MEMORY_SECONDS: Final = 60.0  # how long a worker whose lease has expired is remembered
+
+
+@attrs.define
+class LastHeartbeat:
+    """When a worker's last heartbeat came here, and its sequence number."""
+
+    received_at: float
+    call_seq: int
+
+
+class ExpiredWorkers:
+    """Workers whose leases have expired, each as last recorded: tells a late heartbeat from a new one."""
+
+    def __init__(self) -> None:
+        self._last: dict[
+            str, tuple[float, WorkerRecord]
+        ] = {}  # by ID: when the lease expired, the last record
+
+    def add(self, worker_id: str, record: WorkerRecord, call_seq: int, now: float) -> None:
+        """Its lease has expired; `call_seq`: of its last heartbeat, which the record need not hold."""
+        self._last[worker_id] = now, attrs.evolve(record, call_seq=call_seq)
+
+    def is_late(self, worker_id: str, record: WorkerRecord) -> bool:
+        """Whether it was sent before that incarnation's last heartbeat; a new one has another address."""
+        _, last = self._last.get(worker_id, (0.0, record))
+        return record.call_seq < last.call_seq and record.address == last.address
+
+    def forget_old(self, now: float) -> None:
+        """Drop those that nobody can still confuse with a new one."""
+        self._last = {
+            worker_id: (expired_at, record)
+            for worker_id, (expired_at, record) in self._last.items()
+            if now - expired_at <= EXPIRED_MEMORY_SECONDS
+        }
+
+
+class WorkerInstances:
+    """Heartbeats, leases and tombstones of the workers of this registry."""
+
+    def __init__(
+        self, own: OwnRecords, peers: PeerRegistries, clock: LeaseClock, heartbeat_seconds: float
+    ) -> None:
+        self._own = own
+        self._peers = peers
+        self._clock = clock
+        self._lease_seconds = LEASE_HEARTBEATS * heartbeat_seconds
+        self._heartbeats: dict[str, LastHeartbeat] = {}
+        self._tombstones: dict[str, float] = {}  # ID -> when it deregistered
+        self._expired = ExpiredWorkers()
+
+    def record_heartbeat(self, worker_id: str, record: WorkerRecord, now: float) -> bool:
+        """Renew the worker's lease; False: the heartbeat is late, and is ignored."""
+        key = WORKER_PREFIX + worker_id
+        newest = self._newest(worker_id)
+        own_record: WorkerRecord | None = self._own.get(key)
+        heartbeat = self._heartbeats.get(worker_id)
+        last_seq = max(newest.call_seq if newest else 0, heartbeat.call_seq if heartbeat else 0)
+        if record.call_seq < last_seq or self._expired.is_late(worker_id, record):
+            return False
+        self._heartbeats[worker_id] = LastHeartbeat(now, record.call_seq)
+        is_published = (
+            own_record is not None
+            and newest is not None
+            and own_record.is_equivalent(record, now)
+            and newest.is_equivalent(record, now)
+        )
+        if not is_published:
+            self._own.put(key, record)
+        return True
+
+    def deregister(self, worker_id: str, now: float) -> None:
+        """The worker has shut down for good: its ID is never used again."""
+        key = WORKER_PREFIX + worker_id
+        tombstone = (self._newest(worker_id) or UNKNOWN_WORKER).as_tombstone()
+        self._heartbeats.pop(worker_id, None)
+        self._tombstones[worker_id] = now
+        if self._own.get(key) != tombstone:
+            self._own.put(key, tombstone)
+
+    def capacity(self, worker_id: str) -> int | None:
+        """Requests that the worker takes at a time; None: no such worker is known."""
+        newest = self._newest(worker_id)
+        return newest.capacity if newest is not None else None
+
+    def all_known(self) -> dict[str, WorkerRecord]:
+        """All workers by ID, each by its newest record."""
+        newest: dict[str, WorkerRecord] = {}
+        for source in self._sources():
+            for key, record in source.values.items():
+                if key[0] == WORKER_KIND and (key not in newest or record.call_seq > newest[key].call_seq):
+                    newest[key] = record
+        return {
+            key[PREFIX_LENGTH:]: record
+            for key, record in newest.items()
+            if record.state != WorkerState.TOMBSTONE
+        }
+
+    def expire(self, now: float) -> None:
+        """Drop the records of workers whose leases have expired, and old tombstones."""
+        expired = [
+            worker_id
+            for worker_id, heartbeat in self._heartbeats.items()
+            if self._clock.has_expired(heartbeat.received_at, self._lease_seconds, now)
+        ]
+        for worker_id in expired:
+            heartbeat = self._heartbeats.pop(worker_id)
+            record: WorkerRecord | None = self._own.get(WORKER_PREFIX + worker_id)
+            if record is not None:
+                self._expired.add(worker_id, record, heartbeat.call_seq, now)
+            self._own.drop(WORKER_PREFIX + worker_id)
+        self._expired.forget_old(now)
+        old_tombstones = [
+            worker_id
+            for worker_id, deregistered_at in self._tombstones.items()
+            if now - deregistered_at > TOMBSTONE_SECONDS
+        ]
+        for worker_id in old_tombstones:
+            del self._tombstones[worker_id]
+            self._own.drop(WORKER_PREFIX + worker_id)
+
+    def _sources(self) -> Iterable[ReplicatedSource]:
+        return [self._own.source, *self._peers.sources()]
+
+    def _newest(self, worker_id: str) -> WorkerRecord | None:
+        key = WORKER_PREFIX + worker_id
+        newest: WorkerRecord | None = None
+        for source in self._sources():
+            record: WorkerRecord | None = source.values.get(key)
+            if record is not None and (newest is None or record.call_seq > newest.call_seq):
+                newest = record
+        return newest
--- a/ashlift/simulation/board.py
+++ b/ashlift/simulation/board.py
@@ -1,30 +1,34 @@
-"""The registry's process as `registry.server`, `.store` and `.resources` run it: the real registry."""
+"""The registry's process on simulated time: the real registry, with the loops and answers of its process."""
 
 from collections.abc import Callable
 from typing import Any
 
 from ashlift.config.operator_config import export_configuration
 from ashlift.errors import Failure, FailureReason
+from ashlift.registry import codec
+from ashlift.registry.api.evacuation import MAX_REQUEST_AGE_SECONDS
+from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.operator_request import NOT_EXECUTED_REASONS, OperatorRequest
-from ashlift.registry.records import WorkerRecord
-from ashlift.registry.registry import Registry, RegistryIdentity
-from ashlift.registry.resources import MAX_UNFENCED_COMMAND_AGE_SECONDS
-from ashlift.registry.server import (
+from ashlift.registry.pacing import (
     BATCHING_DELAY_SECONDS,
     INITIAL_BACKOFF_SECONDS,
     LONG_POLL_SECONDS,
-    MAX_BACKOFF_SECONDS,
     MIN_LONG_POLL_SECONDS,
+    next_backoff,
+    pull_deadline,
+)
+from ashlift.registry.registry import Registry
+from ashlift.registry.replication_loops import (
     OWN_STORE_WATCH_SECONDS,
     RESPONSE_TIMEOUT_SECONDS,
     TICK_INTERVAL_SECONDS,
 )
 from ashlift.registry.store_client import (
     COMMAND_TIMEOUT_SECONDS,
-    IMMEDIATE_WATCH,
     PENDING_EDITS_TIMEOUT_SECONDS,
     WATCH_GRACE_SECONDS,
 )
+from ashlift.registry.store_position import POSITION_REQUEST, StorePosition, stores_to_try
 from ashlift.route_reconciliation.edit_codec import encode_edit
 from ashlift.route_reconciliation.edit_sets import decode_edits, join_edits
 from ashlift.route_reconciliation.edits import RouteChanged, RouteEdit
@@ -76,7 +80,7 @@
         self._turn = 0
         self._stamps = HybridLogicalClock(machine.name, self.wall(), self.clock())
         self._hangs = False
-        self._round, self._index = [0, 0], 0
+        self._position = StorePosition()
         self.spawn(self._watch())
         self.spawn(self._tick())
 
@@ -85,32 +89,35 @@
             self._told = self.registry.change_count
             self._bell.ring()
 
-    # ---- calls by frames (ashlift.registry.server.Calls)
+    # ---- RPC calls (ashlift.registry.rpc_service)
     def _pull(self, body: Any) -> Steps:
         began, registry = self.clock(), self.registry
-        fault = registry.begin_pull(body, began)
-        if fault is not None:
-            return fault
+        request = codec.decode_pull_request(body)
+        if isinstance(request, Failure):
+            return request
+        registry.sessions.begin_pull(request, began)
         self.ring()
-        have = body["have"]
-        until = began + min(LONG_POLL_SECONDS, max(MIN_LONG_POLL_SECONDS, body["wait"]))
+        have = request.versions
+        until = pull_deadline(began, request.wait_seconds, MIN_LONG_POLL_SECONDS)
         while not registry.has_updates_for(have) and self.clock() < until:
             yield self._bell.wait(until - self.clock())
-        if have and registry.has_updates_for(have) and not body.get("part"):
+        if have and registry.has_updates_for(have) and not request.fragment:
             yield BATCHING_DELAY_SECONDS
-        registry.end_pull(body["node"])
-        return registry.pull_response(body, began, self.clock())
+        registry.sessions.end_pull(request.node)
+        response = registry.pull_response(request, began, self.clock())
+        return codec.encode_pull_response(response, self.clock())
 
     def _swapped(self, body: Any) -> Steps:
         began, registry = self.clock(), self.registry
-        asked = registry.receive_swap_request(body, began)
-        if isinstance(asked, Failure):
-            return asked
-        while not registry.has_updates_for_peer(*asked) and self.clock() < began + LONG_POLL_SECONDS:
+        request = codec.decode_swap_request(body)
+        if isinstance(request, Failure):
+            return request
+        registry.receive_swap_request(request, began)
+        while not registry.has_updates_for_peer(request) and self.clock() < began + LONG_POLL_SECONDS:
             yield self._bell.wait(began + LONG_POLL_SECONDS - self.clock())
-        return registry.swap_response(*asked, self.clock())
+        return codec.encode_swap_response(registry.swap_response(request), self.clock())
 
-    # ---- loops (ashlift.registry.server.Loops)
+    # ---- loops (ashlift.registry.replication_loops)
     def _tick(self) -> Steps:
         while True:
             self.registry.tick(self.clock())
@@ -128,47 +135,39 @@
         greet, pause, registry = True, INITIAL_BACKOFF_SECONDS, self.registry
         while ip in self._swaps:
             sent = self.clock()
-            answer = yield self.call(
-                ip,
-                KIND,
-                "swap",
-                registry.swap_request(ip, greet, sent),
-                LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS,
-            )
+            body = codec.encode_swap_request(registry.peers.swap_request(ip, greet))
+            answer = yield self.call(ip, KIND, "swap", body, LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS)
             if ip not in self._swaps:
                 return
-            now = self.clock()
-            fault = (
-                answer
-                if isinstance(answer, Failure)
-                else registry.receive_swap_response(ip, answer, sent, now)
-            )
-            if fault is not None:
-                if fault.reason == FailureReason.OUTCOME_UNKNOWN:
+            if not isinstance(answer, Failure):
+                answer = codec.decode_swap_response(answer, self.clock())
+            if isinstance(answer, Failure):
+                if answer.reason == FailureReason.OUTCOME_UNKNOWN:
                     self.net.drop(self, ip, KIND)
                 greet = True
                 yield pause
-                pause = min(2 * pause, MAX_BACKOFF_SECONDS)
+                pause = next_backoff(pause)
                 continue
             greet, pause = False, INITIAL_BACKOFF_SECONDS
+            registry.receive_swap_response(ip, answer, sent)
             self.ring()
             yield BATCHING_DELAY_SECONDS
 
     def _watch(self) -> Steps:
-        own, registry = True, self.registry
+        own, config = True, self.registry.operator_config
         while True:
-            sent, have = self.clock(), registry.operator_config.version
+            sent = self.clock()
             wait, ip = (OWN_STORE_WATCH_SECONDS, self.name) if own else (LONG_POLL_SECONDS, self._other())
-            body = {"have": have, "wait": wait, "part": registry.wanted_fragment()}
+            body = codec.encode_watch_request(config.version, wait, config.wanted_fragment())
             answer: Any = Failure(FailureReason.UNREACHABLE, "there is no other store")
             if ip is not None:
                 answer = yield self.call(ip, store.KIND, "watch", body, wait + WATCH_GRACE_SECONDS)
             now, fresh = self.clock(), False
             if own:
                 self._hangs = isinstance(answer, Failure) and answer.reason == FailureReason.OUTCOME_UNKNOWN
-            self._note(answer)
+            self._position.observe(answer)
             if not isinstance(answer, Failure):
-                fresh = registry.receive_watch_response(answer, sent, now)
+                fresh = config.receive_watch_response(answer, sent)
                 self.ring()
             own = fresh or not own
             if not fresh:
@@ -185,24 +184,19 @@
             ip for ip in self.registry.registries_by_distance(me.zone, me.region, self.clock()) if ip in known
         ]
 
-    def _note(self, news: Any) -> None:
-        if not isinstance(news, Failure):
-            self._round, self._index = max(self._round, news["round"]), max(self._index, news["index"])
-
     def _submitted(self, body: dict[str, Any], since: float | None = None) -> Steps:
-        now, index = self.clock(), self._index
+        now, index = self.clock(), self._position.index
         until = (now if since is None else since) + COMMAND_TIMEOUT_SECONDS
 
         def call() -> dict[str, Any]:
-            return {**body, "fence": [*self._round, index, until - self.clock()]}
+            return self._position.fenced(body, index, until - self.clock())
 
         found = yield from self._stored("submit", call, until)
         return found
 
     def _stored(self, method: str, body: Callable[[], dict[str, Any]], until: float) -> Steps:
-        """As `ashlift.registry.store_client.Store` asks one store after the other."""
-        others = [ip for ip in self._stores() if ip != self.name]
-        stores = [*others, self.name] if self._hangs else [self.name, *others]
+        """As `ashlift.registry.store_client.StoreClient` asks one store after the other."""
+        stores = stores_to_try(self.name, self._stores(), self._hangs)
         asking, answers, turn = (
             OperatorRequest(stores, self.clock(), until),
             list[tuple[str, Any]](),
@@ -212,7 +206,8 @@
         def ask(ip: str) -> Steps:
             answer = yield self.call(ip, store.KIND, method, body(), until - self.clock())
             if isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
-                self._note((yield self.call(ip, store.KIND, "watch", IMMEDIATE_WATCH, until - self.clock())))
+                position = yield self.call(ip, store.KIND, "watch", POSITION_REQUEST, until - self.clock())
+                self._position.observe(position)
                 answer = yield self.call(ip, store.KIND, method, body(), until - self.clock())
             answers.append((ip, answer))
             turn[0].set(None)
@@ -230,19 +225,19 @@
                 asking.record_response(*answers.pop(0), self.clock())
         return asking.outcome
 
-    # ---- outside calls (ashlift.registry.resources): a status and a value
+    # ---- outside calls (ashlift.registry.api): a status and a value
     def _beat(self, body: tuple[str, dict[str, Any]]) -> Any:
         key, fields = body
         now = self.clock()
-        said = WorkerRecord(until=now + fields["warm"], **{k: v for k, v in fields.items() if k != "warm"})
-        taken = self.registry.record_heartbeat(key, said, now)
+        said = codec.decode_worker(fields, now)
+        taken = self.registry.instances.record_heartbeat(key, said, now)
         self.ring()
         if not taken or self.registry.is_isolated(now):
             return 503, None
         return 200, self.registry.heartbeat_target(said.zone, now)
 
     def _delete(self, body: str) -> Any:
-        self.registry.deregister_worker(body, self.clock())
+        self.registry.instances.deregister(body, self.clock())
         self.ring()
         return 200, None
 
@@ -252,7 +247,7 @@
 
     def _order(self, body: dict[str, Any]) -> Steps:
         since = self.written if body["kind"] in ("evacuate", "restore") else None
-        if since is not None and self.clock() - since > MAX_UNFENCED_COMMAND_AGE_SECONDS:
+        if since is not None and self.clock() - since > MAX_REQUEST_AGE_SECONDS:
             return 307, None
         answer = yield from self._submitted(body, since)
         if since is not None and isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
@@ -268,7 +263,7 @@
         map = answer["objects"]
         return (200, (export_configuration(map), map)) if map.get("Version") else (404, ({}, map))
 
-    # ---- calls on single routes (ashlift.registry.route_resources)
+    # ---- calls on single routes (ashlift.registry.api.routes, .proposals)
     def wall(self) -> float:
         return self.loop.now + self.machine.skew
 
--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -28,9 +28,12 @@
 from ashlift.proxy.cluster_view import ClusterView
 from ashlift.proxy.registry_client import RegistryClient
 from ashlift.proxy.request_router import RequestRouter
-from ashlift.registry.http_server import HttpResponse
-from ashlift.registry.records import parse_heartbeat
-from ashlift.registry.registry import Registry, RegistryIdentity
+from ashlift.registry import codec
+from ashlift.registry.api.heartbeat_body import parse_heartbeat
+from ashlift.registry.api.messages import HttpResponse
+from ashlift.registry.identity import RegistryIdentity
+from ashlift.registry.messages import PullRequest, SwapRequest
+from ashlift.registry.registry import Registry
 from ashlift.rpc import framing
 from ashlift.rpc.fragmentation import unpack_sources
 from ashlift.rpc.framing import MAX_FRAME_BYTES, REQUEST_CRC_SEED, RESPONSE_CRC_SEED, encode_frame
@@ -89,17 +92,19 @@
             f"r{number:02d}",
             60.0,
         ]
-        assert own.receive_swap_response(f"10.9.0.{number + 1}", answer, NOW, NOW) is None
+        response = codec.decode_swap_response(answer, NOW)
+        assert not isinstance(response, Failure), response
+        own.receive_swap_response(f"10.9.0.{number + 1}", response, NOW)
     for number in range(0, size.workers, CORE):
-        assert own.record_heartbeat(worker_id(number), _beat(size, number), NOW)
+        assert own.instances.record_heartbeat(worker_id(number), _beat(size, number), NOW)
     for number in range(0, size.gatekeepers, CORE):
-        own.begin_pull(_pull(number, {}, {}), NOW)
-        own.end_pull(f"edge-{number}")
+        own.sessions.begin_pull(_request(_pull(number, {}, {})), NOW)
+        own.sessions.end_pull(f"edge-{number}")
     own.own_source.merge(
         own.own_source.version + 1, {key: value for key, value in held[0].items() if key[0] == "c"}, ()
     )
-    own.receive_watch_response(
-        {"index": 1, "set": dict(word), "gone": [], "full": True, "age": 0.1}, NOW, NOW
+    own.operator_config.receive_watch_response(
+        {"index": 1, "set": dict(word), "gone": [], "full": True, "age": 0.1}, NOW
     )
     return own
 
@@ -148,9 +153,19 @@
     return found
 
 
+def _request(body: Json) -> PullRequest:
+    request = codec.decode_pull_request(body)
+    assert not isinstance(request, Failure), request
+    return request
+
+
+def _answer(own: Registry, body: Json) -> Json:
+    return codec.encode_pull_response(own.pull_response(_request(body), NOW, NOW), NOW)
+
+
 def _have(own: Registry) -> dict[str, int]:
     return {
-        **{name: source.version for name, source in own._named()},
+        **{name: source.version for name, source in own.sources()},
         OPERATOR_SOURCE: own.operator_config.version,
     }
 
@@ -173,7 +188,7 @@
     )
 
     def nothing_new() -> bytes:
-        return encode_frame(RESPONSE_CRC_SEED, [1, own.pull_response({**idle, "have": _have(own)}, NOW, NOW)])
+        return encode_frame(RESPONSE_CRC_SEED, [1, _answer(own, {**idle, "have": _have(own)})])
 
     answer = out.ms("registry: answer, nothing new, ms", nothing_new, each=10)
     out.note("registry: answer, nothing new, bytes", len(answer))
@@ -185,8 +200,8 @@
             nonlocal call
             for one in each:
                 call += 1
-                own.begin_pull(_pull(0, {}, one, call), NOW)
-                own.end_pull("edge-0")
+                own.sessions.begin_pull(_request(_pull(0, {}, one, call)), NOW)
+                own.sessions.end_pull("edge-0")
 
         mean = sum(map(len, each)) / len(each)
         for value in timed(take, out.repeats):
@@ -194,16 +209,17 @@
     before = _have(own)
     for told in (1000, 3000, 10000):
         names = [f"c/{tenant(rank)}" for rank in range(1, min(told // CORE, size.tenants) + 1)]
-        for _, source in own._named():
+        for _, source in own.sources():
             source.merge(source.version + 1, dict.fromkeys(names, [123456, 12]), ())
         lacking = {**before, OPERATOR_SOURCE: own.operator_config.version}
         sums, swaps = CORE * len(names), len(names)
 
         def answered(had: dict[str, int] = lacking) -> bytes:
-            return encode_frame(RESPONSE_CRC_SEED, [1, own.pull_response(_pull(0, had, {}), NOW, NOW)])
+            return encode_frame(RESPONSE_CRC_SEED, [1, _answer(own, _pull(0, had, {}))])
 
         def swapped(had: int = before[own.identity.source]) -> Any:
-            return own.swap_response(own.identity.incarnation, had, NOW)
+            request = SwapRequest(own.identity.incarnation, had, None)
+            return codec.encode_swap_response(own.swap_response(request), NOW)
 
         data = out.ms(f"registry: answer with sums, ms @ {sums}", answered)
         out.note(f"registry: answer with sums, bytes @ {sums}", len(data))
@@ -214,18 +230,18 @@
         before = _have(own)
     full = out.ms(
         "registry: first answer to a gatekeeper, ms",
-        lambda: encode_frame(RESPONSE_CRC_SEED, [1, own.pull_response(_pull(0, {}, {}), NOW, NOW)]),
+        lambda: encode_frame(RESPONSE_CRC_SEED, [1, _answer(own, _pull(0, {}, {}))]),
         2,
     )
     out.note("registry: first answer to a gatekeeper, bytes", len(full))
     out.note("registry: frames that one first answer takes", len(full) / MAX_FRAME_BYTES)
     before = _have(own)
-    for source in [own.own_source, *(copy.source for copy in own.peers.values())]:
+    for source in [own.own_source, *(copy.source for copy in own.peers.replicas.values())]:
         people = {key: value for key, value in source.values.items() if key[0] in "wg"}
         source.merge(source.version + 1, people, ())
     known = out.ms(
         "registry: of that, all workers and members, ms",
-        lambda: encode_frame(RESPONSE_CRC_SEED, [1, own.pull_response(_pull(0, before, {}), NOW, NOW)]),
+        lambda: encode_frame(RESPONSE_CRC_SEED, [1, _answer(own, _pull(0, before, {}))]),
         2,
     )
     out.note("registry: of that, all workers and members, bytes", len(known))
@@ -241,7 +257,7 @@
     def beat() -> None:
         said = parse_heartbeat(body, NOW)
         assert not isinstance(said, Failure)
-        own.record_heartbeat(worker_id(0), said, NOW)
+        own.instances.record_heartbeat(worker_id(0), said, NOW)
         own.is_isolated(NOW)
         own.heartbeat_target("z05", NOW)
 
@@ -262,13 +278,13 @@
     out.ms("registry: a tick, ms", lambda: own.tick(NOW))
 
     def look() -> Any:
-        own._looks.kept.clear()
+        own.directory.cache.clear()
         return own.lookup("z05", "r05", NOW)
 
     found = out.ms("registry: look-ups of a zone, worked out, ms", look)
     out.note(
         "client: answer of a look-up, bytes",
-        len(HttpResponse(200, {"Addresses": found, "Ttl": "1s"}).wire(False)),
+        len(HttpResponse(200, {"Addresses": found, "Ttl": "1s"}).encode(False)),
     )
     return own
 
@@ -291,7 +307,7 @@
     made = settings()
     gate = RequestRouter(made, chance, NOW)
     pulling = RegistryClient(made, gate, "00000000", chance)
-    whole = own.pull_response(_pull(0, {}, {}), NOW, NOW)
+    whole = _answer(own, _pull(0, {}, {}))
     opened = len(cbor2.dumps([dict(own.operator_config.values), []]))
     out.note("gatekeeper: configuration opened, x the most that is taken", opened / MAX_FRAME_BYTES)
     parts = unpack_sources(whole["sources"])
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -16,7 +16,8 @@
 from ashlift.config.operator_config import load_configuration
 from ashlift.proxy.registry_client import RegistryClient
 from ashlift.proxy.request_router import RequestRouter
-from ashlift.registry.registry import Registry, RegistryIdentity
+from ashlift.registry.identity import RegistryIdentity
+from ashlift.registry.registry import Registry
 from ashlift.rpc.framing import REQUEST_CRC_SEED, encode_frame
 from benchmarks.scale.cores import settings
 from benchmarks.scale.fit import line, middle, spread
@@ -25,6 +26,7 @@
 from benchmarks.scale.readings import Carried, sorted_out
 from benchmarks.scale.reckoned import Cores
 from benchmarks.scale.target import TARGET, configuration, distinct, drawn, tenant, zones
+from tests.support.registry_wire import begin_pull, pull_response
 
 ROOT = Path(__file__).parent.parent.parent
 PARTS = (
@@ -118,7 +120,9 @@
     )
     word = load_configuration(configuration(TARGET.part(5)))
     assert isinstance(word, dict)
-    own.receive_watch_response({"index": 4, "set": word, "gone": [], "full": True, "age": 0.1}, 9.0, 9.0)
+    own.operator_config.receive_watch_response(
+        {"index": 4, "set": word, "gone": [], "full": True, "age": 0.1}, 9.0
+    )
     return own
 
 
@@ -135,21 +139,22 @@
     now = 10.0
     for step in range(6):
         for side, (own, gate, pulling) in enumerate(sides):
-            pull = pulling.begin(now)
-            assert pull is not None and pull.ip == "10.9.0.1" and own.begin_pull(pull.body, now) is None
+            pull = pulling.next_request(now)
+            assert pull is not None and pull.registry_ip == "10.9.0.1"
+            begin_pull(own, pull.body, now)
             if step == 3:
                 adds = {"number": 1, "counts": {"t000001": (5, 1)}}
-                own.begin_pull({**pull.body, "node": "other", "adds": adds}, now)
-                own.end_pull("other")
-            answer = own.pull_response(pull.body, now, now + 0.2)
-            own.end_pull("hollow-0")
+                begin_pull(own, {**pull.body, "node": "other", "adds": adds}, now)
+                own.sessions.end_pull("other")
+            answer = pull_response(own, pull.body, now, now + 0.2)
+            own.sessions.end_pull("hollow-0")
             told[side].append(
                 (
                     len(encode_frame(REQUEST_CRC_SEED, [1, "pull", pull.body])),
                     len(encode_frame(REQUEST_CRC_SEED, [1, answer])),
                 )
             )
-            assert pulling.ended(pull, now + 0.25, answer) and gate.is_ready(now + 0.25)
+            assert pulling.handle_response(pull, now + 0.25, answer) and gate.is_ready(now + 0.25)
         assert (
             hollow.ledger.versions() == real.cluster.versions()
             and hollow.ledger.confirmed_at == real.cluster.confirmed_at
--- a/tests/cli/test_tenant_steps.py
+++ b/tests/cli/test_tenant_steps.py
@@ -15,7 +15,9 @@
 from ashlift.proxy.admission import AdmittedRequest
 from ashlift.proxy.rejections import Rejection
 from ashlift.proxy.request_router import RequestRouter
-from ashlift.registry.registry import Registry, RegistryIdentity
+from ashlift.registry.identity import RegistryIdentity
+from ashlift.registry.registry import Registry
+from tests.support.registry_wire import pull_response
 from tests.support.request_router_scenarios import SETTINGS, WORD
 
 STEP_S, STEPS = 0.001, 6
@@ -46,11 +48,11 @@
     def _word(self, board: Registry, index: int, proven: float) -> None:
         word = WORD if index == BEFORE else {**WORD, **NEW}
         told = {"index": index, "set": word, "gone": [], "full": True, "age": self.now - proven, "term": 1}
-        board.receive_watch_response(told, self.now, self.now)
+        board.operator_config.receive_watch_response(told, self.now)
 
     def _told(self, number: int) -> Any:
         body = {"have": self.gate.cluster.versions(), "zone": "z1", "region": "r1"}
-        return self.boards[number].pull_response(body, self.now, self.now)
+        return pull_response(self.boards[number], body, self.now, self.now)
 
     def pull(self, number: int) -> None:
         self._take(self.now, self._told(number))
@@ -89,7 +91,7 @@
     def state(self) -> tuple[Any, ...]:
         ledger, told = self.gate.cluster, self.under_way
         held = [ledger.config_index, *(board.operator_config.version for board in self.boards), self.said]
-        times = [ledger.confirmed_at, *(board.proven_at for board in self.boards), self.asked]
+        times = [ledger.confirmed_at, *(board.operator_config.proven_at for board in self.boards), self.asked]
         if told is not None:
             held.append(tuple(sorted((name, one["version"]) for name, one in told[1]["sources"].items())))
             times.append(told[0] - told[1]["age"])
--- a/tests/configstore/test_commands.py
+++ b/tests/configstore/test_commands.py
@@ -16,7 +16,7 @@
 )
 from ashlift.configstore.messages import Proposal, ReadOnlyResult
 from ashlift.configstore.stored_names import ACCEPTED_PREFIX, ACCEPTED_TRIMMED, REFUSED_PREFIX
-from ashlift.registry.records import read_json
+from ashlift.registry.api.resource import parse_json
 from ashlift.simulation.world import Plan, first_configuration
 
 FIRST = first_configuration(Plan())
@@ -129,7 +129,7 @@
     before = dict(replicated.entries)
     for version in ("0000000a", "0000000A", "a"):
         text = rewritten({**body, "ConfigVersion": version}, random_source)
-        command = OperatorCommand("patch", "1", read_json(text.encode()))
+        command = OperatorCommand("patch", "1", parse_json(text.encode()))
         assert decide_command(replicated.entries, command) == ReadOnlyResult({"status": 200}), text
     for change in ({"Tls": 1}, {"MaxConnections": 3}, {"WarmupRateS": 5.5}):
         other = {**service, "Specification": {**specification, **change}}
--- a/tests/configstore/test_membership.py
+++ b/tests/configstore/test_membership.py
@@ -35,9 +35,10 @@
 from ashlift.configstore.replica import Replica
 from ashlift.configstore.replica_state import InvariantError
 from ashlift.errors import Failure
-from ashlift.registry.http_server import HttpRequest
+from ashlift.registry.api.members import MembersResource
+from ashlift.registry.api.messages import HttpRequest
+from ashlift.registry.messages import CommandResult
 from ashlift.registry.store_client import StoreClient
-from ashlift.registry.store_membership import MembersResource
 from ashlift.simulation.explore import CASES, explore
 from ashlift.simulation.sworn import Wrong, decide
 from ashlift.simulation.turnover import mixed
@@ -255,15 +256,15 @@
         (b'{"Do": "add"}', 400),
         (b"{", 400),
     ):
-        store = Asked({"status": 200})
+        store = Asked(CommandResult(200, {}))
         assert MembersResource(store).post(HttpRequest("POST", "/members", {}, {}, said)).status == status, (
             said
         )
         assert store.calls == ([("remove", "10.0.0.4")] if status == 200 else [])
     get = HttpRequest("GET", "/members", {}, {}, b"")
-    got = MembersResource(Asked({"status": 200, "members": [{"ip": "1"}]})).get(get)
+    got = MembersResource(Asked(CommandResult(200, {"members": [{"ip": "1"}]}))).get(get)
     assert got.status == 200 and got.body == {"members": [{"ip": "1"}]}
-    refused = Asked({"status": 409, "reason": "no"})
+    refused = Asked(CommandResult(409, {"reason": "no"}))
     add = HttpRequest("POST", "/members", {}, {}, b'{"Do": "add", "Ip": "1"}')
     assert MembersResource(refused).post(add).status == 409
     assert MembersResource(Asked(Failure("unanswered"))).get(get).status == 503
--- a/tests/lab/test_system.py
+++ b/tests/lab/test_system.py
@@ -17,7 +17,7 @@
 from ashlift.lab.system.runs import simulated
 from ashlift.lab.system.world import unfit
 from ashlift.lab.system.yard import asked
-from ashlift.registry.records import parse_heartbeat
+from ashlift.registry.api.heartbeat_body import parse_heartbeat
 from ashlift.simulation.checkers.rules import RULE_TEXTS, check_rules
 from ashlift.simulation.scene import Play, read, read_file
 from ashlift.simulation.world import ZONES, Plan
@@ -67,7 +67,9 @@
     verb, target, body, _ = wire.spoken("beat", ("fleet-1", told))
     beat = parse_heartbeat(json.dumps(body).encode(), 10.0)
     assert (verb, target) == ("PUT", "/instances/fleet-1")
-    assert not isinstance(beat, Failure) and beat.until == 11.25 and beat.seq == 3 and beat.capacity == 4
+    assert (
+        not isinstance(beat, Failure) and beat.warm_at == 11.25 and beat.call_seq == 3 and beat.capacity == 4
+    )
     order = {"kind": "put", "if_match": "00000001", "body": {"ConfigVersion": "00000002"}}
     assert wire.spoken("order", order) == ("PUT", "/config", order["body"], {"If_Match": "00000001"})
     zone = {"kind": "restore", "if_match": None, "body": "z1"}
--- a/tests/proxy/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -7,8 +7,11 @@
 from ashlift.config.routing_table import Route
 from ashlift.proxy.cluster_view import Worker
 from ashlift.proxy.load_balancer import LoadBalancer
+from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.records import WorkerRecord as Told
-from ashlift.registry.registry import Registry, RegistryIdentity
+from ashlift.registry.records import WorkerState
+from ashlift.registry.registry import Registry
+from tests.support.registry_wire import begin_pull
 
 LOOK = Route(
     name="look",
@@ -127,12 +130,14 @@
 def _():
     now = 100.0
     registry = Registry(RegistryIdentity("c", "1", "1.1.1.1", "z1", "r1", 80, 1.5), [], {"z1": "r1"}, now)
-    registry.record_heartbeat("w", Told("board", "1.1.1.2:9", "z1", 6, "ready", 1, 0.0, ""), now)
+    registry.instances.record_heartbeat(
+        "w", Told("board", "1.1.1.2:9", "z1", 6, WorkerState.READY, 1, 0.0, ""), now
+    )
 
     def pull(node: str, out: int) -> object:
         body = {"node": node, "incarnation": "1", "zone": "z1", "region": "r1", "front": "", "ready": True}
-        assert registry.begin_pull({**body, "have": {}, "outs": {"w": out} if out else {}}, now) is None
-        registry.end_pull(node)
+        begin_pull(registry, {**body, "have": {}, "outs": {"w": out} if out else {}}, now)
+        registry.sessions.end_pull(node)
         return registry.own_source.values.get("o/w")
 
     assert [pull("e1", 1), pull("e2", 3), pull("e1", 2), pull("e1", 6), pull("e1", 0)] == [None, 4, 4, 9, 3]
--- a/tests/proxy/test_registry_client.py
+++ b/tests/proxy/test_registry_client.py
@@ -9,11 +9,13 @@
 from ashlift.errors import Failure, FailureReason
 from ashlift.proxy.registry_client import AVOID_SECONDS, RegistryClient
 from ashlift.proxy.request_router import RequestRouter
-from ashlift.registry.registry import Registry, RegistryIdentity
+from ashlift.registry.identity import RegistryIdentity
+from ashlift.registry.registry import Registry
 from ashlift.rpc.client import CONNECT_TIMEOUT_SECONDS, PROGRESS_TIMEOUT_SECONDS, ProgressDeadline
 from ashlift.rpc.fragmentation import unpack_update
 from ashlift.rpc.framing import RESPONSE_CRC_SEED, encode_frame
 from ashlift.rpc.sources import OPERATOR_SOURCE
+from tests.support.registry_wire import pull_response
 
 NEAR, NEXT, FAR = "10.1.0.1", "10.2.0.1", "10.3.0.1"
 TEXT = f"""NodeName = "edge-1"
@@ -87,11 +89,13 @@
     word: dict[str, Any] = {f"Routes/r-{number}": {"Host": "h", "Timeout": "2s"} for number in range(1200)}
     word["Version"] = "0000000c"
     packer = Registry(RegistryIdentity("core-1", "0", NEAR, "a", "r", 80, 1.5), [NEAR], {"a": "r"}, 0.0)
-    packer.receive_watch_response({"index": 7, "full": True, "set": word, "gone": [], "age": 0.0}, 0.0, 0.0)
+    packer.operator_config.receive_watch_response(
+        {"index": 7, "full": True, "set": word, "gone": [], "age": 0.0}, 0.0
+    )
     body = {"have": {}, "zone": "a", "region": "r"}
     plain, packed = (
-        packer.pull_response(body, 0.0, 0.0),
-        packer.pull_response({**body, "packs": True}, 0.0, 0.0),
+        pull_response(packer, body, 0.0, 0.0),
+        pull_response(packer, {**body, "packs": True}, 0.0, 0.0),
     )
     packed["sources"][OPERATOR_SOURCE] = unpack_update(told := packed["sources"][OPERATOR_SOURCE])
     assert packed["sources"] == plain["sources"]
--- a/tests/registry/test_command_answers.py
+++ b/tests/registry/test_command_answers.py
@@ -10,8 +10,8 @@
 from ward import each, test
 
 from ashlift.errors import Failure, FailureReason
-from ashlift.registry.http_server import HttpServer
-from ashlift.registry.resources import Config
+from ashlift.registry.api.config import ConfigResource
+from ashlift.registry.api.server import HttpServer
 from ashlift.registry.store_client import StoreClient
 from ashlift.rpc.client import ClientPool
 from ashlift.rpc.server import serve
@@ -83,7 +83,7 @@
     """A trouble on the way to one store while three operators give two orders each."""
     stores = Stores()
     store = StoreClient("store-0", 7600, lambda: ["store-0", "store-1"], Way(stores))
-    door = HttpServer((HOST, 0), {"config": Config(store)})
+    door = HttpServer((HOST, 0), {"config": ConfigResource(store)})
     door.start()
     address = HOST, door._server.server_port or 0
     stores.ways[which].arm(way, at, kind)
--- a/tests/registry/test_operator_request.py
+++ b/tests/registry/test_operator_request.py
@@ -3,7 +3,7 @@
 from ward import each, test
 
 from ashlift.errors import Failure, FailureReason
-from ashlift.registry.http_server import STALL_RECOVERY_SECONDS, STALL_THRESHOLD_SECONDS, StallDetector
+from ashlift.registry.api.stall_detector import STALL_RECOVERY_SECONDS, STALL_THRESHOLD_SECONDS, StallDetector
 from ashlift.registry.operator_request import HEDGE_DELAY_SECONDS, RETRY_ROUND_DELAY_SECONDS, OperatorRequest
 
 
@@ -53,14 +53,14 @@
 def _() -> None:
     awake = StallDetector(0.0)
     for tenth in range(1, 20):
-        awake.beat(tenth / 10)
-    assert awake.earliest_write(1.95) == 1.95
-    assert awake.earliest_write(22.0) == 1.95, "the bytes came first"
-    awake.beat(22.01)
+        awake.check(tenth / 10)
+    assert awake.earliest_connect(1.95) == 1.95
+    assert awake.earliest_connect(22.0) == 1.95, "the bytes came first"
+    awake.check(22.01)
     assert (
-        awake.earliest_write(22.0 + STALL_RECOVERY_SECONDS - 0.01) == 1.95
-        and awake.earliest_write(22.0 + STALL_RECOVERY_SECONDS) == 22.0 + STALL_RECOVERY_SECONDS
+        awake.earliest_connect(22.0 + STALL_RECOVERY_SECONDS - 0.01) == 1.95
+        and awake.earliest_connect(22.0 + STALL_RECOVERY_SECONDS) == 22.0 + STALL_RECOVERY_SECONDS
     )
     awake = StallDetector(0.0)
-    awake.beat(STALL_THRESHOLD_SECONDS + 20.0)
-    assert awake.earliest_write(STALL_THRESHOLD_SECONDS + 20.0) == 0.0, "the timer came first"
+    awake.check(STALL_THRESHOLD_SECONDS + 20.0)
+    assert awake.earliest_connect(STALL_THRESHOLD_SECONDS + 20.0) == 0.0, "the timer came first"
--- a/tests/registry/test_parts.py
+++ b/tests/registry/test_parts.py
@@ -13,21 +13,29 @@
 from ashlift.configstore.messages import Snapshot
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.errors import Failure, FailureReason
+from ashlift.registry.api.config import ConfigResource
+from ashlift.registry.api.evacuation import EvacuationResource
+from ashlift.registry.api.heartbeat_body import parse_heartbeat
+from ashlift.registry.api.instances import InstancesResource
+from ashlift.registry.api.messages import HttpRequest, HttpResponse
+from ashlift.registry.api.request_parser import RequestParser
+from ashlift.registry.api.server import HttpServer
 from ashlift.registry.endpoint_directory import MAX_CACHED_LOOKUPS
-from ashlift.registry.http_server import HttpRequest, HttpResponse, HttpServer, RequestParser
-from ashlift.registry.records import WorkerRecord, parse_heartbeat
-from ashlift.registry.registry import Registry, RegistryIdentity
-from ashlift.registry.replicated_source import MAX_TOMBSTONES, ReplicatedSource
-from ashlift.registry.resources import Config, Evacuation, Instances
-from ashlift.registry.server import (
+from ashlift.registry.identity import RegistryIdentity
+from ashlift.registry.messages import CommandResult
+from ashlift.registry.pacing import (
     BATCHING_DELAY_SECONDS,
     LONG_POLL_SECONDS,
     UNTHROTTLED_PEERS,
     UNTHROTTLED_SESSIONS,
     call_interval,
 )
+from ashlift.registry.records import WorkerRecord, WorkerState
+from ashlift.registry.registry import Registry
+from ashlift.registry.replicated_source import MAX_TOMBSTONES, ReplicatedSource
 from ashlift.registry.store_client import StoreClient
 from ashlift.rpc.client import ClientPool
+from tests.support.registry_wire import begin_pull
 
 
 def take(asker: tuple[int, dict[str, Any]], source: ReplicatedSource) -> tuple[int, dict[str, Any]]:
@@ -35,8 +43,8 @@
     news = source.delta_since(version or None)
     if news is None:
         return asker
-    kept = {} if news.full else {key: one for key, one in records.items() if key not in news.gone}
-    return news.version, {**kept, **news.set}
+    kept = {} if news.full else {key: one for key, one in records.items() if key not in news.removed}
+    return news.version, {**kept, **news.values}
 
 
 @test("an asker that goes between a source and its copies ends with what the source holds ({seed})")
@@ -52,7 +60,9 @@
                 copy.replace(origin.version, dict(origin.values))
             elif news := origin.delta_since(copy.version or None):
                 whole = copy.replace if news.full else None
-                whole(news.version, news.set) if whole else copy.merge(news.version, news.set, news.gone)
+                whole(news.version, news.values) if whole else copy.merge(
+                    news.version, news.values, news.removed
+                )
         which = rng.randrange(12)
         if which < len(askers):
             askers[which] = take(askers[which], rng.choice([origin, *copies]))
@@ -106,8 +116,8 @@
     for number in range(MAX_TOMBSTONES + 2):
         source.drop(f"w/{number}")
     old, new = source.delta_since(before), source.delta_since(before + 2)
-    assert old and old.full and not old.set
-    assert new and not new.full and len(new.gone) == MAX_TOMBSTONES
+    assert old and old.full and not old.values
+    assert new and not new.full and len(new.removed) == MAX_TOMBSTONES
 
 
 @test("sums are told, and wake nobody")
@@ -151,14 +161,14 @@
     if wrong:
         assert isinstance(found, Failure) and wrong in found.detail, found
     else:
-        assert found == WorkerRecord("s", "10.128.0.9:8080", "z", 2, "ready", 4, 11.5, "v1")
+        assert found == WorkerRecord("s", "10.128.0.9:8080", "z", 2, WorkerState.READY, 4, 11.5, "v1")
 
 
 def read(data: bytes, size: int) -> RequestParser:
     reading = RequestParser(lambda path: 8 if path == "/small" else 100)
     for start in range(0, len(data), size):
         reading.feed(data[start : start + size])
-        if reading.wrong:
+        if reading.error:
             break
     return reading
 
@@ -171,10 +181,10 @@
         b"GET /c/d HTTP/1.1\r\nConnection: close\r\n\r\n",
         size,
     )
-    first, second, third = (request for request, _ in reading.done)
+    first, second, third = (request for request, _ in reading.requests)
     assert first == HttpRequest("PUT", "/a", {"Zone": "x", "Name": "y"}, first.headers, b"{}")
     assert first.headers["if-match"] == "5" and second.body == b"abcde" and third.segments == ["d"]
-    assert [keep for _, keep in reading.done] == [True, True, False] and not reading.wrong
+    assert [keep for _, keep in reading.requests] == [True, True, False] and not reading.error
 
 
 @test("a call that is too large or no HTTP gets its status and reaches nobody: {status}")
@@ -189,7 +199,7 @@
 ) -> None:
     for size in (5, 50000):
         reading = read(data, size)
-        assert reading.wrong and reading.wrong.status == status
+        assert reading.error and reading.error.status == status
 
 
 class Stores(ClientPool):
@@ -249,19 +259,19 @@
     ):
         way, stores = store(own=own, other=other)
         request = call("PUT", "/config", b'{"ConfigVersion":"00000001"}', **{"if-match": ' "5" '})
-        answer = Config(way).take(request)
+        answer = ConfigResource(way).handle(request)
         assert (answer.status, [ip for ip, _ in stores.asked][: len(asked)]) == (status, asked)
         assert len(stores.asked) == len(asked) or own is other is away, "asked again though it was answered"
         wanted = {"kind": "put", "if_match": "5", "body": {"ConfigVersion": "00000001"}}
         assert all(plain(order) == wanted for _, order in stores.asked)
-        assert (answer.retry_after is not None) == (status == 503)
-        json.loads(answer.wire(False).partition(b"\r\n\r\n")[2])
+        assert (answer.retry_after_seconds is not None) == (status == 503)
+        json.loads(answer.encode(False).partition(b"\r\n\r\n")[2])
 
 
 @test("an order goes to other stores first while the own one takes calls and says nothing")
 def _() -> None:
     way, stores = store(own=Failure(FailureReason.OUTCOME_UNKNOWN), other={"status": 200, "index": 9})
-    way._watchers = stores
+    way._watch_clients = stores
     for silent, asked in (
         (Failure(FailureReason.OUTCOME_UNKNOWN), ["other"]),
         (Failure(FailureReason.UNREACHABLE), ["own"]),
@@ -292,9 +302,9 @@
 ) -> None:
     way, stores = store(own=Failure(FailureReason.UNREACHABLE))
     settings = Settings(node_name="n", ip="own", internal_ports=(1, 2), seeds=(), zones={"za": "ra"})
-    resource = Config(way) if request.path == "/config" else Evacuation(way, lambda: settings)
-    assert resource.take(request).status == status and not stores.asked
-    Evacuation(way, lambda: settings).take(call("DELETE", "/evacuation/za"))
+    resource = ConfigResource(way) if request.path == "/config" else EvacuationResource(way, lambda: settings)
+    assert resource.handle(request).status == status and not stores.asked
+    EvacuationResource(way, lambda: settings).handle(call("DELETE", "/evacuation/za"))
     found = {(ip, *plain(order).values()) for ip, order in stores.asked}
     assert found == {("own", "restore", None, "za")}
 
@@ -333,14 +343,17 @@
     clock, seen = Clock(10.0), list[Any]()
 
     class Sure(StoreClient):
-        def submit(self, *order: Any) -> Any:
-            seen.append(order[-1])
-            return {"status": 200, "index": 2}
+        def submit(self, *_: Any, not_written_before: float | None = None, **__: Any) -> Any:
+            seen.append(not_written_before)
+            return CommandResult(200, {"index": 2})
 
     settings = Settings(node_name="n", ip="own", internal_ports=(1, 2), seeds=(), zones={"za": "ra"})
     way = Sure("own", 7600, list, ClientPool())
-    with patch("ashlift.registry.http_server.time", clock), patch("ashlift.registry.resources.time", clock):
-        door = HttpServer(("127.0.0.1", 0), {"evacuation": Evacuation(way, lambda: settings)})
+    with (
+        patch("ashlift.registry.api.server.time", clock),
+        patch("ashlift.registry.api.evacuation.time", clock),
+    ):
+        door = HttpServer(("127.0.0.1", 0), {"evacuation": EvacuationResource(way, lambda: settings)})
         match story:
             case "fresh":
                 wire = Wire(clock, (10.1, POST))
@@ -351,8 +364,8 @@
             case _:
                 clock.now = 30.0  # it is taken now, and came at any time while the process stood
                 wire = Wire(clock, (30.01, POST))
-        door._open[wire] = False  # type: ignore[index]
-        door._serve(wire)  # type: ignore[arg-type]
+        door._connections[wire] = False  # type: ignore[index]
+        door._serve_connection(wire)  # type: ignore[arg-type]
     told = [answer.split(b"\r\n")[0].split()[1] for answer in wire.sent]
     wanted = {"fresh": [200], "held up": [307], "after an answer": [200, 307, 200, 200, 200]}
     assert [int(status) for status in told] == wanted.get(story, [307])
@@ -369,20 +382,21 @@
     other = BEAT.replace(b"10.128.0.9", b"10.128.0.7")
     old, new = (parse_heartbeat(one, now) for one in (BEAT.replace(b"4,", b"40,"), other))
     assert isinstance(old, WorkerRecord) and isinstance(new, WorkerRecord)
-    registry.record_heartbeat("i-1", old, now)
+    registry.instances.record_heartbeat("i-1", old, now)
     for tenth in range(46):
         registry.tick(now + tenth / 10)
-        assert not registry.record_heartbeat("i-1", new, now + tenth / 10)
-        assert registry.workers()["i-1"].address == old.address
+        assert not registry.instances.record_heartbeat("i-1", new, now + tenth / 10)
+        assert registry.instances.all_known()["i-1"].address == old.address
     registry.tick(now + 4.6)  # the last life's lease is over
-    assert not registry.workers()
+    assert not registry.instances.all_known()
     assert (
-        registry.record_heartbeat("i-1", new, now + 4.7) and registry.workers()["i-1"].address == new.address
+        registry.instances.record_heartbeat("i-1", new, now + 4.7)
+        and registry.instances.all_known()["i-1"].address == new.address
     )
-    assert registry.record_heartbeat("i-1", new, now + 4.7)  # come twice
-    registry.deregister_worker("i-1", now + 5.0)
+    assert registry.instances.record_heartbeat("i-1", new, now + 4.7)  # come twice
+    registry.instances.deregister("i-1", now + 5.0)
     assert (
-        not registry.record_heartbeat("i-1", new, now + 5.1) and not registry.workers()
+        not registry.instances.record_heartbeat("i-1", new, now + 5.1) and not registry.instances.all_known()
     )  # late, behind the end
 
 
@@ -391,19 +405,21 @@
     now = time.monotonic()
     registry = Registry(RegistryIdentity("a", "1", "10.0.0.1", "za", "ra", 8200, 1.5), [], {}, now)
     rings: list[int] = []
-    instances = Instances(registry, lambda: rings.append(1))
+    instances = InstancesResource(registry, lambda: rings.append(1))
     for body, status in ((BEAT, 200), (BEAT, 200), (BEAT.replace(b"4,", b"3,"), 503), (b"{}", 400)):
-        answer = instances.take(call("PUT", "/instances/i-1", body))
-        assert answer.status == status and len(answer.wire(False)) < 4096
+        answer = instances.handle(call("PUT", "/instances/i-1", body))
+        assert answer.status == status and len(answer.encode(False)) < 4096
     assert answer == HttpResponse(400, {"error": "NodeInfo is missing"})
-    assert cast(WorkerRecord, registry.own_source.values["w/i-1"]).seq == 4 and rings
-    answer = instances.take(call("PUT", "/instances/i-2", BEAT))
+    assert cast(WorkerRecord, registry.own_source.values["w/i-1"]).call_seq == 4 and rings
+    answer = instances.handle(call("PUT", "/instances/i-2", BEAT))
     assert answer.body == {"HeartbeatTarget": "10.0.0.1:8200"}
-    assert instances.take(call("DELETE", "/instances/i-2")).status == 200
-    assert list(registry.workers()) == ["i-1"]
+    assert instances.handle(call("DELETE", "/instances/i-2")).status == 200
+    assert list(registry.instances.all_known()) == ["i-1"]
     cut_off = Registry(registry.identity, ["10.0.0.1", "10.0.0.2"], {}, now - 5)
-    assert Instances(cut_off, lambda: None).take(call("PUT", "/instances/i-1", BEAT)).status == 503
-    assert list(cut_off.workers()) == ["i-1"]  # known here, and the worker goes on to another registry
+    assert InstancesResource(cut_off, lambda: None).handle(call("PUT", "/instances/i-1", BEAT)).status == 503
+    assert list(cut_off.instances.all_known()) == [
+        "i-1"
+    ]  # known here, and the worker goes on to another registry
 
 
 @test("what a zone's clients are told is worked out once in 0.1 s, and is never older")
@@ -413,16 +429,16 @@
     )
     body = {"incarnation": "0", "zone": "z", "region": "r", "ready": True, "have": {}}
     for number in range(3):
-        registry.begin_pull({**body, "node": f"edge-{number}", "front": f"10.1.0.{number}:80"}, 5.0)
+        begin_pull(registry, {**body, "node": f"edge-{number}", "front": f"10.1.0.{number}:80"}, 5.0)
     first = registry.lookup("z", "r", 5.0)
     assert isinstance(first, list) and len(first) == 3
-    registry.begin_pull({**body, "node": "edge-1", "front": "10.1.0.1:80", "leaving": True}, 5.05)
+    begin_pull(registry, {**body, "node": "edge-1", "front": "10.1.0.1:80", "leaving": True}, 5.05)
     assert registry.lookup("z", "r", 5.05) is first
     later = registry.lookup("z", "r", 5.11)
     assert isinstance(later, list) and sorted(later) == ["10.1.0.0:80", "10.1.0.2:80"]
     for number in range(1000):
         registry.lookup(f"z{number}", "r", 5.11)
-    assert len(registry._looks.kept) <= MAX_CACHED_LOOKUPS
+    assert len(registry.directory.cache) <= MAX_CACHED_LOOKUPS
 
 
 @test("calls for news stay as often as they were with few heads, and a registry's load is bounded with many")
--- a/tests/registry/test_routes.py
+++ b/tests/registry/test_routes.py
@@ -20,9 +20,13 @@
 from ashlift.configstore.snapshot_storage import SnapshotStorage
 from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE
 from ashlift.errors import Failure, FailureReason
-from ashlift.registry.http_server import HttpRequest
-from ashlift.registry.registry import Registry, RegistryIdentity
-from ashlift.registry.route_resources import Proposals, RouteEditService, Routes
+from ashlift.registry import codec
+from ashlift.registry.api.messages import HttpRequest
+from ashlift.registry.api.proposals import ProposalsResource
+from ashlift.registry.api.route_edits import RouteEditService
+from ashlift.registry.api.routes import RoutesResource
+from ashlift.registry.identity import RegistryIdentity
+from ashlift.registry.registry import Registry
 from ashlift.route_reconciliation.edit_codec import encode_edit
 from tests.support.route_edits import BASE, FIRST_ROUTES, Map, route
 
@@ -40,13 +44,17 @@
         self.registry.operator_config.replace(1, self.map)
         self.shelves = {ip: self.opened(ip) for ip in ("10.0.0.1", "10.0.0.2")}
         desk = RouteEditService(self.registry, self)  # type: ignore[arg-type]
-        self.resources = {"routes": Routes(desk), "proposals": Proposals(desk)}
+        self.resources = {"routes": RoutesResource(desk), "proposals": ProposalsResource(desk)}
 
     def opened(self, ip: str) -> PendingEditStorage:
         shelf = SnapshotStorage(f"{self.folder}/{ip}", PENDING_EDIT_STORAGE)
         return PendingEditStorage(shelf, lambda: (self.index, self.map), lambda *_, **__: None)
 
     def submit(self, kind: str, if_match: str | None, body: Any, size: int = 0) -> Any:
+        answer = self.execute(kind, if_match, body)
+        return answer if isinstance(answer, Failure) else codec.decode_command_result(answer)
+
+    def execute(self, kind: str, if_match: str | None, body: Any) -> Any:
         if self.fault is not None:
             return self.fault
         made = decide_command(self.map, OperatorCommand(kind, if_match, body))
@@ -59,13 +67,17 @@
         return dict(made.response)
 
     def exchange_pending_edits(self, add: list[Map]) -> Map:
-        return {ip: one.handle_request({"add": add}) for ip, one in self.shelves.items()}
+        answers = {ip: one.handle_request({"add": add}) for ip, one in self.shelves.items()}
+        return {
+            ip: answer if isinstance(answer, Failure) else codec.decode_pending_edits(answer)
+            for ip, answer in answers.items()
+        }
 
     def merge(self) -> None:
         """What every store does once a second."""
         for one in self.shelves.values():
             order = one.merge_request()
-            one.finish_merge(order and self.submit(order["kind"], None, order["body"]))
+            one.finish_merge(order and self.execute(order["kind"], None, order["body"]))
 
     def run(self, line: str) -> tuple[int, str]:
         """Exit code and all output of a command, its calls taken by this core."""
@@ -74,7 +86,7 @@
             target: Any, method: str, path: str, asked: str, body: bytes = b"", **_: Any
         ) -> tuple[int, str, bytes]:
             request = HttpRequest(method, path, {}, {}, body)
-            answer = self.resources[path.split("/")[1]].take(request)
+            answer = self.resources[path.split("/")[1]].handle(request)
             return answer.status, "", json.dumps(answer.body).encode()
 
         tester = ApplicationTester(application())
@@ -186,5 +198,7 @@
     for body in bodies:
         assert isinstance(core.shelves["10.0.0.1"].handle_request(body), Failure)
     assert core.run("edit c:1 x")[0] == 2 and core.run("confirm c:1 none --on 00000001")[0] == 2
-    assert core.resources["proposals"].take(HttpRequest("POST", "/proposals/p1", {}, {}, b"[]")).status == 400
-    assert core.resources["routes"].take(HttpRequest("POST", "/routes/x", {}, {}, b"{}")).status == 400
+    assert (
+        core.resources["proposals"].handle(HttpRequest("POST", "/proposals/p1", {}, {}, b"[]")).status == 400
+    )
+    assert core.resources["routes"].handle(HttpRequest("POST", "/routes/x", {}, {}, b"{}")).status == 400
--- a/tests/registry/test_scenarios.py
+++ b/tests/registry/test_scenarios.py
@@ -24,9 +24,12 @@
 
 from ashlift.errors import Failure
 from ashlift.proxy.cluster_view import ClusterView
-from ashlift.registry.records import TOMBSTONE, WorkerRecord
-from ashlift.registry.registry import Registry, RegistryIdentity
+from ashlift.registry import codec
+from ashlift.registry.identity import RegistryIdentity
+from ashlift.registry.records import WorkerRecord, WorkerState
+from ashlift.registry.registry import Registry
 from ashlift.rpc.sources import OPERATOR_SOURCE
+from tests.support.registry_wire import begin_pull, pull_response, receive_swap_response, swap_response
 
 SCENES = sorted((Path(__file__).parent.parent / "scenarios").glob("registry_*.txt"))
 STEP = 0.01
@@ -89,18 +92,20 @@
     def beat(self, at: str, key: str, *words: str) -> None:
         told = {"state": "ready", "warm": "0", **dict(word.split("=") for word in words if "=" in word)}
         until = self.now + float(told["warm"])
-        said = WorkerRecord("s", "10.0.0.9:80", "z", 2, told["state"], int(told["seq"]), until, "v")
-        assert self.all[at].record_heartbeat(key, said, self.now) == ("late" not in words)
+        said = WorkerRecord(
+            "s", "10.0.0.9:80", "z", 2, WorkerState(told["state"]), int(told["seq"]), until, "v"
+        )
+        assert self.all[at].instances.record_heartbeat(key, said, self.now) == ("late" not in words)
 
     def delete(self, at: str, key: str) -> None:
-        self.all[at].deregister_worker(key, self.now)
+        self.all[at].instances.deregister(key, self.now)
 
     def word(self, at: str, index: str, age: str, *pairs: str) -> None:
         told = dict(pair.split("=") for pair in pairs)
         values, gone = {key: one for key, one in told.items() if one}, [key for key in told if not told[key]]
         answer = {"index": int(index), "age": float(age), "set": values, "gone": gone, "term": 1}
         answer["full"] = not self.all[at].operator_config.version
-        self.all[at].receive_watch_response(answer, self.now, self.now)
+        self.all[at].operator_config.receive_watch_response(answer, self.now)
 
     def run(self, seconds: str) -> None:
         for _ in range(round(float(seconds) / STEP)):
@@ -124,18 +129,17 @@
         mine = self.all[name]
         for ip in mine.peer_ips(self.now):
             if ip in awake and frozenset((name, ip)) not in self.cuts:
-                asked = self.all[ip].receive_swap_request(mine.swap_request(ip, True, self.now), self.now)
-                assert not isinstance(asked, Failure)
-                told = self.all[ip].swap_response(*asked, self.now)
-                assert mine.receive_swap_response(ip, told, self.now, self.now) is None
+                asked = codec.encode_swap_request(mine.peers.swap_request(ip, True))
+                told = swap_response(self.all[ip], asked, self.now)
+                receive_swap_response(mine, ip, told, self.now, self.now)
 
     def _pull(self, edge: Edge, body: dict[str, Any]) -> None:
         registry, body = self.all[edge.at], body | {"have": edge.ledger.versions()}
-        assert registry.begin_pull(body, self.now) is None
-        answer = registry.pull_response(body, self.now, self.now)
+        begin_pull(registry, body, self.now)
+        answer = pull_response(registry, body, self.now, self.now)
         edge.ledger.apply(self.now, self.now, answer)
-        registry.end_pull(edge.name)
-        copies = registry.peers
+        registry.sessions.end_pull(edge.name)
+        copies = registry.peers.replicas
         silent = {name: copies[name].source.version for name in copies.keys() - set(answer["alive"])}
         assert not registry.has_updates_for(silent | edge.ledger.versions()), (
             "would be answered at once, on and on"
@@ -147,8 +151,8 @@
     def _check_worker(self, at: str, key: str, wanted: str) -> None:
         workers = self.edges[at].ledger.workers
         found = "none" if key not in workers else "ready" if workers[key].ready else "draining"
-        if found == "draining" and key not in self.all[self.edges[at].at].workers():
-            found = TOMBSTONE
+        if found == "draining" and key not in self.all[self.edges[at].at].instances.all_known():
+            found = WorkerState.TOMBSTONE
         assert found == wanted, str(found)
 
     def _check_sum(self, at: str, tenant: str, *counts: str) -> None:
@@ -174,7 +178,7 @@
         assert abs(ran - float(wanted)) < 0.1, str(ran)
 
     def _check_age(self, at: str, wanted: str) -> None:
-        age = self.all[at].lease_age(self.now)
+        age = self.all[at].operator_config.lease_age(self.now)
         assert (wanted == "none") if age is None else abs(age - float(wanted)) < 0.001, str(age)
 
 
@@ -233,5 +237,5 @@
         assert truth.keys() <= seen.keys(), str(truth.keys() - seen.keys())
         assert set(edge.ledger.proxies) == set(play.edges), str(edge.ledger.proxies)
     for name in names:
-        assert sorted(play.all[name].live_sessions(play.now)) == sorted(play.edges)
-        assert play.all[name].workers().keys() == truth.keys()
+        assert sorted(play.all[name].sessions.live(play.now)) == sorted(play.edges)
+        assert play.all[name].instances.all_known().keys() == truth.keys()
--- a/tests/registry/test_soft_state.py
+++ b/tests/registry/test_soft_state.py
@@ -187,7 +187,7 @@
     def told() -> tuple[Any, bool, bool]:
         """Status of a beat, whether look-ups are answered, whether its proof is one to stay with."""
         now, registry = board.clock(), board.registry
-        age = registry.lease_age(now)
+        age = registry.operator_config.lease_age(now)
         fields = {
             "service": "fleet",
             "address": "10.9.0.1:80",
--- a/tests/rpc/test_fragmentation.py
+++ b/tests/rpc/test_fragmentation.py
@@ -22,10 +22,12 @@
     RegistryClient,
 )
 from ashlift.proxy.request_router import RequestRouter
-from ashlift.registry.registry import Registry, RegistryIdentity
+from ashlift.registry.identity import RegistryIdentity
+from ashlift.registry.registry import Registry
 from ashlift.rpc.fragmentation import FRAGMENT_BYTES, MAX_CACHED_UPDATES, Fragmenter, Reassembler
 from ashlift.rpc.sources import OPERATOR_SOURCE
 from tests.proxy.test_registry_client import TEXT
+from tests.support.registry_wire import pull_response
 
 LINE_BYTES_PER_SECOND = 2e6 / 8  # of each proxy's line
 TRIP_SECONDS = 0.04  # one way
@@ -68,7 +70,7 @@
 
     def publish(self, entries: dict[str, Any], full: bool = False) -> None:
         answer = {"index": self.index, "full": full, "set": entries, "gone": [], "age": 0.05, "term": 1}
-        self.registry.receive_watch_response(answer, self.now, self.now)
+        self.registry.operator_config.receive_watch_response(answer, self.now)
 
     def change(self) -> None:
         self.index += 1
@@ -87,7 +89,7 @@
         if in_one:
             del call.body["part"]
         self.advance_to(at + TRIP_SECONDS)
-        answer: Any = self.registry.pull_response(call.body, self.now, self.now)
+        answer: Any = pull_response(self.registry, call.body, self.now, self.now)
         took = 2 * TRIP_SECONDS + len(cbor2.dumps(answer)) / LINE_BYTES_PER_SECOND
         self.longest_transfer = max(self.longest_transfer, took)
         if took > MAX_RESPONSE_SECONDS:
@@ -122,7 +124,7 @@
     assert lines.longest_transfer < LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS, (
         "an answer is too large for a call"
     )
-    assert len(lines.registry._cutter._packs) <= MAX_CACHED_UPDATES
+    assert len(lines.registry._fragmenter._packs) <= MAX_CACHED_UPDATES
 
 
 @test("what it was before: in one answer, such a configuration never comes through")
@@ -213,16 +215,19 @@
             entries = committed.snapshot.entries.with_changes({"Routes/7": {"Host": "new"}}, ["Routes/8"])
             committed.advance(Snapshot((1, 6), entries))
         have = receiver.operator_config.version
-        body = {"have": have, "wait": 0.1, "part": receiver.wanted_fragment()}
+        body = {"have": have, "wait": 0.1, "part": receiver.operator_config.wanted_fragment()}
         request = decode_watch(body)
         assert not isinstance(request, Failure)
         answer = fragment_changes(fragmenter, committed.changes_since(have), request, now)
         assert len(cbor2.dumps(answer)) < 300 << 10
-        accepted = receiver.receive_watch_response(
-            {**answer, "age": 0.01, "term": 1, "leader": None}, now, now
+        accepted = receiver.operator_config.receive_watch_response(
+            {**answer, "age": 0.01, "term": 1, "leader": None}, now
         )
         assert accepted
-        assert receiver.lease_age(now) is None or receiver.operator_config.version == committed.index
+        assert (
+            receiver.operator_config.lease_age(now) is None
+            or receiver.operator_config.version == committed.index
+        )
     assert receiver.operator_config.values == committed.snapshot.entries.map
     assert 5 < calls < 14
-    assert abs((receiver.lease_age(now) or 0.0) - 0.01) < 1e-6
+    assert abs((receiver.operator_config.lease_age(now) or 0.0) - 0.01) < 1e-6
--- a/tests/test_event_catalogue.py
+++ b/tests/test_event_catalogue.py
@@ -29,10 +29,16 @@
     return found
 
 
+def source_files(package: str) -> list[Path]:
+    """Of a package with its sub-packages; of `ashlift` itself, its own modules alone."""
+    folder = ROOT / "ashlift" / package
+    return sorted(folder.glob("*.py") if package == "." else folder.rglob("*.py"))
+
+
 def logged(names: set[str]) -> dict[str, set[str]]:
     """The fields of each event, over all places in the code that log it."""
     found: dict[str, set[str]] = {}
-    for path in (path for package in PLACES.values() for path in (ROOT / "ashlift" / package).glob("*.py")):
+    for path in (path for package in PLACES.values() for path in source_files(package)):
         for call in ast.walk(ast.parse(path.read_text())):
             if not isinstance(call, ast.Call) or not call.args:
                 continue
--- a/tests/traffic/test_outlier_detection.py
+++ b/tests/traffic/test_outlier_detection.py
@@ -8,7 +8,8 @@
 from ashlift.config.routing_table import Route
 from ashlift.proxy.cluster_view import Worker
 from ashlift.proxy.load_balancer import LoadBalancer
-from ashlift.registry.load_reports import LoadReport, LoadReports
+from ashlift.registry.load_reports import LoadReports
+from ashlift.registry.messages import LoadReport
 from ashlift.registry.replicated_source import ReplicatedSource
 from ashlift.traffic.outlier_detection import FailureTotals, OutlierDetector, WorkerLoad
 
@@ -64,7 +65,7 @@
     def _pull(self, now: float) -> None:
         for at, crew in enumerate(self.crews):
             faults = crew.outlier_detector.failure_counts(now)
-            self.tallies.said(
+            self.tallies.update(
                 f"e{at}", LoadReport({}, {key: (one[0], one[1]) for key, one in faults.items()})
             )
             found = {key: FailureTotals(*one) for key, one in self.sums[0].items()}
