--- a/ashlift/configstore/stored_names.py
+++ b/ashlift/configstore/stored_names.py
@@ -1,7 +1,7 @@
 """Names that stand on the store's disks: of files, and of keys that the store adds to the replicated map.
 
 They keep their words: disks written by earlier releases must stay readable. The keys of members are in
-`membership`, those of edits of routes in `ashlift.route_reconciliation.stored_names`.
+`membership`, those of edits of routes in `ashlift.route_reconciliation.stored_records`.
 """
 
 from typing import Final
