--- a/ashlift/config/validation.py
+++ b/ashlift/config/validation.py
@@ -4,9 +4,7 @@
 """
 
 from collections.abc import Iterator, Mapping
-from typing import Any
-
-import attrs
+from typing import Any, NamedTuple
 
 from ashlift.config.object_schema import (
     LIMITS,
@@ -24,8 +22,7 @@
 from ashlift.config.structuring import FieldError, structure
 
 
-@attrs.frozen
-class ConfigError:
+class ConfigError(NamedTuple):
     """One error of a configuration; `place`: the object, or the part of the request."""
 
     place: str
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -14,7 +14,7 @@
 from ashlift.cli.commands import application
 from ashlift.errors import Failure
 from tests.config.test_operator_config import PATCH, PUT, damaged
-from tests.support.config_play import SCENES
+from tests.support.config_play import SCENARIOS
 
 STATUS: dict[str, Any] = {
     "node": "core-a-1",
@@ -70,7 +70,7 @@
 
 @test("check: sound files are told so, and every fault by place and key")
 def _(folder: Path = folder) -> None:
-    assert run(f"check {SCENES / 'config_settings.toml'}")[0] == 0
+    assert run(f"check {SCENARIOS / 'config_settings.toml'}")[0] == 0
     assert run(f"check {keep(folder, 'c.json', PUT)}")[::2] == (0, "")
     bad = keep(folder, "s.toml", 'Ip = 3\nSeedNodes = ["10.0.0.1:80"]\n')
     code, _, errors = run(f"check {bad}")
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: what is read, what stands in for what is not told, and every fault by its key."""
+"""The settings file: what is read, the defaults, and every error by its key."""
 
 from hypothesis import HealthCheck, given, seed
 from hypothesis import settings as how
@@ -7,12 +7,12 @@
 
 from ashlift.config.settings import Bounds, Settings, parse_settings, read_settings
 from ashlift.errors import Failure
-from tests.support.config_play import SCENES
+from tests.support.config_play import SCENARIOS
 
-PATH = str(SCENES / "config_settings.toml")
-LINES = (SCENES / "config_settings.toml").read_text().splitlines()
-LEAST = 'NodeName="n"\nIp="10.0.0.1"\nInternalPortRange=[7600,7601]\nSeedNodes=["10.0.0.1:80"]\n'
-WRONG = [
+PATH = str(SCENARIOS / "config_settings.toml")
+LINES = (SCENARIOS / "config_settings.toml").read_text().splitlines()
+MINIMAL = 'NodeName="n"\nIp="10.0.0.1"\nInternalPortRange=[7600,7601]\nSeedNodes=["10.0.0.1:80"]\n'
+WRONG_VALUES = [
     "3",
     "-1",
     "1.5",
@@ -35,7 +35,7 @@
 ]
 
 
-@test("settings: all that is told is read, fields that are not known are passed over")
+@test("settings: all that is given is read, fields that are not known are ignored")
 def _() -> None:
     found = read_settings(PATH)
     assert isinstance(found, Settings), found
@@ -64,13 +64,13 @@
 
 @test("settings: the least that a process needs is enough")
 def _() -> None:
-    found = parse_settings(LEAST)
+    found = parse_settings(MINIMAL)
     assert isinstance(found, Settings)
     assert found.bounds == Bounds()
     assert found.data_directory is None
 
 
-FAULTS = {
+ERRORS = {
     'Serves=["edge"]': "Bindings.Front: is missing, and the role serves edge",
     "SeedNodes=[]": "SeedNodes: is empty",
     "Bootstrap=1": "Bootstrap: is not true or false",
@@ -84,45 +84,48 @@
 }
 
 
-@test("settings: {line} is told as {fault}")
-def _(line: str = each(*FAULTS), fault: str = each(*FAULTS.values())) -> None:
-    base = [told for told in LEAST.splitlines() if told.split("=")[0] != line.split("=")[0]]
+@test("settings: {line} is reported as {error}")
+def _(line: str = each(*ERRORS), error: str = each(*ERRORS.values())) -> None:
+    base = [given for given in MINIMAL.splitlines() if given.split("=")[0] != line.split("=")[0]]
     found = parse_settings("\n".join([*base, line]), "f.toml")
     assert isinstance(found, list), found
     assert len(found) == 1, found
-    assert found[0].detail.startswith(f"f.toml: {fault}"), found
+    assert found[0].detail.startswith(f"f.toml: {error}"), found
 
 
-@test("settings: all faults are told at once, and a file that is not there is one")
+@test("settings: all errors are reported at once, and a file that is not there is one")
 def _() -> None:
     found = parse_settings('Ip=3\nSeedNodes=["10.0.0.1:80"]\n[Bounds]\nDrain="3m"\n', "f")
     assert isinstance(found, list)
-    keys = [fault.detail.split(": ")[1] for fault in found]
+    keys = [failure.detail.split(": ")[1] for failure in found]
     assert sorted(keys) == ["Bounds.Drain", "InternalPortRange", "Ip", "NodeName"]
     missing = read_settings(PATH + ".none")
     assert isinstance(missing, list)
     assert "cannot be read" in missing[0].detail
 
 
-@test("settings: damage of any kind raises nothing and is told by its place")
+@test("settings: damage of any kind raises nothing and is reported by its place")
 def _() -> None:
-    verdicts = []
+    accepted = []
 
     @seed(21)
     @how(max_examples=300, database=None, deadline=None, suppress_health_check=list(HealthCheck))
     @given(
-        st.lists(st.tuples(st.integers(0, len(LINES) - 1), st.sampled_from(WRONG)), min_size=1, max_size=3)
+        st.lists(
+            st.tuples(st.integers(0, len(LINES) - 1), st.sampled_from(WRONG_VALUES)), min_size=1, max_size=3
+        )
     )
     def fuzz(steps: list[tuple[int, str]]) -> None:
         lines = list(LINES)
-        for at, value in steps:
-            lines[at] = f"{lines[at].split(' = ')[0]} = {value}" if value else ""
+        for number, value in steps:
+            key = lines[number].split(" = ")[0]
+            lines[number] = f"{key} = {value}" if value else ""
         found = parse_settings("\n".join(lines), "f")
-        verdicts.append(isinstance(found, Settings))
+        accepted.append(isinstance(found, Settings))
         if isinstance(found, list):
             assert found
-            assert all(isinstance(one, Failure) and one.detail.startswith("f: ") for one in found)
-            assert not any("\n" in one.detail for one in found)
+            assert all(isinstance(error, Failure) and error.detail.startswith("f: ") for error in found)
+            assert not any("\n" in error.detail for error in found)
 
     fuzz()
-    assert 0.05 < sum(verdicts) / len(verdicts) < 0.95, "neither all taken nor all refused"
+    assert 0.05 < sum(accepted) / len(accepted) < 0.95, "neither all accepted nor all rejected"
--- a/tests/support/config_play.py
+++ b/tests/support/config_play.py
@@ -1,14 +1,14 @@
-"""Plays a scene of configurations: calls in turn, what each must get, and what must hold after each.
+"""Plays a scenario of configurations: requests in turn, the outcome of each, and what must hold after each.
 
-A scene is a text file:
-  put|patch IF_MATCH VERSION       a call; the lines under it, indented, are its objects:
+A scenario is a text file:
+  put|patch IF_MATCH VERSION       a request; the lines under it, indented, are its objects:
       KIND NAME KEY=JSON...        an object (`-` = no name)
       gone KIND NAME               a name to withdraw
-  raw put|patch IF_MATCH JSON      a call with this very body
-  taken | stale | invalid WORDS    what it must get; WORDS: in the detail
+  raw put|patch IF_MATCH JSON      a request with this very body
+  taken | stale | invalid WORDS    its outcome; WORDS: in the detail
   route HOST PATH NAME|none        key KEY NAME|none        objects NAME...
-After every call: nothing given was changed, what was taken reads back as it was sent, a table kept up to date
-is the table made anew.
+After every request: nothing given was changed, what was accepted reads back as it was sent, a routing table
+that was updated equals one that is made anew.
 """
 
 import json
@@ -19,102 +19,116 @@
 from ashlift.config.routing_table import RoutingTable
 from ashlift.errors import Failure
 
-SCENES = Path(__file__).parent.parent / "scenarios"
+SCENARIOS = Path(__file__).parent.parent / "scenarios"
+FOREIGN_ENTRIES = {"Members/10.0.0.1": {}, "Evacuations/a": 1, "Taken/00000001": "d"}
 Json = dict[str, Any]
-FOREIGN = {"Members/10.0.0.1": {}, "Evacuations/a": 1, "Taken/00000001": "d"}
 
 
-class Play:
+class ConfigPlay:
+    """A stored map and its routing table, through one request after the other."""
+
     def __init__(self) -> None:
-        self.entries: Json = dict(FOREIGN)
+        self.entries: Json = dict(FOREIGN_ENTRIES)
         self.table = RoutingTable.from_entries(self.entries)
 
     def call(self, kind: str, if_match: str, body: Any) -> ConfigChange | Failure:
         given = json.dumps([self.entries, body])
-        got = apply_change(self.entries, kind, if_match, body)
+        outcome = apply_change(self.entries, kind, if_match, body)
         assert json.dumps([self.entries, body]) == given, "what was given was changed"
-        if isinstance(got, Failure):
-            assert got.reason in ("stale", "invalid") and got.detail and "\n" not in got.detail, got
-            return got
-        assert (
-            not got.entries.keys() & set(got.removed_keys)
-            and not (got.entries.keys() | set(got.removed_keys)) & FOREIGN.keys()
-        )
-        self.entries = {
-            key: value for key, value in self.entries.items() if key not in got.removed_keys
-        } | got.entries
-        self.table = self.table.updated(got.entries, got.removed_keys)
+        if isinstance(outcome, Failure):
+            assert outcome.reason in ("stale", "invalid"), outcome
+            assert outcome.detail, outcome
+            assert "\n" not in outcome.detail, outcome
+            return outcome
+        self._apply(outcome)
+        self._check_export(kind, body)
+        return outcome
+
+    def _apply(self, change: ConfigChange) -> None:
+        removed_keys = set(change.removed_keys)
+        assert not change.entries.keys() & removed_keys
+        assert not (change.entries.keys() | removed_keys) & FOREIGN_ENTRIES.keys()
+        remaining = {key: value for key, value in self.entries.items() if key not in removed_keys}
+        self.entries = remaining | change.entries
+        self.table = self.table.updated(change.entries, change.removed_keys)
         assert self.table == RoutingTable.from_entries(self.entries)
-        shown = export_configuration(self.entries)
-        assert int(shown["ConfigVersion"], 16) == int(body["ConfigVersion"], 16) == self.table.version
+
+    def _check_export(self, kind: str, body: Json) -> None:
+        exported = export_configuration(self.entries)
+        assert int(exported["ConfigVersion"], 16) == int(body["ConfigVersion"], 16) == self.table.version
         if kind == "put":
-            assert json.dumps({**shown, "ConfigVersion": ""}) == json.dumps(
-                {
-                    **{key: one for key, one in body.items() if key not in ("ConfigVersion", "Objects")},
-                    "ConfigVersion": "",
-                    "Objects": [_ordered(one) for one in body["Objects"]],
-                }
-            )
-        return got
+            other_fields = {
+                key: item for key, item in body.items() if key not in ("ConfigVersion", "Objects")
+            }
+            objects = [_in_order(item) for item in body["Objects"]]
+            expected = {**other_fields, "ConfigVersion": "", "Objects": objects}
+            assert json.dumps({**exported, "ConfigVersion": ""}) == json.dumps(expected)
 
 
-def _ordered(one: Json) -> Json:
-    return {key: one[key] for key in one if key != "Specification"} | {"Specification": one["Specification"]}
+def _in_order(config_object: Json) -> Json:
+    """With its Specification last, as it is exported."""
+    other_fields = {key: item for key, item in config_object.items() if key != "Specification"}
+    return {**other_fields, "Specification": config_object["Specification"]}
 
 
 def play(name: str) -> int:
-    """Plays the scene; gives how many things it checked."""
-    now, got, checked = Play(), None, 0
-    lines = [line for line in (SCENES / name).read_text().splitlines() if line.split("#")[0].strip()]
+    """Play the scenario; returns how many expectations it checked."""
+    config = ConfigPlay()
+    outcome: ConfigChange | Failure | None = None
+    checked = 0
+    lines = [line for line in (SCENARIOS / name).read_text().splitlines() if line.split("#")[0].strip()]
     for number, line in enumerate(lines):
-        word, *rest = line.split(maxsplit=1)
-        told = rest[0] if rest else ""
-        if line[0] == " ":
+        if line.startswith(" "):
             continue
-        if word == "raw":
-            kind, base, text = told.split(maxsplit=2)
-            got = now.call(kind, base, json.loads(text))
-        elif word in ("put", "patch"):
-            base, version = told.split()
-            got = now.call(word, base, _body(word, version, lines[number + 1 :]))
+        verb, _, arguments = line.partition(" ")
+        arguments = arguments.strip()
+        if verb == "raw":
+            kind, if_match, text = arguments.split(maxsplit=2)
+            outcome = config.call(kind, if_match, json.loads(text))
+        elif verb in ("put", "patch"):
+            if_match, version = arguments.split()
+            outcome = config.call(verb, if_match, _body(verb, version, lines[number + 1 :]))
         else:
             checked += 1
-            assert _holds(now, got, word, told), f"{name}: {line}: {got}"
+            assert _holds(config, outcome, verb, arguments), f"{name}: {line}: {outcome}"
     return checked
 
 
-def _holds(now: Play, got: ConfigChange | Failure | None, word: str, told: str) -> bool:
-    if word == "taken":
-        return isinstance(got, ConfigChange)
-    if word in ("stale", "invalid"):
-        return isinstance(got, Failure) and got.reason == word and told in got.detail
-    if word == "objects":
-        shown = export_configuration(now.entries)["Objects"]
-        return [one["Metadata"].get("Name", one["ObjectType"]) for one in shown] == told.split()
-    if word == "route":
-        host, path, name = told.split()
-        route = now.table.find_route(host, path)
+def _holds(config: ConfigPlay, outcome: ConfigChange | Failure | None, verb: str, arguments: str) -> bool:
+    if verb == "taken":
+        return isinstance(outcome, ConfigChange)
+    if verb in ("stale", "invalid"):
+        return isinstance(outcome, Failure) and outcome.reason == verb and arguments in outcome.detail
+    if verb == "objects":
+        objects = export_configuration(config.entries)["Objects"]
+        return [item["Metadata"].get("Name", item["ObjectType"]) for item in objects] == arguments.split()
+    if verb == "route":
+        host, path, name = arguments.split()
+        route = config.table.find_route(host, path)
         return (route.name if route else "none") == name
-    assert word == "key", word
-    key, name = told.split()
-    tenant = now.table.find_tenant(key)
+    assert verb == "key", verb
+    key, name = arguments.split()
+    tenant = config.table.find_tenant(key)
     return (tenant.name if tenant else "none") == name
 
 
 def _body(kind: str, version: str, lines: list[str]) -> Json:
+    """The body of a put or patch, from the indented lines under it."""
     objects: list[Json] = []
-    gone: Json = {}
+    withdrawn: Json = {}
     for line in lines:
-        if line[0] != " ":
+        if not line.startswith(" "):
             break
-        what, name, *fields = line.split()
-        if what == "gone":
-            gone.setdefault(name, []).extend(fields)
+        object_type, name, *fields = line.split()
+        if object_type == "gone":
+            withdrawn.setdefault(name, []).extend(fields)
             continue
-        told = {key: json.loads(text) for key, _, text in (one.partition("=") for one in fields)}
-        meta = {} if name == "-" else {"Name": name}
-        objects.append({"ObjectType": what, "Metadata": meta, "Specification": told})
+        pairs = (field.partition("=") for field in fields)
+        specification = {key: json.loads(text) for key, _, text in pairs}
+        metadata = {} if name == "-" else {"Name": name}
+        objects.append({"ObjectType": object_type, "Metadata": metadata, "Specification": specification})
     if kind == "put":
         return {"ConfigVersion": version, "Objects": objects}
     upsert = {"Upsert": {"Objects": objects}} if objects else {}
-    return {"ConfigVersion": version, **upsert, **({"Withdraw": gone} if gone else {})}
+    withdraw = {"Withdraw": withdrawn} if withdrawn else {}
+    return {"ConfigVersion": version, **upsert, **withdraw}
