--- a/ashlift/configstore/leader_requests.py
+++ b/ashlift/configstore/leader_requests.py
@@ -3,9 +3,8 @@
 Pure: the server and the simulator call these functions between their own waits.
 """
 
-from typing import Any, Final
-
-from attrs import frozen
+from enum import Enum, auto
+from typing import Any, Final, NamedTuple
 
 from ashlift.configstore.replica import Replica
 from ashlift.configstore.requests import is_forwarded
@@ -21,35 +20,28 @@
 _NOT_BEGUN: Final = (FailureReason.UNAVAILABLE, FailureReason.UNREACHABLE)
 
 
-@frozen
-class ServeHere:
-    """This replica leads."""
-
-
-@frozen
-class ForwardTo:
-    """The replica that leads, as far as is known here."""
-
-    leader: str
+class Route(Enum):
+    """Who is to serve a request, where it is not forwarded."""
 
+    THIS_REPLICA = auto()  # it leads
+    NOBODY_YET = auto()  # no leader is known now, or the request must not be forwarded again
 
-@frozen
-class WaitForLeader:
-    """No leader is known now, or the request must not be forwarded again."""
 
+class ForwardTo(NamedTuple):
+    """The leader as far as is known here. A named tuple, as one is cheaper to define at the start."""
 
-Route = ServeHere | ForwardTo | WaitForLeader
+    leader: str
 
 
-def choose_route(replica: Replica, body: dict[str, Any], now: float) -> Route | Failure:
+def choose_route(replica: Replica, body: dict[str, Any], now: float) -> Route | ForwardTo | Failure:
     """Who is to serve a request now; a Failure where no leader is to be expected soon."""
     if replica.hears_no_leader(now):
         return _NO_LEADER_HEARD
     if replica.leader_role is not None:
-        return ServeHere()
+        return Route.THIS_REPLICA
     if replica.leader_ip is not None and not is_forwarded(body):
         return ForwardTo(replica.leader_ip)
-    return WaitForLeader()
+    return Route.NOBODY_YET
 
 
 def may_retry(response: Any, body: dict[str, Any], now: float, deadline: float) -> bool:
--- a/ashlift/simulation/store.py
+++ b/ashlift/simulation/store.py
@@ -13,7 +13,7 @@
     RETRY_INTERVAL_SECONDS,
     SUBMIT_TIMEOUT_SECONDS,
     ForwardTo,
-    ServeHere,
+    Route,
     choose_route,
     may_retry,
 )
@@ -238,7 +238,7 @@
             route = choose_route(self.member, body, self.clock())
             if isinstance(route, Failure):
                 return route
-            if isinstance(route, ServeHere):
+            if route is Route.THIS_REPLICA:
                 response = yield from self._ask(make_event, timeout)
             elif isinstance(route, ForwardTo):
                 response = yield self.call(route.leader, KIND, method, requests.forwarded(body), timeout)
