--- a/ashlift/lab/system/clients.py
+++ b/ashlift/lab/system/clients.py
@@ -20,7 +20,7 @@
         """`ips`: of gatekeepers; `sent`: requests by attempt id; `life`: of a gatekeeper now."""
         self._ips, self._sent, self._life = ips, sent, life
 
-    def deliver(self, errand: Errand, request: Request) -> None:
+    def send_request(self, errand: Errand, request: Request) -> None:
         if len(self._sent) < REQUESTS_MOST:
             gevent.spawn(self._exchange, errand, request)
 
--- a/ashlift/lab/system/wire.py
+++ b/ashlift/lab/system/wire.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 as clients, workers and the operator speak it, and the clock of a run: under the same roles that
-`dovetail` plays on simulated time.
+"""HTTP/1.1 as clients, workers and the operator speak it, and the clock of a run.
 
-`Clock` stands in for `simulation.engine.Loop` and `Calls` for `Net`: the same steps (beats, look-ups, orders)
-run on them, but time passes by itself and each call is an exchange on a real socket.
+`Clock` stands in for the simulator's `EventLoop` and `Calls` for its `SimulatedNetwork`: the same tasks
+(heartbeats, look-ups, operators' calls) run on them, but time passes by itself and each call is an exchange
+on a real socket.
 """
 
 import json
@@ -18,8 +18,9 @@
 from ashlift.errors import Failure, FailureReason
 from ashlift.gatekeeper.net.replies import Reply, SpoiltAnswerError
 from ashlift.lab.system.places import CONTROL, DIRECTORY, Place
-from ashlift.simulation.engine import Future, Machine, Process
+from ashlift.simulation.event_loop import Future
 from ashlift.simulation.history import HOST
+from ashlift.simulation.process import Machine, Process, RpcCall
 
 Address = tuple[str, int]
 TARGETS = {"put": "PUT", "patch": "PATCH", "evacuate": "POST", "restore": "DELETE"}
@@ -29,7 +30,7 @@
     """Seconds since `begin`. `broken`: what went wrong in an action, told at the end of the run."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.broken: list[str] = []
         self.stopped = False
         self.lag = 0.0  # s, the most that this process was late to do anything
@@ -53,18 +54,20 @@
     def began(self) -> float:
         return self._began
 
-    def later(self, delay: float, action: Callable[..., None], *args: Any) -> None:
+    def call_later(self, delay: float, action: Callable[..., None], *args: Any) -> None:
         gevent.spawn_later(max(0.0, delay), self._do, action, args)
 
-    def within(self, process: Process, delay: float, action: Callable[..., None], *args: Any) -> None:
-        """As `later`, in the process: not after its end."""
-        life = process.life
+    def call_process_later(
+        self, process: Process, delay: float, action: Callable[..., None], *args: Any
+    ) -> None:
+        """As `call_later`, in the process: not after its end."""
+        incarnation = process.incarnation
 
         def do() -> None:
-            if process.life == life:
+            if process.incarnation == incarnation:
                 action(*args)
 
-        self.later(delay, do)
+        self.call_later(delay, do)
 
     def _do(self, action: Callable[..., None], args: tuple[Any, ...]) -> None:
         if self.stopped:
@@ -131,26 +134,24 @@
         self.names = {one.ip: one.name for one in machines}
         self.machines: dict[str, Machine] = {}
 
-    def call(
-        self, caller: Process, to: str, kind: str, method: str, body: Any, timeout: float, dial: float
-    ) -> Future:
+    def call(self, call: RpcCall) -> Future:
         """One exchange on a connection of its own, for the methods that callers from outside may call."""
         future = Future()
-        gevent.spawn(lambda: future.set(self._call(to, method, body, timeout, dial)))
+        gevent.spawn(lambda: future.set(self._call(call)))
         return future
 
-    def reset(self, gone: Process) -> None:
+    def reset_connections(self, process: Process) -> None:
         """The kernel tells whoever was connected."""
 
-    def _call(self, to: str, method: str, body: Any, timeout: float, dial: float) -> Any:
-        verb, target, value, headers = spoken(method, body)
+    def _call(self, call: RpcCall) -> Any:
+        verb, target, value, headers = spoken(call.method, call.body)
         data = b"" if value is None else json.dumps(value).encode()
-        port = DIRECTORY if method == "lookup" else CONTROL
-        head = request_head(verb, target, self.at[to], data, **headers)
-        answer = exchange((self.at[to], port), head, data, timeout, dial=dial)
+        port = DIRECTORY if call.method == "lookup" else CONTROL
+        head = request_head(verb, target, self.at[call.machine], data, **headers)
+        answer = exchange((self.at[call.machine], port), head, data, call.timeout, dial=call.connect_timeout)
         if isinstance(answer, Failure):
             return answer
-        return self._understood(method, answer)
+        return self._understood(call.method, answer)
 
     def _understood(self, method: str, answer: Reply) -> Any:
         """As the roles of `dovetail` expect it: (status, value)."""
--- a/ashlift/lab/system/world.py
+++ b/ashlift/lab/system/world.py
@@ -28,7 +28,8 @@
 from ashlift.lab.system.programs import Program, stop
 from ashlift.lab.system.wire import Calls, Clock, exchange, request_head
 from ashlift.lab.system.yard import WireYard
-from ashlift.simulation.engine import Loop, Machine
+from ashlift.simulation.event_loop import EventLoop
+from ashlift.simulation.process import Machine
 from ashlift.simulation.scene import Scene
 from ashlift.simulation.workers import Yard
 from ashlift.simulation.world import BACK_S, CORE, EDGE, HEARTBEAT, ZONES, Plan, Stage
@@ -83,7 +84,7 @@
         self.clock, self.calls = Clock(plan.seed), Calls(self.places)
         core = [one.name for one in self.places if one.kind == CORE]
         edge = [one.name for one in self.places if one.kind == EDGE]
-        super().__init__(plan, core, edge, cast(Loop, self.clock), self.calls)
+        super().__init__(plan, core, edge, cast(EventLoop, self.clock), self.calls)
         self.cuts: set[tuple[str, str]] = set()
         self.did: list[tuple[float, str, str]] = []  # s, machine, what befell it
         self.folder = Path(tempfile.mkdtemp(prefix="ashlift-system-"))
@@ -243,7 +244,7 @@
                 self.befalls(program.machine)
                 program.kill()
                 self._mark(program.machine, f"{program.kind} killed")
-                self.clock.later(seconds, self._start, program)
+                self.clock.call_later(seconds, self._start, program)
 
     def _start(self, program: Program) -> None:
         if self.powered[program.machine] and not program.up:
@@ -261,9 +262,9 @@
 
     def _again(self, program: Program) -> None:
         if program.up:
-            self.clock.later(0.1, self._again, program)
+            self.clock.call_later(0.1, self._again, program)
         else:
-            self.clock.later(BACK_S, self._start, program)
+            self.clock.call_later(BACK_S, self._start, program)
 
     def freeze(self, kind: str, names: list[str], seconds: float) -> None:
         for program in self._each(kind, names):
@@ -271,7 +272,7 @@
                 program.freeze(True)
                 self._mark(program.machine, f"{program.kind} frozen")
                 self.befalls(program.machine)
-                self.clock.later(seconds, self._thaw, program, program.life)
+                self.clock.call_later(seconds, self._thaw, program, program.life)
 
     def _thaw(self, program: Program, life: int) -> None:
         if program.life == life:
@@ -290,7 +291,7 @@
                 shutil.rmtree(self.folder / f"disk-{name}", ignore_errors=True)
                 self._write(self._at[name], False)
             if seconds is not None:
-                self.clock.later(seconds, self.start, [name])
+                self.clock.call_later(seconds, self.start, [name])
 
     def start(self, names: list[str]) -> None:
         for name in names:
--- a/ashlift/lab/system/yard.py
+++ b/ashlift/lab/system/yard.py
@@ -16,9 +16,10 @@
 
 from ashlift.lab.system.places import WORKER_PORT
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
-from ashlift.simulation.engine import Loop, Network
+from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.history import Arrival, History, Request, UnexpectedArrival
 from ashlift.simulation.keeper import Try
+from ashlift.simulation.process import Network
 from ashlift.simulation.workers import Worker, Yard
 
 BODY_BYTES = 200  # of an answer
@@ -155,7 +156,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         net: Network,
         history: History,
         boards: list[str],
--- a/ashlift/simulation/board.py
+++ b/ashlift/simulation/board.py
@@ -36,19 +36,21 @@
 from ashlift.route_reconciliation.proposals import decode_request, latest_timestamp, prepare_pending
 from ashlift.route_reconciliation.stored_records import outcome_of
 from ashlift.simulation import store
-from ashlift.simulation.engine import Future, Loop, Machine, Net, Process, Signal, Steps
+from ashlift.simulation.event_loop import EventLoop, Future
+from ashlift.simulation.network import SimulatedNetwork
+from ashlift.simulation.process import Condition, Machine, Process, Task
 
 KIND = "registry"
 CONTROL = 8200
 
 
 class Board(Process):
-    net: Net
+    net: SimulatedNetwork
 
     def __init__(
         self,
-        loop: Loop,
-        net: Net,
+        loop: EventLoop,
+        net: SimulatedNetwork,
         machine: Machine,
         seeds: Callable[[], list[str]],
         zones: dict[str, str],
@@ -68,14 +70,14 @@
             "word": self._word,
         }
 
-    def begin(self) -> None:
+    def on_start(self) -> None:
         machine = self.machine
-        incarnation = f"{self.loop.chance.getrandbits(32):08x}"
+        incarnation = f"{self.loop.rng.getrandbits(32):08x}"
         me = RegistryIdentity(
             machine.name, incarnation, machine.name, machine.zone, machine.region, CONTROL, self.heartbeat
         )
         self.registry = Registry(me, self.seeds(), self.zones, self.clock())
-        self._bell, self._told = Signal(self), 0
+        self._bell, self._told = Condition(self), 0
         self._swaps: set[str] = set()
         self._turn = 0
         self._stamps = HybridLogicalClock(machine.name, self.wall(), self.clock())
@@ -87,10 +89,10 @@
     def ring(self) -> None:
         if self._told != self.registry.change_count:
             self._told = self.registry.change_count
-            self._bell.ring()
+            self._bell.notify_all()
 
     # ---- RPC calls (ashlift.registry.rpc_service)
-    def _pull(self, body: Any) -> Steps:
+    def _pull(self, body: Any) -> Task:
         began, registry = self.clock(), self.registry
         request = codec.decode_pull_request(body)
         if isinstance(request, Failure):
@@ -107,7 +109,7 @@
         response = registry.pull_response(request, began, self.clock())
         return codec.encode_pull_response(response, self.clock())
 
-    def _swapped(self, body: Any) -> Steps:
+    def _swapped(self, body: Any) -> Task:
         began, registry = self.clock(), self.registry
         request = codec.decode_swap_request(body)
         if isinstance(request, Failure):
@@ -118,7 +120,7 @@
         return codec.encode_swap_response(registry.swap_response(request), self.clock())
 
     # ---- loops (ashlift.registry.replication_loops)
-    def _tick(self) -> Steps:
+    def _tick(self) -> Task:
         while True:
             self.registry.tick(self.clock())
             self.ring()
@@ -127,11 +129,11 @@
                 self._swaps.add(ip)
                 self.spawn(self._swap(ip))
             for ip in self._swaps - wanted:
-                self.net.drop(self, ip, KIND)
+                self.net.close_connection(self, ip, KIND)
             self._swaps &= wanted
             yield TICK_INTERVAL_SECONDS
 
-    def _swap(self, ip: str) -> Steps:
+    def _swap(self, ip: str) -> Task:
         greet, pause, registry = True, INITIAL_BACKOFF_SECONDS, self.registry
         while ip in self._swaps:
             sent = self.clock()
@@ -143,7 +145,7 @@
                 answer = codec.decode_swap_response(answer, self.clock())
             if isinstance(answer, Failure):
                 if answer.reason == FailureReason.OUTCOME_UNKNOWN:
-                    self.net.drop(self, ip, KIND)
+                    self.net.close_connection(self, ip, KIND)
                 greet = True
                 yield pause
                 pause = next_backoff(pause)
@@ -153,7 +155,7 @@
             self.ring()
             yield BATCHING_DELAY_SECONDS
 
-    def _watch(self) -> Steps:
+    def _watch(self) -> Task:
         own, config = True, self.registry.operator_config
         while True:
             sent = self.clock()
@@ -184,7 +186,7 @@
             ip for ip in self.registry.registries_by_distance(me.zone, me.region, self.clock()) if ip in known
         ]
 
-    def _submitted(self, body: dict[str, Any], since: float | None = None) -> Steps:
+    def _submitted(self, body: dict[str, Any], since: float | None = None) -> Task:
         now, index = self.clock(), self._position.index
         until = (now if since is None else since) + COMMAND_TIMEOUT_SECONDS
 
@@ -194,7 +196,7 @@
         found = yield from self._stored("submit", call, until)
         return found
 
-    def _stored(self, method: str, body: Callable[[], dict[str, Any]], until: float) -> Steps:
+    def _stored(self, method: str, body: Callable[[], dict[str, Any]], until: float) -> Task:
         """As `ashlift.registry.store_client.StoreClient` asks one store after the other."""
         stores = stores_to_try(self.name, self._stores(), self._hangs)
         asking, answers, turn = (
@@ -203,7 +205,7 @@
             [Future()],
         )
 
-        def ask(ip: str) -> Steps:
+        def ask(ip: str) -> Task:
             answer = yield self.call(ip, store.KIND, method, body(), until - self.clock())
             if isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
                 position = yield self.call(ip, store.KIND, "watch", POSITION_REQUEST, until - self.clock())
@@ -219,7 +221,7 @@
                 continue
             if not answers:
                 turn[0] = Future()
-                self.later(wait, turn[0].set, None)
+                self.call_later(wait, turn[0].set, None)
                 yield turn[0]
             while answers:
                 asking.record_response(*answers.pop(0), self.clock())
@@ -245,8 +247,8 @@
         found = self.registry.lookup(*body, self.clock())
         return (503, None) if isinstance(found, Failure) else (200, found)
 
-    def _order(self, body: dict[str, Any]) -> Steps:
-        since = self.written if body["kind"] in ("evacuate", "restore") else None
+    def _order(self, body: dict[str, Any]) -> Task:
+        since = self.earliest_send_time if body["kind"] in ("evacuate", "restore") else None
         if since is not None and self.clock() - since > MAX_REQUEST_AGE_SECONDS:
             return 307, None
         answer = yield from self._submitted(body, since)
@@ -256,7 +258,7 @@
             (503, answer.reason) if isinstance(answer, Failure) else (answer["status"], answer.get("reason"))
         )
 
-    def _config(self, _: Any) -> Steps:
+    def _config(self, _: Any) -> Task:
         answer = yield from self._stored("read", dict, self.clock() + COMMAND_TIMEOUT_SECONDS)
         if isinstance(answer, Failure):
             return 503, answer.reason
@@ -265,9 +267,9 @@
 
     # ---- calls on single routes (ashlift.registry.api.routes, .proposals)
     def wall(self) -> float:
-        return self.loop.now + self.machine.skew
+        return self.loop.now + self.machine.wall_clock_skew
 
-    def _waiting(self, add: list[dict[str, Any]]) -> Steps:
+    def _waiting(self, add: list[dict[str, Any]]) -> Task:
         ips = dict.fromkeys([self.name, *self._stores()])
         asked = {
             ip: self.call(ip, store.KIND, "drafts", {"add": add}, PENDING_EDITS_TIMEOUT_SECONDS) for ip in ips
@@ -286,7 +288,7 @@
         self._stamps.observe(seen, self.wall(), self.clock())
         return self._stamps.next_timestamp(seen, self.wall(), self.clock())
 
-    def _edit(self, body: dict[str, Any]) -> Steps:
+    def _edit(self, body: dict[str, Any]) -> Task:
         name, map = body["name"], self.registry.operator_config.values
         edit = decode_request(map, name, body, self._stamp(name, {}), self.name)
         assert isinstance(edit, RouteEdit)
@@ -301,7 +303,7 @@
         _, held = yield from self._waiting([encode_edit(waits)])
         return (202, {"outcome": "waits", "auto": waits.automatic, "held": held}) if held else (503, {})
 
-    def _word(self, body: dict[str, Any]) -> Steps:
+    def _word(self, body: dict[str, Any]) -> Task:
         done = outcome_of(self.registry.operator_config.values, body["id"])
         if done:
             return 200, done
--- a/ashlift/simulation/callers.py
+++ b/ashlift/simulation/callers.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
-from ashlift.simulation.engine import Steps
 from ashlift.simulation.history import ConfigurationChange, Resend
 from ashlift.simulation.people import Operator, change, edited, patched
+from ashlift.simulation.process import Task
 
 PAUSE_S = (0.4, 1.6)  # between one order and the next, by chance
 AGAIN = 0.4  # share of changes that are sent again once they are taken
@@ -20,16 +20,16 @@
     places: list[str] = []
     until = 0.0
 
-    def begin(self) -> None:
+    def on_start(self) -> None:
         self._made: list[ConfigurationChange] = []
         self._emptied = False
         self.spawn(self._orders())
 
     def _first(self) -> str:
-        return self.loop.chance.choice(self.places or self.boards)
+        return self.loop.rng.choice(self.places or self.boards)
 
-    def _orders(self) -> Steps:
-        chance = self.loop.chance
+    def _orders(self) -> Task:
+        chance = self.loop.rng
         while self.loop.now < self.until:
             match chance.choice(("put", "patch", "zone", "read", "again")):
                 case "put" | "patch" as kind:
@@ -43,9 +43,9 @@
                     yield from self._read(self._first(), None)
             yield chance.uniform(*PAUSE_S)
 
-    def _change(self, patch: bool) -> Steps:
+    def _change(self, patch: bool) -> Task:
         """One on top of what is read just before: others may do the same."""
-        chance = self.loop.chance
+        chance = self.loop.rng
         yield from self._read(self._first(), None)
         base = self.history.readings[-1]
         if not base.version:
@@ -62,7 +62,7 @@
             if chance.random() < AGAIN:
                 yield from self._resend(made)
 
-    def _resend(self, made: ConfigurationChange) -> Steps:
+    def _resend(self, made: ConfigurationChange) -> Task:
         """One call of what was taken."""
         sent, at = self.loop.now, self._first()
         answer: Any = yield self.call(at, "registry", "order", made.as_command(), 1.0)
--- a/ashlift/simulation/catching.py
+++ b/ashlift/simulation/catching.py
@@ -21,8 +21,10 @@
 from ashlift.configstore.stored_names import ACCEPTED_PREFIX
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation import store
-from ashlift.simulation.engine import Connection, Future, Loop, Machine, Net, Process, Steps
+from ashlift.simulation.event_loop import EventLoop, Future
 from ashlift.simulation.figures import Spread
+from ashlift.simulation.network import SimulatedNetwork
+from ashlift.simulation.process import Connection, Machine, Process, RpcCall, Task
 from ashlift.simulation.world import ZONES
 
 LATE_S = 0.5  # a member is level that holds whatever was committed before this
@@ -67,10 +69,10 @@
     payloads_ms: float  # of which for what all others are sent
 
 
-class Lines(Net):
+class Lines(SimulatedNetwork):
     """Links with a width: the bytes of a machine queue, each way."""
 
-    def __init__(self, loop: Loop) -> None:
+    def __init__(self, loop: EventLoop) -> None:
         super().__init__(loop)
         self.rates: dict[str, float] = {}  # machine -> bytes a second
         self.far: dict[str, float] = {}  # machine -> s more, each way
@@ -87,14 +89,12 @@
         more = self.far.get(one.name, 0.0) + self.far.get(other.name, 0.0)
         return at - self.loop.now + more + super().delay(one, other)
 
-    def _send(
-        self, caller: Process, connection: Connection, method: str, body: Any, timeout: float, future: Future
-    ) -> None:
+    def _send(self, call: RpcCall, connection: Connection, timeout: float, future: Future) -> None:
         self._size = FRAME
-        if method == "append" and isinstance(body[7], bytes):
-            self._size += len(body[7])
-            self.sent.setdefault(connection.to.name, []).append(len(body[7]))
-        super()._send(caller, connection, method, body, timeout, future)
+        if call.method == "append" and isinstance(call.body[7], bytes):
+            self._size += len(call.body[7])
+            self.sent.setdefault(connection.target.name, []).append(len(call.body[7]))
+        super()._send(call, connection, timeout, future)
         self._size = FRAME
 
 
@@ -103,8 +103,8 @@
 
     spent = 0.0
 
-    def begin(self) -> None:
-        super().begin()
+    def on_start(self) -> None:
+        super().on_start()
         assert self.member is not None
         self.member.command_handler = decide
 
@@ -162,14 +162,14 @@
 
 class Play:
     def __init__(self, case: Case) -> None:
-        self.case, self.loop = case, Loop(case.seed)
+        self.case, self.loop = case, EventLoop(case.seed)
         self.net = Lines(self.loop)
-        self.net.region_s = case.region_s
+        self.net.region_delay = case.region_s
         self.names = [f"core-{number + 1}" for number in range(case.core)]
         zones = list(ZONES)
         for number, name in enumerate(self.names):
             zone = zones[number % len(zones)]
-            machine = Machine(name, zone, ZONES[zone], self.loop.chance.uniform(0.0, 1000.0))
+            machine = Machine(name, zone, ZONES[zone], self.loop.rng.uniform(0.0, 1000.0))
             self.net.machines[name] = machine
             self.net.rates[name] = 100e6 / 8
             Counting(self.loop, self.net, machine, lambda: self.names[:3])
@@ -219,7 +219,7 @@
             self.run(0.01)
 
     # ---- changes
-    def put(self, sets: dict[str, Any]) -> Steps:
+    def put(self, sets: dict[str, Any]) -> Task:
         """Until it is acknowledged; one that is in doubt comes again, and 412 then says that it was taken."""
         while True:
             name = self.leader() or self.names[0]
@@ -236,7 +236,7 @@
 
     def change(self) -> dict[str, Any]:
         """The next: routes that are drawn anew each time."""
-        case, chance = self.case, self.loop.chance
+        case, chance = self.case, self.loop.rng
         first = chance.randrange(max(1, case.routes - case.wide))
         numbers = range(first, first + case.wide)
         return {f"Routes/route-{one}": route(one, case.size, chance) for one in numbers}
@@ -246,7 +246,7 @@
         self._number += 1
         mine, end = self._number, None if most is None else len(self.acked) + most
 
-        def steps() -> Steps:
+        def steps() -> Task:
             due = self.loop.now
             while self._number == mine and (end is None or len(self.acked) < end):
                 yield from self.put(self.change())
@@ -261,7 +261,7 @@
         """All are members and hold the routes; -> who is to be away, in another region than the leader."""
         case = self.case
         self.until(lambda: self.leader() and self._members() == case.core, 20.0)
-        many = {f"Routes/route-{one}": route(one, case.size, self.loop.chance) for one in range(case.routes)}
+        many = {f"Routes/route-{one}": route(one, case.size, self.loop.rng) for one in range(case.routes)}
         self.desk.spawn(self.put({**many, "Services/s": {}}))
         self.until(lambda: len(self.acked) == 1, 20.0)
         leader = self.leader()
@@ -306,7 +306,7 @@
                 leader = self.leader()
                 assert leader is not None
                 self.store(leader).kill()
-                self.loop.later(1.0, self.store(leader).start)
+                self.loop.call_later(1.0, self.store(leader).start)
         self.run(0.5)
 
     def play(self) -> Found:
--- a/ashlift/simulation/figures.py
+++ b/ashlift/simulation/figures.py
@@ -8,14 +8,14 @@
 import statistics
 from collections.abc import Iterator
 from multiprocessing import Pool
-from typing import Any
 
 from attrs import frozen
 
 from ashlift.configstore.messages import Snapshot
 from ashlift.simulation import store
-from ashlift.simulation.engine import Future, Process
+from ashlift.simulation.event_loop import Future
 from ashlift.simulation.people import Errand
+from ashlift.simulation.process import RpcCall
 from ashlift.simulation.scene import Play, Scene
 from ashlift.simulation.world import Plan, World
 
@@ -113,9 +113,9 @@
     plan = Plan(seed=seed, rate=RATE)
     play = Play(Scene("figures", plan, ()), seed)
     world = play.world
-    fault = FAULT_S + world.loop.chance.random()
+    fault = FAULT_S + world.loop.rng.random()
     world.run(fault)
-    leader, zone = world.leader() or world.core[0], world.loop.chance.choice(world.core[:3])
+    leader, zone = world.leader() or world.core[0], world.loop.rng.choice(world.core[:3])
     at = world.net.machines[zone]
     for line in words:
         told = [name for word in line.split() for name in _named(world, word, leader, (at.zone, at.region))]
@@ -146,13 +146,13 @@
     def __init__(self, world: World, to: str) -> None:
         self.calls = self.bytes = 0
         self._net, self._to, self._call = world.net, to, world.net.call
-        world.net.call = self.call  # type: ignore[method-assign,assignment]
+        world.net.call = self.call  # type: ignore[method-assign]
 
-    def call(self, caller: Process, to: str, kind: str, method: str, body: Any, *times: float) -> Future:
-        if to == self._to and method == "append" and isinstance(body[7], bytes):
+    def call(self, call: RpcCall) -> Future:
+        if call.machine == self._to and call.method == "append" and isinstance(call.body[7], bytes):
             self.calls += 1
-            self.bytes += len(body[7])
-        return self._call(caller, to, kind, method, body, *times)
+            self.bytes += len(call.body[7])
+        return self._call(call)
 
 
 def _stamp(state: Snapshot) -> tuple[int, int]:
@@ -167,7 +167,7 @@
     world = play.world
     world.run(3.0)
     play.do(["put", "2", *(f"r+extra{number}=fleet" for number in range(routes - 3))])
-    world.run(FAULT_S + world.loop.chance.random())
+    world.run(FAULT_S + world.loop.rng.random())
     one = next(name for name in world.core if name != world.leader())
     if cut:
         play.do(["cut", one, "|", *(name for name in world.core if name != one)])
--- a/ashlift/simulation/keeper.py
+++ b/ashlift/simulation/keeper.py
@@ -17,8 +17,10 @@
 from ashlift.proxy.responses import WorkerResponse
 from ashlift.proxy.upstream import MAX_IDLE_PER_WORKER, MAX_IDLE_SECONDS
 from ashlift.simulation import board
-from ashlift.simulation.engine import Loop, Machine, Net, Process, Steps
+from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.history import HOST, Request
+from ashlift.simulation.network import SimulatedNetwork
+from ashlift.simulation.process import Machine, Process, Task
 
 KIND = "proxy"
 TURN_S = 0.001  # a turn of the processor: what is tried again without waiting takes at least this
@@ -46,21 +48,21 @@
 class Try:
     """One try under way at a worker. Times are the world's."""
 
-    __slots__ = ("begun", "cancelled", "case", "ended", "left", "life", "rested", "sent", "view")
+    __slots__ = ("begun", "cancelled", "case", "ended", "incarnation", "left", "rested", "sent", "view")
 
     def __init__(self, case: "Case", view: WorkerState, left: float) -> None:
         self.case, self.view, self.left = case, view, left
-        self.life, self.begun, self.rested = case.keeper.life, 0.0, 0.0
+        self.incarnation, self.begun, self.rested = case.keeper.incarnation, 0.0, 0.0
         self.cancelled = self.sent = self.ended = False
 
     @property
     def gone(self) -> bool:
         """Whether its connection is closed at our end."""
-        return self.cancelled or self.ended or self.case.keeper.life != self.life
+        return self.cancelled or self.ended or self.case.keeper.incarnation != self.incarnation
 
     def end(self, outcome: AttemptOutcome, keep: bool = False) -> None:
         """In the gatekeeper: the outcome has come."""
-        if not self.ended and self.case.keeper.life == self.life:
+        if not self.ended and self.case.keeper.incarnation == self.incarnation:
             self.ended = True
             self.case.keeper.release(self.view.worker.id, keep and not self.cancelled)
             self.case.back(self, outcome)
@@ -96,7 +98,7 @@
                 return self._answer(live.status, live.reason.value, live.retry_after)
             if self not in keeper.held:
                 keeper.held.append(self)
-                keeper.later(live.reconsider_until - now + 1e-6, self.enter)
+                keeper.call_later(live.reconsider_until - now + 1e-6, self.enter)
             return
         self.live = live
         self._go(keeper.gate.choose_worker(now, live, False))
@@ -134,7 +136,7 @@
         at = gate.hedge_time(live) if len(self.out) == 1 else None
         until = min(live.deadline, live.deadline if at is None else at)
         self._wake += 1
-        self.keeper.later(max(0.0, until - now) + 1e-6, self._timer, self._wake)
+        self.keeper.call_later(max(0.0, until - now) + 1e-6, self._timer, self._wake)
 
     def _look(self) -> None:
         gate, live, now = self.keeper.gate, self.live, self.keeper.clock()
@@ -172,7 +174,7 @@
                 one.cancelled = True
                 keeper.yard.hung_up(one)
                 # Its connection is closed: the outcome comes at once.
-                keeper.later(
+                keeper.call_later(
                     0.0,
                     one.end,
                     AttemptOutcome(
@@ -191,15 +193,20 @@
     """A gatekeeper."""
 
     def __init__(
-        self, loop: Loop, net: Net, machine: Machine, settings: Callable[[], Settings], yard: "Way"
+        self,
+        loop: EventLoop,
+        net: SimulatedNetwork,
+        machine: Machine,
+        settings: Callable[[], Settings],
+        yard: "Way",
     ) -> None:
         super().__init__(loop, net, machine, KIND)
         self.settings, self.yard = settings, yard
         self.told: dict[str, int] = {}  # answers by cause or status, over all lives
         self.cases: dict[Request, Case] = {}
 
-    def begin(self) -> None:
-        settings, rng = self.settings(), random.Random(self.loop.chance.getrandbits(64))
+    def on_start(self) -> None:
+        settings, rng = self.settings(), random.Random(self.loop.rng.getrandbits(64))
         self.gate = RequestRouter(settings, rng, self.clock())
         self.pulling = RegistryClient(settings, self.gate, f"{rng.getrandbits(32):08x}", rng)
         self.cases = {}
@@ -209,13 +216,13 @@
         self.open: dict[str, int] = {}
         self.spawn(self._news())
 
-    def ended(self, silently: bool) -> None:
+    def on_killed(self, silently: bool) -> None:
         cases, self.cases = self.cases, {}
         for case in cases.values() if not silently else ():
             case.closed = True
             case.answered(0, None)  # the client sees the connection reset
 
-    def _news(self) -> Steps:
+    def _news(self) -> Task:
         while True:
             pull = self.pulling.next_request(self.clock())
             if pull is not None:
@@ -235,7 +242,7 @@
         self.gate.draining = True
         self.spawn(self._leave())
 
-    def _leave(self) -> Steps:
+    def _leave(self) -> Task:
         began, grace = self.clock(), self.gate.bounds.grace
         yield LEAVE_SHARE * grace
         while self.cases and self.clock() < began + END_SHARE * grace:
@@ -247,7 +254,7 @@
 
     def take(self, request: Request, remaining: float, answered: Callable[[int, float | None], None]) -> None:
         """A request of a client has come whole."""
-        request.proxy, request.proxy_incarnation = self.name, self.life
+        request.proxy, request.proxy_incarnation = self.name, self.incarnation
         case = self.cases[request] = Case(self, request, answered)
         case.begin(remaining)
 
@@ -259,15 +266,15 @@
         while kept:
             one.rested = now - kept.pop()
             if one.rested < most:
-                self.later(max(0.0, one.left), self._late, one)
+                self.call_later(max(0.0, one.left), self._late, one)
                 return self.yard.carry(one, True, 0.0)
             self.open[worker.id] -= 1
         if self.open.get(worker.id, 0) >= self.gate.max_connections(one.view):
             self.open[worker.id] = self.open.get(worker.id, 0) + 1  # given back with its outcome
             one.case.request.pool_exhausted_count += 1
-            return self.later(TURN_S, one.end, AttemptOutcome(AttemptResult.NO_CONNECTION_FREE))
+            return self.call_later(TURN_S, one.end, AttemptOutcome(AttemptResult.NO_CONNECTION_FREE))
         self.open[worker.id] = self.open.get(worker.id, 0) + 1
-        self.later(max(0.0, one.left), self._late, one)
+        self.call_later(max(0.0, one.left), self._late, one)
         self.yard.carry(one, False, min(self.gate.connect_timeout(one.view), one.left))
 
     def forgotten(self, one: Try) -> None:
--- a/ashlift/simulation/people.py
+++ b/ashlift/simulation/people.py
@@ -9,7 +9,7 @@
 from ashlift.config import operator_config
 from ashlift.config.routing_table import RoutingTable
 from ashlift.simulation import board, keeper
-from ashlift.simulation.engine import Loop, Machine, Network, Process, Steps, simulated
+from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.history import (
     ConfigurationChange,
     EvacuationCall,
@@ -19,6 +19,8 @@
     Request,
 )
 from ashlift.simulation.keeper import Keeper
+from ashlift.simulation.network import as_simulated
+from ashlift.simulation.process import Machine, Network, Process, Task
 
 TRIES = 3  # of a client, for one thing it wants
 CONNECT_S = 1.0
@@ -54,7 +56,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         net: Network,
         machine: Machine,
         history: History,
@@ -68,10 +70,10 @@
         self.failed: dict[str, float] = {}  # until when an address is passed over
         self.errands: list[Errand] = []
 
-    def begin(self) -> None:
+    def on_start(self) -> None:
         self.spawn(self._lookups())
 
-    def _lookups(self) -> Steps:
+    def _lookups(self) -> Task:
         machines = self.net.machines
         near = sorted(
             self.boards,
@@ -80,7 +82,7 @@
                 machines[name].region != self.machine.region,
             ),
         )
-        yield self.loop.chance.random()
+        yield self.loop.rng.random()
         while True:
             for at in near[:3]:
                 body = (self.machine.zone, self.machine.region)
@@ -97,9 +99,9 @@
     def _next(self, want: Want) -> None:
         rate = want.rate * self.share()
         if rate > 0:
-            self.loop.later(self.loop.chance.expovariate(rate), self._ask, want)
+            self.loop.call_later(self.loop.rng.expovariate(rate), self._ask, want)
         else:
-            self.loop.later(0.2, self._next, want)
+            self.loop.call_later(0.2, self._next, want)
 
     def _ask(self, want: Want) -> None:
         if want not in self.wants:
@@ -111,43 +113,43 @@
 
     def attempt(self, errand: Errand) -> None:
         """One more try, at a gatekeeper by chance."""
-        now, want, chance = self.loop.now, errand.want, self.loop.chance
+        now, want, chance = self.loop.now, errand.want, self.loop.rng
         if errand.tries >= TRIES or now >= errand.until:
             errand.over = True
             return
         errand.tries += 1
         fit = [one for one in self.addresses if self.failed.get(one, 0.0) <= now] or self.addresses
         if not fit:
-            return self.loop.later(0.3, self.attempt, errand)
+            return self.loop.call_later(0.3, self.attempt, errand)
         at = chance.choice(fit)
         request = self.history.add_request(
             want.path, want.idempotent, want.key, self.machine.zone, self.machine.region, now
         )
         request.proxy = at
-        self.deliver(errand, request)
+        self.send_request(errand, request)
 
-    def deliver(self, errand: Errand, request: Request) -> None:
+    def send_request(self, errand: Errand, request: Request) -> None:
         """Carry the request to its gatekeeper."""
-        at, net = request.proxy, simulated(self.net)
+        at, net = request.proxy, as_simulated(self.net)
         machine = net.machines[at]
         target = machine.processes[keeper.KIND]
         assert isinstance(target, Keeper)
         trip = HOP_S if machine.zone == self.machine.zone else HOP_S + net.delay(self.machine, machine)
-        if not machine.powered or not net.open(self.machine.link, machine.link):
-            self.loop.later(CONNECT_S, self._failed, errand, request, True)
+        if not machine.powered or not net.is_connected(self.machine.link_name, machine.link_name):
+            self.loop.call_later(CONNECT_S, self._failed, errand, request, True)
         elif not target.up:
-            self.loop.later(2 * trip, self._failed, errand, request, True)
+            self.loop.call_later(2 * trip, self._failed, errand, request, True)
         else:
-            life = target.life
-            self.loop.later(trip, self._come, errand, request, target, life, trip)
+            life = target.incarnation
+            self.loop.call_later(trip, self._come, errand, request, target, life, trip)
 
     def _come(self, errand: Errand, request: Request, target: Keeper, life: int, trip: float) -> None:
-        if not target.up or target.life != life:
+        if not target.up or target.incarnation != life:
             return self._failed(errand, request, True)
 
         def answered(status: int, again: float | None) -> None:
-            if simulated(self.net).open(self.machine.link, target.machine.link):
-                self.loop.later(trip, self._answered, errand, request, status, again)
+            if as_simulated(self.net).is_connected(self.machine.link_name, target.machine.link_name):
+                self.loop.call_later(trip, self._answered, errand, request, status, again)
 
         def over() -> None:
             if not math.isinf(request.ended):
@@ -156,11 +158,11 @@
             errand.over = True
             case = target.cases.get(request)
             if case is not None:
-                target.do(case.hang_up, ())
+                target.deliver(case.hang_up, ())
 
         left = errand.until - self.loop.now
-        target.do(self._take, (target, request, left, answered))
-        self.loop.later(left, over)
+        target.deliver(self._take, (target, request, left, answered))
+        self.loop.call_later(left, over)
 
     @staticmethod
     def _take(
@@ -188,7 +190,7 @@
         if 200 <= status < 300:
             errand.served = errand.over = True
         elif status in (429, 503):
-            self.loop.later(min(again or 0.0, (errand.until - now) / 3), self.attempt, errand)
+            self.loop.call_later(min(again or 0.0, (errand.until - now) / 3), self.attempt, errand)
         elif status in (400, 401, 404, 413, 431) or not errand.want.idempotent:
             errand.over = True
         else:
@@ -264,21 +266,21 @@
     """Sends orders again, unchanged, to any core machine, until there is a clear answer."""
 
     def __init__(
-        self, loop: Loop, net: Network, machine: Machine, history: History, boards: list[str]
+        self, loop: EventLoop, net: Network, machine: Machine, history: History, boards: list[str]
     ) -> None:
         super().__init__(loop, net, machine, "operator")
         self.history, self.boards = history, boards
 
-    def begin(self) -> None:
+    def on_start(self) -> None:
         pass
 
     def _places(self, first: str | None) -> list[str]:
-        others = self.loop.chance.sample(self.boards, len(self.boards))
+        others = self.loop.rng.sample(self.boards, len(self.boards))
         return ([first] if first else []) + [name for name in others if name != first]
 
     def _order(
         self, body: dict[str, Any], first: str | None, told: Callable[[int], None], once: bool = False
-    ) -> Steps:
+    ) -> Task:
         pause, places = 0.1, self._places(first)
         timeout = (
             1.0 + 0.003 * len(body["body"].get("Objects", ())) if isinstance(body["body"], dict) else 1.0
@@ -293,7 +295,7 @@
             yield pause
             pause = min(1.0, 1.5 * pause)
 
-    def _sent(self, at: str, body: dict[str, Any], timeout: float) -> Steps:
+    def _sent(self, at: str, body: dict[str, Any], timeout: float) -> Task:
         """One call of it, sent on as often as a 307 may say so."""
         for _ in range(1 + FOLLOWED):
             sent, copy = self.loop.now, None
@@ -315,7 +317,7 @@
         self.history.changes.append(change)
         self.spawn(self.changed(change, first))
 
-    def changed(self, change: ConfigurationChange, first: str | None) -> Steps:
+    def changed(self, change: ConfigurationChange, first: str | None) -> Task:
 
         def told(status: int) -> None:
             change.ended = self.loop.now
@@ -329,7 +331,7 @@
     def empty(self, zone: str, on: bool, first: str | None = None, once: bool = False) -> None:
         self.spawn(self.zoned(zone, on, first, once))
 
-    def zoned(self, zone: str, on: bool, first: str | None, once: bool = False) -> Steps:
+    def zoned(self, zone: str, on: bool, first: str | None, once: bool = False) -> Task:
         order = EvacuationChange(zone, on, self.loop.now)
         self.history.evacuations.append(order)
 
@@ -343,7 +345,7 @@
     def read(self, first: str | None = None, then: Callable[[Reading], None] | None = None) -> None:
         self.spawn(self._read(first, then))
 
-    def _read(self, first: str | None, then: Callable[[Reading], None] | None) -> Steps:
+    def _read(self, first: str | None, then: Callable[[Reading], None] | None) -> Task:
         places = self._places(first)
         while True:
             begun = self.loop.now
--- a/ashlift/simulation/recording.py
+++ b/ashlift/simulation/recording.py
@@ -28,8 +28,10 @@
 from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE as EDITS
 from ashlift.errors import Failure
 from ashlift.simulation import chance, worst
-from ashlift.simulation.engine import Observer, Process, simulated
 from ashlift.simulation.history import FaultInterval, History
+from ashlift.simulation.network import as_simulated
+from ashlift.simulation.observer import Observer
+from ashlift.simulation.process import Process
 from ashlift.simulation.scene import Play, Scene, read_file
 from ashlift.simulation.world import Plan, World
 
@@ -118,7 +120,7 @@
         """Record what the disk holds."""
         self._disk(process)
 
-    def tried(self, proxy: Process, worker: str, request: int, reused: bool) -> None:
+    def attempted(self, proxy: Process, worker: str, request: int, reused: bool) -> None:
         """Record a try of a request at a worker."""
         self.add("tries", proxy.loop.now, "request", proxy.name, worker, request, reused)
 
@@ -157,7 +159,7 @@
             self._disk(process)
             self.add("disks", process.name, process.machine.disk.get(EDITS))
         loop = world.loop
-        self.add("end", loop.now, loop.count, loop.chance.getrandbits(64), sound)
+        self.add("end", loop.now, loop.event_count, loop.rng.getrandbits(64), sound)
 
     def _requests(self, history: History) -> None:
         for one in history.requests:
@@ -284,7 +286,7 @@
 
     def made(plan: Plan) -> World:
         world = World(plan)
-        simulated(world.net).observer = recorder
+        as_simulated(world.net).observer = recorder
         return world
 
     play = Play(source.scene(), source.seed, made)
--- a/ashlift/simulation/scene.py
+++ b/ashlift/simulation/scene.py
@@ -202,7 +202,7 @@
         if patch:
             made.patch = patched(self.bodies.get(base, self.bodies[1]), self.bodies[version])
         if version == 1:
-            self.world.loop.later(FIRST_S, operator.put, made, at)
+            self.world.loop.call_later(FIRST_S, operator.put, made, at)
         else:
             operator.put(made, at)
 
@@ -232,7 +232,7 @@
                 ones, others = self._who(rest[:at]), self._who(rest[at + 1 :])
                 world.cut(ones, others, word == "cut")
                 if seconds is not None:
-                    world.loop.later(seconds, world.join, ones, others)
+                    world.loop.call_later(seconds, world.join, ones, others)
             case "join":
                 world.join()
             case "mark":
@@ -242,7 +242,7 @@
             case "loss":
                 world.lossy(float(rest[0]))
             case "torn":
-                world.net.torn = float(rest[0])
+                world.net.aborted_write_rate = float(rest[0])
             case "load":
                 world.load = float(rest[0])
             case "hot":
@@ -264,7 +264,7 @@
             case "confirm" | "reject":
                 clerks.word(operator, world.history, rest[0], word, told["at"], "over" in rest)
             case "clock":
-                world.net.machines[rest[0]].skew = float(rest[1])
+                world.net.machines[rest[0]].wall_clock_skew = float(rest[1])
             case "read":
                 operator.read(told.get("at"))
             case "orders":
@@ -293,7 +293,7 @@
         names = self._who(rest[1:])
         self.world.disk(names, rest[0] == "hang", rest[0] == "refuse", slow)
         if seconds is not None:
-            self.world.loop.later(seconds, self.world.disk, names)
+            self.world.loop.call_later(seconds, self.world.disk, names)
 
     def _newest(self) -> int:
         return max((one.version for one in self.world.history.changes if not one.rejected_status), default=1)
@@ -315,7 +315,7 @@
         if after and not any(
             one.version == after and one.acknowledged < math.inf for one in world.history.changes
         ):
-            return world.loop.later(0.001, self._ask, key, rate, after)
+            return world.loop.call_later(0.001, self._ask, key, rate, after)
         for crowd in world.crowds:
             for name, (_, repeatable) in ROUTES.items():
                 crowd.add(Want(f"/{name}/x", repeatable, key, rate / len(ROUTES)))
--- a/ashlift/simulation/store.py
+++ b/ashlift/simulation/store.py
@@ -38,7 +38,9 @@
 from ashlift.configstore.replica_runner import MAX_SLEEP_SECONDS, MIN_SLEEP_SECONDS
 from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE
 from ashlift.errors import Failure, FailureReason
-from ashlift.simulation.engine import Future, Loop, Machine, Net, Process, Signal, Steps, simulated
+from ashlift.simulation.event_loop import EventLoop, Future
+from ashlift.simulation.network import SimulatedNetwork, as_simulated
+from ashlift.simulation.process import Condition, Machine, Process, Task
 
 KIND = "configstore"
 SYNC_S = (0.002, 0.012)  # a durable write takes between these
@@ -64,7 +66,9 @@
 class Store(Process):
     """`machine.disk` holds `vote` and `state` as they are durable. While a write lasts the process stands."""
 
-    def __init__(self, loop: Loop, net: Net, machine: Machine, seeds: Callable[[], list[str]]) -> None:
+    def __init__(
+        self, loop: EventLoop, net: SimulatedNetwork, machine: Machine, seeds: Callable[[], list[str]]
+    ) -> None:
         super().__init__(loop, net, machine, KIND)
         self.seeds = seeds
         self.bootstrap = True
@@ -81,16 +85,16 @@
         }
         self.pending_edits: PendingEditStorage | None = None
 
-    def begin(self) -> None:
+    def on_start(self) -> None:
         disk = self.machine.disk
         vote, state = disk.get("vote"), disk.get("state")
         self.member = Replica(
-            self.name, sorted(self.seeds()), self.bootstrap, vote, state, decide_command, self.loop.chance
+            self.name, sorted(self.seeds()), self.bootstrap, vote, state, decide_command, self.loop.rng
         )
         self.bootstrap = False
         self.writing, self._todo, self._doing = None, deque[Effect](), False
         self._held = []
-        self._news, self._seen = Signal(self), 0
+        self._news, self._seen = Condition(self), 0
         self._do(self.member.start(self.clock()))
         self._fragmenter = watch.new_fragmenter(self.member)
         self.pending_edits = None
@@ -98,22 +102,22 @@
             self._open_pending_edits()
         self._tick()
 
-    def ended(self, silently: bool) -> None:
+    def on_killed(self, silently: bool) -> None:
         """A write under way may be done, not done, or half done: the state without the vote."""
         keep, self.writing, self.member = self.writing, None, None
         if keep is not None:
-            came = self.loop.chance.choice(DISK_FAULTS)
+            came = self.loop.rng.choice(DISK_FAULTS)
             if came != "undone" and keep.snapshot is not None:
                 self.machine.disk["state"] = keep.snapshot
             if came == "done" and keep.vote is not None:
                 self.machine.disk["vote"] = keep.vote
-            simulated(self.net).observer.stored(self)
+            as_simulated(self.net).observer.stored(self)
 
-    def do(self, action: Callable[..., None], args: tuple[Any, ...]) -> None:
+    def deliver(self, action: Callable[..., None], args: tuple[Any, ...]) -> None:
         if self.writing is not None and not self.frozen and action != self._kept:
             self._held.append((action, args))
         else:
-            super().do(action, args)
+            super().deliver(action, args)
 
     def leave(self) -> None:
         self._feed(ShutdownRequested())
@@ -124,7 +128,7 @@
             return
         if self.clock() >= member.next_tick_at():
             self._feed(ClockTicked())
-        self.later(
+        self.call_later(
             min(MAX_SLEEP_SECONDS, max(MIN_SLEEP_SECONDS, member.next_tick_at() - self.clock())), self._tick
         )
 
@@ -143,53 +147,53 @@
         member = self.member
         if member is not None and member.committed_state.index != self._seen:
             self._seen = member.committed_state.index
-            self._news.ring()
+            self._news.notify_all()
 
     def _effect(self, effect: Effect) -> None:
         match effect:
             case SendRequest():  # this and answers leave once all effects are done, a write too
-                self.later(0.0, self.spawn, self._send(effect, self.clock()))
+                self.call_later(0.0, self.spawn, self._send(effect, self.clock()))
             case SendReply():
-                self.later(0.0, effect.reply_to.set, effect.body)
+                self.call_later(0.0, effect.reply_to.set, effect.body)
             case PersistState():
                 self.writing = effect
-                self.later(self.loop.chance.uniform(*SYNC_S) + self.machine.disk_s, self._kept)
+                self.call_later(self.loop.rng.uniform(*SYNC_S) + self.machine.disk_delay, self._kept)
             case HandoverComplete():
                 self.kill()
 
     def _kept(self) -> None:
         machine, keep = self.machine, self.writing
         if machine.disk_hangs:
-            return self.later(HANGING_S, self._kept)
+            return self.call_later(HANGING_S, self._kept)
         assert keep is not None
         self.writing = None
-        if not machine.disk_refuses:
+        if not machine.disk_fails:
             if keep.snapshot is not None:
                 machine.disk["state"] = keep.snapshot
             if keep.vote is not None:
                 machine.disk["vote"] = keep.vote
-        simulated(self.net).observer.stored(self)
-        held, self._held, life = self._held, [], self.life
-        self._feed(StatePersisted(not machine.disk_refuses))
+        as_simulated(self.net).observer.stored(self)
+        held, self._held, incarnation = self._held, [], self.incarnation
+        self._feed(StatePersisted(not machine.disk_fails))
         for action, args in held:
-            if self.life == life:
-                self.do(action, args)
+            if self.incarnation == incarnation:
+                self.deliver(action, args)
 
-    def _send(self, send: SendRequest, sent_at: float) -> Steps:
+    def _send(self, send: SendRequest, sent_at: float) -> Task:
         body = yield self.call(send.peer, KIND, send.method, send.body, CALL_TIMEOUT_SECONDS)
         self._feed(ResponseReceived(send.peer, send.method, sent_at, send.context, body))
 
     def _handler(self, method: str) -> Callable[[Any], Any]:
         return lambda body: self._ask(lambda ref: RequestReceived(ref, method, body), CALL_TIMEOUT_SECONDS)
 
-    def _ask(self, event: Callable[[Any], Any], timeout: float) -> Steps:
+    def _ask(self, event: Callable[[Any], Any], timeout: float) -> Task:
         ref = Future()
-        self.later(timeout, ref.set, Failure(FailureReason.OUTCOME_UNKNOWN, f"{timeout:g} s"))
+        self.call_later(timeout, ref.set, Failure(FailureReason.OUTCOME_UNKNOWN, f"{timeout:g} s"))
         self._feed(event(ref))
         return (yield ref)
 
     # ---- requests of registries, as `configstore.request_handlers` serves them
-    def submit(self, body: Any) -> Steps:
+    def submit(self, body: Any) -> Task:
         request = requests.decode_submit(body)
         if isinstance(request, Failure):
             return request
@@ -202,7 +206,7 @@
         )
         return response
 
-    def read(self, body: Any) -> Steps:
+    def read(self, body: Any) -> Task:
         snapshot = yield from self._ask_leader(requests.READ, body, ReadRequested, READ_TIMEOUT_SECONDS)
         return requests.encode_snapshot(snapshot) if isinstance(snapshot, Snapshot) else snapshot
 
@@ -220,7 +224,7 @@
         assert self.member is not None
         return self.member.committed_state.index, self.member.committed_state.snapshot.entries.map
 
-    def _merge_pending_edits(self, pending_edits: PendingEditStorage) -> Steps:
+    def _merge_pending_edits(self, pending_edits: PendingEditStorage) -> Task:
         while True:
             yield MERGE_INTERVAL_SECONDS
             request = pending_edits.merge_request()
@@ -231,7 +235,7 @@
 
     def _ask_leader(
         self, method: str, body: dict[str, Any], make_event: Callable[[Any], Any], timeout: float
-    ) -> Steps:
+    ) -> Task:
         deadline = self.clock() + LEADER_WAIT_SECONDS
         response: Any = NO_LEADER
         while self.member is not None:
@@ -247,7 +251,7 @@
             yield RETRY_INTERVAL_SECONDS
         return response
 
-    def watch(self, body: Any) -> Steps:
+    def watch(self, body: Any) -> Task:
         member, request = self.member, requests.decode_watch(body)
         if member is None or isinstance(request, Failure):
             return Failure(FailureReason.INVALID, requests.WATCH)
--- a/ashlift/simulation/workers.py
+++ b/ashlift/simulation/workers.py
@@ -6,9 +6,11 @@
 
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
 from ashlift.simulation import board
-from ashlift.simulation.engine import Loop, Machine, Network, Process, Steps, simulated
+from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.history import Arrival, History, WorkerRecord
 from ashlift.simulation.keeper import Try, reply
+from ashlift.simulation.network import as_simulated
+from ashlift.simulation.process import Machine, Network, Process, Task
 
 KIND = "worker"
 QUEUE = 2  # x capacity
@@ -21,7 +23,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         net: Network,
         machine: Machine,
         yard: "Yard",
@@ -47,7 +49,7 @@
         self.address = address
         yard.history.workers[self.id] = self.record
 
-    def begin(self) -> None:
+    def on_start(self) -> None:
         self.spawn(self._beats())
 
     def chill(self, seconds: float) -> None:
@@ -55,7 +57,7 @@
         self.warm_at = self.loop.now + seconds
         self.record.warmups.append((self.loop.now, self.warm_at))
 
-    def ended(self, silently: bool) -> None:
+    def on_killed(self, silently: bool) -> None:
         self.record.ended = self.loop.now
         held = [*self.running, *(one for one, _ in self.queue)]
         self.running, self.queue = {}, deque()
@@ -74,19 +76,19 @@
             self.yard.answer(self, one, AttemptOutcome(AttemptResult.NOT_RUN, reply(503)))
 
     def _run(self, one: Try, left: float) -> None:
-        chance = self.loop.chance
+        chance = self.loop.rng
         self.yard.arrived(self, one, True)
         self.running[one] = None
         work = self.latency * chance.lognormvariate(-0.045, 0.3) * (2 if self.loop.now < self.warm_at else 1)
         if work > left:
-            return self.later(left, self._done, one, 504)
+            return self.call_later(left, self._done, one, 504)
         status = 500 if self.failing and chance.random() < self.failing else 200
-        self.later(work, self._done, one, 0 if self.lost and chance.random() < self.lost else status)
+        self.call_later(work, self._done, one, 0 if self.lost and chance.random() < self.lost else status)
 
     def _done(self, one: Try, status: int) -> None:
         if self.running.pop(one, one) is one:
             return
-        if status == 200 and self.breaking and self.loop.chance.random() < self.breaking:
+        if status == 200 and self.breaking and self.loop.rng.random() < self.breaking:
             self.yard.answer(self, one, AttemptOutcome(AttemptResult.CONNECTION_LOST))
         elif status:
             self.yard.answer(self, one, AttemptOutcome(AttemptResult.RESPONSE, reply(status), 0.0))
@@ -114,7 +116,7 @@
         self.state = "draining"
         self.spawn(self._leave())
 
-    def _say(self, method: str, at: str) -> Steps:
+    def _say(self, method: str, at: str) -> Task:
         body: Any = self.id
         if method == "beat":
             self.seq += 1
@@ -134,10 +136,10 @@
             )
         return (yield self.call(at, board.KIND, method, body, ACK_S))
 
-    def _beat(self, target: str | None) -> Steps:
+    def _beat(self, target: str | None) -> Task:
         """Until one is acknowledged or all have failed; the target of later beats."""
         places = [target] if target else []
-        places += self.loop.chance.sample(self.yard.boards, len(self.yard.boards))
+        places += self.loop.rng.sample(self.yard.boards, len(self.yard.boards))
         for at in places:
             state = self.state
             answer = yield from self._say("beat", at)
@@ -147,14 +149,14 @@
                 return answer[1].rpartition(":")[0]
         return None
 
-    def _beats(self) -> Steps:
+    def _beats(self) -> Task:
         target: str | None = None
-        yield self.loop.chance.uniform(0.0, 0.3)
+        yield self.loop.rng.uniform(0.0, 0.3)
         while self.state == "ready":
             target = yield from self._beat(target)
-            yield self.yard.heartbeat * self.loop.chance.uniform(0.9, 1.1) if target else 0.3
+            yield self.yard.heartbeat * self.loop.rng.uniform(0.9, 1.1) if target else 0.3
 
-    def _leave(self) -> Steps:
+    def _leave(self) -> Task:
         target, tries = None, 0
         while self.record.draining_acknowledged == math.inf and tries < TRIES:
             target = yield from self._beat(target)
@@ -176,7 +178,13 @@
     """All workers, by id and by address, and the way of tries to them."""
 
     def __init__(
-        self, loop: Loop, net: Network, history: History, boards: list[str], heartbeat: float, drain_s: float
+        self,
+        loop: EventLoop,
+        net: Network,
+        history: History,
+        boards: list[str],
+        heartbeat: float,
+        drain_s: float,
     ) -> None:
         self.loop, self.net, self.history = loop, net, history
         self.boards, self.heartbeat, self.drain_s = boards, heartbeat, drain_s
@@ -224,10 +232,10 @@
 
     def answer(self, worker: Worker, one: Try, outcome: AttemptOutcome) -> None:
         """Bytes from a worker to the gatekeeper that asked."""
-        keeper, net = one.case.keeper, simulated(self.net)
+        keeper, net = one.case.keeper, as_simulated(self.net)
         status = outcome.response.status if outcome.response else 0
         net.observer.replied(worker, keeper, one.case.request.id, status)
-        if one.gone or not net.open(keeper.machine.link, worker.machine.link):
+        if one.gone or not net.is_connected(keeper.machine.link_name, worker.machine.link_name):
             return
         begun = one.begun
         trip = net.delay(worker.machine, keeper.machine)
@@ -236,20 +244,20 @@
             outcome.elapsed = keeper.loop.now - begun
             one.end(outcome, outcome.result is not AttemptResult.CONNECTION_LOST)
 
-        keeper.later(trip, come)
+        keeper.call_later(trip, come)
 
     def carry(self, one: Try, kept: bool, dial: float) -> None:
         """Take a try to whoever is at the address that the gatekeeper knows."""
-        keeper, known, net = one.case.keeper, one.view.worker, simulated(self.net)
+        keeper, known, net = one.case.keeper, one.view.worker, as_simulated(self.net)
         one.begun = self.loop.now
-        net.observer.tried(keeper, known.id, one.case.request.id, kept)
+        net.observer.attempted(keeper, known.id, one.case.request.id, kept)
         host, port = known.address
         target = self.workers.get(known.id) if kept else self.at.get(f"{host}:{port}")
         place = target or self.workers.get(known.id)
-        if place is None or not net.open(keeper.machine.link, place.machine.link):
+        if place is None or not net.is_connected(keeper.machine.link_name, place.machine.link_name):
             one.sent = kept
             if not kept:
-                keeper.later(dial, one.end, AttemptOutcome(AttemptResult.CONNECT_FAILED))
+                keeper.call_later(dial, one.end, AttemptOutcome(AttemptResult.CONNECT_FAILED))
             return
         there = net.delay(keeper.machine, place.machine)
         if kept and target is not None and self.loop.now - target.record.ended > there:
@@ -257,8 +265,8 @@
         if kept:
             one.sent = True
             if target is not None and one.rested > target.forgets:
-                return keeper.later(2 * there, keeper.forgotten, one)
-            return self.loop.later(there, self._arrive, one, target, known.id)
+                return keeper.call_later(2 * there, keeper.forgotten, one)
+            return self.loop.call_later(there, self._arrive, one, target, known.id)
         back = net.delay(place.machine, keeper.machine)
 
         def dialled() -> None:
@@ -267,19 +275,21 @@
             if one.gone:
                 return
             one.sent = True
-            self.loop.later(net.delay(keeper.machine, place.machine), self._arrive, one, target, known.id)
+            self.loop.call_later(
+                net.delay(keeper.machine, place.machine), self._arrive, one, target, known.id
+            )
 
-        keeper.later(there + back, dialled)
+        keeper.call_later(there + back, dialled)
 
     def _arrive(self, one: Try, target: Worker | None, wanted: str) -> None:
-        net = simulated(self.net)
+        net = as_simulated(self.net)
         if target is None or not target.up:
             place = self.workers.get(wanted)
             trip = net.delay(place.machine, one.case.keeper.machine) if place else 0.001
-            return one.case.keeper.later(trip, one.end, AttemptOutcome(AttemptResult.CONNECTION_LOST))
+            return one.case.keeper.call_later(trip, one.end, AttemptOutcome(AttemptResult.CONNECTION_LOST))
         if one.gone:
             return
-        if not net.open(one.case.keeper.machine.link, target.machine.link):
+        if not net.is_connected(one.case.keeper.machine.link_name, target.machine.link_name):
             return  # on its way when the cut came
         if target.id != wanted:
             self.arrived(target, one, False, 421)
--- a/ashlift/simulation/world.py
+++ b/ashlift/simulation/world.py
@@ -11,11 +11,13 @@
 from ashlift.simulation import board, keeper, store
 from ashlift.simulation.board import Board
 from ashlift.simulation.callers import Caller
-from ashlift.simulation.engine import Loop, Machine, Net, Network, Process
+from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.history import HOST
 from ashlift.simulation.keeper import Keeper
 from ashlift.simulation.marks import Marks
+from ashlift.simulation.network import SimulatedNetwork
 from ashlift.simulation.people import Crowd, Operator, Want
+from ashlift.simulation.process import Machine, Network, Process
 from ashlift.simulation.store import Store
 from ashlift.simulation.workers import Yard
 
@@ -91,7 +93,7 @@
 class Stage(Marks):
     """What a world of simulated programs and one of processes share: workers, clients, operators."""
 
-    def __init__(self, plan: Plan, core: list[str], edge: list[str], loop: Loop, net: Network) -> None:
+    def __init__(self, plan: Plan, core: list[str], edge: list[str], loop: EventLoop, net: Network) -> None:
         super().__init__(core, edge)
         self.plan, self.loop, self.net = plan, loop, net
         self.bounds = Bounds(revocation_strict=True)
@@ -110,14 +112,14 @@
 
     def populate(self) -> None:
         """Workers come in turn, fleet-2 stands in z2; then clients, and a little later what they ask."""
-        names, chance = list(ZONES), self.loop.chance
+        names, chance = list(ZONES), self.loop.rng
         for service, _ in ROUTES.values():
             for number in range(self.plan.workers):
                 at = 0.5 + (number + 0.9 * chance.random()) / self.plan.workers
-                self.loop.later(at, self.worker, service, names[number % len(names)])
+                self.loop.call_later(at, self.worker, service, names[number % len(names)])
         for crowd in self.crowds:
             crowd.start()
-        self.loop.later(TRAFFIC_S, self._traffic)
+        self.loop.call_later(TRAFFIC_S, self._traffic)
 
     def _share(self) -> float:
         return self.load / len(self.crowds)
@@ -131,7 +133,7 @@
 
     def worker(self, service: str, zone: str, cold: float = 0.0, address: str | None = None) -> None:
         plan = self.plan
-        latency = plan.latency * self.loop.chance.uniform(0.8, 1.3)
+        latency = plan.latency * self.loop.rng.uniform(0.8, 1.3)
         self.yard.add(service, zone, self.zones[zone], plan.capacity, latency, cold, address)
 
     def operator(self, name: str) -> Operator:
@@ -153,15 +155,15 @@
 
 
 class World(Stage):
-    net: Net
+    net: SimulatedNetwork
 
     def __init__(self, plan: Plan) -> None:
         core = [f"{CORE}-{number + 1}" for number in range(plan.core)]
         edge = [f"{EDGE}-{number + 1}" for number in range(plan.edge)]
-        loop = Loop(plan.seed)
-        super().__init__(plan, core, edge, loop, Net(loop))
-        self.net.loss, self.net.late = plan.loss, bool(plan.late)
-        names, chance = list(ZONES), self.loop.chance
+        loop = EventLoop(plan.seed)
+        super().__init__(plan, core, edge, loop, SimulatedNetwork(loop))
+        self.net.loss_rate, self.net.delivers_late = plan.loss, bool(plan.late)
+        names, chance = list(ZONES), self.loop.rng
         for number, name in enumerate(self.core):
             machine = self._machine(name, names[number % len(names)])
             Store(self.loop, self.net, machine, lambda: self.seeds)
@@ -187,14 +189,14 @@
             self.crowds.append(Crowd(self.loop, self.net, machine, self.history, self.core, self._share))
         for name in [*self.core, *self.edge]:
             for process in self.net.machines[name].processes.values():
-                self.loop.later(chance.uniform(0.0, BOOT_S), process.start)
+                self.loop.call_later(chance.uniform(0.0, BOOT_S), process.start)
         self.populate()
 
     def furnished(self) -> Yard:
         return Yard(self.loop, self.net, self.history, self.core, HEARTBEAT, self.bounds.drain)
 
     def _machine(self, name: str, zone: str) -> Machine:
-        machine = Machine(name, zone, self.zones[zone], self.loop.chance.uniform(0.0, 1000.0))
+        machine = Machine(name, zone, self.zones[zone], self.loop.rng.uniform(0.0, 1000.0))
         self.net.machines[name] = machine
         return machine
 
@@ -252,7 +254,7 @@
         return machine.powered and all(one.up and not one.frozen for one in machine.processes.values())
 
     def open(self, one: str, other: str) -> bool:
-        return self.net.open(one, other)
+        return self.net.is_connected(one, other)
 
     def _each(self, kind: str, names: Iterable[str]) -> list[Process]:
         machines = [self.net.machines[name] for name in names]
@@ -265,7 +267,7 @@
             if process.up:
                 self.befalls(process.name)
                 process.kill()
-                self.loop.later(seconds + BOOT_S, self._start, process)
+                self.loop.call_later(seconds + BOOT_S, self._start, process)
 
     def _start(self, process: Process) -> None:
         if process.machine.powered and not process.up:
@@ -286,9 +288,9 @@
     def _again(self, process: Process) -> None:
         """Once it has ended, it is started again."""
         if process.up:
-            self.loop.later(0.1, self._again, process)
+            self.loop.call_later(0.1, self._again, process)
         else:
-            self.loop.later(BACK_S, self._start, process)
+            self.loop.call_later(BACK_S, self._start, process)
 
     def power(self, names: list[str], seconds: float | None = None, wipe: bool = False) -> None:
         """Without power, and back after some seconds, or when `start` says so."""
@@ -301,16 +303,16 @@
             if wipe:
                 machine.disk.clear()
             if seconds is not None:
-                self.loop.later(seconds, self.start, [name])
+                self.loop.call_later(seconds, self.start, [name])
 
     def start(self, names: list[str]) -> None:
         for name in names:
             machine = self.net.machines[name]
             if not machine.powered:
                 machine.powered = True
-                machine.offset = self.loop.chance.uniform(0.0, 1000.0)  # the steady clock begins anew
+                machine.clock_offset = self.loop.rng.uniform(0.0, 1000.0)  # the steady clock begins anew
             for process in machine.processes.values():
-                self.loop.later(self.loop.chance.uniform(0.05, BOOT_S), self._start, process)
+                self.loop.call_later(self.loop.rng.uniform(0.05, BOOT_S), self._start, process)
 
     def spoil(self, names: list[str]) -> None:
         """The disk can be read no more after the next start."""
@@ -325,7 +327,7 @@
         ill = hangs or refuses or slow > 0.0
         for name in names:
             machine = self.net.machines[name]
-            machine.disk_hangs, machine.disk_refuses, machine.disk_s = hangs, refuses, slow
+            machine.disk_hangs, machine.disk_fails, machine.disk_delay = hangs, refuses, slow
             (self.history.begin_fault if ill else self.history.end_faults)(name, self.loop.now)
 
     def freeze(self, kind: str, names: list[str], seconds: float) -> None:
@@ -333,13 +335,13 @@
             if process.up and not process.frozen:
                 process.freeze()
                 self.befalls(process.name)
-                self.loop.later(seconds, self._thaw, process, process.life)
+                self.loop.call_later(seconds, self._thaw, process, process.incarnation)
 
     def reset(self, names: list[str]) -> None:
         """All connections to and from these break; whoever had one is told so."""
         for name in names:
             for process in self.net.machines[name].processes.values():
-                self.net.reset(process)
+                self.net.reset_connections(process)
                 for connection in list(process.connections.values()):
                     self.net.close(connection)
             self.befalls(name)
@@ -347,16 +349,16 @@
 
     def slow(self, names: list[str], more: float, seconds: float) -> None:
         for name in names:
-            self.net.slow[name] = more
+            self.net.extra_delay[name] = more
             self.befalls(name)
-            self.loop.later(seconds, self._quick, name)
+            self.loop.call_later(seconds, self._quick, name)
 
     def _quick(self, name: str) -> None:
-        self.net.slow.pop(name, None)
+        self.net.extra_delay.pop(name, None)
         self.passes(name)
 
     def _thaw(self, process: Process, life: int) -> None:
-        if process.life == life:
+        if process.incarnation == life:
             process.thaw()
             self.passes(process.name)
 
@@ -364,29 +366,31 @@
         for one in ones:
             for other in others:
                 if one != other:
-                    self.net.cut(one, other)
+                    self.net.block(one, other)
                     if both:
-                        self.net.cut(other, one)
+                        self.net.block(other, one)
         self._links({*ones, *others})
 
     def join(self, ones: list[str] | None = None, others: list[str] | None = None) -> None:
         """These links, or all."""
         pairs = {(a, b) for a in ones or () for b in others or ()}
         gone = [
-            pair for pair in sorted(self.net.cuts) if ones is None or pair in pairs or pair[::-1] in pairs
+            pair
+            for pair in sorted(self.net.blocked_links)
+            if ones is None or pair in pairs or pair[::-1] in pairs
         ]
         for pair in gone:
-            self.net.join(*pair)
+            self.net.unblock(*pair)
         self._links({name for pair in gone for name in pair})
 
     def _links(self, names: set[str]) -> None:
-        self.links(names, {name for pair in self.net.cuts for name in pair})
+        self.links(names, {name for pair in self.net.blocked_links for name in pair})
 
     def reseed(self) -> None:
         """The seeds are others now; whoever starts reads them."""
 
     def lossy(self, share: float) -> None:
-        self.net.loss = share
+        self.net.loss_rate = share
         for name in [*self.core, *self.edge]:
             if share:
                 self.history.begin_fault(name, self.loop.now)
--- a/tests/registry/test_soft_state.py
+++ b/tests/registry/test_soft_state.py
@@ -39,9 +39,9 @@
         found.members = min(found.members, *(len(one.proxies) for one in known))
         found.workers = min(found.workers, *(len(one.workers) for one in known))
         if world.loop.now < until:
-            world.loop.later(0.05, look)
+            world.loop.call_later(0.05, look)
 
-    world.loop.later(since, look)
+    world.loop.call_later(since, look)
     breach = play.run()
     assert breach is None, str(breach)
     statuses = [one.status for one in world.history.requests if since <= one.ended < until]
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -191,14 +191,14 @@
     "a registry vouches for any call": (
         board.Board,
         "_order",
-        'self.written if body["kind"] in ("evacuate", "restore") else None',
+        'self.earliest_send_time if body["kind"] in ("evacuate", "restore") else None',
         "None",
         "an evacuation held up between the operator and a registry",
     ),
     "a registry vouches for what came while it was frozen": (
         board.Board,
         "_order",
-        'self.written if body["kind"] in ("evacuate", "restore") else None',
+        'self.earliest_send_time if body["kind"] in ("evacuate", "restore") else None',
         "None",
         "an evacuation in the buffers of a frozen registry, given up by its operator",
     ),
