--- a/ashlift/traffic/quota_sharing.py
+++ b/ashlift/traffic/quota_sharing.py
@@ -106,8 +106,8 @@
         unreported_seconds = now - reported_until
         before = tenant.window.sums_between(reported_until - 1, reported_until)
         jump = jump_factor(since_reported.local_total, before.local_total * unreported_seconds)
-        others = before.remote_total * unreported_seconds * jump
-        return since_reported.local_accepted + 1 + AMPLE_FACTOR * others <= left
+        remote_requests = before.remote_total * unreported_seconds * jump
+        return since_reported.local_accepted + 1 + AMPLE_FACTOR * remote_requests <= left
 
     def _unknown_usage(self, now: float, tenant: TenantUsage) -> float:
         """Requests that all proxies may have admitted in the rule's window before the first totals.
--- a/ashlift/traffic/tenant_usage.py
+++ b/ashlift/traffic/tenant_usage.py
@@ -127,8 +127,8 @@
 
     def record_remote(self, now: float, since: float, until: float, total: float, accepted: float) -> None:
         """Count what totals grew by, without this proxy's own counts, over the time it was made in."""
-        others_total, others_accepted = self._without_pending(now, total, accepted)
-        self.window.record_remote(since, until, self.retention_seconds, others_total, others_accepted)
+        remote_total, remote_accepted = self._without_pending(now, total, accepted)
+        self.window.record_remote(since, until, self.retention_seconds, remote_total, remote_accepted)
 
     def _without_pending(self, now: float, total: float, accepted: float) -> tuple[float, float]:
         """Subtract pending counts that the totals may now contain; drop those that are used up or lost."""
--- a/tests/registry/test_soft_state.py
+++ b/tests/registry/test_soft_state.py
@@ -12,7 +12,7 @@
 from ashlift.simulation.scene import Play, read
 from ashlift.traffic.rate_limiter import RateLimiter
 from ashlift.traffic.unreported_usage import SourceCoverage
-from tests.support.rate_limiter_play import Bounds
+from tests.support.rate_limiter_simulation import Bounds
 
 CORE = ("core-1", "core-2", "core-3")
 # Every tenant asks 0.69 of its quota.
--- a/tests/traffic/test_imports.py
+++ b/tests/traffic/test_imports.py
@@ -6,9 +6,9 @@
 from ward import test
 
 
-@test("limiter: loads the windows of the gatekeeper, and nothing of its gateway")
+@test("limiter: loads the sliding windows of the gatekeeper and nothing else of it")
 def _() -> None:
-    loaded = "[n for n in sys.modules if n.startswith('ashlift.gatekeeper.')]"
+    loaded = "[name for name in sys.modules if name.startswith('ashlift.gatekeeper.')]"
     code = f"import sys, ashlift.traffic.rate_limiter; print(*{loaded})"
-    told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert told.stdout.split() == ["ashlift.gatekeeper.admission", "ashlift.gatekeeper.admission.window"]
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert result.stdout.split() == ["ashlift.gatekeeper.admission", "ashlift.gatekeeper.admission.window"]
