--- a/tests/proxy/test_answer_bytes.py
+++ b/tests/proxy/test_answer_bytes.py
@@ -6,12 +6,12 @@
 from gevent.pool import Pool
 from ward import each, test
 
-from tests.support.between import AGAIN, BACK, HALVE, HOLD, THERE, Between
+from tests.support.fault_proxy import REPEAT, STALL, STALL_AND_RESET, TO_CLIENT, TO_SERVER, FaultProxy
 from tests.support.gatekeeper import BODY, WAYS, Client, Request, Site
 
-SILENT = (HOLD, HALVE)  # kinds of trouble that leave somebody waiting
+SILENT = (STALL, STALL_AND_RESET)  # kinds of trouble that leave somebody waiting
 REQUEST, ANSWER = 210, 135  # bytes, and some more than there are
-OURS = [(kind, way) for kind, way in WAYS if kind != AGAIN]  # what comes twice to a client is not ours
+OURS = [(kind, way) for kind, way in WAYS if kind != REPEAT]  # what comes twice to a client is not ours
 
 
 def together(most: int, run: Callable[[int], None]) -> None:
@@ -21,15 +21,15 @@
     gevent.joinall(runs, raise_error=True)
 
 
-def asked(between: Between, number: int, kind: str, way: str, client: Client, *requests: Request) -> None:
+def asked(between: FaultProxy, number: int, kind: str, way: str, client: Client, *requests: Request) -> None:
     """Requests with a trouble after `number` bytes; who would wait for the rest leaves once it has struck."""
 
     def leave() -> None:
-        between.strikes.wait()
+        between.fault_struck.wait()
         if kind in SILENT:
             client.leave()
 
-    between.arm(way, number, kind)
+    between.inject(way, number, kind)
     leaving = gevent.spawn(leave)
     client.ask(*requests)
     client.close()
@@ -38,18 +38,18 @@
 
 def struck_links(kind: str, way: str) -> None:
     """A trouble at every byte between the gatekeeper and a worker, on a connection that was used before."""
-    most = REQUEST if way == THERE else ANSWER
+    most = REQUEST if way == TO_SERVER else ANSWER
     site = Site(most)
 
     def run(number: int) -> None:
         link = site.links[number, 0]
         assert site.ask(number).status == 200
-        size = link.passed[way]
+        size = link.forwarded_bytes[way]
         assert size < most, "not every byte is tried"
         one = site.history.request(f"/{'hold' if number % 3 else 'look'}/{number}/x", not number % 3, BODY)
         asked(link, number, kind, way, Client(site.history, site.gatekeeper.address), one)
-        assert link.struck or number > size
-        link.release()
+        assert link.fault_count or number > size
+        link.end_faults()
         assert site.ask(number).status == 200
 
     together(most, run)
@@ -63,15 +63,15 @@
 
 def struck_clients(kind: str, way: str) -> None:
     """The same between a client and the gatekeeper, in the first of two requests that come together."""
-    most = REQUEST if way == THERE else ANSWER
+    most = REQUEST if way == TO_SERVER else ANSWER
     site = Site()
 
     def run(number: int) -> None:
-        between = Between(site.gatekeeper.address)
+        between = FaultProxy(site.gatekeeper.address)
         client = Client(site.history, between.address)
         both = [site.history.request("/hold/0/x", False, BODY) for _ in range(2)]
         asked(between, number, kind, way, client, *both)
-        assert between.struck
+        assert between.fault_count
         between.close()
 
     together(most, run)
@@ -84,11 +84,14 @@
 
 
 @test("answers: the way to a worker is {kind} until the time is up, {way}")
-def _(kind: str = each(HOLD, HALVE, HOLD, HALVE), way: str = each(THERE, THERE, BACK, BACK)) -> None:
+def _(
+    kind: str = each(STALL, STALL_AND_RESET, STALL, STALL_AND_RESET),
+    way: str = each(TO_SERVER, TO_SERVER, TO_CLIENT, TO_CLIENT),
+) -> None:
     site = Site(12)
 
     def run(number: int) -> None:
-        site.links[number, 0].arm(way, 10 * number, kind)
+        site.links[number, 0].inject(way, 10 * number, kind)
         assert site.ask(number, repeatable=number % 2 == 0, remaining=100).status in (0, 503, 504)
 
     together(12, run)
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -19,7 +19,7 @@
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.responses import WorkerResponse
 from ashlift.proxy.upstream import ConnectionPool
-from tests.support.between import AGAIN, HOST, Between
+from tests.support.fault_proxy import HOST, REPEAT, FaultProxy
 from tests.support.gatekeeper import (
     BODY,
     ENOUGH_S,
@@ -83,14 +83,14 @@
     def __init__(self) -> None:
         super().__init__()
         self.site = Site(each=2)
-        self.ways = [*self.site.links.values(), Between(self.site.gatekeeper.address)]
+        self.ways = [*self.site.links.values(), FaultProxy(self.site.gatekeeper.address)]
         self.clients: list[Client | None] = [None] * 3
 
     @rule(which=st.integers(0, 2), trouble=st.sampled_from(WAYS), at=st.integers(0, 250))
     def trouble(self, which: int, trouble: tuple[str, str], at: int) -> None:
         kind, way = trouble
-        if (which, kind) != (2, AGAIN):
-            self.ways[which].arm(way, at, kind)
+        if (which, kind) != (2, REPEAT):
+            self.ways[which].inject(way, at, kind)
 
     @rule(which=st.integers(0, 1), mood=st.sampled_from(MOODS))
     def mood(self, which: int, mood: str) -> None:
@@ -131,7 +131,7 @@
     def calm(self) -> None:
         self.site.workers.moods.clear()
         for way in self.ways:
-            way.release()
+            way.end_faults()
 
     def teardown(self) -> None:
         for client in self.clients:
@@ -330,10 +330,10 @@
     site = Site()
     assert site.ask().status == 200
     before = site.links[0, 0]
-    after = Between(site.workers.address)
+    after = FaultProxy(site.workers.address)
     site.gatekeeper.know({"0": {id: after.address for id in site.routes["0"]}})
     assert site.ask().status == 200
-    assert (before.opened, after.opened, site.workers.kept) == (1, 1, 0)
+    assert (before.connection_count, after.connection_count, site.workers.kept) == (1, 1, 0)
     after.close()
     site.close()
 
--- a/tests/registry/test_command_answers.py
+++ b/tests/registry/test_command_answers.py
@@ -15,10 +15,10 @@
 from ashlift.registry.store_client import StoreClient
 from ashlift.rpc.client import ClientPool
 from ashlift.rpc.server import serve
-from tests.support.between import BACK, HOST, KINDS, THERE, Between
+from tests.support.fault_proxy import FAULT_KINDS, HOST, TO_CLIENT, TO_SERVER, FaultProxy
 from tests.support.gatekeeper import ENOUGH_S, TOO_LONG
 
-STEP = 11  # bytes between two tries of a trouble: test_frames tries each
+STEP = 11  # bytes between two tries of a trouble: tests/rpc/test_client.py tries each
 MOST = 150  # and some more than a call and its answer have
 
 
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self.ran: Counter[str] = Counter()
         self._servers = [serve((HOST, 0), {"submit": one}) for one in (self._unready, self._submit)]
-        self.ways = [Between((HOST, one.server_port or 0)) for one in self._servers]
+        self.ways = [FaultProxy((HOST, one.server_port or 0)) for one in self._servers]
         self._turn = itertools.count()
 
     def _unready(self, body: Any) -> Any:
@@ -86,7 +86,7 @@
     door = HttpServer((HOST, 0), {"config": ConfigResource(store)})
     door.start()
     address = HOST, door._server.server_port or 0
-    stores.ways[which].arm(way, at, kind)
+    stores.ways[which].inject(way, at, kind)
     words = [[f"w{operator}{number}" for number in range(2)] for operator in range(3)]
     runs = [gevent.spawn(asked, address, one) for one in words]
     gevent.joinall(runs, raise_error=True)
@@ -102,6 +102,8 @@
 
 
 @test("orders: the way to a store is {kind}, {way}")
-def _(kind: str = each(*KINDS, *KINDS), way: str = each(*[THERE] * 5, *[BACK] * 5)) -> None:
+def _(
+    kind: str = each(*FAULT_KINDS, *FAULT_KINDS), way: str = each(*[TO_SERVER] * 5, *[TO_CLIENT] * 5)
+) -> None:
     pool = [gevent.spawn(played, kind, way, which, at) for which in (0, 1) for at in range(0, MOST, STEP)]
     gevent.joinall(pool, raise_error=True)
--- a/tests/rpc/test_client.py
+++ b/tests/rpc/test_client.py
@@ -18,7 +18,17 @@
 from ashlift.rpc.client import RpcClient
 from ashlift.rpc.framing import REQUEST_CRC_SEED, RESPONSE_CRC_SEED, FrameDecoder, encode_frame
 from ashlift.rpc.messages import encode_response
-from tests.support.between import BACK, CUT, DOUBLE, HALVE, HOLD, KINDS, RESET, THERE, Between
+from tests.support.fault_proxy import (
+    CLOSE,
+    DUPLICATE,
+    FAULT_KINDS,
+    RESET,
+    STALL,
+    STALL_AND_RESET,
+    TO_CLIENT,
+    TO_SERVER,
+    FaultProxy,
+)
 from tests.support.planted import found, planted
 from tests.support.rpc_peers import (
     HOST,
@@ -51,20 +61,24 @@
     def __init__(self) -> None:
         super().__init__()
         self.peer = Peer()
-        self.between = Between(self.peer.address)
-        self.client = RpcClient(self.between.address)
+        self.proxy = FaultProxy(self.peer.address)
+        self.client = RpcClient(self.proxy.address)
         self.history = CallHistory(self.peer, self.client)
 
-    @rule(way=st.sampled_from((THERE, BACK)), at=st.integers(0, 200), kind=st.sampled_from(KINDS))
-    def fault(self, way: str, at: int, kind: str) -> None:
-        self.between.arm(way, at, kind)
+    @rule(
+        direction=st.sampled_from((TO_SERVER, TO_CLIENT)),
+        after_bytes=st.integers(0, 200),
+        kind=st.sampled_from(FAULT_KINDS),
+    )
+    def fault(self, direction: str, after_bytes: int, kind: str) -> None:
+        self.proxy.inject(direction, after_bytes, kind)
 
     @rule(
         methods=st.lists(st.sampled_from(("echo", "echo", "refuse", "late")), min_size=1, max_size=4),
         size=st.sampled_from((0, 30, 70_000)),
     )
     def calls(self, methods: list[str], size: int) -> None:
-        is_calm = not self.between.troubles and self.between.struck == 0 and "late" not in methods
+        is_calm = not self.proxy.pending_faults and self.proxy.fault_count == 0 and "late" not in methods
         timeout = LONG_SECONDS if is_calm else SHORT_SECONDS
         calls = [gevent.spawn(self.history.call, method, size, timeout) for method in methods]
         gevent.joinall(calls, raise_error=True)
@@ -78,16 +92,16 @@
 
     @rule()
     def end_faults(self) -> None:
-        self.between.release()
+        self.proxy.end_faults()
 
     @rule()
     def reset(self) -> None:
-        self.between.reset()
+        self.proxy.reset_connections()
 
     @rule()
     def restart(self) -> None:
         self.peer.restart()
-        self.between.reset()
+        self.proxy.reset_connections()
 
     @rule()
     def close_client(self) -> None:
@@ -95,7 +109,7 @@
 
     def teardown(self) -> None:
         self.peer.may_answer.set()
-        self.between.release()
+        self.proxy.end_faults()
         results = [self.history.call("echo", 10, SHORT_SECONDS) for _ in range(2)]
         if all(
             isinstance(result, Failure) for result in results
@@ -106,7 +120,7 @@
         all_failed = all(isinstance(result, Failure) for result in results)
         assert not all_failed, f"there is no fault any more, and calls fail: {results}"
         self.client.close()
-        self.between.close()
+        self.proxy.close()
         self.peer.close()
 
 
@@ -124,31 +138,35 @@
     run_random_calls()
 
 
-def call_with_fault(way: str, at: int, kind: str) -> int:
+def call_with_fault(direction: str, after_bytes: int, kind: str) -> int:
     """Three calls, the fault in the first two; how many were answered."""
     peer = Peer()
-    between = Between(peer.address)
-    history = CallHistory(peer, RpcClient(between.address))
-    between.arm(way, at, kind)
+    proxy = FaultProxy(peer.address)
+    history = CallHistory(peer, RpcClient(proxy.address))
+    proxy.inject(direction, after_bytes, kind)
     peer.may_answer.set()
     results = [history.call("echo", 8, 0.25) for _ in range(2)]
-    between.release()
+    proxy.end_faults()
     history.client.close()
     results.append(history.call("echo", 8, LONG_SECONDS))
     history.check()
-    assert not isinstance(results[-1], Failure), f"{kind} {way} at {at}: {results}"
+    assert not isinstance(results[-1], Failure), f"{kind} {direction} at {after_bytes}: {results}"
     history.client.close()
-    between.close()
+    proxy.close()
     peer.close()
     return sum(not isinstance(result, Failure) for result in results)
 
 
-@test("rpc client: a connection {kind} at every byte of two requests and responses, {way}")
+@test("rpc client: a connection {kind} at every byte of two requests and responses, {direction}")
 def _(
-    kind: str = each(CUT, RESET, HOLD, HALVE, DOUBLE, CUT, RESET, HOLD, HALVE, DOUBLE),
-    way: str = each(*[THERE] * 5, *[BACK] * 5),
+    kind: str = each(
+        CLOSE, RESET, STALL, STALL_AND_RESET, DUPLICATE, CLOSE, RESET, STALL, STALL_AND_RESET, DUPLICATE
+    ),
+    direction: str = each(*[TO_SERVER] * 5, *[TO_CLIENT] * 5),
 ) -> None:
-    runs = [gevent.spawn(call_with_fault, way, at, kind) for at in range(SMALL_CALL_BYTES)]
+    runs = [
+        gevent.spawn(call_with_fault, direction, after_bytes, kind) for after_bytes in range(SMALL_CALL_BYTES)
+    ]
     gevent.joinall(runs, raise_error=True)
     assert min(run.get() for run in runs) >= 1
 
@@ -302,8 +320,11 @@
 
 
 def duplicate_bytes() -> None:
-    for way in (THERE, BACK):
-        runs = [gevent.spawn(call_with_fault, way, at, DOUBLE) for at in range(SMALL_CALL_BYTES)]
+    for direction in (TO_SERVER, TO_CLIENT):
+        runs = [
+            gevent.spawn(call_with_fault, direction, after_bytes, DUPLICATE)
+            for after_bytes in range(SMALL_CALL_BYTES)
+        ]
         gevent.joinall(runs, raise_error=True)
 
 
--- a/tests/support/gatekeeper.py
+++ b/tests/support/gatekeeper.py
@@ -26,14 +26,28 @@
 from ashlift.proxy.server import ProxyServer
 from ashlift.rpc.addresses import Address
 from ashlift.rpc.sources import OPERATOR_SOURCE
-from tests.support.between import AGAIN, BACK, CUT, HALVE, HOLD, HOST, LINGER, RESET, THERE, Between
+from tests.support.fault_proxy import (
+    CLOSE,
+    HOST,
+    REPEAT,
+    RESET,
+    RESETTING_LINGER,
+    STALL,
+    STALL_AND_RESET,
+    TO_CLIENT,
+    TO_SERVER,
+    FaultProxy,
+)
 
 LARGE = 12 << 20  # bytes: more than the kernel takes for somebody who does not read
 ENOUGH_S = 5.0  # for what is answered, on a busy machine: never waited for
 TOO_LONG = AssertionError("it should have come long ago")
 BODY = b"a body that must come whole"
 # What comes twice in the middle of a request or an answer, nobody can see: HTTP has no check.
-WAYS = [*((kind, way) for way in (THERE, BACK) for kind in (CUT, RESET, HOLD, HALVE)), (AGAIN, BACK)]
+WAYS = [
+    *((kind, way) for way in (TO_SERVER, TO_CLIENT) for kind in (CLOSE, RESET, STALL, STALL_AND_RESET)),
+    (REPEAT, TO_CLIENT),
+]
 NUMBERS = itertools.count(1)  # of sites: an address may pass to another's worker
 PROMISES = (408, 421, 429, 503)
 SETTINGS = """
@@ -232,7 +246,7 @@
             case "a false promise":
                 sock.sendall(answer(503, id, b""))
             case "ran and resets" | "not: resets when kept":
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESETTING_LINGER)
                 raise OSError
             case "not: hangs up":
                 raise OSError
@@ -398,7 +412,9 @@
         ids = f"i{next(NUMBERS)}-"
         self.workers = Workers(self.history, ids)
         self.links = {
-            (number, place): Between(self.workers.address) for number in range(most) for place in range(each)
+            (number, place): FaultProxy(self.workers.address)
+            for number in range(most)
+            for place in range(each)
         }
         self.routes: dict[str, dict[str, Address]] = {str(number): {} for number in range(most)}
         for (number, place), link in self.links.items():
