--- a/ashlift/registry/api/instances.py
+++ b/ashlift/registry/api/instances.py
@@ -32,9 +32,9 @@
         record = parse_heartbeat(request.body, now)
         if isinstance(record, Failure):
             return error_response(400, record.detail)
-        is_taken = self._registry.instances.record_heartbeat(worker_id, record, now)
+        is_accepted = self._registry.instances.record_heartbeat(worker_id, record, now)
         self._notify_if_changed()
-        if not is_taken:
+        if not is_accepted:
             return error_response(503, "a call with a higher CallSeq has come", RETRY_AFTER_SECONDS)
         if self._registry.is_isolated(now):  # the heartbeat counts here, and the worker goes elsewhere
             return error_response(503, "out of reach of the other registries", RETRY_AFTER_SECONDS)
--- a/ashlift/registry/api/resource.py
+++ b/ashlift/registry/api/resource.py
@@ -33,5 +33,5 @@
         return Failure(FailureReason.INVALID, f"the body is no JSON: {error}")
 
 
-def _reject_constant(word: str) -> Any:
-    raise ValueError(f"{word} is no JSON")
+def _reject_constant(constant: str) -> Any:
+    raise ValueError(f"{constant} is no JSON")
--- a/ashlift/registry/codec.py
+++ b/ashlift/registry/codec.py
@@ -169,7 +169,7 @@
         "sources": sources,
         "alive": response.alive,
         "age": None if age is None else round(age, AGE_DECIMALS),
-        "held": round(response.held_seconds, AGE_DECIMALS),
+        "held": round(response.response_delay_seconds, AGE_DECIMALS),
         "ran": round(response.uptime, UPTIME_DECIMALS),
         "late": response.config_is_behind,
         "controls": response.registries,
@@ -240,9 +240,9 @@
 # ---- calls to the configuration store
 
 
-def encode_watch_request(held_index: int, wait_seconds: float, fragment: list[Any] | None) -> Json:
+def encode_watch_request(known_index: int, wait_seconds: float, fragment: list[Any] | None) -> Json:
     """`fragment`: which one of a large configuration is asked for."""
-    return {"have": held_index, "wait": wait_seconds, "part": fragment}
+    return {"have": known_index, "wait": wait_seconds, "part": fragment}
 
 
 def encode_position_request() -> Json:
@@ -267,7 +267,7 @@
         term=answer.get("term", 0),
         leader=answer.get("leader"),
         lease_age=None if is_behind else answer.get("age"),
-        held_seconds=answer.get("held", 0.0),
+        response_delay_seconds=answer.get("held", 0.0),
         is_behind=is_behind,
     )
 
--- a/ashlift/registry/delta.py
+++ b/ashlift/registry/delta.py
@@ -27,9 +27,9 @@
         self._floor = 0  # holders of older versions need a snapshot
         self._gaps: list[tuple[int, int]] = []  # likewise holders of versions between (both ends excluded)
 
-    def needs_snapshot(self, held_version: int) -> bool:
+    def needs_snapshot(self, known_version: int) -> bool:
         """Whether a holder of this version may miss changes that a delta would not name."""
-        return held_version < self._floor or any(low < held_version < high for low, high in self._gaps)
+        return known_version < self._floor or any(low < known_version < high for low, high in self._gaps)
 
     def raise_floor(self, version: int) -> None:
         """Holders of versions below this one need a snapshot from now on."""
--- a/ashlift/registry/lease_clock.py
+++ b/ashlift/registry/lease_clock.py
@@ -12,7 +12,7 @@
 
     def __init__(self, now: float) -> None:
         self.started_at = now
-        self.awake_since = now
+        self.resumed_at = now
         self._last_tick_at = now
 
     def tick(self, now: float) -> bool:
@@ -20,9 +20,9 @@
         stood_still = now - self._last_tick_at > STANDSTILL_SECONDS
         self._last_tick_at = now
         if stood_still:
-            self.awake_since = now
+            self.resumed_at = now
         return stood_still
 
     def has_expired(self, renewed_at: float, lease_seconds: float, now: float) -> bool:
         """Whether a lease of that length has run out that was renewed at that time."""
-        return now - max(renewed_at, self.awake_since) > lease_seconds
+        return now - max(renewed_at, self.resumed_at) > lease_seconds
--- a/ashlift/registry/messages.py
+++ b/ashlift/registry/messages.py
@@ -78,7 +78,7 @@
     config_update: Json | None
     alive: list[str]
     lease_age: float | None
-    held_seconds: float
+    response_delay_seconds: float
     uptime: float
     config_is_behind: bool
     registries: list[str]
@@ -123,14 +123,15 @@
 class WatchResponse:
     """A store's answer to `watch`: what changed of the operator's configuration, and when it was the newest.
 
-    `is_behind`: the store holds a newer one, and proves nothing. `held_seconds`: how long it held the call.
+    `is_behind`: the store holds a newer one, and proves nothing. `response_delay_seconds`: for how long the
+    call was open there.
     """
 
     delta: Delta
     term: int
     leader: str | None
     lease_age: float | None
-    held_seconds: float
+    response_delay_seconds: float
     is_behind: bool
 
 
--- a/ashlift/registry/operator_config.py
+++ b/ashlift/registry/operator_config.py
@@ -19,14 +19,14 @@
 class OperatorConfigReplica(ReplicatedSource):
     """The operator's entries by key; the version is the index under which they are committed.
 
-    `proven_at` is the freshness lease: the entries held were the newest at this steady time, or later.
+    `confirmed_at` is the freshness lease: the entries held were the newest at this steady time, or later.
     """
 
     def __init__(self, changes: ChangeCounter) -> None:
         super().__init__()
         self.leader: str | None = None
         self.term = 0
-        self.proven_at: float | None = None
+        self.confirmed_at: float | None = None
         self._changes = changes
         self._reassembler = Reassembler()
         self._core_members: dict[str, Any] = {}
@@ -53,15 +53,15 @@
             self.term = response.term
             self.leader = response.leader
         if response.lease_age is not None and response.delta.version >= self.version:
-            self._renew_lease(sent_at, response.held_seconds, response.lease_age)
+            self._renew_lease(sent_at, response.response_delay_seconds, response.lease_age)
         age = response.lease_age
         return response.is_behind or (age is not None and age <= MAX_WATCH_LEASE_AGE_SECONDS)
 
     def lease_age(self, now: float) -> float | None:
         """Seconds since the entries held were proven to be the newest; None: too long ago, or never."""
-        if self.proven_at is None or now - self.proven_at > MAX_LEASE_AGE_SECONDS:
+        if self.confirmed_at is None or now - self.confirmed_at > MAX_LEASE_AGE_SECONDS:
             return None
-        return now - self.proven_at
+        return now - self.confirmed_at
 
     def has_fresh_lease(self, now: float) -> bool:
         """Whether they were proven newest of late."""
@@ -90,10 +90,10 @@
             self.merge(delta.version, delta.values, delta.removed)
         self._changes.increment()
 
-    def _renew_lease(self, sent_at: float, held_seconds: float, age: float) -> None:
-        """The store answered `held_seconds` after `sent_at` or later, with a proof of that age."""
-        proven_at = sent_at + held_seconds - age
-        previous = self.proven_at
+    def _renew_lease(self, sent_at: float, response_delay_seconds: float, age: float) -> None:
+        """The store answered `response_delay_seconds` after `sent_at` or later, with a proof of that age."""
+        confirmed_at = sent_at + response_delay_seconds - age
+        previous = self.confirmed_at
         if self.lease_age(sent_at) is None or sent_at - (previous or 0.0) > FRESH_LEASE_SECONDS:
             self._changes.increment()  # proxies may wait for a lease
-        self.proven_at = proven_at if previous is None else max(previous, proven_at)
+        self.confirmed_at = confirmed_at if previous is None else max(previous, confirmed_at)
--- a/ashlift/registry/peer_registries.py
+++ b/ashlift/registry/peer_registries.py
@@ -13,25 +13,23 @@
 from ashlift.registry.own_records import ChangeCounter
 from ashlift.registry.replicated_source import ReplicatedSource
 
-SILENT_PEER_SECONDS: Final = 5.0  # the records of a peer that is silent for so long are dropped
-ALIVE_SECONDS: Final = (
-    1.0  # a peer heard within this is named as alive: proxies count its silence from then on
-)
-ISOLATION_SECONDS: Final = 1.5  # peers unheard for so long are out of reach
-SETTLING_SECONDS: Final = 1.5  # a registry that has run for less may know few of those there are
+PEER_TIMEOUT_SECONDS: Final = 5.0  # the records of a peer that is silent for so long are dropped
+ALIVE_SECONDS: Final = 1.0  # a peer that responded within this is named as alive to proxies
+ISOLATION_SECONDS: Final = 1.5  # peers without a response for so long are out of reach
+MIN_UPTIME_SECONDS: Final = 1.5  # a registry that has run for less may know few of those there are
 
 
 @attrs.define
 class PeerReplica:
-    """Another registry's records as last heard.
+    """Another registry's records as last received.
 
-    `started_at`: when it started. `heard_at`: when the last request was sent that it answered (steady time).
+    `started_at`: when it started. `last_contact_at`: when the last request was sent that it answered.
     """
 
     ip: str
     place: Place
     started_at: float
-    heard_at: float
+    last_contact_at: float
     source: ReplicatedSource = attrs.field(factory=ReplicatedSource)
 
 
@@ -53,17 +51,17 @@
     def ips(self, core_members: Collection[str], now: float) -> set[str]:
         """Registries to pull from: core members, and who has called or answered of late."""
         recent_callers = {
-            ip for ip, called_at in self._called_at.items() if now - called_at <= SILENT_PEER_SECONDS
+            ip for ip, called_at in self._called_at.items() if now - called_at <= PEER_TIMEOUT_SECONDS
         }
         known = {replica.ip for replica in self.replicas.values()}
         return (set(core_members) | recent_callers | known) - {self._identity.ip}
 
-    def heard_within(self, seconds: float, now: float) -> list[str]:
+    def contacted_within(self, seconds: float, now: float) -> list[str]:
         """Sources of the peers that have answered within that time, not counting standstills."""
         return [
             name
             for name, replica in self.replicas.items()
-            if not self._clock.has_expired(replica.heard_at, seconds, now)
+            if not self._clock.has_expired(replica.last_contact_at, seconds, now)
         ]
 
     def note_call(self, ip: str, now: float) -> None:
@@ -87,7 +85,7 @@
         delta, origin = response.delta, response.origin
         if delta is None:
             if replica is not None:
-                replica.heard_at = max(replica.heard_at, sent_at)
+                replica.last_contact_at = max(replica.last_contact_at, sent_at)
             return ()
         if origin is not None:
             name = origin.source
@@ -96,7 +94,7 @@
             return ()
         self._source_by_ip[ip] = name
         self.replicas[name] = replica
-        replica.heard_at = max(replica.heard_at, sent_at)
+        replica.last_contact_at = max(replica.last_contact_at, sent_at)
         if not _apply(delta, replica.source):
             return ()
         self._changes.increment()
@@ -104,8 +102,8 @@
 
     def latest_start(self, now: float) -> float:
         """When the youngest of this registry and its living peers started, or this one's standstill ended."""
-        started = [self.replicas[name].started_at for name in self.heard_within(ALIVE_SECONDS, now)]
-        return max(self._clock.started_at, self._clock.awake_since, *started)
+        started = [self.replicas[name].started_at for name in self.contacted_within(ALIVE_SECONDS, now)]
+        return max(self._clock.started_at, self._clock.resumed_at, *started)
 
     def started_at(self, source: str) -> float:
         """When the registry started whose records these are; this one, if it is no peer's source."""
@@ -113,31 +111,34 @@
         return self._clock.started_at if replica is None else replica.started_at
 
     def is_isolated(self, core_members: Collection[str], now: float) -> bool:
-        """Whether this registry, counting itself, has long heard no more than half of the core members: the
-        others go on without it, and who can reach them had better go there."""
+        """Whether this registry, counting itself, has long been in contact with no more than half of the core
+        members: the others go on without it, and who can reach them had better go there."""
         own_ip = self._identity.ip
         members = set(core_members) | {own_ip}
-        in_reach = {self.replicas[name].ip for name in self.heard_within(ISOLATION_SECONDS, now)} | {own_ip}
-        is_awake = now - self._clock.awake_since > ISOLATION_SECONDS
-        return is_awake and 2 * len(members & in_reach) <= len(members)
-
-    def is_settled(self, core_members: Collection[str], now: float) -> bool:
-        """Whether what is known here is what there is: this registry has run for a while, or has heard all
-        others, and one of those has."""
-        if now - self._clock.started_at >= SETTLING_SECONDS:
+        in_reach = {self.replicas[name].ip for name in self.contacted_within(ISOLATION_SECONDS, now)}
+        in_reach.add(own_ip)
+        has_run_long_enough = now - self._clock.resumed_at > ISOLATION_SECONDS
+        return has_run_long_enough and 2 * len(members & in_reach) <= len(members)
+
+    def has_complete_view(self, core_members: Collection[str], now: float) -> bool:
+        """Whether what is known here is what there is: this registry has run for a while, or is in
+        contact with all others, and one of those has."""
+        if now - self._clock.started_at >= MIN_UPTIME_SECONDS:
             return True
-        heard = [replica for replica in self.replicas.values() if replica.heard_at >= self._clock.started_at]
-        any_has_settled = any(now - replica.started_at >= SETTLING_SECONDS for replica in heard)
-        return any_has_settled and self.ips(core_members, now) <= {replica.ip for replica in heard}
+        contacted = [
+            replica for replica in self.replicas.values() if replica.last_contact_at >= self._clock.started_at
+        ]
+        any_is_old_enough = any(now - replica.started_at >= MIN_UPTIME_SECONDS for replica in contacted)
+        return any_is_old_enough and self.ips(core_members, now) <= {replica.ip for replica in contacted}
 
     def expire(self, now: float) -> list[str]:
         """Drop the records of silent peers; their sources."""
-        silent = [
+        expired = [
             name
             for name, replica in self.replicas.items()
-            if self._clock.has_expired(replica.heard_at, SILENT_PEER_SECONDS, now)
+            if self._clock.has_expired(replica.last_contact_at, PEER_TIMEOUT_SECONDS, now)
         ]
-        for name in silent:
+        for name in expired:
             replica = self.replicas.pop(name)
             if self._source_by_ip.get(replica.ip) == name:
                 del self._source_by_ip[replica.ip]
@@ -145,9 +146,9 @@
         self._called_at = {
             ip: called_at
             for ip, called_at in self._called_at.items()
-            if now - called_at <= SILENT_PEER_SECONDS
+            if now - called_at <= PEER_TIMEOUT_SECONDS
         }
-        return silent
+        return expired
 
 
 def _new_replica(ip: str, origin: SwapOrigin, sent_at: float) -> PeerReplica:
--- a/ashlift/registry/proxy_sessions.py
+++ b/ashlift/registry/proxy_sessions.py
@@ -78,7 +78,7 @@
         """Proxies whose leases stand at a registry in reach, each by its newest record."""
         newest: dict[str, SessionRecord] = {}
         for replica in self._peers.replicas.values():
-            if not self._clock.has_expired(replica.heard_at, SESSION_LEASE_SECONDS, now):
+            if not self._clock.has_expired(replica.last_contact_at, SESSION_LEASE_SECONDS, now):
                 for key, record in replica.source.values.items():
                     if key[0] == SESSION_KIND and (
                         key not in newest or record.renewed_at > newest[key].renewed_at
--- a/ashlift/registry/registry.py
+++ b/ashlift/registry/registry.py
@@ -28,7 +28,7 @@
 )
 from ashlift.registry.operator_config import OperatorConfigReplica
 from ashlift.registry.own_records import ChangeCounter, OwnRecords
-from ashlift.registry.peer_registries import ALIVE_SECONDS, SETTLING_SECONDS, PeerRegistries
+from ashlift.registry.peer_registries import ALIVE_SECONDS, MIN_UPTIME_SECONDS, PeerRegistries
 from ashlift.registry.proxy_sessions import ProxySessions
 from ashlift.registry.replicated_source import ReplicatedSource
 from ashlift.registry.worker_instances import WorkerInstances
@@ -112,9 +112,9 @@
         return PullResponse(
             updates=updates,
             config_update=config_update,
-            alive=[self.identity.source, *self.peers.heard_within(ALIVE_SECONDS, now), OPERATOR_SOURCE],
+            alive=[self.identity.source, *self.peers.contacted_within(ALIVE_SECONDS, now), OPERATOR_SOURCE],
             lease_age=self.operator_config.lease_age(now),
-            held_seconds=now - received_at,
+            response_delay_seconds=now - received_at,
             uptime=self.uptime(now),
             config_is_behind=config_update is not None
             and is_partial_config_update(config_update, self.operator_config.version),
@@ -126,15 +126,15 @@
         """What the proxy lacks of the operator's configuration: complete, packed, or a fragment."""
         if not self.operator_config.version:
             return None
-        held_version = request.versions.get(OPERATOR_SOURCE)
-        delta = self.operator_config.delta_since(held_version)
+        known_version = request.versions.get(OPERATOR_SOURCE)
+        delta = self.operator_config.delta_since(known_version)
         if delta is None:
             return None
         update = encode_delta(delta, now)
         if not request.accepts_packed:
             return update
         return self._fragmenter.next_message(
-            held_version, update, request.fragment, now, request.accepts_fragments
+            known_version, update, request.fragment, now, request.accepts_fragments
         )
 
     def uptime(self, now: float) -> float:
@@ -147,7 +147,7 @@
         """Addresses of proxies for a client, near ones first; UNAVAILABLE: they are not known for sure."""
         fronts = self.directory.addresses(zone, region, now)
         members = self.core_members()
-        if not fronts or self.is_isolated(now) or not self.peers.is_settled(members, now):
+        if not fronts or self.is_isolated(now) or not self.peers.has_complete_view(members, now):
             return Failure(FailureReason.UNAVAILABLE, "the gatekeepers are not known for sure")
         return fronts
 
@@ -155,7 +155,7 @@
         """Where a worker of `zone` had better send its heartbeats: to a registry that runs and is near."""
         places = [(self.identity.ip, self._place)]
         for peer in self.peers.replicas.values():
-            if now - peer.heard_at < STANDSTILL_SECONDS and now - peer.started_at > SETTLING_SECONDS:
+            if now - peer.last_contact_at < STANDSTILL_SECONDS and now - peer.started_at > MIN_UPTIME_SECONDS:
                 places.append((peer.ip, peer.place))
         region = next((place.region for _, place in places if place.zone == zone), self.zones.get(zone))
 
@@ -183,7 +183,7 @@
     def registries_by_distance(self, zone: str, region: str, now: float) -> list[str]:
         """IPs of the registries for a proxy of that place: those in reach first, near ones first."""
         places = {self.identity.ip: self._place}
-        for name in self.peers.heard_within(PEER_IN_REACH_SECONDS, now):
+        for name in self.peers.contacted_within(PEER_IN_REACH_SECONDS, now):
             peer = self.peers.replicas[name]
             places[peer.ip] = peer.place
 
--- a/ashlift/registry/replicated_source.py
+++ b/ashlift/registry/replicated_source.py
@@ -41,12 +41,12 @@
         for key, value in values.items():
             self._removed_at.pop(key, None)
             self.values[key] = value
-            self._mark_changed(key, version)
+            self._record_change(key, version)
         for key in removed:
             self.values.pop(key, None)
             self._removed_at.pop(key, None)
             self._removed_at[key] = version
-            self._mark_changed(key, version)
+            self._record_change(key, version)
         self._forget_oldest_tombstones()
 
     def replace(self, version: int, values: Mapping[str, Any]) -> None:
@@ -63,16 +63,16 @@
         elif version > self.version + 1:
             self._horizon.add_gap(self.version, version)
 
-    def delta_since(self, held_version: int | None) -> Delta | None:
+    def delta_since(self, known_version: int | None) -> Delta | None:
         """What a holder of that version lacks (None: it holds nothing), or None if it is up to date."""
-        if held_version is None or self._horizon.needs_snapshot(held_version):
+        if known_version is None or self._horizon.needs_snapshot(known_version):
             return Delta(self.version, True, dict(self.values), [])
-        if held_version >= self.version:
+        if known_version >= self.version:
             return None
         values = {}
         removed = []
         for key in reversed(self._changed_at):
-            if self._changed_at[key] <= held_version:
+            if self._changed_at[key] <= known_version:
                 break
             if key in self.values:
                 values[key] = self.values[key]
@@ -80,11 +80,11 @@
                 removed.append(key)
         return Delta(self.version, False, values, removed)
 
-    def has_significant_change_since(self, held_version: int | None) -> bool:
+    def has_significant_change_since(self, known_version: int | None) -> bool:
         """Whether a holder of that version lacks something other than usage and load."""
-        return held_version is None or held_version < self.last_significant_version
+        return known_version is None or known_version < self.last_significant_version
 
-    def _mark_changed(self, key: str, version: int) -> None:
+    def _record_change(self, key: str, version: int) -> None:
         self._changed_at.pop(key, None)  # to the end of the order
         self._changed_at[key] = version
         if not key.startswith(INSIGNIFICANT_PREFIXES):
--- a/ashlift/registry/status_report.py
+++ b/ashlift/registry/status_report.py
@@ -20,7 +20,7 @@
         "age": None if age is None else round(age, 3),
         "members": sorted(registry.core_members()),
         "sources": {
-            name: {"version": peer.source.version, "silent": round(now - peer.heard_at, 3)}
+            name: {"version": peer.source.version, "silent": round(now - peer.last_contact_at, 3)}
             for name, peer in sorted(registry.peers.replicas.items())
         },
         "gatekeepers": [
--- a/ashlift/registry/store_client.py
+++ b/ashlift/registry/store_client.py
@@ -33,7 +33,7 @@
             ClientPool()
         )  # apart: these are closed when silent, and commands must not be lost by it
         self._watch_turn = 0
-        self._own_is_silent = False  # it takes calls and says nothing: its disk hangs, or it is frozen
+        self._own_is_unresponsive = False  # it takes calls and says nothing: its disk hangs, or it is frozen
         self._position = StorePosition()
 
     def submit(
@@ -52,10 +52,10 @@
         written_at = time.monotonic() if not_written_before is None else not_written_before
         deadline = written_at + COMMAND_TIMEOUT_SECONDS + body_bytes * EXTRA_TIMEOUT_SECONDS_PER_BYTE
         command = codec.encode_command(kind, if_match, body)
-        index_when_taken = self._position.index
+        index_at_receipt = self._position.index
 
         def fenced_now() -> Json:
-            return self._position.fenced(command, index_when_taken, deadline - time.monotonic())
+            return self._position.fenced(command, index_at_receipt, deadline - time.monotonic())
 
         return _command_result(self._call_any("submit", fenced_now, deadline))
 
@@ -72,9 +72,9 @@
         )
 
     def watch(
-        self, held_index: int, wait_seconds: float, ask_own: bool, fragment: list[Any] | None = None
+        self, known_index: int, wait_seconds: float, ask_own: bool, fragment: list[Any] | None = None
     ) -> Json | Failure:
-        """What is new of the operator's configuration, from the own store or from the next of the others.
+        """What is new of the operator's configuration, from the own store or from the next other one.
 
         `fragment`: which one of a large configuration is wanted.
         """
@@ -82,13 +82,13 @@
         if ip is None:
             return Failure(FailureReason.UNREACHABLE, "there is no other store")
         client = self._watch_clients.client((ip, self._port))
-        body = codec.encode_watch_request(held_index, wait_seconds, fragment)
+        body = codec.encode_watch_request(known_index, wait_seconds, fragment)
         answer: Json | Failure = client.call("watch", body, wait_seconds + WATCH_GRACE_SECONDS)
-        is_silent = isinstance(answer, Failure) and answer.reason == FailureReason.OUTCOME_UNKNOWN
-        if is_silent:
+        is_unresponsive = isinstance(answer, Failure) and answer.reason == FailureReason.OUTCOME_UNKNOWN
+        if is_unresponsive:
             client.close()
         if ask_own:
-            self._own_is_silent = is_silent
+            self._own_is_unresponsive = is_unresponsive
         self._position.observe(answer)
         return answer
 
@@ -108,15 +108,15 @@
         }
 
     def _next_other_store(self) -> str | None:
-        others = [ip for ip in self._members() if ip != self._own_ip]
-        if not others:
+        other_stores = [ip for ip in self._members() if ip != self._own_ip]
+        if not other_stores:
             return None
         self._watch_turn += 1
-        return others[self._watch_turn % len(others)]
+        return other_stores[self._watch_turn % len(other_stores)]
 
     def _call_any(self, method: str, body: Callable[[], Json], deadline: float) -> Any:
         """The first clear answer of a store; else the least clear Failure."""
-        stores = stores_to_try(self._own_ip, self._members(), self._own_is_silent)
+        stores = stores_to_try(self._own_ip, self._members(), self._own_is_unresponsive)
         request = OperatorRequest(stores, time.monotonic(), deadline)
         responses = Queue[tuple[str, Any]]()
 
--- a/ashlift/registry/store_position.py
+++ b/ashlift/registry/store_position.py
@@ -24,16 +24,16 @@
         self._round = max(self._round, heartbeat_round)
         self.index = max(self.index, index)
 
-    def fenced(self, command: Json, index_when_taken: int, seconds_left: float) -> Json:
+    def fenced(self, command: Json, index_at_receipt: int, seconds_left: float) -> Json:
         """The command with a fencing token of this moment.
 
-        `index_when_taken`: the index known when the operator's request came. `seconds_left`: how long its
+        `index_at_receipt`: the index known when the operator's request came. `seconds_left`: how long its
         sender is still waiting.
         """
-        return encode_fenced_command(command, self._round, index_when_taken, seconds_left)
+        return encode_fenced_command(command, self._round, index_at_receipt, seconds_left)
 
 
-def stores_to_try(own_ip: str, members: list[str], own_is_silent: bool) -> list[str]:
-    """The own store first, or last while it takes calls and says nothing; the others as they are ordered."""
-    others = [ip for ip in members if ip != own_ip]
-    return [*others, own_ip] if own_is_silent else [own_ip, *others]
+def stores_to_try(own_ip: str, members: list[str], own_is_unresponsive: bool) -> list[str]:
+    """The own store first, or last while it accepts calls and does not respond; the others in their order."""
+    other_stores = [ip for ip in members if ip != own_ip]
+    return [*other_stores, own_ip] if own_is_unresponsive else [own_ip, *other_stores]
--- a/tests/cli/test_tenant_steps.py
+++ b/tests/cli/test_tenant_steps.py
@@ -91,7 +91,11 @@
     def state(self) -> tuple[Any, ...]:
         ledger, told = self.gate.cluster, self.under_way
         held = [ledger.config_index, *(board.operator_config.version for board in self.boards), self.said]
-        times = [ledger.confirmed_at, *(board.operator_config.proven_at for board in self.boards), self.asked]
+        times = [
+            ledger.confirmed_at,
+            *(board.operator_config.confirmed_at for board in self.boards),
+            self.asked,
+        ]
         if told is not None:
             held.append(tuple(sorted((name, one["version"]) for name, one in told[1]["sources"].items())))
             times.append(told[0] - told[1]["age"])
