--- a/ashlift/configstore/commands.py
+++ b/ashlift/configstore/commands.py
@@ -27,7 +27,7 @@
 MAX_ZONE_CHARACTERS: Final = 200
 COMMAND_DIGEST_BYTES: Final = 8
 MAX_SHOWN_KIND_CHARACTERS: Final = 40
-_MADE_BEFORE_BASE: Final = "it was refused before what it builds on was current"
+_REFUSED_BEFORE_BASE: Final = "it was refused before what it builds on was current"
 
 
 class CommandKind(StrEnum):
@@ -114,7 +114,7 @@
             return _refuse_stale(current, if_match, digest, change.detail)
         return _refusal(BAD_REQUEST, change.detail)
     if _refused_key(operator_config.current_version(current), digest) in current:
-        return _refusal(PRECONDITION_FAILED, _MADE_BEFORE_BASE)
+        return _refusal(PRECONDITION_FAILED, _REFUSED_BEFORE_BASE)
     return _accept(current, change, digest)
 
 
--- a/ashlift/configstore/requests.py
+++ b/ashlift/configstore/requests.py
@@ -9,6 +9,7 @@
 
 from attrs import frozen
 
+from ashlift.config.versions import VERSION_KEY
 from ashlift.configstore.commands import CommandKind, OperatorCommand
 from ashlift.configstore.membership import MembershipCommand
 from ashlift.configstore.messages import FencingToken, Snapshot
@@ -25,7 +26,6 @@
 SHOW_MEMBERS: Final = "show"
 
 _FORWARDED: Final = "passed"
-_VERSION_KEY: Final = "Version"  # of the stored map
 
 
 @frozen
@@ -124,7 +124,7 @@
 def encode_snapshot(snapshot: Snapshot) -> dict[str, Any]:
     """The response to `read`: `{version, objects}`."""
     entries = dict(snapshot.entries.map)
-    return {"version": entries.get(_VERSION_KEY), "objects": entries}
+    return {"version": entries.get(VERSION_KEY), "objects": entries}
 
 
 def forwarded(body: Mapping[str, Any]) -> dict[str, Any]:
--- /dev/null
+++ b/tests/configstore/test_leader_requests.py
@@ -0,0 +1,47 @@
+"""Who serves a request that only the leader can serve, and when it may be tried again."""
+
+from types import SimpleNamespace
+from typing import cast
+
+from ward import each, test
+
+from ashlift.configstore.leader_requests import ForwardTo, Route, choose_route, may_retry
+from ashlift.configstore.replica import Replica
+from ashlift.configstore.requests import forwarded
+from ashlift.errors import Failure, FailureReason
+
+LEADER_IP = "10.0.0.2"
+
+
+def replica(leader_ip: str | None = None, leads: bool = False, hears_no_leader: bool = False) -> Replica:
+    """What the choice of a route looks at."""
+    leader_role = object() if leads else None
+    stub = SimpleNamespace(
+        hears_no_leader=lambda now: hears_no_leader, leader_role=leader_role, leader_ip=leader_ip
+    )
+    return cast(Replica, stub)
+
+
+@test("routes to the leader: to the one that is known, once; else a wait, or none where it is silent")
+def _() -> None:
+    assert choose_route(replica(leads=True), {}, 1.0) is Route.THIS_REPLICA
+    assert choose_route(replica(leads=True), forwarded({}), 1.0) is Route.THIS_REPLICA
+    assert choose_route(replica(), {}, 1.0) is Route.NOBODY_YET
+    assert choose_route(replica(LEADER_IP), {}, 1.0) == ForwardTo(LEADER_IP)
+    assert choose_route(replica(LEADER_IP), forwarded({}), 1.0) is Route.NOBODY_YET
+    failure = choose_route(replica(LEADER_IP, hears_no_leader=True), {}, 1.0)
+    assert isinstance(failure, Failure)
+    assert failure.reason == FailureReason.UNAVAILABLE
+
+
+@test("a request is tried again only where nothing was begun: {reason}")
+def _(reason: FailureReason = each(*FailureReason)) -> None:
+    is_not_begun = reason in (FailureReason.UNAVAILABLE, FailureReason.UNREACHABLE)
+    assert may_retry(Failure(reason), {}, now=1.0, deadline=1.5) == is_not_begun
+    assert not may_retry(Failure(reason), {}, now=1.5, deadline=1.5)
+    assert not may_retry(Failure(reason), forwarded({}), now=1.0, deadline=1.5)
+
+
+@test("a response is never asked for again")
+def _() -> None:
+    assert not may_retry({"status": 503}, {}, now=1.0, deadline=1.5)
