--- a/ashlift/proxy/__main__.py
+++ b/ashlift/proxy/__main__.py
@@ -56,7 +56,7 @@
         self._reload = Event()
 
     def _limits(self) -> ClientLimits:
-        table = self.router.cluster.routing_table
+        table = self.router.cluster.configuration.routing_table
         return table.limits if table is not None else ClientLimits()
 
     def _configuration_changed(self) -> None:
@@ -65,18 +65,20 @@
         ready = self.router.is_ready(time.monotonic())
         if ready != self._ready:
             self._ready = ready
-            log_event(events.READY if ready else events.UNREADY, index=self.router.cluster.config_index)
+            log_event(
+                events.READY if ready else events.UNREADY, index=self.router.cluster.configuration.version
+            )
 
     def _log_tenant_changes(self) -> None:
         """Tell tenants that are new here, changed or gone: all that is said of one came together."""
-        table, held = self.router.cluster.routing_table, self._known_tenants
+        table, held = self.router.cluster.configuration.routing_table, self._known_tenants
         if table is None or table.tenants is held:
             return
         now = self._known_tenants = table.tenants
         if held is not None and now != held:
             here = sorted(name for name, tenant in now.items() if held.get(name) != tenant)
             gone = sorted(held.keys() - now.keys())
-            version, index = f"{table.version:08x}", self.router.cluster.config_index
+            version, index = f"{table.version:08x}", self.router.cluster.configuration.version
             log_event(events.TENANTS, version=version, index=index, here=_some(here), gone=_some(gone))
 
     def run(self) -> int:
--- a/ashlift/proxy/admission.py
+++ b/ashlift/proxy/admission.py
@@ -45,7 +45,7 @@
 
 def configuration_is_current(cluster: ClusterView, bounds: Bounds, now: float) -> bool:
     """Whether revoked API keys can be told by the configuration: it was the newest less than `Revoke` ago."""
-    return cluster.configuration_age(now) <= bounds.revoke - REVOCATION_MARGIN_SECONDS
+    return cluster.configuration.age(now) <= bounds.revoke - REVOCATION_MARGIN_SECONDS
 
 
 class Admission:
@@ -74,7 +74,7 @@
 
         `key`: its API key. `remaining`: seconds that its client will still wait.
         """
-        table = self._cluster.routing_table
+        table = self._cluster.configuration.routing_table
         if table is None:
             return self._starting(now)
         route = table.find_route(host, path)
@@ -131,9 +131,9 @@
         `rejection` is certain only if the configuration was the newest after the request was received: an
         older one may lack a change whose acknowledgement its client has already seen.
         """
-        if self._cluster.confirmed_at >= received_at:
+        if self._cluster.configuration.confirmed_at >= received_at:
             return rejection
-        if self._cluster.configuration_age(now) > FRESH_CONFIGURATION_SECONDS:
+        if self._cluster.configuration.age(now) > FRESH_CONFIGURATION_SECONDS:
             return rejections.NOT_READY
         patience = CONFIGURATION_WAIT_FRACTION * (remaining + now - received_at)
         reconsider_until = received_at + min(MAX_CONFIGURATION_WAIT_SECONDS, patience)
--- a/ashlift/proxy/configuration_updates.py
+++ b/ashlift/proxy/configuration_updates.py
@@ -1,12 +1,17 @@
-"""Pulls news from the registry that `proxy.registry_client` chooses, and brings it this proxy's counts."""
+"""Polls a registry for configuration and cluster state, and reports this proxy's load and usage to it.
+
+What is called, and what is made of the response, is decided in `ashlift.proxy.registry_client`.
+"""
 
 import random
 import time
 from collections.abc import Callable
+from typing import Final
 
 from gevent.event import Event
 
 from ashlift.config.settings import Settings
+from ashlift.proxy.pull_messages import PULL_METHOD
 from ashlift.proxy.registry_client import (
     LONG_POLL_SECONDS,
     MAX_RESPONSE_SECONDS,
@@ -16,25 +21,30 @@
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.rpc.client import ClientPool
 
-RETRY_PAUSE_SECONDS = 0.05
+RETRY_PAUSE_SECONDS: Final = 0.05
+REGISTRY_PORT_OFFSET: Final = 1  # of the internal ports
 
 
 class RegistryPoller:
+    """The polling loop. `on_change` is called after each response that has been applied."""
+
     def __init__(
         self,
         settings: Settings,
-        gate: RequestRouter,
+        router: RequestRouter,
         incarnation: str,
         rng: random.Random,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
-        self._port, self._on_change = settings.internal_ports[0] + 1, changed
-        self._registry_client = RegistryClient(settings, gate, incarnation, rng)
+        self._port = settings.internal_ports[0] + REGISTRY_PORT_OFFSET
+        self._on_change = on_change
+        self._registry_client = RegistryClient(settings, router, incarnation, rng)
         self._rpc_clients = ClientPool()
         self._stopped = Event()
 
     @property
     def seeds(self) -> list[str]:
+        """IPs of the registries that the settings file names."""
         return self._registry_client.seeds
 
     @seeds.setter
@@ -42,26 +52,28 @@
         self._registry_client.seeds = seeds
 
     def run(self) -> None:
+        """Poll until `stop` is called."""
         while not self._stopped.is_set():
             if not self._pull():
                 self._stopped.wait(RETRY_PAUSE_SECONDS)
 
     def stop(self) -> None:
+        """End the loop after the call that is under way."""
         self._stopped.set()
 
     def _pull(self) -> bool:
-        pull = self._registry_client.next_request(time.monotonic())
-        if pull is None:
+        """One call; whether there was a response."""
+        request = self._registry_client.next_request(time.monotonic())
+        if request is None:
             return False
-        caller = self._rpc_clients.client((pull.registry_ip, self._port))
-        answer = caller.call(
-            "pull",
-            pull.body,
+        answer = self._rpc_clients.client((request.registry_ip, self._port)).call(
+            PULL_METHOD,
+            request.body,
             LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS,
             MAX_RESPONSE_SECONDS,
-            pull.connect_timeout,
+            request.connect_timeout,
         )
-        if not self._registry_client.handle_response(pull, time.monotonic(), answer):
+        if not self._registry_client.handle_response(request, time.monotonic(), answer):
             return False
         self._on_change()
         return True
--- a/ashlift/proxy/load_balancer.py
+++ b/ashlift/proxy/load_balancer.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from ashlift.config.routing_table import Route
-from ashlift.proxy.cluster_view import Worker
 from ashlift.proxy.locality import LocalityRouting
+from ashlift.proxy.source_state import Worker
 from ashlift.traffic.outlier_detection import OutlierDetector, WorkerLoad
 
 LATENCY_RATIO_GAIN = 0.2  # weight of one answer in a worker's latency ratio
@@ -30,7 +30,7 @@
 class WorkerState:
     """What is known here of one worker."""
 
-    worker: Worker
+    record: Worker
     in_flight: int = 0  # requests of ours there
     peers_in_flight: float = 0.0  # requests of other gatekeepers there, as last told
     latency_ratio: float = 1.0  # its latency x usual
@@ -62,7 +62,7 @@
             view = self.workers.get(worker.id)
             if view is None:
                 view = WorkerState(worker)
-            view.worker = worker
+            view.record = worker
             views[worker.id] = view
             self.by_service.setdefault(worker.service, []).append(view)
         self.workers = views
@@ -71,7 +71,7 @@
     def evacuate(self, now: float, zones: frozenset[str], cold_s: float) -> None:
         """Zones that get nothing from now on; the workers of zones taken back count as cold for `cold_s`."""
         for view in self.workers.values():
-            if view.worker.zone in self.evacuated_zones - zones:
+            if view.record.zone in self.evacuated_zones - zones:
                 view.warming_until = now + cold_s
         self.evacuated_zones = zones
 
@@ -88,11 +88,11 @@
 
     def expected_wait(self, view: WorkerState) -> float:
         """What a request more waits for there until its work begins, x the work of one."""
-        capacity = max(1, view.worker.capacity)
+        capacity = max(1, view.record.capacity)
         return max(0.0, view.in_flight + view.peers_in_flight + 1 - capacity) / capacity
 
     def region_of(self, view: WorkerState) -> str:
-        return self._regions.get(view.worker.zone, "")
+        return self._regions.get(view.record.zone, "")
 
     def usual_latency(self, route: Route) -> float:
         """The usual latency of a route's answers, s."""
@@ -103,9 +103,9 @@
         return [
             view
             for view in self.by_service.get(service, ())
-            if view.worker.ready
-            and view.worker.zone not in self.evacuated_zones
-            and view.worker.id not in tried
+            if view.record.ready
+            and view.record.zone not in self.evacuated_zones
+            and view.record.id not in tried
             and (not homes or self.region_of(view) in homes)
         ]
 
@@ -113,7 +113,7 @@
         """Best first: a region that costs little; there by the time until its answer, as far as known."""
         usual, costs, service = self.usual_latency(route), dict[str, float](), ""
         if views:
-            service = views[0].worker.service
+            service = views[0].record.service
             waits: dict[str, list[float]] = {}
             for view in views:
                 waits.setdefault(self.region_of(view), []).append(self.expected_wait(view))
@@ -133,7 +133,7 @@
         random, left_out = self._rng.random, set[str]()
         bad = self._ejected_workers(now, service)
         for region in ranks:
-            ids = [view.worker.id for view in views if self.region_of(view) == region]
+            ids = [view.record.id for view in views if self.region_of(view) == region]
             ids = [one for one in ids if one not in bad]
             ids.sort(key=lambda _: random())
             left_out.update(ids[CANDIDATES_PER_REGION:])
@@ -142,8 +142,8 @@
             key=lambda view: (
                 ranks[self.region_of(view)]
                 + self._worker_cost(now, view, usual)
-                + NOT_A_CANDIDATE_COST * (view.worker.id in left_out)
-                + LAST_RESORT_COST * (view.worker.id in bad)
+                + NOT_A_CANDIDATE_COST * (view.record.id in left_out)
+                + LAST_RESORT_COST * (view.record.id in bad)
             ),
         )
 
@@ -156,10 +156,10 @@
         if doubts:
             groups: dict[str, dict[str, WorkerLoad]] = {}
             for view in self.by_service.get(service, ()):
-                if view.worker.ready and view.worker.zone not in self.evacuated_zones:
+                if view.record.ready and view.record.zone not in self.evacuated_zones:
                     group = groups.setdefault(self.region_of(view), {})
-                    group[view.worker.id] = WorkerLoad(
-                        max(1, view.worker.capacity), view.in_flight + view.peers_in_flight
+                    group[view.record.id] = WorkerLoad(
+                        max(1, view.record.capacity), view.in_flight + view.peers_in_flight
                     )
             for group in groups.values():
                 found |= self.outlier_detector.ejected_workers(now, group, self.proxy_count)
@@ -167,7 +167,7 @@
         return found
 
     def _worker_cost(self, now: float, view: WorkerState, usual: float) -> float:
-        capacity = max(1, view.worker.capacity)
+        capacity = max(1, view.record.capacity)
         ratio = max(
             0.5,
             1.0
@@ -180,7 +180,7 @@
         # In thin traffic nothing is out anywhere: whoever was sent something just now goes last.
         cost += 0.3 * math.exp(-(now - view.last_sent_at) / (usual or 0.1))
         cost += 0.1 * self._rng.random()
-        if view.worker.zone != self._zone:
+        if view.record.zone != self._zone:
             cost += OTHER_ZONE_COST
         return cost + LAST_RESORT_COST * (now < view.backoff_until)
 
@@ -196,8 +196,8 @@
         usual = self.usual_latency(route)
         view.latency_ratio += LATENCY_RATIO_GAIN * (min(5.0, waited / max(0.001, usual)) - view.latency_ratio)
         view.latency_updated_at, view.consecutive_failures, view.backoff_until = now, 0, -math.inf
-        self.outlier_detector.record_result(now, view.worker.id, 0.0)
-        service, region = view.worker.service, self.region_of(view)
+        self.outlier_detector.record_result(now, view.record.id, 0.0)
+        service, region = view.record.service, self.region_of(view)
         self.locality.record_response(now, service, region, route.name, route.latency_target, waited, size)
 
     def record_failure(self, now: float, view: WorkerState) -> None:
@@ -210,7 +210,7 @@
 
     def record_fault(self, now: float, view: WorkerState, fault: float = 1.0) -> None:
         """It answered with a failure, or (a smaller `fault`) seems to."""
-        self.outlier_detector.record_result(now, view.worker.id, fault)
+        self.outlier_detector.record_result(now, view.record.id, fault)
 
     def record_silence(self, now: float, view: WorkerState) -> None:
         """Another worker answered a request that it had been given long before."""
@@ -218,7 +218,7 @@
             self.record_fault(now, view, SILENCE_FAULT)
 
     def _has_capacity(self, view: WorkerState) -> bool:
-        return view.in_flight + view.peers_in_flight < SPARE_CAPACITY_FRACTION * view.worker.capacity
+        return view.in_flight + view.peers_in_flight < SPARE_CAPACITY_FRACTION * view.record.capacity
 
     def record_refusal(self, now: float, view: WorkerState) -> None:
         """It says that it has not run a request: with room, as far as known, that is a failure."""
--- a/ashlift/proxy/registry_client.py
+++ b/ashlift/proxy/registry_client.py
@@ -1,140 +1,159 @@
-"""Which registry a gatekeeper pulls from, what it says there, and what it makes of the answer. Pure."""
+"""A proxy's side of the RPC `pull`: what it reports to a registry, and what it makes of the response. Pure.
+
+`ashlift.proxy.configuration_updates` makes the calls.
+"""
 
 import random
-from typing import Any
+from typing import Any, Final
 
 from attrs import frozen
 
 from ashlift.config.settings import Settings
 from ashlift.errors import Failure, FailureReason
+from ashlift.proxy.pull_messages import Json, PullReport, PullResponse, UsageReport
+from ashlift.proxy.registry_selection import RegistrySelection
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.rpc.client import CONNECT_TIMEOUT_SECONDS
 from ashlift.rpc.fragmentation import Reassembler
 from ashlift.rpc.sources import OPERATOR_SOURCE
 
-LONG_POLL_SECONDS = 0.25
-RESPONSE_TIMEOUT_SECONDS = 0.6  # beyond the wait: so late, another registry is asked
-MAX_CONFIGURATION_AGE_SECONDS = 1.5  # a registry whose proof is older is left for another
-# so long an answer may take in all while bytes of it come: a whole configuration, a narrow line
-MAX_RESPONSE_SECONDS = 3.0
-AVOID_SECONDS = 2.0
-# a connection may take so long to come up, twice that after each that did not
-FIRST_CONNECT_TIMEOUT_SECONDS = 0.15
-# without a proof younger than this, the first one is waited for, and answered at once
-EAGER_PULL_AGE_SECONDS = 1.0
-Json = dict[str, Any]
+LONG_POLL_SECONDS: Final = 0.25  # a registry without news waits so long for some
+RESPONSE_TIMEOUT_SECONDS: Final = 0.6  # beyond that; then another registry is called
+# A response may take so long in all while bytes of it arrive: a complete configuration over a slow link.
+MAX_RESPONSE_SECONDS: Final = 3.0
+MAX_CONFIGURATION_AGE_SECONDS: Final = 1.5  # a registry whose configuration is older is left for another
+# A connection may take so long to be established, and twice as long after each that was not: a seed that does
+# not answer must not delay the start.
+FIRST_CONNECT_TIMEOUT_SECONDS: Final = 0.15
+URGENT_PULL_AGE_SECONDS: Final = 1.0  # with an older configuration, the registry is to answer at once
 
 
 @frozen
 class PullRequest:
-    """One call: the registry's IP, when it was sent, its body, and s for its connection to come up."""
+    """One call to be made: the registry's IP, when it is sent, its content, and its connect time-out in s."""
 
     registry_ip: str
     sent_at: float
-    body: Json
+    report: PullReport
     connect_timeout: float
 
+    @property
+    def body(self) -> Json:
+        """The body on the wire."""
+        return self.report.to_wire()
+
 
 class RegistryClient:
-    def __init__(self, settings: Settings, gate: RequestRouter, incarnation: str, rng: random.Random) -> None:
-        self._settings, self._router, self._incarnation, self._rng = settings, gate, incarnation, rng
-        self._avoided_until: dict[str, float] = {}  # until when, by IP
-        self._stale: set[str] = set()  # of those, who do answer, but with an old proof
-        self._current: str | None = None
-        self._by_distance: list[str] = []  # IPs, near ones first
-        self._number = 0
-        self._reassembler = Reassembler()  # of what the operator's word has become, if that is large
-        self._connect_timeout = FIRST_CONNECT_TIMEOUT_SECONDS  # a silent seed must not hold up the start
-        self.seeds = [host for host, _ in settings.seeds]
-
-    def _choose(self, now: float) -> str | None:
-        """The nearest registry that is not avoided, by the order in which the last answer named them: members
-        that are not heard of by others come last there. Where all are avoided, one that answers."""
-        core = self._router.cluster.core_machines
-        known = sorted(core) if core else list(dict.fromkeys(self.seeds))
-        known += [ip for ip in self.seeds if ip not in core and self._avoid_all(known, now)]
-        near = {ip: place for place, ip in enumerate(self._by_distance)}
-
-        def rank(ip: str) -> tuple[int, int, bool, float]:
-            avoided = 0 if self._avoided_until.get(ip, 0.0) <= now else 1 if ip in self._stale else 2
-            return avoided, near.get(ip, len(near)), ip != self._current, self._rng.random()
-
-        return min(known, key=rank, default=None)
-
-    def _avoid_all(self, ips: list[str], now: float) -> bool:
-        return all(self._avoided_until.get(ip, 0.0) > now for ip in ips)
+    """Produces the calls one after the other, and applies each response to the request router."""
+
+    def __init__(
+        self, settings: Settings, router: RequestRouter, incarnation: str, rng: random.Random
+    ) -> None:
+        self._settings = settings
+        self._router = router
+        self._incarnation = incarnation
+        self._selection = RegistrySelection([host for host, _ in settings.seeds], rng)
+        self._calls = 0
+        self._reassembler = Reassembler()
+        self._connect_timeout = FIRST_CONNECT_TIMEOUT_SECONDS
+
+    @property
+    def seeds(self) -> list[str]:
+        """IPs of the registries that the settings file names."""
+        return self._selection.seeds
+
+    @seeds.setter
+    def seeds(self, seeds: list[str]) -> None:
+        self._selection.seeds = seeds
 
     def next_request(self, now: float) -> PullRequest | None:
-        """The next call, to be made at once; None: there is nobody to call."""
-        ip = self._choose(now)
-        if ip is None:
+        """The next call, to be made at once; None: no registry is known."""
+        registry_ip = self._selection.choose(now, self._router.cluster.configuration.core_machines)
+        if registry_ip is None:
             return None
-        gate, settings = self._router, self._settings
-        front = settings.bindings.front
-        self._number += 1
-        body = {
-            "node": settings.node_name,
-            "incarnation": self._incarnation,
-            "zone": settings.zone,
-            "region": settings.region,
-            "front": f"{front[0]}:{front[1]}" if front else "",
-            "ready": gate.is_ready(now),
-            "have": gate.cluster.versions(),
-            "wait": 0.0 if gate.cluster.routing_table is None else LONG_POLL_SECONDS,
-            "outs": gate.load_balancer.in_flight(),
-            "faults": gate.load_balancer.outlier_detector.failure_counts(now),
-            "packs": True,
-            "part": self._reassembler.wanted_fragment(),
-            "eager": gate.cluster.configuration_age(now) > EAGER_PULL_AGE_SECONDS,
-            "adds": {"number": self._number, "counts": gate.rate_limiter.take_new_counts()},
-        }
-        return PullRequest(ip, now, body, self._connect_timeout)
-
-    def handle_response(self, pull: PullRequest, now: float, answer: Json | Failure) -> bool:
-        """Take the answer; False: there was none, and the next call is to wait a little."""
-        gate, counts = self._router, pull.body["adds"]["counts"]
-        answer = answer if isinstance(answer, Failure) else self._reassembled(answer)
-        if isinstance(answer, Failure):
-            if answer.reason == FailureReason.UNREACHABLE:
-                gate.rate_limiter.restore_counts(counts)
-                self._connect_timeout = min(CONNECT_TIMEOUT_SECONDS, 2 * self._connect_timeout)
-            else:
-                gate.rate_limiter.confirm_counts(counts)  # it may have been added, and must not be twice
-            self._avoided_until[pull.registry_ip] = now + AVOID_SECONDS
-            self._stale.discard(pull.registry_ip)
-            self._current = None
+        self._calls += 1
+        return PullRequest(registry_ip, now, self._report(now), self._connect_timeout)
+
+    def _report(self, now: float) -> PullReport:
+        router = self._router
+        settings = self._settings
+        configuration = router.cluster.configuration
+        client_address = settings.bindings.front
+        return PullReport(
+            node=settings.node_name,
+            incarnation=self._incarnation,
+            zone=settings.zone,
+            region=settings.region,
+            client_address=f"{client_address[0]}:{client_address[1]}" if client_address else "",
+            ready=router.is_ready(now),
+            versions=router.cluster.versions(),
+            wait=0.0 if configuration.routing_table is None else LONG_POLL_SECONDS,
+            in_flight=router.load_balancer.in_flight(),
+            failures=router.load_balancer.outlier_detector.failure_counts(now),
+            requested_fragment=self._reassembler.wanted_fragment(),
+            urgent=configuration.age(now) > URGENT_PULL_AGE_SECONDS,
+            usage=UsageReport(self._calls, router.rate_limiter.take_new_counts()),
+        )
+
+    def handle_response(self, request: PullRequest, now: float, answer: Json | Failure) -> bool:
+        """Apply the answer to `request`; False: there is none, and the next call is to wait a little."""
+        body = answer if isinstance(answer, Failure) else self._reassembled(answer)
+        if isinstance(body, Failure):
+            self._handle_failure(request, now, body)
             return False
-        gate.rate_limiter.confirm_counts(counts)
         self._connect_timeout = FIRST_CONNECT_TIMEOUT_SECONDS
-        self._current, self._by_distance = pull.registry_ip, answer["controls"]
-        change = gate.cluster.apply(pull.sent_at, now, answer)
-        gate.apply_change(now, change)
-        gate.load_balancer.update_peer_load(gate.cluster.in_flight(), pull.body["outs"])
-        teller = next(iter(answer["alive"]), None)  # the registry itself comes first
-        near = gate.cluster.faults(teller) if teller else {}
-        gate.load_balancer.outlier_detector.record_failure_totals(
-            now, gate.cluster.faults(), near, pull.body["faults"]
+        self._router.rate_limiter.confirm_counts(request.report.usage.counts)
+        response = PullResponse.from_wire(body)
+        self._selection.record_response(request.registry_ip, response.registries)
+        change = self._router.cluster.apply(request.sent_at, now, response)
+        self._router.apply_change(now, change)
+        self._share_load(request, now, response)
+        if not response.late and self._is_stale(response):
+            self._selection.record_stale(request.registry_ip, now)
+        return True
+
+    def _handle_failure(self, request: PullRequest, now: float, failure: Failure) -> None:
+        counts = request.report.usage.counts
+        if failure.reason == FailureReason.UNREACHABLE:
+            self._router.rate_limiter.restore_counts(counts)
+            self._connect_timeout = min(CONNECT_TIMEOUT_SECONDS, 2 * self._connect_timeout)
+        else:
+            # The registry may have added them, and they must not be added twice.
+            self._router.rate_limiter.confirm_counts(counts)
+        self._selection.record_failure(request.registry_ip, now)
+
+    def _share_load(self, request: PullRequest, now: float, response: PullResponse) -> None:
+        """Hand what all proxies report of load, failures and usage to the policies."""
+        cluster = self._router.cluster
+        load_balancer = self._router.load_balancer
+        report = request.report
+        load_balancer.update_peer_load(cluster.in_flight(), report.in_flight)
+        own_source = next(iter(response.alive), None)  # a registry names itself first
+        from_own_source = cluster.failure_totals(own_source) if own_source else {}
+        load_balancer.outlier_detector.record_failure_totals(
+            now, cluster.failure_totals(), from_own_source, report.failures
         )
-        gate.rate_limiter.record_usage_totals(
-            now, gate.cluster.usage_counts(), gate.cluster.proxies_behind(), gate.cluster.started_at()
+        self._router.rate_limiter.record_usage_totals(
+            now, cluster.usage_totals(), cluster.source_coverage(), cluster.registries_started_at()
         )
-        if not answer["late"] and (
-            answer.get("age") is None or answer["age"] > MAX_CONFIGURATION_AGE_SECONDS
-        ):
-            self._avoided_until[pull.registry_ip] = now + AVOID_SECONDS
-            self._stale.add(pull.registry_ip)
-        return True
 
-    def _reassembled(self, answer: Json) -> Json | Failure:
-        """The answer with the operator's word whole, or without it while pieces of it are to come. Then, and
-        if there is a newer one already (`late`), its proof is none of what is held here."""
+    @staticmethod
+    def _is_stale(response: PullResponse) -> bool:
+        age = response.configuration_age
+        return age is None or age > MAX_CONFIGURATION_AGE_SECONDS
+
+    def _reassembled(self, body: Json) -> Json | Failure:
+        """The body with the operator's update complete, or without it while fragments of it are missing.
+
+        Then, and if there is a newer one already (`late`), its age does not speak for what is held here.
+        """
         try:
-            sources, late = dict(answer["sources"]), bool(answer.get("late"))
-            if (
-                OPERATOR_SOURCE in sources
-                and (word := self._reassembler.add(sources.pop(OPERATOR_SOURCE))) is not None
-            ):
-                sources[OPERATOR_SOURCE] = word
+            sources: dict[str, Any] = dict(body["sources"])
+            late = bool(body.get("late"))
+            if OPERATOR_SOURCE in sources:
+                update = self._reassembler.add(sources.pop(OPERATOR_SOURCE))
+                if update is not None:
+                    sources[OPERATOR_SOURCE] = update
         except (LookupError, TypeError, ValueError) as error:
             return Failure(FailureReason.INVALID, f"pull: {error!r}")
-        return {**answer, "sources": sources, "late": late, "age": None if late else answer.get("age")}
+        return {**body, "sources": sources, "late": late, "age": None if late else body.get("age")}
--- a/ashlift/proxy/request_handler.py
+++ b/ashlift/proxy/request_handler.py
@@ -170,7 +170,7 @@
         view: WorkerState,
     ) -> None:
         left = live.deadline - time.monotonic()
-        request, worker = _request(head, asked, view, left), view.worker
+        request, worker = _request(head, asked, view, left), view.record
         most, dial = self.router.max_connections(view), self.router.connect_timeout(view)
         outcome = self.connection_pool.exchange(
             one, worker.id, worker.address, request, attempt, most, dial, left, live.route.idempotent
@@ -207,7 +207,7 @@
     return b"%b\r\nX-Time-Remaining: %d\r\nX-Target-Instance: %b\r\n\r\n%b" % (
         head,
         max(1, int(left * 1000)),
-        view.worker.id.encode(),
+        view.record.id.encode(),
         asked.body,
     )
 
--- a/ashlift/proxy/request_router.py
+++ b/ashlift/proxy/request_router.py
@@ -12,9 +12,10 @@
 from ashlift.proxy import rejections
 from ashlift.proxy.admission import Admission, AdmittedRequest, configuration_is_current
 from ashlift.proxy.attempts import ATTEMPT_RULES, AttemptOutcome, AttemptResult
-from ashlift.proxy.cluster_view import ClusterChange, ClusterView
+from ashlift.proxy.cluster_view import ClusterView
 from ashlift.proxy.load_balancer import LoadBalancer, WorkerState
 from ashlift.proxy.rejections import Rejection
+from ashlift.proxy.source_state import ClusterChange
 from ashlift.proxy.worker_selection import WorkerSelection
 from ashlift.traffic.rate_limiter import RateLimiter
 from ashlift.traffic.retry_budget import RetryBudget
@@ -61,7 +62,7 @@
             self.rate_limiter.set_proxy_count(now, proxy_count, self.cluster.departed_since)
 
     def _apply_configuration(self, now: float) -> None:
-        table = self.cluster.routing_table
+        table = self.cluster.configuration.routing_table
         if table is None:
             return
         for name in self._quota_tenants - table.tenants.keys():
@@ -69,14 +70,14 @@
         for tenant in table.tenants.values():
             self.rate_limiter.set_quota(tenant.name, tenant.rate_limit, tenant.burst_size)
         self._quota_tenants = set(table.tenants)
-        if self.cluster.evacuated_zones != self.load_balancer.evacuated_zones:
+        if self.cluster.configuration.evacuated_zones != self.load_balancer.evacuated_zones:
             warmup = max((service.warmup for service in table.services.values()), default=0.0)
             warming = warmup + MAX_HEARTBEAT_AGE * self.settings.heartbeat
-            self.load_balancer.evacuate(now, self.cluster.evacuated_zones, warming)
+            self.load_balancer.evacuate(now, self.cluster.configuration.evacuated_zones, warming)
 
     def is_ready(self, now: float) -> bool:
         """Whether clients may be sent to this proxy."""
-        if self.draining or self.cluster.routing_table is None:
+        if self.draining or self.cluster.configuration.routing_table is None:
             return False
         return configuration_is_current(self.cluster, self.bounds, now)
 
@@ -108,9 +109,8 @@
         if request.deadline <= now or (retry and not self._may_retry(request)):
             return self.final_rejection(request)
         if retry:
-            request.no_further_hedge = (
-                True  # unless this attempt starts, nothing runs beside the one in flight
-            )
+            # If this attempt does not start, there is no later one beside what is in flight.
+            request.no_further_hedge = True
         takes_budget = request.reached_worker or request.attempts_in_flight > 0
         proxy_count = max(1, len(self.cluster.proxies))
         if takes_budget and not self.retry_budget.can_retry(now, request.service, proxy_count):
@@ -123,7 +123,7 @@
         if takes_budget:
             self.retry_budget.record_retry(now, request.service)
         self.load_balancer.attempt_started(now, worker)
-        request.attempted_workers.append(worker.worker.id)
+        request.attempted_workers.append(worker.record.id)
         request.attempts_in_flight += 1
         return worker
 
@@ -191,7 +191,7 @@
             case AttemptResult.CONNECTION_LOST | AttemptResult.TIMED_OUT:
                 self._record_no_response(now, request, worker, outcome, cancelled)
             case AttemptResult.NO_CONNECTION_FREE:
-                request.attempted_workers.remove(worker.worker.id)
+                request.attempted_workers.remove(worker.record.id)
                 self.load_balancer.record_overload(now, worker)
         return False
 
--- /dev/null
+++ b/ashlift/proxy/source_state.py
@@ -0,0 +1,115 @@
+"""The records of one source: what one registry has heard from workers and proxies. Pure."""
+
+import math
+from dataclasses import dataclass, field
+from typing import Any
+
+from ashlift.proxy.pull_messages import KIND_LENGTH, RecordKind, SourceUpdate
+from ashlift.rpc.addresses import Address, parse_address
+from ashlift.traffic.outlier_detection import FailureTotals
+
+
+@dataclass(frozen=True, slots=True)
+class Worker:
+    """One incarnation of a worker, as its newest heartbeat describes it."""
+
+    id: str
+    service: str
+    zone: str
+    address: Address
+    capacity: int
+    ready: bool
+    sequence: int  # of the heartbeat
+    warm_at: float  # steady time at which its slow start ends
+
+
+@dataclass(slots=True)
+class ClusterChange:
+    """Which parts of the cluster's state a response changed."""
+
+    config: bool = False
+    workers: bool = False
+    proxies: bool = False
+
+
+@dataclass(slots=True)
+class SourceState:
+    """All records of a source at `version`. Times are steady, in seconds.
+
+    `last_listed_at`: when a registry last named the source as alive. `started_at`: when its registry started,
+    minus infinity if it has not said.
+    """
+
+    version: int = 0
+    last_listed_at: float = 0.0
+    started_at: float = -math.inf
+    workers: dict[str, Worker] = field(default_factory=dict)
+    proxies: dict[str, Any] = field(default_factory=dict)
+    in_flight: dict[str, int] = field(default_factory=dict)
+    failures: dict[str, FailureTotals] = field(default_factory=dict)
+    usage: dict[str, tuple[int, int]] = field(default_factory=dict)
+
+    def apply(self, update: SourceUpdate, now: float, change: ClusterChange) -> None:
+        """Apply an update that is not older than what is held; notes in `change` what it touches."""
+        if update.full:
+            change.workers |= bool(self.workers)
+            change.proxies |= bool(self.proxies)
+            self._clear()
+        self.version = update.version
+        self.last_listed_at = now
+        for key, value in update.entries.items():
+            self._set(key, value, now, change)
+        for key in update.removed:
+            self._remove(key, change)
+
+    def _clear(self) -> None:
+        self.workers = {}
+        self.proxies = {}
+        self.in_flight = {}
+        self.failures = {}
+        self.usage = {}
+
+    def _set(self, key: str, value: Any, now: float, change: ClusterChange) -> None:
+        name = key[KIND_LENGTH:]
+        match key[0]:
+            case RecordKind.WORKER:
+                self.workers[name] = _worker(name, value, now)
+                change.workers = True
+            case RecordKind.PROXY:
+                self.proxies[name] = value
+                change.proxies = True
+            case RecordKind.IN_FLIGHT:
+                self.in_flight[name] = value
+            case RecordKind.FAILURES:
+                self.failures[name] = FailureTotals(value[0], value[1], value[2])
+            case RecordKind.USAGE:
+                self.usage[name] = value[0], value[1]
+
+    def _remove(self, key: str, change: ClusterChange) -> None:
+        name = key[KIND_LENGTH:]
+        match key[0]:
+            case RecordKind.WORKER:
+                self.workers.pop(name, None)
+                change.workers = True
+            case RecordKind.PROXY:
+                self.proxies.pop(name, None)
+                change.proxies = True
+            case RecordKind.IN_FLIGHT:
+                self.in_flight.pop(name, None)
+            case RecordKind.FAILURES:
+                self.failures.pop(name, None)
+            case RecordKind.USAGE:
+                self.usage.pop(name, None)
+
+
+def _worker(worker_id: str, record: Any, now: float) -> Worker:
+    return Worker(
+        id=worker_id,
+        service=record["service"],
+        zone=record["zone"],
+        address=parse_address(record["address"]),
+        capacity=record["capacity"],
+        ready=record["state"] == "ready",
+        sequence=record["seq"],
+        warm_at=now + record["warm"],
+    )
--- a/ashlift/proxy/worker_selection.py
+++ b/ashlift/proxy/worker_selection.py
@@ -44,18 +44,18 @@
         service = self._service_of(worker)
         if worker.in_flight >= self.max_connections(worker):
             return False  # each attempt needs a connection, and asking the pool again would not end
-        warm_at = max(worker.warming_until, worker.worker.warm_at)
+        warm_at = max(worker.warming_until, worker.record.warm_at)
         if now >= warm_at or service is None or service.warmup_rate <= 0:
-            capacity = max(1, worker.worker.capacity)
+            capacity = max(1, worker.record.capacity)
             return worker.in_flight < BACKLOG_CAPACITIES * capacity + BACKLOG_EXTRA
         return self._reserve_slow_start(now, worker, service)
 
     def _reserve_slow_start(self, now: float, worker: WorkerState, service: Service) -> bool:
         """A worker in slow start gets few requests, from few proxies, and none from a proxy with old data."""
-        worker_id = worker.worker.id
+        worker_id = worker.record.id
         if self._node_name not in assigned_proxies(worker_id, self._cluster.proxies, SLOW_START_OWNERS):
             return False
-        if self._cluster.configuration_age(now) > FRESH_CONFIGURATION_SECONDS:
+        if self._cluster.configuration.age(now) > FRESH_CONFIGURATION_SECONDS:
             return False
         if not self.slow_start.can_send(now, worker_id, service.warmup_rate, 1 / SLOW_START_OWNERS):
             return False
@@ -92,5 +92,5 @@
         return CONNECT_TIMEOUT_OTHER_REGION_SECONDS
 
     def _service_of(self, worker: WorkerState) -> Service | None:
-        table = self._cluster.routing_table
-        return table.services.get(worker.worker.service) if table is not None else None
+        table = self._cluster.configuration.routing_table
+        return table.services.get(worker.record.service) if table is not None else None
--- a/ashlift/simulation/keeper.py
+++ b/ashlift/simulation/keeper.py
@@ -64,7 +64,7 @@
         """In the gatekeeper: the outcome has come."""
         if not self.ended and self.case.keeper.incarnation == self.incarnation:
             self.ended = True
-            self.case.keeper.release(self.view.worker.id, keep and not self.cancelled)
+            self.case.keeper.release(self.view.record.id, keep and not self.cancelled)
             self.case.back(self, outcome)
 
 
@@ -260,7 +260,7 @@
 
     # ---- connections to workers (ashlift.proxy.upstream)
     def exchange(self, one: Try) -> None:
-        worker, live = one.view.worker, one.case.live
+        worker, live = one.view.record, one.case.live
         kept, now = self.idle.get(worker.id), self.clock()
         most = min(MAX_IDLE_SECONDS, self.rests.max_idle(now, live is not None and live.route.idempotent))
         while kept:
--- a/ashlift/simulation/scene.py
+++ b/ashlift/simulation/scene.py
@@ -429,7 +429,10 @@
             one.name
             for one in self.world.keepers()
             if one.up
-            and (one.gate.cluster.routing_table is None or _routes(one.gate.cluster.routing_table) != wanted)
+            and (
+                one.gate.cluster.configuration.routing_table is None
+                or _routes(one.gate.cluster.configuration.routing_table) != wanted
+            )
         ]
         return f"others at {', '.join(wrong)}" if wrong else ""
 
--- a/ashlift/simulation/workers.py
+++ b/ashlift/simulation/workers.py
@@ -248,7 +248,7 @@
 
     def carry(self, one: Try, kept: bool, dial: float) -> None:
         """Take a try to whoever is at the address that the gatekeeper knows."""
-        keeper, known, net = one.case.keeper, one.view.worker, as_simulated(self.net)
+        keeper, known, net = one.case.keeper, one.view.record, as_simulated(self.net)
         one.begun = self.loop.now
         net.observer.attempted(keeper, known.id, one.case.request.id, kept)
         host, port = known.address
@@ -297,6 +297,6 @@
         target.offer(one, max(0.001, one.left))
 
     def hung_up(self, one: Try) -> None:
-        worker = self.workers.get(one.view.worker.id)
+        worker = self.workers.get(one.view.record.id)
         if worker is not None:
             worker.dropped(one)
--- a/ashlift/simulation/world.py
+++ b/ashlift/simulation/world.py
@@ -232,7 +232,7 @@
 
     def versions(self) -> dict[str, int]:
         """The version that each running gatekeeper has."""
-        tables = {one.name: one.gate.cluster.routing_table for one in self.keepers() if one.up}
+        tables = {one.name: one.gate.cluster.configuration.routing_table for one in self.keepers() if one.up}
         return {name: table.version if table else 0 for name, table in tables.items()}
 
     def crews(self) -> dict[str, dict[str, bool]]:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -24,6 +24,7 @@
 
 from ashlift.config.object_schema import ClientLimits
 from ashlift.config.settings import Settings, parse_settings
+from ashlift.proxy.pull_messages import PullResponse
 from ashlift.proxy.request_handler import RequestHandler
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.server import ProxyServer
@@ -167,9 +168,12 @@
             }
             answer = {"sources": told, "alive": ["p#1"], "age": 0.1, "held": 0.0}
             gate.rate_limiter.confirm_counts(counts)
-            gate.apply_change(now, gate.cluster.apply(now, now, answer))
+            gate.apply_change(now, gate.cluster.apply(now, now, PullResponse.from_wire(answer)))
             gate.rate_limiter.record_usage_totals(
-                now, gate.cluster.usage_counts(), gate.cluster.proxies_behind(), gate.cluster.started_at()
+                now,
+                gate.cluster.usage_totals(),
+                gate.cluster.source_coverage(),
+                gate.cluster.registries_started_at(),
             )
             gevent.sleep(0.25)
 
--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -26,6 +26,7 @@
 from ashlift.errors import Failure
 from ashlift.proxy import registry_client as pullings
 from ashlift.proxy.cluster_view import ClusterView
+from ashlift.proxy.pull_messages import PullResponse
 from ashlift.proxy.registry_client import RegistryClient
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.registry import codec
@@ -363,11 +364,11 @@
 
     def of_limiter() -> None:
         limiter.take_new_counts()
-        limiter.record_usage_totals(now, ledger.usage_counts())
+        limiter.record_usage_totals(now, ledger.usage_totals())
 
     def of_crew() -> None:
         crew.update_peer_load(ledger.in_flight(), crew.in_flight())
-        ledger.faults()
+        ledger.failure_totals()
 
     out.ms("gatekeeper: of that, limiter's news of all sums, ms", of_limiter)
     out.ms("gatekeeper: of that, requests at workers, ms", of_crew)
@@ -392,7 +393,7 @@
             )
 
         out.ms(f"gatekeeper: a pull with sums, ms @ {CORE * len(names)}", news)
-    index = ledger.config_index
+    index = ledger.configuration.version
 
     def changed() -> None:
         nonlocal index
@@ -404,7 +405,9 @@
             "gone": [],
             "set": {f"Routes/{value['Metadata']['Name']}": value["Specification"], "Version": f"{index:08x}"},
         }
-        gate.apply_change(now, ledger.apply(now, now, {**whole, "sources": {OPERATOR_SOURCE: one}}))
+        gate.apply_change(
+            now, ledger.apply(now, now, PullResponse.from_wire({**whole, "sources": {OPERATOR_SOURCE: one}}))
+        )
 
     out.ms("gatekeeper: a change of one route, ms", changed)
     source = next(iter(ledger.sources))
@@ -424,7 +427,9 @@
                 }
             },
         }
-        gate.apply_change(now, ledger.apply(now, now, {**whole, "sources": {source: one}}))
+        gate.apply_change(
+            now, ledger.apply(now, now, PullResponse.from_wire({**whole, "sources": {source: one}}))
+        )
 
     out.ms("gatekeeper: a worker that starts or ends, ms", another)
     out.ms(
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -13,10 +13,10 @@
 import random
 import sys
 import time
-from collections.abc import Mapping
 from typing import Any
 
 import gevent
+from attrs import evolve
 from gevent import socket
 from gevent.fileobject import FileObject
 
@@ -25,9 +25,12 @@
 from ashlift.errors import Failure
 from ashlift.gatekeeper.net.replies import Reply
 from ashlift.proxy import registry_client as pulling
-from ashlift.proxy.cluster_view import ClusterChange, ClusterView
+from ashlift.proxy.cluster_view import ClusterView
+from ashlift.proxy.configuration_state import CORE_MACHINES, VERSION, ConfigurationState
 from ashlift.proxy.configuration_updates import RegistryPoller
+from ashlift.proxy.pull_messages import SourceUpdate
 from ashlift.proxy.request_router import RequestRouter
+from ashlift.proxy.source_state import ClusterChange
 from ashlift.rpc import fragmentation
 from ashlift.traffic.rate_limiter import RateLimiter, UsageByTenant
 from benchmarks.scale.target import Size, drawn, tenant, worker_address, worker_id
@@ -49,26 +52,40 @@
     return _packs[data]
 
 
+class HollowConfiguration(ConfigurationState):
+    """Keeps the version and the core machines alone. `reached`: when each version came, by index."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.reached: dict[int, float] = {}
+
+    def apply(self, update: SourceUpdate) -> bool:
+        if update.version <= self.version:
+            return False
+        self.version = update.version
+        self.reached[self.version] = time.monotonic()
+        prefix = len(CORE_MACHINES)
+        machines = {
+            key[prefix:]: value for key, value in update.entries.items() if key.startswith(CORE_MACHINES)
+        }
+        self.core_machines = machines if update.full else {**self.core_machines, **machines}
+        if self.routing_table is None and VERSION in update.entries:
+            self.routing_table = EMPTY
+        return False
+
+
 class HollowLedger(ClusterView):
     """Versions and proofs alone. `seen`: entries told; `reached`: index -> when it came."""
 
     def __init__(self) -> None:
         super().__init__()
         self.seen = 0
-        self.reached: dict[int, float] = {}
-
-    def _apply_operator_config(self, news: Mapping[str, Any], change: ClusterChange) -> None:
-        if news["version"] > self.config_index:
-            self.config_index = news["version"]
-            self.reached[self.config_index] = time.monotonic()
-            members = {key[8:]: value for key, value in news["set"].items() if key.startswith("Members/")}
-            self.core_machines = {**({} if news["full"] else self.core_machines), **members}
-            if self.routing_table is None and "Version" in news["set"]:
-                self.routing_table = EMPTY
+        self.configuration = hollow = HollowConfiguration()
+        self.reached = hollow.reached
 
-    def _apply_source(self, name: str, news: Mapping[str, Any], now: float, change: ClusterChange) -> None:
-        self.seen += len(news["set"]) + len(news["gone"])
-        super()._apply_source(name, {**news, "set": {}, "gone": []}, now, ClusterChange())
+    def _apply_source(self, name: str, update: SourceUpdate, now: float, change: ClusterChange) -> None:
+        self.seen += len(update.entries) + len(update.removed)
+        super()._apply_source(name, evolve(update, entries={}, removed=()), now, ClusterChange())
 
 
 class HollowLimiter(RateLimiter):
@@ -297,7 +314,7 @@
             "seen": sum(one.ledger.seen for one in self.gatekeepers),
             "ready": sum(one.gate.is_ready(now) for one in self.gatekeepers),
             "took": [one.ready_at - one.began for one in self.gatekeepers if one.ready_at],
-            "age": max((one.ledger.configuration_age(now) for one in self.gatekeepers), default=0.0),
+            "age": max((one.ledger.configuration.age(now) for one in self.gatekeepers), default=0.0),
             "beats": sum(line.calls for line in self.lines),
             "beats_missed": sum(line.missed for line in self.lines),
             "beats_out": sum(line.bytes_out for line in self.lines),
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -157,11 +157,13 @@
             assert pulling.handle_response(pull, now + 0.25, answer) and gate.is_ready(now + 0.25)
         assert (
             hollow.ledger.versions() == real.cluster.versions()
-            and hollow.ledger.confirmed_at == real.cluster.confirmed_at
+            and hollow.ledger.configuration.confirmed_at == real.cluster.configuration.confirmed_at
         )
         now += 0.25
     assert told[0] == told[1], told
-    assert hollow.ledger.seen > 0 and not any(source.records for source in hollow.ledger.sources.values())
+    assert hollow.ledger.seen > 0
+    held = hollow.ledger.sources.values()
+    assert not any(source.workers or source.proxies or source.usage for source in held)
 
 
 @test("a hollow limiter says as many requests as its rate")
--- a/tests/cli/test_tenant_steps.py
+++ b/tests/cli/test_tenant_steps.py
@@ -13,6 +13,7 @@
 
 from ashlift.config.settings import Settings, parse_settings
 from ashlift.proxy.admission import AdmittedRequest
+from ashlift.proxy.pull_messages import PullResponse
 from ashlift.proxy.rejections import Rejection
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.registry.identity import RegistryIdentity
@@ -58,7 +59,8 @@
         self._take(self.now, self._told(number))
 
     def _take(self, sent: float, answer: Any) -> None:
-        self.gate.apply_change(self.now, self.gate.cluster.apply(sent, self.now, answer))
+        response = PullResponse.from_wire(answer)
+        self.gate.apply_change(self.now, self.gate.cluster.apply(sent, self.now, response))
 
     def do(self, action: str) -> bool:
         """False: it cannot be now."""
@@ -90,12 +92,10 @@
 
     def state(self) -> tuple[Any, ...]:
         ledger, told = self.gate.cluster, self.under_way
-        held = [ledger.config_index, *(board.operator_config.version for board in self.boards), self.said]
-        times = [
-            ledger.confirmed_at,
-            *(board.operator_config.confirmed_at for board in self.boards),
-            self.asked,
-        ]
+        configuration = ledger.configuration
+        operator_configs = [board.operator_config for board in self.boards]
+        held = [configuration.version, *(one.version for one in operator_configs), self.said]
+        times = [configuration.confirmed_at, *(one.confirmed_at for one in operator_configs), self.asked]
         if told is not None:
             held.append(tuple(sorted((name, one["version"]) for name, one in told[1]["sources"].items())))
             times.append(told[0] - told[1]["age"])
@@ -121,7 +121,7 @@
             seen.add(state)
             said.add(world.said)
             if world.said == "in":
-                table = world.gate.cluster.routing_table
+                table = world.gate.cluster.configuration.routing_table
                 assert table is not None and table.version == 2 and "new" in world.gate._quota_tenants, path
             else:
                 front.append((*path, action))
--- a/tests/proxy/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -5,8 +5,8 @@
 from ward import each, test
 
 from ashlift.config.routing_table import Route
-from ashlift.proxy.cluster_view import Worker
 from ashlift.proxy.load_balancer import LoadBalancer
+from ashlift.proxy.source_state import Worker
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.records import WorkerRecord as Told
 from ashlift.registry.records import WorkerState
@@ -42,7 +42,7 @@
 def share_far(made: LoadBalancer, now: float, for_s: float = 1.0) -> float:
     """Of 200 requests within `for_s`."""
     firsts = [
-        made.rank(now + for_s * at / 200, made.eligible("board", (), ()), LOOK)[0].worker.zone
+        made.rank(now + for_s * at / 200, made.eligible("board", (), ()), LOOK)[0].record.zone
         for at in range(200)
     ]
     return firsts.count("z2") / len(firsts)
@@ -88,7 +88,7 @@
             crew = rng.randrange(gatekeepers)
             view = crews[crew].rank(now, crews[crew].eligible("board", (), ()), LOOK)[0]
             crews[crew].attempt_started(now, view)
-            queues[view.worker.id].append((crew, now, rng.uniform(0.05, 0.15)))
+            queues[view.record.id].append((crew, now, rng.uniform(0.05, 0.15)))
         for name, queue in queues.items():
             if 4 <= now < 6 and name[:2] == "z0" and name[-1] in "02468":
                 continue
--- a/tests/proxy/test_registry_client.py
+++ b/tests/proxy/test_registry_client.py
@@ -7,7 +7,8 @@
 
 from ashlift.config.settings import Settings, parse_settings
 from ashlift.errors import Failure, FailureReason
-from ashlift.proxy.registry_client import AVOID_SECONDS, RegistryClient
+from ashlift.proxy.registry_client import RegistryClient
+from ashlift.proxy.registry_selection import AVOID_SECONDS
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.registry import Registry
--- a/tests/registry/test_scenarios.py
+++ b/tests/registry/test_scenarios.py
@@ -24,6 +24,7 @@
 
 from ashlift.errors import Failure
 from ashlift.proxy.cluster_view import ClusterView
+from ashlift.proxy.pull_messages import PullResponse
 from ashlift.registry import codec
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.records import WorkerRecord, WorkerState
@@ -137,7 +138,7 @@
         registry, body = self.all[edge.at], body | {"have": edge.ledger.versions()}
         begin_pull(registry, body, self.now)
         answer = pull_response(registry, body, self.now, self.now)
-        edge.ledger.apply(self.now, self.now, answer)
+        edge.ledger.apply(self.now, self.now, PullResponse.from_wire(answer))
         registry.sessions.end_pull(edge.name)
         copies = registry.peers.replicas
         silent = {name: copies[name].source.version for name in copies.keys() - set(answer["alive"])}
@@ -156,7 +157,7 @@
         assert found == wanted, str(found)
 
     def _check_sum(self, at: str, tenant: str, *counts: str) -> None:
-        found = [one[tenant] for one in self.edges[at].ledger.usage_counts().values() if tenant in one]
+        found = [one[tenant] for one in self.edges[at].ledger.usage_totals().values() if tenant in one]
         sums = [sum(column) for column in zip(*found, strict=True)]
         assert sums == [int(one) for one in counts], str(found)
 
--- a/tests/registry/test_soft_state.py
+++ b/tests/registry/test_soft_state.py
@@ -7,8 +7,10 @@
 from attrs import define
 from ward import each, test
 
-from ashlift.proxy.cluster_view import MAX_RETENTION_SECONDS, PROXY_LEASE_SECONDS, ClusterView
+from ashlift.proxy.cluster_view import PROXY_LEASE_SECONDS, ClusterView
+from ashlift.proxy.pull_messages import PullResponse
 from ashlift.proxy.registry_client import MAX_CONFIGURATION_AGE_SECONDS
+from ashlift.proxy.retention import MAX_RETENTION_SECONDS
 from ashlift.simulation.scene import Play, read
 from ashlift.traffic.rate_limiter import RateLimiter
 from ashlift.traffic.unreported_usage import SourceCoverage
@@ -84,7 +86,7 @@
     assert (found.members, found.workers) == (8, 18) and found.refused < 0.03, found
 
 
-def _answer(ran: float, *named: str, alive: str = "p#2", **news: Any) -> dict[str, Any]:
+def _answer(ran: float, *named: str, alive: str = "p#2", **news: Any) -> PullResponse:
     """Of a registry that has run `ran` s and names these gatekeepers and workers."""
     worker = {
         "service": "s",
@@ -97,7 +99,9 @@
     }
     records = {key: worker if key[0] == "w" else {"ready": True} for key in named}
     source = {"version": int(1000 * ran), "full": True, "set": records | news, "gone": [], "run": ran}
-    return {"sources": {alive: source}, "alive": [alive], "age": 0.1, "held": 0.0, "ran": ran}
+    return PullResponse.from_wire(
+        {"sources": {alive: source}, "alive": [alive], "age": 0.1, "held": 0.0, "ran": ran}
+    )
 
 
 def _members(ledger: ClusterView) -> str:
@@ -106,7 +110,7 @@
 
 @test("ledger: who is not told yet is not gone, until registries have run for a lease, or for a bounded time")
 def _() -> None:
-    ledger = ClusterView(lease=4.5)
+    ledger = ClusterView(worker_lease=4.5)
     ledger.apply(0.0, 0.0, _answer(60.0, "g/a", "g/b", "g/c", "w/1", "w/2", alive="p#1"))
     # p#1 is dead, and is dropped after five seconds; p#2 has heard of one so far.
     ledger.apply(6.0, 6.0, _answer(0.5, "g/a", "w/1"))
@@ -130,9 +134,9 @@
 def _() -> None:
     ledger = ClusterView()
     ledger.apply(0.0, 0.0, _answer(60.0, "w/1", alive="p#1", **{"o/1": 5, "f/1": [7, 9, 1]}))
-    assert ledger.in_flight() == {"1": 5} and ledger.faults() == {"1": (7, 9, 1)}
+    assert ledger.in_flight() == {"1": 5} and ledger.failure_totals() == {"1": (7, 9, 1)}
     ledger.apply(2.0, 2.0, _answer(1.0, "w/1", alive="p#2", **{"o/1": 4, "f/1": [6, 8, 1]}))
-    assert ledger.in_flight() == {"1": 4} and ledger.faults() == {"1": (6, 8, 1)}
+    assert ledger.in_flight() == {"1": 4} and ledger.failure_totals() == {"1": (6, 8, 1)}
 
 
 @test("limiter: a source whose gatekeepers have gone hides nothing by its silence: {how}")
--- a/tests/rpc/test_fragmentation.py
+++ b/tests/rpc/test_fragmentation.py
@@ -86,10 +86,11 @@
         """One pull begun at `at`; returns when it ended. `in_one`: by a proxy that accepts no fragments."""
         call = client.next_request(at)
         assert call is not None
+        body = call.body
         if in_one:
-            del call.body["part"]
+            del body["part"]
         self.advance_to(at + TRIP_SECONDS)
-        answer: Any = pull_response(self.registry, call.body, self.now, self.now)
+        answer: Any = pull_response(self.registry, body, self.now, self.now)
         took = 2 * TRIP_SECONDS + len(cbor2.dumps(answer)) / LINE_BYTES_PER_SECOND
         self.longest_transfer = max(self.longest_transfer, took)
         if took > MAX_RESPONSE_SECONDS:
@@ -97,7 +98,7 @@
             answer = Failure(FailureReason.OUTCOME_UNKNOWN)
         client.handle_response(call, at + took, answer)
         cluster = client._router.cluster
-        if cluster.config_index != self.index and cluster.configuration_age(at + took) < 0.05:
+        if cluster.configuration.version != self.index and cluster.configuration.age(at + took) < 0.05:
             raise AssertionError("a configuration counts as fresh that is not the newest")
         return at + took
 
@@ -111,12 +112,12 @@
     while any(at < 14.0 for at in due.values()):
         who = min(due, key=lambda one: due[one])
         due[who] = lines.pull(clients[who], due[who])
-        index = clients[who]._router.cluster.config_index
+        index = clients[who]._router.cluster.configuration.version
         if who not in up_to_date and index > 1 and index >= lines.index - 5:
             up_to_date[who] = due[who]
         elif who in up_to_date:  # and it stays so
             assert index >= lines.index - 5
-            assert clients[who]._router.cluster.configuration_age(due[who]) < MAX_CONFIGURATION_AGE_SECONDS
+            assert clients[who]._router.cluster.configuration.age(due[who]) < MAX_CONFIGURATION_AGE_SECONDS
     packed_bytes = routes * (size * 0.55 + 60)
     assert {*up_to_date} == {0, 1, 2}
     took = [up_to_date[0], up_to_date[1] - 0.7, up_to_date[2] - 3.1]
@@ -134,7 +135,7 @@
     at = 0.0
     for _ in range(5):
         at = lines.pull(client, at, in_one=True)
-    assert client._router.cluster.config_index == 0
+    assert client._router.cluster.configuration.version == 0
     assert lines.longest_transfer > MAX_RESPONSE_SECONDS
 
 
--- a/tests/support/gatekeeper.py
+++ b/tests/support/gatekeeper.py
@@ -20,6 +20,7 @@
 
 from ashlift.config.object_schema import ClientLimits
 from ashlift.config.settings import Settings, parse_settings
+from ashlift.proxy.pull_messages import PullResponse
 from ashlift.proxy.request_handler import RequestHandler
 from ashlift.proxy.request_reader import ClientRequest, RequestReader
 from ashlift.proxy.request_router import RequestRouter
@@ -322,9 +323,8 @@
             },
         }
         now = time.monotonic()
-        change = self.gate.cluster.apply(
-            now, now, {"sources": told, "alive": ["p#1"], "age": 0.0, "held": 0.0}
-        )
+        body = {"sources": told, "alive": ["p#1"], "age": 0.0, "held": 0.0}
+        change = self.gate.cluster.apply(now, now, PullResponse.from_wire(body))
         self.gate.apply_change(now, change)
 
     def close(self) -> None:
--- a/tests/support/request_router_scenarios.py
+++ b/tests/support/request_router_scenarios.py
@@ -20,6 +20,7 @@
 from ashlift.config.settings import Settings, parse_settings
 from ashlift.proxy.admission import AdmittedRequest
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
+from ashlift.proxy.pull_messages import PullResponse
 from ashlift.proxy.rejections import Rejection
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.responses import WorkerResponse
@@ -125,8 +126,9 @@
             "p#1": {"version": self.index, "full": True, "set": records, "gone": []},
         }
         told = None if age == "age=none" else float(age[4:])
-        answer = {"sources": sources, "alive": ["p#1"], "age": told, "held": 0.0}
-        self.gate.apply_change(self.now, self.gate.cluster.apply(self.now, self.now, answer))
+        body = {"sources": sources, "alive": ["p#1"], "age": told, "held": 0.0}
+        response = PullResponse.from_wire(body)
+        self.gate.apply_change(self.now, self.gate.cluster.apply(self.now, self.now, response))
 
     def do_crowd(self, name: str, others: str) -> None:
         self.gate.load_balancer.workers[name].peers_in_flight = float(others)
@@ -151,7 +153,7 @@
         if isinstance(view, Rejection):
             return f"{view.status} {view.reason}"
         self.views[name] = view
-        return view.worker.id
+        return view.record.id
 
     def do_end(self, name: str, how: str) -> str:
         word, _, status = how.partition(":")
--- a/tests/traffic/test_outlier_detection.py
+++ b/tests/traffic/test_outlier_detection.py
@@ -6,8 +6,8 @@
 from ward import each, test
 
 from ashlift.config.routing_table import Route
-from ashlift.proxy.cluster_view import Worker
 from ashlift.proxy.load_balancer import LoadBalancer
+from ashlift.proxy.source_state import Worker
 from ashlift.registry.load_reports import LoadReports
 from ashlift.registry.messages import LoadReport
 from ashlift.registry.replicated_source import ReplicatedSource
@@ -69,7 +69,7 @@
         number = self.rng.randrange(len(self.balancers))
         balancer = self.balancers[number]
         worker = balancer.rank(now, balancer.eligible("desk", (), ()), HOLD)[0]
-        worker_id = worker.worker.id
+        worker_id = worker.record.id
         self.sent.append((now, worker_id))
         if number in self.faulty_proxies or self.rng.random() < self.failure_rates.get(worker_id, 0.0):
             balancer.record_fault(now, worker)
--- a/tests/traffic/test_rate_limiter.py
+++ b/tests/traffic/test_rate_limiter.py
@@ -4,7 +4,7 @@
 
 from ward import each, test
 
-from ashlift.proxy.cluster_view import ClusterChange
+from ashlift.proxy.source_state import ClusterChange
 from ashlift.traffic.rate_limiter import RateLimiter
 from tests.support import request_router_scenarios as router_scenarios
 from tests.support.rate_limiter_scenarios import SCENARIOS, Overload, Scenario
