--- a/tests/configstore/test_stored_data.py
+++ b/tests/configstore/test_stored_data.py
@@ -3,7 +3,6 @@
 import tempfile
 from collections.abc import Iterable, Iterator
 from pathlib import Path
-from typing import Any
 
 from ward import each, fixture, test
 
@@ -27,62 +26,64 @@
         yield Path(name)
 
 
-def waiting(folder: Path) -> PendingEditStorage:
-    """The edits that wait on a disk."""
-    return PendingEditStorage(
-        SnapshotStorage(str(folder), PENDING_EDIT_STORAGE), lambda: (0, {}), lambda *_, **__: None
-    )
+def open_pending_edits(folder: Path) -> PendingEditStorage:
+    """The pending edits on a disk, beside an empty committed map; events are not logged."""
+    storage = SnapshotStorage(str(folder), PENDING_EDIT_STORAGE)
+    return PendingEditStorage(storage, lambda: (0, {}), lambda *_, **__: None)
 
 
 def request(stored: Stored) -> PersistState:
-    """What a replica asks its storage to keep."""
+    """What a replica asks its storage to persist."""
     return PersistState(PersistentVote(*stored.vote), Snapshot(stored.term_index, RangedMap(stored.objects)))
 
 
 def persist(folder: str, stored: Iterable[Stored]) -> None:
     storage = ReplicaStorage(folder)
-    for one in stored:
-        assert storage.persist(request(one)) is None
+    for state in stored:
+        assert storage.persist(request(state)) is None
 
 
 def add_edits(folder: str, calls: list[list[Values]]) -> None:
-    pending_edits = waiting(Path(folder))
-    for call in calls:
-        response = pending_edits.handle_request({"add": call})
-        assert isinstance(response, dict) and response["edits"]
+    pending_edits = open_pending_edits(Path(folder))
+    for edits in calls:
+        response = pending_edits.handle_request({"add": edits})
+        assert isinstance(response, dict)
+        assert response["edits"]
 
 
-def held(found: tuple[Any, Any]) -> tuple[PersistentVote, tuple[int, int], Values]:
-    """Vote and snapshot of a storage that reads both, in values."""
-    vote, state = found
-    assert isinstance(vote, PersistentVote) and isinstance(state, Snapshot)
-    return vote, state.term_index, dict(state.entries.map)
+def read_values(folder: Path) -> tuple[PersistentVote, tuple[int, int], Values]:
+    """Vote and snapshot of a disk that has both: the vote, term and index, and the entries."""
+    vote, snapshot = ReplicaStorage(str(folder)).read()
+    assert isinstance(vote, PersistentVote)
+    assert isinstance(snapshot, Snapshot)
+    return vote, snapshot.term_index, dict(snapshot.entries.map)
 
 
 @test("stored data: the {disk} disk of 147a987 is read to its newest intact vote, snapshot and edits")
 def _(folder: Path = folder, disk: str = each(WHOLE, TORN)) -> None:
     stored_data.unpack(ARCHIVE, folder)
     newest = NEWEST[disk]
-    vote, term_index, objects = held(ReplicaStorage(str(folder / disk)).read())
+    vote, term_index, objects = read_values(folder / disk)
     assert vote == PersistentVote(*stored_data.writes()[-1].vote)
     assert (vote.term, vote.voted_for, vote.is_voter, vote.incarnation) == stored_data.writes()[-1].vote
     assert term_index == newest.term_index
-    assert objects == newest.objects and len(objects) > 200
+    assert objects == newest.objects
+    assert len(objects) > 200
     assert {name: type(value) for name, value in objects.items()} == {
         name: type(value) for name, value in newest.objects.items()
     }
-    found = waiting(folder / disk).pending.edits
-    assert {id: encode_edit(edit) for id, edit in found.items()} == {
-        edit["id"]: edit for edit in stored_data.edits()
-    }
+    pending = open_pending_edits(folder / disk).pending.edits
+    encoded = {edit_id: encode_edit(edit) for edit_id, edit in pending.items()}
+    assert encoded == {edit["id"]: edit for edit in stored_data.edits()}
 
 
 @test("stored data: the same values are written to the same files, byte for byte")
 def _(folder: Path = folder) -> None:
     stored_data.write(folder, stored_data.Code(persist, add_edits))
-    found, before = stored_data.files(folder), stored_data.packed(ARCHIVE)
-    assert list(found) == list(before)
-    assert [name for name, data in found.items() if data != before[name]] == []
+    written = stored_data.files(folder)
+    before = stored_data.packed(ARCHIVE)
+    assert list(written) == list(before)
+    assert [name for name, data in written.items() if data != before[name]] == []
 
 
 @test("stored data: on the {disk} disk of 147a987 the next write is kept")
@@ -93,5 +94,5 @@
     objects = {**NEWEST[disk].objects, "Routes/one-more": {"Service": "service-1"}}
     following = Stored((10, "10.0.0.3", True, 5), (10, 58), objects)
     assert storage.persist(request(following)) is None
-    found = held(ReplicaStorage(str(folder / disk)).read())
-    assert found == (PersistentVote(*following.vote), following.term_index, following.objects)
+    expected = PersistentVote(*following.vote), following.term_index, following.objects
+    assert read_values(folder / disk) == expected
