--- a/ashlift/configstore/events.py
+++ b/ashlift/configstore/events.py
@@ -2,34 +2,36 @@
 
 from typing import Final
 
+from ashlift.events import EventType
+
 # Elections and the leader
-LEADER_ELECTED: Final = (201, "became leader")
-FOLLOWING_LEADER: Final = (202, "following leader")
-STEPPED_DOWN: Final = (203, "stepped down as leader")
-CHANGE_COMMITTED: Final = (204, "change committed")
-LEADERSHIP_TRANSFERRED: Final = (210, "leadership transfer started")
+LEADER_ELECTED: Final = EventType(201, "became leader")
+FOLLOWING_LEADER: Final = EventType(202, "following leader")
+STEPPED_DOWN: Final = EventType(203, "stepped down as leader")
+CHANGE_COMMITTED: Final = EventType(204, "change committed")
+LEADERSHIP_TRANSFERRED: Final = EventType(210, "leadership transfer started")
 
 # Membership, at the replica that it is about
-LEARNER_STARTED: Final = (205, "learner: does not vote until restored")
-LEARNER_PROMOTED: Final = (206, "promoted to voter")
-STORE_BOOTSTRAPPED: Final = (207, "store bootstrapped")
-CAUGHT_UP: Final = (213, "caught up by differing ranges")
-VOTER_DISPLACED: Final = (219, "no longer a voter: learning from scratch")
+LEARNER_STARTED: Final = EventType(205, "learner: does not vote until restored")
+LEARNER_PROMOTED: Final = EventType(206, "promoted to voter")
+STORE_BOOTSTRAPPED: Final = EventType(207, "store bootstrapped")
+CAUGHT_UP: Final = EventType(213, "caught up by differing ranges")
+VOTER_DISPLACED: Final = EventType(219, "no longer a voter: learning from scratch")
 
 # Membership, at the leader
-LEARNER_RESTORING: Final = (208, "restoring learner")
-LEARNER_ADDED: Final = (209, "learner added")
-VOTER_REMOVED: Final = (220, "voter removed")
-VOTER_ADDED: Final = (221, "learner made a voter")
-VOTER_REMOVAL_DELAYED: Final = (222, "voter removal delayed")
+LEARNER_RESTORING: Final = EventType(208, "restoring learner")
+LEARNER_ADDED: Final = EventType(209, "learner added")
+VOTER_REMOVED: Final = EventType(220, "voter removed")
+VOTER_ADDED: Final = EventType(221, "learner made a voter")
+VOTER_REMOVAL_DELAYED: Final = EventType(222, "voter removal delayed")
 
 # Disk
-DISK_WRITE_FAILED: Final = (211, "disk write failed")
-STORAGE_UNREADABLE: Final = (212, "stored data unreadable")
-DISK_WRITE_SLOW: Final = (218, "slow disk write")
+DISK_WRITE_FAILED: Final = EventType(211, "disk write failed")
+STORAGE_UNREADABLE: Final = EventType(212, "stored data unreadable")
+DISK_WRITE_SLOW: Final = EventType(218, "slow disk write")
 
 # Operator commands and edits of routes
-COMMAND_EVALUATION_FAILED: Final = (214, "operator command could not be evaluated")
-EDIT_PENDING: Final = (215, "route edit pending, not in force")
-EDIT_RESOLVED: Final = (216, "route edit resolved")
-EDIT_CONFLICT: Final = (217, "route edit waits for an operator")
+COMMAND_EVALUATION_FAILED: Final = EventType(214, "operator command could not be evaluated")
+EDIT_PENDING: Final = EventType(215, "route edit pending, not in force")
+EDIT_RESOLVED: Final = EventType(216, "route edit resolved")
+EDIT_CONFLICT: Final = EventType(217, "route edit waits for an operator")
--- a/ashlift/configstore/messages.py
+++ b/ashlift/configstore/messages.py
@@ -5,6 +5,7 @@
 from attrs import frozen
 
 from ashlift.configstore.ranged_map import RangedMap
+from ashlift.events import EventType
 
 TermIndex = tuple[int, int]  # which accepted map is newer
 Event = Any  # one of the events below
@@ -180,7 +181,7 @@
 
 @frozen
 class LogEvent:
-    event: tuple[int, str]
+    event: EventType
     fields: dict[str, Any]
 
 
--- a/ashlift/configstore/replica_state.py
+++ b/ashlift/configstore/replica_state.py
@@ -21,6 +21,7 @@
     TermIndex,
 )
 from ashlift.configstore.ranged_map import RangedMap
+from ashlift.events import EventType
 
 WRITE_MOST_S = 0.4  # a slower disk is not waited for by others
 
@@ -97,7 +98,7 @@
         if ref is not None:
             self.effects.append(SendReply(ref, body))
 
-    def log_event(self, event: tuple[int, str], **fields: Any) -> None:
+    def log_event(self, event: EventType, **fields: Any) -> None:
         self.effects.append(LogEvent(event, fields))
 
     # ---- state
--- a/ashlift/events.py
+++ b/ashlift/events.py
@@ -10,25 +10,29 @@
 import atexit
 import sys
 import time
-from typing import TYPE_CHECKING, Any, Final
-
-import gevent
+from typing import TYPE_CHECKING, Any, Final, NamedTuple
 
 if TYPE_CHECKING:
     import logbook
 
-Event = tuple[int, str]  # number, words
+
+class EventType(NamedTuple):
+    """What can be logged: a number that stands for it, and the words of its line."""
+
+    number: int
+    words: str
+
 
 INFO: Final = 11  # the levels are logbook's
 WARNING: Final = 13
 ERROR: Final = 14
 CRITICAL: Final = 15
 
-STARTED: Final = (101, "started")
-STOPPING: Final = (102, "stopping")
-SETTINGS_READ: Final = (103, "settings reloaded")
-SETTINGS_INVALID: Final = (104, "settings invalid")
-INVARIANT_VIOLATED: Final = (105, "invariant violated")
+STARTED: Final = EventType(101, "started")
+STOPPING: Final = EventType(102, "stopping")
+SETTINGS_READ: Final = EventType(103, "settings reloaded")
+SETTINGS_INVALID: Final = EventType(104, "settings invalid")
+INVARIANT_VIOLATED: Final = EventType(105, "invariant violated")
 
 STARTUP_BUFFER_SECONDS: Final = 2.0  # by then the store has a leader, and proxies are ready
 MAX_BUFFERED_EVENTS: Final = 200
@@ -40,16 +44,17 @@
 
 def configure(program: str, node: str) -> None:
     """Name the process in its lines, and see to it that buffered events are written."""
+    import gevent  # here: pure cores name events too, and load no sockets for it
+
     global _process_name
     _process_name = f"{program}@{node}"
     atexit.register(flush)
     gevent.spawn_later(STARTUP_BUFFER_SECONDS, flush)
 
 
-def log_event(event: Event, /, *, level: int = INFO, **fields: Any) -> None:
+def log_event(event: EventType, /, *, level: int = INFO, **fields: Any) -> None:
     """Log an event on one line: its number, its words, its fields."""
-    number, words = event
-    line = f"{number} {words} {' '.join(f'{key}={value}' for key, value in fields.items())}"
+    line = f"{event.number} {event.words} {' '.join(f'{key}={value}' for key, value in fields.items())}"
     _buffer.append((level, _time_of_day(time.time()), line))
     if _logger is not None or level >= ERROR or len(_buffer) >= MAX_BUFFERED_EVENTS:
         flush()
--- a/ashlift/proxy/events.py
+++ b/ashlift/proxy/events.py
@@ -2,6 +2,8 @@
 
 from typing import Final
 
-READY: Final = (401, "ready for clients")
-UNREADY: Final = (402, "not ready for clients")
-TENANTS: Final = (403, "tenants changed")
+from ashlift.events import EventType
+
+READY: Final = EventType(401, "ready for clients")
+UNREADY: Final = EventType(402, "not ready for clients")
+TENANTS: Final = EventType(403, "tenants changed")
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -11,33 +11,36 @@
 
 from ashlift import events
 
-HEAD = """
+PROLOGUE = """
 import sys
-from ashlift import events as e
-e.configure('p', 'n')
-e.log_event((900, 'first'), a='{}')
+from ashlift import events
+events.configure('p', 'n')
+last = events.EventType(901, 'last')
+events.log_event(events.EventType(900, 'first'), a='{}')
 """
-LOADED = "print('logbook' in sys.modules); "
+IS_LOADED = "print('logbook' in sys.modules); "
 
 
-def _run(code: str) -> tuple[list[str], list[str]]:
-    done = subprocess.run([sys.executable, "-c", HEAD + code], capture_output=True, text=True, timeout=60)
+def run(code: str) -> tuple[list[str], list[str]]:
+    """The words on standard output and the lines on standard error of a process."""
+    done = subprocess.run([sys.executable, "-c", PROLOGUE + code], capture_output=True, text=True, timeout=60)
     return done.stdout.split(), done.stderr.splitlines()
 
 
 @test("an early event waits for the end, an error, or many others, and then comes first ({code})")
 def _(
     code: str = each(
-        LOADED + "e.log_event((901, 'last'))",
-        LOADED + "e.log_event((901, 'last'), level=e.ERROR); import os; os._exit(0)",
-        LOADED
-        + "[e.log_event((901, 'last')) for _ in range(e.MAX_BUFFERED_EVENTS - 1)]; import os; os._exit(0)",
+        IS_LOADED + "events.log_event(last)",
+        IS_LOADED + "events.log_event(last, level=events.ERROR); import os; os._exit(0)",
+        IS_LOADED
+        + "[events.log_event(last) for _ in range(events.MAX_BUFFERED_EVENTS - 1)]; import os; os._exit(0)",
     ),
 ) -> None:
-    loaded, lines = _run(code)
+    loaded, lines = run(code)
     assert loaded == ["False"]
     assert lines[0].endswith("INFO p@n 900 first a={}"), lines
-    assert " p@n 901 last" in lines[-1] and lines == sorted(lines)
+    assert " p@n 901 last" in lines[-1]
+    assert lines == sorted(lines)
 
 
 @test("the levels are logbook's own")
