--- a/ashlift/configstore/request_handlers.py
+++ b/ashlift/configstore/request_handlers.py
@@ -71,10 +71,9 @@
         request = requests.decode_submit(body)
         if isinstance(request, Failure):
             return request
-        command, token = request.command, request.fencing_token
 
         def make_event(reference: Any) -> Event:
-            return CommandSubmitted(reference, command, token)
+            return CommandSubmitted(reference, request.command, request.fencing_token)
 
         return self._ask_leader(requests.SUBMIT, body, make_event, SUBMIT_TIMEOUT_SECONDS)
 
--- a/tests/configstore/test_commands.py
+++ b/tests/configstore/test_commands.py
@@ -72,8 +72,8 @@
     resent = [replicated.execute(base, body) for base, body in sent]
     assert resent == [503] * 40 + [200] * MAX_ACCEPTED_DIGESTS
     assert replicated.entries == before
-    others = [(base, patch(int(body["ConfigVersion"], 16), "other")) for base, body in sent]
-    refused = [replicated.execute(base, body) for base, body in others]
+    conflicting = [(base, patch(int(body["ConfigVersion"], 16), "other")) for base, body in sent]
+    refused = [replicated.execute(base, body) for base, body in conflicting]
     assert refused == [503] * 40 + [412] * MAX_ACCEPTED_DIGESTS
     assert replicated.entries == before
     assert replicated.entries[ACCEPTED_TRIMMED] == int(sent[39][1]["ConfigVersion"], 16)
--- a/tests/route_reconciliation/test_edits.py
+++ b/tests/route_reconciliation/test_edits.py
@@ -55,11 +55,11 @@
 @test("what may merge by itself: {what}")
 def _(what: str = each(*CHANGES)) -> None:
     name, specification, reason = CHANGES[what]
-    word = reason.value if reason else ""
+    wire_reason = reason.value if reason else ""
     assert conflict_reason(BASE, name, specification, BASE.get(f"Routes/{name}")) == reason
     edit = make_edit(name, specification, 5)
     after, answer = execute(BASE, "merge", {"edits": [encode_edit(edit)]})
-    assert answer["outcomes"][edit.id].get("why", "") == word
+    assert answer["outcomes"][edit.id].get("why", "") == wire_reason
     assert (after == BASE) == (reason is not None)
     proposal = make_edit(name, specification, 5, automatic=False)
     after, answer = execute(BASE, "merge", {"edits": [encode_edit(proposal)]})
