--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -33,7 +33,7 @@
     answer,
     said,
 )
-from tests.support.planted import found, planted
+from tests.support.mutation import is_detected, mutated_function
 
 HOW = settings(
     max_examples=15,
@@ -355,7 +355,7 @@
     assert site.ask().status == 200
     aged(site)
     # On a busy machine a reset takes longer.
-    with planted(IdleConnectionAges.record_reset, "waited > MAX_RESET_DELAY_SECONDS", "waited > 5"):
+    with mutated_function(IdleConnectionAges.record_reset, "waited > MAX_RESET_DELAY_SECONDS", "waited > 5"):
         site.ask(repeatable=True)
     assert site.ask().status == 200
     aged(site)
@@ -438,5 +438,5 @@
 @test("answers, planted: {name}: found")
 def _(name: str = each(*BREACHES)) -> None:
     where, old, new, finds = BREACHES[name]
-    with planted(where, old, new):
-        assert found(finds)
+    with mutated_function(where, old, new):
+        assert is_detected(finds)
--- a/tests/rpc/test_client.py
+++ b/tests/rpc/test_client.py
@@ -29,7 +29,7 @@
     TO_SERVER,
     FaultProxy,
 )
-from tests.support.planted import found, planted
+from tests.support.mutation import is_detected, mutated_function
 from tests.support.rpc_peers import (
     HOST,
     LONG_SECONDS,
@@ -356,8 +356,8 @@
 }
 
 
-@test("rpc client, planted: {name}: found")
+@test("rpc client, mutation: {name}: detected")
 def _(name: str = each(*MUTATIONS)) -> None:
     where, old, new, check = MUTATIONS[name]
-    with planted(where, old, new):
-        assert found(check)
+    with mutated_function(where, old, new):
+        assert is_detected(check)
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -21,7 +21,7 @@
     encode_request,
     encode_response,
 )
-from tests.support.planted import found, planted
+from tests.support.mutation import is_detected, mutated_function
 
 HEADER_BYTES = 8
 FIRST = encode_request(1, "echo", b"a" * 90)
@@ -115,8 +115,8 @@
 }
 
 
-@test("frames, planted: {name}: found")
+@test("frames, mutation: {name}: detected")
 def _(name: str = each(*MUTATIONS)) -> None:
     where, old, new, check = MUTATIONS[name]
-    with planted(where, old, new):
-        assert found(check)
+    with mutated_function(where, old, new):
+        assert is_detected(check)
--- a/tests/rpc/test_server.py
+++ b/tests/rpc/test_server.py
@@ -21,7 +21,7 @@
 from ashlift.rpc.messages import encode_request
 from ashlift.rpc.server import serve
 from ashlift.rpc.sockets import send_all
-from tests.support.planted import planted
+from tests.support.mutation import mutated_function
 from tests.support.rpc_peers import HOST, LONG_SECONDS, OVERDUE, address_of
 
 HEADER_BYTES = 8
@@ -35,7 +35,10 @@
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.connect(address_of(server))
-        with planted(send_all, "SEND_TIMEOUT_SECONDS) ->", "0.05) ->"), gevent.Timeout(LONG_SECONDS, OVERDUE):
+        with (
+            mutated_function(send_all, "SEND_TIMEOUT_SECONDS) ->", "0.05) ->"),
+            gevent.Timeout(LONG_SECONDS, OVERDUE),
+        ):
             sock.sendall(encode_request(1, "large", None) + encode_request(2, "echo", "two"))
             while not accepted:
                 gevent.idle()
