--- a/ashlift/gatekeeper/cli.py
+++ b/ashlift/gatekeeper/cli.py
@@ -271,7 +271,7 @@
 def lab_system(
     scene: Path, seed: int | None, until: float | None, results: Path, report: Path | None, keep: bool
 ) -> None:
-    """Play a SCENE of the whole system (ashlift/simulation/scene.py) as real processes on loopback."""
+    """Play a SCENE of the whole system (ashlift/simulation/scenario.py) as real processes on loopback."""
     from ashlift.lab.system import cli  # the system's libraries are loaded by the lab alone
 
     sys.exit(cli.system(scene, seed, until, results, report, keep))
--- a/ashlift/lab/system/cli.py
+++ b/ashlift/lab/system/cli.py
@@ -12,15 +12,15 @@
 from ashlift.lab.run import commit
 from ashlift.lab.system.runs import StoppedError, processes, simulated
 from ashlift.lab.system.world import unfit
-from ashlift.simulation.chance import shrunk
-from ashlift.simulation.scene import Scene, read_file
+from ashlift.simulation import shrinking
+from ashlift.simulation.scenario import Scenario, read_scenarios
 
 FULL_S = 0.5  # later than this, what a scene expects by a time tells little
 
 
-def scenes(path: Path) -> list[Scene]:
+def scenes(path: Path) -> list[Scenario]:
     try:
-        return read_file(path)
+        return read_scenarios(path)
     except (OSError, ValueError, IndexError) as error:
         raise click.ClickException(f"{path}: {error}") from None
 
@@ -102,5 +102,5 @@
             sys.stdout.flush()
             failed = failed or not played.ok
             if shrink and not played.ok:
-                click.echo(shrunk(one, seed).text())
+                click.echo(shrinking.shrink(one, seed).to_text())
     return 1 if failed else 0
--- a/ashlift/lab/system/kept.py
+++ b/ashlift/lab/system/kept.py
@@ -8,7 +8,7 @@
 from ashlift.simulation.checkers.rules import RULE_TEXTS
 from ashlift.simulation.checkers.violation import Violation
 from ashlift.simulation.history import History
-from ashlift.simulation.scene import Failed
+from ashlift.simulation.scenario_player import FailedExpectation
 
 MS = 1000.0
 SEEN_S = 0.1  # shorter troubles are no span to be drawn
@@ -56,7 +56,7 @@
     return told
 
 
-def lines(found: dict[str, Violation | None], failed: Failed | None) -> list[Verdict]:
+def lines(found: dict[str, Violation | None], failed: FailedExpectation | None) -> list[Verdict]:
     """A verdict a rule, and one of the scene's expectations."""
     told = [
         Verdict(
--- a/ashlift/lab/system/runs.py
+++ b/ashlift/lab/system/runs.py
@@ -15,7 +15,8 @@
 from ashlift.lab.system.world import ProcessWorld
 from ashlift.simulation.checkers.rules import check_rules
 from ashlift.simulation.history import History
-from ashlift.simulation.scene import Line, Play, Scene
+from ashlift.simulation.scenario import Scenario, ScenarioEvent
+from ashlift.simulation.scenario_player import ScenarioPlayer
 from ashlift.simulation.world import World
 
 
@@ -27,7 +28,7 @@
 class Played:
     """What came of one run; `took`: s of real time."""
 
-    scene: Scene
+    scene: Scenario
     seed: int
     history: History
     verdicts: list[Verdict]
@@ -49,24 +50,26 @@
             began=began,
             git=git,
             seed=self.seed,
-            scenario=evolve(self.scene, plan=plan).text(),
+            scenario=evolve(self.scene, plan=plan).to_text(),
             allows=0.0,
         )
 
 
-def simulated(scene: Scene, seed: int) -> Played:
+def simulated(scene: Scenario, seed: int) -> Played:
     began = time.perf_counter()
     did: Did = []
-    play = Play(scene, seed, told=lambda line: did.append((line.at, "scene", " ".join(line.words))))
+    play = ScenarioPlayer(
+        scene, seed, on_event=lambda line: did.append((line.at, "scene", " ".join(line.words)))
+    )
     play.run()
     return _played(play, seed, did, began)
 
 
-def _played(play: Play, seed: int, did: Did, began: float) -> Played:
+def _played(play: ScenarioPlayer, seed: int, did: Did, began: float) -> Played:
     world = play.world
     found = check_rules(world.history, world.bounds)
     took = time.perf_counter() - began
-    return Played(play.scene, seed, world.history, lines(found, play.failed), did, took)
+    return Played(play.scenario, seed, world.history, lines(found, play.failed_expectation), did, took)
 
 
 @contextlib.contextmanager
@@ -85,10 +88,10 @@
 
 
 def processes(
-    scene: Scene,
+    scene: Scenario,
     seed: int,
     progress: Callable[[str], None],
-    told: Callable[[Line], None],
+    told: Callable[[ScenarioEvent], None],
     keep: bool = False,
 ) -> Played:
     """Play it on processes. `keep`: the folder of settings, disks and logs stays.
@@ -100,7 +103,7 @@
     with _ended_by_signals():
         try:
             world.begin()
-            play = Play(scene, seed, made=lambda plan: cast(World, world), told=told)
+            play = ScenarioPlayer(scene, seed, make_world=lambda plan: cast(World, world), on_event=told)
             play.run()
             return evolve(_played(play, seed, world.did, began), lag=world.clock.lag)
         finally:
--- a/ashlift/lab/system/world.py
+++ b/ashlift/lab/system/world.py
@@ -1,4 +1,4 @@
-"""A world of real processes, as `ashlift.simulation.scene.Play` plays scenes in it.
+"""A world of real processes, as `ashlift.simulation.scenario_player.ScenarioPlayer` plays scenes in it.
 
 The programs of the checkout run as processes on loopback; workers, clients and operators are ours, in this
 process. Links between machines pass through our own proxies, which hold what a cut stops. What a scene may
@@ -30,7 +30,7 @@
 from ashlift.lab.system.yard import WireYard
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.process import Machine
-from ashlift.simulation.scene import Scene
+from ashlift.simulation.scenario import Scenario
 from ashlift.simulation.workers import Yard
 from ashlift.simulation.world import BACK_S, CORE, EDGE, HEARTBEAT, ZONES, Plan, Stage
 
@@ -56,7 +56,7 @@
 }
 
 
-def unfit(scene: Scene) -> list[str]:
+def unfit(scene: Scenario) -> list[str]:
     """What of a scene cannot be played on processes, a line each."""
     found = []
     if scene.plan.until > SECONDS_MOST:
@@ -65,7 +65,7 @@
         found.append(f"rate {scene.plan.rate:g}: {RATE_MOST:g} a second is the most")
     if scene.plan.loss:
         found.append(f"loss: {UNKNOWN_HERE['loss']}")
-    for line in scene.lines:
+    for line in scene.events:
         if line.words[0] in UNKNOWN_HERE:
             found.append(f"{line}: {UNKNOWN_HERE[line.words[0]]}")
         elif line.words[0] in ("cut", "oneway") and {"workers", "clients"} & {*line.words}:
--- a/ashlift/simulation/__main__.py
+++ b/ashlift/simulation/__main__.py
@@ -15,12 +15,14 @@
 import sys
 import time
 
-from ashlift.simulation import catching, explore, recording, turnover, worst
-from ashlift.simulation.chance import drawn, shrunk
+from ashlift.simulation import catching, explore, recording, turnover, worst_days
 from ashlift.simulation.checkers.rules import explain
 from ashlift.simulation.checkers.violation import Violation
 from ashlift.simulation.figures import TABLES
-from ashlift.simulation.scene import Play, Scene, read_file
+from ashlift.simulation.random_faults import random_scenario
+from ashlift.simulation.scenario import Scenario, read_scenarios
+from ashlift.simulation.scenario_player import ScenarioPlayer
+from ashlift.simulation.shrinking import shrink
 
 
 def main(arguments: list[str]) -> int:
@@ -52,23 +54,23 @@
     if told.chance:
         begin = told.first or 1
         for seed in range(begin, begin + told.seeds):
-            failed += played(drawn(seed, told.edge, told.until), seed, told.shrink)
+            failed += played(random_scenario(seed, told.edge, told.until), seed, told.shrink)
     if told.worst:
         begin = told.first or 1
         for seed in range(begin, begin + told.seeds):
-            failed += played(worst.drawn(seed), seed, told.shrink)
+            failed += played(worst_days.random_scenario(seed), seed, told.shrink)
     for path in told.scenes:
-        for scene in read_file(path):
+        for scene in read_scenarios(path):
             begin = told.first if told.first is not None else scene.plan.seed
             for seed in range(begin, begin + told.seeds):
                 failed += played(scene, seed, told.shrink)
     return 1 if failed else 0
 
 
-def played(scene: Scene, seed: int, shrink: bool) -> bool:
+def played(scene: Scenario, seed: int, shorten: bool) -> bool:
     """Play it and tell; whether it failed."""
     began = time.perf_counter()
-    play = Play(scene, seed)
+    play = ScenarioPlayer(scene, seed)
     found = play.run()
     took = time.perf_counter() - began
     told = explain(found) if isinstance(found, Violation) else found
@@ -76,8 +78,8 @@
         f"{scene.title}, seed {seed}: {told or 'well'} ({play.world.loop.now:g} s in {took:.2f} s)",
         flush=True,
     )
-    if found is not None and shrink:
-        print(shrunk(scene, seed).text(), flush=True)
+    if found is not None and shorten:
+        print(shrink(scene, seed).to_text(), flush=True)
     return found is not None
 
 
--- /dev/null
+++ b/ashlift/simulation/expectations.py
@@ -0,0 +1,183 @@
+"""What scenarios expect of a world at a time: each check returns what is wrong, or an empty text."""
+
+import math
+from collections.abc import Callable
+
+from ashlift.config.routing_table import RoutingTable
+from ashlift.simulation import clerks
+from ashlift.simulation.event_arguments import EventArguments
+from ashlift.simulation.history import ConfigurationChange
+from ashlift.simulation.people import Errand
+from ashlift.simulation.world import World
+
+
+class Expectations:
+    """Checks of a world, by the word after `expect`.
+
+    Some count what happened since the last such check, or since `mark`.
+    """
+
+    def __init__(self, world: World) -> None:
+        self._world = world
+        self._counted_since = 0.0
+        self._checks: dict[str, Callable[[EventArguments], str]] = {
+            "version": self._version,
+            "acked": self._answered,
+            "refused": self._answered,
+            "one": self._one_acknowledged,
+            "swift": self._answered_within,
+            "evacuated": self._evacuated,
+            "served": self._served,
+            "sure": self._served_with_key,
+            "crew": self._workers_known,
+            "edit": self._edit_outcome,
+            "told": self._edit_status,
+            "alike": self._routes_alike,
+            "leader": self._leader,
+            "idle": self._arrivals,
+            "busy": self._arrivals,
+        }
+
+    def mark(self) -> None:
+        """Count from now on."""
+        self._counted_since = self._world.loop.now
+
+    def check(self, arguments: EventArguments) -> str:
+        """Return what is wrong, or an empty text. Raises ValueError for an unknown word."""
+        if arguments.words[0] not in self._checks:
+            raise ValueError(" ".join(arguments.words))
+        return self._checks[arguments.words[0]](arguments)
+
+    def _take_count_start(self) -> float:
+        start = self._counted_since
+        self.mark()
+        return start
+
+    # ---- configuration
+    def _version(self, arguments: EventArguments) -> str:
+        expected = int(arguments.words[1])
+        proxy = arguments.machine
+        wrong = [
+            f"{name} has {version}"
+            for name, version in self._world.versions().items()
+            if proxy in (None, name) and version != expected
+        ]
+        return ", ".join(wrong)
+
+    def _answered(self, arguments: EventArguments) -> str:
+        """`acked` or `refused`: every change of that version has this answer."""
+        changes = self._changes_of_version(int(arguments.words[1]))
+        if not changes:
+            return "it was never sent"
+        if arguments.words[0] == "acked":
+            as_expected = all(change.acknowledged < math.inf for change in changes)
+        else:
+            as_expected = all(change.rejected_status for change in changes)
+        answers = (
+            f"{change.describe()}: {change.rejected_status or change.acknowledged}" for change in changes
+        )
+        return "" if as_expected else ", ".join(answers)
+
+    def _one_acknowledged(self, arguments: EventArguments) -> str:
+        writes = {
+            change.as_write()
+            for change in self._changes_of_version(int(arguments.words[1]))
+            if change.acknowledged < math.inf
+        }
+        return "" if len(writes) == 1 else f"{len(writes)} acknowledged"
+
+    def _changes_of_version(self, version: int) -> list[ConfigurationChange]:
+        return [change for change in self._world.history.changes if change.version == version]
+
+    def _answered_within(self, arguments: EventArguments) -> str:
+        """The first order sent since then, and long enough ago, that took longer to be answered."""
+        start = self._take_count_start()
+        bound = float(arguments.words[1])
+        history = self._world.history
+        orders = [(change.sent, change.ended, change.describe()) for change in history.changes]
+        orders += [
+            (evacuation.sent, evacuation.acknowledged, f"{evacuation.zone} {evacuation.evacuated}")
+            for evacuation in history.evacuations
+        ]
+        due = [order for order in orders if start <= order[0] < self._world.loop.now - bound]
+        for sent, answered, description in due:
+            if answered - sent > bound:
+                return f"{description} of {sent:.2f}: {answered:.2f}"
+        return "" if due else "no orders"
+
+    def _evacuated(self, arguments: EventArguments) -> str:
+        acknowledged = any(
+            evacuation.acknowledged < math.inf
+            for evacuation in self._world.history.evacuations
+            if evacuation.zone == arguments.words[1]
+        )
+        return "" if acknowledged else "not yet"
+
+    def _edit_outcome(self, arguments: EventArguments) -> str:
+        _, edit_id, expected = arguments.words
+        outcome = clerks.outcome(edit_id, self._world.stores())
+        return "" if outcome == expected.replace("-", " ") else outcome
+
+    def _edit_status(self, arguments: EventArguments) -> str:
+        _, edit_id, expected = arguments.words
+        status = self._world.history.route_edits[edit_id].status
+        return "" if status == int(expected) else str(status)
+
+    def _routes_alike(self, _arguments: EventArguments) -> str:
+        """All proxies hold the same routes, byte for byte, and they are those agreed on."""
+        agreed = _routes_as_bytes(RoutingTable.from_entries(clerks.agreed(self._world.stores())))
+        different = []
+        for keeper in self._world.keepers():
+            table = keeper.gate.cluster.configuration.routing_table
+            if keeper.up and (table is None or _routes_as_bytes(table) != agreed):
+                different.append(keeper.name)
+        return f"others at {', '.join(different)}" if different else ""
+
+    def _leader(self, _arguments: EventArguments) -> str:
+        return "" if self._world.leads() else "nobody leads"
+
+    # ---- clients and workers
+    def _served(self, arguments: EventArguments) -> str:
+        start = self._take_count_start()
+        operations = [errand for errand in self._operations() if errand.until - errand.want.deadline > start]
+        return _wrong_share(operations, float(arguments.words[1]))
+
+    def _served_with_key(self, arguments: EventArguments) -> str:
+        _, key, share = arguments.words
+        operations = [errand for errand in self._operations() if errand.want.key == key]
+        return _wrong_share(operations, float(share))
+
+    def _operations(self) -> list[Errand]:
+        return [errand for crowd in self._world.crowds for errand in crowd.errands if errand.over]
+
+    def _arrivals(self, arguments: EventArguments) -> str:
+        """`idle` or `busy`: whether the worker got requests since the last such check."""
+        start = self._take_count_start()
+        expected, worker = arguments.words
+        count = sum(
+            arrival.at > start and arrival.worker == worker
+            for request in self._world.history.requests
+            for arrival in request.arrivals
+        )
+        return "" if bool(count) == (expected == "busy") else f"{count} requests"
+
+    def _workers_known(self, _arguments: EventArguments) -> str:
+        """All proxies know the workers that run, and no others."""
+        running = {
+            name: worker.state == "ready" for name, worker in self._world.yard.workers.items() if worker.up
+        }
+        for proxy, known in self._world.crews().items():
+            missing = sorted(name for name in running if name not in known)
+            wrong = sorted(name for name in known if known[name] != running.get(name, False))
+            if missing or wrong:
+                return f"{proxy} lacks {missing}, and wrongly has {wrong}"
+        return ""
+
+
+def _wrong_share(operations: list[Errand], expected: float) -> str:
+    share = sum(errand.served for errand in operations) / max(1, len(operations))
+    return "" if operations and share >= expected else f"{share:.3f} of {len(operations)}"
+
+
+def _routes_as_bytes(table: RoutingTable) -> bytes:
+    return repr((table.version, sorted((name, str(route)) for name, route in table.routes.items()))).encode()
--- a/ashlift/simulation/figures.py
+++ b/ashlift/simulation/figures.py
@@ -16,7 +16,8 @@
 from ashlift.simulation.event_loop import Future
 from ashlift.simulation.people import Errand
 from ashlift.simulation.process import RpcCall
-from ashlift.simulation.scene import Play, Scene
+from ashlift.simulation.scenario import Scenario
+from ashlift.simulation.scenario_player import ScenarioPlayer
 from ashlift.simulation.world import Plan, World
 
 FAULT_S = 7.0  # when the fault comes
@@ -111,7 +112,7 @@
 def failed_over(words: list[str], seed: int) -> tuple[float, float]:
     """s from the fault to served again, and to the acknowledgement of an order sent with the fault."""
     plan = Plan(seed=seed, rate=RATE)
-    play = Play(Scene("figures", plan, ()), seed)
+    play = ScenarioPlayer(Scenario("figures", plan, ()), seed)
     world = play.world
     fault = FAULT_S + world.loop.rng.random()
     world.run(fault)
@@ -119,8 +120,8 @@
     at = world.net.machines[zone]
     for line in words:
         told = [name for word in line.split() for name in _named(world, word, leader, (at.zone, at.region))]
-        play.do(told)
-    play.do(["put", "2", "look=desk"])
+        play.perform(told)
+    play.perform(["put", "2", "look=desk"])
     world.run(fault + LOOK_S + DEADLINE_S)
     acked = [one.acknowledged for one in world.history.changes if one.version == 2]
     errands = [one for crowd in world.crowds for one in crowd.errands]
@@ -163,17 +164,17 @@
     """s from a member's return, after a wipe or after a cut with 40 changes, until it holds what the leader
     does and counts; kB of payloads that it was sent, and in how many calls."""
     plan = Plan(core=core, edge=2, rate=0.0, seed=seed, until=FAULT_S)
-    play = Play(Scene("figures", plan, ()), seed)
+    play = ScenarioPlayer(Scenario("figures", plan, ()), seed)
     world = play.world
     world.run(3.0)
-    play.do(["put", "2", *(f"r+extra{number}=fleet" for number in range(routes - 3))])
+    play.perform(["put", "2", *(f"r+extra{number}=fleet" for number in range(routes - 3))])
     world.run(FAULT_S + world.loop.rng.random())
     one = next(name for name in world.core if name != world.leader())
     if cut:
-        play.do(["cut", one, "|", *(name for name in world.core if name != one)])
+        play.perform(["cut", one, "|", *(name for name in world.core if name != one)])
         for version in range(3, 43):
             service = "desk" if version < 33 else "bill"
-            play.do(["put", str(version), "on", str(version - 1), f"extra{version % 30}={service}"])
+            play.perform(["put", str(version), "on", str(version - 1), f"extra{version % 30}={service}"])
             world.run(world.loop.now + APART_S)
         world.join()
     else:
--- /dev/null
+++ b/ashlift/simulation/load_actions.py
@@ -0,0 +1,79 @@
+"""Events of scenarios that change what clients ask, and which workers there are and how they answer."""
+
+import math
+from collections.abc import Callable
+
+from ashlift.simulation.event_arguments import EventArguments
+from ashlift.simulation.people import Want
+from ashlift.simulation.workers import Worker
+from ashlift.simulation.world import ROUTES, World
+
+POLL_SECONDS = 0.001  # between two looks whether a version is acknowledged
+
+
+class LoadActions:
+    """Acts on the clients and workers of a world. `actions` are the methods by the first word of an event."""
+
+    def __init__(self, world: World) -> None:
+        self._world = world
+        self.actions: dict[str, Callable[[EventArguments], None]] = {
+            "load": self._load,
+            "hot": self._hot,
+            "ask": self._ask,
+            "add": self._add,
+            "crash": lambda arguments: self._worker(arguments).kill(),
+            "drain": lambda arguments: self._worker(arguments).drain(),
+            "chill": lambda arguments: self._worker(arguments).chill(float(arguments.words[1])),
+            "sick": self._set_worker_fault,
+            "grey": self._set_worker_fault,
+            "forget": self._set_worker_fault,
+            "break": self._set_worker_fault,
+        }
+
+    def _worker(self, arguments: EventArguments) -> Worker:
+        return self._world.yard.workers[arguments.words[0]]
+
+    def _load(self, arguments: EventArguments) -> None:
+        self._world.load = float(arguments.words[0])
+
+    def _hot(self, arguments: EventArguments) -> None:
+        tenant, factor = arguments.words
+        for crowd in self._world.crowds:
+            for want in crowd.wants:
+                if want.key.startswith(f"{tenant}-"):
+                    want.rate *= float(factor)
+
+    def _ask(self, arguments: EventArguments) -> None:
+        key, rate = arguments.words
+        self._ask_after(key, float(rate), int(arguments.options.get("after", 0)))
+
+    def _ask_after(self, key: str, rate: float, version: int) -> None:
+        """Clients start to ask; with a version, once their operator has seen it acknowledged."""
+        world = self._world
+        if version and not any(
+            change.version == version and change.acknowledged < math.inf for change in world.history.changes
+        ):
+            world.loop.call_later(POLL_SECONDS, self._ask_after, key, rate, version)
+            return
+        for crowd in world.crowds:
+            for name, (_, idempotent) in ROUTES.items():
+                crowd.add(Want(f"/{name}/x", idempotent, key, rate / len(ROUTES)))
+
+    def _add(self, arguments: EventArguments) -> None:
+        service, zone = arguments.words
+        replaced = arguments.options.get("as")
+        address = self._world.yard.workers[replaced].address if replaced is not None else None
+        self._world.worker(service, zone, float(arguments.options.get("cold", 0.0)), address)
+
+    def _set_worker_fault(self, arguments: EventArguments) -> None:
+        worker = self._worker(arguments)
+        value = float(arguments.words[1])
+        match arguments.word:
+            case "sick":
+                worker.lost = value
+            case "grey":
+                worker.failing = value
+            case "forget":
+                worker.forgets = value
+            case "break":
+                worker.breaking = value
--- /dev/null
+++ b/ashlift/simulation/operator_actions.py
@@ -0,0 +1,94 @@
+"""Events of scenarios that operators cause: configurations, evacuations, edits of routes, seeds."""
+
+import math
+from collections.abc import Callable
+from typing import Any
+
+from ashlift.simulation import clerks
+from ashlift.simulation.event_arguments import EventArguments, resolve_machines
+from ashlift.simulation.people import Operator, change, edited, patched
+from ashlift.simulation.world import World, first_configuration
+
+FIRST_CONFIGURATION_SECONDS = 0.5  # after the start
+FIRST_VERSION = 1
+DEFAULT_OPERATOR = "A"
+
+
+class OperatorActions:
+    """Lets operators act in a world. `actions` are the methods by the first word of an event.
+
+    Each version's body is remembered, as the words of a change say only what differs from its base.
+    """
+
+    def __init__(self, world: World) -> None:
+        self._world = world
+        self._bodies: dict[int, dict[str, Any]] = {FIRST_VERSION: first_configuration(world.plan)}
+        self.actions: dict[str, Callable[[EventArguments], None]] = {
+            "put": self._change,
+            "patch": self._change,
+            "evacuate": self._evacuate,
+            "restore": self._evacuate,
+            "edit": self._edit,
+            "confirm": self._decide_edit,
+            "reject": self._decide_edit,
+            "read": self._read,
+            "orders": self._orders,
+            "seeds": self._seeds,
+        }
+
+    def send_first_configuration(self) -> None:
+        """Let the operator send version 1 a little after the start."""
+        first = change(FIRST_VERSION, 0, DEFAULT_OPERATOR, self._bodies[FIRST_VERSION], 0.0)
+        operator = self._world.operator(DEFAULT_OPERATOR)
+        self._world.loop.call_later(FIRST_CONFIGURATION_SECONDS, operator.put, first, None)
+
+    def _operator(self, arguments: EventArguments) -> Operator:
+        return self._world.operator(arguments.options.get("by", DEFAULT_OPERATOR))
+
+    def _change(self, arguments: EventArguments) -> None:
+        operator = self._operator(arguments)
+        version = int(arguments.words[0])
+        base = self._base_version(arguments.options.get("on", "newest"))
+        base_body = self._bodies.get(base, self._bodies[FIRST_VERSION])  # the base may not have been sent yet
+        body = self._bodies[version] = edited(base_body, version, arguments.words[1:])
+        configuration = change(version, base, operator.name.rpartition("-")[2], body, 0.0)
+        if arguments.word == "patch":
+            configuration.patch = patched(base_body, body)
+        operator.put(configuration, arguments.machine)
+
+    def _base_version(self, base: str) -> int:
+        changes = self._world.history.changes
+        if base == "newest":
+            return max((change.version for change in changes if not change.rejected_status), default=1)
+        if base == "acked":
+            return max((change.version for change in changes if change.acknowledged < math.inf), default=1)
+        return int(base)
+
+    def _evacuate(self, arguments: EventArguments) -> None:
+        zone = arguments.words[0]
+        once = "once" in arguments.words
+        evacuate = arguments.word == "evacuate"
+        self._operator(arguments).empty(zone, evacuate, arguments.machine, once)
+
+    def _edit(self, arguments: EventArguments) -> None:
+        edit_id, words = arguments.words
+        operator = self._operator(arguments)
+        registry = self._world.board(resolve_machines(self._world, [arguments.options["at"]])[0])
+        clerks.edit(operator, self._world.history, edit_id, words, registry)
+
+    def _decide_edit(self, arguments: EventArguments) -> None:
+        operator = self._operator(arguments)
+        machine = arguments.options["at"]
+        overwrite = "over" in arguments.words
+        clerks.word(operator, self._world.history, arguments.words[0], arguments.word, machine, overwrite)
+
+    def _read(self, arguments: EventArguments) -> None:
+        self._operator(arguments).read(arguments.machine)
+
+    def _orders(self, arguments: EventArguments) -> None:
+        count, until, *machines = arguments.words
+        self._world.callers(int(count), float(until), resolve_machines(self._world, machines))
+
+    def _seeds(self, arguments: EventArguments) -> None:
+        self._world.seeds = arguments.words
+        self._world.reseed()
--- a/ashlift/simulation/recording.py
+++ b/ashlift/simulation/recording.py
@@ -27,12 +27,13 @@
 from ashlift.configstore.messages import PersistentVote, Snapshot
 from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE as EDITS
 from ashlift.errors import Failure
-from ashlift.simulation import chance, worst
+from ashlift.simulation import random_faults, worst_days
 from ashlift.simulation.history import FaultInterval, History
 from ashlift.simulation.network import as_simulated
 from ashlift.simulation.observer import Observer
 from ashlift.simulation.process import Process
-from ashlift.simulation.scene import Play, Scene, read_file
+from ashlift.simulation.scenario import Scenario, read_scenarios
+from ashlift.simulation.scenario_player import ScenarioPlayer
 from ashlift.simulation.world import Plan, World
 
 ROOT: Final = Path(__file__).parents[2]
@@ -148,7 +149,7 @@
         )
 
     # ---- what is known once it has ended
-    def ended(self, play: Play, sound: bool) -> None:
+    def ended(self, play: ScenarioPlayer, sound: bool) -> None:
         """Take the play's history; `sound`: all its expectations and rules held."""
         world = play.world
         self._requests(world.history)
@@ -253,23 +254,23 @@
     """One play of the record by its name, with the seed and the scene that are played."""
 
     name: str
-    scene: Callable[[], Scene]
+    scene: Callable[[], Scenario]
     seed: int | None = None
 
 
-def _scene_at(path: Path, number: int) -> Callable[[], Scene]:
-    return lambda: read_file(path)[number]
+def _scene_at(path: Path, number: int) -> Callable[[], Scenario]:
+    return lambda: read_scenarios(path)[number]
 
 
 def sources(scenes: Path = SCENES) -> Iterator[Source]:
     """All plays of the record in their order: days drawn by chance, worst days, and the scenes of files."""
     for seed in range(1, CHANCE_DAYS + 1):
-        yield Source(f"chance {seed}", lambda seed=seed: chance.drawn(seed), seed)  # type: ignore[misc]
+        yield Source(f"chance {seed}", lambda seed=seed: random_faults.random_scenario(seed), seed)  # type: ignore[misc]
     for seed in range(1, WORST_DAYS + 1):
-        yield Source(f"worst {seed}", lambda seed=seed: worst.drawn(seed), seed)  # type: ignore[misc]
+        yield Source(f"worst {seed}", lambda seed=seed: worst_days.random_scenario(seed), seed)  # type: ignore[misc]
     for pattern in SCENE_FILES:
         for path in sorted(scenes.glob(pattern)):
-            for number in range(len(read_file(path))):
+            for number in range(len(read_scenarios(path))):
                 yield Source(f"{path.stem} {number + 1}", _scene_at(path, number))
 
 
@@ -289,7 +290,7 @@
         as_simulated(world.net).observer = recorder
         return world
 
-    play = Play(source.scene(), source.seed, made)
+    play = ScenarioPlayer(source.scene(), source.seed, made)
     found = play.run()
     recorder.ended(play, found is None)
     return recorder.summary()
--- /dev/null
+++ b/ashlift/simulation/shrinking.py
@@ -0,0 +1,48 @@
+"""Shortens a scenario that fails, as delta debugging does: leaves out what the failure does not need."""
+
+from typing import Final
+
+from attrs import evolve
+
+from ashlift.simulation.checkers.violation import Violation
+from ashlift.simulation.scenario import Scenario
+from ashlift.simulation.scenario_player import ScenarioPlayer
+
+MAX_PLAYS: Final = 200
+
+
+def shrink(scenario: Scenario, seed: int, max_plays: int = MAX_PLAYS) -> Scenario:
+    """Return the scenario without events that are not needed to break the same rule."""
+    scenario = evolve(scenario, plan=evolve(scenario.plan, seed=seed))
+    failure = _failure_of(scenario)
+    if failure is None:
+        return scenario
+    chunk_size = max(1, len(scenario.events) // 2)
+    plays = 0
+    while plays < max_plays:
+        index = 0
+        shortened = False
+        while index < len(scenario.events) and plays < max_plays:
+            remaining = scenario.events[:index] + scenario.events[index + chunk_size :]
+            candidate = evolve(scenario, events=remaining)
+            plays += 1
+            if _failure_of(candidate) == failure:
+                scenario = candidate
+                shortened = True
+            else:
+                index += chunk_size
+        if chunk_size == 1 and not shortened:
+            break
+        chunk_size = max(1, chunk_size // 2)
+    return scenario
+
+
+def _failure_of(scenario: Scenario) -> str | None:
+    """The rule that it breaks, `expect` for an expectation; None: it passes, or makes no sense."""
+    try:
+        result = ScenarioPlayer(scenario).run()
+    except (KeyError, ValueError):  # an event needs one that was left out
+        return None
+    if result is None:
+        return None
+    return result.rule if isinstance(result, Violation) else "expect"
--- /dev/null
+++ b/ashlift/simulation/worst_days.py
@@ -0,0 +1,288 @@
+"""Worst days: scenarios drawn from a seed with every fault that the simulator knows.
+
+Beside what `random_faults` draws: cuts that outlast every lease, disks that hang, fail or are slow, the whole
+core without power in the middle, a disk lost right after an acknowledgement, changes that meet a machine as
+it returns, two operators at once there, new seeds while those are cut off, workers that leave or forget
+connections; alone, in pairs at close times and repeated. One core machine is lost at a time at most, with
+`CORE_RETURN_SECONDS` for its return, as the settings say.
+"""
+
+import random
+from collections.abc import Callable, Iterator
+from typing import Final
+
+from ashlift.simulation.random_faults import (
+    CALM_SECONDS,
+    CORE_RETURN_SECONDS,
+    EVACUATED_ZONES,
+    FIRST_EVENT_SECONDS,
+    READ_BACK_SECONDS,
+    SERVICES,
+    ZONES,
+)
+from ashlift.simulation.scenario import Scenario, ScenarioEvent
+from ashlift.simulation.world import Plan
+
+OPERATOR_TIMEOUT_SECONDS: Final = 6.0  # after which an operator gives up an evacuation, or its end
+LONG_CUT_SECONDS: Final = 21.0  # outlasts every lease
+VERSION_PLACEHOLDER: Final = "#"
+
+DrawnEvent = tuple[float, list[str]]  # when, and the words of a line
+
+
+def random_scenario(seed: int) -> Scenario:
+    """Return the worst day of a seed."""
+    return _WorstDay(seed).scenario()
+
+
+class _WorstDay:
+    """Draws one scenario. The order of the draws is part of what a seed means."""
+
+    def __init__(self, seed: int, proxies: int = 7, until: float = 60.0) -> None:
+        self._rng = rng = random.Random(f"worst {seed}")
+        self._plan = Plan(
+            seed=seed,
+            edge=proxies,
+            until=until,
+            rate=rng.choice([30.0, 60.0]),
+            quota=rng.choice([10.0, 200.0]),
+            loss=rng.choice([0.0, 0.0, 0.01]),
+            homes=rng.choice([[], ["r1"]]),
+        )
+        self._core = [f"core-{number + 1}" for number in range(self._plan.core)]
+        self._proxies = [f"edge-{number + 1}" for number in range(proxies)]
+        self._core_free_at = 0.0  # no core machine is lost from then on
+        self._zones = rng.sample(EVACUATED_ZONES, len(EVACUATED_ZONES))  # each is evacuated once
+        self._evacuated: list[tuple[float, str]] = []  # since when, zone
+        self._drawers: list[tuple[int, Callable[[float], Iterator[DrawnEvent]]]] = [
+            (3, self._single_change),
+            (2, self._racing_changes),
+            (1, self._evacuation),
+            (5, self._core_fault),
+            (1, self._whole_core),
+            (2, self._disk_fault),
+            (3, self._proxy_fault),
+            (2, self._worker_event),
+            (1, self._new_seeds),
+            (1, self._burst_of_changes),
+            (1, self._load_or_clock),
+        ]
+
+    def scenario(self) -> Scenario:
+        """Draw the events."""
+        calm_at = self._plan.until - CALM_SECONDS
+        drawn = self._draw_until(calm_at)
+        events = [ScenarioEvent(round(at, 3), tuple(words)) for at, words in _numbered(drawn) if at < calm_at]
+        for words in (("join",), ("start", "*"), ("disk", "well", "*")):
+            events.append(ScenarioEvent(calm_at, words))
+        events.append(ScenarioEvent(self._plan.until - READ_BACK_SECONDS, ("read",)))
+        ordered = sorted(events, key=lambda event: event.at)
+        return Scenario(f"worst {self._plan.seed}", self._plan, tuple(ordered))
+
+    def _draw_until(self, end: float) -> list[DrawnEvent]:
+        rng = self._rng
+        weights, drawers = zip(*self._drawers, strict=True)
+        drawn: list[DrawnEvent] = []
+        at = FIRST_EVENT_SECONDS
+        while at < end:
+            draw = rng.choices(drawers, weights)[0]
+            for _ in range(rng.choice([1, 1, 1, 3])):  # one, or the same kind three times over
+                drawn += draw(at)
+                at += rng.choice([0.05, 0.4, 1.5, 3.0])
+            at += rng.expovariate(0.8)
+        return drawn
+
+    # ---- operators
+    def _change(self, at: float, *options: str) -> DrawnEvent:
+        """A change of a version that `_numbered` puts in for its placeholder."""
+        rng = self._rng
+        words = rng.choice(
+            [
+                ["look=desk"],
+                ["look=fleet"],
+                ["bill=desk"],
+                ["bill=bill"],
+                [f"k-t{rng.randint(1, 4)}-a"],
+                [f"r+new{VERSION_PLACEHOLDER}=fleet"],
+                [f"q:t{rng.randint(1, 4)}=8"],
+            ]
+        )
+        return at, [rng.choice(["put", "patch"]), VERSION_PLACEHOLDER, *options, *words]
+
+    def _single_change(self, at: float) -> Iterator[DrawnEvent]:
+        options = ["at", self._rng.choice(self._core)] if self._rng.random() < 0.5 else []
+        yield self._change(at, *options)
+
+    def _racing_changes(self, at: float, machine: str = "") -> Iterator[DrawnEvent]:
+        """Two operators at once, both on what was acknowledged last."""
+        for name in ("A", "B"):
+            options = []
+            if self._rng.random() < 0.7:
+                options = ["at", machine or self._rng.choice(self._core)]
+            sent = at + self._rng.uniform(0.0, 0.05)
+            yield self._change(sent, "on", "acked", "by", name, *options)
+
+    def _burst_of_changes(self, at: float) -> Iterator[DrawnEvent]:
+        """Each on the one before, acknowledged or not; some by a second operator."""
+        gap = self._rng.choice([0.05, 0.15, 0.3])
+        for number in range(self._rng.randint(5, 15)):
+            yield self._change(at + number * gap, "by", self._rng.choice(["A", "A", "B"]))
+
+    def _evacuation(self, at: float) -> Iterator[DrawnEvent]:
+        """An evacuation, or its end once its operator is no more at it: of two at once either may win."""
+        if self._evacuated and at - self._evacuated[0][0] > OPERATOR_TIMEOUT_SECONDS:
+            yield at, ["restore", self._evacuated.pop(0)[1]]
+        elif self._zones:
+            self._evacuated.append((at, self._zones.pop()))
+            yield at, ["evacuate", self._evacuated[-1][1]]
+
+    # ---- the core
+    def _core_fault(self, at: float) -> Iterator[DrawnEvent]:
+        """One core machine is lost, and something meets it as it returns."""
+        rng = self._rng
+        if at < self._core_free_at:
+            yield from self._single_change(at)
+            return
+        machine = rng.choice([*self._core, "leader", "leader"])
+        is_cut = rng.random() < 0.5
+        seconds = LONG_CUT_SECONDS if is_cut and rng.random() < 0.4 else rng.uniform(0.3, 5.0)
+        self._core_free_at = at + seconds + CORE_RETURN_SECONDS
+        duration = ["for", f"{seconds:.2f}"]
+        if is_cut:
+            yield at, self._cut_of_core_machine(machine, duration)
+        else:
+            if rng.random() < 0.4:  # right after it was sent, so near its acknowledgement
+                yield self._change(at - rng.uniform(0.005, 0.4))
+            yield at, self._loss_of_core_machine(machine, duration)
+        yield from self._return_of_core_machine(at, seconds, machine, is_cut)
+
+    def _cut_of_core_machine(self, machine: str, duration: list[str]) -> list[str]:
+        return self._rng.choice(
+            [
+                ["cut", machine, "|", "core", *duration],
+                ["oneway", machine, "|", "core", *duration],
+                ["oneway", "core", "|", machine, *duration],
+            ]
+        )
+
+    def _loss_of_core_machine(self, machine: str, duration: list[str]) -> list[str]:
+        return self._rng.choice(
+            [
+                ["kill", "core", machine, *duration],
+                ["freeze", "all", machine, *duration],
+                ["power", machine, *duration],
+                ["wipe", machine, *duration],
+                ["wipe", machine, *duration],
+            ]
+        )
+
+    def _return_of_core_machine(
+        self, lost_at: float, seconds: float, machine: str, was_cut: bool
+    ) -> Iterator[DrawnEvent]:
+        """A change, two at once, or a worker's draining meet the machine as it returns; or nothing does."""
+        returns_at = lost_at + seconds + self._rng.uniform(0.0, 0.8)
+        first_asked = machine if machine != "leader" else self._rng.choice(self._core)
+        match self._rng.choice(["alone", "meet", "race", "drain", "cut"]):
+            case "meet":
+                yield self._change(returns_at, "at", first_asked)
+            case "race":
+                yield from self._racing_changes(returns_at, first_asked)
+            case "drain":
+                yield returns_at, ["drain", self._any_worker()]
+            case "cut" if was_cut:
+                yield self._change(lost_at + 0.5, "at", first_asked)
+
+    def _whole_core(self, at: float) -> Iterator[DrawnEvent]:
+        duration = ["for", f"{self._rng.uniform(0.4, 1.5):.2f}"]
+        if self._rng.random() < 0.6:
+            yield self._change(at - self._rng.uniform(0.005, 0.4))
+        words = self._rng.choice(
+            [
+                ["kill", "core", "*"],
+                ["kill", "registry", "*"],
+                ["kill", "configstore", "*"],
+                ["kill", "all", "*"],
+                ["power", *self._core, *duration],
+                ["power", "*", *duration],
+            ]
+        )
+        yield at, words
+
+    def _disk_fault(self, at: float) -> Iterator[DrawnEvent]:
+        rng = self._rng
+        if at < self._core_free_at:
+            yield from self._single_change(at)
+            return
+        seconds = rng.uniform(0.5, 6.0)
+        self._core_free_at = at + seconds + CORE_RETURN_SECONDS
+        machine = rng.choice([*self._core, "leader"])
+        fault = rng.choice([["hang", machine], ["refuse", machine], ["slow", machine, "0.6"]])
+        yield at, ["disk", *fault, "for", f"{seconds:.2f}"]
+        yield self._change(at + 0.2)
+
+    # ---- proxies, clients and workers
+    def _proxy_fault(self, at: float) -> Iterator[DrawnEvent]:
+        rng = self._rng
+        proxies = rng.sample(self._proxies, rng.choice([1, 1, 2, max(1, len(self._proxies) // 3)]))
+        seconds = LONG_CUT_SECONDS if rng.random() < 0.25 else rng.uniform(0.3, 7.0)
+        duration = ["for", f"{seconds:.2f}"]
+        words = rng.choice(
+            [
+                ["kill", "proxy", *proxies],
+                ["kill", "proxy", "*"],
+                ["freeze", "proxy", *proxies, *duration],
+                ["cut", *proxies, "|", "core", *duration],
+                ["oneway", *proxies, "|", "core", *duration],
+                ["oneway", "core", "|", *proxies, *duration],
+                ["term", "proxy", proxies[0]],
+                ["cut", *proxies, "|", "workers", *duration],
+                ["cut", *proxies, "|", "clients", *duration],
+            ]
+        )
+        yield at, words
+
+    def _load_or_clock(self, at: float) -> Iterator[DrawnEvent]:
+        """A hot tenant or twice the clients for a while, or a clock that is off."""
+        match self._rng.choice(["hot", "load", "clock"]):
+            case "hot":
+                yield at, ["hot", "t1", "10"]
+                yield at + 5.0, ["hot", "t1", "0.1"]
+            case "load":
+                yield at, ["load", "2"]
+                yield at + 5.0, ["load", "1"]
+            case _:
+                skew = str(self._rng.choice([-4, 3, 9]))
+                yield at, ["clock", self._rng.choice(self._core), skew]
+
+    def _any_worker(self) -> str:
+        service = self._rng.choice(SERVICES)
+        return f"{service}-{self._rng.randint(1, self._plan.workers)}"
+
+    def _worker_event(self, at: float) -> Iterator[DrawnEvent]:
+        rng = self._rng
+        worker = self._any_worker()
+        service = worker.partition("-")[0]
+        words = rng.choice(
+            [
+                ["crash", worker],
+                ["drain", worker],
+                ["sick", worker, "0.2"],
+                ["grey", worker, "0.3"],
+                ["forget", worker, "0.3"],
+                ["add", service, rng.choice(ZONES), "cold", "3"],
+            ]
+        )
+        yield at, words
+
+    def _new_seeds(self, at: float) -> Iterator[DrawnEvent]:
+        yield at, ["seeds", *self._rng.sample(self._core, 3)]
+        if self._rng.random() < 0.5:
+            yield at + 0.1, ["kill", "proxy", *self._rng.sample(self._proxies, 2)]
+
+
+def _numbered(drawn: list[DrawnEvent]) -> Iterator[DrawnEvent]:
+    """The events in the order of time, with versions that count up in place of the placeholder."""
+    version = 1
+    for at, words in sorted(drawn, key=lambda event: event[0]):
+        version += words[0] in ("put", "patch")
+        yield at, [word.replace(VERSION_PLACEHOLDER, str(version)) for word in words]
--- a/tests/gatekeeper/test_lab_demo.py
+++ b/tests/gatekeeper/test_lab_demo.py
@@ -6,7 +6,7 @@
 import sys
 from pathlib import Path
 
-from ashlift.simulation.scene import read_file
+from ashlift.simulation.scenario import read_scenarios
 
 ROOT = Path(__file__).resolve().parents[2]
 UNTIL_S = 10.5  # of the scene: a configuration is taken and expected in force, and a gatekeeper is killed
@@ -26,9 +26,9 @@
             os.killpg(demo.pid, 15)  # the lab ends its own processes on SIGTERM
             told, errors = demo.communicate()
     assert demo.returncode == 0, told + errors
-    scene = read_file(ROOT / "scenarios" / "system-demo.txt")[0]
-    assert [str(line) for line in scene.lines if str(line) in errors] == [
-        str(line) for line in scene.lines if line.at <= UNTIL_S
+    scene = read_scenarios(ROOT / "scenarios" / "system-demo.txt")[0]
+    assert [str(line) for line in scene.events if str(line) in errors] == [
+        str(line) for line in scene.events if line.at <= UNTIL_S
     ]
     verdicts = re.findall(r"^(PASS|FAIL) (\w+): ", told, re.MULTILINE)
     assert verdicts and all(outcome == "PASS" for outcome, _ in verdicts)
--- a/tests/lab/test_system.py
+++ b/tests/lab/test_system.py
@@ -19,7 +19,8 @@
 from ashlift.lab.system.yard import asked
 from ashlift.registry.api.heartbeat_body import parse_heartbeat
 from ashlift.simulation.checkers.rules import RULE_TEXTS, check_rules
-from ashlift.simulation.scene import Play, read, read_file
+from ashlift.simulation.scenario import parse_scenarios, read_scenarios
+from ashlift.simulation.scenario_player import ScenarioPlayer
 from ashlift.simulation.world import ZONES, Plan
 
 DEMO = Path(__file__).parents[2] / "scenarios" / "system-demo.txt"
@@ -80,17 +81,17 @@
 
 @test("a scene says what of it cannot be played on processes")
 def _() -> None:
-    assert unfit(read_file(DEMO)[0]) == []
+    assert unfit(read_scenarios(DEMO)[0]) == []
     lines = ["until 500", "loss 0.1", "at 3 spoil core-1", "at 4 cut edge-1 | workers", "at 5 closing"]
-    assert len(unfit(read("\n".join(["# bad", *lines]))[0])) == 5
+    assert len(unfit(parse_scenarios("\n".join(["# bad", *lines]))[0])) == 5
 
 
 @test("the demo's scene holds on simulated time, and is kept as the lab keeps runs")
 def _() -> None:
-    play = Play(read_file(DEMO)[0], 1)
+    play = ScenarioPlayer(read_scenarios(DEMO)[0], 1)
     assert play.run() is None
     history = play.world.history
-    told = lines(check_rules(history, play.world.bounds), play.failed)
+    told = lines(check_rules(history, play.world.bounds), play.failed_expectation)
     assert len(told) == len(RULE_TEXTS) + 1 and all(one.ok for one in told)
     lab = as_lab(history, [(10.0, "edge-2", "proxy killed")], 40.0)
     assert len(lab.jobs) > 800 and sum(bool(job.answers) for job in lab.jobs.values()) > 0.95 * len(lab.jobs)
@@ -104,7 +105,7 @@
 
 @test("runs of several seeds are kept and compared with their spread")
 def _() -> None:
-    scene = read("# small\ncore 3\nedge 2\nworkers 2\nuntil 8\n")[0]
+    scene = parse_scenarios("# small\ncore 3\nedge 2\nworkers 2\nuntil 8\n")[0]
     with tempfile.TemporaryDirectory() as folder:
         results = Results(Path(folder) / "runs.sqlite")
         for rate, seeds in ((20.0, (1, 2, 3)), (40.0, (4, 5))):
--- a/tests/registry/test_soft_state.py
+++ b/tests/registry/test_soft_state.py
@@ -11,7 +11,8 @@
 from ashlift.proxy.pull_messages import PullResponse
 from ashlift.proxy.registry_client import MAX_CONFIGURATION_AGE_SECONDS
 from ashlift.proxy.retention import MAX_RETENTION_SECONDS
-from ashlift.simulation.scene import Play, read
+from ashlift.simulation.scenario import parse_scenarios
+from ashlift.simulation.scenario_player import ScenarioPlayer
 from ashlift.traffic.rate_limiter import RateLimiter
 from ashlift.traffic.unreported_usage import SourceCoverage
 from tests.support.rate_limiter_simulation import Bounds
@@ -33,7 +34,7 @@
 
 def seen(lines: list[str], since: float, until: float, seed: int = 1) -> Seen:
     """Plays the scene, which breaks no rule."""
-    play = Play(read("\n".join(["# soft", *BUILT, *lines]))[0], seed)
+    play = ScenarioPlayer(parse_scenarios("\n".join(["# soft", *BUILT, *lines]))[0], seed)
     world, found = play.world, Seen()
 
     def look() -> None:
@@ -184,7 +185,7 @@
 
 @test("a registry that is cut off says so within two seconds, for as long as it is, and not after")
 def _() -> None:
-    play = Play(read("# x\ncore 5\nedge 5\nrate 15\nuntil 50")[0])
+    play = ScenarioPlayer(parse_scenarios("# x\ncore 5\nedge 5\nrate 15\nuntil 50")[0])
     world, board = play.world, play.world.board("core-4")
     rest = [one for one in world.core if one != "core-4"] + world.edge + ["workers", "clients"]
 
--- a/tests/simulation/test_command_scenarios.py
+++ b/tests/simulation/test_command_scenarios.py
@@ -4,20 +4,23 @@
 
 from ward import each, test
 
-from ashlift.simulation.scene import Play, read_file
+from ashlift.simulation.scenario import read_scenarios
+from ashlift.simulation.scenario_player import ScenarioPlayer
 from tests.support.mutants import GUARDS, mutated
 
 FOLDER = Path(__file__).parent.parent / "scenarios"
-SCENES = {scene.title: scene for path in sorted(FOLDER.glob("orders_*.txt")) for scene in read_file(path)}
+SCENES = {
+    scene.title: scene for path in sorted(FOLDER.glob("orders_*.txt")) for scene in read_scenarios(path)
+}
 
 
 @test("orders: {title}")
 def _(title: str = each(*SCENES)) -> None:
-    found = Play(SCENES[title]).run()
+    found = ScenarioPlayer(SCENES[title]).run()
     assert found is None, str(found)
 
 
 @test("orders without their guard, {broken}: found")
 def _(broken: str = each(*GUARDS)) -> None:
     with mutated(broken):
-        assert Play(SCENES[GUARDS[broken][-1]]).run() is not None
+        assert ScenarioPlayer(SCENES[GUARDS[broken][-1]]).run() is not None
--- a/tests/simulation/test_system_scenarios.py
+++ b/tests/simulation/test_system_scenarios.py
@@ -6,35 +6,39 @@
 
 from ward import each, raises, test
 
-from ashlift.simulation import worst
-from ashlift.simulation.chance import drawn, shrunk
+from ashlift.simulation import worst_days
 from ashlift.simulation.figures import failed_over, served_again
 from ashlift.simulation.people import Errand, Want
-from ashlift.simulation.scene import Line, Play, read, read_file
+from ashlift.simulation.random_faults import random_scenario
+from ashlift.simulation.scenario import ScenarioEvent, parse_scenarios, read_scenarios
+from ashlift.simulation.scenario_player import ScenarioPlayer
+from ashlift.simulation.shrinking import shrink
 
 FOLDER = Path(__file__).parent.parent / "scenarios"
 CORE = ("system_core.txt", "system_soft.txt")  # as many again: in a file, so in a process, of their own
 FILES = [path for path in sorted(FOLDER.glob("system_*.txt")) if path.name not in CORE]
-SCENES = {scene.title: scene for path in FILES for scene in read_file(path)}
-OPEN = {scene.title: scene for path in sorted(FOLDER.glob("open_*.txt")) for scene in read_file(path)}
+SCENES = {scene.title: scene for path in FILES for scene in read_scenarios(path)}
+OPEN = {scene.title: scene for path in sorted(FOLDER.glob("open_*.txt")) for scene in read_scenarios(path)}
 CHANCE = (1, 2, 3, 5, 8)
 
 
 @test("the whole system: {title}")
 def _(title: str = each(*SCENES)) -> None:
-    found = Play(SCENES[title]).run()
+    found = ScenarioPlayer(SCENES[title]).run()
     assert found is None, str(found)
 
 
 @test("not mended yet, with any of four seeds: {title}")
 def _(title: str = each(*OPEN)) -> None:
-    wrong = [str(found) for seed in (1, 2, 3, 4) if (found := Play(OPEN[title], seed).run()) is not None]
+    wrong = [
+        str(found) for seed in (1, 2, 3, 4) if (found := ScenarioPlayer(OPEN[title], seed).run()) is not None
+    ]
     assert not wrong, "\n".join(wrong)  # ward breaks off drawing how lists differ
 
 
 @test("the whole system by chance, seed {seed}")
 def _(seed: int = each(*CHANCE)) -> None:
-    play = Play(drawn(seed), seed)
+    play = ScenarioPlayer(random_scenario(seed), seed)
     found = play.run()
     assert found is None, str(found)
     served = sum(request.status == 200 for request in play.world.history.requests)
@@ -43,7 +47,7 @@
 
 @test("worst days by chance, seed {seed}: every trouble of the simulator, in pairs and repeated")
 def _(seed: int = each(3, 111)) -> None:
-    play = Play(worst.drawn(seed), seed)
+    play = ScenarioPlayer(worst_days.random_scenario(seed), seed)
     found = play.run()
     assert found is None, str(found)
     assert sum(one.acknowledged < inf for one in play.world.history.changes) > 5, "too little was ordered"
@@ -53,7 +57,7 @@
 def _() -> None:
     told = []
     for _ in range(2):
-        play = Play(drawn(2, until=16.0), 2)
+        play = ScenarioPlayer(random_scenario(2, until=16.0), 2)
         play.run()
         told.append([(one.sent, one.proxy, one.status, one.ended) for one in play.world.history.requests])
     assert told[0] == told[1]
@@ -62,12 +66,12 @@
 @test("a failing schedule is shortened to what it needs, and reads back from its text")
 def _() -> None:
     lines = ["until 8", "at 6 load 0.5", "at 6.1 kill proxy edge-1", "at 6.5 expect acked 9", "at 7 load 1"]
-    scene = read("\n".join(["# fails", *lines]))[0]
-    short = shrunk(scene, 1)
-    assert short.lines == (Line(6.5, ("expect", "acked", "9")),)
-    assert read(short.text())[0].lines == short.lines
+    scene = parse_scenarios("\n".join(["# fails", *lines]))[0]
+    short = shrink(scene, 1)
+    assert short.events == (ScenarioEvent(6.5, ("expect", "acked", "9")),)
+    assert parse_scenarios(short.to_text())[0].events == short.events
     with raises(ValueError):
-        read("# none\nwhatever 3\n")
+        parse_scenarios("# none\nwhatever 3\n")
 
 
 @test("figures: how long an order waits for another leader, and since when all is served again")
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -206,7 +206,7 @@
         OperatorRequest,
         "next_store",
         "now + HEDGE_DELAY_SECONDS",
-        "self.until",
+        "self.deadline",
         "a machine hears the leader and cannot call it: every order is passed on within a second",
     ),
     "what was taken is not known again": (
