--- a/ashlift/config/settings.py
+++ b/ashlift/config/settings.py
@@ -79,8 +79,8 @@
     quota_window: Seconds = 5.0
     quota_overrun: NonNegativeFloat = 0.1
     quota_slack: NonNegativeFloat = 20.0
-    cold_overrun: NonNegativeFloat = 1.5
-    cold_slack: NonNegativeFloat = 5.0
+    slow_start_overrun: NonNegativeFloat = attrs.field(default=1.5, metadata={"key": "ColdOverrun"})
+    slow_start_slack: NonNegativeFloat = attrs.field(default=5.0, metadata={"key": "ColdSlack"})
     evacuation: Seconds = 5.0
     recovery: Seconds = 15.0
     ttl_max: Seconds = attrs.field(default=5.0, metadata={"key": "ttl_max"})
--- a/ashlift/config/structuring.py
+++ b/ashlift/config/structuring.py
@@ -43,7 +43,7 @@
 def key_of(field: "attrs.Attribute[Any]") -> str:
     """The key that a field has in settings and bodies."""
     key: str | None = field.metadata.get("key")
-    return key or "".join(word.capitalize() for word in field.name.split("_"))
+    return key or "".join(part.capitalize() for part in field.name.split("_"))
 
 
 def structure(cls: type[T], value: Any) -> T | list[FieldError]:
--- a/ashlift/rpc/client.py
+++ b/ashlift/rpc/client.py
@@ -41,7 +41,10 @@
 
 
 class Connection:
-    """One connection to a peer and the requests in flight on it; none of them outlives it."""
+    """One connection to a peer and the requests in flight on it; none of them outlives it.
+
+    The greenlet that reads from it ends when it is closed.
+    """
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
--- a/ashlift/rpc/server.py
+++ b/ashlift/rpc/server.py
@@ -33,7 +33,10 @@
 
 
 class _ServerConnection:
-    """One accepted connection. Its requests run side by side; their responses are written one at a time."""
+    """One accepted connection. Its requests run side by side; their responses are written one at a time.
+
+    A handler goes on when its connection ends: its client cannot know whether the request was executed.
+    """
 
     def __init__(self, sock: socket.socket, handlers: Mapping[str, Handler]) -> None:
         self._sock = sock
--- a/ashlift/simulation/checkers/limit_checks.py
+++ b/ashlift/simulation/checkers/limit_checks.py
@@ -157,7 +157,9 @@
         for change in checked.possible_changes
         if (service := change.table.services.get(service_name))
     ]
-    allowed = max(rates, default=math.inf) * checked.bounds.cold_overrun + checked.bounds.cold_slack
+    allowed = (
+        max(rates, default=math.inf) * checked.bounds.slow_start_overrun + checked.bounds.slow_start_slack
+    )
     for arrival, in_window in _windows(arrivals, WARMUP_WINDOW_SECONDS):
         count = _sent_since(in_window, arrival.at - WARMUP_WINDOW_SECONDS)
         if count > allowed:
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -62,6 +62,13 @@
     assert found.data_directory == "/data/keeper"
 
 
+@test("settings: the bounds of slow start keep their old keys")
+def _() -> None:
+    found = parse_settings(MINIMAL + "[Bounds]\nColdOverrun=2.5\nColdSlack=7.0\n")
+    assert isinstance(found, Settings)
+    assert (found.bounds.slow_start_overrun, found.bounds.slow_start_slack) == (2.5, 7.0)
+
+
 @test("settings: the least that a process needs is enough")
 def _() -> None:
     found = parse_settings(MINIMAL)
