--- a/ashlift/configstore/catch_up.py
+++ b/ashlift/configstore/catch_up.py
@@ -1,125 +1,141 @@
-"""What the leader knows of another's copy of the map, and what it sends to make it level. Pure.
+"""What the leader knows of another replica's map, and what it sends to bring it up to date. Pure.
 
-To each one thing at a time is on its way. A copy whose state is among those that the leader has held
+At most one payload is on its way to each replica. One whose state is among those that the leader has held
 (`ChangeLog`) gets what differs from it, however many changes that was, as one delta. What is too large for a
-call, or goes to a state that is not known, goes by digests over hash ranges: of a range that differs the keys
-that changed since it was known, else the range whole. What changes meanwhile goes with the next call, so a
-repair ends however steadily the changes go on.
+request, or goes to a state that is not known, goes by digests over hash ranges: of a range that differs the
+keys that changed since it was known, else the whole range. What changes meanwhile goes with the next request,
+so a repair ends however steadily changes go on.
 """
 
-from typing import Any, Final
+from typing import Any, Final, NamedTuple
 
 import cbor2
 from attrs import define, field
 
 from ashlift.configstore.change_log import ChangeLog
-from ashlift.configstore.messages import DELTA, PARTS, PAYLOAD_CHUNK_BYTES, RANGES, Snapshot, TermIndex
-from ashlift.configstore.replica_state import pack
+from ashlift.configstore.codec import encode_payload
+from ashlift.configstore.messages import Delta, RangeUpdate
+from ashlift.configstore.persistent_state import Snapshot, TermIndex
+from ashlift.configstore.timing import PAYLOAD_CHUNK_BYTES
 
 MIN_PAYLOAD_CHUNK_BYTES: Final = PAYLOAD_CHUNK_BYTES // 16
-UNCOMPRESSED_BYTES_PER_PAYLOAD_BYTE: Final = (
-    2  # bytes of a map for each of a call: it is compressed to half at least
-)
+UNCOMPRESSED_BYTES_PER_PAYLOAD_BYTE: Final = 2  # payloads are compressed to half at least
+
+
+class SentRange(NamedTuple):
+    """A hash range that was sent: of which state of the leader's change log, and its digest then."""
+
+    state_number: int
+    digest: bytes
 
 
 @define
 class ReplicaProgress:
-    """Another's copy as the leader knows it. `held`: None: nobody knows which state it is."""
-
-    held: TermIndex | None
-    payload_in_flight: bool = False  # a payload, or a question for digests, is on its way
-    chunk_bytes: int = (
-        PAYLOAD_CHUNK_BYTES  # bytes of a payload, about: halved when one did not come through in time
-    )
-    last_delta_base: TermIndex | None = None  # the state that the last delta went on from
-    sent_ranges: dict[int, tuple[int, bytes]] = field(
-        factory=dict
-    )  # range -> state it was sent of, its digest then
+    """Another replica's map as the leader knows it."""
+
+    held: TermIndex | None  # None: nobody knows which state it is
+    payload_in_flight: bool = False  # a payload, or a request for digests
+    chunk_bytes: int = PAYLOAD_CHUNK_BYTES  # about; halved when a payload did not get through in time
+    last_delta_base: TermIndex | None = None
+    sent_ranges: dict[int, SentRange] = field(factory=dict)
 
     def acknowledge(self, held: TermIndex | None) -> None:
-        """It has said what it holds."""
+        """The replica has said what it holds."""
         if held != self.held:
             self.held = held
             self.sent_ranges.clear()
 
     def reset(self) -> None:
-        """Another life: of what was sent nothing may be there."""
+        """Another incarnation: nothing of what was sent may be there."""
         self.sent_ranges.clear()
         self.last_delta_base = None
 
-    def payload_answered(self, payload: bool, through: bool) -> None:
-        """What was on its way has been answered in time (`through`), or has not."""
+    def payload_answered(self, *, carried_payload: bool, got_through: bool) -> None:
+        """What was in flight has been answered in time (`got_through`), or has not."""
         self.payload_in_flight = False
-        if payload:
-            self.chunk_bytes = (
-                min(PAYLOAD_CHUNK_BYTES, self.chunk_bytes * 2)
-                if through
-                else max(MIN_PAYLOAD_CHUNK_BYTES, self.chunk_bytes // 2)
-            )
-        if not through:
+        if carried_payload and got_through:
+            self.chunk_bytes = min(PAYLOAD_CHUNK_BYTES, self.chunk_bytes * 2)
+        elif carried_payload:
+            self.chunk_bytes = max(MIN_PAYLOAD_CHUNK_BYTES, self.chunk_bytes // 2)
+        if not got_through:
             self.sent_ranges.clear()
 
 
 class CatchUp:
-    def __init__(self, changes: ChangeLog) -> None:
-        self.change_log = changes
-        self._encoded_deltas: tuple[int, dict[int, bytes | None]] = (
-            0,
-            {},
-        )  # newest state; deltas to it, by base
+    """Makes the payloads of one leader."""
+
+    def __init__(self, change_log: ChangeLog) -> None:
+        self.change_log = change_log
+        # The number of the newest state, and the deltas to it by number of their base; None: too large.
+        self._encoded_deltas: tuple[int, dict[int, bytes | None]] = (0, {})
 
     def next_payload(
-        self, copy: ReplicaProgress, newest: Snapshot, digests: bytes | None = None
-    ) -> bytes | bool:
-        """The payload that brings the copy on; True: its digests are asked for."""
-        if not copy.sent_ranges and not (digests and copy.held == copy.last_delta_base):
-            delta = self._delta(copy.held, newest) if copy.held else None
-            if delta is not None and len(delta) <= copy.chunk_bytes:
-                copy.last_delta_base = copy.held
+        self, progress: ReplicaProgress, newest: Snapshot, range_digests: bytes | None = None
+    ) -> bytes | None:
+        """The encoded payload that brings the replica on; None: its range digests are needed first."""
+        delta_was_refused = range_digests and progress.held == progress.last_delta_base
+        if progress.held and not progress.sent_ranges and not delta_was_refused:
+            delta = self._delta(progress.held, newest)
+            if delta is not None and len(delta) <= progress.chunk_bytes:
+                progress.last_delta_base = progress.held
                 return delta
-        return self._parts(copy, newest, digests) if digests else True
+        return self._range_update(progress, newest, range_digests) if range_digests else None
 
     def _delta(self, held: TermIndex, newest: Snapshot) -> bytes | None:
         """All that differs from a state that was held; None: it is not known, or that is too much."""
-        base, number = self.change_log.number_of(held), self.change_log.newest_number
+        base = self.change_log.number_of(held)
         if base is None:
             return None
-        if self._encoded_deltas[0] != number:
-            self._encoded_deltas = number, {}
+        if self._encoded_deltas[0] != self.change_log.newest_number:
+            self._encoded_deltas = self.change_log.newest_number, {}
         deltas = self._encoded_deltas[1]
         if base not in deltas:
-            map, keys = newest.entries.map, self.change_log.keys_changed_since(base)
-            sets = {key: map[key] for key in keys if key in map}
-            gone = [key for key in keys if key not in map]
-            packed = pack([DELTA, *held, sets, gone, newest.entries.digest()])
-            deltas[base] = packed if len(packed) <= PAYLOAD_CHUNK_BYTES else None
+            encoded = self._encode_delta(held, base, newest)
+            deltas[base] = encoded if len(encoded) <= PAYLOAD_CHUNK_BYTES else None
         return deltas[base]
 
-    def _parts(self, copy: ReplicaProgress, newest: Snapshot, digests: bytes) -> bytes:
-        """Of the ranges that differ as many as a call may carry; the answer brings the next digests."""
-        entries, number, size = newest.entries, self.change_log.newest_number, 0
-        base = self.change_log.number_of(copy.held) if copy.held else None
-        ranges: dict[int, bytes] = {}
-        sets: dict[str, Any] = {}
-        gone: list[str] = []
-        late = self.change_log.keys_changed_since_by_range(base) if base is not None else {}
-        for one in entries.differing_ranges(digests):
-            if size > UNCOMPRESSED_BYTES_PER_PAYLOAD_BYTE * copy.chunk_bytes:
+    def _encode_delta(self, held: TermIndex, base: int, newest: Snapshot) -> bytes:
+        entries = newest.entries.map
+        keys = self.change_log.keys_changed_since(base)
+        updates = {key: entries[key] for key in keys if key in entries}
+        deletions = [key for key in keys if key not in entries]
+        return encode_payload(Delta(held, updates, deletions, newest.entries.digest()))
+
+    def _range_update(self, progress: ReplicaProgress, newest: Snapshot, range_digests: bytes) -> bytes:
+        """As many of the differing ranges as a request may carry; the response brings the next digests."""
+        entries = newest.entries
+        base = self.change_log.number_of(progress.held) if progress.held else None
+        changed_keys = {} if base is None else self.change_log.keys_changed_since_by_range(base)
+        update = RangeUpdate({}, {}, [], entries.digest())
+        size_bytes = 0
+        for number in entries.differing_ranges(range_digests):
+            if size_bytes > UNCOMPRESSED_BYTES_PER_PAYLOAD_BYTE * progress.chunk_bytes:
                 break
-            sent = copy.sent_ranges.get(one)
+            sent = progress.sent_ranges.get(number)
             keys: list[str] = []
             if sent is None:
-                keys = late.get(one, [])
-            elif sent[1] == entries.range_digest_in(digests, one):
-                keys = self.change_log.keys_changed_since_by_range(sent[0]).get(one, [])
+                keys = changed_keys.get(number, [])
+            elif sent.digest == entries.range_digest_in(range_digests, number):
+                keys = self.change_log.keys_changed_since_by_range(sent.state_number).get(number, [])
             if keys:
-                sets |= {key: entries.map[key] for key in keys if key in entries.map}
-                gone += [key for key in keys if key not in entries.map]
-                size += sum(len(cbor2.dumps(entries.map.get(key))) for key in keys)
+                size_bytes += _add_changes(update, entries.map, keys)
             else:
-                ranges[one] = entries.encoded_range(one)
-                size += len(ranges[one])
-            copy.sent_ranges[one] = number, entries.range_digest(one)
-        if sets or gone:
-            return pack([PARTS, ranges, sets, gone, entries.digest()])
-        return pack([RANGES, ranges, entries.digest()])
+                size_bytes += _add_range(update, newest, number)
+            progress.sent_ranges[number] = SentRange(
+                self.change_log.newest_number, entries.range_digest(number)
+            )
+        return encode_payload(update)
+
+
+def _add_changes(update: RangeUpdate, entries: Any, keys: list[str]) -> int:
+    """Add the keys' changes to the update; -> their size in bytes, uncompressed."""
+    update.updates.update((key, entries[key]) for key in keys if key in entries)
+    update.deletions.extend(key for key in keys if key not in entries)
+    return sum(len(cbor2.dumps(entries.get(key))) for key in keys)
+
+
+def _add_range(update: RangeUpdate, newest: Snapshot, number: int) -> int:
+    """Add a whole range to the update; -> its size in bytes, uncompressed."""
+    encoded = newest.entries.encoded_range(number)
+    update.ranges[number] = encoded
+    return len(encoded)
--- a/ashlift/configstore/commands.py
+++ b/ashlift/configstore/commands.py
@@ -12,7 +12,7 @@
 from attrs import frozen
 
 from ashlift.config import operator_config
-from ashlift.configstore.messages import Proposal, ReadOnlyResult
+from ashlift.configstore.proposals import Proposal, ReadOnlyResult
 from ashlift.configstore.stored_names import (
     ACCEPTED_PREFIX,
     ACCEPTED_TRIMMED,
--- a/ashlift/configstore/committed_state.py
+++ b/ashlift/configstore/committed_state.py
@@ -1,53 +1,56 @@
-"""What is committed, and what of it changed since an index that a watcher has."""
+"""The newest map known to be committed here, and what changed since an index that a watcher has."""
 
 from typing import Any
 
 from ashlift.configstore.change_log import ChangeLog
-from ashlift.configstore.messages import Snapshot, TermIndex
+from ashlift.configstore.persistent_state import NO_TERM_INDEX, Snapshot, TermIndex
 from ashlift.configstore.ranged_map import RangedMap
 
 
 class CommittedState:
-    """The newest map known to be committed; the changes of this life as far as `ChangeLog` keeps them."""
+    """Kept in memory for the life of the process; changes as far as `ChangeLog` keeps them."""
 
     def __init__(self) -> None:
-        self.snapshot = Snapshot((0, 0), RangedMap())
-        self.freshness_confirmed_at = float("-inf")  # steady time at which it was the newest of all
+        self.snapshot = Snapshot(NO_TERM_INDEX, RangedMap())
+        # Start of the freshness lease: the time (s, monotonic) at which the snapshot was the newest of all.
+        self.freshness_confirmed_at = float("-inf")
         self.change_log = ChangeLog()
 
     @property
     def term_index(self) -> TermIndex:
+        """That of the committed map."""
         return self.snapshot.term_index
 
     @property
     def index(self) -> int:
+        """The index of the committed map; it grows with every commit."""
         return self.snapshot.term_index[1]
 
-    def advance(self, state: Snapshot) -> bool:
+    def advance(self, snapshot: Snapshot) -> bool:
         """Take a committed map; False if it is not newer."""
-        if state.term_index <= self.term_index:
+        if snapshot.term_index <= self.term_index:
             return False
-        self.snapshot = state
-        self.change_log.record(state.term_index, state.entries)
+        self.snapshot = snapshot
+        self.change_log.record(snapshot.term_index, snapshot.entries)
         return True
 
     def may_have_changed_since(self, key: str, index: int) -> bool:
-        """Whether the key may have changed after that index."""
+        """Whether the key changed after that index, or so much that nobody knows any more."""
         number = self.change_log.number_at_or_before_index(index)
         return number is None or self.change_log.last_change_of(key) > number
 
-    def changes_since(self, have: int) -> dict[str, Any]:
-        """`{index, set, gone, full}` for one who has the map at index `have`; 0: nothing."""
-        map = self.snapshot.entries.map
-        if have >= self.index:
+    def changes_since(self, known_index: int) -> dict[str, Any]:
+        """`{index, set, gone, full}` for a watcher that has the map at `known_index`; 0: it has nothing."""
+        entries = self.snapshot.entries.map
+        if known_index >= self.index:
             return {"index": self.index, "set": {}, "gone": [], "full": False}
-        number = self.change_log.number_at_index(have)
+        number = self.change_log.number_at_index(known_index)
         if number is None:
-            return {"index": self.index, "set": dict(map), "gone": [], "full": True}
-        late = self.change_log.keys_changed_since(number)
+            return {"index": self.index, "set": dict(entries), "gone": [], "full": True}
+        changed_keys = self.change_log.keys_changed_since(number)
         return {
             "index": self.index,
-            "set": {key: map[key] for key in late if key in map},
-            "gone": [key for key in late if key not in map],
+            "set": {key: entries[key] for key in changed_keys if key in entries},
+            "gone": [key for key in changed_keys if key not in entries],
             "full": False,
         }
--- /dev/null
+++ b/ashlift/configstore/follower.py
@@ -0,0 +1,184 @@
+"""A follower or learner: it takes the leader's append requests, and acknowledges only what is durable."""
+
+from typing import TYPE_CHECKING, Any, Final, NamedTuple
+
+from ashlift.configstore import events
+from ashlift.configstore.codec import decode_payload
+from ashlift.configstore.membership import is_displaced
+from ashlift.configstore.messages import (
+    AppendAccepted,
+    AppendBehind,
+    AppendRejected,
+    AppendRequest,
+    AppendResponse,
+    Delta,
+    LearnerStatus,
+    Payload,
+    Promotion,
+    RangeUpdate,
+)
+from ashlift.configstore.persistent_state import PersistentVote, Snapshot, TermIndex
+from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.replica_state import InvariantError
+from ashlift.errors import Failure, FailureReason
+
+if TYPE_CHECKING:
+    from ashlift.configstore.replica import Replica
+
+_NOT_WRITTEN: Final = Failure(FailureReason.REJECTED, "disk")
+
+
+class Accepted(NamedTuple):
+    """What an append request changes here."""
+
+    vote: PersistentVote | None  # of a new term
+    snapshot: Snapshot | None  # a newer one that the payload leads to
+    is_promotion: bool
+    is_repair: bool  # the snapshot was put together from ranges
+
+
+class Follower:
+    """`staged_entries`: a map under repair, as far as its ranges have come; None: no repair is under way."""
+
+    def __init__(self, replica: "Replica", staged_entries: RangedMap | None) -> None:
+        self.replica = replica
+        self.staged_entries = staged_entries
+        self.leader_heard_at = 0.0
+        self.newest_heartbeat_round = (0, 0)  # (term, round) of the newest append request
+
+    def handle_append(self, reply_to: Any, request: AppendRequest) -> None:
+        """Follow the sender, unless its term is over; take what it sends."""
+        replica = self.replica
+        if request.term < replica.vote.term:
+            replica.respond(reply_to, AppendRejected(replica.vote.term))
+            return
+        if request.term == replica.vote.term and replica.leader_role:
+            raise InvariantError(f"two leaders in term {request.term}")
+        self._follow(request)
+        accepted = self._accept(request)
+
+        def finish(succeeded: bool) -> None:
+            if not succeeded:
+                replica.reply(reply_to, _NOT_WRITTEN)
+                return
+            self._finish_append(reply_to, request, accepted)
+
+        if accepted.is_promotion:
+            voted_for = replica.vote.voted_for or request.leader
+            vote = PersistentVote(request.term, voted_for, True, replica.incarnation)
+            replica.persist(vote, replica.snapshot, finish)
+        elif not replica.vote.is_voter:  # in memory alone: nothing on its disk may count before it votes
+            replica.vote = accepted.vote or replica.vote
+            replica.accept_snapshot(accepted.snapshot or replica.snapshot)
+            finish(True)
+        elif accepted.vote or accepted.snapshot:
+            replica.persist(accepted.vote, accepted.snapshot, finish)
+        else:
+            finish(True)
+
+    def _follow(self, request: AppendRequest) -> None:
+        replica = self.replica
+        if request.term > replica.vote.term or replica.leader_ip != request.leader:
+            replica.step_down("another leads")
+            replica.log_event(events.FOLLOWING_LEADER, term=request.term, leader=request.leader)
+        replica.election.attempt = None
+        replica.leader_ip = request.leader
+        self.leader_heard_at = replica.now
+        self.newest_heartbeat_round = max(
+            self.newest_heartbeat_round, (request.term, request.heartbeat_round)
+        )
+        replica.election.reset_timer()
+
+    def _accept(self, request: AppendRequest) -> Accepted:
+        """Raises ValueError, TypeError or LookupError for a payload that is none."""
+        replica = self.replica
+        requested = (request.term, request.proposed_index)
+        self._learn_commit(request)
+        payload = None if request.payload is None else decode_payload(request.payload)
+        entries = self._apply_payload(payload)
+        is_newer = entries is not None and requested > replica.term_index
+        return Accepted(
+            vote=replica.vote._replace(term=request.term, voted_for=request.leader)
+            if request.term > replica.vote.term
+            else None,
+            snapshot=Snapshot(requested, entries) if entries is not None and is_newer else None,
+            is_promotion=self._is_promoted_by(payload, requested),
+            is_repair=is_newer and entries is self.staged_entries,
+        )
+
+    def _apply_payload(self, payload: Payload | None) -> RangedMap | None:
+        """The map of the request, if the payload leads to it."""
+        held = self.replica.snapshot
+        match payload:
+            case Delta(base, updates, deletions):
+                if base != held.term_index:
+                    return None
+                entries = held.entries.with_changes(updates, deletions)
+            case RangeUpdate(ranges, updates, deletions):
+                staged = self.staged_entries or held.entries
+                entries = staged.with_ranges(ranges).with_changes(updates, deletions)
+                self.staged_entries = entries
+            case _:
+                return None
+        return entries if entries.digest() == payload.digest else None
+
+    def _is_promoted_by(self, payload: Payload | None, requested: TermIndex) -> bool:
+        """Whether the leader says that this incarnation of a learner counts from now on."""
+        replica = self.replica
+        if replica.vote.is_voter or not isinstance(payload, Promotion):
+            return False
+        held_position = payload.term_index or requested
+        return payload.incarnation == replica.incarnation and replica.term_index == held_position
+
+    def _finish_append(self, reply_to: Any, request: AppendRequest, accepted: Accepted) -> None:
+        """What was accepted is durable, or nothing of this replica counts."""
+        replica = self.replica
+        if accepted.is_promotion:
+            replica.log_event(events.LEARNER_PROMOTED, term=request.term, index=request.proposed_index)
+        elif accepted.is_repair:
+            replica.log_event(events.CAUGHT_UP, term=request.term, index=request.proposed_index)
+        if accepted.snapshot is not None or accepted.is_promotion:
+            self.staged_entries = None
+        self._learn_commit(request)
+        replica.freshness.renew(request)
+        replica.respond(reply_to, self._append_response(request))
+        if self._is_displaced():
+            replica.joining.give_up_standing()
+
+    def _learn_commit(self, request: AppendRequest) -> None:
+        """A leader proposes one at a time: what it proposed up to its `commit_index` is committed."""
+        replica = self.replica
+        if replica.term_index[0] == request.term and replica.term_index[1] <= request.commit_index:
+            replica.advance_committed(replica.snapshot)
+
+    def _append_response(self, request: AppendRequest) -> AppendResponse:
+        replica = self.replica
+        clock_token = replica.freshness.issue_clock_token()
+        requested = (request.term, request.proposed_index)
+        is_level = replica.term_index == requested
+        range_digests = None
+        has_payload = request.payload is not None or request.wants_digests
+        if has_payload and replica.term_index < requested:
+            range_digests = (self.staged_entries or replica.snapshot.entries).range_digests()
+        if not replica.vote.is_voter:
+            return LearnerStatus(
+                request.term,
+                clock_token,
+                replica.incarnation,
+                is_level,
+                range_digests,
+                replica.term_index,
+            )
+        if not is_level:
+            return AppendBehind(request.term, clock_token, range_digests, replica.term_index)
+        incarnation = None if replica.can_stand_for_election() else replica.vote.incarnation
+        return AppendAccepted(request.term, clock_token, incarnation)
+
+    def _is_displaced(self) -> bool:
+        """Whether the map held here is committed, and says that nothing on this disk counts."""
+        replica = self.replica
+        return (
+            replica.vote.is_voter
+            and replica.committed_state.term_index == replica.term_index
+            and is_displaced(replica.snapshot.entries.map, replica.ip, replica.vote.incarnation)
+        )
--- a/ashlift/configstore/messages.py
+++ b/ashlift/configstore/messages.py
@@ -1,190 +1,149 @@
-"""What goes into a member of the store and what comes out. Times are seconds of the steady clock."""
-
-from typing import Any, Final, NamedTuple
-
-from attrs import frozen
-
-from ashlift.configstore.ranged_map import RangedMap
-from ashlift.events import EventType
-
-TermIndex = tuple[int, int]  # which accepted map is newer
-Event = Any  # one of the events below
-Effect = Any  # one of the effects below
-
-CALL_TIMEOUT_SECONDS: Final = (
-    0.8  # an answer to `request_vote` or `append` counts only within this time of its sending
-)
-LEARNER_QUARANTINE_SECONDS: Final = (
-    2 * CALL_TIMEOUT_SECONDS
-)  # a learner says nothing that long: then no yes of its former life counts
-HEARTBEAT_INTERVAL_SECONDS: Final = 0.15
-EARLY_S: Final = (0.04, 0.6)  # between heartbeats, for so long after the lead began: all wait for a proof
-ELECTION_TIMEOUT_SECONDS: Final = (0.6, 1.2)  # by chance between these, without word from a leader
-INITIAL_ELECTION_TIMEOUT_SECONDS: Final = (
-    0.05,
-    0.3,
-)  # the same for a process that has just started: nothing is led while all start
-QUORUM_CONTACT_TIMEOUT_SECONDS: Final = (
-    1.2  # a leader that has not heard a majority for so long leads no longer
-)
-LEADERSHIP_TRANSFER_SECONDS: Final = 0.4  # at most this long to hand over after SIGTERM
-PAYLOAD_CHUNK_BYTES: Final = (
-    32 << 10
-)  # bytes of a call's payload, about: it must pass a narrow link within CALL_TIMEOUT_SECONDS
-MAX_QUEUED_COMMANDS: Final = 64  # proposals waiting at the leader
-HEARTBEAT_ROUND_RETENTION_SECONDS: Final = (
-    1.2  # s for which a leader knows when its rounds began: no order is begun later than that
-)
-
-# Answers to `append`: `[term, code, token, *more]`.
-YES: Final = 1  # holds what is named, durably; more, of one that is no voter: its incarnation
-BEHIND: Final = 2  # follows, but does not hold it; more: digests if asked for, else null
-OLD: Final = 3  # is at a higher term
-LEARNER: Final = 4  # non-voting learner; more: incarnation, whether it holds the named map, digests or null
-# BEHIND and LEARNER end with `[term, index]` of what is held.
-# Payloads of `append` (cbor2, compressed): `[DELTA, prev term, prev index, set, gone, digest]`,
-# `[RANGES, {number: packed}, digest]`, `[PARTS, {number: packed}, set, gone, digest]`, and
-# `[PROMOTE, incarnation]` to one that holds what is named, `[PROMOTE, incarnation, term, index]` that state.
-DELTA: Final = 1
-RANGES: Final = 2
-PROMOTE: Final = 3
-PARTS: Final = 4
-
-
-class PersistentVote(NamedTuple):
-    """What must never be forgotten besides the map: `voter` is False while nothing of this member counts."""
+"""Requests, responses and payloads that replicas of the store send each other. `codec` knows their bytes."""
+
+from typing import Any, NamedTuple
+
+from ashlift.configstore.persistent_state import TermIndex
 
-    term: int
-    voted_for: str | None
-    is_voter: bool
-    incarnation: int = (
-        0  # the disk's incarnation: drawn with its first write, and anew once nothing of it counts
-    )
 
+# ---- requests
+class VoteRequest(NamedTuple):
+    """Asks for a vote in `term`; if `is_pre_vote`, only whether one would be given.
 
-class Snapshot(NamedTuple):
-    """An accepted map with the term and index of its commit."""
+    `last_term` and `last_index` are those of the newest map that the candidate has accepted.
+    """
+
+    term: int
+    candidate: str
+    last_term: int
+    last_index: int
+    is_pre_vote: bool
 
-    term_index: TermIndex
-    entries: RangedMap
 
+class AppendRequest(NamedTuple):
+    """A heartbeat of the leader of `term`, with what the receiver lacks.
 
-class FencingToken(NamedTuple):
-    """What keeps an order from being begun once its caller may have gone: `(term, round)` is the newest round
-    known to the registry when it sent the order on, `left`: s that the caller was to wait from then on;
-    `known` is the newest committed index known to it when it took the order."""
+    `proposed_index`: of the newest proposed map.
+    `commit_index`: the newest committed index of this term; 0: none.
+    `echoed_clock_token`: the newest token in a response of the receiver before this round began.
+    `confirmed_round`: the newest round that a majority has answered.
+    `payload`: an encoded payload. `wants_digests`: the receiver is to send its range digests.
+    """
 
     term: int
+    leader: str
     heartbeat_round: int
-    known_index: int
-    remaining_seconds: float
+    proposed_index: int
+    commit_index: int
+    echoed_clock_token: int
+    confirmed_round: int
+    payload: bytes | None
+    wants_digests: bool
 
 
-class Proposal(NamedTuple):
-    """What an order changes, and its answer once that is committed. `unguarded`: keys that it changes
-    whatever they hold; if one has changed since the order was taken, the order is void."""
+class JoinRequest(NamedTuple):
+    """Asks to become a learner, or whether it still is a voter if it believes so (`is_voter`)."""
 
-    updates: dict[str, Any]
-    deletions: list[str]
-    response: Any
-    unconditional_keys: tuple[str, ...] = ()
+    ip: str
+    incarnation: int
+    is_voter: bool
 
 
-class ReadOnlyResult(NamedTuple):
-    """An order that changes nothing; its answer stands once the leader is seen to lead still."""
+class TransferRequest(NamedTuple):
+    """The leader of `term` asks the receiver to stand for election at once."""
 
-    response: Any
+    term: int
 
 
-# ---- events
-@frozen
-class ClockTicked:
-    pass
+Request = VoteRequest | AppendRequest | JoinRequest | TransferRequest
 
 
-@frozen
-class RequestReceived:
-    """Another member calls; answered by a `SendReply` with the same `ref`."""
+# ---- responses
+class VoteResponse(NamedTuple):
+    """`incarnation`: of the voter's disk, None in a refusal that needs none."""
 
-    reply_to: Any
-    method: str  # request_vote, append, join, succeed
-    body: Any
+    term: int
+    granted: bool
+    incarnation: int | None = None
 
 
-@frozen
-class ResponseReceived:
-    """The outcome of a `SendRequest`: a body or a Failure."""
+class AppendRejected(NamedTuple):
+    """The receiver is at a higher `term`."""
 
-    peer: str
-    method: str
-    sent_at: float
-    context: Any
-    body: Any
+    term: int
 
 
-@frozen
-class StatePersisted:
-    """The `PersistState` before this is durable, or (`ok` False) may or may not be."""
+class AppendAccepted(NamedTuple):
+    """The receiver holds the map of the request, durably. `incarnation`: given by one that is no voter."""
 
-    succeeded: bool
+    term: int
+    clock_token: int
+    incarnation: int | None = None
 
 
-@frozen
-class CommandSubmitted:
-    """An order; answered by a `SendReply`: its answer, or a Failure: UNAVAILABLE not begun, EXPIRED never
-    to be begun, OUTCOME_UNKNOWN in doubt. `fence` None: it may be begun whenever it comes."""
+class AppendBehind(NamedTuple):
+    """The receiver follows, and holds another map: the one at `held`, None if it did not say so."""
+
+    term: int
+    clock_token: int
+    range_digests: bytes | None
+    held: TermIndex | None
 
-    reply_to: Any
-    command: Any
-    fencing_token: FencingToken | None = None
 
+class LearnerStatus(NamedTuple):
+    """The receiver is a learner. `is_level`: whether it holds the map of the request."""
 
-@frozen
-class ReadRequested:
-    """answered by a `SendReply` with the committed `Snapshot`, or a Failure."""
+    term: int
+    clock_token: int
+    incarnation: int
+    is_level: bool
+    range_digests: bytes | None
+    held: TermIndex | None
 
-    reply_to: Any
 
+AppendResponse = AppendRejected | AppendAccepted | AppendBehind | LearnerStatus
 
-@frozen
-class ShutdownRequested:
-    """SIGTERM has come."""
 
+class JoinResponse(NamedTuple):
+    """Who leads, and the committed map by which nothing on the asking replica's disk counts, if so."""
 
-# ---- effects
-@frozen
-class SendRequest:
-    """Call `method` at the member `peer`, with the time-out CALL_TIMEOUT_SECONDS.
+    leader_ip: str | None
+    displaced_by: TermIndex | None
 
-    `ResponseReceived` brings `context` back.
-    """
 
-    peer: str
-    method: str
-    body: Any
-    context: Any
+class TransferAccepted(NamedTuple):
+    """The receiver stands for election."""
+
+
+Response = VoteResponse | AppendResponse | JoinResponse | TransferAccepted
+
 
+# ---- payloads of an append request
+class Delta(NamedTuple):
+    """Changes that lead from the map at `base` to the one of the request, with that one's `digest`."""
 
-@frozen
-class SendReply:
-    reply_to: Any
-    body: Any
+    base: TermIndex
+    updates: dict[str, Any]
+    deletions: list[str]
+    digest: bytes
 
 
-@frozen
-class PersistState:
-    """Make these durable, the state first, then feed `StatePersisted`. Always the last effect."""
+class RangeUpdate(NamedTuple):
+    """Whole hash ranges, and changes within others. `digest`: of the map once no range differs any more."""
 
-    vote: PersistentVote | None
-    snapshot: Snapshot | None
+    ranges: dict[int, bytes]
+    updates: dict[str, Any]
+    deletions: list[str]
+    digest: bytes
 
 
-@frozen
-class LogEvent:
-    event: EventType
-    fields: dict[str, Any]
+class Promotion(NamedTuple):
+    """A learner of this incarnation votes from now on, if it holds the map at `term_index`.
+
+    None: the map of the request.
+    """
+
+    incarnation: int
+    term_index: TermIndex | None = None
 
 
-@frozen
-class HandoverComplete:
-    """Handed over: the process may end."""
+Payload = Delta | RangeUpdate | Promotion
--- a/ashlift/configstore/replica_runner.py
+++ b/ashlift/configstore/replica_runner.py
@@ -14,8 +14,8 @@
 from gevent.event import AsyncResult, Event
 
 from ashlift.configstore import events
-from ashlift.configstore.messages import (
-    CALL_TIMEOUT_SECONDS,
+from ashlift.configstore.replica import Replica
+from ashlift.configstore.replica_io import (
     ClockTicked,
     Effect,
     HandoverComplete,
@@ -26,9 +26,9 @@
     SendRequest,
     StatePersisted,
 )
-from ashlift.configstore.messages import Event as ReplicaEvent
-from ashlift.configstore.replica import Replica
+from ashlift.configstore.replica_io import Event as ReplicaEvent
 from ashlift.configstore.replica_storage import ReplicaStorage
+from ashlift.configstore.timing import CALL_TIMEOUT_SECONDS
 from ashlift.errors import Failure, FailureReason
 from ashlift.events import WARNING, log_event
 from ashlift.rpc.client import ClientPool
--- a/ashlift/configstore/replica_storage.py
+++ b/ashlift/configstore/replica_storage.py
@@ -7,8 +7,9 @@
 
 import cbor2
 
-from ashlift.configstore.messages import PersistentVote, PersistState, Snapshot
+from ashlift.configstore.persistent_state import PersistentVote, Snapshot
 from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.replica_io import PersistState
 from ashlift.configstore.snapshot_storage import Records, SnapshotStorage
 from ashlift.configstore.stored_names import SNAPSHOT_STORAGE, VOTE_STORAGE
 from ashlift.errors import Failure, FailureReason
--- a/ashlift/configstore/request_handlers.py
+++ b/ashlift/configstore/request_handlers.py
@@ -20,15 +20,10 @@
     choose_route,
     may_retry,
 )
-from ashlift.configstore.messages import (
-    CALL_TIMEOUT_SECONDS,
-    CommandSubmitted,
-    Event,
-    ReadRequested,
-    RequestReceived,
-    Snapshot,
-)
+from ashlift.configstore.persistent_state import Snapshot
+from ashlift.configstore.replica_io import CommandSubmitted, Event, ReadRequested, RequestReceived
 from ashlift.configstore.replica_runner import ReplicaRunner
+from ashlift.configstore.timing import CALL_TIMEOUT_SECONDS
 from ashlift.errors import Failure
 from ashlift.rpc.client import ClientPool
 
--- a/ashlift/configstore/requests.py
+++ b/ashlift/configstore/requests.py
@@ -11,8 +11,9 @@
 
 from ashlift.config.versions import VERSION_KEY
 from ashlift.configstore.commands import CommandKind, OperatorCommand
-from ashlift.configstore.membership import MembershipCommand
-from ashlift.configstore.messages import FencingToken, Snapshot
+from ashlift.configstore.membership_rules import MembershipCommand
+from ashlift.configstore.persistent_state import Snapshot
+from ashlift.configstore.proposals import FencingToken
 from ashlift.errors import Failure, FailureReason
 from ashlift.response_status import OK
 
--- a/ashlift/configstore/server.py
+++ b/ashlift/configstore/server.py
@@ -15,8 +15,10 @@
 from ashlift.config.settings import Settings
 from ashlift.configstore import events, requests, snapshot_storage
 from ashlift.configstore.commands import OperatorCommand, decide_command
-from ashlift.configstore.messages import PersistentVote, Proposal, ReadOnlyResult, ShutdownRequested, Snapshot
+from ashlift.configstore.persistent_state import PersistentVote, Snapshot
+from ashlift.configstore.proposals import Proposal, ReadOnlyResult
 from ashlift.configstore.replica import Replica
+from ashlift.configstore.replica_io import ShutdownRequested
 from ashlift.configstore.replica_runner import Clock, ReplicaRunner
 from ashlift.configstore.replica_storage import ReplicaStorage
 from ashlift.configstore.request_handlers import RegistryRequestHandler, replica_handlers
--- a/ashlift/simulation/catching.py
+++ b/ashlift/simulation/catching.py
@@ -16,8 +16,10 @@
 from attrs import frozen
 
 from ashlift.configstore.catch_up import CatchUp
+from ashlift.configstore.codec import METHOD_APPEND, decode_request
 from ashlift.configstore.commands import MAX_ACCEPTED_DIGESTS, OperatorCommand
-from ashlift.configstore.messages import Proposal, ReadOnlyResult
+from ashlift.configstore.messages import AppendRequest
+from ashlift.configstore.proposals import Proposal, ReadOnlyResult
 from ashlift.configstore.stored_names import ACCEPTED_PREFIX
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation import store
@@ -91,9 +93,10 @@
 
     def _send(self, call: RpcCall, connection: Connection, timeout: float, future: Future) -> None:
         self._size = FRAME
-        if call.method == "append" and isinstance(call.body[7], bytes):
-            self._size += len(call.body[7])
-            self.sent.setdefault(connection.target.name, []).append(len(call.body[7]))
+        request = decode_request(call.method, call.body) if call.method == METHOD_APPEND else None
+        if isinstance(request, AppendRequest) and request.payload is not None:
+            self._size += len(request.payload)
+            self.sent.setdefault(connection.target.name, []).append(len(request.payload))
         super()._send(call, connection, timeout, future)
         self._size = FRAME
 
@@ -120,7 +123,7 @@
     spent: list[float] = []
     real = CatchUp.next_payload
 
-    def next_(self: CatchUp, *what: Any) -> bytes | bool:
+    def next_(self: CatchUp, *what: Any) -> bytes | None:
         began = time.process_time()
         found = real(self, *what)
         spent.append(time.process_time() - began)
--- a/ashlift/simulation/cell.py
+++ b/ashlift/simulation/cell.py
@@ -16,11 +16,22 @@
 from ashlift.configstore.catch_up import CatchUp, ReplicaProgress
 from ashlift.configstore.change_log import ChangeLog
 from ashlift.configstore.committed_state import CommittedState
-from ashlift.configstore.leader import Leader, PeerState
+from ashlift.configstore.election import Election, ElectionAttempt
+from ashlift.configstore.follower import Follower
+from ashlift.configstore.freshness_lease import FreshnessLease
+from ashlift.configstore.heartbeat_rounds import HeartbeatRounds
+from ashlift.configstore.joining import Joining
+from ashlift.configstore.leader import Leader
+from ashlift.configstore.leadership_transfer import LeadershipTransfer
 from ashlift.configstore.membership import VOTER_PREFIX
-from ashlift.configstore.messages import CommandSubmitted, PersistentVote, ReadRequested, Snapshot
+from ashlift.configstore.membership_manager import MembershipManager
+from ashlift.configstore.peers import PeerState, PeerTable
+from ashlift.configstore.persistent_state import PersistentVote, Snapshot
+from ashlift.configstore.proposal_queue import ProposalQueue
 from ashlift.configstore.ranged_map import RangedMap
-from ashlift.configstore.replica import ElectionAttempt, Replica
+from ashlift.configstore.replica import Replica
+from ashlift.configstore.replica_io import CommandSubmitted, ReadRequested
+from ashlift.configstore.replication import Replication
 from ashlift.simulation.linearizability import Call, ConfigurationWrite
 from ashlift.simulation.sworn import Sworn
 
@@ -31,8 +42,7 @@
         "now",
         "effects",
         "last_write_seconds",
-        "_persist_started_at",
-        "_pending_persist",
+        "_pending_write",
         "_deferred",
         "ip",
         "seeds",
@@ -44,9 +54,19 @@
 )
 MUTABLE: Final = (
     Replica,
+    Election,
+    ElectionAttempt,
+    Follower,
+    FreshnessLease,
+    Joining,
     Leader,
+    PeerTable,
     PeerState,
-    ElectionAttempt,
+    HeartbeatRounds,
+    Replication,
+    ProposalQueue,
+    MembershipManager,
+    LeadershipTransfer,
     CommittedState,
     ChangeLog,
     CatchUp,
--- a/ashlift/simulation/figures.py
+++ b/ashlift/simulation/figures.py
@@ -11,7 +11,7 @@
 
 from attrs import frozen
 
-from ashlift.configstore.messages import Snapshot
+from ashlift.configstore.persistent_state import Snapshot
 from ashlift.simulation import store
 from ashlift.simulation.event_loop import Future
 from ashlift.simulation.people import Errand
--- a/ashlift/simulation/members.py
+++ b/ashlift/simulation/members.py
@@ -12,20 +12,17 @@
 from typing import Any
 
 from ashlift.configstore import events
-from ashlift.configstore.membership import (
-    VOTER_PREFIX,
-    MembershipCommand,
-    addresses_under,
-    incarnation_matches,
-    quorum,
-)
-from ashlift.configstore.messages import (
-    CALL_TIMEOUT_SECONDS,
+from ashlift.configstore.codec import decode_request, decode_vote_response
+from ashlift.configstore.membership import VOTER_PREFIX, addresses_under, incarnation_matches, quorum
+from ashlift.configstore.membership_rules import MembershipCommand
+from ashlift.configstore.messages import VoteRequest
+from ashlift.configstore.persistent_state import PersistentVote, Snapshot
+from ashlift.configstore.replica import Replica
+from ashlift.configstore.replica_io import (
     ClockTicked,
     CommandSubmitted,
     HandoverComplete,
     LogEvent,
-    PersistentVote,
     PersistState,
     ReadRequested,
     RequestReceived,
@@ -33,10 +30,9 @@
     SendReply,
     SendRequest,
     ShutdownRequested,
-    Snapshot,
     StatePersisted,
 )
-from ashlift.configstore.replica import Replica
+from ashlift.configstore.timing import CALL_TIMEOUT_SECONDS
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation.linearizability import (
     ACKNOWLEDGED,
@@ -384,9 +380,9 @@
 
     def _reply(self, node: Node, reply: SendReply) -> None:
         call, send, sent_at = reply.reply_to
-        asked = send.method == "request_vote" and not send.body[4]
-        if asked and isinstance(reply.body, list) and reply.body[1]:
-            self.sworn = self.sworn.voted(node.ip, node.disk_life, send.body[0], call[0], node.vote)
+        request = decode_request(send.method, send.body)
+        if isinstance(request, VoteRequest) and isinstance(reply.body, list):
+            self._note_vote(node, request, reply.body)
         caller = self.nodes[call[0]]
 
         def arrive() -> None:
@@ -397,6 +393,10 @@
 
         self._carry(node.ip, call[0], "answer", arrive)
 
+    def _note_vote(self, node: Node, request: VoteRequest, body: list[Any]) -> None:
+        if not request.is_pre_vote and decode_vote_response(body).granted:
+            self.sworn = self.sworn.voted(node.ip, node.disk_life, request.term, request.candidate, node.vote)
+
     def _answer(self, op: Op, body: Any) -> None:
         if op.answer is not None:
             raise AssertionError("answered twice")
--- a/ashlift/simulation/moves.py
+++ b/ashlift/simulation/moves.py
@@ -11,12 +11,15 @@
 from attrs import define, evolve, field
 
 from ashlift.configstore import events
-from ashlift.configstore.membership import LEARNER_PREFIX, MembershipCommand
-from ashlift.configstore.messages import (
-    CALL_TIMEOUT_SECONDS,
+from ashlift.configstore.codec import METHOD_VOTE, decode_vote_response
+from ashlift.configstore.membership import LEARNER_PREFIX
+from ashlift.configstore.membership_rules import MembershipCommand
+from ashlift.configstore.persistent_state import Snapshot
+from ashlift.configstore.proposals import FencingToken
+from ashlift.configstore.replica import Replica
+from ashlift.configstore.replica_io import (
     ClockTicked,
     CommandSubmitted,
-    FencingToken,
     HandoverComplete,
     LogEvent,
     PersistState,
@@ -25,10 +28,9 @@
     ResponseReceived,
     SendReply,
     SendRequest,
-    Snapshot,
     StatePersisted,
 )
-from ashlift.configstore.replica import Replica
+from ashlift.configstore.timing import CALL_TIMEOUT_SECONDS
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation.cell import Asked, Cell, Draw, Kind, Mail, Place, Rules, forked
 from ashlift.simulation.linearizability import (
@@ -311,7 +313,7 @@
     def early(self, ip: str) -> "Work":
         member = self._member(ip)
         assert member is not None
-        member.election_deadline = self.now
+        member.election.deadline = self.now
         self._feed(ip, ClockTicked())
         return self
 
@@ -378,9 +380,10 @@
 
     def _answer(self, ip: str, reply: SendReply) -> None:
         number, caller, _, method, _, (_, context) = reply.reply_to
-        if method == "request_vote" and not context[1] and isinstance(reply.body, list) and reply.body[1]:
+        is_vote = method == METHOD_VOTE and not context.is_pre_vote and isinstance(reply.body, list)
+        if is_vote and decode_vote_response(reply.body).granted:
             place = self.places[ip]
-            self.sworn = self.sworn.voted(ip, place.disk, context[0], caller, place.vote)
+            self.sworn = self.sworn.voted(ip, place.disk, context.term, caller, place.vote)
         if number in self.open:
             self.post("answer", caller, reply.reply_to, TRIP_S, reply.body)
 
--- a/ashlift/simulation/recording.py
+++ b/ashlift/simulation/recording.py
@@ -24,7 +24,7 @@
 import cbor2
 from attrs import define
 
-from ashlift.configstore.messages import PersistentVote, Snapshot
+from ashlift.configstore.persistent_state import PersistentVote, Snapshot
 from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE as EDITS
 from ashlift.errors import Failure
 from ashlift.simulation import random_faults, worst_days
--- a/ashlift/simulation/store.py
+++ b/ashlift/simulation/store.py
@@ -17,8 +17,10 @@
     choose_route,
     may_retry,
 )
-from ashlift.configstore.messages import (
-    CALL_TIMEOUT_SECONDS,
+from ashlift.configstore.pending_edits import MERGE_INTERVAL_SECONDS, PendingEditStorage
+from ashlift.configstore.persistent_state import Snapshot
+from ashlift.configstore.replica import Replica
+from ashlift.configstore.replica_io import (
     ClockTicked,
     CommandSubmitted,
     Effect,
@@ -30,13 +32,11 @@
     SendReply,
     SendRequest,
     ShutdownRequested,
-    Snapshot,
     StatePersisted,
 )
-from ashlift.configstore.pending_edits import MERGE_INTERVAL_SECONDS, PendingEditStorage
-from ashlift.configstore.replica import Replica
 from ashlift.configstore.replica_runner import MAX_SLEEP_SECONDS, MIN_SLEEP_SECONDS
 from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE
+from ashlift.configstore.timing import CALL_TIMEOUT_SECONDS
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation.event_loop import EventLoop, Future
 from ashlift.simulation.network import SimulatedNetwork, as_simulated
--- a/ashlift/simulation/sworn.py
+++ b/ashlift/simulation/sworn.py
@@ -9,7 +9,8 @@
 from attrs import evolve, frozen
 
 from ashlift.configstore.membership import VOTER_PREFIX, addresses_under, incarnation_matches, quorum
-from ashlift.configstore.messages import PersistentVote, Proposal, ReadOnlyResult, Snapshot, TermIndex
+from ashlift.configstore.persistent_state import PersistentVote, Snapshot, TermIndex
+from ashlift.configstore.proposals import Proposal, ReadOnlyResult
 from ashlift.configstore.replica import Replica
 
 ZONE = "zone"
--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -18,10 +18,13 @@
 
 from ashlift.config import operator_config
 from ashlift.config.settings import Bindings, Settings
+from ashlift.configstore.codec import encode_payload
+from ashlift.configstore.codec import pack as packed_payload
 from ashlift.configstore.committed_state import CommittedState
-from ashlift.configstore.messages import DELTA, PersistentVote, PersistState, Snapshot
+from ashlift.configstore.messages import Delta
+from ashlift.configstore.persistent_state import PersistentVote, Snapshot
 from ashlift.configstore.ranged_map import RangedMap
-from ashlift.configstore.replica_state import pack as packed_payload
+from ashlift.configstore.replica_io import PersistState
 from ashlift.configstore.replica_storage import ReplicaStorage
 from ashlift.errors import Failure
 from ashlift.proxy import registry_client as pullings
@@ -459,7 +462,7 @@
         "store: map changed and digested, ms",
         lambda: _digested(entries.with_changes(patch.entries, patch.removed_keys)),
     )
-    payload = packed_payload([DELTA, 1, 1, patch.entries, patch.removed_keys, new.digest()])
+    payload = encode_payload(Delta((1, 1), patch.entries, patch.removed_keys, new.digest()))
     out.note("store: a change to a follower, bytes", len(payload))
     out.note(
         "store: whole map to a follower, bytes compressed",
--- a/tests/cli/test_tenants.py
+++ b/tests/cli/test_tenants.py
@@ -16,7 +16,7 @@
 from ashlift.cli.tenants import without_api_keys
 from ashlift.config.operator_config import export_configuration
 from ashlift.configstore.commands import OperatorCommand, decide_command
-from ashlift.configstore.messages import Proposal
+from ashlift.configstore.proposals import Proposal
 from ashlift.errors import Failure, FailureReason
 from tests.config.test_operator_config import PUT
 
--- a/tests/configstore/test_catch_up.py
+++ b/tests/configstore/test_catch_up.py
@@ -8,28 +8,32 @@
 from ashlift.configstore import change_log as kept
 from ashlift.configstore.catch_up import CatchUp, ReplicaProgress
 from ashlift.configstore.change_log import ChangeLog
-from ashlift.configstore.committed_state import CommittedState
-from ashlift.configstore.messages import (
-    DELTA,
-    LEARNER,
-    PARTS,
-    PAYLOAD_CHUNK_BYTES,
-    PROMOTE,
-    RANGES,
-    YES,
-    CommandSubmitted,
-    PersistentVote,
-    RequestReceived,
-    ResponseReceived,
-    Snapshot,
-    TermIndex,
+from ashlift.configstore.codec import (
+    CODE_ACCEPTED,
+    CODE_LEARNER,
+    KIND_DELTA,
+    KIND_PROMOTION,
+    KIND_RANGES,
+    KIND_RANGES_AND_CHANGES,
+    unpack,
 )
+from ashlift.configstore.committed_state import CommittedState
+from ashlift.configstore.persistent_state import PersistentVote, Snapshot, TermIndex
 from ashlift.configstore.ranged_map import RangedMap
-from ashlift.configstore.replica_state import unpack
+from ashlift.configstore.replica_io import CommandSubmitted
+from ashlift.configstore.timing import PAYLOAD_CHUNK_BYTES
 from ashlift.simulation import catching
 from ashlift.simulation.catching import Case, played
-from tests.configstore.test_replica import elected, feed, held, member, sends
 from tests.support.mutants import mutated
+from tests.support.replica_driver import (
+    append_request,
+    append_response,
+    elected_replica,
+    feed,
+    held_snapshot,
+    make_replica,
+    requests_sent,
+)
 
 SMALL: dict[str, Any] = {"routes": 300, "changes": 60, "after_s": 6.0}
 # Far from the others, so that changes come more often than an answer of it.
@@ -125,13 +129,13 @@
     def take(self, payload: bytes, named: TermIndex) -> None:
         kind, *rest = unpack(payload)
         self.bytes, self.calls = self.bytes + len(payload), self.calls + 1
-        if kind == DELTA:
+        if kind == KIND_DELTA:
             if tuple(rest[:2]) != self.state.term_index:
                 return
             made = self.state.entries.with_changes(rest[2], rest[3])
         else:
-            assert kind in (RANGES, PARTS)
-            sets, gone = rest[1:3] if kind == PARTS else ({}, [])
+            assert kind in (KIND_RANGES, KIND_RANGES_AND_CHANGES)
+            sets, gone = rest[1:3] if kind == KIND_RANGES_AND_CHANGES else ({}, [])
             made = self.staged = self.staged.with_ranges(rest[0]).with_changes(sets, gone)
         if made.digest() == rest[-1]:
             self.state, self.staged = Snapshot(named, made), made
@@ -248,36 +252,43 @@
 def promoted(index_held: int, committed: int, proposed: int) -> list[list[Any]]:
     """What promotes a learner that is said to hold one of a leader's proposals: those since it was heard of
     are numbered from 1, so many are committed."""
-    one = elected()
-    first = one.snapshot.term_index[1]
+    replica = elected_replica()
+    first = replica.snapshot.term_index[1]
     for peer in "34":
-        feed(one, 2.0, ResponseReceived(peer, "append", 2.0, (2, 1, first, True), [2, YES, 5]))
+        feed(
+            replica,
+            2.0,
+            append_response(peer, 2.0, 1, first, [2, CODE_ACCEPTED, 5]),
+        )
 
     def heard(held: int) -> list[Any]:
-        body = [2, LEARNER, 6, 77, held == first, None, [2, held]]
-        return feed(one, 2.1, ResponseReceived("2", "append", 2.1, (2, 9, held, True), body))
+        body = [2, CODE_LEARNER, 6, 77, held == first, None, [2, held]]
+        return feed(replica, 2.1, append_response("2", 2.1, 9, held, body))
 
     heard(first)  # it proposes at once what is to be committed without that life
     for number in range(1, proposed + 1):
         if number > 1:
-            feed(one, 2.1, CommandSubmitted(f"c{number}", (number - 2, f"c{number}")))
-        assert one.leader_role is not None and one.leader_role.proposed.term_index == (2, first + number)
+            feed(replica, 2.1, CommandSubmitted(f"c{number}", (number - 2, f"c{number}")))
+        assert replica.leader_role is not None and replica.leader_role.proposed.term_index == (
+            2,
+            first + number,
+        )
         if number <= committed:
             for peer in "34":
-                feed(
-                    one, 2.1, ResponseReceived(peer, "append", 2.1, (2, 9, first + number, True), [2, YES, 6])
-                )
+                feed(replica, 2.1, append_response(peer, 2.1, 9, first + number, [2, CODE_ACCEPTED, 6]))
     told = heard(first + index_held)
-    payloads = [unpack(send.body[7]) for send in sends(told, "append") if isinstance(send.body[7], bytes)]
-    return [payload for payload in payloads if payload[0] == PROMOTE]
+    payloads = [
+        unpack(send.body[7]) for send in requests_sent(told, "append") if isinstance(send.body[7], bytes)
+    ]
+    return [payload for payload in payloads if payload[0] == KIND_PROMOTION]
 
 
 @test("a learner is promoted with a committed state, not older than what was committed after it was heard of")
 def _() -> None:
     assert not promoted(0, 0, 1) and not promoted(0, 2, 2) and not promoted(1, 0, 1) and not promoted(2, 1, 2)
-    assert promoted(1, 1, 1)[0][:2] == [PROMOTE, 77]
+    assert promoted(1, 1, 1)[0][:2] == [KIND_PROMOTION, 77]
     older = promoted(1, 2, 3)[0]
-    assert older[:3] == [PROMOTE, 77, 2] and promoted(2, 2, 3)[0][3] == older[3] + 1
+    assert older[:3] == [KIND_PROMOTION, 77, 2] and promoted(2, 2, 3)[0][3] == older[3] + 1
     with mutated("promoted with what is not committed"):
         assert promoted(1, 0, 1) and promoted(2, 1, 2)
     # With what names its disk still under way, and with what was committed before that was.
@@ -286,11 +297,11 @@
 
 
 def learnt(term: int, index: int, commit: int) -> int:
-    """The index known to be committed at a member that holds this, once the leader of term 2 has told one."""
-    state = Snapshot((term, index), held().entries)
-    one = member(PersistentVote(term, "2", True), state)
-    feed(one, 5.0, RequestReceived("r", "append", [2, "2", 1, 9, commit, 0, 0, None]))
-    return one.committed_state.index
+    """The index known to be committed at a member that holds this, once the leader of term 2 names one."""
+    state = Snapshot((term, index), held_snapshot().entries)
+    replica = make_replica(PersistentVote(term, "2", True), state)
+    feed(replica, 5.0, append_request([2, "2", 1, 9, commit, 0, 0, None]))
+    return replica.committed_state.index
 
 
 @test("a state of the leader's own term at or below its commit is committed, one of another term is not")
--- a/tests/configstore/test_commands.py
+++ b/tests/configstore/test_commands.py
@@ -14,7 +14,7 @@
     OperatorCommand,
     decide_command,
 )
-from ashlift.configstore.messages import Proposal, ReadOnlyResult
+from ashlift.configstore.proposals import Proposal, ReadOnlyResult
 from ashlift.configstore.stored_names import ACCEPTED_PREFIX, ACCEPTED_TRIMMED, REFUSED_PREFIX
 from ashlift.registry.api.resource import parse_json
 from ashlift.simulation.world import Plan, first_configuration
--- a/tests/configstore/test_committed_state.py
+++ b/tests/configstore/test_committed_state.py
@@ -3,7 +3,7 @@
 from ward import test
 
 from ashlift.configstore.committed_state import CommittedState
-from ashlift.configstore.messages import Snapshot
+from ashlift.configstore.persistent_state import Snapshot
 from ashlift.configstore.ranged_map import RangedMap
 
 
--- a/tests/configstore/test_membership.py
+++ b/tests/configstore/test_membership.py
@@ -9,30 +9,21 @@
 from ward import each, test
 
 from ashlift.cli.store_member_commands import plan_member_change
-from ashlift.configstore.membership import (
-    LEARNER_PREFIX,
+from ashlift.configstore.membership import LEARNER_PREFIX, VOTER_PREFIX, addresses_under, quorum
+from ashlift.configstore.membership_rules import (
     REMOVE_VOTER_AFTER_SECONDS,
     REMOVE_VOTER_PAIR_AFTER_SECONDS,
     REPLACE_VOTER_AFTER_SECONDS,
-    VOTER_PREFIX,
     ReplicaView,
-    addresses_under,
     next_membership_change,
-    quorum,
     removal_refusal,
     spare_voters,
 )
-from ashlift.configstore.messages import (
-    ClockTicked,
-    PersistentVote,
-    Proposal,
-    ResponseReceived,
-    SendRequest,
-    Snapshot,
-    StatePersisted,
-)
+from ashlift.configstore.persistent_state import PersistentVote, Snapshot
+from ashlift.configstore.proposals import Proposal
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.replica import Replica
+from ashlift.configstore.replica_io import ClockTicked, ResponseReceived, SendRequest, StatePersisted
 from ashlift.configstore.replica_state import InvariantError
 from ashlift.errors import Failure
 from ashlift.registry.api.members import MembersResource
@@ -163,7 +154,7 @@
                 effects += one.handle(
                     2.0, ResponseReceived(peer, "request_vote", 2.0, send.context, [1, True, life])
                 )
-        if one._after_persist is not None:
+        if one.is_persisting:
             effects += one.handle(2.0, StatePersisted(True))
     return one.leader_role is not None
 
--- a/tests/configstore/test_replica_storage.py
+++ b/tests/configstore/test_replica_storage.py
@@ -10,8 +10,9 @@
 
 from ashlift.config.settings import Settings
 from ashlift.configstore import events, replica_runner, server, snapshot_storage
-from ashlift.configstore.messages import PersistentVote, PersistState, Snapshot
+from ashlift.configstore.persistent_state import PersistentVote, Snapshot
 from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.replica_io import PersistState
 from ashlift.configstore.replica_storage import ReplicaStorage
 from ashlift.configstore.snapshot_storage import MAX_WASTED_BYTES
 from ashlift.errors import Failure, FailureReason
--- a/tests/configstore/test_requests.py
+++ b/tests/configstore/test_requests.py
@@ -6,8 +6,9 @@
 
 from ashlift.configstore import requests
 from ashlift.configstore.commands import OperatorCommand
-from ashlift.configstore.membership import MembershipCommand
-from ashlift.configstore.messages import FencingToken, Snapshot
+from ashlift.configstore.membership_rules import MembershipCommand
+from ashlift.configstore.persistent_state import Snapshot
+from ashlift.configstore.proposals import FencingToken
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.requests import SubmitRequest, WatchRequest, WatchStatus
 from ashlift.errors import Failure, FailureReason
--- a/tests/configstore/test_stored_data.py
+++ b/tests/configstore/test_stored_data.py
@@ -6,9 +6,10 @@
 
 from ward import each, fixture, test
 
-from ashlift.configstore.messages import PersistentVote, PersistState, Snapshot
 from ashlift.configstore.pending_edits import PendingEditStorage
+from ashlift.configstore.persistent_state import PersistentVote, Snapshot
 from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.replica_io import PersistState
 from ashlift.configstore.replica_storage import ReplicaStorage
 from ashlift.configstore.snapshot_storage import SnapshotStorage
 from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE
--- a/tests/registry/test_parts.py
+++ b/tests/registry/test_parts.py
@@ -10,7 +10,7 @@
 
 from ashlift.config.settings import Settings
 from ashlift.configstore.committed_state import CommittedState
-from ashlift.configstore.messages import Snapshot
+from ashlift.configstore.persistent_state import Snapshot
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.errors import Failure, FailureReason
 from ashlift.registry.api.config import ConfigResource
--- a/tests/registry/test_routes.py
+++ b/tests/registry/test_routes.py
@@ -16,8 +16,8 @@
 from ashlift.cli.application import create_application
 from ashlift.cli.control_client import ControlResponse
 from ashlift.configstore.commands import OperatorCommand, decide_command
-from ashlift.configstore.messages import Proposal
 from ashlift.configstore.pending_edits import PendingEditStorage
+from ashlift.configstore.proposals import Proposal
 from ashlift.configstore.snapshot_storage import SnapshotStorage
 from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE
 from ashlift.errors import Failure, FailureReason
--- a/tests/rpc/test_fragmentation.py
+++ b/tests/rpc/test_fragmentation.py
@@ -8,7 +8,7 @@
 
 from ashlift.config.settings import Settings, parse_settings
 from ashlift.configstore.committed_state import CommittedState
-from ashlift.configstore.messages import Snapshot
+from ashlift.configstore.persistent_state import Snapshot
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.requests import decode_watch
 from ashlift.configstore.watch import fragment_changes
--- /dev/null
+++ b/tests/support/replica_driver.py
@@ -0,0 +1,87 @@
+"""Drives one replica by hand: events at chosen times, effects looked at, writes that succeed at once."""
+
+import random
+from typing import Any
+
+from ashlift.configstore.codec import METHOD_APPEND, METHOD_VOTE
+from ashlift.configstore.persistent_state import PersistentVote, Snapshot
+from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.replica import Replica
+from ashlift.configstore.replica_io import (
+    ClockTicked,
+    RequestReceived,
+    ResponseReceived,
+    SendReply,
+    SendRequest,
+    StatePersisted,
+)
+from ashlift.configstore.replication import AppendContext
+from ashlift.simulation.sworn import decide
+
+ELECTED_AT = 2.0
+
+
+def make_replica(
+    vote: PersistentVote | None, snapshot: Snapshot | None, ip: str = "1", members: str = "123"
+) -> Replica:
+    """A replica that has started at time 0, with this on its disk."""
+    replica = Replica(ip, list(members), False, vote, snapshot, decide, random.Random(4))
+    for effect in replica.start(0.0):
+        assert not isinstance(effect, SendRequest)
+    return replica
+
+
+def held_snapshot(index: int = 3, members: str = "123") -> Snapshot:
+    """A map of term 1 that names these voters."""
+    return Snapshot((1, index), RangedMap({f"Members/{ip}": {} for ip in members}))
+
+
+def elected_replica(members: str = "12345") -> Replica:
+    """Member 1, just elected for term 2, its first round on the way; the time is ELECTED_AT."""
+    replica = make_replica(PersistentVote(1, None, True), held_snapshot(members=members), members=members)
+    effects = feed(replica, ELECTED_AT, ClockTicked())
+    for term in (1, 2):  # pre-votes, then votes
+        requests = requests_sent(effects, METHOD_VOTE)
+        effects = []
+        for request in requests[: len(members) // 2]:
+            vote = ResponseReceived(request.peer, METHOD_VOTE, ELECTED_AT, request.context, [term, True])
+            effects += feed(replica, ELECTED_AT, vote)
+    assert replica.leader_role is not None
+    assert replica.vote == PersistentVote(2, "1", True)
+    return replica
+
+
+def feed(replica: Replica, now: float, event: Any) -> list[Any]:
+    """The effects, those after a successful write included."""
+    effects: list[Any] = replica.handle(now, event)
+    while replica.is_persisting:
+        effects += replica.handle(now, StatePersisted(True))
+    return effects
+
+
+def request_received(method: str, body: Any) -> RequestReceived:
+    """A request of another replica."""
+    return RequestReceived("r", method, body)
+
+
+def append_request(body: list[Any]) -> RequestReceived:
+    """An append request of another replica."""
+    return request_received(METHOD_APPEND, body)
+
+
+def append_response(
+    peer: str, sent_at: float, heartbeat_round: int, index: int, body: Any, *, carried_payload: bool = True
+) -> ResponseReceived:
+    """A response to an append request of term 2, which carried a payload or asked for digests."""
+    context = AppendContext(2, heartbeat_round, index, carried_payload, not carried_payload)
+    return ResponseReceived(peer, METHOD_APPEND, sent_at, context, body)
+
+
+def replies(effects: list[Any]) -> list[Any]:
+    """The bodies of all replies among these effects."""
+    return [effect.body for effect in effects if isinstance(effect, SendReply)]
+
+
+def requests_sent(effects: list[Any], method: str) -> list[SendRequest]:
+    """The requests of one method among these effects."""
+    return [effect for effect in effects if isinstance(effect, SendRequest) and effect.method == method]
