--- a/ashlift/registry/delta.py
+++ b/ashlift/registry/delta.py
@@ -29,7 +29,9 @@
 
     def needs_snapshot(self, known_version: int) -> bool:
         """Whether a holder of this version may miss changes that a delta would not name."""
-        return known_version < self._floor or any(low < known_version < high for low, high in self._gaps)
+        if known_version < self._floor:
+            return True
+        return bool(self._gaps) and any(low < known_version < high for low, high in self._gaps)
 
     def raise_floor(self, version: int) -> None:
         """Holders of versions below this one need a snapshot from now on."""
--- a/ashlift/registry/locality.py
+++ b/ashlift/registry/locality.py
@@ -1,17 +1,16 @@
-"""How near one place is to another: same zone, same region, or neither. Pure."""
+"""How near one place is to another: same zone, same region, or neither. Pure.
 
-from enum import IntEnum
-
-import attrs
+Distances are plain numbers, the nearer the lower: they are compared for every pull and every heartbeat.
+"""
 
+from typing import Final
 
-class Distance(IntEnum):
-    """The nearer, the lower."""
+import attrs
 
-    SAME_ZONE = 0
-    SAME_REGION = 1
-    OTHER_REGION = 2
-    UNKNOWN = 3
+SAME_ZONE: Final = 0
+SAME_REGION: Final = 1
+OTHER_REGION: Final = 2
+UNKNOWN_DISTANCE: Final = 3
 
 
 @attrs.frozen
@@ -21,8 +20,8 @@
     zone: str
     region: str
 
-    def distance_from(self, zone: str, region: str | None) -> Distance:
+    def distance_from(self, zone: str, region: str | None) -> int:
         """`region` of the other place; None: not known."""
         if self.zone == zone:
-            return Distance.SAME_ZONE
-        return Distance.SAME_REGION if self.region == region else Distance.OTHER_REGION
+            return SAME_ZONE
+        return SAME_REGION if self.region == region else OTHER_REGION
--- a/ashlift/registry/peer_registries.py
+++ b/ashlift/registry/peer_registries.py
@@ -1,6 +1,6 @@
 """The other registries: replicas of their records, who is in reach, and how long they have run. Pure."""
 
-from collections.abc import Collection, Iterator
+from collections.abc import Collection, Iterable, Iterator
 from typing import Final
 
 import attrs
@@ -58,10 +58,13 @@
 
     def contacted_within(self, seconds: float, now: float) -> list[str]:
         """Sources of the peers that have answered within that time, not counting standstills."""
+        resumed_at = (
+            self._clock.resumed_at
+        )  # as `has_expired`, without a call for each peer: used for every pull
         return [
             name
             for name, replica in self.replicas.items()
-            if not self._clock.has_expired(replica.last_contact_at, seconds, now)
+            if now - max(replica.last_contact_at, resumed_at) <= seconds
         ]
 
     def note_call(self, ip: str, now: float) -> None:
@@ -100,9 +103,9 @@
         self._changes.increment()
         return delta.values.keys()
 
-    def latest_start(self, now: float) -> float:
-        """When the youngest of this registry and its living peers started, or this one's standstill ended."""
-        started = [self.replicas[name].started_at for name in self.contacted_within(ALIVE_SECONDS, now)]
+    def latest_start(self, alive: Iterable[str]) -> float:
+        """When the youngest of this registry and these peers started, or this one's standstill ended."""
+        started = [self.replicas[name].started_at for name in alive]
         return max(self._clock.started_at, self._clock.resumed_at, *started)
 
     def started_at(self, source: str) -> float:
--- a/ashlift/registry/registry.py
+++ b/ashlift/registry/registry.py
@@ -16,7 +16,7 @@
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.lease_clock import STANDSTILL_SECONDS, LeaseClock
 from ashlift.registry.load_reports import LoadReports
-from ashlift.registry.locality import Distance, Place
+from ashlift.registry.locality import UNKNOWN_DISTANCE, Place
 from ashlift.registry.messages import (
     Json,
     PullRequest,
@@ -109,13 +109,14 @@
                 uptime = now - self.peers.started_at(name) if delta.full else None
                 updates[name] = SourceUpdate(delta, uptime)
         config_update = self._config_update(request, now)
+        alive = self.peers.contacted_within(ALIVE_SECONDS, now)
         return PullResponse(
             updates=updates,
             config_update=config_update,
-            alive=[self.identity.source, *self.peers.contacted_within(ALIVE_SECONDS, now), OPERATOR_SOURCE],
+            alive=[self.identity.source, *alive, OPERATOR_SOURCE],
             lease_age=self.operator_config.lease_age(now),
             response_delay_seconds=now - received_at,
-            uptime=self.uptime(now),
+            uptime=now - self.peers.latest_start(alive),
             config_is_behind=config_update is not None
             and is_partial_config_update(config_update, self.operator_config.version),
             registries=self.registries_by_distance(request.zone, request.region, now),
@@ -139,7 +140,7 @@
 
     def uptime(self, now: float) -> float:
         """Seconds that this registry and all that it hears have run: a young one cannot say who is absent."""
-        return now - self.peers.latest_start(now)
+        return now - self.peers.latest_start(self.peers.contacted_within(ALIVE_SECONDS, now))
 
     # ---- clients and workers
 
@@ -159,7 +160,7 @@
                 places.append((peer.ip, peer.place))
         region = next((place.region for _, place in places if place.zone == zone), self.zones.get(zone))
 
-        def preference(candidate: tuple[str, Place]) -> tuple[Distance, bool, str]:
+        def preference(candidate: tuple[str, Place]) -> tuple[int, bool, str]:
             ip, place = candidate
             return place.distance_from(zone, region), ip != self.identity.ip, ip
 
@@ -187,9 +188,9 @@
             peer = self.peers.replicas[name]
             places[peer.ip] = peer.place
 
-        def preference(ip: str) -> tuple[Distance, str]:
+        def preference(ip: str) -> tuple[int, str]:
             place = places.get(ip)
-            return Distance.UNKNOWN if place is None else place.distance_from(zone, region), ip
+            return UNKNOWN_DISTANCE if place is None else place.distance_from(zone, region), ip
 
         return sorted(set(self.core_members()) | set(places), key=preference)
 
--- a/ashlift/registry/replicated_source.py
+++ b/ashlift/registry/replicated_source.py
@@ -65,10 +65,10 @@
 
     def delta_since(self, known_version: int | None) -> Delta | None:
         """What a holder of that version lacks (None: it holds nothing), or None if it is up to date."""
+        if known_version is not None and known_version >= self.version:
+            return None
         if known_version is None or self._horizon.needs_snapshot(known_version):
             return Delta(self.version, True, dict(self.values), [])
-        if known_version >= self.version:
-            return None
         values = {}
         removed = []
         for key in reversed(self._changed_at):
--- a/ashlift/registry/worker_instances.py
+++ b/ashlift/registry/worker_instances.py
@@ -79,13 +79,7 @@
         if record.call_seq < last_seq or self._expired.is_late(worker_id, record):
             return False
         self._heartbeats[worker_id] = LastHeartbeat(now, record.call_seq)
-        is_published = (
-            own_record is not None
-            and newest is not None
-            and own_record.is_equivalent(record, now)
-            and newest.is_equivalent(record, now)
-        )
-        if not is_published:
+        if not self._is_published(own_record, newest, record, now):
             self._own.put(key, record)
         return True
 
@@ -139,14 +133,23 @@
             del self._tombstones[worker_id]
             self._own.drop(WORKER_PREFIX + worker_id)
 
+    @staticmethod
+    def _is_published(
+        own_record: WorkerRecord | None, newest: WorkerRecord | None, record: WorkerRecord, now: float
+    ) -> bool:
+        """Whether both this registry's record and the newest of all say the same already."""
+        if own_record is None or newest is None or not own_record.is_equivalent(record, now):
+            return False
+        return newest is own_record or newest.is_equivalent(record, now)
+
     def _sources(self) -> Iterable[ReplicatedSource]:
         return [self._own.source, *self._peers.sources()]
 
     def _newest(self, worker_id: str) -> WorkerRecord | None:
         key = WORKER_PREFIX + worker_id
-        newest: WorkerRecord | None = None
-        for source in self._sources():
-            record: WorkerRecord | None = source.values.get(key)
+        newest: WorkerRecord | None = self._own.get(key)
+        for replica in self._peers.replicas.values():
+            record: WorkerRecord | None = replica.source.values.get(key)
             if record is not None and (newest is None or record.call_seq > newest.call_seq):
                 newest = record
         return newest
