--- a/benchmarks/scale/cores.py
+++ b/benchmarks/scale/cores.py
@@ -40,7 +40,8 @@
 from ashlift.registry.registry import Registry
 from ashlift.rpc import framing
 from ashlift.rpc.fragmentation import unpack_sources
-from ashlift.rpc.framing import MAX_FRAME_BYTES, REQUEST_CRC_SEED, RESPONSE_CRC_SEED, encode_frame
+from ashlift.rpc.framing import MAX_FRAME_BYTES
+from ashlift.rpc.messages import encode_request, encode_response
 from ashlift.rpc.sources import OPERATOR_SOURCE
 from benchmarks.scale.measured import REPEATS, Measured, grown, timed
 from benchmarks.scale.target import (
@@ -180,19 +181,16 @@
     out.note(
         "registry: pull in, bytes",
         len(
-            encode_frame(
-                REQUEST_CRC_SEED,
-                [
-                    1,
-                    "pull",
-                    _pull(0, _have(own), counts(size, size.rate / size.gatekeepers * TOLD_S, chance)),
-                ],
+            encode_request(
+                1,
+                "pull",
+                _pull(0, _have(own), counts(size, size.rate / size.gatekeepers * TOLD_S, chance)),
             )
         ),
     )
 
     def nothing_new() -> bytes:
-        return encode_frame(RESPONSE_CRC_SEED, [1, _answer(own, {**idle, "have": _have(own)})])
+        return encode_response(1, _answer(own, {**idle, "have": _have(own)}))
 
     answer = out.ms("registry: answer, nothing new, ms", nothing_new, each=10)
     out.note("registry: answer, nothing new, bytes", len(answer))
@@ -219,7 +217,7 @@
         sums, swaps = CORE * len(names), len(names)
 
         def answered(had: dict[str, int] = lacking) -> bytes:
-            return encode_frame(RESPONSE_CRC_SEED, [1, _answer(own, _pull(0, had, {}))])
+            return encode_response(1, _answer(own, _pull(0, had, {})))
 
         def swapped(had: int = before[own.identity.source]) -> Any:
             request = SwapRequest(own.identity.incarnation, had, None)
@@ -228,13 +226,11 @@
         data = out.ms(f"registry: answer with sums, ms @ {sums}", answered)
         out.note(f"registry: answer with sums, bytes @ {sums}", len(data))
         told_body = out.ms(f"registry: swap told, ms @ {swaps}", swapped)
-        out.note(
-            f"registry: swap told, bytes @ {swaps}", len(encode_frame(RESPONSE_CRC_SEED, [1, told_body]))
-        )
+        out.note(f"registry: swap told, bytes @ {swaps}", len(encode_response(1, told_body)))
         before = _have(own)
     full = out.ms(
         "registry: first answer to a gatekeeper, ms",
-        lambda: encode_frame(RESPONSE_CRC_SEED, [1, _answer(own, _pull(0, {}, {}))]),
+        lambda: encode_response(1, _answer(own, _pull(0, {}, {}))),
         2,
     )
     out.note("registry: first answer to a gatekeeper, bytes", len(full))
@@ -245,7 +241,7 @@
         source.merge(source.version + 1, people, ())
     known = out.ms(
         "registry: of that, all workers and members, ms",
-        lambda: encode_frame(RESPONSE_CRC_SEED, [1, _answer(own, _pull(0, before, {}))]),
+        lambda: encode_response(1, _answer(own, _pull(0, before, {}))),
         2,
     )
     out.note("registry: of that, all workers and members, bytes", len(known))
@@ -322,7 +318,7 @@
         now += TOLD_S
         pull = pulling.next_request(now)
         assert pull is not None
-        encode_frame(REQUEST_CRC_SEED, [1, "pull", pull.body])
+        encode_request(1, "pull", pull.body)
         pulling.handle_response(pull, now, {**whole, "sources": sources})
 
     out.note(
@@ -482,7 +478,7 @@
     out.ms("store: what changed since, ms", lambda: news.advance(next(each)), 3)
     out.note(
         "store: whole map to a registry, bytes",
-        len(encode_frame(RESPONSE_CRC_SEED, [1, news.changes_since(0)])),
+        len(encode_response(1, news.changes_since(0))),
     )
     with tempfile.TemporaryDirectory() as folder:
         disk = ReplicaStorage(folder)
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -18,7 +18,7 @@
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.registry import Registry
-from ashlift.rpc.framing import REQUEST_CRC_SEED, encode_frame
+from ashlift.rpc.messages import encode_request, encode_response
 from benchmarks.scale.cores import settings
 from benchmarks.scale.fit import line, middle, spread
 from benchmarks.scale.hollow import Gatekeeper, HollowLimiter
@@ -150,8 +150,8 @@
             own.sessions.end_pull("hollow-0")
             told[side].append(
                 (
-                    len(encode_frame(REQUEST_CRC_SEED, [1, "pull", pull.body])),
-                    len(encode_frame(REQUEST_CRC_SEED, [1, answer])),
+                    len(encode_request(1, "pull", pull.body)),
+                    len(encode_response(1, answer)),
                 )
             )
             assert pulling.handle_response(pull, now + 0.25, answer) and gate.is_ready(now + 0.25)
--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from hypothesis import HealthCheck, given, seed
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from ward import each, test
 
@@ -125,7 +125,9 @@
     accepted = []
 
     @seed(20)
-    @how(max_examples=400, database=None, deadline=None, suppress_health_check=list(HealthCheck))
+    @hypothesis_settings(
+        max_examples=400, database=None, deadline=None, suppress_health_check=list(HealthCheck)
+    )
     @given(st.sampled_from(["put", "patch"]), DAMAGE_STEPS)
     def fuzz(kind: str, steps: list[tuple[str, int, Any]]) -> None:
         config = ConfigPlay()
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -1,7 +1,7 @@
 """The settings file: what is read, the defaults, and every error by its key."""
 
 from hypothesis import HealthCheck, given, seed
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from ward import each, test
 
@@ -116,7 +116,9 @@
     accepted = []
 
     @seed(21)
-    @how(max_examples=300, database=None, deadline=None, suppress_health_check=list(HealthCheck))
+    @hypothesis_settings(
+        max_examples=300, database=None, deadline=None, suppress_health_check=list(HealthCheck)
+    )
     @given(
         st.lists(
             st.tuples(st.integers(0, len(LINES) - 1), st.sampled_from(WRONG_VALUES)), min_size=1, max_size=3
--- a/tests/proxy/test_registry_client.py
+++ b/tests/proxy/test_registry_client.py
@@ -14,7 +14,7 @@
 from ashlift.registry.registry import Registry
 from ashlift.rpc.client import CONNECT_TIMEOUT_SECONDS
 from ashlift.rpc.fragmentation import unpack_update
-from ashlift.rpc.framing import RESPONSE_CRC_SEED, encode_frame
+from ashlift.rpc.messages import encode_response
 from ashlift.rpc.sources import OPERATOR_SOURCE
 from tests.support.registry_wire import pull_response
 
@@ -101,7 +101,7 @@
     packed["sources"][OPERATOR_SOURCE] = unpack_update(told := packed["sources"][OPERATOR_SOURCE])
     assert packed["sources"] == plain["sources"]
     packed["sources"][OPERATOR_SOURCE] = told
-    assert 8 * len(encode_frame(RESPONSE_CRC_SEED, packed)) < len(encode_frame(RESPONSE_CRC_SEED, plain))
+    assert 8 * len(encode_response(1, packed)) < len(encode_response(1, plain))
     packed["sources"][OPERATOR_SOURCE]["pack"] = packed["sources"][OPERATOR_SOURCE]["pack"][:-9]
     with raises(ValueError):
         unpack_update(packed["sources"][OPERATOR_SOURCE])
