--- a/ashlift/traffic/outlier_detection.py
+++ b/ashlift/traffic/outlier_detection.py
@@ -13,7 +13,6 @@
 
 import math
 from collections.abc import Iterable, Mapping, Sequence
-from dataclasses import dataclass
 from typing import Final, NamedTuple
 
 DECAY_SECONDS: Final = 4.0  # time constant with which evidence loses its weight
@@ -57,13 +56,15 @@
     reporters: int
 
 
-@dataclass(slots=True)
 class _LocalEvidence:
     """What this proxy has seen of one worker, as of `updated_at`."""
 
-    failures: float = 0.0
-    requests: float = 0.0
-    updated_at: float = -math.inf
+    __slots__ = ("failures", "requests", "updated_at")
+
+    def __init__(self) -> None:
+        self.failures = 0.0
+        self.requests = 0.0
+        self.updated_at = -math.inf
 
     def decayed(self, now: float) -> tuple[float, float]:
         """Failures and requests with the weight that they have now."""
@@ -71,8 +72,7 @@
         return self.failures * weight, self.requests * weight
 
 
-@dataclass(slots=True)
-class _RemoteEvidence:
+class _RemoteEvidence(NamedTuple):
     """What other proxies have seen of one worker."""
 
     everywhere: _Evidence
@@ -80,8 +80,7 @@
     first_reported_at: float
 
 
-@dataclass(slots=True)
-class Ejection:
+class Ejection(NamedTuple):
     """The last time that a worker was ejected."""
 
     until: float
--- a/ashlift/traffic/tenant_usage.py
+++ b/ashlift/traffic/tenant_usage.py
@@ -7,7 +7,6 @@
 """
 
 import math
-from dataclasses import dataclass
 from typing import Final, Protocol
 
 from ashlift.traffic.usage_window import UsageWindow
@@ -38,13 +37,15 @@
         """Requests in a window by which it may be exceeded beside that."""
 
 
-@dataclass(slots=True)
 class _PendingReport:
     """Counts of this proxy that a source has confirmed and not yet shown."""
 
-    total: float
-    accepted: float
-    expires_at: float = math.inf
+    __slots__ = ("accepted", "expires_at", "total")
+
+    def __init__(self, total: float, accepted: float) -> None:
+        self.total = total
+        self.accepted = accepted
+        self.expires_at = math.inf
 
 
 class TenantUsage:
