--- a/ashlift/lab/system/clients.py
+++ b/ashlift/lab/system/clients.py
@@ -1,4 +1,4 @@
-"""Clients of one zone on real sockets: what they want, and when, is `simulation.people.Crowd`."""
+"""Clients of one zone on real sockets: what they want, and when, is `simulation.clients.ClientPopulation`."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -9,23 +9,23 @@
 from ashlift.lab.system.places import FRONT
 from ashlift.lab.system.wire import exchange, request_head
 from ashlift.lab.system.yard import asked, print_of
+from ashlift.simulation.clients import CONNECT_TIMEOUT_SECONDS, ClientOperation, ClientPopulation
 from ashlift.simulation.history import HOST, Request
-from ashlift.simulation.people import CONNECT_S, Crowd, Errand
 
 REQUESTS_MOST = 20_000  # of a run
 
 
-class WireCrowd(Crowd):
+class WireCrowd(ClientPopulation):
     def reach(self, ips: Mapping[str, str], sent: dict[str, Request], life: Callable[[str], int]) -> None:
         """`ips`: of gatekeepers; `sent`: requests by attempt id; `life`: of a gatekeeper now."""
         self._ips, self._sent, self._life = ips, sent, life
 
-    def send_request(self, errand: Errand, request: Request) -> None:
+    def send_request(self, operation: ClientOperation, request: Request) -> None:
         if len(self._sent) < REQUESTS_MOST:
-            gevent.spawn(self._exchange, errand, request)
+            gevent.spawn(self._exchange, operation, request)
 
-    def _exchange(self, errand: Errand, request: Request) -> None:
-        loop, left = self.loop, max(0.001, errand.until - self.loop.now)
+    def _exchange(self, operation: ClientOperation, request: Request) -> None:
+        loop, left = self.loop, max(0.001, operation.deadline - self.loop.now)
         attempt = f"{request.id:016x}"
         self._sent[attempt] = request
         request.proxy_incarnation = self._life(request.proxy)
@@ -43,16 +43,18 @@
         def read() -> None:
             request.received = loop.now
 
-        answer: Any = exchange((self._ips[request.proxy], FRONT), head, body, left, read, CONNECT_S)
+        answer: Any = exchange(
+            (self._ips[request.proxy], FRONT), head, body, left, read, CONNECT_TIMEOUT_SECONDS
+        )
         if not isinstance(answer, Failure):
             told = dict(answer.headers)
             if 200 <= answer.status < 300:
                 request.seal = print_of(told.get(b"x-server-seal", b"").decode(), b"".join(answer.parts))
             again = told.get(b"retry-after", b"")
-            self._answered(errand, request, answer.status, float(again) if again else None)
+            self.receive_answer(operation, request, answer.status, float(again) if again else None)
         elif answer.reason == FailureReason.UNREACHABLE:
-            self._failed(errand, request, True)
+            self.fail_attempt(operation, request, True)
         elif answer.detail == "late":
-            request.ended, errand.over = loop.now, True
+            request.ended, operation.finished = loop.now, True
         else:
-            self._answered(errand, request, 0, None)
+            self.receive_answer(operation, request, 0, None)
--- a/ashlift/lab/system/places.py
+++ b/ashlift/lab/system/places.py
@@ -12,7 +12,8 @@
 
 from ashlift.config.settings import Bounds
 from ashlift.config.structuring import Seconds
-from ashlift.simulation.world import CORE, EDGE, HEARTBEAT, ZONES, Plan
+from ashlift.simulation.plan import ZONES, Plan
+from ashlift.simulation.world import CORE, EDGE, HEARTBEAT
 
 FRONT, READINESS, CONTROL, DIRECTORY = 8206, 8201, 8200, 8209
 WORKER_PORT = 8080
--- a/ashlift/lab/system/world.py
+++ b/ashlift/lab/system/world.py
@@ -29,10 +29,11 @@
 from ashlift.lab.system.wire import Calls, Clock, exchange, request_head
 from ashlift.lab.system.yard import WireYard
 from ashlift.simulation.event_loop import EventLoop
+from ashlift.simulation.plan import ZONES, Plan
 from ashlift.simulation.process import Machine
 from ashlift.simulation.scenario import Scenario
 from ashlift.simulation.workers import Yard
-from ashlift.simulation.world import BACK_S, CORE, EDGE, HEARTBEAT, ZONES, Plan, Stage
+from ashlift.simulation.world import BACK_S, CORE, EDGE, HEARTBEAT, Stage
 
 KINDS = {
     "configstore": ["configstore"],
@@ -95,8 +96,9 @@
         for zone in ZONES:
             machine = Machine(f"clients-{zone}", zone, ZONES[zone], 0.0, "clients")
             crowd = WireCrowd(self.loop, self.net, machine, self.history, self.core, self._share)
-            crowd.reach({name: self._at[name].ip for name in self.edge}, self.wire_yard.sent, self._life)
-            self.crowds.append(crowd)
+            ips = {name: self._at[name].ip for name in self.edge}
+            crowd.reach(ips, self.wire_yard.sent, self._life)
+            self.client_populations.append(crowd)
         self.calls.machines = {one.name: Machine(one.name, one.zone, one.region, 0.0) for one in self.places}
 
     # ---- begin and end
--- a/ashlift/simulation/catching.py
+++ b/ashlift/simulation/catching.py
@@ -26,8 +26,8 @@
 from ashlift.simulation.event_loop import EventLoop, Future
 from ashlift.simulation.figures import Spread
 from ashlift.simulation.network import SimulatedNetwork
+from ashlift.simulation.plan import ZONES
 from ashlift.simulation.process import Connection, Machine, Process, RpcCall, Task
-from ashlift.simulation.world import ZONES
 
 LATE_S = 0.5  # a member is level that holds whatever was committed before this
 PATIENCE_S = 5.0  # of who sends a change
--- a/ashlift/simulation/expectations.py
+++ b/ashlift/simulation/expectations.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 
 from ashlift.config.routing_table import RoutingTable
-from ashlift.simulation import clerks
+from ashlift.simulation import route_edits
+from ashlift.simulation.clients import ClientOperation
 from ashlift.simulation.event_arguments import EventArguments
 from ashlift.simulation.history import ConfigurationChange
-from ashlift.simulation.people import Errand
 from ashlift.simulation.world import World
 
 
@@ -115,7 +115,7 @@
 
     def _edit_outcome(self, arguments: EventArguments) -> str:
         _, edit_id, expected = arguments.words
-        outcome = clerks.outcome(edit_id, self._world.stores())
+        outcome = route_edits.outcome_in(edit_id, self._world.stores())
         return "" if outcome == expected.replace("-", " ") else outcome
 
     def _edit_status(self, arguments: EventArguments) -> str:
@@ -125,7 +125,7 @@
 
     def _routes_alike(self, _arguments: EventArguments) -> str:
         """All proxies hold the same routes, byte for byte, and they are those agreed on."""
-        agreed = _routes_as_bytes(RoutingTable.from_entries(clerks.agreed(self._world.stores())))
+        agreed = _routes_as_bytes(RoutingTable.from_entries(route_edits.agreed_entries(self._world.stores())))
         different = []
         for keeper in self._world.keepers():
             table = keeper.gate.cluster.configuration.routing_table
@@ -139,16 +139,21 @@
     # ---- clients and workers
     def _served(self, arguments: EventArguments) -> str:
         start = self._take_count_start()
-        operations = [errand for errand in self._operations() if errand.until - errand.want.deadline > start]
+        operations = [operation for operation in self._operations() if operation.started > start]
         return _wrong_share(operations, float(arguments.words[1]))
 
     def _served_with_key(self, arguments: EventArguments) -> str:
         _, key, share = arguments.words
-        operations = [errand for errand in self._operations() if errand.want.key == key]
+        operations = [operation for operation in self._operations() if operation.pattern.key == key]
         return _wrong_share(operations, float(share))
 
-    def _operations(self) -> list[Errand]:
-        return [errand for crowd in self._world.crowds for errand in crowd.errands if errand.over]
+    def _operations(self) -> list[ClientOperation]:
+        return [
+            operation
+            for population in self._world.client_populations
+            for operation in population.operations
+            if operation.finished
+        ]
 
     def _arrivals(self, arguments: EventArguments) -> str:
         """`idle` or `busy`: whether the worker got requests since the last such check."""
@@ -174,8 +179,8 @@
         return ""
 
 
-def _wrong_share(operations: list[Errand], expected: float) -> str:
-    share = sum(errand.served for errand in operations) / max(1, len(operations))
+def _wrong_share(operations: list[ClientOperation], expected: float) -> str:
+    share = sum(operation.served for operation in operations) / max(1, len(operations))
     return "" if operations and share >= expected else f"{share:.3f} of {len(operations)}"
 
 
--- a/ashlift/simulation/figures.py
+++ b/ashlift/simulation/figures.py
@@ -13,12 +13,13 @@
 
 from ashlift.configstore.persistent_state import Snapshot
 from ashlift.simulation import store
+from ashlift.simulation.clients import ClientOperation
 from ashlift.simulation.event_loop import Future
-from ashlift.simulation.people import Errand
+from ashlift.simulation.plan import Plan
 from ashlift.simulation.process import RpcCall
 from ashlift.simulation.scenario import Scenario
 from ashlift.simulation.scenario_player import ScenarioPlayer
-from ashlift.simulation.world import Plan, World
+from ashlift.simulation.world import World
 
 FAULT_S = 7.0  # when the fault comes
 SPAN_S, STEP_S = 0.5, 0.05  # what is served is counted over spans of this length, so far apart
@@ -93,9 +94,9 @@
     return [leader if word == "leader" else word]
 
 
-def served_again(errands: list[Errand], fault: float) -> float:
+def served_again(operations: list[ClientOperation], fault: float) -> float:
     """s from the fault until all later spans have 0.9 of the usual share served; inf: not within LOOK_S."""
-    born = sorted((one.until - one.want.deadline, one.served) for one in errands)
+    born = sorted((one.started, one.served) for one in operations)
 
     def share(since: float, until: float) -> float:
         found = [served for at, served in born if since <= at < until]
@@ -124,8 +125,8 @@
     play.perform(["put", "2", "look=desk"])
     world.run(fault + LOOK_S + DEADLINE_S)
     acked = [one.acknowledged for one in world.history.changes if one.version == 2]
-    errands = [one for crowd in world.crowds for one in crowd.errands]
-    return served_again(errands, fault), min(acked) - fault
+    operations = [one for population in world.client_populations for one in population.operations]
+    return served_again(operations, fault), min(acked) - fault
 
 
 def failover(seeds: range, jobs: int) -> Iterator[str]:
--- a/ashlift/simulation/history.py
+++ b/ashlift/simulation/history.py
@@ -213,7 +213,7 @@
         self.resends: list[Resend] = []
         self.evacuations: list[EvacuationChange] = []
         self.evacuation_calls: list[EvacuationCall] = []
-        self.route_edits: dict[str, Any] = {}  # by id, of `ashlift.simulation.clerks`
+        self.route_edits: dict[str, Any] = {}  # by id, of `ashlift.simulation.route_edits`
         self.faults: dict[str, list[FaultInterval]] = {}  # by machine
         self.terminations: dict[str, list[float]] = {}  # machine -> when faults started that were a SIGTERM
         self.core_unsettled: list[FaultInterval] = []
--- a/ashlift/simulation/load_actions.py
+++ b/ashlift/simulation/load_actions.py
@@ -3,10 +3,11 @@
 import math
 from collections.abc import Callable
 
+from ashlift.simulation.clients import RequestPattern
 from ashlift.simulation.event_arguments import EventArguments
-from ashlift.simulation.people import Want
+from ashlift.simulation.plan import ROUTES
 from ashlift.simulation.workers import Worker
-from ashlift.simulation.world import ROUTES, World
+from ashlift.simulation.world import World
 
 POLL_SECONDS = 0.001  # between two looks whether a version is acknowledged
 
@@ -38,10 +39,10 @@
 
     def _hot(self, arguments: EventArguments) -> None:
         tenant, factor = arguments.words
-        for crowd in self._world.crowds:
-            for want in crowd.wants:
-                if want.key.startswith(f"{tenant}-"):
-                    want.rate *= float(factor)
+        for population in self._world.client_populations:
+            for pattern in population.patterns:
+                if pattern.key.startswith(f"{tenant}-"):
+                    pattern.rate *= float(factor)
 
     def _ask(self, arguments: EventArguments) -> None:
         key, rate = arguments.words
@@ -55,9 +56,11 @@
         ):
             world.loop.call_later(POLL_SECONDS, self._ask_after, key, rate, version)
             return
-        for crowd in world.crowds:
-            for name, (_, idempotent) in ROUTES.items():
-                crowd.add(Want(f"/{name}/x", idempotent, key, rate / len(ROUTES)))
+        for population in world.client_populations:
+            for name, route in ROUTES.items():
+                population.add_pattern(
+                    RequestPattern(f"/{name}/x", route.idempotent, key, rate / len(ROUTES))
+                )
 
     def _add(self, arguments: EventArguments) -> None:
         service, zone = arguments.words
--- a/ashlift/simulation/operator_actions.py
+++ b/ashlift/simulation/operator_actions.py
@@ -4,10 +4,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from ashlift.simulation import clerks
+from ashlift.simulation import route_edits
+from ashlift.simulation.configurations import (
+    configuration_change,
+    edit_configuration,
+    first_configuration,
+    patch_between,
+)
 from ashlift.simulation.event_arguments import EventArguments, resolve_machines
-from ashlift.simulation.people import Operator, change, edited, patched
-from ashlift.simulation.world import World, first_configuration
+from ashlift.simulation.operators import Operator
+from ashlift.simulation.world import World
 
 FIRST_CONFIGURATION_SECONDS = 0.5  # after the start
 FIRST_VERSION = 1
@@ -38,9 +44,9 @@
 
     def send_first_configuration(self) -> None:
         """Let the operator send version 1 a little after the start."""
-        first = change(FIRST_VERSION, 0, DEFAULT_OPERATOR, self._bodies[FIRST_VERSION], 0.0)
+        first = configuration_change(FIRST_VERSION, 0, DEFAULT_OPERATOR, self._bodies[FIRST_VERSION], 0.0)
         operator = self._world.operator(DEFAULT_OPERATOR)
-        self._world.loop.call_later(FIRST_CONFIGURATION_SECONDS, operator.put, first, None)
+        self._world.loop.call_later(FIRST_CONFIGURATION_SECONDS, operator.send_change, first, None)
 
     def _operator(self, arguments: EventArguments) -> Operator:
         return self._world.operator(arguments.options.get("by", DEFAULT_OPERATOR))
@@ -50,11 +56,11 @@
         version = int(arguments.words[0])
         base = self._base_version(arguments.options.get("on", "newest"))
         base_body = self._bodies.get(base, self._bodies[FIRST_VERSION])  # the base may not have been sent yet
-        body = self._bodies[version] = edited(base_body, version, arguments.words[1:])
-        configuration = change(version, base, operator.name.rpartition("-")[2], body, 0.0)
+        body = self._bodies[version] = edit_configuration(base_body, version, arguments.words[1:])
+        configuration = configuration_change(version, base, operator.name.rpartition("-")[2], body, 0.0)
         if arguments.word == "patch":
-            configuration.patch = patched(base_body, body)
-        operator.put(configuration, arguments.machine)
+            configuration.patch = patch_between(base_body, body)
+        operator.send_change(configuration, arguments.machine)
 
     def _base_version(self, base: str) -> int:
         changes = self._world.history.changes
@@ -68,22 +74,24 @@
         zone = arguments.words[0]
         once = "once" in arguments.words
         evacuate = arguments.word == "evacuate"
-        self._operator(arguments).empty(zone, evacuate, arguments.machine, once)
+        self._operator(arguments).evacuate(zone, evacuate, arguments.machine, once)
 
     def _edit(self, arguments: EventArguments) -> None:
         edit_id, words = arguments.words
         operator = self._operator(arguments)
         registry = self._world.board(resolve_machines(self._world, [arguments.options["at"]])[0])
-        clerks.edit(operator, self._world.history, edit_id, words, registry)
+        route_edits.send_edit(operator, self._world.history, edit_id, words, registry)
 
     def _decide_edit(self, arguments: EventArguments) -> None:
         operator = self._operator(arguments)
         machine = arguments.options["at"]
         overwrite = "over" in arguments.words
-        clerks.word(operator, self._world.history, arguments.words[0], arguments.word, machine, overwrite)
+        route_edits.send_decision(
+            operator, self._world.history, arguments.words[0], arguments.word, machine, overwrite
+        )
 
     def _read(self, arguments: EventArguments) -> None:
-        self._operator(arguments).read(arguments.machine)
+        self._operator(arguments).read_configuration(arguments.machine)
 
     def _orders(self, arguments: EventArguments) -> None:
         count, until, *machines = arguments.words
--- /dev/null
+++ b/ashlift/simulation/operators.py
@@ -0,0 +1,120 @@
+"""Operators: they send a command again, unchanged, to any core machine, until there is a clear answer."""
+
+from typing import Any
+
+from ashlift.simulation import board
+from ashlift.simulation.event_loop import EventLoop
+from ashlift.simulation.history import (
+    ConfigurationChange,
+    EvacuationCall,
+    EvacuationChange,
+    History,
+    Reading,
+)
+from ashlift.simulation.process import Machine, Network, Process, Task
+
+CALL_TIMEOUT_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS_PER_OBJECT = 0.003
+INITIAL_BACKOFF_SECONDS = 0.1
+MAX_BACKOFF_SECONDS = 1.0
+BACKOFF_FACTOR = 1.5
+READ_RETRY_SECONDS = 0.2
+MAX_REDIRECTS = 2  # that a caller follows
+REDIRECT_STATUS = 307
+FINAL_STATUSES = (200, 400, 404, 412, 422)
+
+
+class Operator(Process):
+    """One operator, with its own way of asking the core machines."""
+
+    def __init__(
+        self, loop: EventLoop, net: Network, machine: Machine, history: History, registries: list[str]
+    ) -> None:
+        super().__init__(loop, net, machine, "operator")
+        self.history = history
+        self.registries = registries
+
+    def on_start(self) -> None:
+        """Wait to be asked for something."""
+
+    def _registry_order(self, first: str | None) -> list[str]:
+        shuffled = self.loop.rng.sample(self.registries, len(self.registries))
+        return ([first] if first else []) + [name for name in shuffled if name != first]
+
+    def _send_until_answered(self, command: dict[str, Any], first: str | None, once: bool = False) -> Task:
+        """Returns the status of the clear answer; with `once`, None if the first call got none."""
+        backoff = INITIAL_BACKOFF_SECONDS
+        registries = self._registry_order(first)
+        timeout = CALL_TIMEOUT_SECONDS
+        if isinstance(command["body"], dict):
+            timeout += CALL_TIMEOUT_SECONDS_PER_OBJECT * len(command["body"].get("Objects", ()))
+        while True:
+            answer = yield from self._send_following_redirects(registries[0], command, timeout)
+            if isinstance(answer, tuple) and answer[0] in FINAL_STATUSES:
+                return answer[0]
+            if once:
+                return None
+            registries = registries[1:] or self._registry_order(None)
+            yield backoff
+            backoff = min(MAX_BACKOFF_SECONDS, BACKOFF_FACTOR * backoff)
+
+    def _send_following_redirects(self, registry: str, command: dict[str, Any], timeout: float) -> Task:
+        for _ in range(1 + MAX_REDIRECTS):
+            sent = self.loop.now
+            evacuation_call: EvacuationCall | None = None
+            if command["kind"] in ("evacuate", "restore"):
+                evacuated = command["kind"] == "evacuate"
+                evacuation_call = EvacuationCall(command["body"], evacuated, sent, sent + timeout, self.name)
+                self.history.evacuation_calls.append(evacuation_call)
+            answer = yield self.call(registry, board.KIND, "order", command, timeout)
+            if evacuation_call is not None and isinstance(answer, tuple) and answer[0] == 200:
+                evacuation_call.ended = self.loop.now
+            timeout -= self.loop.now - sent
+            if not isinstance(answer, tuple) or answer[0] != REDIRECT_STATUS:
+                break
+        return answer
+
+    # ---- configurations
+    def send_change(self, change: ConfigurationChange, first: str | None = None) -> None:
+        """Send a change from now on, to the registry `first` first."""
+        change.sent = self.loop.now
+        self.history.changes.append(change)
+        self.spawn(self._send_change(change, first))
+
+    def _send_change(self, change: ConfigurationChange, first: str | None) -> Task:
+        status = yield from self._send_until_answered(change.as_command(), first)
+        change.ended = self.loop.now
+        if status == 200:
+            change.acknowledged = self.loop.now
+        else:
+            change.rejected_status = status
+
+    def read_configuration(self, first: str | None = None) -> None:
+        """Read the configuration, from the registry `first` first."""
+        self.spawn(self._read_configuration(first))
+
+    def _read_configuration(self, first: str | None) -> Task:
+        registries = self._registry_order(first)
+        while True:
+            started = self.loop.now
+            answer = yield self.call(registries[0], board.KIND, "config", None, CALL_TIMEOUT_SECONDS)
+            if isinstance(answer, tuple) and answer[0] in (200, 404):
+                body, entries = answer[1]
+                version = int(body.get("ConfigVersion", "0"), 16)
+                self.history.readings.append(Reading(started, self.loop.now, version, body, entries))
+                return
+            registries = registries[1:] or self._registry_order(None)
+            yield READ_RETRY_SECONDS
+
+    # ---- evacuations
+    def evacuate(self, zone: str, evacuated: bool, first: str | None = None, once: bool = False) -> None:
+        """Evacuate a zone or end its evacuation; `once`: give up after one call."""
+        self.spawn(self._evacuate(zone, evacuated, first, once))
+
+    def _evacuate(self, zone: str, evacuated: bool, first: str | None, once: bool = False) -> Task:
+        evacuation = EvacuationChange(zone, evacuated, self.loop.now)
+        self.history.evacuations.append(evacuation)
+        command = {"kind": "evacuate" if evacuated else "restore", "if_match": None, "body": zone}
+        status = yield from self._send_until_answered(command, first, once)
+        if status == 200:
+            evacuation.acknowledged = self.loop.now
--- a/ashlift/simulation/random_faults.py
+++ b/ashlift/simulation/random_faults.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import Final
 
+from ashlift.simulation.plan import Plan
 from ashlift.simulation.scenario import Scenario, ScenarioEvent
-from ashlift.simulation.world import Plan
 
 CALM_SECONDS: Final = 9.0  # at the end: all faults are over, and what was acknowledged is read back
 FIRST_EVENT_SECONDS: Final = 6.0
--- a/ashlift/simulation/recording.py
+++ b/ashlift/simulation/recording.py
@@ -31,10 +31,11 @@
 from ashlift.simulation.history import FaultInterval, History
 from ashlift.simulation.network import as_simulated
 from ashlift.simulation.observer import Observer
+from ashlift.simulation.plan import Plan
 from ashlift.simulation.process import Process
 from ashlift.simulation.scenario import Scenario, read_scenarios
 from ashlift.simulation.scenario_player import ScenarioPlayer
-from ashlift.simulation.world import Plan, World
+from ashlift.simulation.world import World
 
 ROOT: Final = Path(__file__).parents[2]
 SCENES: Final = ROOT / "tests" / "scenarios"
--- /dev/null
+++ b/ashlift/simulation/route_edits.py
@@ -0,0 +1,143 @@
+"""Operators who edit single routes, and what became of their edits by the map that the stores agreed on."""
+
+from collections.abc import Mapping
+from typing import Any
+
+from attrs import define
+
+from ashlift.config.operator_config import export_configuration
+from ashlift.config.routing_table import RoutingTable
+from ashlift.route_reconciliation.stored_records import Outcome, outcome_of
+from ashlift.simulation import board
+from ashlift.simulation.board import Board
+from ashlift.simulation.configurations import new_route_specification
+from ashlift.simulation.history import ConfigurationChange, History
+from ashlift.simulation.operators import Operator
+from ashlift.simulation.process import Task
+from ashlift.simulation.store import Store
+
+CALL_TIMEOUT_SECONDS = 5.0  # the command line's
+
+
+@define(eq=False)
+class EditRecord:
+    """An edit of one route, as its operator knows it.
+
+    `text` is None for a route that is withdrawn; `status` is that of the last answer to the edit or to the
+    operator's decision on it, 0 where there is none yet.
+    """
+
+    id: str
+    name: str
+    text: dict[str, Any] | None
+    operator: str
+    sent: float
+    status: int = 0
+    acknowledged: float = float("inf")
+
+    def receive_answer(self, answer: Any, now: float) -> None:
+        """Note what a registry answered: a status and a value, or a failure."""
+        if isinstance(answer, tuple):
+            self.status = answer[0]
+            if answer[0] == 200 and answer[1]["outcome"] == Outcome.IN_FORCE:
+                self.acknowledged = now
+
+
+def parse_edit(entries: Mapping[str, Any], words: str) -> tuple[str, dict[str, Any] | None]:
+    """Return a route's name and its new text, None if it is withdrawn.
+
+    `hold=bill` sends the route there, `r+NAME=SERVICE` adds one for look-ups, `r-NAME` withdraws one.
+    """
+    name, _, service = words.removeprefix("r+").removeprefix("r-").partition("=")
+    if words.startswith("r-"):
+        return name, None
+    text = entries.get(f"Routes/{name}")
+    if text is None:
+        text = new_route_specification(name, service)
+        del text["Service"]  # it comes last: recorded histories hold the bytes of the edit
+    return name, {**text, "Service": service}
+
+
+def send_edit(operator: Operator, history: History, edit_id: str, words: str, registry: Board) -> None:
+    """Read the route at a registry, and ask for another text of it there."""
+    entries = registry.registry.operator_config.values
+    name, text = parse_edit(entries, words)
+    record = EditRecord(edit_id, name, text, operator.name, operator.loop.now)
+    history.route_edits[edit_id] = record
+    base = entries.get(f"Routes/{name}")
+    body = {"id": edit_id, "who": operator.name, "name": name, "text": text, "base": base}
+    _send(operator, record, registry.name, "edit", body)
+
+
+def send_decision(
+    operator: Operator, history: History, edit_id: str, decision: str, registry: str, overwrite: bool
+) -> None:
+    """Confirm or reject a pending edit; `overwrite`: also what changed meanwhile."""
+    body = {"id": edit_id, "who": operator.name, "word": decision, "over": overwrite}
+    _send(operator, history.route_edits[edit_id], registry, "word", body)
+
+
+def _send(operator: Operator, record: EditRecord, registry: str, method: str, body: dict[str, Any]) -> None:
+    record.status = 0
+
+    def call() -> Task:
+        answer = yield operator.call(registry, board.KIND, method, body, CALL_TIMEOUT_SECONDS)
+        record.receive_answer(answer, operator.loop.now)
+
+    operator.spawn(call())
+
+
+def agreed_entries(stores: list[Store]) -> Mapping[str, Any]:
+    """Return the newest map known to be committed."""
+    snapshots = [store.member.committed_state.snapshot for store in stores if store.member]
+    if not snapshots:
+        return {}
+    entries: Mapping[str, Any] = max(snapshots, key=lambda snapshot: snapshot.term_index).entries.map
+    return entries
+
+
+def outcome_in(edit_id: str, stores: list[Store]) -> str:
+    """Return what the agreed map says of an edit; `waits`, or `unknown` where no store holds it either."""
+    record = outcome_of(agreed_entries(stores), edit_id)
+    if record:
+        return str(record["outcome"])
+    is_pending = any(store.pending_edits and edit_id in store.pending_edits.pending.edits for store in stores)
+    return "waits" if is_pending else "unknown"
+
+
+def record_outcomes(history: History, entries: Mapping[str, Any]) -> None:
+    """Add to the history the version that each edit made by the agreed map.
+
+    An edit that never was in force adds none, so that whatever ran by it is a violation.
+    """
+    outcomes = {edit_id: outcome_of(entries, edit_id) or {} for edit_id in history.route_edits}
+    for edit_id in sorted(outcomes, key=lambda edit_id: str(outcomes[edit_id].get("version"))):
+        outcome = outcomes[edit_id]
+        if outcome.get("outcome") == Outcome.IN_FORCE:
+            _add_change(history, history.route_edits[edit_id], outcome["version"])
+
+
+def _add_change(history: History, edit: EditRecord, version_text: str) -> None:
+    version = int(version_text, 16)
+    if any(change.version == version for change in history.changes):
+        return  # the route was as the edit wants it already
+    older = [change for change in history.changes if not change.rejected_status and change.version < version]
+    base = max(older, key=lambda change: change.version, default=None)
+    if base is None:
+        return
+    entries = dict(base.entries)
+    entries.pop(f"Routes/{edit.name}", None)
+    if edit.text is not None:
+        entries[f"Routes/{edit.name}"] = edit.text
+    entries["Version"] = version_text
+    change = ConfigurationChange(
+        version,
+        version - 1,
+        edit.operator,
+        edit.sent,
+        export_configuration(entries),
+        entries,
+        RoutingTable.from_entries(entries),
+    )
+    change.acknowledged = edit.acknowledged
+    history.changes.append(change)
--- a/ashlift/simulation/scenario.py
+++ b/ashlift/simulation/scenario.py
@@ -12,16 +12,16 @@
 at 5 loss 0.05 | load 3 | hot t1 5      calls that get no answer; clients' rate, of all, and of one tenant
 at 5 torn 0.05                   calls that are given up in the middle of being written
 at 5 ask KEY 4 [after 2]         clients with this key ask so often a second; once version 2 is acknowledged
-at 5 put|patch 2 [on 1] [by B] [at core-2] look=desk k-t1-a ...  the operator (`people.edited`); on the
+at 5 put|patch 2 [on 1] [by B] [at core-2] look=desk k-t1-a ...  the operator (configurations.py); on the
                                  newest not refused if left out, `on acked`: on the newest acknowledged
 at 5 evacuate z1 [at core-2] [once] | restore z1 | read    once: given up after one call
-at 5 orders 8 40 [core-2 ...]    so many operators, each with an order under way until 40 (callers), there
+at 5 orders 8 40 [core-2 ...]    so many operators, each with an order under way until 40, there
 at 5 reset WHO | slow 0.3 WHO for 20      its connections break; each message from or to it takes so much more
 at 5 add fleet z1 [cold 3] [as fleet-2] | crash fleet-1 | drain fleet-1 | chill fleet-1 3 | sick fleet-1 0.2
 at 5 grey fleet-1 0.3 | forget fleet-1 0.3    share of 500; s of rest after which a connection is forgotten
 at 5 break fleet-1 0.2           share of requests that run, and whose connection breaks then
 at 5 seeds core-4 core-5
-at 5 edit ID hold=bill|r+NAME=SERVICE|r-NAME at core-2 [by B]     one route (clerks); clock core-4 3
+at 5 edit ID hold=bill|r+NAME=SERVICE|r-NAME at core-2 [by B]     one route; clock core-4 3
 at 5 confirm|reject ID [over] at core-2 [by B]                    the operator's word on it
 at 8 expect WHAT                 version N everywhere|at GATE | acked N | refused N | served S (share since
                                  the last) | crew (all know the workers) | evacuated z1 | leader | runs N
@@ -37,7 +37,7 @@
 
 from attrs import define, evolve, fields
 
-from ashlift.simulation.world import Plan
+from ashlift.simulation.plan import Plan
 
 
 @define(frozen=True)
--- a/ashlift/simulation/scenario_player.py
+++ b/ashlift/simulation/scenario_player.py
@@ -7,7 +7,7 @@
 
 from attrs import define, evolve
 
-from ashlift.simulation import clerks
+from ashlift.simulation import route_edits
 from ashlift.simulation.checkers.rules import first_violation
 from ashlift.simulation.checkers.violation import Violation
 from ashlift.simulation.event_arguments import EventArguments, parse_arguments
@@ -15,8 +15,9 @@
 from ashlift.simulation.fault_actions import FaultActions
 from ashlift.simulation.load_actions import LoadActions
 from ashlift.simulation.operator_actions import OperatorActions
+from ashlift.simulation.plan import Plan
 from ashlift.simulation.scenario import Scenario, ScenarioEvent
-from ashlift.simulation.world import Plan, World
+from ashlift.simulation.world import World
 
 # Collecting garbage takes a fifth of the time at the usual thresholds, and finds little.
 GARBAGE_COLLECTION_THRESHOLDS: Final = (200_000, 50, 1000)
@@ -66,7 +67,7 @@
             self._play_events()
             world = self.world
             if world.history.route_edits:
-                clerks.settle(world.history, clerks.agreed(world.stores()))
+                route_edits.record_outcomes(world.history, route_edits.agreed_entries(world.stores()))
             return first_violation(world.history, world.bounds) or self.failed_expectation
 
     def _play_events(self) -> None:
--- a/ashlift/simulation/world.py
+++ b/ashlift/simulation/world.py
@@ -2,26 +2,25 @@
 
 from abc import abstractmethod
 from collections.abc import Iterable
-from typing import Any
 
-from attrs import define, evolve, field
+from attrs import evolve
 
 from ashlift.config.settings import Bindings, Bounds, Settings
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation import board, keeper, store
 from ashlift.simulation.board import Board
-from ashlift.simulation.callers import Caller
+from ashlift.simulation.busy_operators import BusyOperator
+from ashlift.simulation.clients import ClientPopulation, RequestPattern
 from ashlift.simulation.event_loop import EventLoop
-from ashlift.simulation.history import HOST
 from ashlift.simulation.keeper import Keeper
 from ashlift.simulation.marks import Marks
 from ashlift.simulation.network import SimulatedNetwork
-from ashlift.simulation.people import Crowd, Operator, Want
+from ashlift.simulation.operators import Operator
+from ashlift.simulation.plan import ROUTES, ZONES, Plan
 from ashlift.simulation.process import Machine, Network, Process
 from ashlift.simulation.store import Store
 from ashlift.simulation.workers import Yard
 
-ZONES = {"z1": "r1", "z2": "r2", "z3": "r3", "z4": "r1", "z5": "r2", "z6": "r3"}
 BACK_S = 0.5  # a process that has ended is started again after so long
 BOOT_S = 0.2
 HEARTBEAT = 1.5
@@ -34,60 +33,6 @@
     "core": [store.KIND, board.KIND],
     "all": [store.KIND, board.KIND, keeper.KIND],
 }
-# route -> service, repeatable
-ROUTES = {"look": ("fleet", True), "hold": ("desk", False), "bill": ("bill", False)}
-
-
-@define
-class Plan:
-    """What is built. `rate`: requests a second of all clients; `workers`: of each service."""
-
-    core: int = 5
-    edge: int = 11
-    seed: int = 1
-    rate: float = 60.0
-    workers: int = 6
-    capacity: int = 4
-    latency: float = 0.15
-    tenants: int = 4
-    quota: float = 200.0
-    warmup: float = 3.0
-    warmup_rate: float = 5.0
-    loss: float = 0.0
-    late: int = 0  # 1: bytes held up by a cut arrive whenever it ends
-    until: float = 20.0
-    homes: list[str] = field(factory=list)  # of the route `bill`
-
-
-def first_configuration(plan: Plan) -> dict[str, Any]:
-    objects: list[dict[str, Any]] = []
-    spec: dict[str, Any]
-    for name, (service, repeatable) in ROUTES.items():
-        spec = {
-            "Host": HOST,
-            "PathPrefix": f"/{name}/",
-            "RouteType": "idempotent" if repeatable else "non_idempotent",
-            "Timeout": "3000ms",
-            "TargetLatency": "800ms",
-            "Priority": 1,
-            "Service": service,
-            "MaxAttempts": 3,
-            "Anonymous": False,
-            "HomeRegions": plan.homes if name == "bill" else [],
-        }
-        objects.append({"ObjectType": "Routes", "Metadata": {"Name": name}, "Specification": spec})
-    for service, _ in ROUTES.values():
-        spec = {
-            "HealthCheck": "/health",
-            "MaxConnections": 100,
-            "Warmup": f"{plan.warmup}s",
-            "WarmupRateS": plan.warmup_rate,
-        }
-        objects.append({"ObjectType": "Services", "Metadata": {"Name": service}, "Specification": spec})
-    for number in range(1, plan.tenants + 1):
-        spec = {"ApiKeys": [f"t{number}-a", f"t{number}-b"], "RatePerS": plan.quota, "BurstSize": plan.quota}
-        objects.append({"ObjectType": "Tenants", "Metadata": {"Name": f"t{number}"}, "Specification": spec})
-    return {"ConfigVersion": "00000001", "Objects": objects}
 
 
 class Stage(Marks):
@@ -100,7 +45,7 @@
         self.load = 1.0
         self.zones = dict(ZONES)
         self.seeds = self.core[:3]
-        self.crowds: list[Crowd] = []
+        self.client_populations: list[ClientPopulation] = []
         self.operators: dict[str, Operator] = {}
         self.yard = self.furnished()
 
@@ -113,23 +58,25 @@
     def populate(self) -> None:
         """Workers come in turn, fleet-2 stands in z2; then clients, and a little later what they ask."""
         names, chance = list(ZONES), self.loop.rng
-        for service, _ in ROUTES.values():
+        for route in ROUTES.values():
             for number in range(self.plan.workers):
                 at = 0.5 + (number + 0.9 * chance.random()) / self.plan.workers
-                self.loop.call_later(at, self.worker, service, names[number % len(names)])
-        for crowd in self.crowds:
-            crowd.start()
+                self.loop.call_later(at, self.worker, route.service, names[number % len(names)])
+        for population in self.client_populations:
+            population.start()
         self.loop.call_later(TRAFFIC_S, self._traffic)
 
     def _share(self) -> float:
-        return self.load / len(self.crowds)
+        return self.load / len(self.client_populations)
 
     def _traffic(self) -> None:
         rate = self.plan.rate / (len(ROUTES) * self.plan.tenants)
-        for crowd in self.crowds:
-            for name, (_, repeatable) in ROUTES.items():
+        for population in self.client_populations:
+            for name, route in ROUTES.items():
                 for number in range(1, self.plan.tenants + 1):
-                    crowd.add(Want(f"/{name}/x", repeatable, f"t{number}-a", rate))
+                    population.add_pattern(
+                        RequestPattern(f"/{name}/x", route.idempotent, f"t{number}-a", rate)
+                    )
 
     def worker(self, service: str, zone: str, cold: float = 0.0, address: str | None = None) -> None:
         plan = self.plan
@@ -149,8 +96,8 @@
         for number in range(count):
             machine = Machine(f"caller-{len(self.net.machines)}-{number}", "z1", "r1", 0.0, "operators")
             self.net.machines[machine.name] = machine
-            one = Caller(self.loop, self.net, machine, self.history, self.core)
-            one.zone, one.places, one.until = dict(enumerate(ZONES)).get(number), places, until
+            one = BusyOperator(self.loop, self.net, machine, self.history, self.core)
+            one.zone, one.preferred, one.until = dict(enumerate(ZONES)).get(number), places, until
             one.start()
 
 
@@ -186,7 +133,9 @@
         for zone in names:
             machine = Machine(f"clients-{zone}", zone, self.zones[zone], 0.0, "clients")
             self.net.machines[machine.name] = machine
-            self.crowds.append(Crowd(self.loop, self.net, machine, self.history, self.core, self._share))
+            self.client_populations.append(
+                ClientPopulation(self.loop, self.net, machine, self.history, self.core, self._share)
+            )
         for name in [*self.core, *self.edge]:
             for process in self.net.machines[name].processes.values():
                 self.loop.call_later(chance.uniform(0.0, BOOT_S), process.start)
--- a/ashlift/simulation/worst_days.py
+++ b/ashlift/simulation/worst_days.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable, Iterator
 from typing import Final
 
+from ashlift.simulation.plan import Plan
 from ashlift.simulation.random_faults import (
     CALM_SECONDS,
     CORE_RETURN_SECONDS,
@@ -21,7 +22,6 @@
     ZONES,
 )
 from ashlift.simulation.scenario import Scenario, ScenarioEvent
-from ashlift.simulation.world import Plan
 
 OPERATOR_TIMEOUT_SECONDS: Final = 6.0  # after which an operator gives up an evacuation, or its end
 LONG_CUT_SECONDS: Final = 21.0  # outlasts every lease
--- a/tests/cli/test_planners.py
+++ b/tests/cli/test_planners.py
@@ -13,8 +13,8 @@
 from ashlift.config.operator_config import load_configuration
 from ashlift.config.routing_table import RoutingTable
 from ashlift.errors import Failure
-from ashlift.simulation.people import edited, patched
-from ashlift.simulation.world import ZONES, Plan, first_configuration
+from ashlift.simulation.configurations import edit_configuration, first_configuration, patch_between
+from ashlift.simulation.plan import ZONES, Plan
 from tests.cli.test_commands import CORE, STATUS, folder, run, write
 
 BODY = first_configuration(Plan(homes=["r1"], quota=10.0))
@@ -60,7 +60,7 @@
 
 @test("plan capacity: of routes that share a service, the one of higher rank is served first")
 def _() -> None:
-    body = edited(BODY, 2, ["hold=fleet"])
+    body = edit_configuration(BODY, 2, ["hold=fleet"])
     for item in body["Objects"]:
         if item["Metadata"].get("Name") == "hold":
             item["Specification"] = {**item["Specification"], "Priority": 0}
@@ -97,7 +97,9 @@
         RecordedRequest(22, HOST, "/bill/x", "t3-a"),
         RecordedRequest(23, HOST, "/bill/x", "t4-a"),
     ]
-    new = edited(BODY, 2, ["hold=desk", "look=desk", "k-t3-a", "q:t1=5", "r-bill", "r+other=fleet"])
+    new = edit_configuration(
+        BODY, 2, ["hold=desk", "look=desk", "k-t3-a", "q:t1=5", "r-bill", "r+other=fleet"]
+    )
     counts = defaultdict(int, compare_outcomes(routing_table(BODY), routing_table(new), requests))
     # 20 pass at 10 a second with 10 on top (and what time gives back), 10 at half of that.
     moved = counts[RouteOutcomes("look", TO_FLEET, TO_DESK)]
@@ -108,17 +110,17 @@
     assert counts[RouteOutcomes("hold", TO_DESK, TO_DESK)] == 1
     assert counts[RouteOutcomes(f"{HOST}/none/x", NO_ROUTE, NO_ROUTE)] == 1
     assert counts[RouteOutcomes("bill", TO_BILL, NO_ROUTE)] == 2
-    without_key = routing_table(edited(BODY, 2, ["k-t3-a"]))
+    without_key = routing_table(edit_configuration(BODY, 2, ["k-t3-a"]))
     counts = defaultdict(int, compare_outcomes(routing_table(BODY), without_key, requests))
     assert counts[RouteOutcomes("bill", TO_BILL, NO_KEY)] == 1
 
 
 @test("plan change: exit codes and lines")
 def _(place: Path = folder) -> None:
-    before, after = edited(BODY, 1, []), edited(BODY, 2, ["look=desk"])
+    before, after = edit_configuration(BODY, 1, []), edit_configuration(BODY, 2, ["look=desk"])
     rows = [{"at": 1, "host": HOST, "path": "/look/x", "key": "t1-a", "status": 200}]
     old = write(place, "old.json", before)
-    new = write(place, "new.json", patched(before, after))
+    new = write(place, "new.json", patch_between(before, after))
     record = write(place, "hour.jsonl", "\n".join(map(json.dumps, rows)))
     code, out, _ = run(f"plan change {new} {old} {record}")
     assert code == 1
@@ -130,7 +132,7 @@
 
 @test("plan capacity and plan rollout: exit codes and lines")
 def _(place: Path = folder) -> None:
-    configuration = write(place, "old.json", edited(BODY, 1, []))
+    configuration = write(place, "old.json", edit_configuration(BODY, 1, []))
     workers = [{"id": "f1", "service": "fleet", "zone": "a", "state": "ready", "capacity": 4}]
     status = write(place, "status.json", {**STATUS, "workers": workers})
     code, out, _ = run(f"plan capacity {status} --on {configuration} --ask look=50:100")
--- a/tests/configstore/test_commands.py
+++ b/tests/configstore/test_commands.py
@@ -17,7 +17,8 @@
 from ashlift.configstore.proposals import Proposal, ReadOnlyResult
 from ashlift.configstore.stored_names import ACCEPTED_PREFIX, ACCEPTED_TRIMMED, REFUSED_PREFIX
 from ashlift.registry.api.resource import parse_json
-from ashlift.simulation.world import Plan, first_configuration
+from ashlift.simulation.configurations import first_configuration
+from ashlift.simulation.plan import Plan
 
 FIRST = first_configuration(Plan())
 Map = dict[str, Any]
--- a/tests/lab/test_system.py
+++ b/tests/lab/test_system.py
@@ -19,9 +19,9 @@
 from ashlift.lab.system.yard import asked
 from ashlift.registry.api.heartbeat_body import parse_heartbeat
 from ashlift.simulation.checkers.rules import RULE_TEXTS, check_rules
+from ashlift.simulation.plan import ZONES, Plan
 from ashlift.simulation.scenario import parse_scenarios, read_scenarios
 from ashlift.simulation.scenario_player import ScenarioPlayer
-from ashlift.simulation.world import ZONES, Plan
 
 DEMO = Path(__file__).parents[2] / "scenarios" / "system-demo.txt"
 BOUNDS = Bounds(revocation_strict=True, drain=2.5)
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -13,6 +13,12 @@
     check_linearizability,
 )
 from ashlift.simulation.checkers.rules import RULE_TEXTS, check_rules, explain, first_violation
+from ashlift.simulation.configurations import (
+    configuration_change,
+    edit_configuration,
+    first_configuration,
+    patch_between,
+)
 from ashlift.simulation.history import (
     Arrival,
     EvacuationChange,
@@ -22,8 +28,7 @@
     UnexpectedArrival,
     WorkerRecord,
 )
-from ashlift.simulation.people import change, edited, patched
-from ashlift.simulation.world import ZONES, Plan, first_configuration
+from ashlift.simulation.plan import ZONES, Plan
 
 BOUNDS = Bounds(revocation_strict=True)
 
@@ -41,7 +46,9 @@
         self.put(1, 0, [], 1.0)
 
     def put(self, version: int, base: int, words: list[str], acked: float) -> Any:
-        made = change(version, base, "A", edited(self.body, version, words), acked - 0.5)
+        made = configuration_change(
+            version, base, "A", edit_configuration(self.body, version, words), acked - 0.5
+        )
         made.acknowledged = made.ended = acked
         self.history.changes.append(made)
         return made
@@ -134,7 +141,7 @@
 
 
 def read_other(made: Made, bad: bool) -> None:
-    made.read(11, 1, edited(made.body, 1, ["look=desk"]) if bad else None)
+    made.read(11, 1, edit_configuration(made.body, 1, ["look=desk"]) if bad else None)
 
 
 def read_refused(made: Made, bad: bool) -> None:
@@ -281,7 +288,7 @@
         made = Made()
         late = made.put(2, 1, ["look=desk", "r+new=desk"], 10)
         late.acknowledged = late.ended = math.inf  # in doubt
-        late.patch = patched(made.body, late.body)
+        late.patch = patch_between(made.body, late.body)
         made.read(11, 2)
         made.read(12, seen, made.body if torn else None)
         found = list(check_linearizability(CheckedHistory(made.history, BOUNDS)))
--- a/tests/simulation/test_system_scenarios.py
+++ b/tests/simulation/test_system_scenarios.py
@@ -7,8 +7,8 @@
 from ward import each, raises, test
 
 from ashlift.simulation import worst_days
+from ashlift.simulation.clients import ClientOperation, RequestPattern
 from ashlift.simulation.figures import failed_over, served_again
-from ashlift.simulation.people import Errand, Want
 from ashlift.simulation.random_faults import random_scenario
 from ashlift.simulation.scenario import ScenarioEvent, parse_scenarios, read_scenarios
 from ashlift.simulation.scenario_player import ScenarioPlayer
@@ -78,11 +78,11 @@
 def _() -> None:
     served, acked = failed_over(["power leader"], 3)
     assert 0.3 < acked < 3.0 and served < 2.0
-    want = Want("/x", True, "k", 1.0)
-    errands = [
-        Errand(want, 10.0 + number / 100 + want.deadline, served=not 300 <= number < 400)
+    pattern = RequestPattern("/x", True, "k", 1.0)
+    operations = [
+        ClientOperation(pattern, 10.0 + number / 100 + pattern.timeout, served=not 300 <= number < 400)
         for number in range(-200, 900)
     ]
-    assert 3.9 < served_again(errands, 10.0) < 4.0 and served_again(errands, 12.0) < 2.0
-    lost = [Errand(want, one.until, served=one.until < 14.0) for one in errands]
+    assert 3.9 < served_again(operations, 10.0) < 4.0 and served_again(operations, 12.0) < 2.0
+    lost = [ClientOperation(pattern, one.deadline, served=one.deadline < 14.0) for one in operations]
     assert served_again(lost, 10.5) == inf
