--- a/ashlift/simulation/cell.py
+++ b/ashlift/simulation/cell.py
@@ -52,25 +52,27 @@
         "_ranged",
     )
 )
-MUTABLE: Final = (
-    Replica,
-    Election,
-    ElectionAttempt,
-    Follower,
-    FreshnessLease,
-    Joining,
-    Leader,
-    PeerTable,
-    PeerState,
-    HeartbeatRounds,
-    Replication,
-    ProposalQueue,
-    MembershipManager,
-    LeadershipTransfer,
-    CommittedState,
-    ChangeLog,
-    CatchUp,
-    ReplicaProgress,
+MUTABLE: Final = frozenset(
+    (
+        Replica,
+        Election,
+        ElectionAttempt,
+        Follower,
+        FreshnessLease,
+        Joining,
+        Leader,
+        PeerTable,
+        PeerState,
+        HeartbeatRounds,
+        Replication,
+        ProposalQueue,
+        MembershipManager,
+        LeadershipTransfer,
+        CommittedState,
+        ChangeLog,
+        CatchUp,
+        ReplicaProgress,
+    )
 )
 
 Asked = tuple[int, ConfigurationWrite | None, float]  # number, of a read None, the moment
@@ -97,7 +99,7 @@
 
 def forked(one: Any, made: dict[int, Any]) -> Any:
     """A copy of all that a member changes in place; the rest is shared."""
-    if isinstance(one, MUTABLE):
+    if type(one) in MUTABLE:
         if id(one) not in made:
             other = made[id(one)] = object.__new__(type(one))
             for name in _names(one):
