--- a/ashlift/proxy/__init__.py
+++ b/ashlift/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy: clients' front, readiness, the way to workers, the limiter, tries."""
+"""The proxy, the data plane on edge machines: client connections, routing, load balancing, retries."""
--- a/ashlift/proxy/admission.py
+++ b/ashlift/proxy/admission.py
@@ -51,7 +51,7 @@
 class Admission:
     """Decides whether a request is forwarded at all. Owns no state but that of the policies given to it."""
 
-    def __init__(  # noqa: PLR0913, PLR0917
+    def __init__(
         self,
         cluster: ClusterView,
         rate_limiter: RateLimiter,
@@ -67,7 +67,7 @@
         self._rng = rng
         self._started_at = started_at
 
-    def admit(  # noqa: PLR0913
+    def admit(
         self, now: float, host: str, path: str, key: str, remaining: float, received_at: float
     ) -> AdmittedRequest | Rejection:
         """Admit a request that was received completely at `received_at`.
--- a/ashlift/proxy/cluster_view.py
+++ b/ashlift/proxy/cluster_view.py
@@ -60,7 +60,7 @@
         for name in response.alive:
             if name in self.sources:
                 self.sources[name].last_listed_at = now
-        self._drop_silent_sources(now, change)
+        self._drop_expired_sources(now, change)
         if response.configuration_age is not None and self.configuration.routing_table is not None:
             # It was true when the registry answered: not before the call was sent and held there.
             self.configuration.confirm(sent_at + response.held - response.configuration_age)
@@ -75,13 +75,13 @@
         if update.version >= source.version:
             source.apply(update, now, change)
 
-    def _drop_silent_sources(self, now: float, change: ClusterChange) -> None:
-        silent = [
+    def _drop_expired_sources(self, now: float, change: ClusterChange) -> None:
+        expired = [
             name
             for name, source in self.sources.items()
             if now - source.last_listed_at > SOURCE_TIMEOUT_SECONDS
         ]
-        for name in silent:
+        for name in expired:
             del self.sources[name]
             change.workers = True
             change.proxies = True
--- a/ashlift/proxy/events.py
+++ b/ashlift/proxy/events.py
@@ -1,9 +1,9 @@
-"""The proxy's numbered events."""
+"""The proxy's numbered events (4xx); the words are in docs/events.md."""
 
 from typing import Final
 
 from ashlift.events import EventType
 
 READY: Final = EventType(401, "ready for clients")
-UNREADY: Final = EventType(402, "not ready for clients")
-TENANTS: Final = EventType(403, "tenants changed")
+NOT_READY: Final = EventType(402, "not ready for clients")
+TENANTS_CHANGED: Final = EventType(403, "tenants changed")
--- /dev/null
+++ b/ashlift/proxy/program.py
@@ -0,0 +1,187 @@
+"""The proxy's process: its parts, its loops, its signals, and its graceful shutdown."""
+
+import os
+import random
+import signal
+import time
+from collections.abc import Callable
+from typing import Final
+
+import gevent
+from gevent.event import Event
+
+from ashlift.config.object_schema import ClientLimits
+from ashlift.config.routing_table import Tenant
+from ashlift.config.settings import Settings, read_settings
+from ashlift.events import (
+    CRITICAL,
+    ERROR,
+    INVARIANT_VIOLATED,
+    SETTINGS_INVALID,
+    SETTINGS_READ,
+    STARTED,
+    STOPPING,
+    log_event,
+)
+from ashlift.proxy import events
+from ashlift.proxy.configuration_updates import RegistryPoller
+from ashlift.proxy.readiness import serve_readiness
+from ashlift.proxy.request_handler import RequestHandler
+from ashlift.proxy.request_router import RequestRouter
+from ashlift.proxy.server import ProxyServer
+
+SETTINGS_CHECK_SECONDS: Final = 1.0
+IDLE_CHECK_SECONDS: Final = 1.0
+MAX_LOGGED_NAMES: Final = 5
+# Graceful shutdown, in fractions of `Grace`: connections are accepted that long, since clients may hold an
+# old answer of /lookup; then the process ends.
+ACCEPT_FRACTION: Final = 0.55
+EXIT_FRACTION: Final = 0.93
+DRAIN_CHECK_SECONDS: Final = 0.02
+LAST_RESPONSE_SECONDS: Final = 0.05  # for the last responses to be written
+
+EXIT_OK: Final = 0
+EXIT_SETTINGS_INVALID: Final = 2
+EXIT_INVARIANT_VIOLATED: Final = 70
+
+
+class Program:
+    """All parts of a proxy. `path`: of the settings file, which is read again when it changes."""
+
+    def __init__(self, path: str, settings: Settings) -> None:
+        rng = random.Random(os.urandom(8))
+        incarnation = os.urandom(4).hex()
+        self.path = path
+        self.settings = settings
+        self.router = RequestRouter(settings, rng, time.monotonic())
+        self.request_handler = RequestHandler(self.router)
+        self.proxy_server = ProxyServer(self.request_handler, self._limits)
+        self.registry_poller = RegistryPoller(
+            settings, self.router, incarnation, rng, self._configuration_changed
+        )
+        self._ready = False
+        self._known_tenants: dict[str, Tenant] | None = None
+        self._stop = Event()
+        self._reload = Event()
+        self.invariant_violated = False
+
+    def run(self) -> int:
+        """Serve until SIGTERM; the process's exit status."""
+        client_address = self.settings.bindings.front
+        readiness_address = self.settings.bindings.readiness
+        if client_address is None or readiness_address is None:
+            log_event(SETTINGS_INVALID, level=ERROR, error="Bindings: Front and Readiness are needed")
+            return EXIT_SETTINGS_INVALID
+        serve_readiness(readiness_address, lambda: self.router.is_ready(time.monotonic()))
+        self.proxy_server.listen(client_address)
+        gevent.signal_handler(signal.SIGTERM, self._stop.set)
+        gevent.signal_handler(signal.SIGHUP, self._reload.set)
+        for loop in (self.registry_poller.run, self._close_idle_connections, self._watch_settings):
+            self._spawn(loop)
+        log_event(STARTED, zone=self.settings.zone)
+        self._stop.wait()
+        return self._shut_down()
+
+    def _shut_down(self) -> int:
+        """Leave /lookup, then accept no connections, then end once all is answered or `Grace` is over."""
+        started_at = time.monotonic()
+        grace = self.settings.bounds.grace
+        self.router.draining = True
+        self.proxy_server.draining = True
+        log_event(STOPPING, in_flight=self.request_handler.in_flight)
+        gevent.sleep(ACCEPT_FRACTION * grace)
+        self.proxy_server.close()
+        exit_at = started_at + EXIT_FRACTION * grace
+        while self.request_handler.in_flight and time.monotonic() < exit_at:
+            gevent.sleep(DRAIN_CHECK_SECONDS)
+        gevent.sleep(LAST_RESPONSE_SECONDS)
+        return EXIT_INVARIANT_VIOLATED if self.invariant_violated else EXIT_OK
+
+    # ---- configuration
+
+    def _limits(self) -> ClientLimits:
+        table = self.router.cluster.configuration.routing_table
+        return table.limits if table is not None else ClientLimits()
+
+    def _configuration_changed(self) -> None:
+        """A response of a registry has been applied."""
+        self.request_handler.configuration_changed()
+        self._log_tenant_changes()
+        ready = self.router.is_ready(time.monotonic())
+        if ready != self._ready:
+            self._ready = ready
+            index = self.router.cluster.configuration.version
+            log_event(events.READY if ready else events.NOT_READY, index=index)
+
+    def _log_tenant_changes(self) -> None:
+        """Log tenants that are new, changed or removed: all settings of a tenant change together."""
+        configuration = self.router.cluster.configuration
+        table = configuration.routing_table
+        before = self._known_tenants
+        if table is None or table.tenants is before:
+            return
+        tenants = self._known_tenants = table.tenants
+        if before is None or tenants == before:
+            return
+        changed = sorted(name for name, tenant in tenants.items() if before.get(name) != tenant)
+        removed = sorted(before.keys() - tenants.keys())
+        log_event(
+            events.TENANTS_CHANGED,
+            version=f"{table.version:08x}",
+            index=configuration.version,
+            changed=_abbreviated(changed),
+            removed=_abbreviated(removed),
+        )
+
+    # ---- loops
+
+    def _spawn(self, loop: Callable[[], None]) -> "gevent.Greenlet[[], None]":
+        """Run a loop in a greenlet. If it fails, the process ends: its state would go stale unnoticed."""
+
+        def failed(greenlet: "gevent.Greenlet[[], None]") -> None:
+            log_event(INVARIANT_VIOLATED, level=CRITICAL, error=repr(greenlet.exception))
+            self.invariant_violated = True
+            self._stop.set()
+
+        greenlet = gevent.spawn(loop)
+        greenlet.link_exception(failed)
+        return greenlet
+
+    def _close_idle_connections(self) -> None:
+        while True:
+            gevent.sleep(IDLE_CHECK_SECONDS)
+            self.request_handler.connection_pool.close_expired(set(self.router.load_balancer.workers))
+
+    def _watch_settings(self) -> None:
+        """Read the settings again after SIGHUP, or when the file has changed without one."""
+        last_stamp = _file_stamp(self.path)
+        while True:
+            if self._reload.wait(SETTINGS_CHECK_SECONDS) or _file_stamp(self.path) != last_stamp:
+                self._reload.clear()
+                last_stamp = _file_stamp(self.path)
+                self._read_settings()
+
+    def _read_settings(self) -> None:
+        """Apply what may change while the process runs: the seeds."""
+        settings = read_settings(self.path)
+        if isinstance(settings, list):
+            for failure in settings:
+                log_event(SETTINGS_INVALID, level=ERROR, error=failure.detail)
+            return
+        self.registry_poller.seeds = [host for host, _ in settings.seeds]
+        log_event(SETTINGS_READ, seeds=",".join(self.registry_poller.seeds))
+
+
+def _abbreviated(names: list[str]) -> str:
+    listed = ",".join(names[:MAX_LOGGED_NAMES])
+    more = len(names) - MAX_LOGGED_NAMES
+    return f"{listed},and {more} more" if more > 0 else listed
+
+
+def _file_stamp(path: str) -> tuple[int, int]:
+    """What changes with a file: modification time in ns, and size; zeros if there is none."""
+    try:
+        status = os.stat(path)
+    except OSError:
+        return 0, 0
+    return status.st_mtime_ns, status.st_size
--- /dev/null
+++ b/ashlift/proxy/readiness.py
@@ -0,0 +1,55 @@
+"""The readiness endpoint: `GET /readiness`, 200 while clients may be sent to this proxy, else 503."""
+
+import contextlib
+from collections.abc import Callable
+from typing import Final
+
+import gevent
+from gevent import socket
+from gevent.server import StreamServer
+
+from ashlift.proxy.request_reader import ClientRequest, RequestReader
+from ashlift.proxy.responses import ClientResponse, render
+from ashlift.rpc.addresses import Address
+
+READINESS_PATH: Final = b"/readiness"
+REQUEST_TIMEOUT_SECONDS: Final = 5.0
+LISTEN_BACKLOG: Final = 64
+RECEIVE_BYTES: Final = 4096
+
+
+def serve_readiness(address: Address, is_ready: Callable[[], bool]) -> StreamServer:
+    """Start the server. Raises OSError if the address cannot be bound."""
+
+    def serve(sock: socket.socket, _: Address) -> None:
+        try:
+            with contextlib.suppress(OSError, gevent.Timeout), gevent.Timeout(REQUEST_TIMEOUT_SECONDS):
+                _respond(sock, is_ready)
+        finally:
+            sock.close()
+
+    server = StreamServer(address, serve, backlog=LISTEN_BACKLOG)
+    server.start()
+    return server
+
+
+def _respond(sock: socket.socket, is_ready: Callable[[], bool]) -> None:
+    request = _read_request(sock)
+    if request is None:
+        return
+    status = 404
+    if request.target.partition(b"?")[0] == READINESS_PATH:
+        status = 200 if is_ready() else 503
+    sock.sendall(render(ClientResponse(status), keep_alive=False))
+
+
+def _read_request(sock: socket.socket) -> ClientRequest | None:
+    reader = RequestReader()
+    while not reader.complete:
+        data = sock.recv(RECEIVE_BYTES)
+        if not data:
+            return None
+        reader.feed(data)
+        if reader.error_status:
+            return None
+    return reader.complete[0]
--- a/ashlift/proxy/request_router.py
+++ b/ashlift/proxy/request_router.py
@@ -83,7 +83,7 @@
 
     # ---- a request, step by step
 
-    def admit(  # noqa: PLR0913
+    def admit(
         self,
         now: float,
         host: str,
--- a/ashlift/simulation/keeper.py
+++ b/ashlift/simulation/keeper.py
@@ -11,6 +11,7 @@
 from ashlift.proxy.configuration_updates import RETRY_PAUSE_SECONDS
 from ashlift.proxy.idle_connections import IdleConnectionAges
 from ashlift.proxy.load_balancer import WorkerState
+from ashlift.proxy.program import ACCEPT_FRACTION, EXIT_FRACTION
 from ashlift.proxy.registry_client import LONG_POLL_SECONDS, RESPONSE_TIMEOUT_SECONDS, RegistryClient
 from ashlift.proxy.rejections import Rejection
 from ashlift.proxy.request_progress import RequestProgress, Step
@@ -25,7 +26,6 @@
 
 KIND = "proxy"
 TURN_S = 0.001  # a turn of the processor: what is tried again without waiting takes at least this
-LEAVE_SHARE, END_SHARE = 0.55, 0.93  # of Grace, as `ashlift.proxy.__main__` has them
 
 
 @functools.cache
@@ -221,8 +221,8 @@
 
     def _leave(self) -> Task:
         began, grace = self.clock(), self.gate.bounds.grace
-        yield LEAVE_SHARE * grace
-        while self.cases and self.clock() < began + END_SHARE * grace:
+        yield ACCEPT_FRACTION * grace
+        while self.cases and self.clock() < began + EXIT_FRACTION * grace:
             yield 0.02
         self.kill()
 
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -13,7 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule, run_state_machine_as_test
 from ward import each, test
 
-from ashlift.proxy import server as front
+from ashlift.proxy import client_connection
 from ashlift.proxy.idle_connections import IdleConnectionAges
 from ashlift.proxy.request_reader import RequestReader
 from ashlift.proxy.request_router import RequestRouter
@@ -232,14 +232,15 @@
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
     site.workers.moods = dict.fromkeys(site.routes["0"], "large")
     asked = [site.history.request("/look/0/x", True, BODY) for _ in range(2)]
-    kept, front.WRITE_TIMEOUT_SECONDS = front.WRITE_TIMEOUT_SECONDS, 0.1
+    write_timeout = client_connection.WRITE_TIMEOUT_SECONDS
+    client_connection.WRITE_TIMEOUT_SECONDS = 0.1  # type: ignore[misc]
     try:
         client.sock.sendall(b"".join(one.wire() for one in asked))
         with gevent.Timeout(ENOUGH_S, TOO_LONG):
             while not site.history.runs or site.gatekeeper.front.connections:
                 gevent.idle()
     finally:
-        front.WRITE_TIMEOUT_SECONDS = kept
+        client_connection.WRITE_TIMEOUT_SECONDS = write_timeout  # type: ignore[misc]
     client.owed = 2
     client._read(asked[0])
     client._read(asked[1])
--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -3,7 +3,7 @@
 from ward import test
 
 from ashlift.config.settings import Settings, parse_settings
-from ashlift.proxy.__main__ import Program
+from ashlift.proxy.program import Program
 from tests.proxy.test_registry_client import TEXT
 
 
@@ -18,5 +18,5 @@
 
     program._spawn(loop).join(1.0)
     program._stop.wait(1.0)
-    assert program.broken
+    assert program.invariant_violated
     assert program._stop.is_set()
