--- a/tests/proxy/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -5,13 +5,14 @@
 from ward import each, test
 
 from ashlift.config.routing_table import Route
+from ashlift.errors import Failure
 from ashlift.proxy.load_balancer import LoadBalancer
 from ashlift.proxy.source_state import Worker
+from ashlift.registry import codec
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.records import WorkerRecord as Told
 from ashlift.registry.records import WorkerState
 from ashlift.registry.registry import Registry
-from tests.support.registry_wire import begin_pull
 
 LOOK = Route(
     name="look",
@@ -136,7 +137,9 @@
 
     def pull(node: str, out: int) -> object:
         body = {"node": node, "incarnation": "1", "zone": "z1", "region": "r1", "front": "", "ready": True}
-        begin_pull(registry, {**body, "have": {}, "outs": {"w": out} if out else {}}, now)
+        request = codec.decode_pull_request({**body, "have": {}, "outs": {"w": out} if out else {}})
+        assert not isinstance(request, Failure), request
+        registry.sessions.begin_pull(request, now)
         registry.sessions.end_pull(node)
         return registry.own_source.values.get("o/w")
 
--- /dev/null
+++ b/tests/registry/test_evacuation.py
@@ -0,0 +1,95 @@
+"""Evacuations: executed only where the request was certainly written just now."""
+
+from typing import Any
+from unittest.mock import patch
+
+from ward import each, test
+
+from ashlift.config.settings import Settings
+from ashlift.registry.api.evacuation import EvacuationResource
+from ashlift.registry.api.server import HttpServer
+from ashlift.registry.messages import CommandResult
+from ashlift.registry.store_client import StoreClient
+from ashlift.rpc.client import ClientPool
+
+SETTINGS = Settings(node_name="n", ip="own", internal_ports=(1, 2), seeds=(), zones={"za": "ra"})
+POST = b"POST /evacuation/za HTTP/1.1\r\nHost: 10.0.0.4:8200\r\n\r\n"
+
+
+class Clock:
+    """The steady clock, set by hand."""
+
+    def __init__(self, now: float) -> None:
+        self.now = now
+
+    def monotonic(self) -> float:
+        return self.now
+
+
+class FakeSocket:
+    """A connection on which bytes arrive at given times; `sent` is what was answered."""
+
+    def __init__(self, clock: Clock, *arrivals: tuple[float, bytes]) -> None:
+        self.clock = clock
+        self.arrivals = list(arrivals)
+        self.sent: list[bytes] = []
+
+    def settimeout(self, _: float) -> None: ...
+
+    def recv(self, _: int) -> bytes:
+        if not self.arrivals:
+            return b""
+        self.clock.now, data = self.arrivals.pop(0)
+        return data
+
+    def sendall(self, data: bytes) -> None:
+        self.sent.append(data)
+
+
+class AcceptingStore(StoreClient):
+    """Executes every command; `written_after` is what each was said to have been written after."""
+
+    def __init__(self) -> None:
+        super().__init__("own", 7600, list, ClientPool())
+        self.written_after: list[float | None] = []
+
+    def submit(self, *_: Any, not_written_before: float | None = None, **__: Any) -> Any:
+        self.written_after.append(not_written_before)
+        return CommandResult(200, {"index": 2})
+
+
+def arrivals_of(story: str) -> list[tuple[float, bytes]]:
+    """When what arrives; the connection is there since 10.0, or since 30.0 where the process stood still."""
+    match story:
+        case "fresh":
+            return [(10.1, POST)]
+        case "held up":
+            return [(30.0, POST)]
+        case "after an answer":
+            return [(10.1, POST), (29.0, POST), (29.1, POST), (29.2, POST + POST)]
+        case _:
+            return [(30.01, POST)]
+
+
+@test("an evacuation is executed only if the request cannot be old; who still waits sends it again: {story}")
+def _(story: str = each("fresh", "held up", "after an answer", "the process stood still")) -> None:
+    clock = Clock(10.0)
+    store = AcceptingStore()
+    with (
+        patch("ashlift.registry.api.server.time", clock),
+        patch("ashlift.registry.api.evacuation.time", clock),
+    ):
+        server = HttpServer(("127.0.0.1", 0), {"evacuation": EvacuationResource(store, lambda: SETTINGS)})
+        sock = FakeSocket(clock, *arrivals_of(story))
+        if story == "the process stood still":
+            clock.now = 30.0  # it is accepted now, and came at any time before
+        server._connections[sock] = False  # type: ignore[index]
+        server._serve_connection(sock)  # type: ignore[arg-type]
+    statuses = [int(response.split(b"\r\n")[0].split()[1]) for response in sock.sent]
+    expected_statuses = {"fresh": [200], "after an answer": [200, 307, 200, 200, 200]}
+    assert statuses == expected_statuses.get(story, [307])
+    expected_times = {"fresh": [10.0], "after an answer": [10.0, 29.0, 29.1, 29.1]}
+    assert store.written_after == expected_times.get(story, [])
+    if 307 in statuses:
+        response = sock.sent[statuses.index(307)]
+        assert b"\r\nLocation: http://10.0.0.4:8200/evacuation/za\r\n" in response
--- /dev/null
+++ b/tests/registry/test_instances.py
@@ -0,0 +1,100 @@
+"""Heartbeats of workers: their bodies, leases and tombstones, and what the resource answers."""
+
+import time
+from typing import cast
+
+from ward import each, test
+
+from ashlift.errors import Failure
+from ashlift.registry.api.heartbeat_body import parse_heartbeat
+from ashlift.registry.api.instances import InstancesResource
+from ashlift.registry.api.messages import HttpResponse
+from ashlift.registry.identity import RegistryIdentity
+from ashlift.registry.records import WorkerRecord, WorkerState
+from ashlift.registry.registry import Registry
+from tests.support.http_requests import http_request
+
+HEARTBEAT = (
+    b'{"Address":"10.128.0.9:8080","NodeInfo":{"Service":"s","ConfigVersion":"v1","Zone":"z","Capacity":2},'
+    b'"Status":{"State":"ready","CallSeq":4,"WarmupLeft":"1500ms"}}'
+)
+IDENTITY = RegistryIdentity("a", "1", "10.0.0.1", "za", "ra", 8200, 1.5)
+
+
+@test("a heartbeat is read, or rejected with what is wrong: {wrong}")
+def _(
+    old: str = each("", "8080", '"z"', "4,", "ready", "1500ms", '"NodeInfo"', "}}", '"s"', ":2}"),
+    new: str = each("", "0", "5", "-4,", "idle", "soon", '"Node"', "}", "NaN", ":true}"),
+    wrong: str = each(
+        "",
+        "no port",
+        "texts",
+        "whole numbers",
+        "no State",
+        "no time",
+        "NodeInfo is missing",
+        "is no JSON",
+        "NaN is no JSON",
+        "whole numbers",
+    ),
+) -> None:
+    body = HEARTBEAT.decode().replace(old, new, 1).encode() if old else HEARTBEAT
+    record = parse_heartbeat(body, 10.0)
+    if wrong:
+        assert isinstance(record, Failure)
+        assert wrong in record.detail, record
+    else:
+        assert record == WorkerRecord("s", "10.128.0.9:8080", "z", 2, WorkerState.READY, 4, 11.5, "v1")
+
+
+@test("a worker that starts again with its ID: not acknowledged before it is known, incarnations not mixed")
+def _() -> None:
+    now = time.monotonic()
+    registry = Registry(IDENTITY, [], {}, now - 60)
+    other_address = HEARTBEAT.replace(b"10.128.0.9", b"10.128.0.7")
+    old = parse_heartbeat(HEARTBEAT.replace(b"4,", b"40,"), now)
+    new = parse_heartbeat(other_address, now)
+    assert isinstance(old, WorkerRecord)
+    assert isinstance(new, WorkerRecord)
+    instances = registry.instances
+    instances.record_heartbeat("i-1", old, now)
+    for tenth in range(46):
+        registry.tick(now + tenth / 10)
+        assert not instances.record_heartbeat("i-1", new, now + tenth / 10)
+        assert instances.all_known()["i-1"].address == old.address
+    registry.tick(now + 4.6)  # the lease of the old incarnation has expired
+    assert not instances.all_known()
+    assert instances.record_heartbeat("i-1", new, now + 4.7)
+    assert instances.all_known()["i-1"].address == new.address
+    assert instances.record_heartbeat("i-1", new, now + 4.7)  # received twice
+    instances.deregister("i-1", now + 5.0)
+    assert not instances.record_heartbeat("i-1", new, now + 5.1)  # late, after the end
+    assert not instances.all_known()
+
+
+@test("heartbeats are answered at once, late ones are not acknowledged, and they name the registry to go to")
+def _() -> None:
+    now = time.monotonic()
+    registry = Registry(IDENTITY, [], {}, now)
+    notifications: list[int] = []
+    resource = InstancesResource(registry, lambda: notifications.append(1))
+    late = HEARTBEAT.replace(b"4,", b"3,")
+    for body, status in ((HEARTBEAT, 200), (HEARTBEAT, 200), (late, 503), (b"{}", 400)):
+        response = resource.handle(http_request("PUT", "/instances/i-1", body))
+        assert response.status == status
+        assert len(response.encode(close=False)) < 4096
+    assert response == HttpResponse(400, {"error": "NodeInfo is missing"})
+    assert cast(WorkerRecord, registry.own_source.values["w/i-1"]).call_seq == 4
+    assert notifications
+    response = resource.handle(http_request("PUT", "/instances/i-2", HEARTBEAT))
+    assert response.body == {"HeartbeatTarget": "10.0.0.1:8200"}
+    assert resource.handle(http_request("DELETE", "/instances/i-2")).status == 200
+    assert list(registry.instances.all_known()) == ["i-1"]
+
+
+@test("an isolated registry takes a heartbeat, and sends the worker on to another registry")
+def _() -> None:
+    isolated = Registry(IDENTITY, ["10.0.0.1", "10.0.0.2"], {}, time.monotonic() - 5)
+    resource = InstancesResource(isolated, lambda: None)
+    assert resource.handle(http_request("PUT", "/instances/i-1", HEARTBEAT)).status == 503
+    assert list(isolated.instances.all_known()) == ["i-1"]
