--- a/ashlift/cli/cluster_status.py
+++ b/ashlift/cli/cluster_status.py
@@ -53,7 +53,8 @@
     first = get_json_object(address, "/status")
     if isinstance(first, Failure):
         return first
-    answers, unreachable = [first], []
+    answers = [first]
+    unreachable = []
     for peer in peer_addresses(address, first):
         answer = get_json(peer, "/status", timeout_seconds=PEER_TIMEOUT_SECONDS)
         if isinstance(answer, dict):
@@ -88,7 +89,8 @@
     ready_workers: dict[str, Answer] = {}
     for answer in answers:
         if answer.get("index", 0) >= index and answer.get("version"):
-            index, version = answer["index"], answer["version"]
+            index = answer["index"]
+            version = answer["version"]
         for row in answer.get("gatekeepers", ()):
             proxy = _proxy_status(row)
             known = proxies.get(proxy.node)
--- a/ashlift/cli/config_diff.py
+++ b/ashlift/cli/config_diff.py
@@ -28,7 +28,8 @@
 def _changed_fields(name: str, old: Mapping[str, Any], new: Mapping[str, Any]) -> list[str]:
     lines = []
     for field in dict.fromkeys([*old, *new]):
-        old_text, new_text = _field_text(old, field), _field_text(new, field)
+        old_text = _field_text(old, field)
+        new_text = _field_text(new, field)
         if old_text != new_text:
             lines.append(f"~ {name}: {field}: {old_text} -> {new_text}")
     return lines
--- a/ashlift/cli/control_client.py
+++ b/ashlift/cli/control_client.py
@@ -59,7 +59,8 @@
             return response
         if response.status == http.client.TEMPORARY_REDIRECT and response.location:
             parts = urlsplit(response.location)
-            address, path = parts.netloc or address, parts.path or path
+            address = parts.netloc or address
+            path = parts.path or path
             continue
         if response.status != http.client.OK:
             text = f"{label}: {response.status} {response.quoted_body()}".rstrip()
--- a/ashlift/cli/plan_commands.py
+++ b/ashlift/cli/plan_commands.py
@@ -190,7 +190,8 @@
         requests = read_record(self.argument("record"))
         if isinstance(requests, Failure):
             return self.print_failures([requests])
-        old, new = RoutingTable.from_entries(current), RoutingTable.from_entries(following)
+        old = RoutingTable.from_entries(current)
+        new = RoutingTable.from_entries(following)
         counts = compare_outcomes(old, new, requests)
         affected = {key: count for key, count in counts.items() if key.before != key.after}
         self.print_lines(format_table(("route", "requests", "before", "after"), _affected_rows(affected)))
--- a/ashlift/cli/store_member_commands.py
+++ b/ashlift/cli/store_member_commands.py
@@ -95,7 +95,8 @@
 
     def handle(self) -> int:
         """Print the plan, and send the change where it is confirmed."""
-        address, ip = self.argument("address"), self.argument("ip")
+        address = self.argument("address")
+        ip = self.argument("ip")
         rows = fetch_member_rows(address)
         if isinstance(rows, Failure):
             return self.print_failures([rows])
--- a/ashlift/cli/tenant_commands.py
+++ b/ashlift/cli/tenant_commands.py
@@ -167,7 +167,8 @@
 
     def handle(self) -> int:
         """Print the tenant and the proxies; different where it is in no configuration or some are behind."""
-        address, name = self.argument("address"), self.argument("name")
+        address = self.argument("address")
+        name = self.argument("name")
         entries = load_entries(address)
         if isinstance(entries, list):
             return self.print_failures(entries)
@@ -196,7 +197,8 @@
 
     def handle(self) -> int:
         """Remove the keys, drain, and remove the tenant; where it ended in between, it goes on from there."""
-        address, name = self.argument("address"), self.argument("name")
+        address = self.argument("address")
+        name = self.argument("name")
         entries = load_entries(address)
         if isinstance(entries, list):
             return self.print_failures(entries)
--- a/ashlift/traffic/quota_sharing.py
+++ b/ashlift/traffic/quota_sharing.py
@@ -14,7 +14,7 @@
 from typing import Final
 
 from ashlift.traffic.tenant_usage import QuotaBounds, TenantUsage
-from ashlift.traffic.usage_totals import REPORT_LAG_SECONDS, SETTLING_SECONDS, UsageTotals
+from ashlift.traffic.usage_totals import RATE_KNOWN_AFTER_SECONDS, REPORT_LAG_SECONDS, UsageTotals
 from ashlift.traffic.usage_window import UsageSums
 
 # Part that is dealt out evenly, the rest by use: a tenant's traffic need not be even over proxies.
@@ -100,7 +100,7 @@
 
         A proxy that has just begun to receive totals does not know the others' rate.
         """
-        if now - tenant.totals_since <= SETTLING_SECONDS:
+        if now - tenant.totals_since <= RATE_KNOWN_AFTER_SECONDS:
             return False
         reported_until = self._totals.reported_until
         unreported_seconds = now - reported_until
@@ -120,7 +120,7 @@
         if unknown_seconds <= 0:
             return 0.0
         known_seconds = now - tenant.totals_since
-        if known_seconds > SETTLING_SECONDS:
+        if known_seconds > RATE_KNOWN_AFTER_SECONDS:
             known = tenant.window.sums_between(tenant.totals_since, self._totals.reported_until)
             rate = UNKNOWN_USAGE_FACTOR * (known.local_accepted + known.remote_accepted) / known_seconds
         else:
--- a/ashlift/traffic/usage_totals.py
+++ b/ashlift/traffic/usage_totals.py
@@ -33,9 +33,8 @@
 YOUNG_SOURCE_SECONDS: Final = 2.0
 # Without a change of any totals, after which a new source does not tell of that time.
 GAP_AFTER_SECONDS: Final = 0.6
-SETTLING_SECONDS: Final = (
-    1.2  # after the first totals of a tenant, in which the others' rate is not known well
-)
+# After the first totals of a tenant: before it, the rate of the others is uncertain.
+RATE_KNOWN_AFTER_SECONDS: Final = 1.2
 MAX_LATE_PERIOD_SECONDS: Final = 3.0  # that a source which had stalled is taken to tell of, at most,
 LATE_PERIOD_END_SECONDS: Final = 1.0  # up to so long ago: what is late is no spike of the last second
 
@@ -103,7 +102,7 @@
         Nothing is kept where those totals did not tell of the tenant for long enough, or it is kept already.
         """
         known_seconds = received_at - tenant.totals_since
-        if tenant.rates_known_at >= received_at or known_seconds <= SETTLING_SECONDS:
+        if tenant.rates_known_at >= received_at or known_seconds <= RATE_KNOWN_AFTER_SECONDS:
             return
         until = received_at - REPORT_LAG_SECONDS
         span_seconds = min(self._bounds.quota_window, known_seconds)
--- a/tests/cli/test_planners.py
+++ b/tests/cli/test_planners.py
@@ -117,7 +117,8 @@
 
 @test("plan change: exit codes and lines")
 def _(place: Path = folder) -> None:
-    before, after = edit_configuration(BODY, 1, []), edit_configuration(BODY, 2, ["look=desk"])
+    before = edit_configuration(BODY, 1, [])
+    after = edit_configuration(BODY, 2, ["look=desk"])
     rows = [{"at": 1, "host": HOST, "path": "/look/x", "key": "t1-a", "status": 200}]
     old = write(place, "old.json", before)
     new = write(place, "new.json", patch_between(before, after))
--- a/tests/cli/test_tenant_steps.py
+++ b/tests/cli/test_tenant_steps.py
@@ -138,7 +138,8 @@
     outcomes: set[str] = set()
     frontier: list[tuple[str, ...]] = [()]
     for _ in range(MAX_STEPS):
-        paths, frontier = frontier, []
+        paths = frontier
+        frontier = []
         for path, action in ((path, action) for path in paths for action in ACTIONS):
             world = World()
             possible = all(world.perform(step) for step in (*path, action))
