--- a/ashlift/lab/system/clients.py
+++ b/ashlift/lab/system/clients.py
@@ -6,8 +6,8 @@
 import gevent
 
 from ashlift.errors import Failure, FailureReason
-from ashlift.lab.system.places import FRONT
-from ashlift.lab.system.wire import exchange, request_head
+from ashlift.lab.system.http_exchange import TIMED_OUT, exchange, request_head
+from ashlift.lab.system.machine_layout import FRONT_PORT
 from ashlift.lab.system.yard import asked, print_of
 from ashlift.simulation.clients import CONNECT_TIMEOUT_SECONDS, ClientOperation, ClientPopulation
 from ashlift.simulation.history import HOST, Request
@@ -44,7 +44,7 @@
             request.received = loop.now
 
         answer: Any = exchange(
-            (self._ips[request.proxy], FRONT), head, body, left, read, CONNECT_TIMEOUT_SECONDS
+            (self._ips[request.proxy], FRONT_PORT), head, body, left, read, CONNECT_TIMEOUT_SECONDS
         )
         if not isinstance(answer, Failure):
             told = dict(answer.headers)
@@ -54,7 +54,7 @@
             self.receive_answer(operation, request, answer.status, float(again) if again else None)
         elif answer.reason == FailureReason.UNREACHABLE:
             self.fail_attempt(operation, request, True)
-        elif answer.detail == "late":
+        elif answer.detail == TIMED_OUT:
             request.ended, operation.finished = loop.now, True
         else:
             self.receive_answer(operation, request, 0, None)
--- /dev/null
+++ b/ashlift/lab/system/control_calls.py
@@ -0,0 +1,145 @@
+"""Calls of workers, clients and operators to core machines, as HTTP/1.1.
+
+`encode_call` and `decode_answer` alone know both forms: that of the simulator's roles (method and body) and
+that of the HTTP protocol. `HttpNetwork` carries the calls.
+"""
+
+import enum
+import json
+from typing import Any, Final
+
+import attrs
+import gevent
+
+from ashlift.errors import Failure, FailureReason
+from ashlift.gatekeeper.net.replies import Reply
+from ashlift.lab.system.http_exchange import exchange, request_head
+from ashlift.lab.system.machine_layout import CONTROL_PORT, DIRECTORY_PORT, LabMachine
+from ashlift.simulation.event_loop import Future
+from ashlift.simulation.history import HOST
+from ashlift.simulation.process import Machine, Process, RpcCall
+
+COMMAND_HTTP_METHODS: Final = {  # by the kind of an operator command
+    "put": "PUT",
+    "patch": "PATCH",
+    "evacuate": "POST",
+    "restore": "DELETE",
+}
+OK_STATUS: Final = 200
+
+
+class SimulatedMethod(enum.StrEnum):
+    """Methods that the simulator's roles call."""
+
+    LOOKUP = "lookup"
+    HEARTBEAT = "beat"
+    DEREGISTER = "delete"
+    READ_CONFIG = "config"
+    OPERATOR_COMMAND = "order"
+
+
+@attrs.frozen
+class HttpCall:
+    """A request to a core machine; `value`: its body as JSON, None for no body; `headers`: `_` for `-`."""
+
+    method: str
+    target: str
+    value: Any = None
+    headers: dict[str, str] = attrs.Factory(dict)
+    port: int = CONTROL_PORT
+
+    @property
+    def body(self) -> bytes:
+        """The bytes of the body."""
+        return b"" if self.value is None else json.dumps(self.value).encode()
+
+
+def encode_call(method: str, body: Any) -> HttpCall:
+    """Return the request for a call of a simulated role. Raises ValueError for a method it never calls."""
+    match method:
+        case SimulatedMethod.LOOKUP:
+            zone, region = body
+            return HttpCall("GET", f"/lookup?Name={HOST}&Region={region}&Zone={zone}", port=DIRECTORY_PORT)
+        case SimulatedMethod.HEARTBEAT:
+            worker_id, heartbeat = body
+            return HttpCall("PUT", f"/instances/{worker_id}", _heartbeat_value(heartbeat))
+        case SimulatedMethod.DEREGISTER:
+            return HttpCall("DELETE", f"/instances/{body}")
+        case SimulatedMethod.READ_CONFIG:
+            return HttpCall("GET", "/config")
+        case SimulatedMethod.OPERATOR_COMMAND:
+            return _encode_command(body)
+    raise ValueError(method)
+
+
+def _heartbeat_value(heartbeat: dict[str, Any]) -> dict[str, Any]:
+    return {
+        "Address": heartbeat["address"],
+        "NodeInfo": {
+            "Service": heartbeat["service"],
+            "ConfigVersion": heartbeat["version"],
+            "Zone": heartbeat["zone"],
+            "Capacity": heartbeat["capacity"],
+        },
+        "Status": {
+            "State": heartbeat["state"],
+            "CallSeq": heartbeat["seq"],
+            "WarmupLeft": f"{round(heartbeat['warm'] * 1000)}ms",
+        },
+    }
+
+
+def _encode_command(command: dict[str, Any]) -> HttpCall:
+    method = COMMAND_HTTP_METHODS[command["kind"]]
+    if command["kind"] in ("put", "patch"):
+        return HttpCall(method, "/config", command["body"], {"If_Match": command["if_match"]})
+    return HttpCall(method, f"/evacuation/{command['body']}")
+
+
+def decode_answer(method: str, answer: Reply, names: dict[str, str]) -> Any:
+    """Return (status, value) as the simulated roles expect it; `names`: of machines by their IP."""
+    try:
+        value = json.loads(b"".join(answer.parts) or b"null")
+    except ValueError:
+        return Failure(FailureReason.OUTCOME_UNKNOWN, "no JSON")
+    if method == SimulatedMethod.READ_CONFIG:
+        # The answer names no evacuations.
+        return answer.status, (value if answer.status == OK_STATUS else {}, None)
+    if answer.status != OK_STATUS:
+        return answer.status, value
+    if method == SimulatedMethod.LOOKUP:
+        return OK_STATUS, [f"{names[address.partition(':')[0]]}:" for address in value["Addresses"]]
+    if method == SimulatedMethod.HEARTBEAT:
+        ip = (value or {}).get("HeartbeatTarget", "").partition(":")[0]
+        return OK_STATUS, f"{names[ip]}:" if ip in names else ""
+    return OK_STATUS, value
+
+
+class HttpNetwork:
+    """The `Network` of workers, clients and operators: their calls go to core machines over HTTP."""
+
+    def __init__(self, machines: list[LabMachine]) -> None:
+        self.machines: dict[str, Machine] = {}
+        self.names = {machine.ip: machine.name for machine in machines}
+        self._ips = {machine.name: machine.ip for machine in machines}
+
+    def call(self, call: RpcCall) -> Future:
+        """Begin an exchange on a connection of its own; the future becomes the answer or a Failure."""
+        future = Future()
+        gevent.spawn(lambda: future.set(self._exchange(call)))
+        return future
+
+    def reset_connections(self, process: Process) -> None:
+        """Do nothing: the kernel resets the connections of a process that has ended."""
+
+    def _exchange(self, call: RpcCall) -> Any:
+        http_call = encode_call(call.method, call.body)
+        body = http_call.body
+        ip = self._ips[call.machine]
+        head = request_head(http_call.method, http_call.target, ip, body, **http_call.headers)
+        answer = exchange(
+            (ip, http_call.port), head, body, call.timeout, connect_timeout=call.connect_timeout
+        )
+        if isinstance(answer, Failure):
+            return answer
+        return decode_answer(call.method, answer, self.names)
--- /dev/null
+++ b/ashlift/lab/system/http_exchange.py
@@ -0,0 +1,74 @@
+"""One HTTP/1.1 exchange on a connection of its own."""
+
+import time
+from collections.abc import Callable
+from typing import Final
+
+from gevent import socket
+
+from ashlift.errors import Failure, FailureReason
+from ashlift.gatekeeper.net.replies import Reply, SpoiltAnswerError
+
+Address = tuple[str, int]
+MIN_TIMEOUT_SECONDS: Final = 0.001
+RECEIVE_BYTES: Final = 65536
+TIMED_OUT: Final = "late"  # the detail of a Failure
+CLOSED: Final = "closed"
+
+
+def exchange(
+    address: Address,
+    head: bytes,
+    body: bytes,
+    timeout: float,
+    on_sent: Callable[[], None] | None = None,
+    connect_timeout: float | None = None,
+) -> Reply | Failure:
+    """Send a request and return its answer; `on_sent` is called once all is written.
+
+    `timeout`: seconds for the whole exchange; `connect_timeout`: of these to connect. Failures: UNREACHABLE,
+    there was no connection; OUTCOME_UNKNOWN with detail TIMED_OUT; OUTCOME_UNKNOWN with another detail, the
+    connection ended without a complete answer.
+    """
+    deadline = time.monotonic() + timeout
+    try:
+        sock = socket.create_connection(address, timeout=min(timeout, connect_timeout or timeout))
+    except OSError as error:
+        return Failure(FailureReason.UNREACHABLE, str(error))
+    try:
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock.settimeout(_remaining(deadline))
+        sock.sendall(head + body)
+        if on_sent is not None:
+            on_sent()
+        return _receive(sock, deadline)
+    except TimeoutError:
+        return Failure(FailureReason.OUTCOME_UNKNOWN, TIMED_OUT)
+    except (OSError, SpoiltAnswerError) as error:
+        return Failure(FailureReason.OUTCOME_UNKNOWN, str(error))
+    finally:
+        sock.close()
+
+
+def _receive(sock: socket.socket, deadline: float) -> Reply | Failure:
+    reply = Reply()
+    while not reply.done:
+        sock.settimeout(_remaining(deadline))
+        data = sock.recv(RECEIVE_BYTES)
+        if not data:
+            return reply if reply.ended() else Failure(FailureReason.OUTCOME_UNKNOWN, CLOSED)
+        reply.feed(data)
+    return reply
+
+
+def _remaining(deadline: float) -> float:
+    return max(MIN_TIMEOUT_SECONDS, deadline - time.monotonic())
+
+
+def request_head(method: str, target: str, host: str, body: bytes, **headers: str) -> bytes:
+    """Return the head of a request; the names of `headers` have `_` for `-`."""
+    lines = [f"{method} {target} HTTP/1.1", f"Host: {host}"]
+    lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
+    if body or method in ("PUT", "PATCH", "POST"):
+        lines.append(f"Content-Length: {len(body)}")
+    return ("\r\n".join(lines) + "\r\n\r\n").encode()
--- /dev/null
+++ b/ashlift/lab/system/machine_layout.py
@@ -0,0 +1,94 @@
+"""Addresses and ports of a run's machines, and the links between them. Pure: nothing is opened.
+
+Every machine has a loopback address of its own, 127.NETWORK.ROLE.NUMBER, and its programs bind to it. The
+external ports are the same on every machine. The internal ones are not: each machine calls others at the
+ports of its own `InternalPortRange`. So a call that comes to a core machine's address at another machine's
+ports comes from that machine, and a fault-injecting proxy that listens there is on the link of these two.
+"""
+
+from collections.abc import Iterator
+from typing import Final
+
+import attrs
+
+from ashlift.simulation.plan import ZONES, Plan
+from ashlift.simulation.world import CORE, EDGE
+
+FRONT_PORT: Final = 8206
+READINESS_PORT: Final = 8201
+CONTROL_PORT: Final = 8200
+DIRECTORY_PORT: Final = 8209
+WORKER_PORT: Final = 8080
+FIRST_INTERNAL_PORT: Final = 7600  # of the first machine
+INTERNAL_PORTS_PER_MACHINE: Final = 16
+STORE_PORT_OFFSET: Final = 0  # in the range of internal ports
+REGISTRY_PORT_OFFSET: Final = 1
+MAX_MACHINES: Final = 200
+
+
+@attrs.frozen
+class LabMachine:
+    """A machine of a run; `kind` is CORE or EDGE, `first_internal_port` the start of its port range."""
+
+    name: str
+    kind: str
+    ip: str
+    zone: str
+    region: str
+    first_internal_port: int
+
+    @property
+    def is_core(self) -> bool:
+        """Whether it runs the configuration store and the registry."""
+        return self.kind == CORE
+
+    @property
+    def store_port(self) -> int:
+        """Where its configuration store listens for RPC."""
+        return self.first_internal_port + STORE_PORT_OFFSET
+
+    @property
+    def internal_ports(self) -> list[int]:
+        """The first and the last internal port."""
+        return [self.first_internal_port, self.first_internal_port + INTERNAL_PORTS_PER_MACHINE - 1]
+
+
+@attrs.frozen
+class MachineLink:
+    """`caller` reaches `callee` at `listen_address`, where a proxy forwards to `target_address`."""
+
+    caller: str
+    callee: str
+    listen_address: tuple[str, int]
+    target_address: tuple[str, int]
+
+
+def lay_out_machines(plan: Plan, network: int) -> list[LabMachine]:
+    """Return all machines, core first, spread over the zones in turn.
+
+    `network`: the second number of their addresses. Raises ValueError where there are more than MAX_MACHINES.
+    """
+    if plan.core + plan.edge > MAX_MACHINES:
+        raise ValueError(f"{plan.core + plan.edge} machines, and {MAX_MACHINES} is the most")
+    zones = list(ZONES)
+    machines: list[LabMachine] = []
+    for role, (kind, count) in enumerate(((CORE, plan.core), (EDGE, plan.edge)), 1):
+        for number in range(count):
+            zone = zones[number % len(zones)]
+            port = FIRST_INTERNAL_PORT + INTERNAL_PORTS_PER_MACHINE * len(machines)
+            ip = f"127.{network}.{role}.{number + 1}"
+            machines.append(LabMachine(f"{kind}-{number + 1}", kind, ip, zone, ZONES[zone], port))
+    return machines
+
+
+def machine_links(machines: list[LabMachine]) -> Iterator[MachineLink]:
+    """Yield a link from every machine to every other core machine's registry, and from core to its store."""
+    for caller in machines:
+        offsets = (STORE_PORT_OFFSET, REGISTRY_PORT_OFFSET) if caller.is_core else (REGISTRY_PORT_OFFSET,)
+        for callee in machines:
+            if not callee.is_core or callee is caller:
+                continue
+            for offset in offsets:
+                listen_address = (callee.ip, caller.first_internal_port + offset)
+                target_address = (callee.ip, callee.first_internal_port + offset)
+                yield MachineLink(caller.name, callee.name, listen_address, target_address)
--- a/ashlift/lab/system/programs.py
+++ b/ashlift/lab/system/programs.py
@@ -1,82 +1,107 @@
-"""The programs of a run, each one process that we started and end by its id."""
+"""The programs of a run: each one process that the lab starts, signals and ends by its id."""
 
 import contextlib
 import os
 import signal
 import sys
 from pathlib import Path
+from typing import Final
 
 from gevent import subprocess
 
-ROOT = Path(__file__).resolve().parents[3]  # the checkout: the programs run its code
-STOP_S = 2.0
+CHECKOUT: Final = Path(__file__).resolve().parents[3]  # the programs run its code
+STOP_TIMEOUT_SECONDS: Final = 2.0
+LOG_TAIL_CHARACTERS: Final = 600
 
 
 class Program:
-    """One of `configstore`, `registry`, `proxy` on a machine; `life` counts its starts."""
+    """`configstore`, `registry` or `proxy` on a machine; `incarnation` counts its starts."""
 
     def __init__(self, machine: str, kind: str, settings: Path, log: Path) -> None:
-        self.machine, self.kind = machine, kind
-        self._settings, self._log = settings, log
+        self.machine = machine
+        self.kind = kind
+        self.incarnation = 0
+        self.is_frozen = False
+        self._settings = settings
+        self._log = log
         self._process: subprocess.Popen[bytes] | None = None
-        self.life = 0
-        self.frozen = False
 
     @property
-    def up(self) -> bool:
+    def is_running(self) -> bool:
+        """Whether its process has not ended; a frozen one has not."""
         return self._process is not None and self._process.poll() is None
 
     @property
     def pid(self) -> int | None:
-        return self._process.pid if self._process is not None and self.up else None
+        """The id of its process while that runs."""
+        return self._process.pid if self._process is not None and self.is_running else None
 
     def start(self) -> None:
-        if self.up:
+        """Start a process, unless one runs; its output is added to the log."""
+        if self.is_running:
             return
-        self.life += 1
-        self.frozen = False
-        env = {**os.environ, "ASHLIFT_SETTINGS": str(self._settings)}
+        self.incarnation += 1
+        self.is_frozen = False
+        environment = {**os.environ, "ASHLIFT_SETTINGS": str(self._settings)}
         with open(self._log, "ab") as log:
             self._process = subprocess.Popen(
                 [sys.executable, "-m", f"ashlift.{self.kind}"],
-                env=env,
+                env=environment,
                 stdout=log,
                 stderr=log,
-                cwd=ROOT,
+                cwd=CHECKOUT,
                 stdin=subprocess.DEVNULL,
-                start_new_session=True,  # Ctrl-C is for us, who end them
+                # Ctrl-C is for the lab alone, which ends the programs.
+                start_new_session=True,
             )
 
     def signal(self, number: signal.Signals) -> None:
-        if self._process is not None and self.up:
+        """Send a signal, if its process runs."""
+        if self._process is not None and self.is_running:
             with contextlib.suppress(OSError):
                 self._process.send_signal(number)
 
     def kill(self) -> None:
-        """Returns when it is gone: until then its sockets stand."""
+        """Kill it, and return when its process has ended: until then its sockets are open."""
         self.signal(signal.SIGKILL)
         if self._process is not None:
             self._process.wait()
 
-    def freeze(self, on: bool) -> None:
-        self.signal(signal.SIGSTOP if on else signal.SIGCONT)
-        self.frozen = on
+    def freeze(self) -> None:
+        """Stop it from running (SIGSTOP)."""
+        self.signal(signal.SIGSTOP)
+        self.is_frozen = True
 
-    def told(self) -> str:
-        """The end of its log."""
+    def unfreeze(self) -> None:
+        """Let it run again (SIGCONT)."""
+        self.signal(signal.SIGCONT)
+        self.is_frozen = False
+
+    def terminate(self) -> None:
+        """Ask it to end, also where it is frozen."""
+        self.signal(signal.SIGCONT)
+        # A proxy drains on SIGTERM, for as long as `Bounds` say: too long for the end of a run.
+        self.signal(signal.SIGKILL if self.kind == "proxy" else signal.SIGTERM)
+
+    def wait_or_kill(self) -> None:
+        """Wait for the end of its process for STOP_TIMEOUT_SECONDS, then kill it."""
+        if self._process is None:
+            return
+        try:
+            self._process.wait(timeout=STOP_TIMEOUT_SECONDS)
+        except subprocess.TimeoutExpired:
+            self.kill()
+
+    def log_tail(self) -> str:
+        """Return the end of its log."""
         with contextlib.suppress(OSError):
-            return self._log.read_text(errors="replace")[-600:]
+            return self._log.read_text(errors="replace")[-LOG_TAIL_CHARACTERS:]
         return ""
 
 
-def stop(programs: list[Program]) -> None:
-    """End all, those that are frozen too."""
-    for one in programs:
-        one.signal(signal.SIGCONT)
-        one.signal(signal.SIGTERM if one.kind != "proxy" else signal.SIGKILL)  # a proxy leaves for Grace
-    for one in programs:
-        if one._process is not None:
-            try:
-                one._process.wait(timeout=STOP_S)
-            except subprocess.TimeoutExpired:
-                one.kill()
+def stop_programs(programs: list[Program]) -> None:
+    """End all programs; returns when their processes have ended."""
+    for program in programs:
+        program.terminate()
+    for program in programs:
+        program.wait_or_kill()
--- a/ashlift/lab/system/runs.py
+++ b/ashlift/lab/system/runs.py
@@ -105,7 +105,7 @@
             world.begin()
             play = ScenarioPlayer(scene, seed, make_world=lambda plan: cast(World, world), on_event=told)
             play.run()
-            return evolve(_played(play, seed, world.did, began), lag=world.clock.lag)
+            return evolve(_played(play, seed, world.did, began), lag=world.clock.max_lag)
         finally:
             world.stop()
             if not keep:
--- a/ashlift/lab/system/world.py
+++ b/ashlift/lab/system/world.py
@@ -23,10 +23,19 @@
 from ashlift.lab.faults import Fault as LinkFault
 from ashlift.lab.faults import Schedule, State, Way
 from ashlift.lab.proxy import TcpLink
-from ashlift.lab.system import places
 from ashlift.lab.system.clients import WireCrowd
-from ashlift.lab.system.programs import Program, stop
-from ashlift.lab.system.wire import Calls, Clock, exchange, request_head
+from ashlift.lab.system.control_calls import HttpNetwork
+from ashlift.lab.system.http_exchange import exchange, request_head
+from ashlift.lab.system.machine_layout import (
+    CONTROL_PORT,
+    FRONT_PORT,
+    LabMachine,
+    lay_out_machines,
+    machine_links,
+)
+from ashlift.lab.system.machine_settings import ClusterSettings
+from ashlift.lab.system.programs import Program, stop_programs
+from ashlift.lab.system.real_time_loop import RealTimeLoop
 from ashlift.lab.system.yard import WireYard
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.plan import ZONES, Plan
@@ -79,10 +88,10 @@
 
     def __init__(self, plan: Plan, progress: Callable[[str], None] | None = None) -> None:
         net = 20 + os.getpid() % 200  # so that two runs do not meet
-        self.places = places.places(plan, net)
+        self.places = lay_out_machines(plan, net)
         self._at = {one.name: one for one in self.places}
         self._net_number, self.progress = net, progress
-        self.clock, self.calls = Clock(plan.seed), Calls(self.places)
+        self.clock, self.calls = RealTimeLoop(plan.seed), HttpNetwork(self.places)
         core = [one.name for one in self.places if one.kind == CORE]
         edge = [one.name for one in self.places if one.kind == EDGE]
         super().__init__(plan, core, edge, cast(EventLoop, self.clock), self.calls)
@@ -104,8 +113,15 @@
     # ---- begin and end
     def begin(self) -> None:
         """OSError where an address cannot be had; RuntimeError where a program does not come up."""
-        for number, wire in enumerate(places.wires(self.places)):
-            link = TcpLink(wire.near, wire.far, wire.target, self.schedule, number, wire.listen)
+        for number, described in enumerate(machine_links(self.places)):
+            link = TcpLink(
+                described.caller,
+                described.callee,
+                described.target_address,
+                self.schedule,
+                number,
+                described.listen_address,
+            )
             self.wires.append(link)
         for place in self.places:
             self._write(place, True)
@@ -118,7 +134,7 @@
         self._await_all()
         self.clock.begin()
         for link in self.wires:
-            link.begin(self.clock.began)
+            link.begin(self.clock.started)
         for place in self.places:
             self._write(place, False)  # whoever starts again does not begin anew
         self.populate()
@@ -129,14 +145,14 @@
         )
         return self.wire_yard
 
-    def _path(self, place: places.Place) -> Path:
+    def _path(self, place: LabMachine) -> Path:
         return self.folder / f"{place.name}.toml"
 
-    def _write(self, place: places.Place, first: bool) -> None:
+    def _write(self, place: LabMachine, first: bool) -> None:
         disk = self.folder / f"disk-{place.name}"
         if place.kind == CORE:
             disk.mkdir(exist_ok=True)
-        text = places.settings(place, self.places, self.seeds, str(disk), self.bounds, first)
+        text = ClusterSettings(self.places, self.seeds, self.bounds).to_toml(place, str(disk), first)
         fresh = self._path(place).with_suffix(".new")
         fresh.write_text(text)
         fresh.replace(self._path(place))
@@ -146,20 +162,20 @@
         until = time.monotonic() + START_S
         for (name, kind), program in self.programs.items():
             place = self._at[name]
-            port = {"configstore": place.low, "registry": places.CONTROL, "proxy": places.FRONT}[kind]
+            port = {"configstore": place.store_port, "registry": CONTROL_PORT, "proxy": FRONT_PORT}[kind]
             while True:
                 try:
                     socket.create_connection((place.ip, port), timeout=1.0).close()
                     break
                 except OSError:
-                    if not program.up or time.monotonic() > until:
-                        raise RuntimeError(f"{kind}@{name} does not listen: {program.told()}") from None
+                    if not program.is_running or time.monotonic() > until:
+                        raise RuntimeError(f"{kind}@{name} does not listen: {program.log_tail()}") from None
                     gevent.sleep(0.05)
 
     def stop(self) -> None:
-        self.clock.stopped = True
+        self.clock.is_stopped = True
         self.wire_yard.stop()
-        stop(list(self.programs.values()))
+        stop_programs(list(self.programs.values()))
         for link in self.wires:
             link.close()
 
@@ -171,13 +187,13 @@
     def run(self, until: float) -> None:
         while True:
             left = until - self.clock.now
-            if left <= 0 or self.clock.broken:
+            if left <= 0 or self.clock.failures:
                 break
             gevent.sleep(min(0.5, left))
             if self.progress is not None:
                 self.progress(self.told())
-        if self.clock.broken:
-            raise RuntimeError(self.clock.broken[0])
+        if self.clock.failures:
+            raise RuntimeError(self.clock.failures[0])
         self.history.end = self.clock.now
 
     def told(self) -> str:
@@ -190,12 +206,12 @@
         )
 
     def _life(self, name: str) -> int:
-        return self.programs[name, "proxy"].life
+        return self.programs[name, "proxy"].incarnation
 
     # ---- looking, by what the registries say of themselves
     def _status(self, name: str) -> dict[str, Any]:
         head = request_head("GET", "/status", self._at[name].ip, b"")
-        answer = exchange((self._at[name].ip, places.CONTROL), head, b"", ASK_S)
+        answer = exchange((self._at[name].ip, CONTROL_PORT), head, b"", ASK_S)
         if isinstance(answer, Failure) or answer.status != 200:
             return {}
         found = json.loads(b"".join(answer.parts))
@@ -228,7 +244,7 @@
     # ---- what befalls machines
     def runs(self, name: str) -> bool:
         return self.powered[name] and all(
-            one.up and not one.frozen for (at, _), one in self.programs.items() if at == name
+            one.is_running and not one.is_frozen for (at, _), one in self.programs.items() if at == name
         )
 
     def open(self, one: str, other: str) -> bool:
@@ -242,43 +258,43 @@
 
     def kill(self, kind: str, names: list[str], seconds: float = BACK_S) -> None:
         for program in self._each(kind, names):
-            if program.up:
+            if program.is_running:
                 self.befalls(program.machine)
                 program.kill()
                 self._mark(program.machine, f"{program.kind} killed")
                 self.clock.call_later(seconds, self._start, program)
 
     def _start(self, program: Program) -> None:
-        if self.powered[program.machine] and not program.up:
+        if self.powered[program.machine] and not program.is_running:
             program.start()
             self._mark(program.machine, f"{program.kind} started")
             self.passes(program.machine)
 
     def term(self, kind: str, names: list[str]) -> None:
         for program in self._each(kind, names):
-            if program.up:
+            if program.is_running:
                 self.befalls(program.machine, planned=True)
                 program.signal(signal.SIGTERM)
                 self._mark(program.machine, f"{program.kind} told to end")
                 self._again(program)
 
     def _again(self, program: Program) -> None:
-        if program.up:
+        if program.is_running:
             self.clock.call_later(0.1, self._again, program)
         else:
             self.clock.call_later(BACK_S, self._start, program)
 
     def freeze(self, kind: str, names: list[str], seconds: float) -> None:
         for program in self._each(kind, names):
-            if program.up and not program.frozen:
-                program.freeze(True)
+            if program.is_running and not program.is_frozen:
+                program.freeze()
                 self._mark(program.machine, f"{program.kind} frozen")
                 self.befalls(program.machine)
-                self.clock.call_later(seconds, self._thaw, program, program.life)
+                self.clock.call_later(seconds, self._thaw, program, program.incarnation)
 
     def _thaw(self, program: Program, life: int) -> None:
-        if program.life == life:
-            program.freeze(False)
+        if program.incarnation == life:
+            program.unfreeze()
             self._mark(program.machine, f"{program.kind} thawed")
             self.passes(program.machine)
 
--- a/ashlift/lab/system/yard.py
+++ b/ashlift/lab/system/yard.py
@@ -14,7 +14,7 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from ashlift.lab.system.places import WORKER_PORT
+from ashlift.lab.system.machine_layout import WORKER_PORT
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.history import Arrival, History, Request, UnexpectedArrival
--- a/benchmarks/scale/site.py
+++ b/benchmarks/scale/site.py
@@ -17,9 +17,10 @@
 
 from ashlift.config.settings import Bounds
 from ashlift.errors import Failure
-from ashlift.lab.system import places
-from ashlift.lab.system.programs import ROOT, Program, stop
-from ashlift.lab.system.wire import exchange, request_head
+from ashlift.lab.system.http_exchange import exchange, request_head
+from ashlift.lab.system.machine_layout import CONTROL_PORT, FRONT_PORT, LabMachine
+from ashlift.lab.system.machine_settings import ClusterSettings
+from ashlift.lab.system.programs import CHECKOUT, Program, stop_programs
 from benchmarks.scale.target import TARGET, Size, change, configuration, zones
 
 LOW = 7600
@@ -65,7 +66,7 @@
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
                 stderr=errors,
-                cwd=ROOT,
+                cwd=CHECKOUT,
                 start_new_session=True,
             )
 
@@ -108,21 +109,20 @@
         self.workers: Hollow | None = None
         self.version = 0
 
-    def _place(self, kind: str, role: int, number: int) -> places.Place:
+    def _place(self, kind: str, role: int, number: int) -> LabMachine:
         names = list(self.zones)
         zone = names[number % len(names)]
         ip = f"127.{self.net}.{role}.{number + 1}"
-        return places.Place(f"{kind}-{number + 1}", kind, ip, zone, self.zones[zone], LOW)
+        return LabMachine(f"{kind}-{number + 1}", kind, ip, zone, self.zones[zone], LOW)
 
     # ---- begin and end
     def write(self, first: bool) -> None:
+        seeds = [one.name for one in self.core[:3]]
+        settings = ClusterSettings(self.places, seeds, Bounds(), self.zones, self.heartbeat)
         for place in self.places:
             disk = self.folder / f"disk-{place.name}"
             disk.mkdir(exist_ok=True)
-            seeds = [one.name for one in self.core[:3]]
-            text = places.settings(
-                place, self.places, seeds, str(disk), Bounds(), first, self.zones, self.heartbeat
-            )
+            text = settings.to_toml(place, str(disk), first)
             fresh = self.folder / f"{place.name}.new"
             fresh.write_text(text)
             fresh.replace(self.folder / f"{place.name}.toml")
@@ -140,22 +140,22 @@
                 place = next(place for place in self.places if place.name == name)
                 self._listens(place, kind, program)
 
-    def _listens(self, place: places.Place, kind: str, program: Program) -> None:
-        port = {"configstore": LOW, "registry": places.CONTROL, "proxy": places.FRONT}[kind]
+    def _listens(self, place: LabMachine, kind: str, program: Program) -> None:
+        port = {"configstore": LOW, "registry": CONTROL_PORT, "proxy": FRONT_PORT}[kind]
         until = time.monotonic() + START_S
         while True:
             try:
                 socket.create_connection((place.ip, port), timeout=1.0).close()
                 return
             except OSError:
-                if not program.up or time.monotonic() > until:
-                    raise RuntimeError(f"{kind}@{place.name} does not listen: {program.told()}") from None
+                if not program.is_running or time.monotonic() > until:
+                    raise RuntimeError(f"{kind}@{place.name} does not listen: {program.log_tail()}") from None
                 gevent.sleep(0.05)
 
     def stop(self) -> None:
         for host in [*self.hosts, *([self.workers] if self.workers else [])]:
             host.stop()
-        stop(list(self.programs.values()))
+        stop_programs(list(self.programs.values()))
         shutil.rmtree(self.folder, ignore_errors=True)
 
     # ---- calls
@@ -169,7 +169,7 @@
                 break
             headers = {"If_Match": match} if match else {}
             answer = exchange(
-                (place.ip, places.CONTROL), request_head(verb, path, place.ip, data, **headers), data, left
+                (place.ip, CONTROL_PORT), request_head(verb, path, place.ip, data, **headers), data, left
             )
             if isinstance(answer, Failure):
                 status, found = 0, answer.detail.encode()
--- /dev/null
+++ b/tests/lab/test_machine_layout.py
@@ -0,0 +1,48 @@
+"""Addresses, links and settings files of the lab's machines. No process starts."""
+
+from ward import test
+
+from ashlift.config import settings
+from ashlift.config.settings import Bounds
+from ashlift.lab.system.machine_layout import lay_out_machines, machine_links
+from ashlift.lab.system.machine_settings import ClusterSettings
+from ashlift.simulation.plan import ZONES, Plan
+
+BOUNDS = Bounds(revocation_strict=True, drain=2.5)
+PLAN = Plan(core=3, edge=4)
+NETWORK = 77
+
+
+@test("settings of the lab's machines read back as they were meant")
+def _() -> None:
+    machines = lay_out_machines(PLAN, NETWORK)
+    cluster_settings = ClusterSettings(machines, ["core-1", "core-2"], BOUNDS)
+    for machine in machines:
+        parsed = settings.parse_settings(cluster_settings.to_toml(machine, "/disk", True))
+        assert isinstance(parsed, settings.Settings), parsed
+        assert parsed.bounds == BOUNDS
+        assert parsed.zones == ZONES
+        assert parsed.ip == machine.ip
+        assert parsed.internal_ports[0] == machine.first_internal_port
+        assert parsed.bootstrap
+        assert [host for host, _ in parsed.seeds] == ["127.77.1.1", "127.77.1.2"]
+        front = parsed.bindings.front
+        assert (front is None) == (machine.kind == "core")
+        assert (parsed.data_directory is None) != (front is None)
+
+
+@test("every link between machines has an address of its own, told by the caller's ports")
+def _() -> None:
+    machines = lay_out_machines(PLAN, NETWORK)
+    links = list(machine_links(machines))
+    assert len(links) == 3 * 2 * 2 + 4 * 3
+    assert len({link.listen_address for link in links}) == len(links)
+    own_addresses = {
+        (machine.ip, machine.first_internal_port + offset) for machine in machines for offset in (0, 1)
+    }
+    assert own_addresses.isdisjoint(link.listen_address for link in links)
+    assert own_addresses.issuperset(link.target_address for link in links)
+    first_ports = {machine.name: machine.first_internal_port for machine in machines}
+    for link in links:
+        caller_offset = link.listen_address[1] - first_ports[link.caller]
+        assert caller_offset == link.target_address[1] - first_ports[link.callee]
--- a/tests/lab/test_system.py
+++ b/tests/lab/test_system.py
@@ -1,82 +1,22 @@
 """The lab of the whole system: its pure parts, and how it keeps a run. No process starts."""
 
-import json
 import tempfile
 from pathlib import Path
 
 from attrs import evolve
 from ward import test
 
-from ashlift.config import settings
-from ashlift.config.settings import Bounds
-from ashlift.errors import Failure
 from ashlift.lab.compare import lines as compare
 from ashlift.lab.results import Results
-from ashlift.lab.system import places, wire
 from ashlift.lab.system.kept import as_lab, lines
 from ashlift.lab.system.runs import simulated
 from ashlift.lab.system.world import unfit
 from ashlift.lab.system.yard import asked
-from ashlift.registry.api.heartbeat_body import parse_heartbeat
 from ashlift.simulation.checkers.rules import RULE_TEXTS, check_rules
-from ashlift.simulation.plan import ZONES, Plan
 from ashlift.simulation.scenario import parse_scenarios, read_scenarios
 from ashlift.simulation.scenario_player import ScenarioPlayer
 
 DEMO = Path(__file__).parents[2] / "scenarios" / "system-demo.txt"
-BOUNDS = Bounds(revocation_strict=True, drain=2.5)
-
-
-@test("settings of the lab's machines read back as they were meant")
-def _() -> None:
-    machines = places.places(Plan(core=3, edge=4), 77)
-    for place in machines:
-        text = places.settings(place, machines, ["core-1", "core-2"], "/disk", BOUNDS, True)
-        found = settings.parse_settings(text)
-        assert isinstance(found, settings.Settings), found
-        assert found.bounds == BOUNDS and found.zones == ZONES and found.ip == place.ip
-        assert found.internal_ports[0] == place.low and found.bootstrap
-        assert [host for host, _ in found.seeds] == ["127.77.1.1", "127.77.1.2"]
-        front = found.bindings.front
-        assert (front is None) == (place.kind == "core") and (found.data_directory is None) != (front is None)
-
-
-@test("every link between machines has an address of its own, told by the caller's ports")
-def _() -> None:
-    machines = places.places(Plan(core=3, edge=4), 77)
-    found = list(places.wires(machines))
-    assert len(found) == 3 * 2 * 2 + 4 * 3
-    assert len({one.listen for one in found}) == len(found)
-    own = {(one.ip, one.low + port) for one in machines for port in (0, 1)}
-    assert own.isdisjoint(one.listen for one in found) and own.issuperset(one.target for one in found)
-    low = {one.name: one.low for one in machines}
-    assert all(one.listen[1] - low[one.near] == one.target[1] - low[one.far] for one in found)
-
-
-@test("the lab's workers and operator speak as the pages say")
-def _() -> None:
-    told = {
-        "service": "fleet",
-        "address": "127.9.9.9:8080",
-        "zone": "z1",
-        "capacity": 4,
-        "state": "ready",
-        "seq": 3,
-        "warm": 1.25,
-        "version": "v1",
-    }
-    verb, target, body, _ = wire.spoken("beat", ("fleet-1", told))
-    beat = parse_heartbeat(json.dumps(body).encode(), 10.0)
-    assert (verb, target) == ("PUT", "/instances/fleet-1")
-    assert (
-        not isinstance(beat, Failure) and beat.warm_at == 11.25 and beat.call_seq == 3 and beat.capacity == 4
-    )
-    order = {"kind": "put", "if_match": "00000001", "body": {"ConfigVersion": "00000002"}}
-    assert wire.spoken("order", order) == ("PUT", "/config", order["body"], {"If_Match": "00000001"})
-    zone = {"kind": "restore", "if_match": None, "body": "z1"}
-    assert wire.spoken("order", zone)[:3] == ("DELETE", "/evacuation/z1", None)
-    head = wire.request_head("PUT", "/config", "h", b"12", If_Match="00000001")
-    assert head == b"PUT /config HTTP/1.1\r\nHost: h\r\nIf-Match: 00000001\r\nContent-Length: 2\r\n\r\n"
 
 
 @test("a scene says what of it cannot be played on processes")
