--- /dev/null
+++ b/tests/support/registry_scenarios.py
@@ -0,0 +1,216 @@
+"""Scenarios of registries and proxies on simulated time, as in `tests/scenarios/registry_*.txt`.
+
+Registries replicate each other's records, proxies pull with their real cluster view. A line is one of:
+
+start NAME ZONE REGION     a registry (again: a new incarnation); all are core members; its IP is its name
+stop NAME | partition A B | heal A B | freeze NAME | thaw NAME
+proxy NAME ZONE REGION AT [unready]    a proxy that pulls from the registry AT; `stop_proxy NAME` ends it
+usage PROXY TENANT TOTAL DECLINED      what its next pull reports; `resend PROXY`: its last pull once more
+heartbeat AT ID seq=N [state=draining] [warm=S]    `late` after it: it must be ignored
+deregister AT ID
+config AT INDEX AGE KEY=VALUE...       a store's answer to `watch`; KEY= removes the key
+run SECONDS                            steps of 10 ms, pulls and swaps every 50 ms, ticks every 250 ms
+check PROXY worker ID ready|draining|tombstone|none     what a proxy believes
+check PROXY usage TENANT TOTAL DECLINED
+check AT lookup ZONE REGION FRONT... | unavailable
+check AT response PROXY snapshot|delta|nothing     what the registry would send of the configuration
+check AT lease_age SECONDS|none
+check AT isolated yes|no
+check AT uptime SECONDS
+"""
+
+from typing import Any, Final
+
+from ashlift.errors import Failure
+from ashlift.proxy.cluster_view import ClusterView
+from ashlift.proxy.pull_messages import PullResponse
+from ashlift.registry import codec
+from ashlift.registry.identity import RegistryIdentity
+from ashlift.registry.records import WorkerRecord, WorkerState
+from ashlift.registry.registry import Registry
+from ashlift.rpc.sources import OPERATOR_SOURCE
+from tests.support.registry_wire import begin_pull, pull_response, receive_swap_response, swap_response
+
+STEP_SECONDS: Final = 0.01
+STEPS_PER_CALL: Final = 5
+STEPS_PER_TICK: Final = 25
+HTTP_PORT: Final = 8200
+HEARTBEAT_SECONDS: Final = 1.5
+
+
+class SimulatedProxy:
+    """A proxy that pulls from one registry; `usage` is what its next pull reports."""
+
+    def __init__(self, name: str, zone: str, region: str) -> None:
+        self.name = name
+        self.body: dict[str, Any] = {
+            "node": name,
+            "incarnation": "x",
+            "zone": zone,
+            "region": region,
+            "front": name,
+        }
+        self.cluster = ClusterView()
+        self.registry = ""
+        self.report_number = 0
+        self.usage: dict[str, list[int]] = {}
+
+    def next_body(self) -> dict[str, Any]:
+        """The body of its next pull, with what is to be reported."""
+        self.report_number += 1
+        self.body["adds"] = {"number": self.report_number, "counts": self.usage}
+        self.usage = {}
+        return self.body
+
+
+class RegistryScenario:
+    """Registries and proxies by name, the partitions between them, and the time; a method a command."""
+
+    def __init__(self) -> None:
+        self.now = 100.0
+        self.registries: dict[str, Registry] = {}
+        self.proxies: dict[str, SimulatedProxy] = {}
+        self.frozen: set[str] = set()
+        self.partitions: set[frozenset[str]] = set()
+        self._steps = 0
+        self._starts = 0
+
+    def play(self, line: str) -> None:
+        """Execute a line of a scenario."""
+        words = line.partition("#")[0].split()
+        if words:
+            getattr(self, words[0])(*words[1:])
+
+    def start(self, name: str, zone: str, region: str) -> None:
+        self._starts += 1
+        incarnation = f"{self._starts:08x}"
+        identity = RegistryIdentity(name, incarnation, name, zone, region, HTTP_PORT, HEARTBEAT_SECONDS)
+        self.registries[name] = Registry(identity, ["a", "b"], {}, self.now)
+
+    def stop(self, name: str) -> None:
+        del self.registries[name]
+
+    def partition(self, name: str, other_name: str) -> None:
+        self.partitions.add(frozenset((name, other_name)))
+
+    def heal(self, name: str, other_name: str) -> None:
+        self.partitions.remove(frozenset((name, other_name)))
+
+    def freeze(self, name: str) -> None:
+        self.frozen.add(name)
+
+    def thaw(self, name: str) -> None:
+        self.frozen.remove(name)
+
+    def proxy(self, name: str, zone: str, region: str, registry: str, ready: str = "ready") -> None:
+        proxy = self.proxies.setdefault(name, SimulatedProxy(name, zone, region))
+        proxy.registry = registry
+        proxy.body["ready"] = ready == "ready"
+
+    def stop_proxy(self, name: str) -> None:
+        del self.proxies[name]
+
+    def usage(self, name: str, tenant: str, *counts: str) -> None:
+        self.proxies[name].usage[tenant] = [int(count) for count in counts]
+
+    def resend(self, name: str) -> None:
+        self._pull(self.proxies[name], self.proxies[name].body)
+
+    def heartbeat(self, registry: str, worker_id: str, *words: str) -> None:
+        fields = {"state": "ready", "warm": "0", **dict(word.split("=") for word in words if "=" in word)}
+        warm_at = self.now + float(fields["warm"])
+        state = WorkerState(fields["state"])
+        record = WorkerRecord("s", "10.0.0.9:80", "z", 2, state, int(fields["seq"]), warm_at, "v")
+        is_accepted = self.registries[registry].instances.record_heartbeat(worker_id, record, self.now)
+        assert is_accepted == ("late" not in words)
+
+    def deregister(self, registry: str, worker_id: str) -> None:
+        self.registries[registry].instances.deregister(worker_id, self.now)
+
+    def config(self, registry: str, index: str, age: str, *pairs: str) -> None:
+        config = self.registries[registry].operator_config
+        entries = dict(pair.split("=") for pair in pairs)
+        answer = {
+            "index": int(index),
+            "age": float(age),
+            "set": {key: value for key, value in entries.items() if value},
+            "gone": [key for key, value in entries.items() if not value],
+            "term": 1,
+            "full": not config.version,
+        }
+        config.receive_watch_response(answer, self.now)
+
+    def run(self, seconds: str) -> None:
+        for _ in range(round(float(seconds) / STEP_SECONDS)):
+            self.now += STEP_SECONDS
+            self._steps += 1
+            running = [name for name in self.registries if name not in self.frozen]
+            if self._steps % STEPS_PER_CALL == 0:
+                for name in running:
+                    self._swap(name, running)
+                for proxy in self.proxies.values():
+                    if proxy.registry in running:
+                        self._pull(proxy, proxy.next_body())
+            if self._steps % STEPS_PER_TICK == 0:
+                for name in running:
+                    self.registries[name].tick(self.now)
+
+    def _swap(self, name: str, running: list[str]) -> None:
+        registry = self.registries[name]
+        for ip in registry.peer_ips(self.now):
+            if ip in running and frozenset((name, ip)) not in self.partitions:
+                request = codec.encode_swap_request(registry.peers.swap_request(ip, introduce=True))
+                response = swap_response(self.registries[ip], request, self.now)
+                receive_swap_response(registry, ip, response, self.now, self.now)
+
+    def _pull(self, proxy: SimulatedProxy, body: dict[str, Any]) -> None:
+        registry = self.registries[proxy.registry]
+        body = body | {"have": proxy.cluster.versions()}
+        begin_pull(registry, body, self.now)
+        answer = pull_response(registry, body, self.now, self.now)
+        proxy.cluster.apply(self.now, self.now, PullResponse.from_wire(answer))
+        registry.sessions.end_pull(proxy.name)
+        replicas = registry.peers.replicas
+        not_alive = {name: replicas[name].source.version for name in replicas.keys() - set(answer["alive"])}
+        is_answered_again = registry.has_updates_for(not_alive | proxy.cluster.versions())
+        assert not is_answered_again, "would be answered at once, on and on"
+
+    def check(self, name: str, what: str, *words: str) -> None:
+        getattr(self, f"_check_{what}")(name, *words)
+
+    def _check_worker(self, name: str, worker_id: str, expected: str) -> None:
+        proxy = self.proxies[name]
+        worker = proxy.cluster.workers.get(worker_id)
+        state = "none" if worker is None else "ready" if worker.ready else "draining"
+        known = self.registries[proxy.registry].instances.all_known()
+        if state == "draining" and worker_id not in known:
+            state = "tombstone"
+        assert state == expected, state
+
+    def _check_usage(self, name: str, tenant: str, *expected: str) -> None:
+        by_source = self.proxies[name].cluster.usage_totals().values()
+        counts = [totals[tenant] for totals in by_source if tenant in totals]
+        sums = [sum(column) for column in zip(*counts, strict=True)]
+        assert sums == [int(count) for count in expected], str(counts)
+
+    def _check_lookup(self, name: str, zone: str, region: str, *expected: str) -> None:
+        fronts = self.registries[name].lookup(zone, region, self.now)
+        found = ["unavailable"] if isinstance(fronts, Failure) else sorted(fronts)
+        assert found == sorted(expected), str(fronts)
+
+    def _check_response(self, name: str, proxy: str, expected: str) -> None:
+        known_version = self.proxies[proxy].cluster.versions().get(OPERATOR_SOURCE)
+        delta = self.registries[name].operator_config.delta_since(known_version)
+        kind = "nothing" if delta is None else "snapshot" if delta.full else "delta"
+        assert kind == expected, str(delta)
+
+    def _check_isolated(self, name: str, expected: str) -> None:
+        assert self.registries[name].is_isolated(self.now) == (expected == "yes")
+
+    def _check_uptime(self, name: str, expected: str) -> None:
+        uptime = self.registries[name].uptime(self.now)
+        assert abs(uptime - float(expected)) < 0.1, str(uptime)
+
+    def _check_lease_age(self, name: str, expected: str) -> None:
+        age = self.registries[name].operator_config.lease_age(self.now)
+        assert (expected == "none") if age is None else abs(age - float(expected)) < 0.001, str(age)
