--- a/ashlift/lab/system/control_calls.py
+++ b/ashlift/lab/system/control_calls.py
@@ -32,7 +32,7 @@
     """Methods that the simulator's roles call."""
 
     LOOKUP = "lookup"
-    HEARTBEAT = "beat"
+    HEARTBEAT_SECONDS = "beat"
     DEREGISTER = "delete"
     READ_CONFIG = "config"
     OPERATOR_COMMAND = "order"
@@ -60,7 +60,7 @@
         case SimulatedMethod.LOOKUP:
             zone, region = body
             return HttpCall("GET", f"/lookup?Name={HOST}&Region={region}&Zone={zone}", port=DIRECTORY_PORT)
-        case SimulatedMethod.HEARTBEAT:
+        case SimulatedMethod.HEARTBEAT_SECONDS:
             worker_id, heartbeat = body
             return HttpCall("PUT", f"/instances/{worker_id}", _heartbeat_value(heartbeat))
         case SimulatedMethod.DEREGISTER:
@@ -109,7 +109,7 @@
         return answer.status, value
     if method == SimulatedMethod.LOOKUP:
         return OK_STATUS, [f"{names[address.partition(':')[0]]}:" for address in value["Addresses"]]
-    if method == SimulatedMethod.HEARTBEAT:
+    if method == SimulatedMethod.HEARTBEAT_SECONDS:
         ip = (value or {}).get("HeartbeatTarget", "").partition(":")[0]
         return OK_STATUS, f"{names[ip]}:" if ip in names else ""
     return OK_STATUS, value
--- a/ashlift/lab/system/machine_layout.py
+++ b/ashlift/lab/system/machine_layout.py
@@ -11,8 +11,8 @@
 
 import attrs
 
+from ashlift.simulation.base_world import CORE, EDGE
 from ashlift.simulation.plan import ZONES, Plan
-from ashlift.simulation.world import CORE, EDGE
 
 FRONT_PORT: Final = 8206
 READINESS_PORT: Final = 8201
--- a/ashlift/lab/system/machine_settings.py
+++ b/ashlift/lab/system/machine_settings.py
@@ -13,8 +13,8 @@
     READINESS_PORT,
     LabMachine,
 )
+from ashlift.simulation.base_world import HEARTBEAT_SECONDS
 from ashlift.simulation.plan import ZONES
-from ashlift.simulation.world import HEARTBEAT
 
 
 @attrs.frozen
@@ -28,7 +28,7 @@
     seeds: list[str]
     bounds: Bounds
     zones: Mapping[str, str] = ZONES
-    heartbeat_interval: float = HEARTBEAT
+    heartbeat_interval: float = HEARTBEAT_SECONDS
 
     def to_toml(self, machine: LabMachine, data_directory: str, bootstrap: bool) -> str:
         """Return the settings of a machine's programs.
--- a/ashlift/lab/system/world.py
+++ b/ashlift/lab/system/world.py
@@ -36,13 +36,13 @@
 from ashlift.lab.system.machine_settings import ClusterSettings
 from ashlift.lab.system.programs import Program, stop_programs
 from ashlift.lab.system.real_time_loop import RealTimeLoop
-from ashlift.lab.system.yard import WireYard
+from ashlift.lab.system.yard import WireWorkerPool
+from ashlift.simulation.base_world import CORE, EDGE, HEARTBEAT_SECONDS, RESTART_SECONDS, BaseWorld
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.plan import ZONES, Plan
 from ashlift.simulation.process import Machine
 from ashlift.simulation.scenario import Scenario
-from ashlift.simulation.workers import Yard
-from ashlift.simulation.world import BACK_S, CORE, EDGE, HEARTBEAT, Stage
+from ashlift.simulation.worker_pool import WorkerPool
 
 KINDS = {
     "configstore": ["configstore"],
@@ -83,7 +83,7 @@
     return found
 
 
-class ProcessWorld(Stage):
+class ProcessWorld(BaseWorld):
     """`begin` starts everything and returns when all listen; `stop` ends all that was started."""
 
     def __init__(self, plan: Plan, progress: Callable[[str], None] | None = None) -> None:
@@ -104,9 +104,9 @@
         self.powered = {one.name: True for one in self.places}
         for zone in ZONES:
             machine = Machine(f"clients-{zone}", zone, ZONES[zone], 0.0, "clients")
-            crowd = WireCrowd(self.loop, self.net, machine, self.history, self.core, self._share)
+            crowd = WireCrowd(self.loop, self.net, machine, self.history, self.core, self.load_share)
             ips = {name: self._at[name].ip for name in self.edge}
-            crowd.reach(ips, self.wire_yard.sent, self._life)
+            crowd.reach(ips, self.wire_workers.sent, self._life)
             self.client_populations.append(crowd)
         self.calls.machines = {one.name: Machine(one.name, one.zone, one.region, 0.0) for one in self.places}
 
@@ -139,11 +139,17 @@
             self._write(place, False)  # whoever starts again does not begin anew
         self.populate()
 
-    def furnished(self) -> Yard:
-        self.wire_yard = WireYard(
-            self.loop, self.net, self.history, self.core, HEARTBEAT, self.bounds.drain, self._net_number
+    def new_worker_pool(self) -> WorkerPool:
+        self.wire_workers = WireWorkerPool(
+            self.loop,
+            self.net,
+            self.history,
+            self.core,
+            HEARTBEAT_SECONDS,
+            self.bounds.drain,
+            self._net_number,
         )
-        return self.wire_yard
+        return self.wire_workers
 
     def _path(self, place: LabMachine) -> Path:
         return self.folder / f"{place.name}.toml"
@@ -174,7 +180,7 @@
 
     def stop(self) -> None:
         self.clock.is_stopped = True
-        self.wire_yard.stop()
+        self.wire_workers.stop()
         stop_programs(list(self.programs.values()))
         for link in self.wires:
             link.close()
@@ -219,35 +225,35 @@
 
     def versions(self) -> dict[str, int]:
         """The version that each running core machine says."""
-        told = {name: self._status(name).get("version") or 0 for name in self.core if self.runs(name)}
+        told = {name: self._status(name).get("version") or 0 for name in self.core if self.is_running(name)}
         return {
             name: int(version, 16) if isinstance(version, str) else version for name, version in told.items()
         }
 
-    def crews(self) -> dict[str, dict[str, bool]]:
+    def known_workers(self) -> dict[str, dict[str, bool]]:
         return {
             name: {one["id"]: one["state"] == "ready" for one in self._status(name).get("workers", ())}
             for name in self.core
-            if self.runs(name)
+            if self.is_running(name)
         }
 
     def leader(self) -> str | None:
-        found = [self._status(name) for name in self.core if self.runs(name)]
+        found = [self._status(name) for name in self.core if self.is_running(name)]
         best = max(
             (one for one in found if one.get("leader")), key=lambda one: one.get("term") or 0, default=None
         )
         return self.calls.names.get(best["leader"]) if best else None
 
-    def leads(self) -> bool:
+    def has_leader(self) -> bool:
         return self.leader() is not None
 
     # ---- what befalls machines
-    def runs(self, name: str) -> bool:
-        return self.powered[name] and all(
-            one.is_running and not one.is_frozen for (at, _), one in self.programs.items() if at == name
+    def is_running(self, machine: str) -> bool:
+        return self.powered[machine] and all(
+            one.is_running and not one.is_frozen for (at, _), one in self.programs.items() if at == machine
         )
 
-    def open(self, one: str, other: str) -> bool:
+    def is_connected(self, one: str, other: str) -> bool:
         return (one, other) not in self.cuts and (other, one) not in self.cuts
 
     def _mark(self, machine: str, what: str) -> None:
@@ -256,10 +262,10 @@
     def _each(self, kind: str, names: list[str]) -> list[Program]:
         return [one for name in names for wanted in KINDS[kind] if (one := self.programs.get((name, wanted)))]
 
-    def kill(self, kind: str, names: list[str], seconds: float = BACK_S) -> None:
+    def kill(self, kind: str, names: list[str], seconds: float = RESTART_SECONDS) -> None:
         for program in self._each(kind, names):
             if program.is_running:
-                self.befalls(program.machine)
+                self.begin_fault(program.machine)
                 program.kill()
                 self._mark(program.machine, f"{program.kind} killed")
                 self.clock.call_later(seconds, self._start, program)
@@ -268,12 +274,12 @@
         if self.powered[program.machine] and not program.is_running:
             program.start()
             self._mark(program.machine, f"{program.kind} started")
-            self.passes(program.machine)
+            self.end_faults(program.machine)
 
-    def term(self, kind: str, names: list[str]) -> None:
+    def terminate(self, kind: str, names: list[str]) -> None:
         for program in self._each(kind, names):
             if program.is_running:
-                self.befalls(program.machine, planned=True)
+                self.begin_fault(program.machine, termination=True)
                 program.signal(signal.SIGTERM)
                 self._mark(program.machine, f"{program.kind} told to end")
                 self._again(program)
@@ -282,25 +288,25 @@
         if program.is_running:
             self.clock.call_later(0.1, self._again, program)
         else:
-            self.clock.call_later(BACK_S, self._start, program)
+            self.clock.call_later(RESTART_SECONDS, self._start, program)
 
     def freeze(self, kind: str, names: list[str], seconds: float) -> None:
         for program in self._each(kind, names):
             if program.is_running and not program.is_frozen:
                 program.freeze()
                 self._mark(program.machine, f"{program.kind} frozen")
-                self.befalls(program.machine)
+                self.begin_fault(program.machine)
                 self.clock.call_later(seconds, self._thaw, program, program.incarnation)
 
     def _thaw(self, program: Program, life: int) -> None:
         if program.incarnation == life:
             program.unfreeze()
             self._mark(program.machine, f"{program.kind} thawed")
-            self.passes(program.machine)
+            self.end_faults(program.machine)
 
-    def power(self, names: list[str], seconds: float | None = None, wipe: bool = False) -> None:
+    def power_off(self, names: list[str], seconds: float | None = None, wipe: bool = False) -> None:
         for name in names:
-            self.befalls(name)
+            self.begin_fault(name)
             self.powered[name] = False
             for program in self._each("all", [name]):
                 program.kill()
@@ -309,15 +315,15 @@
                 shutil.rmtree(self.folder / f"disk-{name}", ignore_errors=True)
                 self._write(self._at[name], False)
             if seconds is not None:
-                self.clock.call_later(seconds, self.start, [name])
+                self.clock.call_later(seconds, self.power_on, [name])
 
-    def start(self, names: list[str]) -> None:
+    def power_on(self, names: list[str]) -> None:
         for name in names:
             self.powered[name] = True
             for program in self._each("all", [name]):
                 self._start(program)
 
-    def cut(self, ones: list[str], others: list[str], both: bool = True) -> None:
+    def block_links(self, ones: list[str], others: list[str], both: bool = True) -> None:
         pairs = [
             (a, b)
             for one in ones
@@ -328,7 +334,7 @@
         self.cuts.update(pairs)
         self._links({*ones, *others}, "cut")
 
-    def join(self, ones: list[str] | None = None, others: list[str] | None = None) -> None:
+    def unblock_links(self, ones: list[str] | None = None, others: list[str] | None = None) -> None:
         pairs = {(a, b) for a in ones or () for b in others or ()}
         gone = [one for one in sorted(self.cuts) if ones is None or one in pairs or one[::-1] in pairs]
         self.cuts.difference_update(gone)
@@ -339,9 +345,9 @@
         self.schedule.faults[:] = [LinkFault(ways, 0.0, float("inf"), State("hold"))] if ways else []
         for name in sorted(names):
             self._mark(name, what)
-        self.links(names, {name for pair in self.cuts for name in pair})
+        self.links_changed(names, {name for pair in self.cuts for name in pair})
 
-    def reseed(self) -> None:
+    def apply_seeds(self) -> None:
         """Tell all programs the seeds as they are now."""
         for place in self.places:
             self._write(place, False)
--- a/ashlift/lab/system/yard.py
+++ b/ashlift/lab/system/yard.py
@@ -1,4 +1,4 @@
-"""Workers on real sockets: what a worker does is `simulation.workers.Worker`; here are its connections.
+"""Workers on real sockets: what a worker does is `simulation.worker.Worker`; here are its connections.
 
 A worker listens at a loopback address of its own, takes requests as PROTOCOL.md says, and every arrival goes
 into the history by the request's `X-Attempt-Id`. An id that no client sent, or another method, path or body
@@ -18,9 +18,10 @@
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.history import Arrival, History, Request, UnexpectedArrival
-from ashlift.simulation.keeper import Try
 from ashlift.simulation.process import Network
-from ashlift.simulation.workers import Worker, Yard
+from ashlift.simulation.worker import Worker
+from ashlift.simulation.worker_attempts import WorkerAttempt
+from ashlift.simulation.worker_pool import WorkerPool
 
 BODY_BYTES = 200  # of an answer
 LEFT_S = 30.0  # where a request does not say how long its client waits
@@ -36,18 +37,18 @@
 
 
 class WireTry:
-    """One request at a worker; `view` and `case` of a simulated try are not there."""
+    """One request at a worker; it stands in for a `WorkerAttempt`."""
 
     def __init__(self, line: "Line", request: Request, tenant: str, attempt: str) -> None:
         self.line, self.request, self.tenant, self.attempt = line, request, tenant, attempt
         self.arrival: Arrival | None = None
-        self.gone = False
+        self.is_closed = False
 
 
 class Line:
     """One connection to a worker, one request at a time."""
 
-    def __init__(self, yard: "WireYard", worker: Worker, sock: Any) -> None:
+    def __init__(self, yard: "WireWorkerPool", worker: Worker, sock: Any) -> None:
         self.yard, self.worker, self.sock = yard, worker, sock
         self.waiting: deque[tuple[bytes, bytes, dict[str, str], bytes]] = deque()
         self.out: WireTry | None = None
@@ -67,8 +68,8 @@
         self.sock.close()
         self.yard.lines.get(self.worker.id, set()).discard(self)
         if self.out is not None:
-            self.out.gone = True
-            self.worker.dropped(cast(Try, self.out))
+            self.out.is_closed = True
+            self.worker.connection_closed(cast(WorkerAttempt, self.out))
             self.out = None
 
     def on_message_begin(self) -> None:
@@ -108,13 +109,13 @@
         one = self.out = WireTry(self, request, headers.get("x-tenant", ""), attempt)
         wanted = headers.get("x-target-instance", worker.id)
         if wanted != worker.id:
-            self.yard.arrived(worker, cast(Try, one), False, 421)
+            self.yard.record_arrival(worker, cast(WorkerAttempt, one), False, 421)
             return self.answer(one, 421, False)
         left = headers.get("x-time-remaining", "")
-        worker.offer(cast(Try, one), float(left) / 1000 if left.isdigit() else LEFT_S)
+        worker.receive(cast(WorkerAttempt, one), float(left) / 1000 if left.isdigit() else LEFT_S)
 
     def answer(self, one: WireTry, status: int, ran: bool) -> None:
-        if one.gone or one is not self.out:
+        if one.is_closed or one is not self.out:
             return
         self.out = None
         headers = {"X-Attempt-Id": one.attempt}
@@ -151,7 +152,7 @@
     return b"POST" if body else b"GET", request.path.encode(), body
 
 
-class WireYard(Yard):
+class WireWorkerPool(WorkerPool):
     """All workers with their sockets; `sent`: the requests of all clients by attempt id."""
 
     def __init__(
@@ -159,22 +160,20 @@
         loop: EventLoop,
         net: Network,
         history: History,
-        boards: list[str],
-        heartbeat: float,
-        drain_s: float,
+        registries: list[str],
+        heartbeat_interval: float,
+        drain_seconds: float,
         net_number: int,
     ) -> None:
-        super().__init__(loop, net, history, boards, heartbeat, drain_s)
+        super().__init__(loop, net, history, registries, heartbeat_interval, drain_seconds)
         self.sent: dict[str, Request] = {}
         self.lines: dict[str, set[Line]] = {}  # by worker
         self._net = net_number
         self._servers: dict[str, StreamServer] = {}
 
-    def address(self) -> str:
-        if self._wanted is not None:
-            return self._wanted
-        self._addresses += 1
-        high, low = divmod(self._addresses, 250)
+    def allocate_address(self) -> str:
+        self.address_count += 1
+        high, low = divmod(self.address_count, 250)
         return f"127.{self._net}.{10 + high}.{low + 1}:{WORKER_PORT}"
 
     def add(
@@ -184,10 +183,10 @@
         region: str,
         capacity: int,
         latency: float,
-        cold_s: float,
+        warmup_seconds: float,
         address: str | None = None,
     ) -> Worker:
-        worker = super().add(service, zone, region, capacity, latency, cold_s, address)
+        worker = super().add(service, zone, region, capacity, latency, warmup_seconds, address)
         host, _, port = worker.address.rpartition(":")
         lines = self.lines[worker.id] = set()
 
@@ -200,22 +199,26 @@
         server.start()
         return worker
 
-    def free(self, worker: Worker) -> None:
-        super().free(worker)
+    def release_address(self, worker: Worker) -> None:
+        super().release_address(worker)
         server = self._servers.pop(worker.id, None)
         if server is not None:
             server.close()
         for line in list(self.lines.pop(worker.id, ())):
             line.close()
 
-    def arrived(self, worker: Worker, one: Try, ran: bool, code: int = 0) -> None:
-        wire = cast(WireTry, one)
-        made = Arrival(self.loop.now, worker.id, worker.service, wire.tenant, wire.request.proxy, ran, code)
+    def record_arrival(
+        self, worker: Worker, attempt: WorkerAttempt, ran: bool, rejection_status: int = 0
+    ) -> None:
+        wire = cast(WireTry, attempt)
+        made = Arrival(
+            self.loop.now, worker.id, worker.service, wire.tenant, wire.request.proxy, ran, rejection_status
+        )
         wire.arrival = made
         wire.request.arrivals.append(made)
 
-    def answer(self, worker: Worker, one: Try, outcome: AttemptOutcome) -> None:
-        wire = cast(WireTry, one)
+    def send_answer(self, worker: Worker, attempt: WorkerAttempt, outcome: AttemptOutcome) -> None:
+        wire = cast(WireTry, attempt)
         if outcome.result is AttemptResult.CONNECTION_LOST or outcome.response is None:
             gevent.spawn(wire.line.close)
         else:
@@ -223,4 +226,4 @@
 
     def stop(self) -> None:
         for worker in list(self.workers.values()):
-            self.free(worker)
+            self.release_address(worker)
--- a/ashlift/simulation/clients.py
+++ b/ashlift/simulation/clients.py
@@ -5,12 +5,12 @@
 
 from attrs import define
 
-from ashlift.simulation import board, keeper
+from ashlift.simulation import board, proxy_process
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.history import History, Request
-from ashlift.simulation.keeper import Keeper
 from ashlift.simulation.network import as_simulated
 from ashlift.simulation.process import Machine, Network, Process, Task
+from ashlift.simulation.proxy_process import ProxyProcess
 
 MAX_ATTEMPTS = 3
 CONNECT_TIMEOUT_SECONDS = 1.0
@@ -140,8 +140,8 @@
         """Carry the request to its proxy."""
         net = as_simulated(self.net)
         machine = net.machines[request.proxy]
-        proxy = machine.processes[keeper.KIND]
-        assert isinstance(proxy, Keeper)
+        proxy = machine.processes[proxy_process.KIND]
+        assert isinstance(proxy, ProxyProcess)
         delay = HOP_SECONDS
         if machine.zone != self.machine.zone:
             delay += net.delay(self.machine, machine)
@@ -197,7 +197,7 @@
         clients: ClientPopulation,
         operation: ClientOperation,
         request: Request,
-        proxy: Keeper,
+        proxy: ProxyProcess,
         delay: float,
     ) -> None:
         self._clients = clients
@@ -219,7 +219,7 @@
 
     def _hand_over(self, remaining: float) -> None:
         if math.isinf(self._request.ended):
-            self._proxy.take(self._request, remaining, self._answer)
+            self._proxy.receive_request(self._request, remaining, self._answer)
 
     def _answer(self, status: int, retry_after: float | None) -> None:
         clients = self._clients
@@ -236,6 +236,6 @@
             return
         request.ended = self._clients.loop.now
         self._operation.finished = True
-        case = self._proxy.cases.get(request)
-        if case is not None:
-            self._proxy.deliver(case.hang_up, ())
+        proxy_request = self._proxy.requests.get(request)
+        if proxy_request is not None:
+            self._proxy.deliver(proxy_request.hang_up, ())
--- a/ashlift/simulation/expectations.py
+++ b/ashlift/simulation/expectations.py
@@ -115,7 +115,7 @@
 
     def _edit_outcome(self, arguments: EventArguments) -> str:
         _, edit_id, expected = arguments.words
-        outcome = route_edits.outcome_in(edit_id, self._world.stores())
+        outcome = route_edits.outcome_in(edit_id, self._world.configstores())
         return "" if outcome == expected.replace("-", " ") else outcome
 
     def _edit_status(self, arguments: EventArguments) -> str:
@@ -125,16 +125,18 @@
 
     def _routes_alike(self, _arguments: EventArguments) -> str:
         """All proxies hold the same routes, byte for byte, and they are those agreed on."""
-        agreed = _routes_as_bytes(RoutingTable.from_entries(route_edits.agreed_entries(self._world.stores())))
+        agreed = _routes_as_bytes(
+            RoutingTable.from_entries(route_edits.agreed_entries(self._world.configstores()))
+        )
         different = []
-        for keeper in self._world.keepers():
-            table = keeper.gate.cluster.configuration.routing_table
-            if keeper.up and (table is None or _routes_as_bytes(table) != agreed):
-                different.append(keeper.name)
+        for proxy in self._world.proxies():
+            table = proxy.router.cluster.configuration.routing_table
+            if proxy.up and (table is None or _routes_as_bytes(table) != agreed):
+                different.append(proxy.name)
         return f"others at {', '.join(different)}" if different else ""
 
     def _leader(self, _arguments: EventArguments) -> str:
-        return "" if self._world.leads() else "nobody leads"
+        return "" if self._world.has_leader() else "nobody leads"
 
     # ---- clients and workers
     def _served(self, arguments: EventArguments) -> str:
@@ -169,9 +171,11 @@
     def _workers_known(self, _arguments: EventArguments) -> str:
         """All proxies know the workers that run, and no others."""
         running = {
-            name: worker.state == "ready" for name, worker in self._world.yard.workers.items() if worker.up
+            name: worker.state == "ready"
+            for name, worker in self._world.worker_pool.workers.items()
+            if worker.up
         }
-        for proxy, known in self._world.crews().items():
+        for proxy, known in self._world.known_workers().items():
             missing = sorted(name for name in running if name not in known)
             wrong = sorted(name for name in known if known[name] != running.get(name, False))
             if missing or wrong:
--- a/ashlift/simulation/fault_actions.py
+++ b/ashlift/simulation/fault_actions.py
@@ -50,50 +50,50 @@
 
     def _terminate(self, arguments: EventArguments) -> None:
         programs, *names = arguments.words
-        self._world.term(programs, self._machines(names, programs))
+        self._world.terminate(programs, self._machines(names, programs))
 
     def _power_off(self, arguments: EventArguments) -> None:
         wipe = arguments.word == "wipe"
-        self._world.power(self._machines(arguments.words), arguments.duration, wipe)
+        self._world.power_off(self._machines(arguments.words), arguments.duration, wipe)
 
     def _start(self, arguments: EventArguments) -> None:
-        self._world.start(self._machines(arguments.words))
+        self._world.power_on(self._machines(arguments.words))
 
     def _spoil(self, arguments: EventArguments) -> None:
-        self._world.spoil(self._machines(arguments.words))
+        self._world.corrupt_disks(self._machines(arguments.words))
 
     def _disk(self, arguments: EventArguments) -> None:
         fault, *words = arguments.words
         delay = float(words.pop()) if fault == "slow" else 0.0
         names = self._machines(words)
-        self._world.disk(names, fault == "hang", fault == "refuse", delay)
+        self._world.set_disk_fault(names, fault == "hang", fault == "refuse", delay)
         if arguments.duration is not None:
-            self._world.loop.call_later(arguments.duration, self._world.disk, names)
+            self._world.loop.call_later(arguments.duration, self._world.set_disk_fault, names)
 
     def _cut(self, arguments: EventArguments) -> None:
         separator = arguments.words.index("|")
         sources = self._machines(arguments.words[:separator])
         destinations = self._machines(arguments.words[separator + 1 :])
-        self._world.cut(sources, destinations, arguments.word == "cut")
+        self._world.block_links(sources, destinations, arguments.word == "cut")
         if arguments.duration is not None:
-            self._world.loop.call_later(arguments.duration, self._world.join, sources, destinations)
+            self._world.loop.call_later(arguments.duration, self._world.unblock_links, sources, destinations)
 
     def _join(self, _arguments: EventArguments) -> None:
-        self._world.join()
+        self._world.unblock_links()
 
     def _loss(self, arguments: EventArguments) -> None:
-        self._world.lossy(float(arguments.words[0]))
+        self._world.set_loss_rate(float(arguments.words[0]))
 
     def _aborted_writes(self, arguments: EventArguments) -> None:
         self._world.net.aborted_write_rate = float(arguments.words[0])
 
     def _reset(self, arguments: EventArguments) -> None:
-        self._world.reset(self._machines(arguments.words))
+        self._world.reset_connections(self._machines(arguments.words))
 
     def _slow(self, arguments: EventArguments) -> None:
         extra_delay, *names = arguments.words
         seconds = arguments.duration or DEFAULT_SLOW_SECONDS
-        self._world.slow(self._machines(names), float(extra_delay), seconds)
+        self._world.slow_down(self._machines(names), float(extra_delay), seconds)
 
     def _clock(self, arguments: EventArguments) -> None:
         name, skew = arguments.words
--- a/ashlift/simulation/figures.py
+++ b/ashlift/simulation/figures.py
@@ -12,7 +12,6 @@
 from attrs import frozen
 
 from ashlift.configstore.persistent_state import Snapshot
-from ashlift.simulation import store
 from ashlift.simulation.clients import ClientOperation
 from ashlift.simulation.event_loop import Future
 from ashlift.simulation.plan import Plan
@@ -87,7 +86,7 @@
         zone, region = lost
         whole = word == "REGION"
         zones = [one for one in world.zones if one == zone or (whole and world.zones[one] == region)]
-        for worker in world.yard.workers.values():
+        for worker in world.worker_pool.workers.values():
             if worker.machine.zone in zones and worker.up:
                 worker.kill()
         return [name for name in [*world.core, *world.edge] if world.net.machines[name].zone in zones]
@@ -177,19 +176,20 @@
             service = "desk" if version < 33 else "bill"
             play.perform(["put", str(version), "on", str(version - 1), f"extra{version % 30}={service}"])
             world.run(world.loop.now + APART_S)
-        world.join()
+        world.unblock_links()
     else:
-        world.power([one], 1.0, wipe=True)
+        world.power_off([one], 1.0, wipe=True)
     counted, begun = Counted(world, one), math.inf
     until = world.loop.now + REPAIR_S
     while world.loop.now < until:
         world.run(world.loop.now + 0.01)
-        process = world.process(one, store.KIND)
+        process = world.configstore(one)
         if process.up:
             begun = min(begun, world.loop.now)
-        member = process.member if isinstance(process, store.Store) else None
+        member = process.member
         newest = max(
-            (other.member.committed_state.snapshot for other in world.stores() if other.member), key=_stamp
+            (other.member.committed_state.snapshot for other in world.configstores() if other.member),
+            key=_stamp,
         )
         if (
             member
--- a/ashlift/simulation/load_actions.py
+++ b/ashlift/simulation/load_actions.py
@@ -6,7 +6,7 @@
 from ashlift.simulation.clients import RequestPattern
 from ashlift.simulation.event_arguments import EventArguments
 from ashlift.simulation.plan import ROUTES
-from ashlift.simulation.workers import Worker
+from ashlift.simulation.worker import Worker
 from ashlift.simulation.world import World
 
 POLL_SECONDS = 0.001  # between two looks whether a version is acknowledged
@@ -24,7 +24,7 @@
             "add": self._add,
             "crash": lambda arguments: self._worker(arguments).kill(),
             "drain": lambda arguments: self._worker(arguments).drain(),
-            "chill": lambda arguments: self._worker(arguments).chill(float(arguments.words[1])),
+            "chill": lambda arguments: self._worker(arguments).warm_up(float(arguments.words[1])),
             "sick": self._set_worker_fault,
             "grey": self._set_worker_fault,
             "forget": self._set_worker_fault,
@@ -32,7 +32,7 @@
         }
 
     def _worker(self, arguments: EventArguments) -> Worker:
-        return self._world.yard.workers[arguments.words[0]]
+        return self._world.worker_pool.workers[arguments.words[0]]
 
     def _load(self, arguments: EventArguments) -> None:
         self._world.load = float(arguments.words[0])
@@ -65,18 +65,18 @@
     def _add(self, arguments: EventArguments) -> None:
         service, zone = arguments.words
         replaced = arguments.options.get("as")
-        address = self._world.yard.workers[replaced].address if replaced is not None else None
-        self._world.worker(service, zone, float(arguments.options.get("cold", 0.0)), address)
+        address = self._world.worker_pool.workers[replaced].address if replaced is not None else None
+        self._world.add_worker(service, zone, float(arguments.options.get("cold", 0.0)), address)
 
     def _set_worker_fault(self, arguments: EventArguments) -> None:
         worker = self._worker(arguments)
         value = float(arguments.words[1])
         match arguments.word:
             case "sick":
-                worker.lost = value
+                worker.lost_answer_share = value
             case "grey":
-                worker.failing = value
+                worker.failure_share = value
             case "forget":
-                worker.forgets = value
+                worker.connection_idle_timeout = value
             case "break":
-                worker.breaking = value
+                worker.broken_connection_share = value
--- a/ashlift/simulation/operator_actions.py
+++ b/ashlift/simulation/operator_actions.py
@@ -79,7 +79,7 @@
     def _edit(self, arguments: EventArguments) -> None:
         edit_id, words = arguments.words
         operator = self._operator(arguments)
-        registry = self._world.board(resolve_machines(self._world, [arguments.options["at"]])[0])
+        registry = self._world.registry(resolve_machines(self._world, [arguments.options["at"]])[0])
         route_edits.send_edit(operator, self._world.history, edit_id, words, registry)
 
     def _decide_edit(self, arguments: EventArguments) -> None:
@@ -95,8 +95,8 @@
 
     def _orders(self, arguments: EventArguments) -> None:
         count, until, *machines = arguments.words
-        self._world.callers(int(count), float(until), resolve_machines(self._world, machines))
+        self._world.add_busy_operators(int(count), float(until), resolve_machines(self._world, machines))
 
     def _seeds(self, arguments: EventArguments) -> None:
         self._world.seeds = arguments.words
-        self._world.reseed()
+        self._world.apply_seeds()
--- a/ashlift/simulation/recording.py
+++ b/ashlift/simulation/recording.py
@@ -157,7 +157,7 @@
         self._operators(world.history)
         self._workers(world.history)
         self._machines(world.history)
-        for process in world.stores():
+        for process in world.configstores():
             self._disk(process)
             self.add("disks", process.name, process.machine.disk.get(EDITS))
         loop = world.loop
--- a/ashlift/simulation/store.py
+++ b/ashlift/simulation/store.py
@@ -119,7 +119,7 @@
         else:
             super().deliver(action, args)
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         self._feed(ShutdownRequested())
 
     def _tick(self) -> None:
--- a/tests/registry/test_soft_state.py
+++ b/tests/registry/test_soft_state.py
@@ -38,7 +38,7 @@
     world, found = play.world, Seen()
 
     def look() -> None:
-        known = [one.gate.cluster for one in world.keepers() if one.up]
+        known = [one.router.cluster for one in world.proxies() if one.up]
         found.members = min(found.members, *(len(one.proxies) for one in known))
         found.workers = min(found.workers, *(len(one.workers) for one in known))
         if world.loop.now < until:
@@ -186,7 +186,7 @@
 @test("a registry that is cut off says so within two seconds, for as long as it is, and not after")
 def _() -> None:
     play = ScenarioPlayer(parse_scenarios("# x\ncore 5\nedge 5\nrate 15\nuntil 50")[0])
-    world, board = play.world, play.world.board("core-4")
+    world, board = play.world, play.world.registry("core-4")
     rest = [one for one in world.core if one != "core-4"] + world.edge + ["workers", "clients"]
 
     def told() -> tuple[Any, bool, bool]:
@@ -217,15 +217,15 @@
     expect(8.0, 200, True, True)
     for cut, until in ((8.0, 28.0), (29.5, 34.0)):  # and again 1.5 s after the rejoin
         world.run(cut)
-        world.cut(["core-4"], rest)
+        world.block_links(["core-4"], rest)
         expect(cut + 0.8, 200, True, True)
         for at in (cut + 2.1, (cut + until) / 2, until - 0.1):
             expect(at, 503, False, False)
         world.run(until)
-        world.join()
+        world.unblock_links()
         expect(until + 1.2, 200, True, True)
     world.run(42.0)
-    world.board("core-4").freeze()
+    world.registry("core-4").freeze()
     world.run(48.0)
     board.thaw()
     # It has just been thawed: the proof that it held then is old by its own clock, and it vouches for nobody.
