--- a/ashlift/registry/__main__.py
+++ b/ashlift/registry/__main__.py
@@ -61,7 +61,7 @@
         self._http_servers = [HttpServer(address, resources) for address in addresses if address]
 
     def run(self) -> int:
-        """Serve until the process is told to end, or a loop has failed; the exit status."""
+        """Serve until SIGTERM or SIGINT, or until a loop has failed; returns the exit status."""
         process.on_termination(self._end_requested.set)
         process.on_reload(self._reload_settings)
         rpc_server = serve(self._rpc_address, RegistryRpcService(self._registry, self._notifier).handlers)
@@ -155,7 +155,7 @@
 
 
 def main() -> int:
-    """Run the program; the exit status."""
+    """Run the program; returns the exit status."""
     path = process.settings_path()
     settings = read_settings(path)
     if isinstance(settings, list):
--- a/ashlift/registry/api/command_responses.py
+++ b/ashlift/registry/api/command_responses.py
@@ -14,7 +14,7 @@
 
 
 def log_command(kind: str, result: CommandResult) -> None:
-    """One line a command, with what the operator is told."""
+    """Log one line a command, with what the operator receives."""
     log_event(
         events.COMMAND_ANSWERED, kind=kind, status=result.status, index=result.index, reason=result.reason
     )
@@ -25,7 +25,7 @@
     if isinstance(result, Failure):
         log_event(events.COMMAND_ANSWERED, kind=kind, error=result)
         if result.reason == FailureReason.INVALID:
-            return error_response(413, result.detail)  # too large for an RPC frame: it has gone nowhere
+            return error_response(413, result.detail)  # too large for an RPC frame: it was not sent
         return no_clear_answer(result)
     log_command(kind, result)
     if result.status == 200:
--- a/ashlift/registry/api/config.py
+++ b/ashlift/registry/api/config.py
@@ -1,4 +1,4 @@
-"""`/config`: the operator's configuration as a whole."""
+"""`/config`: all of the operator's configuration."""
 
 from typing import Final
 
--- a/ashlift/registry/api/evacuation.py
+++ b/ashlift/registry/api/evacuation.py
@@ -47,10 +47,10 @@
 
 
 def _send_again(kind: str, request: HttpRequest) -> HttpResponse:
-    """Redirect to the same place: who still waits sends the request again at once.
+    """Redirect to the same URL: a client that still waits sends the request again.
 
     It may have lain in a buffer or been held up by a partition, or another's was taken meanwhile: its sender
-    may have gone, and what it asks for may have been taken back.
+    may have given up, and may have revoked what it asks for.
     """
     log_event(events.COMMAND_ANSWERED, kind=kind, status=307)
     host = request.headers.get("host")
--- a/ashlift/registry/api/instances.py
+++ b/ashlift/registry/api/instances.py
@@ -1,4 +1,4 @@
-"""`/instances/ID`: heartbeats of workers, answered at once."""
+"""`/instances/ID`: heartbeats of workers."""
 
 import time
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class InstancesResource(Resource):
-    """A late heartbeat is not acknowledged: its sender would rely on what nobody knows."""
+    """A late heartbeat is not acknowledged: its sender would rely on a record that is not there."""
 
     def __init__(self, registry: Registry, notify_if_changed: Callable[[], None]) -> None:
         """`notify_if_changed`: wakes whoever holds a call open."""
--- a/ashlift/registry/api/server.py
+++ b/ashlift/registry/api/server.py
@@ -147,7 +147,7 @@
 
     @staticmethod
     def _send_last_response(sock: socket.socket, response: HttpResponse) -> None:
-        """Answer and end; what still comes is read for a moment, or closing would reset the answer."""
+        """Send it and close; what still arrives is read first, or closing would reset the connection."""
         sock.settimeout(LINGER_SECONDS)
         sock.sendall(response.encode(close=True))
         sock.shutdown(socket.SHUT_WR)
--- a/ashlift/registry/api/stall_detector.py
+++ b/ashlift/registry/api/stall_detector.py
@@ -1,14 +1,14 @@
-"""Whether the process has stood still, so that what it finds in the kernel's buffers may be old. Pure."""
+"""Whether the process was paused, so that what it finds in the kernel's buffers may be old. Pure."""
 
 from typing import Final
 
-CHECK_INTERVAL_SECONDS: Final = 0.1  # between two signs that the process runs
-STALL_THRESHOLD_SECONDS: Final = 0.3  # without a sign for so long, it has stood still
+CHECK_INTERVAL_SECONDS: Final = 0.1  # between two checks
+STALL_THRESHOLD_SECONDS: Final = 0.3  # without a check for so long, the process was paused
 STALL_RECOVERY_SECONDS: Final = 0.3  # after a stall, in which what waited meanwhile is accepted
 
 
 class StallDetector:
-    """Remembers the last time that the process stood still."""
+    """Remembers the last pause of the process."""
 
     def __init__(self, now: float) -> None:
         self._last_check_at = now
--- a/ashlift/registry/change_notifier.py
+++ b/ashlift/registry/change_notifier.py
@@ -8,7 +8,7 @@
 
 
 class ChangeNotifier:
-    """`is_shutting_down`: nobody waits any more. `calls_in_progress`: calls that are yet to be answered."""
+    """`is_shutting_down`: all waits end. `calls_in_progress`: how many calls have no answer yet."""
 
     def __init__(self, change_count: Callable[[], int]) -> None:
         """`change_count`: rises with every change."""
@@ -19,14 +19,14 @@
         self.calls_in_progress = 0
 
     def notify_if_changed(self) -> None:
-        """Wake all that wait, if there was a change since the last time."""
+        """Wake all waiting greenlets, if there was a change since the last notification."""
         if self._notified_count != self._change_count() or self.is_shutting_down:
             self._notified_count = self._change_count()
             event, self._event = self._event, Event()
             event.set()
 
     def shut_down(self) -> None:
-        """Wake all; from now on nobody waits."""
+        """Wake all waiting greenlets, and make every later wait return immediately."""
         self.is_shutting_down = True
         self.notify_if_changed()
 
--- a/ashlift/registry/codec.py
+++ b/ashlift/registry/codec.py
@@ -64,7 +64,7 @@
 
 
 def decode_worker(wire: Mapping[str, Any], now: float) -> WorkerRecord:
-    """A worker as another registry told it at `now`."""
+    """A worker's record as received from another registry at `now`."""
     if wire.keys() != WORKER_KEYS:
         raise ValueError(f"not the fields of a worker: {sorted(wire)}")
     return WorkerRecord(
@@ -85,7 +85,7 @@
 
 
 def decode_session(wire: Mapping[str, Any], now: float) -> SessionRecord:
-    """A proxy as another registry told it at `now`."""
+    """A proxy's record as received from another registry at `now`."""
     if wire.keys() != SESSION_KEYS:
         raise ValueError(f"not the fields of a session: {sorted(wire)}")
     return SessionRecord(wire["front"], wire["zone"], wire["region"], wire["ready"], renewed_at=now)
@@ -208,7 +208,7 @@
 
 
 def encode_swap_response(response: SwapResponse, now: float) -> Any:
-    """The version alone where nothing is new, else `[version, set, gone]`; of a snapshot also the origin:
+    """The version alone if nothing changed, else `[version, set, gone]`; a snapshot also has its origin:
     `[version, set, [], node, incarnation, zone, region, uptime]`."""
     if response.delta is None:
         return response.version
@@ -246,7 +246,7 @@
 
 
 def encode_position_request() -> Json:
-    """A `watch` that is answered at once, with the store's position and no entries."""
+    """A `watch` that is answered immediately, with the store's position and no entries."""
     return {"have": PAST_ALL_INDEXES, "wait": 0.0}
 
 
@@ -273,7 +273,7 @@
 
 
 def decode_store_position(wire: Mapping[str, Any]) -> tuple[list[int], int]:
-    """`[term, heartbeat round]` and committed index as a `watch` response tells them."""
+    """`[term, heartbeat round]` and committed index from a `watch` response."""
     return wire.get("round", [0, 0]), wire.get("index", 0)
 
 
--- a/ashlift/registry/delta.py
+++ b/ashlift/registry/delta.py
@@ -1,4 +1,4 @@
-"""Differences between two versions of a record source, and which versions can still be told by one. Pure."""
+"""Differences between two versions of a record source, and which versions a delta can start from. Pure."""
 
 from typing import Any, Final
 
--- a/ashlift/registry/endpoint_directory.py
+++ b/ashlift/registry/endpoint_directory.py
@@ -7,7 +7,9 @@
 from ashlift.registry.records import SessionRecord
 
 MAX_ADDRESSES: Final = 64  # in one answer
-MIN_NEAR_PROXIES: Final = 2  # a single proxy must not carry a whole zone, nor be the only way in
+MIN_NEAR_PROXIES: Final = (
+    2  # a single proxy must neither carry all of a zone's load nor be its only entry point
+)
 CACHE_SECONDS: Final = 0.1
 MAX_CACHED_LOOKUPS: Final = 100  # zones, as asked for
 
@@ -27,7 +29,7 @@
 
 
 class EndpointDirectory:
-    """Answers to look-ups, cached for a moment: hundreds of clients ask the same every second."""
+    """Answers to look-ups, cached briefly: hundreds of clients send the same request every second."""
 
     def __init__(self, live_sessions: Callable[[float], Mapping[str, SessionRecord]]) -> None:
         """`live_sessions`: proxies whose leases stand at a time."""
--- a/ashlift/registry/identity.py
+++ b/ashlift/registry/identity.py
@@ -7,8 +7,8 @@
 class RegistryIdentity:
     """Name, place and addresses of one registry process.
 
-    `incarnation` is drawn anew at each start. `http_port` is the port of the HTTP API, the same on all core
-    machines. `heartbeat_seconds` is the interval at which workers send heartbeats.
+    `incarnation` is random and new at each start. `http_port` is the port of the HTTP API, the same on all
+    all core machines. `heartbeat_seconds` is the interval at which workers send heartbeats.
     """
 
     node: str
--- a/ashlift/registry/lease_clock.py
+++ b/ashlift/registry/lease_clock.py
@@ -1,10 +1,8 @@
-"""When leases expire, though this process may have stood still meanwhile. Pure; times in seconds."""
+"""When leases expire, although this process may have been paused in between. Pure; times in seconds."""
 
 from typing import Final
 
-STANDSTILL_SECONDS: Final = (
-    1.0  # no tick for so long: this process stood still, the others did not fall silent
-)
+STANDSTILL_SECONDS: Final = 1.0  # without a tick: it was this process that paused, not the others
 
 
 class LeaseClock:
@@ -16,7 +14,7 @@
         self._last_tick_at = now
 
     def tick(self, now: float) -> bool:
-        """To be called several times a second; True: the process stood still since the last call."""
+        """Call this several times a second. True: the process was paused since the last call."""
         stood_still = now - self._last_tick_at > STANDSTILL_SECONDS
         self._last_tick_at = now
         if stood_still:
--- a/ashlift/registry/load_reports.py
+++ b/ashlift/registry/load_reports.py
@@ -40,7 +40,7 @@
                 self._publish_failures(worker_id)
 
     def remove(self, node: str) -> None:
-        """A proxy is gone, or reports to another registry."""
+        """Forget the report of a proxy that has stopped, or reports to another registry."""
         self.update(node, LoadReport())
 
     def _publish_in_flight(self, worker_id: str) -> None:
--- a/ashlift/registry/messages.py
+++ b/ashlift/registry/messages.py
@@ -70,7 +70,7 @@
 
     `config_update`: the operator's configuration, already encoded, as it may be a fragment or packed.
     `config_is_behind`: this response does not bring the proxy up to the newest configuration held here.
-    `lease_age`: seconds since that was proven newest. `uptime`: of this registry and all that it hears.
+    `lease_age`: seconds since that was proven newest. `uptime`: of the youngest registry in contact.
     `registries`: IPs in the order in which to go to them. `proxy_count`: proxies with a session.
     """
 
@@ -144,10 +144,10 @@
 
     @property
     def reason(self) -> str:
-        """Why it was refused, for people."""
+        """Why it was rejected, in words for people; empty if it was not."""
         return self.details.get("reason") or ""
 
     @property
     def index(self) -> int | None:
-        """The index of the configuration as of this command, if told."""
+        """The index of the configuration as of this command, if the store gave one."""
         return self.details.get("index")
--- a/ashlift/registry/operator_config.py
+++ b/ashlift/registry/operator_config.py
@@ -12,7 +12,7 @@
 from ashlift.rpc.fragmentation import Reassembler
 
 FRESH_LEASE_SECONDS: Final = 1.0  # a lease not older than this ends the wait of a proxy that has none
-MAX_LEASE_AGE_SECONDS: Final = 10.0  # an older lease says nothing
+MAX_LEASE_AGE_SECONDS: Final = 10.0  # an older lease does not count
 MAX_WATCH_LEASE_AGE_SECONDS: Final = 1.0  # a store whose lease is older is out of touch: another one is asked
 
 
@@ -39,7 +39,7 @@
     def receive_watch_response(self, answer: Json, sent_at: float) -> bool:
         """Take a store's answer to a `watch` call sent at `sent_at`.
 
-        Returns whether that store is to be asked again: it is in touch with its leader, or has more to tell.
+        Returns whether to ask the same store again: it is in contact with its leader, or has more to send.
         """
         try:
             assembled = self._reassembler.add(answer)
@@ -69,7 +69,7 @@
         return age is not None and age <= FRESH_LEASE_SECONDS
 
     def core_members(self) -> dict[str, Any]:
-        """What the operator's entries say of each core member, by IP; empty before they are known."""
+        """The operator's entry of each core member, by IP; empty before the entries are known."""
         if self._core_members_version != self.version:
             self._core_members_version = self.version
             self._core_members = {
--- a/ashlift/registry/operator_request.py
+++ b/ashlift/registry/operator_request.py
@@ -13,7 +13,7 @@
     (FailureReason.UNREACHABLE, FailureReason.UNAVAILABLE, FailureReason.NOT_FOUND)
 )  # not executed, and may be sent again
 NOT_EXECUTED_REASONS: Final = RETRYABLE_REASONS | {FailureReason.EXPIRED}
-HEDGE_DELAY_SECONDS: Final = 0.3  # a store that is silent for so long is not waited for alone
+HEDGE_DELAY_SECONDS: Final = 0.3  # without a response for so long, another store is tried as well
 RETRY_ROUND_DELAY_SECONDS: Final = 0.2  # after all stores have answered that they cannot
 MIN_ATTEMPT_SECONDS: Final = 0.1  # no store is asked with less time left than this
 MIN_WAIT_SECONDS: Final = 0.001
--- a/ashlift/registry/pacing.py
+++ b/ashlift/registry/pacing.py
@@ -1,16 +1,16 @@
 """How often registries and proxies call each other, and how long calls are held open. Pure; seconds.
 
-A call waits for changes (long poll), so that they are told at once. Where many call, each change would wake
-all of them: the more callers, the further apart their calls are.
+A call waits for changes (long poll), so that they arrive without delay. Each change would wake all callers:
+the more there are, the further apart their calls are.
 """
 
 from typing import Final
 
 LONG_POLL_SECONDS: Final = 0.25  # a call is held open for so long at most
-MIN_LONG_POLL_SECONDS: Final = 0.05  # and so long at least where nothing is new: no caller must spin
-BATCHING_DELAY_SECONDS: Final = 0.02  # changes that come together are told together
-UNTHROTTLED_SESSIONS: Final = 2  # proxies that are told every change at once
-UNTHROTTLED_PEERS: Final = 3  # registries that are asked again at once
+MIN_LONG_POLL_SECONDS: Final = 0.05  # and so long at least if nothing changed, so that no caller spins
+BATCHING_DELAY_SECONDS: Final = 0.02  # changes within it are sent together
+UNTHROTTLED_SESSIONS: Final = 2  # up to so many proxies receive every change without delay
+UNTHROTTLED_PEERS: Final = 3  # up to so many registries are asked again without delay
 INTERVAL_PER_CALLER_SECONDS: Final = 0.02
 MAX_CALL_INTERVAL_SECONDS: Final = 0.25
 INITIAL_BACKOFF_SECONDS: Final = 0.1  # after a call that failed
--- a/ashlift/registry/peer_registries.py
+++ b/ashlift/registry/peer_registries.py
@@ -13,7 +13,7 @@
 from ashlift.registry.own_records import ChangeCounter
 from ashlift.registry.replicated_source import ReplicatedSource
 
-PEER_TIMEOUT_SECONDS: Final = 5.0  # the records of a peer that is silent for so long are dropped
+PEER_TIMEOUT_SECONDS: Final = 5.0  # without a response for so long, a peer's records are dropped
 ALIVE_SECONDS: Final = 1.0  # a peer that responded within this is named as alive to proxies
 ISOLATION_SECONDS: Final = 1.5  # peers without a response for so long are out of reach
 MIN_UPTIME_SECONDS: Final = 1.5  # a registry that has run for less may know few of those there are
@@ -81,8 +81,8 @@
         return SwapRequest(incarnation, replica.source.version, self._identity.ip if introduce else None)
 
     def receive_swap_response(self, ip: str, response: SwapResponse, sent_at: float) -> Collection[str]:
-        """Bring a replica up to date by the answer to a request sent at `sent_at`; the keys that it tells, if
-        it holds a significant change."""
+        """Apply the response to a request sent at `sent_at`; returns the keys of its records if it contains a
+        significant change."""
         name = self._source_by_ip.get(ip, "")
         replica = self.replicas.get(name)
         delta, origin = response.delta, response.origin
@@ -115,7 +115,7 @@
 
     def is_isolated(self, core_members: Collection[str], now: float) -> bool:
         """Whether this registry, counting itself, has long been in contact with no more than half of the core
-        members: the others go on without it, and who can reach them had better go there."""
+        members: the others work without it, and clients should use one of them."""
         own_ip = self._identity.ip
         members = set(core_members) | {own_ip}
         in_reach = {self.replicas[name].ip for name in self.contacted_within(ISOLATION_SECONDS, now)}
@@ -124,8 +124,8 @@
         return has_run_long_enough and 2 * len(members & in_reach) <= len(members)
 
     def has_complete_view(self, core_members: Collection[str], now: float) -> bool:
-        """Whether what is known here is what there is: this registry has run for a while, or is in
-        contact with all others, and one of those has."""
+        """Whether the records here are complete: this registry has run for a while, or is in contact with all
+        others, one of which has."""
         if now - self._clock.started_at >= MIN_UPTIME_SECONDS:
             return True
         contacted = [
@@ -135,7 +135,7 @@
         return any_is_old_enough and self.ips(core_members, now) <= {replica.ip for replica in contacted}
 
     def expire(self, now: float) -> list[str]:
-        """Drop the records of silent peers; their sources."""
+        """Drop the records of peers that have not responded; returns their sources."""
         expired = [
             name
             for name, replica in self.replicas.items()
--- a/ashlift/registry/proxy_sessions.py
+++ b/ashlift/registry/proxy_sessions.py
@@ -4,7 +4,7 @@
 """
 
 from collections.abc import Iterable
-from typing import Any, Final
+from typing import Final
 
 import attrs
 
@@ -31,6 +31,14 @@
     last_usage_report: dict[str, int] = attrs.field(factory=dict)
 
 
+@attrs.frozen
+class SessionProgress:
+    """Which configuration a proxy holds, and how many seconds ago it last pulled."""
+
+    config_index: int
+    seconds_since_pull: float
+
+
 class ProxySessions:
     """Renewal, expiry and hand-over of the sessions of this registry."""
 
@@ -92,7 +100,7 @@
         return {key[PREFIX_LENGTH:]: record for key, record in newest.items()}
 
     def recorded_count(self) -> int:
-        """Proxies with a record at any registry, counted anew only after a change."""
+        """Proxies with a record at any registry, counted again only after a change."""
         if self._recorded_count_at != self._changes.count:
             sources = [self._own.source, *self._peers.sources()]
             keys = {key for source in sources for key in source.values if key[0] == SESSION_KIND}
@@ -101,8 +109,8 @@
         return self._recorded_count
 
     def release_moved(self, keys: Iterable[str]) -> None:
-        """Another registry has just told these records: a proxy among them with no pull in progress here has
-        moved there."""
+        """Another registry has just changed these records: proxies among them without a pull in progress here
+        have moved there."""
         for key in keys:
             if key[0] != SESSION_KIND:
                 continue
@@ -111,12 +119,12 @@
             if session is not None and not session.pulls_in_progress:
                 self._release(node)
 
-    def progress(self, node: str, now: float) -> dict[str, Any]:
-        """For people: which configuration a proxy holds that pulls here, and how long ago it last did."""
+    def progress(self, node: str, now: float) -> SessionProgress | None:
+        """Of a proxy that pulls here; None: it does not."""
         session = self._sessions.get(node)
         if session is None or self._clock.has_expired(session.last_pull_at, SESSION_LEASE_SECONDS, now):
-            return {}
-        return {"index": session.config_index, "heard": round(now - session.last_pull_at, 3)}
+            return None
+        return SessionProgress(session.config_index, now - session.last_pull_at)
 
     def expire(self, now: float) -> None:
         """Drop the records of proxies whose leases have expired, and later what was kept of their reports."""
--- a/ashlift/registry/registry.py
+++ b/ashlift/registry/registry.py
@@ -35,12 +35,12 @@
 from ashlift.rpc.fragmentation import Fragmenter
 from ashlift.rpc.sources import OPERATOR_SOURCE
 
-PEER_IN_REACH_SECONDS: Final = 2.0  # proxies are sent to a peer heard within this before all others
+PEER_IN_REACH_SECONDS: Final = 2.0  # peers that responded within this are recommended to proxies first
 
 
 @attrs.frozen
 class TickResult:
-    """What time has brought: whether this process had stood still, and whose records were dropped."""
+    """What a tick found: whether this process was paused, and the sources of peers that were dropped."""
 
     stood_still: bool
     dropped_peers: list[str]
@@ -52,7 +52,7 @@
     def __init__(
         self, identity: RegistryIdentity, seeds: list[str], zones: Mapping[str, str], now: float
     ) -> None:
-        """`seeds`: IPs of the core members until the operator's configuration tells them; `zones`: zone ->
+        """`seeds`: IPs of the core members until the operator's configuration is known; `zones`: zone ->
         region."""
         self.identity = identity
         self.seeds = seeds
@@ -94,7 +94,7 @@
     # ---- proxies
 
     def has_updates_for(self, versions: Mapping[str, int]) -> bool:
-        """Whether the holder of this version vector is to be answered at once."""
+        """Whether a pull with this version vector is answered without waiting."""
         config = self.operator_config
         if config.version and config.has_significant_change_since(versions.get(OPERATOR_SOURCE)):
             return True
@@ -139,7 +139,7 @@
         )
 
     def uptime(self, now: float) -> float:
-        """Seconds that this registry and all that it hears have run: a young one cannot say who is absent."""
+        """Seconds that this registry and all in contact have run: a young one may not know all proxies."""
         return now - self.peers.latest_start(self.peers.contacted_within(ALIVE_SECONDS, now))
 
     # ---- clients and workers
@@ -153,7 +153,7 @@
         return fronts
 
     def heartbeat_target(self, zone: str, now: float) -> str:
-        """Where a worker of `zone` had better send its heartbeats: to a registry that runs and is near."""
+        """Address of the registry to which a worker of `zone` should send heartbeats: running, and near."""
         places = [(self.identity.ip, self._place)]
         for peer in self.peers.replicas.values():
             if now - peer.last_contact_at < STANDSTILL_SECONDS and now - peer.started_at > MIN_UPTIME_SECONDS:
@@ -170,7 +170,7 @@
     # ---- other registries
 
     def core_members(self) -> dict[str, Any]:
-        """What the operator's configuration says of each core member, by IP; the seeds before it is known."""
+        """The operator's entry of each core member, by IP; the seeds before the configuration is known."""
         return self.operator_config.core_members() or dict.fromkeys(self.seeds)
 
     def peer_ips(self, now: float) -> set[str]:
@@ -200,7 +200,7 @@
             self.peers.note_call(request.caller_ip, now)
 
     def has_updates_for_peer(self, request: SwapRequest) -> bool:
-        """Whether a registry that holds this version is to be answered at once."""
+        """Whether a swap with this version is answered without waiting."""
         is_current = request.incarnation == self.identity.incarnation
         return not is_current or self.own_source.has_significant_change_since(request.version)
 
--- a/ashlift/registry/replicated_source.py
+++ b/ashlift/registry/replicated_source.py
@@ -1,7 +1,7 @@
 """The records of one origin under a version that rises with every change, replicated by deltas. Pure.
 
-Records of usage and load change all the time: their changes count as versions, but are not significant, and
-nobody who waits for changes is woken by them.
+Records of usage and load change all the time: their changes get versions, but are not significant and wake no
+waiting call.
 """
 
 from collections.abc import Iterable, Mapping
--- a/ashlift/registry/replication_loops.py
+++ b/ashlift/registry/replication_loops.py
@@ -93,9 +93,7 @@
             introduce = failure is not None
             if failure is not None:
                 if failure.reason == FailureReason.OUTCOME_UNKNOWN:
-                    self._clients.client(
-                        (ip, self._port)
-                    ).close()  # a silent connection is not waited for again
+                    self._clients.client((ip, self._port)).close()  # do not wait on the same connection again
                 gevent.sleep(backoff)
                 backoff = next_backoff(backoff)
                 continue
--- a/ashlift/registry/rpc_service.py
+++ b/ashlift/registry/rpc_service.py
@@ -45,7 +45,7 @@
             self._registry.sessions.end_pull(request.node)
 
     def _wait_for_updates(self, request: PullRequest, received_at: float) -> None:
-        """Until there is something for this proxy; then for a moment, so that changes are told together."""
+        """Wait until there is something for this proxy; then briefly, so that changes are sent together."""
         interval = self._pull_interval()  # at a start, all proxies are in a hurry
         min_wait = max(MIN_LONG_POLL_SECONDS, interval)
         deadline = pull_deadline(received_at, request.wait_seconds, min_wait)
--- a/ashlift/registry/status_report.py
+++ b/ashlift/registry/status_report.py
@@ -3,6 +3,7 @@
 from typing import Any
 
 from ashlift.registry.codec import encode_session, encode_worker
+from ashlift.registry.proxy_sessions import SessionProgress
 from ashlift.registry.registry import Registry
 
 
@@ -24,7 +25,7 @@
             for name, peer in sorted(registry.peers.replicas.items())
         },
         "gatekeepers": [
-            {"node": node, **encode_session(session), **registry.sessions.progress(node, now)}
+            {"node": node, **encode_session(session), **_progress(registry.sessions.progress(node, now))}
             for node, session in sorted(registry.sessions.live(now).items())
         ],
         "workers": [
@@ -32,3 +33,9 @@
             for worker_id, worker in sorted(registry.instances.all_known().items())
         ],
     }
+
+
+def _progress(progress: SessionProgress | None) -> dict[str, Any]:
+    if progress is None:
+        return {}
+    return {"index": progress.config_index, "heard": round(progress.seconds_since_pull, 3)}
--- a/ashlift/registry/store_client.py
+++ b/ashlift/registry/store_client.py
@@ -29,11 +29,11 @@
         self._port = port
         self._members = members
         self._clients = clients
-        self._watch_clients = (
-            ClientPool()
-        )  # apart: these are closed when silent, and commands must not be lost by it
+        self._watch_clients = ClientPool()  # separate: closed after a time-out, which must not lose commands
         self._watch_turn = 0
-        self._own_is_unresponsive = False  # it takes calls and says nothing: its disk hangs, or it is frozen
+        self._own_is_unresponsive = (
+            False  # it accepts calls and does not respond: its disk hangs, or it is paused
+        )
         self._position = StorePosition()
 
     def submit(
@@ -138,7 +138,7 @@
         return request.outcome
 
     def _call(self, ip: str, method: str, body: Callable[[], Json], deadline: float) -> Any:
-        """Call one store; again if the fencing token was too old, with the position that it tells."""
+        """Call one store; if the fencing token was too old, again with the position that the store gives."""
         client = self._clients.client((ip, self._port))
         answer = client.call(method, body(), deadline - time.monotonic())
         if isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
--- a/ashlift/registry/store_position.py
+++ b/ashlift/registry/store_position.py
@@ -1,4 +1,4 @@
-"""How far the configuration store is, as this registry has heard: the fencing token of commands. Pure."""
+"""The position of the configuration store as far as known here: the fencing token of commands. Pure."""
 
 from typing import Any, Final
 
@@ -10,14 +10,14 @@
 
 
 class StorePosition:
-    """The newest term, heartbeat round and committed index that a store has told."""
+    """The newest term, heartbeat round and committed index received from any store."""
 
     def __init__(self) -> None:
         self.index = 0
         self._round = [0, 0]  # term, heartbeat round
 
     def observe(self, answer: Any) -> None:
-        """A store's answer to `watch`, or its Failure, which tells nothing."""
+        """Take a store's answer to `watch`; a Failure changes nothing."""
         if isinstance(answer, Failure):
             return
         heartbeat_round, index = decode_store_position(answer)
--- a/ashlift/registry/usage_counters.py
+++ b/ashlift/registry/usage_counters.py
@@ -6,7 +6,7 @@
 
 
 class UsageCounters:
-    """Cumulative totals in this registry's own records; nobody is woken when they rise."""
+    """Cumulative totals in this registry's own records; their changes wake no waiting call."""
 
     def __init__(self, own_source: ReplicatedSource) -> None:
         self._own_source = own_source
--- a/ashlift/registry/worker_instances.py
+++ b/ashlift/registry/worker_instances.py
@@ -30,7 +30,7 @@
 
 
 class ExpiredWorkers:
-    """Workers whose leases have expired, each as last recorded: tells a late heartbeat from a new one."""
+    """Workers with expired leases, each as last recorded, to distinguish late heartbeats from new ones."""
 
     def __init__(self) -> None:
         self._last: dict[
@@ -47,7 +47,7 @@
         return record.call_seq < last.call_seq and record.address == last.address
 
     def forget_old(self, now: float) -> None:
-        """Drop those that nobody can still confuse with a new one."""
+        """Drop those whose late heartbeats can no longer arrive."""
         self._last = {
             worker_id: (expired_at, record)
             for worker_id, (expired_at, record) in self._last.items()
@@ -137,7 +137,7 @@
     def _is_published(
         own_record: WorkerRecord | None, newest: WorkerRecord | None, record: WorkerRecord, now: float
     ) -> bool:
-        """Whether both this registry's record and the newest of all say the same already."""
+        """Whether both this registry's record and the newest of all are equivalent to this one."""
         if own_record is None or newest is None or not own_record.is_equivalent(record, now):
             return False
         return newest is own_record or newest.is_equivalent(record, now)
