--- a/tests/configstore/test_committed_state.py
+++ b/tests/configstore/test_committed_state.py
@@ -37,3 +37,28 @@
     assert committed.changes_since(3)["set"] == {"a": 2, "c": 1}
     assert committed.changes_since(5)["set"] == {}
     assert committed.changes_since(9)["index"] == 5
+
+
+@test("news: who has an index that was passed over is told everything: a key may have changed, and back")
+def _() -> None:
+    committed = CommittedState()
+    entries = RangedMap({"a": 1, "b": 1})
+    for index, value in ((4, 1), (5, 2), (7, 2), (8, 3)):  # at 6, known to others, b was 9
+        entries = entries.with_changes({"a": value, "c": index}, [])
+        committed.advance(Snapshot((1, index), entries))
+    assert [committed.changes_since(known_index)["full"] for known_index in (3, 4, 5, 6, 7)] == [
+        True,
+        False,
+        False,
+        True,
+        False,
+    ]
+    assert committed.changes_since(5)["set"] == {"a": 3, "c": 8}
+    assert committed.changes_since(6)["set"] == {
+        "a": 3,
+        "b": 1,
+        "c": 8,
+    }
+    committed.advance(Snapshot((2, 9), entries))
+    assert not committed.changes_since(8)["full"]
+    assert committed.changes_since(8)["set"] == {}
--- a/tests/configstore/test_membership.py
+++ b/tests/configstore/test_membership.py
@@ -9,6 +9,7 @@
 from ward import each, test
 
 from ashlift.cli.store_member_commands import plan_member_change
+from ashlift.configstore.codec import METHOD_VOTE
 from ashlift.configstore.membership import LEARNER_PREFIX, VOTER_PREFIX, addresses_under, quorum
 from ashlift.configstore.membership_rules import (
     REMOVE_VOTER_AFTER_SECONDS,
@@ -23,7 +24,7 @@
 from ashlift.configstore.proposals import Proposal
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.replica import Replica
-from ashlift.configstore.replica_io import ClockTicked, ResponseReceived, SendRequest, StatePersisted
+from ashlift.configstore.replica_io import ClockTicked, ResponseReceived, StatePersisted
 from ashlift.configstore.replica_state import InvariantError
 from ashlift.errors import Failure
 from ashlift.registry.api.members import MembersResource
@@ -34,6 +35,7 @@
 from ashlift.simulation.sworn import Wrong, decide
 from ashlift.simulation.turnover import mixed
 from tests.support.mutants import mutated
+from tests.support.replica_driver import requests_sent
 from tests.support.replica_scenarios import Play, scenes
 
 SCENES = dict(scenes(Path(__file__).parent.parent / "scenarios" / "configstore_members.txt"))
@@ -54,8 +56,8 @@
             play.line(line)
 
 
-def after(map: dict[str, Any], change: Proposal) -> dict[str, Any]:
-    return {key: value for key, value in {**map, **change.updates}.items() if key not in change.deletions}
+def apply_change(entries: dict[str, Any], change: Proposal) -> dict[str, Any]:
+    return {key: value for key, value in {**entries, **change.updates}.items() if key not in change.deletions}
 
 
 @test("no change that a leader makes by itself lowers what may be lost, nor hangs on the newcomer")
@@ -64,24 +66,28 @@
     for count, learners, tolerated in itertools.product(range(2, 8), range(3), (1, 2)):
         for others in itertools.combinations_with_replacement((ABLE, SILENT, MOVED, LOST, GONE), count - 1):
             views = {str(number): view for number, view in enumerate([ABLE, *others])}
-            map: dict[str, Any] = {VOTER_PREFIX + ip: {} for ip in views}
+            entries: dict[str, Any] = {VOTER_PREFIX + ip: {} for ip in views}
             for number in range(learners):
-                map[f"{LEARNER_PREFIX}x{number}"], views[f"x{number}"] = {"life": 7}, ABLE
+                entries[f"{LEARNER_PREFIX}x{number}"], views[f"x{number}"] = {"life": 7}, ABLE
             for _ in range(12):
-                voters = addresses_under(map, VOTER_PREFIX)
-                change = next_membership_change(map, "0", {}, views, tolerated)
+                voters = addresses_under(entries, VOTER_PREFIX)
+                change = next_membership_change(entries, "0", {}, views, tolerated)
                 if change is None:
                     break
                 changed += 1
-                map = after(map, change)
-                now = addresses_under(map, VOTER_PREFIX)
-                assert len({*now} ^ {*voters}) == 1 and "0" in now
-                assert spare_voters(now, views) >= spare_voters(voters, views), (voters, now, views)
-                assert spare_voters(now, views) >= 0, "nobody could commit it"
-                promoted = {*now} - {*voters}
-                able = sum(views[ip].is_up_to_date for ip in now if ip not in promoted)
-                assert able >= quorum(len(now)), "it hangs on the newcomer alone"
-                assert len(now) + len(addresses_under(map, LEARNER_PREFIX)) >= min(
+                entries = apply_change(entries, change)
+                voters_after = addresses_under(entries, VOTER_PREFIX)
+                assert len({*voters_after} ^ {*voters}) == 1
+                assert "0" in voters_after
+                assert spare_voters(voters_after, views) >= spare_voters(voters, views), (
+                    voters,
+                    voters_after,
+                )
+                assert spare_voters(voters_after, views) >= 0, "nobody could commit it"
+                promoted = {*voters_after} - {*voters}
+                able = sum(views[ip].is_up_to_date for ip in voters_after if ip not in promoted)
+                assert able >= quorum(len(voters_after)), "it hangs on the newcomer alone"
+                assert len(voters_after) + len(addresses_under(entries, LEARNER_PREFIX)) >= min(
                     count, max(3, 2 * tolerated + 1)
                 )
             else:
@@ -110,7 +116,8 @@
 def _(case: str = each("add+", "remove+")) -> None:
     report = explore(CASES[case])
     assert not report.wrong, "\n".join([report.wrong, *report.way])
-    assert not report.cut and report.ends > 50, str(report)
+    assert not report.cut, str(report)
+    assert report.ends > 50, str(report)
 
 
 @test("M1 to M4 in long worlds of {members} in which members change")
@@ -140,34 +147,35 @@
     raise AssertionError("not found")
 
 
-def elects(entries: dict[str, Any], peer: str, life: int) -> bool:
-    """Whether member 1 of these is elected by that one's vote beside its own."""
-    state = Snapshot((1, 3), RangedMap(entries))
-    one = Replica("1", ["1", "2"], False, PersistentVote(1, None, True, 11), state, decide, random.Random(4))
-    one.start(0.0)
-    effects = one.handle(2.0, ClockTicked())
-    for _ in range(2):  # asked beforehand, then voted
-        asked = [one for one in effects if isinstance(one, SendRequest) and one.method == "request_vote"]
+def elects(entries: dict[str, Any], peer: str, incarnation: int) -> bool:
+    """Whether replica 1 of these is elected by that one's vote beside its own."""
+    vote = PersistentVote(1, None, True, 11)
+    snapshot = Snapshot((1, 3), RangedMap(entries))
+    replica = Replica("1", ["1", "2"], False, vote, snapshot, decide, random.Random(4))
+    replica.start(0.0)
+    effects = replica.handle(2.0, ClockTicked())
+    for _ in range(2):  # the pre-vote, then the vote
+        requests = requests_sent(effects, METHOD_VOTE)
         effects = []
-        for send in asked:
-            if send.peer == peer:
-                effects += one.handle(
-                    2.0, ResponseReceived(peer, "request_vote", 2.0, send.context, [1, True, life])
-                )
-        if one.is_persisting:
-            effects += one.handle(2.0, StatePersisted(True))
-    return one.leader_role is not None
+        for request in requests:
+            if request.peer == peer:
+                body = [1, True, incarnation]
+                granted = ResponseReceived(peer, METHOD_VOTE, 2.0, request.context, body)
+                effects += replica.handle(2.0, granted)
+        if replica.is_persisting:
+            effects += replica.handle(2.0, StatePersisted(True))
+    return replica.leader_role is not None
 
 
-def with_disks(**lives: int) -> dict[str, Any]:
-    return {VOTER_PREFIX + ip[1:]: {"life": life} for ip, life in lives.items()}
+def with_disks(**incarnations: int) -> dict[str, Any]:
+    return {VOTER_PREFIX + ip[1:]: {"life": incarnation} for ip, incarnation in incarnations.items()}
 
 
 @test("a vote counts only of the newest accepted map's voters, and of the disk that is named there")
 def _() -> None:
     three = with_disks(m1=11, m2=12, m3=13)
     assert elects(three, "2", 12)
-    assert not elects(three, "2", 99), "the disk of an earlier life has voted"
+    assert not elects(three, "2", 99), "the disk of an earlier incarnation has voted"
     assert not elects({**three, VOTER_PREFIX + "4": {}}, "2", 12), "two of four are no majority"
     assert not elects({**three, LEARNER_PREFIX + "4": {"life": 14}}, "4", 14), "a learner has voted"
     assert not elects(with_disks(m2=12, m3=13), "2", 12), "one that was taken off stands"
@@ -191,41 +199,48 @@
         assert elects(three, "2", 99) or any(removed)
 
 
-def shown(*lines: str) -> list[dict[str, Any]]:
+def membership_table(*lines: str) -> list[dict[str, Any]]:
     """The leader's table after these lines of a scene."""
     play = Play(1)
     for line in lines:
         play.line(line)
     member = play.world.nodes[str(play.world.leader())].member
-    assert member is not None and member.leader_role is not None
+    assert member is not None
+    assert member.leader_role is not None
     return member.leader_role.membership_table()
 
 
 @test("the operator's table shows voters, learners and leaving ones, how far behind, and why one stays")
 def _() -> None:
-    found = shown("members 5", "run 5", "order replace 5 -> 200", "lose 4", "run 2")
+    found = membership_table("members 5", "run 5", "order replace 5 -> 200", "lose 4", "run 2")
     rows = {row["ip"]: row for row in found}
     assert [row["role"] for row in rows.values()] == ["voter"] * 5
-    assert rows["5"]["leaving"] == "replace" and rows["5"]["stays"] == "5 others must vote first, and 4 do"
-    assert rows["4"]["unheard"] > 1.5 and sum(row["leads"] for row in rows.values()) == 1
+    assert rows["5"]["leaving"] == "replace"
+    assert rows["5"]["stays"] == "5 others must vote first, and 4 do"
+    assert rows["4"]["unheard"] > 1.5
+    assert sum(row["leads"] for row in rows.values()) == 1
     assert {row["behind"] for ip, row in rows.items() if ip != "4"} == {0}
-    rows = {row["ip"]: row for row in shown("members 5", "run 5", "order remove 5 -> 200", "run 1")}
-    assert rows["5"]["role"] == "held learner" and not rows["5"]["counts"]
+    rows = {
+        row["ip"]: row for row in membership_table("members 5", "run 5", "order remove 5 -> 200", "run 1")
+    }
+    assert rows["5"]["role"] == "held learner"
+    assert not rows["5"]["counts"]
 
 
 @test("toolbox members: a plan in words, or why it is refused")
 def _() -> None:
-    rows = shown("members 5", "run 5")
+    rows = membership_table("members 5", "run 5")
     leads = next(row["ip"] for row in rows if row["leads"])
     told = plan_member_change(rows, "remove", leads)
-    assert isinstance(told, list) and told[0] == f"{leads} is the leader, and transfers leadership first"
+    assert isinstance(told, list)
+    assert told[0] == f"{leads} is the leader, and transfers leadership first"
     assert told[-1] == "4 voters then, of which 3 must be up"
-    assert isinstance(plan_member_change(rows, "remove", "9"), Failure) and isinstance(
-        plan_member_change(rows, "add", "1"), list
-    )
-    few = shown("members 3", "run 5")
+    assert isinstance(plan_member_change(rows, "remove", "9"), Failure)
+    assert isinstance(plan_member_change(rows, "add", "1"), list)
+    few = membership_table("members 3", "run 5")
     refused = plan_member_change(few, "remove", "1")
-    assert isinstance(refused, Failure) and "2 voters would be left, and 3 are needed" in refused.detail
+    assert isinstance(refused, Failure)
+    assert "2 voters would be left, and 3 are needed" in refused.detail
     assert isinstance(plan_member_change(few, "replace", "1"), list)
 
 
@@ -256,7 +271,8 @@
         assert store.calls == ([("remove", "10.0.0.4")] if status == 200 else [])
     get = HttpRequest("GET", "/members", {}, {}, b"")
     got = MembersResource(Asked(CommandResult(200, {"members": [{"ip": "1"}]}))).get(get)
-    assert got.status == 200 and got.body == {"members": [{"ip": "1"}]}
+    assert got.status == 200
+    assert got.body == {"members": [{"ip": "1"}]}
     refused = Asked(CommandResult(409, {"reason": "no"}))
     add = HttpRequest("POST", "/members", {}, {}, b'{"Do": "add", "Ip": "1"}')
     assert MembersResource(refused).post(add).status == 409
--- /dev/null
+++ b/tests/configstore/test_replication_scenarios.py
@@ -0,0 +1,111 @@
+"""Invariants I1 to I8: text scenes, a fault at every step, every fate of messages, long mixed runs."""
+
+import itertools
+from collections.abc import Callable, Iterable
+from pathlib import Path
+
+from ward import each, test
+
+from ashlift.simulation.members import World
+from ashlift.simulation.turnover import mixed
+from tests.support.replica_scenarios import Play, scenes
+
+SCENES = dict(scenes(Path(__file__).parent.parent / "scenarios" / "configstore_agreement.txt"))
+
+
+@test("configuration store scene: {scene}")
+def _(scene: str = each(*SCENES)) -> None:
+    for seed in (1, 2, 3):
+        play = Play(seed)
+        for line in SCENES[scene]:
+            play.line(line)
+
+
+@test("I1 to I8 in long mixed runs of {members}")
+def _(members: int = each(3, 5, 7, 12)) -> None:
+    acknowledged = sum(len(mixed(members, seed).chain) for seed in range(8 if members < 12 else 3))
+    assert acknowledged > 20, "too little was agreed on to tell"
+
+
+def start_world(members: int, seed: int) -> World:
+    """A world with a leader that has committed one change, and a second one just submitted."""
+    world = World(members, seed)
+    world.run(2.5 if members == 3 else 5.0)
+    leader = world.leader()
+    assert leader
+    world.put(leader)
+    world.run(0.5)
+    world.put(leader)
+    return world
+
+
+def steps_of(members: int, seed: int, seconds: float) -> tuple[int, int]:
+    """The steps from the second change's submission until so much later."""
+    world = start_world(members, seed)
+    first = world.step
+    world.run(seconds)
+    return first, world.step
+
+
+@test("I3 I4: every member killed, frozen or cut off at every step of a change")
+def _(fault: str = each("kill", "freeze", "cut")) -> None:
+    first, last = steps_of(3, 5, 0.25)
+    assert last - first > 20
+    for step, ip in itertools.product(range(first + 1, last + 1), ("1", "2", "3")):
+        world = start_world(3, 5)
+
+        def inject_fault(world: World = world, ip: str = ip) -> None:
+            if fault == "cut":
+                for other in set(world.ips) - {ip}:
+                    world.cut(ip, other)
+                    world.cut(other, ip)
+            else:
+                getattr(world, fault)(ip)
+
+        world.at_step[step] = inject_fault
+        world.run(2.0)
+        world.settle()
+
+
+@test("I4 I8: the closing fault at every step: one of {members} loses its disk, all others lose power")
+def _(members: int = each(3, 5)) -> None:
+    first, last = steps_of(members, 3, 0.06)
+    for step, ip in itertools.product(range(first + 1, last + 2), "12345"[:members]):
+        world = start_world(members, 3)
+
+        def inject_fault(world: World = world, ip: str = ip) -> None:
+            world.wipe(ip)
+            for other in world.ips:
+                world.kill(other)
+
+        world.at_step[step] = inject_fault
+        world.run(0.3)
+        world.settle()
+
+        def all_vote(world: World = world) -> bool:
+            return world.learners() == 0
+
+        assert all_vote() or world.run(5, all_vote)
+
+
+def fates_in_turn(fates: Iterable[str | None]) -> Callable[[str, str, str], str | None]:
+    """The fates of the next messages, whoever sends them."""
+    remaining = iter(fates)
+    return lambda sender, receiver, kind: next(remaining, None)
+
+
+@test("I1 I2 I3: every fate (lost, doubled, late) of the first messages between three who elect and commit")
+def _() -> None:
+    every = itertools.product((None, "drop", "double", "late"), repeat=4)
+    for fates, leader_is_lost in itertools.product(every, (False, True)):
+        world = start_world(3, 7)
+        leader = world.leader()
+        world.fate = fates_in_turn(fates)
+        if leader_is_lost:
+            world.kill(str(leader))
+        world.run(1.6)
+        for ip in world.ips:
+            if world.nodes[ip].member:
+                world.put(ip)
+        world.run(0.3)
+        world.settle()
