--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -108,14 +108,11 @@
 def _() -> None:
     code, out, _ = run(f"status {CORE}", answering("/status", STATUS))
     assert code == 0
-    for text in (
-        "00000007, confirmed current 0.25 s ago",
-        "proxies        2, 1 ready",
-        "s: 1 ready, 1 ready (warming up)",
-        "<t>: 1 draining",
-        "core-b-1#4 (0.1 s ago)",
-    ):
-        assert text in out, out
+    assert "00000007, confirmed current 0.25 s ago" in out
+    assert "proxies        2, 1 ready" in out
+    assert "s: 1 ready, 1 ready (warming up)" in out
+    assert "<t>: 1 draining" in out
+    assert "core-b-1#4 (0.1 s ago)" in out
     assert json.loads(run(f"status {CORE} --json", answering("/status", STATUS))[1]) == STATUS
     assert run(f"status {CORE}", answering("/status", {}))[0] == 0
     assert "not confirmed" in run(f"status {CORE}", answering("/status", {"age": None}))[1]
--- a/tests/cli/test_planners.py
+++ b/tests/cli/test_planners.py
@@ -115,7 +115,7 @@
     assert counts[RouteOutcomes("bill", TO_BILL, NO_KEY)] == 1
 
 
-@test("plan change: exit codes and lines")
+@test("plan commands: exit codes and lines")
 def _(place: Path = folder) -> None:
     before = edit_configuration(BODY, 1, [])
     after = edit_configuration(BODY, 2, ["look=desk"])
@@ -129,18 +129,13 @@
     assert "1 of 1 requests" in out
     assert run(f"plan change {old} {old} {record}")[0] == 2  # its version is not higher
     assert run(f"plan change {new} {old} {write(place, 'bad.jsonl', '{}')}")[0] == 2
-
-
-@test("plan capacity and plan rollout: exit codes and lines")
-def _(place: Path = folder) -> None:
-    configuration = write(place, "old.json", edit_configuration(BODY, 1, []))
     workers = [{"id": "f1", "service": "fleet", "zone": "a", "state": "ready", "capacity": 4}]
     status = write(place, "status.json", {**STATUS, "workers": workers})
-    code, out, _ = run(f"plan capacity {status} --on {configuration} --ask look=50:100")
+    code, out, _ = run(f"plan capacity {status} --on {old} --ask look=50:100")
     assert code == 1
     assert "quotas: 40 a second" in out
-    assert run(f"plan capacity {status} --on {configuration} --ask look=30:100")[0] == 0
-    assert run(f"plan capacity {status} --on {configuration} --ask nothing=30:100")[0] == 2
+    assert run(f"plan capacity {status} --on {old} --ask look=30:100")[0] == 0
+    assert run(f"plan capacity {status} --on {old} --ask nothing=30:100")[0] == 2
     code, out, _ = run(f"plan rollout {status} gatekeepers")
     assert (code, out.splitlines()) == (0, ["1. edge-a-1", "2. edge-b-1"])
     assert run(f"plan rollout {status} core")[0] == 2
