--- a/tests/cli/test_tenant_steps.py
+++ b/tests/cli/test_tenant_steps.py
@@ -20,7 +20,7 @@
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.registry import Registry
 from tests.support.registry_wire import pull_response
-from tests.support.request_router_scenarios import SETTINGS, WORD
+from tests.support.request_router_scenarios import CONFIGURATION, SETTINGS
 
 STEP_SECONDS = 0.001
 MAX_STEPS = 6
@@ -53,7 +53,7 @@
 
     def watch(self, registry: Registry, index: int, confirmed_at: float) -> None:
         """Give a registry the store's answer to a watch."""
-        entries = WORD if index == INDEX_BEFORE else {**WORD, **TENANT_ENTRIES}
+        entries = CONFIGURATION if index == INDEX_BEFORE else {**CONFIGURATION, **TENANT_ENTRIES}
         response = {
             "index": index,
             "set": entries,
--- a/tests/proxy/test_answer_bytes.py
+++ b/tests/proxy/test_answer_bytes.py
@@ -1,4 +1,4 @@
-"""Trouble at every byte between a gatekeeper and its workers, and its clients (the rest: test_answers.py)."""
+"""A fault at every byte between a proxy and its workers, and its clients (the rest: test_answers.py)."""
 
 from collections.abc import Callable
 
@@ -7,92 +7,107 @@
 from ward import each, test
 
 from tests.support.fault_proxy import REPEAT, STALL, STALL_AND_RESET, TO_CLIENT, TO_SERVER, FaultProxy
-from tests.support.gatekeeper import BODY, WAYS, Client, Request, Site
+from tests.support.proxy_history import Request
+from tests.support.proxy_site import BODY, FAULTS, ProxySite
+from tests.support.stub_client import StubClient
 
-SILENT = (STALL, STALL_AND_RESET)  # kinds of trouble that leave somebody waiting
-REQUEST, ANSWER = 210, 135  # bytes, and some more than there are
-OURS = [(kind, way) for kind, way in WAYS if kind != REPEAT]  # what comes twice to a client is not ours
+STALLING = (STALL, STALL_AND_RESET)  # faults that leave somebody waiting
+MAX_REQUEST_BYTES = 210  # some more than there are
+MAX_RESPONSE_BYTES = 135
+# What a client receives twice is not the proxy's fault.
+CLIENT_FAULTS = [(fault, direction) for fault, direction in FAULTS if fault != REPEAT]
 
 
-def together(most: int, run: Callable[[int], None]) -> None:
-    """For each number below `most`, some at a time."""
+def run_concurrently(count: int, run: Callable[[int], None]) -> None:
+    """For each number below `count`, some at a time."""
     pool = Pool(40)
-    runs = [pool.spawn(run, number) for number in range(most)]
+    runs = [pool.spawn(run, number) for number in range(count)]
     gevent.joinall(runs, raise_error=True)
 
 
-def asked(between: FaultProxy, number: int, kind: str, way: str, client: Client, *requests: Request) -> None:
-    """Requests with a trouble after `number` bytes; who would wait for the rest leaves once it has struck."""
+def send_with_fault(
+    fault_proxy: FaultProxy, offset: int, fault: str, direction: str, client: StubClient, *requests: Request
+) -> None:
+    """Send requests with a fault after `offset` bytes; a client that it leaves waiting then hangs up."""
 
     def leave() -> None:
-        between.fault_struck.wait()
-        if kind in SILENT:
-            client.leave()
+        fault_proxy.fault_struck.wait()
+        if fault in STALLING:
+            client.hang_up()
 
-    between.inject(way, number, kind)
+    fault_proxy.inject(direction, offset, fault)
     leaving = gevent.spawn(leave)
-    client.ask(*requests)
+    client.send(*requests)
     client.close()
     leaving.kill()
 
 
-def struck_links(kind: str, way: str) -> None:
-    """A trouble at every byte between the gatekeeper and a worker, on a connection that was used before."""
-    most = REQUEST if way == TO_SERVER else ANSWER
-    site = Site(most)
+def check_worker_faults(fault: str, direction: str) -> None:
+    """A fault at every byte between the proxy and a worker, on a connection that was used before."""
+    count = MAX_REQUEST_BYTES if direction == TO_SERVER else MAX_RESPONSE_BYTES
+    site = ProxySite(count)
 
     def run(number: int) -> None:
-        link = site.links[number, 0]
-        assert site.ask(number).status == 200
-        size = link.forwarded_bytes[way]
-        assert size < most, "not every byte is tried"
-        one = site.history.request(f"/{'hold' if number % 3 else 'look'}/{number}/x", not number % 3, BODY)
-        asked(link, number, kind, way, Client(site.history, site.gatekeeper.address), one)
-        assert link.fault_count or number > size
-        link.end_faults()
-        assert site.ask(number).status == 200
-
-    together(most, run)
+        fault_proxy = site.fault_proxies[number, 0]
+        assert site.send(number).status == 200
+        request_bytes = fault_proxy.forwarded_bytes[direction]
+        assert request_bytes < count, "not every byte is tried"
+        idempotent = number % 3 == 0
+        path = f"/{'look' if idempotent else 'hold'}/{number}/x"
+        request = site.history.new_request(path, idempotent, BODY)
+        client = StubClient(site.history, site.proxy.address)
+        send_with_fault(fault_proxy, number, fault, direction, client, request)
+        assert fault_proxy.fault_count or number > request_bytes
+        fault_proxy.end_faults()
+        assert site.send(number).status == 200
+
+    run_concurrently(count, run)
     site.close()
 
 
-@test("answers: the way to a worker is {kind} at every byte, {way}")
-def _(kind: str = each(*[kind for kind, _ in WAYS]), way: str = each(*[way for _, way in WAYS])) -> None:
-    struck_links(kind, way)
+@test("responses: {fault} at every byte between proxy and worker, {direction}")
+def _(
+    fault: str = each(*[fault for fault, _ in FAULTS]),
+    direction: str = each(*[direction for _, direction in FAULTS]),
+) -> None:
+    check_worker_faults(fault, direction)
 
 
-def struck_clients(kind: str, way: str) -> None:
-    """The same between a client and the gatekeeper, in the first of two requests that come together."""
-    most = REQUEST if way == TO_SERVER else ANSWER
-    site = Site()
+def check_client_faults(fault: str, direction: str) -> None:
+    """The same between a client and the proxy, in the first of two requests that come together."""
+    count = MAX_REQUEST_BYTES if direction == TO_SERVER else MAX_RESPONSE_BYTES
+    site = ProxySite()
 
     def run(number: int) -> None:
-        between = FaultProxy(site.gatekeeper.address)
-        client = Client(site.history, between.address)
-        both = [site.history.request("/hold/0/x", False, BODY) for _ in range(2)]
-        asked(between, number, kind, way, client, *both)
-        assert between.fault_count
-        between.close()
-
-    together(most, run)
+        fault_proxy = FaultProxy(site.proxy.address)
+        client = StubClient(site.history, fault_proxy.address)
+        requests = [site.history.new_request("/hold/0/x", False, BODY) for _ in range(2)]
+        send_with_fault(fault_proxy, number, fault, direction, client, *requests)
+        assert fault_proxy.fault_count
+        fault_proxy.close()
+
+    run_concurrently(count, run)
     site.close()
 
 
-@test("answers: the way of a client is {kind} at every byte, {way}")
-def _(kind: str = each(*[kind for kind, _ in OURS]), way: str = each(*[way for _, way in OURS])) -> None:
-    struck_clients(kind, way)
+@test("responses: {fault} at every byte between client and proxy, {direction}")
+def _(
+    fault: str = each(*[fault for fault, _ in CLIENT_FAULTS]),
+    direction: str = each(*[direction for _, direction in CLIENT_FAULTS]),
+) -> None:
+    check_client_faults(fault, direction)
 
 
-@test("answers: the way to a worker is {kind} until the time is up, {way}")
+@test("responses: {fault} until the deadline between proxy and worker, {direction}")
 def _(
-    kind: str = each(STALL, STALL_AND_RESET, STALL, STALL_AND_RESET),
-    way: str = each(TO_SERVER, TO_SERVER, TO_CLIENT, TO_CLIENT),
+    fault: str = each(STALL, STALL_AND_RESET, STALL, STALL_AND_RESET),
+    direction: str = each(TO_SERVER, TO_SERVER, TO_CLIENT, TO_CLIENT),
 ) -> None:
-    site = Site(12)
+    site = ProxySite(12)
 
     def run(number: int) -> None:
-        site.links[number, 0].inject(way, 10 * number, kind)
-        assert site.ask(number, repeatable=number % 2 == 0, remaining=100).status in (0, 503, 504)
+        site.fault_proxies[number, 0].inject(direction, 10 * number, fault)
+        assert site.send(number, idempotent=number % 2 == 0, remaining_ms=100).status in (0, 503, 504)
 
-    together(12, run)
+    run_concurrently(12, run)
     site.close()
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -20,20 +20,11 @@
 from ashlift.proxy.responses import WorkerResponse
 from ashlift.proxy.upstream import ConnectionPool
 from tests.support.fault_proxy import HOST, REPEAT, FaultProxy
-from tests.support.gatekeeper import (
-    BODY,
-    ENOUGH_S,
-    MOODS,
-    TOO_LONG,
-    WAYS,
-    Client,
-    Gatekeeper,
-    History,
-    Site,
-    answer,
-    said,
-)
 from tests.support.mutation import is_detected, mutated_function
+from tests.support.proxy_history import History, expected_body
+from tests.support.proxy_site import BODY, FAULTS, ProxySite, ProxyUnderTest
+from tests.support.stub_client import ENOUGH_SECONDS, TIMED_OUT, StubClient
+from tests.support.stub_workers import BEHAVIOURS, worker_response
 
 HOW = settings(
     max_examples=15,
@@ -47,13 +38,13 @@
 
 
 @test("answers: {mood}")
-def _(mood: str = each(*MOODS)) -> None:
-    site = Site(each=2)
+def _(mood: str = each(*BEHAVIOURS)) -> None:
+    site = ProxySite(workers_per_route=2)
     for where in site.routes["0"]:
-        site.workers.moods[where] = mood
+        site.workers.behaviours[where] = mood
     within = 150 if mood in ("mute", "not: another's id") else 3000  # those let the time run out
-    once = [site.ask(remaining=within) for _ in range(2)]
-    more = [site.ask(repeatable=True, remaining=within) for _ in range(2)]
+    once = [site.send(remaining_ms=within) for _ in range(2)]
+    more = [site.send(idempotent=True, remaining_ms=within) for _ in range(2)]
     site.close()
     statuses = {one.status for one in once + more}
     if mood in ("well", "a second answer at once", "continue first", "closing", "noise behind"):
@@ -70,9 +61,9 @@
         assert statuses <= {502, 504}
 
 
-def aged(site: Site) -> None:
+def aged(site: ProxySite) -> None:
     """As if every connection to a worker had rested for a second."""
-    for links in site.gatekeeper.desk.connection_pool._idle.values():
+    for links in site.proxy.request_handler.connection_pool._idle.values():
         for link in links:
             link.idle_since -= 1.0
 
@@ -82,19 +73,19 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.site = Site(each=2)
-        self.ways = [*self.site.links.values(), FaultProxy(self.site.gatekeeper.address)]
-        self.clients: list[Client | None] = [None] * 3
+        self.site = ProxySite(workers_per_route=2)
+        self.ways = [*self.site.fault_proxies.values(), FaultProxy(self.site.proxy.address)]
+        self.clients: list[StubClient | None] = [None] * 3
 
-    @rule(which=st.integers(0, 2), trouble=st.sampled_from(WAYS), at=st.integers(0, 250))
+    @rule(which=st.integers(0, 2), trouble=st.sampled_from(FAULTS), at=st.integers(0, 250))
     def trouble(self, which: int, trouble: tuple[str, str], at: int) -> None:
         kind, way = trouble
         if (which, kind) != (2, REPEAT):
             self.ways[which].inject(way, at, kind)
 
-    @rule(which=st.integers(0, 1), mood=st.sampled_from(MOODS))
+    @rule(which=st.integers(0, 1), mood=st.sampled_from(BEHAVIOURS))
     def mood(self, which: int, mood: str) -> None:
-        self.site.workers.moods[[*self.site.routes["0"]][which]] = mood
+        self.site.workers.behaviours[[*self.site.routes["0"]][which]] = mood
 
     @rule(
         which=st.integers(0, 2),
@@ -106,14 +97,14 @@
     def ask(self, which: int, many: int, repeatable: bool, chunked: bool, pieces: list[int]) -> None:
         client = self.clients[which]
         if client is None or client.ended:
-            client = self.clients[which] = Client(self.site.history, self.ways[2].address)
+            client = self.clients[which] = StubClient(self.site.history, self.ways[2].address)
         path = "/look/0/x" if repeatable else "/hold/0/x"
         asked = [
-            self.site.history.request(path, repeatable, BODY, chunked=chunked, remaining=100)
+            self.site.history.new_request(path, repeatable, BODY, chunked=chunked, remaining_ms=100)
             for _ in range(many)
         ]
-        leaving = gevent.spawn_later(0.5, client.leave)
-        client.ask(*asked, pieces=pieces)
+        leaving = gevent.spawn_later(0.5, client.hang_up)
+        client.send(*asked, cuts=pieces)
         leaving.kill()
         self.site.history.check()
 
@@ -129,7 +120,7 @@
 
     @rule()
     def calm(self) -> None:
-        self.site.workers.moods.clear()
+        self.site.workers.behaviours.clear()
         for way in self.ways:
             way.end_faults()
 
@@ -138,11 +129,11 @@
             if client is not None:
                 client.close()
         self.calm()
-        views = self.site.gatekeeper.gate.load_balancer.workers.values()
-        with gevent.Timeout(ENOUGH_S, TOO_LONG):
+        views = self.site.proxy.router.load_balancer.workers.values()
+        with gevent.Timeout(ENOUGH_SECONDS, TIMED_OUT):
             while any(view.in_flight for view in views):
                 gevent.idle()
-        asked = (self.site.ask().status for _ in range(5))  # what a worker still owes may spoil the first
+        asked = (self.site.send().status for _ in range(5))  # what a worker still owes may spoil the first
         assert 200 in asked, "all is well, and nothing is served"
         self.ways[2].close()
         self.site.close()
@@ -162,60 +153,60 @@
 
 @test("answers: a body in chunks, cut at every byte")
 def _() -> None:
-    site = Site()
-    client = Client(site.history, site.gatekeeper.address)
-    whole = site.history.request("/hold/0/x", False, BODY, chunked=True)
-    data = whole.wire()
+    site = ProxySite()
+    client = StubClient(site.history, site.proxy.address)
+    whole = site.history.new_request("/hold/0/x", False, BODY, chunked=True)
+    data = whole.to_bytes()
     for at in range(1, len(data)):
         reader = RequestReader()
         reader.feed(data[:at])
         assert not reader.complete
         reader.feed(data[at:])
         assert [one.body for one in reader.complete] == [BODY] and not reader.error_status
-    client.ask(whole, pieces=range(len(data)))
+    client.send(whole, cuts=range(len(data)))
     assert whole.status == 200
     site.close()
 
 
 @test("answers: requests that come together are answered in order; their client leaves, and none more runs")
 def _() -> None:
-    site = Site()
-    client = Client(site.history, site.gatekeeper.address)
-    asked = [site.history.request("/hold/0/x", False, BODY) for _ in range(6)]
-    client.ask(*asked)
+    site = ProxySite()
+    client = StubClient(site.history, site.proxy.address)
+    asked = [site.history.new_request("/hold/0/x", False, BODY) for _ in range(6)]
+    client.send(*asked)
     assert [one.status for one in asked] == [200] * 6
-    site.workers.moods = dict.fromkeys(site.routes["0"], "mute")
-    late = [site.history.request("/hold/0/x", False, BODY) for _ in range(4)]
-    site.workers.saw = lambda _: client.leave()
-    client.ask(*late)
+    site.workers.behaviours = dict.fromkeys(site.routes["0"], "mute")
+    late = [site.history.new_request("/hold/0/x", False, BODY) for _ in range(4)]
+    site.workers.on_request = lambda _: client.hang_up()
+    client.send(*late)
     site.close()
     assert [site.history.runs[one.id] for one in late] == [1, 0, 0, 0]
 
 
 @test("answers: a client that closes its half is gone")
 def _() -> None:
-    site = Site()
-    client = Client(site.history, site.gatekeeper.address)
-    one = site.history.request("/hold/0/x", False, BODY)
-    client.sock.sendall(one.wire())
+    site = ProxySite()
+    client = StubClient(site.history, site.proxy.address)
+    one = site.history.new_request("/hold/0/x", False, BODY)
+    client.sock.sendall(one.to_bytes())
     client.sock.shutdown(socket.SHUT_WR)
-    client.ask()
-    with gevent.Timeout(ENOUGH_S, TOO_LONG):
-        while site.gatekeeper.front.connections:
+    client.send()
+    with gevent.Timeout(ENOUGH_SECONDS, TIMED_OUT):
+        while site.proxy.server.connections:
             gevent.idle()
-    assert site.gatekeeper.desk.in_flight == 0
+    assert site.proxy.request_handler.in_flight == 0
     site.close()
 
 
 @test("answers: a client that leaves while its request waits for news is not served")
 def _() -> None:
-    site = Site()
-    client = Client(site.history, site.gatekeeper.address)
-    one = site.history.request("/hold/1/x", False, BODY)  # no such route, as far as known
-    site.gatekeeper.know(site.routes)
-    client.sock.sendall(one.wire())
-    desk = site.gatekeeper.desk
-    with gevent.Timeout(ENOUGH_S, TOO_LONG):
+    site = ProxySite()
+    client = StubClient(site.history, site.proxy.address)
+    one = site.history.new_request("/hold/1/x", False, BODY)  # no such route, as far as known
+    site.proxy.set_workers(site.routes)
+    client.sock.sendall(one.to_bytes())
+    desk = site.proxy.request_handler
+    with gevent.Timeout(ENOUGH_SECONDS, TIMED_OUT):
         while not desk._awaiting_configuration:
             gevent.idle()
         client.close()
@@ -227,23 +218,23 @@
 
 @test("answers: an answer that its client does not take ends the connection, and looks cut")
 def _() -> None:
-    site = Site()
-    client = Client(site.history, site.gatekeeper.address)
+    site = ProxySite()
+    client = StubClient(site.history, site.proxy.address)
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-    site.workers.moods = dict.fromkeys(site.routes["0"], "large")
-    asked = [site.history.request("/look/0/x", True, BODY) for _ in range(2)]
+    site.workers.behaviours = dict.fromkeys(site.routes["0"], "large")
+    asked = [site.history.new_request("/look/0/x", True, BODY) for _ in range(2)]
     write_timeout = client_connection.WRITE_TIMEOUT_SECONDS
     client_connection.WRITE_TIMEOUT_SECONDS = 0.1  # type: ignore[misc]
     try:
-        client.sock.sendall(b"".join(one.wire() for one in asked))
-        with gevent.Timeout(ENOUGH_S, TOO_LONG):
-            while not site.history.runs or site.gatekeeper.front.connections:
+        client.sock.sendall(b"".join(one.to_bytes() for one in asked))
+        with gevent.Timeout(ENOUGH_SECONDS, TIMED_OUT):
+            while not site.history.runs or site.proxy.server.connections:
                 gevent.idle()
     finally:
         client_connection.WRITE_TIMEOUT_SECONDS = write_timeout  # type: ignore[misc]
-    client.owed = 2
-    client._read(asked[0])
-    client._read(asked[1])
+    client.expected_responses = 2
+    client._read_response(asked[0])
+    client._read_response(asked[1])
     client.close()
     site.close()
     assert [one.status for one in asked] == [0, 0] and site.history.runs[asked[1].id] == 0
@@ -251,10 +242,10 @@
 
 @test("answers: an id that comes again on its connection is not run again, nor answered")
 def _() -> None:
-    site = Site()
-    client = Client(site.history, site.gatekeeper.address)
-    one = site.history.request("/hold/0/x", False, BODY)
-    client.ask(one, one)
+    site = ProxySite()
+    client = StubClient(site.history, site.proxy.address)
+    one = site.history.new_request("/hold/0/x", False, BODY)
+    client.send(one, one)
     client.close()
     site.close()
     assert one.status == 200 and client.ended
@@ -262,23 +253,23 @@
 
 @test("answers: headers of one connection, in two lines, go no further and hold nothing up")
 def _() -> None:
-    site = Site()
+    site = ProxySite()
     head = b"Connection: keep-alive\r\nConnection: x-own\r\nX-Own: 1\r\n"
     seen: list[Any] = []
-    site.workers.saw = lambda asked: seen.append([name.lower() for name, _ in asked.headers])
-    assert site.ask(head=head).status == 200
+    site.workers.on_request = lambda asked: seen.append([name.lower() for name, _ in asked.headers])
+    assert site.send(extra_head=head).status == 200
     assert b"x-own" not in seen[0] and b"connection" not in seen[0]
-    assert site.gatekeeper.gate.load_balancer.workers and not site.gatekeeper.gate.load_balancer.in_flight()
+    assert site.proxy.router.load_balancer.workers and not site.proxy.router.load_balancer.in_flight()
     site.close()
 
 
 @test("answers: who wants another protocol gets an answer, the end, and nothing behind it")
 def _() -> None:
-    site = Site()
-    client = Client(site.history, site.gatekeeper.address)
-    one = site.history.request("/look/0/x", True, head=b"Connection: upgrade\r\nUpgrade: other\r\n")
-    client.ask(one)
-    assert one.status == 200 and one.headers["connection"] == "close"
+    site = ProxySite()
+    client = StubClient(site.history, site.proxy.address)
+    one = site.history.new_request("/look/0/x", True, extra_head=b"Connection: upgrade\r\nUpgrade: other\r\n")
+    client.send(one)
+    assert one.status == 200 and one.response_headers["connection"] == "close"
     site.close()
 
 
@@ -300,7 +291,7 @@
             while data := sock.recv(65536):
                 if b"X-Attempt-Id: " in data:
                     id = data.partition(b"X-Attempt-Id: ")[2][:8].decode()
-                    sock.sendall(answer(200, id, said(id, b"hasty")))
+                    sock.sendall(worker_response(200, id, expected_body(id, b"hasty")))
 
     def close(self) -> None:
         self._server.close()
@@ -309,11 +300,11 @@
 def hasty() -> None:
     worker = Hasty()
     history = History()
-    gatekeeper = Gatekeeper({"0": {"i-hasty": worker.address}})
+    gatekeeper = ProxyUnderTest({"0": {"i-hasty": worker.address}})
     for _ in range(2):
-        one = history.request("/hold/0/x", False, bytes(12 << 20))
-        client = Client(history, gatekeeper.address)
-        client.ask(one)
+        one = history.new_request("/hold/0/x", False, bytes(12 << 20))
+        client = StubClient(history, gatekeeper.address)
+        client.send(one)
         client.close()
         assert one.status in (200, 504)
     assert worker.opened == 2
@@ -328,41 +319,41 @@
 
 @test("answers: a worker that starts again with its id elsewhere is not asked on its old connections")
 def _() -> None:
-    site = Site()
-    assert site.ask().status == 200
-    before = site.links[0, 0]
+    site = ProxySite()
+    assert site.send().status == 200
+    before = site.fault_proxies[0, 0]
     after = FaultProxy(site.workers.address)
-    site.gatekeeper.know({"0": {id: after.address for id in site.routes["0"]}})
-    assert site.ask().status == 200
-    assert (before.connection_count, after.connection_count, site.workers.kept) == (1, 1, 0)
+    site.proxy.set_workers({"0": {id: after.address for id in site.routes["0"]}})
+    assert site.send().status == 200
+    assert (before.connection_count, after.connection_count, site.workers.reused_connections) == (1, 1, 0)
     after.close()
     site.close()
 
 
 @test("answers: an address that has passed to another worker runs nothing that was not meant for it")
 def _() -> None:
-    site, other = Site(), Site()
-    site.gatekeeper.know({"0": {id: other.workers.address for id in site.routes["0"]}})
-    assert [site.ask().status, site.ask(repeatable=True).status] == [503, 503]
-    assert not site.history.runs and not other.history.runs and not other.history.strays
+    site, other = ProxySite(), ProxySite()
+    site.proxy.set_workers({"0": {id: other.workers.address for id in site.routes["0"]}})
+    assert [site.send().status, site.send(idempotent=True).status] == [503, 503]
+    assert not site.history.runs and not other.history.runs and not other.history.unexpected
     site.close()
     other.close()
 
 
 def forgotten() -> None:
-    """Workers forget connections that rested: after one reset, what may not be repeated takes none."""
-    site = Site()
-    site.workers.moods = dict.fromkeys(site.routes["0"], "not: resets when kept")
-    assert site.ask().status == 200
+    """StubWorkers forget connections that rested: after one reset, what may not be repeated takes none."""
+    site = ProxySite()
+    site.workers.behaviours = dict.fromkeys(site.routes["0"], "not: resets when kept")
+    assert site.send().status == 200
     aged(site)
     # On a busy machine a reset takes longer.
     with mutated_function(
         IdleConnectionAges.record_reset, "elapsed > MAX_RESET_DELAY_SECONDS", "elapsed > 5"
     ):
-        site.ask(repeatable=True)
-    assert site.ask().status == 200
+        site.send(idempotent=True)
+    assert site.send().status == 200
     aged(site)
-    last = site.ask()
+    last = site.send()
     site.close()
     assert last.status == 200, "an old connection was used again after a reset"
 
@@ -377,10 +368,10 @@
 
 def moody(mood: str) -> Callable[[], None]:
     def run() -> None:
-        site = Site(each=2)
-        site.workers.moods = dict.fromkeys(site.routes["0"], mood)
+        site = ProxySite(workers_per_route=2)
+        site.workers.behaviours = dict.fromkeys(site.routes["0"], mood)
         for _ in range(3):
-            site.ask()
+            site.send()
         site.close()
 
     return run
--- a/tests/proxy/test_request_router.py
+++ b/tests/proxy/test_request_router.py
@@ -1,4 +1,4 @@
-"""The proxy's gate, by text scenes (scenes/gate.txt), and which answers of workers it passes on."""
+"""The request router by text scenarios, which responses of workers are relayed, and what may be retried."""
 
 from pathlib import Path
 
@@ -6,39 +6,40 @@
 
 from ashlift.proxy.attempts import ATTEMPT_RULES, AttemptResult
 from ashlift.proxy.responses import WorkerResponse
-from tests.support.request_router_scenarios import Play, scenes
+from tests.support.request_router_scenarios import RequestRouterScenario, read_scenarios
 
-TITLES, LINES = zip(*scenes(Path(__file__).parent.parent / "scenarios" / "request_router.txt"), strict=True)
+SCENARIOS = Path(__file__).parent.parent / "scenarios" / "request_router.txt"
+TITLES, LINES = zip(*read_scenarios(SCENARIOS), strict=True)
 
 
-@test("gate: {title}")
+@test("request router: {title}")
 def _(title: str = each(*TITLES), lines: list[str] = each(*LINES)):
-    play = Play()
+    scenario = RequestRouterScenario()
     for line in lines:
-        play.line(line)
+        scenario.line(line)
 
 
-WHOLE = "Content-Length: 2|X-Attempt-Id: a|"
+COMPLETE = "Content-Length: 2|X-Attempt-Id: a|"
 SEALED = "X-Server-Seal: s|"
-ANSWERS = {
-    f"200 OK|{WHOLE}{SEALED}": "passed on",
-    f"200 OK|{WHOLE}": "spoilt",
-    f"200 OK|{SEALED}": "spoilt",
-    f"200 OK|{WHOLE}{SEALED}Content-Encoding: br|": "spoilt",
-    f"500 -|{WHOLE}": "passed on",
-    f"503 -|{WHOLE}X-Not-Executed: 1|": "not run",
-    f"421 -|{WHOLE}": "not run",
-    f"503 -|{WHOLE}": "spoilt",
-    f"429 -|{WHOLE}": "spoilt",
-    f"408 -|{WHOLE}": "spoilt",
+RESPONSES = {
+    f"200 OK|{COMPLETE}{SEALED}": "relayed",
+    f"200 OK|{COMPLETE}": "invalid",
+    f"200 OK|{SEALED}": "invalid",
+    f"200 OK|{COMPLETE}{SEALED}Content-Encoding: br|": "invalid",
+    f"500 -|{COMPLETE}": "relayed",
+    f"503 -|{COMPLETE}X-Not-Executed: 1|": "not run",
+    f"421 -|{COMPLETE}": "not run",
+    f"503 -|{COMPLETE}": "invalid",
+    f"429 -|{COMPLETE}": "invalid",
+    f"408 -|{COMPLETE}": "invalid",
 }
 
 
-@test("answers: {head} is {wanted}")
-def _(head: str = each(*ANSWERS), wanted: str = each(*ANSWERS.values())):
-    reply = WorkerResponse()
-    reply.feed("HTTP/1.1 {}\r\nok".format(head.replace("|", "\r\n")).encode())
-    assert wanted == ("not run" if reply.not_run else "passed on" if reply.is_valid() else "spoilt")
+@test("worker response: {head} is {wanted}")
+def _(head: str = each(*RESPONSES), wanted: str = each(*RESPONSES.values())):
+    response = WorkerResponse()
+    response.feed("HTTP/1.1 {}\r\nok".format(head.replace("|", "\r\n")).encode())
+    assert wanted == ("not run" if response.not_run else "relayed" if response.is_valid() else "invalid")
 
 
 @test("attempts: {result.name} has a rule, and what may have run is tried again on idempotent routes alone")
--- a/tests/registry/test_command_answers.py
+++ b/tests/registry/test_command_answers.py
@@ -16,7 +16,7 @@
 from ashlift.rpc.client import ClientPool
 from ashlift.rpc.server import serve
 from tests.support.fault_proxy import FAULT_KINDS, HOST, TO_CLIENT, TO_SERVER, FaultProxy
-from tests.support.gatekeeper import ENOUGH_S, TOO_LONG
+from tests.support.stub_client import ENOUGH_SECONDS, TIMED_OUT
 
 STEP = 11  # bytes between two tries of a trouble: tests/rpc/test_client.py tries each
 MOST = 150  # and some more than a call and its answer have
@@ -65,7 +65,7 @@
     head = b"PUT /config HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b"
     sock.sendall(b"".join(head % (len(one), one) for one in bodies))
     found, data = list[tuple[int, str]](), b""
-    with gevent.Timeout(ENOUGH_S, TOO_LONG):
+    with gevent.Timeout(ENOUGH_SECONDS, TIMED_OUT):
         while len(found) < len(words) and (got := sock.recv(65536)):
             data += got
             while b"\r\n\r\n" in data:
--- /dev/null
+++ b/tests/support/proxy_site.py
@@ -0,0 +1,172 @@
+"""A real proxy on loopback between clients and stub workers, with fault proxies between it and the workers.
+
+Server, request handler, router and connection pool are the program's own; the cluster's state is set by hand.
+"""
+
+import itertools
+import random
+import time
+from collections.abc import Iterable, Iterator
+from contextlib import suppress
+from typing import Any
+
+from gevent import socket
+
+from ashlift.config.object_schema import ClientLimits
+from ashlift.config.settings import Settings, parse_settings
+from ashlift.proxy.pull_messages import PullResponse
+from ashlift.proxy.request_handler import RequestHandler
+from ashlift.proxy.request_router import RequestRouter
+from ashlift.proxy.server import ProxyServer
+from ashlift.proxy.upstream import WorkerConnection
+from ashlift.rpc.addresses import Address
+from ashlift.rpc.sources import OPERATOR_SOURCE
+from tests.support.fault_proxy import (
+    CLOSE,
+    HOST,
+    REPEAT,
+    RESET,
+    STALL,
+    STALL_AND_RESET,
+    TO_CLIENT,
+    TO_SERVER,
+    FaultProxy,
+)
+from tests.support.proxy_history import History, Request
+from tests.support.stub_client import ENOUGH_SECONDS, StubClient
+from tests.support.stub_workers import StubWorkers
+
+BODY = b"a body that must come whole"
+# What comes twice in the middle of a request or an answer, nobody can see: HTTP has no check.
+FAULTS = [
+    *((kind, way) for way in (TO_SERVER, TO_CLIENT) for kind in (CLOSE, RESET, STALL, STALL_AND_RESET)),
+    (REPEAT, TO_CLIENT),
+]
+SITE_NUMBERS = itertools.count(1)  # an address may pass to a worker of another site
+SETTINGS = """
+NodeName = "edge-1"
+Ip = "127.0.0.1"
+Zone = "z1"
+Region = "r1"
+InternalPortRange = [7600, 7615]
+SeedNodes = ["127.0.0.1:8200"]
+Heartbeat = "1500ms"
+[Zones]
+z1 = "r1"
+[Bounds]
+RetrySlack = 100000
+"""
+
+
+class ProxyUnderTest:
+    """A proxy whose cluster view is set by hand.
+
+    `routes`: of each name, the addresses of its workers by ID. /look/NAME/ is idempotent, /hold/NAME/ not.
+    """
+
+    def __init__(self, routes: dict[str, dict[str, Address]]) -> None:
+        settings = parse_settings(SETTINGS, "trial")
+        assert isinstance(settings, Settings), settings
+        self.router = RequestRouter(settings, random.Random(1), time.monotonic())
+        # A process that stands still on a busy machine must not take its own pause for an unreachable worker.
+        self.router.connect_timeout = lambda worker: ENOUGH_SECONDS  # type: ignore[method-assign]
+        self.request_handler = RequestHandler(self.router)
+        self.server = ProxyServer(self.request_handler, ClientLimits)
+        self.server.listen((HOST, 0))
+        stream_server = self.server._server
+        assert stream_server is not None
+        self.address: Address = HOST, stream_server.server_port or 0
+        self.version = 0
+        self._configuration = _configuration(routes)
+        self.set_workers(routes)
+
+    def set_workers(self, routes: dict[str, dict[str, Address]]) -> None:
+        """The registries report these workers, and no others."""
+        self.version += 1
+        records: dict[str, Any] = {"g/edge-1": {"ready": True}}
+        for name, workers in routes.items():
+            for worker_id, (host, port) in workers.items():
+                records[f"w/{worker_id}"] = {
+                    "service": f"s-{name}",
+                    "zone": "z1",
+                    "address": f"{host}:{port}",
+                    "capacity": 64,
+                    "seq": self.version,
+                    "warm": 0.0,
+                    "state": "ready",
+                }
+        sources = {
+            OPERATOR_SOURCE: {"version": 1, "full": True, "set": self._configuration, "gone": []},
+            "p#1": {"version": self.version, "full": True, "set": records, "gone": []},
+        }
+        now = time.monotonic()
+        body = {"sources": sources, "alive": ["p#1"], "age": 0.0, "held": 0.0}
+        change = self.router.cluster.apply(now, now, PullResponse.from_wire(body))
+        self.router.apply_change(now, change)
+
+    def idle_connections(self) -> Iterator[WorkerConnection]:
+        """The kept connections to workers."""
+        for connections in self.request_handler.connection_pool._idle.values():
+            yield from connections
+
+    def close(self) -> None:
+        """End all connections."""
+        self.server.close()
+        for connection in list(self.server.connections):
+            with suppress(OSError):
+                connection._sock.shutdown(socket.SHUT_RDWR)
+        for idle in self.idle_connections():
+            idle.sock.close()
+
+
+def _configuration(routes: Iterable[str]) -> dict[str, Any]:
+    configuration: dict[str, Any] = {"Version": "00000001"}
+    for name in routes:
+        shared = {
+            "Host": "h.example",
+            "Timeout": "9s",
+            "TargetLatency": "40ms",
+            "Service": f"s-{name}",
+            "MaxAttempts": 2,
+            "Anonymous": True,
+        }
+        for prefix, route_type in (("look", "idempotent"), ("hold", "non_idempotent")):
+            route = {**shared, "PathPrefix": f"/{prefix}/{name}/", "RouteType": route_type}
+            configuration[f"Routes/{prefix}-{name}"] = route
+        configuration[f"Services/s-{name}"] = {"HealthCheck": "/health", "MaxConnections": 100}
+    return configuration
+
+
+class ProxySite:
+    """One proxy and its workers, each behind a fault proxy of its own; routes are numbered from 0."""
+
+    def __init__(self, routes: int = 1, workers_per_route: int = 1) -> None:
+        self.history = History()
+        id_prefix = f"i{next(SITE_NUMBERS)}-"
+        self.workers = StubWorkers(self.history, id_prefix)
+        self.fault_proxies = {
+            (route, worker): FaultProxy(self.workers.address)
+            for route in range(routes)
+            for worker in range(workers_per_route)
+        }
+        self.routes: dict[str, dict[str, Address]] = {str(route): {} for route in range(routes)}
+        for (route, worker), fault_proxy in self.fault_proxies.items():
+            self.routes[str(route)][f"{id_prefix}{route}-{worker}"] = fault_proxy.address
+        self.proxy = ProxyUnderTest(self.routes)
+
+    def send(self, route: int = 0, idempotent: bool = False, body: bytes = BODY, **more: Any) -> Request:
+        """A request on a connection of its own."""
+        client = StubClient(self.history, self.proxy.address)
+        path = f"/{'look' if idempotent else 'hold'}/{route}/x"
+        request = self.history.new_request(path, idempotent, body, **more)
+        client.send(request)
+        client.close()
+        return request
+
+    def close(self) -> None:
+        """Check the history, and end everything."""
+        self.history.check()
+        self.proxy.close()
+        for fault_proxy in self.fault_proxies.values():
+            fault_proxy.close()
+        self.workers.close()
--- a/tests/support/request_router_scenarios.py
+++ b/tests/support/request_router_scenarios.py
@@ -1,16 +1,16 @@
-"""Plays text scenes on the proxy's pure gate: one line an event, with what must come of it behind `->`.
+"""Plays text scenarios on the request router: one line an event, with what must come of it behind `->`.
 
-# title of the next scene
+# title of the next scenario
 after 1.5                        the steady clock goes on, s
-news age=0.1 w1:board:z1 ...     an answer of a pull: proof's age (or `none`), all workers
-                                 (`name:service:zone`, with `:cold=2` or `:draining`),
-                                 `gone=ZONE` evacuated, `members=N`
-crowd w1 20                      so many requests of other gatekeepers are at w1
-ask A /look/ k1 -> in            a request named A arrives; `-> 503 unready` where it is turned away
-again A -> in                    a request that was `unsure` asks again: there is news, or time is up
-pick A -> w1|w2                  its (next) try goes to one of these; `-> 504 unanswered` where it ends
-end A connection_lost -> again   its last attempt ends: response:STATUS, not_run, connect_failed,
-                                 connection_lost, timed_out; `final` or `again`
+update age=0.1 w1:board:z1 ...   the response of a registry: age of its configuration (or `none`), all workers
+                                 (`name:service:zone`, with `:warming=2` or `:draining`),
+                                 `evacuated=ZONE`, `proxies=N`, `without=ENTRY` of the configuration
+peer_load w1 20                  so many requests of other proxies are in flight at w1
+request A /look/ k1 -> admitted  a request named A arrives; `-> 503 unready` where it is rejected
+reconsider A -> admitted         a request that was `unsure`: there is an update, or its time is up
+choose A -> w1|w2                its (next) attempt goes to one of these; `-> 504 unanswered` where it ends
+end A connection_lost -> retry   its last attempt ends: response:STATUS, not_run, connect_failed,
+                                 connection_lost, timed_out; `final` or `retry`
 """
 
 import random
@@ -20,6 +20,7 @@
 from ashlift.config.settings import Settings, parse_settings
 from ashlift.proxy.admission import AdmittedRequest
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
+from ashlift.proxy.load_balancer import WorkerState
 from ashlift.proxy.pull_messages import PullResponse
 from ashlift.proxy.rejections import Rejection
 from ashlift.proxy.request_router import RequestRouter
@@ -42,7 +43,7 @@
 Revoke = "5000ms"
 RetrySlack = 10
 """
-WORD: dict[str, Any] = {
+CONFIGURATION: dict[str, Any] = {
     "Version": "00000001",
     "Routes/look": {
         "Host": "h",
@@ -78,100 +79,117 @@
 }
 
 
-class Play:
+class RequestRouterScenario:
+    """One scenario: a router without a configuration at the start."""
+
     def __init__(self) -> None:
-        settings = parse_settings(SETTINGS, "scene")
+        settings = parse_settings(SETTINGS, "scenario")
         assert isinstance(settings, Settings), settings
-        self.now, self.index = 100.0, 0
-        self.gate = RequestRouter(settings, random.Random(7), self.now)
-        self.asked: dict[str, tuple[str, str, float]] = {}  # path, key, when
-        self.lives: dict[str, AdmittedRequest] = {}
-        self.views: dict[str, Any] = {}
+        self.now = 100.0
+        self.version = 0
+        self.router = RequestRouter(settings, random.Random(7), self.now)
+        self.arrivals: dict[str, tuple[str, str, float]] = {}  # path, API key and time, by the request's name
+        self.admitted: dict[str, AdmittedRequest] = {}
+        self.chosen: dict[str, WorkerState] = {}
 
     def line(self, text: str) -> None:
-        event, _, wanted = (part.strip() for part in text.partition("->"))
-        verb, *words = event.split()
-        got = getattr(self, f"do_{verb}")(*words)
-        if wanted:
-            assert got in wanted.split("|"), f"{text!r}: got {got!r}"
+        """Play one line and check what comes of it."""
+        event, _, expected = (part.strip() for part in text.partition("->"))
+        verb, *arguments = event.split()
+        result = getattr(self, f"do_{verb}")(*arguments)
+        if expected:
+            assert result in expected.split("|"), f"{text!r}: got {result!r}"
 
     def do_after(self, seconds: str) -> None:
         self.now += float(seconds)
 
-    def do_news(self, age: str, *words: str) -> None:
-        word = dict(WORD)
+    def do_update(self, age: str, *arguments: str) -> None:
+        configuration = dict(CONFIGURATION)
         records: dict[str, dict[str, Any]] = {}
-        for text in words:
-            if text.startswith("gone="):
-                word[f"Evacuations/{text[5:]}"] = 1
-            elif text.startswith("drop="):
-                del word[text[5:]]
-            elif text.startswith("members="):
-                records |= {f"g/edge-{at + 1}": {"ready": True} for at in range(int(text[8:]))}
+        for argument in arguments:
+            name, equals, value = argument.partition("=")
+            if name == "evacuated":
+                configuration[f"Evacuations/{value}"] = 1
+            elif name == "without":
+                del configuration[value]
+            elif name == "proxies":
+                records |= {f"g/edge-{number + 1}": {"ready": True} for number in range(int(value))}
             else:
-                name, service, zone, *more = text.split(":")
-                cold = next((float(one[5:]) for one in more if one.startswith("cold=")), 0.0)
-                records[f"w/{name}"] = {
-                    "service": service,
-                    "zone": zone,
-                    "address": "127.0.0.1:9",
-                    "capacity": 2,
-                    "seq": 1,
-                    "warm": cold,
-                    "state": "draining" if "draining" in more else "ready",
-                }
-        self.index += 1
+                assert not equals or "warming" in name, argument
+                worker, _, _ = argument.partition(":")
+                records[f"w/{worker}"] = worker_record(argument)
+        self.version += 1
         sources = {
-            OPERATOR_SOURCE: {"version": self.index, "full": True, "set": word, "gone": []},
-            "p#1": {"version": self.index, "full": True, "set": records, "gone": []},
+            OPERATOR_SOURCE: {"version": self.version, "full": True, "set": configuration, "gone": []},
+            "p#1": {"version": self.version, "full": True, "set": records, "gone": []},
         }
-        told = None if age == "age=none" else float(age[4:])
-        body = {"sources": sources, "alive": ["p#1"], "age": told, "held": 0.0}
-        response = PullResponse.from_wire(body)
-        self.gate.apply_change(self.now, self.gate.cluster.apply(self.now, self.now, response))
-
-    def do_crowd(self, name: str, others: str) -> None:
-        self.gate.load_balancer.workers[name].peers_in_flight = float(others)
-
-    def do_ask(self, name: str, path: str, key: str) -> str:
-        self.asked[name] = path + "x", key, self.now
-        return self.do_again(name)
-
-    def do_again(self, name: str) -> str:
-        path, key, came = self.asked[name]
-        live = self.gate.admit(self.now, "h", path, key, 3.0 - (self.now - came), came)
-        if isinstance(live, Rejection) and self.now < live.reconsider_until:
+        configuration_age = None if age == "age=none" else float(age.removeprefix("age="))
+        body = {"sources": sources, "alive": ["p#1"], "age": configuration_age, "held": 0.0}
+        change = self.router.cluster.apply(self.now, self.now, PullResponse.from_wire(body))
+        self.router.apply_change(self.now, change)
+
+    def do_peer_load(self, worker: str, requests: str) -> None:
+        self.router.load_balancer.workers[worker].peers_in_flight = float(requests)
+
+    def do_request(self, name: str, path: str, key: str) -> str:
+        self.arrivals[name] = path + "x", key, self.now
+        return self.do_reconsider(name)
+
+    def do_reconsider(self, name: str) -> str:
+        path, key, arrived_at = self.arrivals[name]
+        remaining = 3.0 - (self.now - arrived_at)
+        admitted = self.router.admit(self.now, "h", path, key, remaining, arrived_at)
+        if isinstance(admitted, AdmittedRequest):
+            self.admitted[name] = admitted
+            return "admitted"
+        if self.now < admitted.reconsider_until:
             return "unsure"
-        if isinstance(live, Rejection):
-            return f"{live.status} {live.reason}"
-        self.lives[name] = live
-        return "in"
-
-    def do_pick(self, name: str) -> str:
-        live = self.lives[name]
-        view = self.gate.choose_worker(self.now, live, bool(live.attempted_workers))
-        if isinstance(view, Rejection):
-            return f"{view.status} {view.reason}"
-        self.views[name] = view
-        return view.record.id
+        return f"{admitted.status} {admitted.reason}"
+
+    def do_choose(self, name: str) -> str:
+        request = self.admitted[name]
+        choice = self.router.choose_worker(self.now, request, retry=bool(request.attempted_workers))
+        if isinstance(choice, Rejection):
+            return f"{choice.status} {choice.reason}"
+        self.chosen[name] = choice
+        return choice.record.id
 
     def do_end(self, name: str, how: str) -> str:
-        word, _, status = how.partition(":")
-        reply = None
-        if word in ("response", "not_run"):
-            reply = WorkerResponse()
-            reply.status, reply.done = int(status or 503), True
-        outcome = AttemptOutcome(AttemptResult[word.upper()], reply, 0.1)
-        final = self.gate.record_outcome(self.now, self.lives[name], self.views[name], outcome, False)
-        return "final" if final else "again"
-
-
-def scenes(path: Path) -> list[tuple[str, list[str]]]:
-    """Title and lines of each scene in a file."""
-    found: list[tuple[str, list[str]]] = []
+        result_name, _, status = how.partition(":")
+        result = AttemptResult[result_name.upper()]
+        response = None
+        if result in (AttemptResult.RESPONSE, AttemptResult.NOT_RUN):
+            response = WorkerResponse()
+            response.status = int(status or 503)
+            response.done = True
+        outcome = AttemptOutcome(result, response, 0.1)
+        is_final = self.router.record_outcome(
+            self.now, self.admitted[name], self.chosen[name], outcome, cancelled=False
+        )
+        return "final" if is_final else "retry"
+
+
+def worker_record(text: str) -> dict[str, Any]:
+    """The record of a worker written `name:service:zone`, with options."""
+    _, service, zone, *options = text.split(":")
+    warming = [float(option.removeprefix("warming=")) for option in options if option.startswith("warming=")]
+    return {
+        "service": service,
+        "zone": zone,
+        "address": "127.0.0.1:9",
+        "capacity": 2,
+        "seq": 1,
+        "warm": warming[0] if warming else 0.0,
+        "state": "draining" if "draining" in options else "ready",
+    }
+
+
+def read_scenarios(path: Path) -> list[tuple[str, list[str]]]:
+    """Title and lines of each scenario in a file."""
+    scenarios: list[tuple[str, list[str]]] = []
     for line in path.read_text().splitlines():
         if line.startswith("# "):
-            found.append((line[2:], []))
+            scenarios.append((line[2:], []))
         elif line.strip():
-            found[-1][1].append(line)
-    return found
+            scenarios[-1][1].append(line)
+    return scenarios
--- /dev/null
+++ b/tests/support/stub_workers.py
@@ -0,0 +1,146 @@
+"""Stub workers on loopback: each behaves as a test says."""
+
+from collections.abc import Callable
+from typing import Any
+
+from gevent import socket
+from gevent.server import StreamServer
+
+from ashlift.proxy.request_reader import ClientRequest, RequestReader
+from ashlift.rpc.addresses import Address
+from tests.support.fault_proxy import HOST, RESETTING_LINGER
+from tests.support.proxy_history import History, expected_body, server_seal
+
+LARGE_BYTES = 12 << 20  # more than the kernel buffers for a peer that does not read
+# What a worker does with a request. Those that begin with "not" have not run it.
+BEHAVIOURS = (
+    "well",
+    "not: full",
+    "fails",
+    "a second answer at once",
+    "a second answer later",
+    "continue first",
+    "closing",
+    "no length",
+    "short",
+    "mute",
+    "noise",
+    "noise behind",
+    "no seal",
+    "encoded",
+    "a false promise",
+    "not: hangs up",
+    "ran and resets",
+    "not: resets when kept",
+    "not: another's id",
+)
+
+
+class StubWorkers:
+    """All stub workers at one address; `id_prefix`: what their ids begin with.
+
+    Each is known by the id that a request names, and does not run what is meant for others. `behaviours`: by
+    worker id. `reused_connections`: requests that came on a connection used before.
+    """
+
+    def __init__(self, history: History, id_prefix: str) -> None:
+        self.history = history
+        self.id_prefix = id_prefix
+        self.behaviours: dict[str, str] = {}
+        self.on_request: Callable[[ClientRequest], Any] = lambda _: None
+        self.reused_connections = 0
+        self._server = StreamServer((HOST, 0), self._connection, backlog=1024)
+        self._server.start()
+        self.address: Address = HOST, self._server.server_port or 0
+
+    def close(self) -> None:
+        """Accept no more connections."""
+        self._server.close()
+
+    def _connection(self, sock: socket.socket, _: Any) -> None:
+        reader = RequestReader()
+        served = 0
+        late_bytes = b""
+        try:
+            while True:
+                while not reader.complete:
+                    data = sock.recv(65536)
+                    if not data or reader.error_status:
+                        return
+                    reader.feed(data)
+                self.reused_connections += served > 0
+                if late_bytes:
+                    sock.sendall(late_bytes)
+                late_bytes = self._serve(sock, reader.complete.pop(0), served)
+                served += 1
+        except OSError:
+            pass
+        finally:
+            sock.close()
+
+    def _serve(self, sock: socket.socket, request: ClientRequest, served: int) -> bytes:
+        """Respond to a request; what is to be sent before the next response. OSError: the connection ends."""
+        worker_id = request.header(b"x-target-instance").decode()
+        behaviour = "not: meant"
+        if worker_id.startswith(self.id_prefix):
+            behaviour = self.behaviours.get(worker_id, "well")
+        if behaviour == "not: resets when kept" and not served:
+            behaviour = "well"
+        self.on_request(request)
+        if not behaviour.startswith("not"):
+            self.history.record_run(request)
+        return self._respond(sock, behaviour, request)
+
+    def _respond(self, sock: socket.socket, behaviour: str, request: ClientRequest) -> bytes:
+        request_id = request.header(b"x-attempt-id").decode()
+        body = expected_body(request_id, request.body)
+        response = worker_response(200, request_id, body)
+        if behaviour in ENDING_RESPONSES:
+            sock.sendall(ENDING_RESPONSES[behaviour](request_id, response, body))
+            raise OSError
+        if behaviour in RESPONSES:
+            sock.sendall(RESPONSES[behaviour](request_id, response, body))
+            return b""
+        match behaviour:
+            case "a second answer later":
+                sock.sendall(response)
+                return response
+            case "mute":
+                sock.recv(1)
+            case "ran and resets" | "not: resets when kept":
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESETTING_LINGER)
+            case _:
+                assert behaviour == "not: hangs up", behaviour
+        raise OSError
+
+
+def worker_response(status: int, id: str, body: bytes, *lines: str) -> bytes:
+    """The bytes of a response with further header lines; a success has its seal."""
+    head = [f"HTTP/1.1 {status} Said", f"X-Attempt-Id: {id}", *lines, f"Content-Length: {len(body)}"]
+    if status == 200:
+        head.insert(1, f"X-Server-Seal: {server_seal(id, body)}")
+    return "\r\n".join(head).encode() + b"\r\n\r\n" + body
+
+
+# The bytes of each behaviour, made of the request's id, a complete response, and its body.
+RESPONSES: dict[str, Callable[[str, bytes, bytes], bytes]] = {
+    "well": lambda _id, response, _body: response,
+    "not: full": lambda id, _response, _body: worker_response(503, id, b"", "X-Not-Executed: 1"),
+    "not: meant": lambda id, _response, _body: worker_response(421, id, b""),
+    "not: another's id": lambda _id, _response, _body: worker_response(503, "0", b"", "X-Not-Executed: 1"),
+    "fails": lambda id, _response, _body: worker_response(500, id, b"failed"),
+    "a second answer at once": lambda _id, response, _body: response + response,
+    "continue first": lambda _id, response, _body: b"HTTP/1.1 100 Continue\r\n\r\n" + response,
+    "large": lambda id, _response, body: worker_response(200, id, body + bytes(LARGE_BYTES)),
+    "noise": lambda _id, _response, _body: b"\x00\x01 no answer \r\n\r\n",
+    "noise behind": lambda _id, response, _body: response + b"HTTP/1.1 20",
+    "no seal": lambda _id, response, _body: response.replace(b"X-Server-Seal", b"X-Other"),
+    "encoded": lambda id, _response, body: worker_response(200, id, body, "Content-Encoding: gzip"),
+    "a false promise": lambda id, _response, _body: worker_response(503, id, b""),
+}
+# The same, and then the connection ends.
+ENDING_RESPONSES: dict[str, Callable[[str, bytes, bytes], bytes]] = {
+    "closing": lambda id, _response, body: worker_response(200, id, body, "Connection: close"),
+    "no length": lambda _id, response, _body: response.replace(b"Content-Length", b"X-Length"),
+    "short": lambda _id, response, _body: response[:-3],
+}
--- a/tests/traffic/test_rate_limiter.py
+++ b/tests/traffic/test_rate_limiter.py
@@ -94,10 +94,10 @@
 
 @test("router: a source that the cluster view dropped is kept for a while, then starts anew")
 def _() -> None:
-    play = router_scenarios.Play()
-    limiter, cluster = play.gate.rate_limiter, play.gate.cluster
+    play = router_scenarios.RequestRouterScenario()
+    limiter, cluster = play.router.rate_limiter, play.router.cluster
     for now in (1.0, 9.0, 13.0):
-        play.gate.apply_change(now, ClusterChange(proxies=True))
+        play.router.apply_change(now, ClusterChange(proxies=True))
         if now == 1.0:
             limiter.record_usage_totals(now, {"p#1": {"t": (3, 0)}})
         assert ("p#1" in limiter._totals.sources) is (now < 12), now
