--- a/ashlift/lab/system/control_calls.py
+++ b/ashlift/lab/system/control_calls.py
@@ -4,7 +4,6 @@
 that of the HTTP protocol. `HttpNetwork` carries the calls.
 """
 
-import enum
 import json
 from typing import Any, Final
 
@@ -18,6 +17,7 @@
 from ashlift.simulation.event_loop import Future
 from ashlift.simulation.history import HOST
 from ashlift.simulation.process import Machine, Process, RpcCall
+from ashlift.simulation.registry_methods import RegistryMethod
 
 COMMAND_HTTP_METHODS: Final = {  # by the kind of an operator command
     "put": "PUT",
@@ -28,16 +28,6 @@
 OK_STATUS: Final = 200
 
 
-class SimulatedMethod(enum.StrEnum):
-    """Methods that the simulator's roles call."""
-
-    LOOKUP = "lookup"
-    HEARTBEAT_SECONDS = "beat"
-    DEREGISTER = "delete"
-    READ_CONFIG = "config"
-    OPERATOR_COMMAND = "order"
-
-
 @attrs.frozen
 class HttpCall:
     """A request to a core machine; `value`: its body as JSON, None for no body; `headers`: `_` for `-`."""
@@ -57,17 +47,17 @@
 def encode_call(method: str, body: Any) -> HttpCall:
     """Return the request for a call of a simulated role. Raises ValueError for a method it never calls."""
     match method:
-        case SimulatedMethod.LOOKUP:
+        case RegistryMethod.LOOKUP:
             zone, region = body
             return HttpCall("GET", f"/lookup?Name={HOST}&Region={region}&Zone={zone}", port=DIRECTORY_PORT)
-        case SimulatedMethod.HEARTBEAT_SECONDS:
+        case RegistryMethod.HEARTBEAT:
             worker_id, heartbeat = body
             return HttpCall("PUT", f"/instances/{worker_id}", _heartbeat_value(heartbeat))
-        case SimulatedMethod.DEREGISTER:
+        case RegistryMethod.DEREGISTER:
             return HttpCall("DELETE", f"/instances/{body}")
-        case SimulatedMethod.READ_CONFIG:
+        case RegistryMethod.READ_CONFIG:
             return HttpCall("GET", "/config")
-        case SimulatedMethod.OPERATOR_COMMAND:
+        case RegistryMethod.OPERATOR_COMMAND:
             return _encode_command(body)
     raise ValueError(method)
 
@@ -102,14 +92,14 @@
         value = json.loads(b"".join(answer.parts) or b"null")
     except ValueError:
         return Failure(FailureReason.OUTCOME_UNKNOWN, "no JSON")
-    if method == SimulatedMethod.READ_CONFIG:
+    if method == RegistryMethod.READ_CONFIG:
         # The answer names no evacuations.
         return answer.status, (value if answer.status == OK_STATUS else {}, None)
     if answer.status != OK_STATUS:
         return answer.status, value
-    if method == SimulatedMethod.LOOKUP:
+    if method == RegistryMethod.LOOKUP:
         return OK_STATUS, [f"{names[address.partition(':')[0]]}:" for address in value["Addresses"]]
-    if method == SimulatedMethod.HEARTBEAT_SECONDS:
+    if method == RegistryMethod.HEARTBEAT:
         ip = (value or {}).get("HeartbeatTarget", "").partition(":")[0]
         return OK_STATUS, f"{names[ip]}:" if ip in names else ""
     return OK_STATUS, value
--- a/ashlift/simulation/busy_operators.py
+++ b/ashlift/simulation/busy_operators.py
@@ -2,11 +2,12 @@
 
 from typing import Any
 
-from ashlift.simulation import board
+from ashlift.simulation import registry_process
 from ashlift.simulation.configurations import configuration_change, edit_configuration, patch_between
 from ashlift.simulation.history import ConfigurationChange, Resend
 from ashlift.simulation.operators import CALL_TIMEOUT_SECONDS, Operator
 from ashlift.simulation.process import Task
+from ashlift.simulation.registry_methods import RegistryMethod
 
 PAUSE_SECONDS = (0.4, 1.6)  # between two commands
 RESEND_SHARE = 0.4  # of changes, as soon as they are accepted
@@ -71,6 +72,8 @@
         sent = self.loop.now
         registry = self._first_registry()
         command = change.as_command()
-        answer: Any = yield self.call(registry, board.KIND, "order", command, CALL_TIMEOUT_SECONDS)
+        answer: Any = yield self.call(
+            registry, registry_process.KIND, RegistryMethod.OPERATOR_COMMAND, command, CALL_TIMEOUT_SECONDS
+        )
         status = answer[0] if isinstance(answer, tuple) else 0
         self.history.resends.append(Resend(change, registry, sent, self.loop.now, status))
--- a/ashlift/simulation/clients.py
+++ b/ashlift/simulation/clients.py
@@ -5,12 +5,13 @@
 
 from attrs import define
 
-from ashlift.simulation import board, proxy_process
+from ashlift.simulation import proxy_process, registry_process
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.history import History, Request
 from ashlift.simulation.network import as_simulated
 from ashlift.simulation.process import Machine, Network, Process, Task
 from ashlift.simulation.proxy_process import ProxyProcess
+from ashlift.simulation.registry_methods import RegistryMethod
 
 MAX_ATTEMPTS = 3
 CONNECT_TIMEOUT_SECONDS = 1.0
@@ -85,7 +86,9 @@
         while True:
             for registry in by_distance[:REGISTRIES_ASKED]:
                 body = (self.machine.zone, self.machine.region)
-                answer = yield self.call(registry, board.KIND, "lookup", body, LOOKUP_TIMEOUT_SECONDS)
+                answer = yield self.call(
+                    registry, registry_process.KIND, RegistryMethod.LOOKUP, body, LOOKUP_TIMEOUT_SECONDS
+                )
                 if isinstance(answer, tuple) and answer[0] == 200:
                     self.proxies = [address.partition(":")[0] for address in answer[1]]
                     break
--- a/ashlift/simulation/operators.py
+++ b/ashlift/simulation/operators.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from ashlift.simulation import board
+from ashlift.simulation import registry_process
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.history import (
     ConfigurationChange,
@@ -12,6 +12,7 @@
     Reading,
 )
 from ashlift.simulation.process import Machine, Network, Process, Task
+from ashlift.simulation.registry_methods import RegistryMethod
 
 CALL_TIMEOUT_SECONDS = 1.0
 CALL_TIMEOUT_SECONDS_PER_OBJECT = 0.003
@@ -66,7 +67,9 @@
                 evacuated = command["kind"] == "evacuate"
                 evacuation_call = EvacuationCall(command["body"], evacuated, sent, sent + timeout, self.name)
                 self.history.evacuation_calls.append(evacuation_call)
-            answer = yield self.call(registry, board.KIND, "order", command, timeout)
+            answer = yield self.call(
+                registry, registry_process.KIND, RegistryMethod.OPERATOR_COMMAND, command, timeout
+            )
             if evacuation_call is not None and isinstance(answer, tuple) and answer[0] == 200:
                 evacuation_call.ended = self.loop.now
             timeout -= self.loop.now - sent
@@ -97,7 +100,9 @@
         registries = self._registry_order(first)
         while True:
             started = self.loop.now
-            answer = yield self.call(registries[0], board.KIND, "config", None, CALL_TIMEOUT_SECONDS)
+            answer = yield self.call(
+                registries[0], registry_process.KIND, RegistryMethod.READ_CONFIG, None, CALL_TIMEOUT_SECONDS
+            )
             if isinstance(answer, tuple) and answer[0] in (200, 404):
                 body, entries = answer[1]
                 version = int(body.get("ConfigVersion", "0"), 16)
--- a/ashlift/simulation/proxy_process.py
+++ b/ashlift/simulation/proxy_process.py
@@ -21,7 +21,7 @@
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.responses import WorkerResponse
 from ashlift.proxy.upstream import MAX_IDLE_PER_WORKER, MAX_IDLE_SECONDS
-from ashlift.simulation import board
+from ashlift.simulation import registry_process
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.history import HOST, Request
 from ashlift.simulation.network import SimulatedNetwork
@@ -187,7 +187,7 @@
             if pull is not None:
                 timeout = LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS
                 answer: Any = yield self.call(
-                    pull.registry_ip, board.KIND, "pull", pull.body, timeout, pull.connect_timeout
+                    pull.registry_ip, registry_process.KIND, "pull", pull.body, timeout, pull.connect_timeout
                 )
                 if self.registry_client.handle_response(pull, self.clock(), answer):
                     self._reconsider_waiting()
--- /dev/null
+++ b/ashlift/simulation/registry_process.py
@@ -0,0 +1,231 @@
+"""The registry as a simulated process: the real registry, with the loops and handlers of its program."""
+
+from collections.abc import Callable
+from typing import Any, Final
+
+from ashlift.config.operator_config import export_configuration
+from ashlift.errors import Failure, FailureReason
+from ashlift.registry import codec
+from ashlift.registry.api.evacuation import MAX_REQUEST_AGE_SECONDS
+from ashlift.registry.identity import RegistryIdentity
+from ashlift.registry.pacing import (
+    BATCHING_DELAY_SECONDS,
+    INITIAL_BACKOFF_SECONDS,
+    LONG_POLL_SECONDS,
+    MIN_LONG_POLL_SECONDS,
+    next_backoff,
+    pull_deadline,
+)
+from ashlift.registry.registry import Registry
+from ashlift.registry.replication_loops import (
+    OWN_STORE_WATCH_SECONDS,
+    RESPONSE_TIMEOUT_SECONDS,
+    TICK_INTERVAL_SECONDS,
+)
+from ashlift.registry.store_client import WATCH_GRACE_SECONDS
+from ashlift.simulation import store
+from ashlift.simulation.event_loop import EventLoop
+from ashlift.simulation.network import SimulatedNetwork
+from ashlift.simulation.process import Condition, Machine, Process, Task
+from ashlift.simulation.registry_methods import RegistryMethod
+from ashlift.simulation.route_edit_service import RouteEditService
+from ashlift.simulation.simulated_store_client import SimulatedStoreClient
+
+KIND: Final = "registry"
+CONTROL_PORT: Final = 8200
+REDIRECT_STATUS: Final = 307
+
+
+class RegistryProcess(Process):
+    """A registry on a core machine."""
+
+    net: SimulatedNetwork
+
+    def __init__(
+        self,
+        loop: EventLoop,
+        net: SimulatedNetwork,
+        machine: Machine,
+        seeds: Callable[[], list[str]],
+        zones: dict[str, str],
+        heartbeat_interval: float,
+    ) -> None:
+        """`seeds`: read at each start; `zones`: their regions."""
+        super().__init__(loop, net, machine, KIND)
+        self.seeds = seeds
+        self.zones = zones
+        self.heartbeat_interval = heartbeat_interval
+        self.handlers = {
+            "pull": self._handle_pull,
+            "swap": self._handle_swap,
+            RegistryMethod.HEARTBEAT: self._handle_heartbeat,
+            RegistryMethod.DEREGISTER: self._handle_deregister,
+            RegistryMethod.LOOKUP: self._handle_lookup,
+            RegistryMethod.OPERATOR_COMMAND: self._handle_command,
+            RegistryMethod.READ_CONFIG: self._handle_read_config,
+            RegistryMethod.EDIT_ROUTE: lambda request: self._route_edits.edit(request),
+            RegistryMethod.DECIDE_EDIT: lambda request: self._route_edits.decide(request),
+        }
+
+    def on_start(self) -> None:
+        """Start with an empty registry, and follow stores and other registries."""
+        machine = self.machine
+        identity = RegistryIdentity(
+            machine.name,
+            f"{self.loop.rng.getrandbits(32):08x}",
+            machine.name,
+            machine.zone,
+            machine.region,
+            CONTROL_PORT,
+            self.heartbeat_interval,
+        )
+        self.registry = Registry(identity, self.seeds(), self.zones, self.clock())
+        self._changed = Condition(self)
+        self._notified_count = 0
+        self._swapping_with: set[str] = set()
+        self._store_client = SimulatedStoreClient(self, self.registry)
+        self._route_edits = RouteEditService(self, self.registry, self._store_client)
+        self.spawn(self._watch_stores())
+        self.spawn(self._tick())
+
+    def notify_waiting(self) -> None:
+        """Wake the handlers that wait for a change, if there was one."""
+        if self._notified_count != self.registry.change_count:
+            self._notified_count = self.registry.change_count
+            self._changed.notify_all()
+
+    # ---- RPC calls, as `ashlift.registry.rpc_service` handles them
+    def _handle_pull(self, body: Any) -> Task:
+        started = self.clock()
+        registry = self.registry
+        request = codec.decode_pull_request(body)
+        if isinstance(request, Failure):
+            return request
+        registry.sessions.begin_pull(request, started)
+        self.notify_waiting()
+        deadline = pull_deadline(started, request.wait_seconds, MIN_LONG_POLL_SECONDS)
+        while not registry.has_updates_for(request.versions) and self.clock() < deadline:
+            yield self._changed.wait(deadline - self.clock())
+        if request.versions and registry.has_updates_for(request.versions) and not request.fragment:
+            yield BATCHING_DELAY_SECONDS
+        registry.sessions.end_pull(request.node)
+        response = registry.pull_response(request, started, self.clock())
+        return codec.encode_pull_response(response, self.clock())
+
+    def _handle_swap(self, body: Any) -> Task:
+        started = self.clock()
+        registry = self.registry
+        request = codec.decode_swap_request(body)
+        if isinstance(request, Failure):
+            return request
+        registry.receive_swap_request(request, started)
+        deadline = started + LONG_POLL_SECONDS
+        while not registry.has_updates_for_peer(request) and self.clock() < deadline:
+            yield self._changed.wait(deadline - self.clock())
+        return codec.encode_swap_response(registry.swap_response(request), self.clock())
+
+    # ---- loops, as `ashlift.registry.replication_loops` runs them
+    def _tick(self) -> Task:
+        while True:
+            self.registry.tick(self.clock())
+            self.notify_waiting()
+            peers = self.registry.peer_ips(self.clock())
+            for ip in sorted(peers - self._swapping_with):
+                self._swapping_with.add(ip)
+                self.spawn(self._swap_with(ip))
+            for ip in self._swapping_with - peers:
+                self.net.close_connection(self, ip, KIND)
+            self._swapping_with &= peers
+            yield TICK_INTERVAL_SECONDS
+
+    def _swap_with(self, ip: str) -> Task:
+        registry = self.registry
+        is_first = True
+        backoff = INITIAL_BACKOFF_SECONDS
+        while ip in self._swapping_with:
+            sent = self.clock()
+            body = codec.encode_swap_request(registry.peers.swap_request(ip, is_first))
+            timeout = LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS
+            answer = yield self.call(ip, KIND, "swap", body, timeout)
+            if ip not in self._swapping_with:
+                return
+            if not isinstance(answer, Failure):
+                answer = codec.decode_swap_response(answer, self.clock())
+            if isinstance(answer, Failure):
+                if answer.reason == FailureReason.OUTCOME_UNKNOWN:
+                    self.net.close_connection(self, ip, KIND)
+                is_first = True
+                yield backoff
+                backoff = next_backoff(backoff)
+                continue
+            is_first = False
+            backoff = INITIAL_BACKOFF_SECONDS
+            registry.receive_swap_response(ip, answer, sent)
+            self.notify_waiting()
+            yield BATCHING_DELAY_SECONDS
+
+    def _watch_stores(self) -> Task:
+        """Watch the own store, or another one in turn while that has nothing new."""
+        config = self.registry.operator_config
+        watches_own = True
+        while True:
+            sent = self.clock()
+            wait = OWN_STORE_WATCH_SECONDS if watches_own else LONG_POLL_SECONDS
+            ip = self.name if watches_own else self._store_client.next_other_store()
+            body = codec.encode_watch_request(config.version, wait, config.wanted_fragment())
+            answer: Any = Failure(FailureReason.UNREACHABLE, "there is no other store")
+            if ip is not None:
+                answer = yield self.call(ip, store.KIND, "watch", body, wait + WATCH_GRACE_SECONDS)
+            now = self.clock()
+            is_fresh = False
+            failed = isinstance(answer, Failure)
+            if watches_own:
+                timed_out = failed and answer.reason == FailureReason.OUTCOME_UNKNOWN
+                self._store_client.own_store_hangs = timed_out
+            self._store_client.observe(answer)
+            if not failed:
+                is_fresh = config.receive_watch_response(answer, sent)
+                self.notify_waiting()
+            watches_own = is_fresh or not watches_own
+            if not is_fresh:
+                yield max(0.0, sent + INITIAL_BACKOFF_SECONDS - now)
+
+    # ---- HTTP requests, as `ashlift.registry.api` handles them: a status and a value
+    def _handle_heartbeat(self, body: tuple[str, dict[str, Any]]) -> Any:
+        worker_id, fields = body
+        now = self.clock()
+        worker = codec.decode_worker(fields, now)
+        is_recorded = self.registry.instances.record_heartbeat(worker_id, worker, now)
+        self.notify_waiting()
+        if not is_recorded or self.registry.is_isolated(now):
+            return 503, None
+        return 200, self.registry.heartbeat_target(worker.zone, now)
+
+    def _handle_deregister(self, worker_id: str) -> Any:
+        self.registry.instances.deregister(worker_id, self.clock())
+        self.notify_waiting()
+        return 200, None
+
+    def _handle_lookup(self, place: tuple[str, str]) -> Any:
+        addresses = self.registry.lookup(*place, self.clock())
+        return (503, None) if isinstance(addresses, Failure) else (200, addresses)
+
+    def _handle_command(self, command: dict[str, Any]) -> Task:
+        sent_since = self.earliest_send_time if command["kind"] in ("evacuate", "restore") else None
+        if sent_since is not None and self.clock() - sent_since > MAX_REQUEST_AGE_SECONDS:
+            return REDIRECT_STATUS, None
+        answer = yield from self._store_client.submit(command, sent_since)
+        if not isinstance(answer, Failure):
+            return answer["status"], answer.get("reason")
+        if sent_since is not None and answer.reason == FailureReason.EXPIRED:
+            return REDIRECT_STATUS, None
+        return 503, answer.reason
+
+    def _handle_read_config(self, _: Any) -> Task:
+        answer = yield from self._store_client.read()
+        if isinstance(answer, Failure):
+            return 503, answer.reason
+        entries = answer["objects"]
+        if not entries.get("Version"):
+            return 404, ({}, entries)
+        return 200, (export_configuration(entries), entries)
--- a/ashlift/simulation/route_edits.py
+++ b/ashlift/simulation/route_edits.py
@@ -8,12 +8,13 @@
 from ashlift.config.operator_config import export_configuration
 from ashlift.config.routing_table import RoutingTable
 from ashlift.route_reconciliation.stored_records import Outcome, outcome_of
-from ashlift.simulation import board
-from ashlift.simulation.board import Board
+from ashlift.simulation import registry_process
 from ashlift.simulation.configurations import new_route_specification
 from ashlift.simulation.history import ConfigurationChange, History
 from ashlift.simulation.operators import Operator
 from ashlift.simulation.process import Task
+from ashlift.simulation.registry_methods import RegistryMethod
+from ashlift.simulation.registry_process import RegistryProcess
 from ashlift.simulation.store import Store
 
 CALL_TIMEOUT_SECONDS = 5.0  # the command line's
@@ -58,7 +59,9 @@
     return name, {**text, "Service": service}
 
 
-def send_edit(operator: Operator, history: History, edit_id: str, words: str, registry: Board) -> None:
+def send_edit(
+    operator: Operator, history: History, edit_id: str, words: str, registry: RegistryProcess
+) -> None:
     """Read the route at a registry, and ask for another text of it there."""
     entries = registry.registry.operator_config.values
     name, text = parse_edit(entries, words)
@@ -66,7 +69,7 @@
     history.route_edits[edit_id] = record
     base = entries.get(f"Routes/{name}")
     body = {"id": edit_id, "who": operator.name, "name": name, "text": text, "base": base}
-    _send(operator, record, registry.name, "edit", body)
+    _send(operator, record, registry.name, RegistryMethod.EDIT_ROUTE, body)
 
 
 def send_decision(
@@ -74,14 +77,14 @@
 ) -> None:
     """Confirm or reject a pending edit; `overwrite`: also what changed meanwhile."""
     body = {"id": edit_id, "who": operator.name, "word": decision, "over": overwrite}
-    _send(operator, history.route_edits[edit_id], registry, "word", body)
+    _send(operator, history.route_edits[edit_id], registry, RegistryMethod.DECIDE_EDIT, body)
 
 
 def _send(operator: Operator, record: EditRecord, registry: str, method: str, body: dict[str, Any]) -> None:
     record.status = 0
 
     def call() -> Task:
-        answer = yield operator.call(registry, board.KIND, method, body, CALL_TIMEOUT_SECONDS)
+        answer = yield operator.call(registry, registry_process.KIND, method, body, CALL_TIMEOUT_SECONDS)
         record.receive_answer(answer, operator.loop.now)
 
     operator.spawn(call())
--- /dev/null
+++ b/ashlift/simulation/simulated_store_client.py
@@ -0,0 +1,97 @@
+"""How a simulated registry asks the configuration stores, as `ashlift.registry.store_client` does."""
+
+from collections.abc import Callable
+from typing import Any
+
+from ashlift.errors import Failure, FailureReason
+from ashlift.registry.operator_request import OperatorRequest
+from ashlift.registry.registry import Registry
+from ashlift.registry.store_client import COMMAND_TIMEOUT_SECONDS
+from ashlift.registry.store_position import POSITION_REQUEST, StorePosition, stores_to_try
+from ashlift.simulation import store
+from ashlift.simulation.event_loop import Future
+from ashlift.simulation.process import Process, Task
+
+
+class SimulatedStoreClient:
+    """Asks one store after the other, for one incarnation of a registry."""
+
+    def __init__(self, process: Process, registry: Registry) -> None:
+        self._process = process
+        self._registry = registry
+        self._position = StorePosition()
+        self._watch_number = 0
+        self.own_store_hangs = False
+
+    def stores(self) -> list[str]:
+        """Return the core machines that have a store, by distance."""
+        registry = self._registry
+        identity = registry.identity
+        members = registry.core_members()
+        by_distance = registry.registries_by_distance(identity.zone, identity.region, self._process.clock())
+        return [ip for ip in by_distance if ip in members]
+
+    def next_other_store(self) -> str | None:
+        """Return another machine's store, a different one each time."""
+        others = [ip for ip in self.stores() if ip != self._process.name]
+        self._watch_number += 1
+        return others[self._watch_number % len(others)] if others else None
+
+    def observe(self, answer: Any) -> None:
+        """Note the position that a store's answer to `watch` tells."""
+        self._position.observe(answer)
+
+    def submit(self, command: dict[str, Any], sent_since: float | None = None) -> Task:
+        """Submit a command; `sent_since`: it was not sent before, and is void a time-out after."""
+        known_index = self._position.index
+        started = self._process.clock() if sent_since is None else sent_since
+        deadline = started + COMMAND_TIMEOUT_SECONDS
+
+        def body() -> dict[str, Any]:
+            return self._position.fenced(command, known_index, deadline - self._process.clock())
+
+        response = yield from self.ask("submit", body, deadline)
+        return response
+
+    def read(self) -> Task:
+        """Read the committed map."""
+        response = yield from self.ask("read", dict, self._process.clock() + COMMAND_TIMEOUT_SECONDS)
+        return response
+
+    def ask(self, method: str, body: Callable[[], dict[str, Any]], deadline: float) -> Task:
+        """Call the method of one store after the other; `body` is made anew for each call."""
+        process = self._process
+        stores = stores_to_try(process.name, self.stores(), self.own_store_hangs)
+        request = OperatorRequest(stores, process.clock(), deadline)
+        answers: list[tuple[str, Any]] = []
+        wake_up = Future()
+
+        def call(ip: str) -> Task:
+            answer = yield from self._call_with_position(ip, method, body, deadline)
+            answers.append((ip, answer))
+            wake_up.set(None)
+
+        while wait := request.wait_seconds(process.clock()):
+            ip = request.next_store(process.clock())
+            if ip is not None:
+                process.spawn(call(ip))
+                continue
+            if not answers:
+                wake_up = Future()
+                process.call_later(wait, wake_up.set, None)
+                yield wake_up
+            while answers:
+                request.record_response(*answers.pop(0), process.clock())
+        return request.outcome
+
+    def _call_with_position(
+        self, ip: str, method: str, body: Callable[[], dict[str, Any]], deadline: float
+    ) -> Task:
+        """Call once, and again with the store's position if the known one is too old."""
+        process = self._process
+        answer = yield process.call(ip, store.KIND, method, body(), deadline - process.clock())
+        if isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
+            remaining = deadline - process.clock()
+            self.observe((yield process.call(ip, store.KIND, "watch", POSITION_REQUEST, remaining)))
+            answer = yield process.call(ip, store.KIND, method, body(), deadline - process.clock())
+        return answer
--- a/ashlift/simulation/worker.py
+++ b/ashlift/simulation/worker.py
@@ -7,10 +7,11 @@
 
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
 from ashlift.proxy.responses import WorkerResponse
-from ashlift.simulation import board
+from ashlift.simulation import registry_process
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.history import WorkerRecord
 from ashlift.simulation.process import Machine, Network, Process, Task
+from ashlift.simulation.registry_methods import RegistryMethod
 from ashlift.simulation.worker_attempts import WorkerAttempt
 
 if TYPE_CHECKING:
@@ -174,7 +175,9 @@
         for registry in registries:
             state = self.state
             body = self._heartbeat()
-            answer = yield self.call(registry, board.KIND, "beat", body, CALL_TIMEOUT_SECONDS)
+            answer = yield self.call(
+                registry, registry_process.KIND, RegistryMethod.HEARTBEAT, body, CALL_TIMEOUT_SECONDS
+            )
             if isinstance(answer, tuple) and answer[0] == 200:
                 if state == "draining" and self.record.draining_acknowledged == math.inf:
                     self.record.draining_acknowledged = self.loop.now
@@ -206,7 +209,9 @@
 
     def _deregister(self, target: str | None) -> Task:
         for registry in [*([target] if target else []), *self.pool.registries]:
-            answer = yield self.call(registry, board.KIND, "delete", self.id, CALL_TIMEOUT_SECONDS)
+            answer = yield self.call(
+                registry, registry_process.KIND, RegistryMethod.DEREGISTER, self.id, CALL_TIMEOUT_SECONDS
+            )
             if isinstance(answer, tuple) and answer[0] == 200:
                 self.record.deregistered = self.loop.now
                 break
--- a/ashlift/simulation/world.py
+++ b/ashlift/simulation/world.py
@@ -7,15 +7,15 @@
 
 from ashlift.config.settings import Bindings, Settings
 from ashlift.errors import Failure, FailureReason
-from ashlift.simulation import board, proxy_process, store
+from ashlift.simulation import proxy_process, registry_process, store
 from ashlift.simulation.base_world import CORE, EDGE, HEARTBEAT_SECONDS, RESTART_SECONDS, BaseWorld
-from ashlift.simulation.board import Board
 from ashlift.simulation.clients import ClientPopulation
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.network import SimulatedNetwork
 from ashlift.simulation.plan import ZONES, Plan
 from ashlift.simulation.process import Machine, Process
 from ashlift.simulation.proxy_process import ProxyProcess
+from ashlift.simulation.registry_process import RegistryProcess
 from ashlift.simulation.store import Store
 from ashlift.simulation.worker_pool import WorkerPool
 
@@ -28,10 +28,10 @@
 # The programs that the words of scenarios stand for.
 PROGRAMS: Final = {
     "configstore": [store.KIND],
-    "registry": [board.KIND],
+    "registry": [registry_process.KIND],
     "proxy": [proxy_process.KIND],
-    "core": [store.KIND, board.KIND],
-    "all": [store.KIND, board.KIND, proxy_process.KIND],
+    "core": [store.KIND, registry_process.KIND],
+    "all": [store.KIND, registry_process.KIND, proxy_process.KIND],
 }
 
 AnyProcess = TypeVar("AnyProcess", bound=Process)
@@ -72,7 +72,7 @@
     def _add_core_machine(self, name: str, zone: str) -> None:
         machine = self._add_machine(name, zone)
         Store(self.loop, self.net, machine, lambda: self.seeds)
-        Board(self.loop, self.net, machine, lambda: self.seeds, self.zones, HEARTBEAT_SECONDS)
+        RegistryProcess(self.loop, self.net, machine, lambda: self.seeds, self.zones, HEARTBEAT_SECONDS)
 
     def _add_edge_machine(self, name: str, zone: str) -> None:
         machine = self._add_machine(name, zone)
@@ -97,7 +97,7 @@
         return machine
 
     def _with_seeds(self, settings: Settings) -> Settings:
-        return evolve(settings, seeds=tuple((seed, board.CONTROL) for seed in self.seeds))
+        return evolve(settings, seeds=tuple((seed, registry_process.CONTROL_PORT) for seed in self.seeds))
 
     def run(self, until: float) -> None:
         """Let everything happen up to that time."""
@@ -118,11 +118,11 @@
         """Return the configuration stores of all core machines."""
         return [self.configstore(name) for name in self.core]
 
-    def registry(self, machine: str) -> Board:
+    def registry(self, machine: str) -> RegistryProcess:
         """Return the registry on a core machine."""
-        return self._process(machine, board.KIND, Board)
+        return self._process(machine, registry_process.KIND, RegistryProcess)
 
-    def registries(self) -> list[Board]:
+    def registries(self) -> list[RegistryProcess]:
         """Return the registries of all core machines."""
         return [self.registry(name) for name in self.core]
 
--- a/tests/registry/test_soft_state.py
+++ b/tests/registry/test_soft_state.py
@@ -205,7 +205,7 @@
         }
         answers = isinstance(registry.lookup("z4", "r1", now), list)
         return (
-            board._beat(("probe", fields))[0],
+            board._handle_heartbeat(("probe", fields))[0],
             answers,
             age is not None and age <= MAX_CONFIGURATION_AGE_SECONDS,
         )
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -24,8 +24,8 @@
 from ashlift.configstore.replica import Replica
 from ashlift.configstore.replication import Replication
 from ashlift.registry.operator_request import OperatorRequest
-from ashlift.simulation import board
 from ashlift.simulation.explore import CASES, explore
+from ashlift.simulation.registry_process import RegistryProcess
 
 # name: where, what stands there, what stands there instead
 MUTANTS: dict[str, tuple[Any, str, str, str]] = {
@@ -230,16 +230,16 @@
         "stores",
     ),
     "a registry vouches for any call": (
-        board.Board,
-        "_order",
-        'self.earliest_send_time if body["kind"] in ("evacuate", "restore") else None',
+        RegistryProcess,
+        "_handle_command",
+        'self.earliest_send_time if command["kind"] in ("evacuate", "restore") else None',
         "None",
         "an evacuation held up between the operator and a registry",
     ),
     "a registry vouches for what came while it was frozen": (
-        board.Board,
-        "_order",
-        'self.earliest_send_time if body["kind"] in ("evacuate", "restore") else None',
+        RegistryProcess,
+        "_handle_command",
+        'self.earliest_send_time if command["kind"] in ("evacuate", "restore") else None',
         "None",
         "an evacuation in the buffers of a frozen registry, given up by its operator",
     ),
