--- a/ashlift/registry/identity.py
+++ b/ashlift/registry/identity.py
@@ -7,7 +7,7 @@
 class RegistryIdentity:
     """Name, place and addresses of one registry process.
 
-    `incarnation` is random and new at each start. `http_port` is the port of the HTTP API, the same on all
+    `incarnation` is random and new at each start. `http_port` is the port of the HTTP API, the same on
     all core machines. `heartbeat_seconds` is the interval at which workers send heartbeats.
     """
 
