--- a/ashlift/configstore/catch_up.py
+++ b/ashlift/configstore/catch_up.py
@@ -33,16 +33,16 @@
 class ReplicaProgress:
     """Another replica's map as the leader knows it."""
 
-    held: TermIndex | None  # None: nobody knows which state it is
+    position: TermIndex | None  # None: nobody knows which state it is
     payload_in_flight: bool = False  # a payload, or a request for digests
     chunk_bytes: int = PAYLOAD_CHUNK_BYTES  # about; halved when a payload did not get through in time
     last_delta_base: TermIndex | None = None
     sent_ranges: dict[int, SentRange] = field(factory=dict)
 
-    def acknowledge(self, held: TermIndex | None) -> None:
+    def acknowledge(self, position: TermIndex | None) -> None:
         """The replica has said what it holds."""
-        if held != self.held:
-            self.held = held
+        if position != self.position:
+            self.position = position
             self.sent_ranges.clear()
 
     def reset(self) -> None:
@@ -73,38 +73,38 @@
         self, progress: ReplicaProgress, newest: Snapshot, range_digests: bytes | None = None
     ) -> bytes | None:
         """The encoded payload that brings the replica on; None: its range digests are needed first."""
-        delta_was_refused = range_digests and progress.held == progress.last_delta_base
-        if progress.held and not progress.sent_ranges and not delta_was_refused:
-            delta = self._delta(progress.held, newest)
+        delta_was_refused = range_digests and progress.position == progress.last_delta_base
+        if progress.position and not progress.sent_ranges and not delta_was_refused:
+            delta = self._delta(progress.position, newest)
             if delta is not None and len(delta) <= progress.chunk_bytes:
-                progress.last_delta_base = progress.held
+                progress.last_delta_base = progress.position
                 return delta
         return self._range_update(progress, newest, range_digests) if range_digests else None
 
-    def _delta(self, held: TermIndex, newest: Snapshot) -> bytes | None:
+    def _delta(self, position: TermIndex, newest: Snapshot) -> bytes | None:
         """All that differs from a state that was held; None: it is not known, or that is too much."""
-        base = self.change_log.number_of(held)
+        base = self.change_log.number_of(position)
         if base is None:
             return None
         if self._encoded_deltas[0] != self.change_log.newest_number:
             self._encoded_deltas = self.change_log.newest_number, {}
         deltas = self._encoded_deltas[1]
         if base not in deltas:
-            encoded = self._encode_delta(held, base, newest)
+            encoded = self._encode_delta(position, base, newest)
             deltas[base] = encoded if len(encoded) <= PAYLOAD_CHUNK_BYTES else None
         return deltas[base]
 
-    def _encode_delta(self, held: TermIndex, base: int, newest: Snapshot) -> bytes:
+    def _encode_delta(self, position: TermIndex, base: int, newest: Snapshot) -> bytes:
         entries = newest.entries.map
         keys = self.change_log.keys_changed_since(base)
         updates = {key: entries[key] for key in keys if key in entries}
         deletions = [key for key in keys if key not in entries]
-        return encode_payload(Delta(held, updates, deletions, newest.entries.digest()))
+        return encode_payload(Delta(position, updates, deletions, newest.entries.digest()))
 
     def _range_update(self, progress: ReplicaProgress, newest: Snapshot, range_digests: bytes) -> bytes:
         """As many of the differing ranges as a request may carry; the response brings the next digests."""
         entries = newest.entries
-        base = self.change_log.number_of(progress.held) if progress.held else None
+        base = self.change_log.number_of(progress.position) if progress.position else None
         changed_keys = {} if base is None else self.change_log.keys_changed_since_by_range(base)
         update = RangeUpdate({}, {}, [], entries.digest())
         size_bytes = 0
--- a/ashlift/configstore/change_log.py
+++ b/ashlift/configstore/change_log.py
@@ -49,7 +49,7 @@
             self._oldest_number = 1
         else:
             for key in entries.keys_differing_from(self.entries):
-                self._mark(key, key in entries.map)
+                self._note_change(key, key in entries.map)
         self.entries = entries
         self._forget_oldest()
 
@@ -63,7 +63,7 @@
         if not follows:
             self._runs.append(Run(term, index, self.newest_number))
 
-    def _mark(self, key: str, is_present: bool) -> None:
+    def _note_change(self, key: str, is_present: bool) -> None:
         self._last_changes.pop(key, None)
         self._last_changes[key] = self.newest_number
         self._deleted.pop(key, None)
--- a/ashlift/configstore/codec.py
+++ b/ashlift/configstore/codec.py
@@ -140,11 +140,11 @@
         case AppendAccepted(term, clock_token, incarnation):
             accepted = [term, CODE_ACCEPTED, clock_token]
             return accepted if incarnation is None else [*accepted, incarnation]
-        case AppendBehind(term, clock_token, range_digests, held):
-            return [term, CODE_BEHIND, clock_token, range_digests, _encode_position(held)]
-        case LearnerStatus(term, clock_token, incarnation, is_level, range_digests, held):
-            position = _encode_position(held)
-            return [term, CODE_LEARNER, clock_token, incarnation, is_level, range_digests, position]
+        case AppendBehind(term, clock_token, range_digests, position):
+            return [term, CODE_BEHIND, clock_token, range_digests, _encode_position(position)]
+        case LearnerStatus(term, clock_token, incarnation, is_level, range_digests, position):
+            fields = [incarnation, is_level, range_digests, _encode_position(position)]
+            return [term, CODE_LEARNER, clock_token, *fields]
 
 
 def decode_vote_response(body: Any) -> VoteResponse:
@@ -161,11 +161,12 @@
     if code == CODE_ACCEPTED:
         return AppendAccepted(term, clock_token, fields[0] if fields else None)
     if code == CODE_LEARNER:
-        incarnation, is_level, range_digests, *held = fields
-        return LearnerStatus(term, clock_token, incarnation, is_level, range_digests, _decode_held(held))
+        incarnation, is_level, range_digests, *rest = fields
+        position = _decode_position(rest)
+        return LearnerStatus(term, clock_token, incarnation, is_level, range_digests, position)
     if code == CODE_BEHIND:
-        range_digests, *held = fields
-        return AppendBehind(term, clock_token, range_digests, _decode_held(held))
+        range_digests, *rest = fields
+        return AppendBehind(term, clock_token, range_digests, _decode_position(rest))
     return AppendBehind(term, clock_token, None, None)
 
 
@@ -181,7 +182,7 @@
     return None if position is None else [*position]
 
 
-def _decode_held(fields: list[Any]) -> TermIndex | None:
+def _decode_position(fields: list[Any]) -> TermIndex | None:
     """Processes of early releases do not say what they hold."""
     return tuple(fields[0]) if fields else None
 
--- a/ashlift/configstore/follower.py
+++ b/ashlift/configstore/follower.py
@@ -108,14 +108,14 @@
 
     def _apply_payload(self, payload: Payload | None) -> RangedMap | None:
         """The map of the request, if the payload leads to it."""
-        held = self.replica.snapshot
+        own = self.replica.snapshot
         match payload:
             case Delta(base, updates, deletions):
-                if base != held.term_index:
+                if base != own.term_index:
                     return None
-                entries = held.entries.with_changes(updates, deletions)
+                entries = own.entries.with_changes(updates, deletions)
             case RangeUpdate(ranges, updates, deletions):
-                staged = self.staged_entries or held.entries
+                staged = self.staged_entries or own.entries
                 entries = staged.with_ranges(ranges).with_changes(updates, deletions)
                 self.staged_entries = entries
             case _:
@@ -127,8 +127,8 @@
         replica = self.replica
         if replica.vote.is_voter or not isinstance(payload, Promotion):
             return False
-        held_position = payload.term_index or requested
-        return payload.incarnation == replica.incarnation and replica.term_index == held_position
+        position = payload.term_index or requested
+        return payload.incarnation == replica.incarnation and replica.term_index == position
 
     def _finish_append(self, reply_to: Any, request: AppendRequest, accepted: Accepted) -> None:
         """What was accepted is durable, or nothing of this replica counts."""
--- a/ashlift/configstore/membership.py
+++ b/ashlift/configstore/membership.py
@@ -15,7 +15,7 @@
 INCARNATION: Final = "life"
 LEAVING: Final = "leaving"
 VOTERS_REQUIRED: Final = "until"
-HELD_BACK: Final = "held"
+VOTING_BLOCKED: Final = "held"
 
 Entries = Mapping[str, Any]  # of the replicated map, by key
 
--- a/ashlift/configstore/membership_manager.py
+++ b/ashlift/configstore/membership_manager.py
@@ -4,11 +4,11 @@
 
 from ashlift.configstore import events
 from ashlift.configstore.membership import (
-    HELD_BACK,
     INCARNATION,
     LEARNER_PREFIX,
     LEAVING,
     VOTER_PREFIX,
+    VOTING_BLOCKED,
     leaving_voters,
     membership_entry,
 )
@@ -54,8 +54,8 @@
         newest_index = self.leader.proposed.term_index[1]
         is_level = peer.learning is None and peer.match_index + MAX_LAG_UP_TO_DATE >= newest_index
         is_up_to_date = is_level and peer.heard_at > now - QUORUM_CONTACT_TIMEOUT_SECONDS
-        silent_seconds = now - self.leader.peers.last_sign_of_life_at(ip)
-        return ReplicaView(silent_seconds, is_up_to_date, peer.incarnation if is_up_to_date else None)
+        seconds_since_contact = now - self.leader.peers.last_contact_at(ip)
+        return ReplicaView(seconds_since_contact, is_up_to_date, peer.incarnation if is_up_to_date else None)
 
     def table(self) -> list[dict[str, Any]]:
         """For operators: how far behind each is, and why a voter may not be removed (`stays`)."""
@@ -68,7 +68,7 @@
             is_self = ip == leader.replica.ip
             is_voter = VOTER_PREFIX + ip in leader.current_map()
             behind = max(0, leader.proposed.term_index[1] - peer.match_index)
-            silent_seconds = leader.replica.now - leader.peers.last_sign_of_life_at(ip)
+            seconds_since_contact = leader.replica.now - leader.peers.last_contact_at(ip)
             rows.append(
                 {
                     "ip": ip,
@@ -77,7 +77,7 @@
                     "life": entry.get(INCARNATION),
                     "leads": is_self,
                     "behind": 0 if is_self else behind,
-                    "unheard": 0.0 if is_self else round(silent_seconds, 1),
+                    "unheard": 0.0 if is_self else round(seconds_since_contact, 1),
                     "counts": is_voter and (is_self or peer.learning is None),
                     "stays": self._removal_refusal(ip, entry, views) if is_voter else None,
                 }
@@ -129,12 +129,12 @@
     def _hears_not_all(self) -> bool:
         latest = self.leader.replica.now - REPLACE_VOTER_AFTER_SECONDS
         peers = self.leader.peers
-        others = [ip for ip in peers.voters() if ip != self.leader.replica.ip]
-        return any(peers.last_sign_of_life_at(ip) <= latest for ip in others)
+        other_voters = [ip for ip in peers.voters() if ip != self.leader.replica.ip]
+        return any(peers.last_contact_at(ip) <= latest for ip in other_voters)
 
     def _has_successor(self, views: dict[str, ReplicaView]) -> bool:
-        others = [ip for ip in self.leader.peers.voters() if ip != self.leader.replica.ip]
-        return any(views[ip].is_up_to_date for ip in others)
+        other_voters = [ip for ip in self.leader.peers.voters() if ip != self.leader.replica.ip]
+        return any(views[ip].is_up_to_date for ip in other_voters)
 
     def _replaced_disks(self) -> dict[str, int]:
         """Replicas that learn with another incarnation than the map names, each with that incarnation."""
@@ -180,4 +180,4 @@
 def _role(entry: dict[str, Any], *, is_voter: bool) -> str:
     if is_voter:
         return "voter"
-    return "held learner" if entry.get(HELD_BACK) else "learner"
+    return "held learner" if entry.get(VOTING_BLOCKED) else "learner"
--- a/ashlift/configstore/membership_rules.py
+++ b/ashlift/configstore/membership_rules.py
@@ -9,12 +9,12 @@
 from attrs import frozen
 
 from ashlift.configstore.membership import (
-    HELD_BACK,
     INCARNATION,
     LEARNER_PREFIX,
     LEAVING,
     VOTER_PREFIX,
     VOTERS_REQUIRED,
+    VOTING_BLOCKED,
     Entries,
     addresses_under,
     leaving_voters,
@@ -25,7 +25,7 @@
 from ashlift.response_status import BAD_REQUEST, CONFLICT, OK
 
 # While a voter is silent for longer, no learner becomes a voter beside it.
-MAX_SILENCE_FOR_PROMOTION_SECONDS: Final = 1.2
+MAX_CONTACT_AGE_FOR_PROMOTION_SECONDS: Final = 1.2
 # A voter that is silent for so long gives its vote to a learner that is ready.
 REPLACE_VOTER_AFTER_SECONDS: Final = 5.0
 # A voter that is silent for so long may lose its vote, if as many failures are tolerated without it.
@@ -52,7 +52,7 @@
 class ReplicaView:
     """What the leader sees of a replica."""
 
-    silent_seconds: float = float("inf")
+    seconds_since_contact: float = float("inf")
     is_up_to_date: bool = False  # heard lately, counted, and holds the newest map or nearly so
     incarnation: int | None = None  # of a learner that is ready to vote
 
@@ -78,7 +78,7 @@
         view.is_up_to_date
         and view.incarnation is not None
         and view.incarnation == learner.get(INCARNATION)
-        and not learner.get(HELD_BACK)
+        and not learner.get(VOTING_BLOCKED)
     )
 
 
@@ -121,9 +121,9 @@
         if isinstance(entries.get(LEARNER_PREFIX + command.ip), dict):
             return _unchanged()  # removed before
         return _refused(CONFLICT, f"{command.ip} is no voter")
-    others = _without(leaving_voters(entries), command.ip)
-    if others:
-        return _refused(CONFLICT, f"{', '.join(others)} leaves already: one at a time")
+    other_voters = _without(leaving_voters(entries), command.ip)
+    if other_voters:
+        return _refused(CONFLICT, f"{', '.join(other_voters)} leaves already: one at a time")
     return _decide_removal(entries, command, views, tolerated_failures)
 
 
@@ -136,7 +136,7 @@
     learner = entries.get(LEARNER_PREFIX + ip)
     if not isinstance(learner, dict):
         return _refused(CONFLICT, f"{ip} has not asked to join")
-    released = {key: value for key, value in learner.items() if key != HELD_BACK}
+    released = {key: value for key, value in learner.items() if key != VOTING_BLOCKED}
     return _changed(LEARNER_PREFIX + ip, released) if released != learner else _unchanged()
 
 
@@ -183,8 +183,8 @@
     for ip in leaving_voters(entries):
         action = entries[VOTER_PREFIX + ip][LEAVING]
         if ip != leader_ip and removal_refusal(entries, ip, views, tolerated_failures, action) is None:
-            held_back = {LEARNER_PREFIX + ip: {INCARNATION: 0, HELD_BACK: True}}
-            return Proposal(held_back, [VOTER_PREFIX + ip], None)
+            blocked_learner = {LEARNER_PREFIX + ip: {INCARNATION: 0, VOTING_BLOCKED: True}}
+            return Proposal(blocked_learner, [VOTER_PREFIX + ip], None)
     ready = ready_learners(entries, views)
     if ready and _may_promote(entries, leader_ip, views):
         ip = ready[0]
@@ -207,8 +207,8 @@
         LEARNER_PREFIX + ip
         for ip in addresses_under(entries, LEARNER_PREFIX)
         if ip not in join_requests
-        and not entries[LEARNER_PREFIX + ip].get(HELD_BACK)
-        and views.get(ip, NEVER_HEARD).silent_seconds >= REMOVE_VOTER_AFTER_SECONDS
+        and not entries[LEARNER_PREFIX + ip].get(VOTING_BLOCKED)
+        and views.get(ip, NEVER_HEARD).seconds_since_contact >= REMOVE_VOTER_AFTER_SECONDS
     ]
     return Proposal(new, gone, None) if new or gone else None
 
@@ -217,10 +217,10 @@
     """Whether the present voters can commit a larger membership without the newcomer."""
     voters = addresses_under(entries, VOTER_PREFIX)
     up_to_date = sum(views.get(ip, NEVER_HEARD).is_up_to_date for ip in voters)
-    longest_silence = max(
-        (views.get(ip, NEVER_HEARD).silent_seconds for ip in voters if ip != leader_ip), default=0.0
+    longest_contact_age = max(
+        (views.get(ip, NEVER_HEARD).seconds_since_contact for ip in voters if ip != leader_ip), default=0.0
     )
-    if longest_silence >= MAX_SILENCE_FOR_PROMOTION_SECONDS:
+    if longest_contact_age >= MAX_CONTACT_AGE_FOR_PROMOTION_SECONDS:
         return False
     return up_to_date >= quorum(len(voters) + 1) or len(voters) == 1
 
@@ -235,10 +235,12 @@
 ) -> Proposal | None:
     """The one that is silent for longest, if as many failures are tolerated without it."""
     voters = addresses_under(entries, VOTER_PREFIX)
-    silence = {ip: views.get(ip, NEVER_HEARD).silent_seconds for ip in voters if ip != leader_ip}
+    contact_ages = {ip: views.get(ip, NEVER_HEARD).seconds_since_contact for ip in voters if ip != leader_ip}
     limit = REPLACE_VOTER_AFTER_SECONDS if has_ready_learner else REMOVE_VOTER_AFTER_SECONDS
-    lost = sorted((ip for ip in silence if silence[ip] >= limit), key=lambda ip: (-silence[ip], ip))
-    long_lost = sum(silence[ip] >= REMOVE_VOTER_PAIR_AFTER_SECONDS for ip in lost)
+    lost = sorted(
+        (ip for ip in contact_ages if contact_ages[ip] >= limit), key=lambda ip: (-contact_ages[ip], ip)
+    )
+    long_lost = sum(contact_ages[ip] >= REMOVE_VOTER_PAIR_AFTER_SECONDS for ip in lost)
     if len(voters) % 2 and not has_ready_learner and long_lost < 2:
         return None  # nothing is gained by removing one of an odd number
     for ip in lost:
--- a/ashlift/configstore/messages.py
+++ b/ashlift/configstore/messages.py
@@ -81,12 +81,12 @@
 
 
 class AppendBehind(NamedTuple):
-    """The receiver follows, and holds another map: the one at `held`, None if it did not say so."""
+    """The receiver follows, and holds another map: the one at `position`, None if it did not say so."""
 
     term: int
     clock_token: int
     range_digests: bytes | None
-    held: TermIndex | None
+    position: TermIndex | None
 
 
 class LearnerStatus(NamedTuple):
@@ -97,7 +97,7 @@
     incarnation: int
     is_level: bool
     range_digests: bytes | None
-    held: TermIndex | None
+    position: TermIndex | None
 
 
 AppendResponse = AppendRejected | AppendAccepted | AppendBehind | LearnerStatus
--- a/ashlift/configstore/peers.py
+++ b/ashlift/configstore/peers.py
@@ -44,14 +44,14 @@
     def __init__(self, leader: "Leader") -> None:
         self.leader = leader
         self.states: dict[str, PeerState] = {}
-        self._initially_held = leader.replica.term_index  # what each holds unless it says another
+        self._initial_position = leader.replica.term_index  # what each holds unless it says another
         self._roles: tuple[Snapshot | None, list[str], list[str]] = (None, [], [])
 
     def get(self, ip: str) -> PeerState:
         """What is known of a replica; one that is new is entered."""
         state = self.states.get(ip)
         if state is None:
-            state = self.states[ip] = PeerState(ReplicaProgress(self._initially_held))
+            state = self.states[ip] = PeerState(ReplicaProgress(self._initial_position))
         return state
 
     def voters(self) -> list[str]:
@@ -73,10 +73,10 @@
     def heartbeat_targets(self) -> list[str]:
         """The other voters, and the learners that are heard."""
         earliest = self.leader.replica.now - LEARNER_TIMEOUT_SECONDS
-        learners = [ip for ip in self.learners() if self.last_sign_of_life_at(ip) > earliest]
+        learners = [ip for ip in self.learners() if self.last_contact_at(ip) > earliest]
         return [ip for ip in [*self.voters(), *learners] if ip != self.leader.replica.ip]
 
-    def last_sign_of_life_at(self, ip: str) -> float:
+    def last_contact_at(self, ip: str) -> float:
         """When it last answered or asked to join; in this term at the earliest."""
         peer = self.get(ip)
         return max(peer.heard_at, peer.join_requested_at, self.leader.elected_at)
--- a/ashlift/configstore/replica.py
+++ b/ashlift/configstore/replica.py
@@ -43,7 +43,9 @@
 )
 from ashlift.errors import Failure, FailureReason
 
-LEADER_SILENCE_SECONDS: Final = 3 * HEARTBEAT_INTERVAL_SECONDS  # a leader not heard for so long is not asked
+LEADER_CONTACT_TIMEOUT_SECONDS: Final = (
+    3 * HEARTBEAT_INTERVAL_SECONDS
+)  # a leader not heard for so long is not asked
 INCARNATION_BITS: Final = 31
 
 EMPTY_SNAPSHOT: Final = Snapshot(NO_TERM_INDEX, RangedMap())
@@ -203,7 +205,9 @@
 
     def hears_no_leader(self, now: float) -> bool:
         """Whether no leader is to be expected here: who wants one had better ask another replica."""
-        return self.leader_role is None and now - self.follower.leader_heard_at > LEADER_SILENCE_SECONDS
+        return (
+            self.leader_role is None and now - self.follower.leader_heard_at > LEADER_CONTACT_TIMEOUT_SECONDS
+        )
 
     def next_tick_at(self) -> float:
         """When the next `ClockTicked` is wanted, if nothing comes before."""
--- a/ashlift/configstore/replication.py
+++ b/ashlift/configstore/replication.py
@@ -50,7 +50,7 @@
         proposed = self.leader.proposed
         for ip in self.leader.peers.heartbeat_targets():
             peer = self.leader.peers.get(ip)
-            if peer.progress.payload_in_flight or peer.progress.held == proposed.term_index:
+            if peer.progress.payload_in_flight or peer.progress.position == proposed.term_index:
                 self._send_append(ip, peer)
                 continue
             payload = self.catch_up.next_payload(peer.progress, proposed)
@@ -112,7 +112,7 @@
         peer.heard_at = max(peer.heard_at, event.sent_at)
         if is_newest:
             peer.clock_token = response.clock_token
-            peer.progress.acknowledge(_held(response, (self.leader.term, context.proposed_index)))
+            peer.progress.acknowledge(_position(response, (self.leader.term, context.proposed_index)))
         if isinstance(response, LearnerStatus):
             self._restore_learner(event.peer, peer, response.incarnation)
         else:
@@ -124,7 +124,7 @@
     def _send_missing(self, ip: str, peer: PeerState, range_digests: bytes | None) -> None:
         """Send at once what is known to be lacking."""
         proposed = self.leader.proposed
-        if peer.progress.payload_in_flight or peer.progress.held == proposed.term_index:
+        if peer.progress.payload_in_flight or peer.progress.position == proposed.term_index:
             return
         payload = self.catch_up.next_payload(peer.progress, proposed, range_digests)
         if payload is not None:
@@ -139,15 +139,15 @@
             peer.match_index = 0
             peer.progress.reset()
             leader.replica.log_event(events.LEARNER_RESTORING, ip=ip, index=newest)
-        term, index = peer.progress.held or NO_TERM_INDEX
+        term, index = peer.progress.position or NO_TERM_INDEX
         entry = membership_entry(leader.current_map(), ip)
         if term != leader.term or peer.progress.payload_in_flight:
             return
         if entry is None or entry.get(INCARNATION) != incarnation:
             return  # `MembershipManager` enters its incarnation first
         if peer.learning.promotion_index <= index <= leader.commit_index:
-            held = None if index == newest else (term, index)
-            self._send_append(ip, peer, encode_payload(Promotion(incarnation, held)))
+            position = None if index == newest else (term, index)
+            self._send_append(ip, peer, encode_payload(Promotion(incarnation, position)))
         elif index == newest == leader.commit_index and leader.proposals.is_idle():
             leader.proposals.propose(Proposal({}, [], None))  # to be committed without it
 
@@ -170,11 +170,11 @@
             peer.incarnation = response.incarnation
 
 
-def _held(response: StatusResponse, requested: TermIndex) -> TermIndex | None:
+def _position(response: StatusResponse, requested: TermIndex) -> TermIndex | None:
     """Which state the replica holds; None: it is not known."""
     match response:
         case AppendAccepted() | LearnerStatus(is_level=True):
             return requested
-        case AppendBehind(held=held) | LearnerStatus(held=held):
+        case AppendBehind(position=position) | LearnerStatus(position=position):
             # Index 0 is of one that has nothing, and of the seeds at first: these differ.
-            return held if held is not None and held[1] > 0 else None
+            return position if position is not None and position[1] > 0 else None
--- a/tests/configstore/test_catch_up.py
+++ b/tests/configstore/test_catch_up.py
@@ -113,10 +113,13 @@
         range_digests = receiver.staged.range_digests()
     assert receiver.snapshot.entries.digest() == newest.entries.digest()
     differing = (away + 2 * calls) * 340
-    whole = many * 340
-    assert receiver.payload_bytes < (1.2 * differing + 2000 if what == "its state is known" else 1.4 * whole)
+    complete = many * 340
+    assert receiver.payload_bytes < (
+        1.2 * differing + 2000 if what == "its state is known" else 1.4 * complete
+    )
     assert (
-        receiver.payloads <= 3 + (differing if what == "its state is known" else whole) // PAYLOAD_CHUNK_BYTES
+        receiver.payloads
+        <= 3 + (differing if what == "its state is known" else complete) // PAYLOAD_CHUNK_BYTES
     )
 
 
@@ -182,7 +185,7 @@
     assert 1.5 < more / short < 6, (short, long, more)
 
 
-def promoted(index_held: int, committed: int, proposed: int) -> list[list[Any]]:
+def promoted(index_offset: int, committed: int, proposed: int) -> list[list[Any]]:
     """What promotes a learner that is said to hold one of a leader's proposals: those since it was heard of
     are numbered from 1, so many are committed."""
     replica = elected_replica()
@@ -194,11 +197,11 @@
             append_response(peer, 2.0, 1, first, [2, CODE_ACCEPTED, 5]),
         )
 
-    def heard(held: int) -> list[Any]:
-        body = [2, CODE_LEARNER, 6, 77, held == first, None, [2, held]]
-        return feed(replica, 2.1, append_response("2", 2.1, 9, held, body))
+    def answer_as_learner(index: int) -> list[Any]:
+        body = [2, CODE_LEARNER, 6, 77, index == first, None, [2, index]]
+        return feed(replica, 2.1, append_response("2", 2.1, 9, index, body))
 
-    heard(first)  # it proposes at once what is to be committed without that life
+    answer_as_learner(first)  # it proposes at once what is to be committed without that life
     for number in range(1, proposed + 1):
         if number > 1:
             feed(replica, 2.1, CommandSubmitted(f"c{number}", (number - 2, f"c{number}")))
@@ -210,9 +213,9 @@
         if number <= committed:
             for peer in "34":
                 feed(replica, 2.1, append_response(peer, 2.1, 9, first + number, [2, CODE_ACCEPTED, 6]))
-    told = heard(first + index_held)
+    effects = answer_as_learner(first + index_offset)
     payloads = [
-        unpack(send.body[7]) for send in requests_sent(told, "append") if isinstance(send.body[7], bytes)
+        unpack(send.body[7]) for send in requests_sent(effects, "append") if isinstance(send.body[7], bytes)
     ]
     return [payload for payload in payloads if payload[0] == KIND_PROMOTION]
 
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -134,7 +134,7 @@
         "if request.term < replica.vote.term:",
         "if False:",
     ),
-    "a delta on another map": (Follower, "_apply_payload", "base != held.term_index", "False"),
+    "a delta on another map": (Follower, "_apply_payload", "base != own.term_index", "False"),
     "a digest not compared": (Follower, "_apply_payload", "entries.digest() == payload.digest", "True"),
     "proven before it is confirmed": (FreshnessLease, "renew", "if is_confirmed and ", "if "),
     "proven without the commit": (
