--- a/ashlift/gatekeeper/cli.py
+++ b/ashlift/gatekeeper/cli.py
@@ -272,9 +272,9 @@
     scene: Path, seed: int | None, until: float | None, results: Path, report: Path | None, keep: bool
 ) -> None:
     """Play a SCENE of the whole system (ashlift/simulation/scenario.py) as real processes on loopback."""
-    from ashlift.lab.system import cli  # the system's libraries are loaded by the lab alone
+    from ashlift.lab.system import commands  # the system's libraries are loaded by the lab alone
 
-    sys.exit(cli.system(scene, seed, until, results, report, keep))
+    sys.exit(commands.run_on_processes(scene, seed, until, results, report, keep))
 
 
 @lab_group.command("sim")
@@ -285,9 +285,9 @@
 @click.option("--shrink", is_flag=True, help="Shorten and print what fails.")
 def lab_sim(scene: Path, seeds: int, first: int | None, results: Path | None, shrink: bool) -> None:
     """Play a SCENE of the whole system on simulated time, with many seeds."""
-    from ashlift.lab.system import cli
+    from ashlift.lab.system import commands
 
-    sys.exit(cli.sim(scene, seeds, first, results, shrink))
+    sys.exit(commands.run_simulated(scene, seeds, first, results, shrink))
 
 
 def _progress(seconds: float) -> Any:
--- a/ashlift/lab/system/__init__.py
+++ b/ashlift/lab/system/__init__.py
@@ -1,1 +1,1 @@
-"""The whole system as processes on loopback, under the scenes and checkers of `dovetail`."""
+"""The whole system as processes on loopback, under the scenarios and checkers of `ashlift.simulation`."""
--- /dev/null
+++ b/ashlift/lab/system/machine_connectivity.py
@@ -0,0 +1,77 @@
+"""The links between machines of a run, and which of them are blocked.
+
+Each link passes through a fault-injecting proxy (`TcpLink`), which holds back the bytes of a blocked
+direction: neither end is notified, as where packets are lost.
+"""
+
+import math
+from collections.abc import Iterable
+
+from ashlift.lab.faults import Fault, Schedule, State, Way
+from ashlift.lab.proxy import TcpLink
+from ashlift.lab.system.machine_layout import LabMachine, machine_links
+
+
+class MachineConnectivity:
+    """Owns the proxies. A pair of machines stands for the direction from the first to the second."""
+
+    def __init__(self) -> None:
+        self._blocked: set[tuple[str, str]] = set()
+        self._schedule = Schedule([])
+        self._links: list[TcpLink] = []
+
+    def open_links(self, machines: list[LabMachine]) -> None:
+        """Listen for all links. Raises OSError where an address cannot be had."""
+        for seed, link in enumerate(machine_links(machines)):
+            proxy = TcpLink(
+                link.caller, link.callee, link.target_address, self._schedule, seed, link.listen_address
+            )
+            self._links.append(proxy)
+
+    def begin(self, started: float) -> None:
+        """Count the time of the schedule from a reading of the monotonic clock."""
+        for link in self._links:
+            link.begin(started)
+
+    def close(self) -> None:
+        """Close all links and their connections."""
+        for link in self._links:
+            link.close()
+
+    def is_connected(self, one: str, other: str) -> bool:
+        """Whether neither direction is blocked."""
+        return (one, other) not in self._blocked and (other, one) not in self._blocked
+
+    def machines_with_blocked_link(self) -> set[str]:
+        """Names of machines with a link of which a direction is blocked."""
+        return {name for pair in self._blocked for name in pair}
+
+    def block(self, sources: Iterable[str], targets: Iterable[str], both: bool) -> None:
+        """Block the links between two groups, from `sources` to `targets` or in both directions."""
+        target_names = list(targets)
+        for source in sources:
+            for target in target_names:
+                if source == target:
+                    continue
+                self._blocked.add((source, target))
+                if both:
+                    self._blocked.add((target, source))
+        self._apply()
+
+    def unblock(self, sources: list[str] | None, targets: list[str] | None) -> set[str]:
+        """Unblock the links between two groups, or all where `sources` is None.
+
+        Returns the names of the machines of those links.
+        """
+        pairs = {(source, target) for source in sources or () for target in targets or ()}
+        unblocked = {
+            pair for pair in self._blocked if sources is None or pair in pairs or pair[::-1] in pairs
+        }
+        self._blocked -= unblocked
+        self._apply()
+        return {name for pair in unblocked for name in pair}
+
+    def _apply(self) -> None:
+        ways = frozenset(Way(source, target) for source, target in self._blocked)
+        # In place: every link asks this schedule.
+        self._schedule.faults[:] = [Fault(ways, 0.0, math.inf, State("hold"))] if ways else []
--- /dev/null
+++ b/ashlift/lab/system/process_world.py
@@ -0,0 +1,297 @@
+"""A world of real processes, in which `ashlift.simulation.scenario_player.ScenarioPlayer` plays scenarios.
+
+The programs of the checkout run as processes on loopback. Workers, clients and operators are the simulator's
+roles in this process, on real time and real sockets. `supported_scenarios` says what cannot be played here.
+"""
+
+import contextlib
+import os
+import signal
+import time
+from collections.abc import Callable
+from typing import Final, cast
+
+import gevent
+
+from ashlift.lab.system.control_calls import HttpNetwork
+from ashlift.lab.system.http_clients import HttpClients, ProxyAccess
+from ashlift.lab.system.machine_connectivity import MachineConnectivity
+from ashlift.lab.system.machine_layout import CONTROL_PORT, FRONT_PORT, LabMachine, lay_out_machines
+from ashlift.lab.system.machine_settings import ClusterSettings
+from ashlift.lab.system.programs import Program, stop_programs
+from ashlift.lab.system.real_time_loop import RealTimeLoop
+from ashlift.lab.system.registry_status import RegistryStatus
+from ashlift.lab.system.run_directory import RunDirectory
+from ashlift.lab.system.saved_runs import RunEvent
+from ashlift.lab.system.worker_servers import WorkerServers
+from ashlift.simulation.base_world import HEARTBEAT_SECONDS, RESTART_SECONDS, BaseWorld
+from ashlift.simulation.event_loop import EventLoop
+from ashlift.simulation.plan import ZONES, Plan
+from ashlift.simulation.process import Machine
+from ashlift.simulation.worker_pool import WorkerPool
+
+# The programs that the words of scenarios stand for.
+PROGRAMS: Final = {
+    "configstore": ["configstore"],
+    "registry": ["registry"],
+    "proxy": ["proxy"],
+    "core": ["configstore", "registry"],
+    "all": ["configstore", "registry", "proxy"],
+}
+START_TIMEOUT_SECONDS: Final = 30.0  # for all programs to listen
+TERMINATION_POLL_SECONDS: Final = 0.1
+PROGRESS_SECONDS: Final = 0.5
+FIRST_NETWORK: Final = 20  # the second number of addresses
+NETWORK_COUNT: Final = 200
+
+
+class ProcessWorld(BaseWorld):
+    """`begin` starts everything and returns when all programs listen; `stop` ends all that was started.
+
+    `events`: what happened to programs, machines and links.
+    """
+
+    def __init__(self, plan: Plan, on_progress: Callable[[str], None] | None = None) -> None:
+        # By process, so that two runs at the same time have different addresses.
+        self._network_number = FIRST_NETWORK + os.getpid() % NETWORK_COUNT
+        self.machines = {machine.name: machine for machine in lay_out_machines(plan, self._network_number)}
+        self.real_time_loop = RealTimeLoop(plan.seed)
+        self.events: list[RunEvent] = []
+        self._on_progress = on_progress
+        self._programs: dict[tuple[str, str], Program] = {}  # by machine and kind
+        self._has_power = dict.fromkeys(self.machines, True)
+        self._connectivity = MachineConnectivity()
+        self._directory = RunDirectory()
+        self._registry_status = RegistryStatus(
+            {machine.name: machine.ip for machine in self.machines.values()}
+        )
+        core = [machine.name for machine in self.machines.values() if machine.is_core]
+        edge = [machine.name for machine in self.machines.values() if not machine.is_core]
+        network = HttpNetwork(list(self.machines.values()))
+        network.machines = {
+            machine.name: Machine(machine.name, machine.zone, machine.region, 0.0)
+            for machine in self.machines.values()
+        }
+        super().__init__(plan, core, edge, cast(EventLoop, self.real_time_loop), network)
+        self._add_clients()
+
+    def new_worker_pool(self) -> WorkerPool:
+        """Return the servers of this world's workers."""
+        self._worker_servers = WorkerServers(
+            self.loop,
+            self.net,
+            self.history,
+            self.core,
+            HEARTBEAT_SECONDS,
+            self.bounds.drain,
+            self._network_number,
+        )
+        return self._worker_servers
+
+    def _add_clients(self) -> None:
+        proxy_ips = {name: self.machines[name].ip for name in self.edge}
+        access = ProxyAccess(proxy_ips, self._worker_servers.sent_requests, self._proxy_incarnation)
+        for zone, region in ZONES.items():
+            machine = Machine(f"clients-{zone}", zone, region, 0.0, "clients")
+            clients = HttpClients(
+                self.loop, self.net, machine, self.history, self.core, self.load_share, access
+            )
+            self.client_populations.append(clients)
+
+    def _proxy_incarnation(self, machine: str) -> int:
+        return self._programs[machine, "proxy"].incarnation
+
+    # ---- begin and end
+    def begin(self) -> None:
+        """Start everything, and the time of the run.
+
+        Raises OSError where an address cannot be had, RuntimeError where a program does not come up.
+        """
+        self._connectivity.open_links(list(self.machines.values()))
+        for machine in self.machines.values():
+            self._write_settings(machine, bootstrap=True)
+            for kind in PROGRAMS["core"] if machine.is_core else PROGRAMS["proxy"]:
+                log = self._directory.log_path(machine, kind)
+                program = Program(machine.name, kind, self._directory.settings_path(machine), log)
+                self._programs[machine.name, kind] = program
+                program.start()
+        self._wait_until_listening()
+        self.real_time_loop.begin()
+        self._connectivity.begin(self.real_time_loop.started)
+        for machine in self.machines.values():
+            # A program that starts again joins the cluster and does not bootstrap another.
+            self._write_settings(machine, bootstrap=False)
+        self.populate()
+
+    def _write_settings(self, machine: LabMachine, bootstrap: bool) -> None:
+        settings = ClusterSettings(list(self.machines.values()), self.seeds, self.bounds)
+        self._directory.write_settings(machine, settings, bootstrap)
+
+    def _wait_until_listening(self) -> None:
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
+        for (name, kind), program in self._programs.items():
+            machine = self.machines[name]
+            ports = {"configstore": machine.store_port, "registry": CONTROL_PORT, "proxy": FRONT_PORT}
+            program.wait_until_listening((machine.ip, ports[kind]), deadline)
+
+    def stop(self) -> None:
+        """End all programs, servers and links."""
+        self.real_time_loop.is_stopped = True
+        self._worker_servers.stop()
+        stop_programs(list(self._programs.values()))
+        self._connectivity.close()
+
+    def remove_files(self) -> None:
+        """Remove the directory of settings, disks and logs."""
+        self._directory.remove()
+
+    def run(self, until: float) -> None:
+        """Wait until that second of the run. Raises RuntimeError where an action has failed."""
+        loop = self.real_time_loop
+        while True:
+            remaining = until - loop.now
+            if remaining <= 0 or loop.failures:
+                break
+            gevent.sleep(min(PROGRESS_SECONDS, remaining))
+            if self._on_progress is not None:
+                self._on_progress(self._progress_text())
+        if loop.failures:
+            raise RuntimeError(loop.failures[0])
+        self.history.end = loop.now
+
+    def _progress_text(self) -> str:
+        requests = self.history.requests
+        served = sum(200 <= request.status < 300 for request in requests)
+        rejected = sum(request.status in (429, 503) for request in requests)
+        return (
+            f"{self.loop.now:5.1f} / {self.plan.until:g} s  requests {len(requests)}  served {served}  "
+            f"refused {rejected}"
+        )
+
+    # ---- what the registries say of themselves
+    def versions(self) -> dict[str, int]:
+        """Return the version of the configuration at each running core machine."""
+        return self._registry_status.versions(self._running_core())
+
+    def known_workers(self) -> dict[str, dict[str, bool]]:
+        """Return the workers that each running core machine knows, and whether they are ready."""
+        return self._registry_status.known_workers(self._running_core())
+
+    def leader(self) -> str | None:
+        """Return the core machine that leads the store."""
+        return self._registry_status.leader(self._running_core())
+
+    def has_leader(self) -> bool:
+        """Whether a running registry knows a leader of the store."""
+        return self.leader() is not None
+
+    def _running_core(self) -> list[str]:
+        return [name for name in self.core if self.is_running(name)]
+
+    def is_running(self, machine: str) -> bool:
+        """Whether the machine has power and all its programs run."""
+        if not self._has_power[machine]:
+            return False
+        programs = [program for (name, _), program in self._programs.items() if name == machine]
+        return all(program.is_running and not program.is_frozen for program in programs)
+
+    # ---- faults of programs and machines
+    def _record(self, machine: str, text: str) -> None:
+        self.events.append(RunEvent(self.loop.now, machine, text))
+
+    def _selected(self, kind: str, machines: list[str]) -> list[Program]:
+        keys = [(machine, program) for machine in machines for program in PROGRAMS[kind]]
+        return [self._programs[key] for key in keys if key in self._programs]
+
+    def kill(self, kind: str, names: list[str], seconds: float = RESTART_SECONDS) -> None:
+        """Kill programs of these machines; they start again after `seconds`."""
+        for program in self._selected(kind, names):
+            if program.is_running:
+                self.begin_fault(program.machine)
+                program.kill()
+                self._record(program.machine, f"{program.kind} killed")
+                self.loop.call_later(seconds, self._restart, program)
+
+    def _restart(self, program: Program) -> None:
+        if self._has_power[program.machine] and not program.is_running:
+            program.start()
+            self._record(program.machine, f"{program.kind} started")
+            self.end_faults(program.machine)
+
+    def terminate(self, kind: str, names: list[str]) -> None:
+        """Send SIGTERM to programs of these machines; they start again after their end."""
+        for program in self._selected(kind, names):
+            if program.is_running:
+                self.begin_fault(program.machine, termination=True)
+                program.signal(signal.SIGTERM)
+                self._record(program.machine, f"{program.kind} told to end")
+                self._restart_after_end(program)
+
+    def _restart_after_end(self, program: Program) -> None:
+        if program.is_running:
+            self.loop.call_later(TERMINATION_POLL_SECONDS, self._restart_after_end, program)
+        else:
+            self.loop.call_later(RESTART_SECONDS, self._restart, program)
+
+    def freeze(self, kind: str, names: list[str], seconds: float) -> None:
+        """Stop programs of these machines from running for `seconds`."""
+        for program in self._selected(kind, names):
+            if program.is_running and not program.is_frozen:
+                program.freeze()
+                self._record(program.machine, f"{program.kind} frozen")
+                self.begin_fault(program.machine)
+                self.loop.call_later(seconds, self._unfreeze, program, program.incarnation)
+
+    def _unfreeze(self, program: Program, incarnation: int) -> None:
+        if program.incarnation == incarnation:
+            program.unfreeze()
+            self._record(program.machine, f"{program.kind} thawed")
+            self.end_faults(program.machine)
+
+    def power_off(self, names: list[str], seconds: float | None = None, wipe: bool = False) -> None:
+        """End all programs of these machines; `wipe`: their disks are lost; `seconds`: until `power_on`."""
+        for name in names:
+            self.begin_fault(name)
+            self._has_power[name] = False
+            for program in self._selected("all", [name]):
+                program.kill()
+            self._record(name, "disk lost" if wipe else "power lost")
+            if wipe:
+                self._directory.wipe_disk(self.machines[name])
+                self._write_settings(self.machines[name], bootstrap=False)
+            if seconds is not None:
+                self.loop.call_later(seconds, self.power_on, [name])
+
+    def power_on(self, names: list[str]) -> None:
+        """Start all programs of these machines."""
+        for name in names:
+            self._has_power[name] = True
+            for program in self._selected("all", [name]):
+                self._restart(program)
+
+    # ---- links and seeds
+    def is_connected(self, one: str, other: str) -> bool:
+        """Whether the link between two machines is open in both directions."""
+        return self._connectivity.is_connected(one, other)
+
+    def block_links(self, ones: list[str], others: list[str], both: bool = True) -> None:
+        """Block the links between two groups of machines; without `both` only from `ones` to `others`."""
+        self._connectivity.block(ones, others, both)
+        self._record_links({*ones, *others}, "cut")
+
+    def unblock_links(self, ones: list[str] | None = None, others: list[str] | None = None) -> None:
+        """Unblock the links between two groups of machines, or all."""
+        self._record_links(self._connectivity.unblock(ones, others), "joined")
+
+    def _record_links(self, machines: set[str], text: str) -> None:
+        for name in sorted(machines):
+            self._record(name, text)
+        self.links_changed(machines, self._connectivity.machines_with_blocked_link())
+
+    def apply_seeds(self) -> None:
+        """Write the seeds as they are now into all settings, and have all programs read them."""
+        for machine in self.machines.values():
+            self._write_settings(machine, bootstrap=False)
+            for program in self._selected("all", [machine.name]):
+                with contextlib.suppress(OSError):
+                    program.signal(signal.SIGHUP)
--- a/ashlift/lab/system/programs.py
+++ b/ashlift/lab/system/programs.py
@@ -4,13 +4,17 @@
 import os
 import signal
 import sys
+import time
 from pathlib import Path
 from typing import Final
 
-from gevent import subprocess
+import gevent
+from gevent import socket, subprocess
 
 CHECKOUT: Final = Path(__file__).resolve().parents[3]  # the programs run its code
 STOP_TIMEOUT_SECONDS: Final = 2.0
+LISTEN_PROBE_SECONDS: Final = 1.0
+LISTEN_POLL_SECONDS: Final = 0.05
 LOG_TAIL_CHARACTERS: Final = 600
 
 
@@ -55,6 +59,23 @@
                 start_new_session=True,
             )
 
+    def wait_until_listening(self, address: tuple[str, int], deadline: float) -> None:
+        """Return when it listens there.
+
+        Raises RuntimeError with the end of its log where it has ended, or does not listen by `deadline` (of
+        the monotonic clock).
+        """
+        while True:
+            try:
+                socket.create_connection(address, timeout=LISTEN_PROBE_SECONDS).close()
+            except OSError:
+                if not self.is_running or time.monotonic() > deadline:
+                    name = f"{self.kind}@{self.machine}"
+                    raise RuntimeError(f"{name} does not listen: {self.log_tail()}") from None
+                gevent.sleep(LISTEN_POLL_SECONDS)
+            else:
+                return
+
     def signal(self, number: signal.Signals) -> None:
         """Send a signal, if its process runs."""
         if self._process is not None and self.is_running:
--- /dev/null
+++ b/ashlift/lab/system/registry_status.py
@@ -0,0 +1,50 @@
+"""What the registries of a run say of themselves at GET /status."""
+
+import json
+from collections.abc import Iterable
+from typing import Any, Final
+
+from ashlift.errors import Failure
+from ashlift.lab.system.http_exchange import exchange, request_head
+from ashlift.lab.system.machine_layout import CONTROL_PORT
+
+STATUS_TIMEOUT_SECONDS: Final = 2.0
+
+
+class RegistryStatus:
+    """Asks core machines; `ips`: of machines by name. A registry that does not answer says nothing."""
+
+    def __init__(self, ips: dict[str, str]) -> None:
+        self._ips = ips
+        self._names = {ip: name for name, ip in ips.items()}
+
+    def versions(self, machines: Iterable[str]) -> dict[str, int]:
+        """Return the version of the configuration that each registry has, 0 for none."""
+        versions: dict[str, int] = {}
+        for name in machines:
+            version = self._read(name).get("version") or 0
+            versions[name] = int(version, 16) if isinstance(version, str) else version
+        return versions
+
+    def known_workers(self, machines: Iterable[str]) -> dict[str, dict[str, bool]]:
+        """Return the workers that each registry knows, and whether they are ready."""
+        return {
+            name: {worker["id"]: worker["state"] == "ready" for worker in self._read(name).get("workers", ())}
+            for name in machines
+        }
+
+    def leader(self, machines: Iterable[str]) -> str | None:
+        """Return the leader of the newest term that a registry knows."""
+        statuses = [self._read(name) for name in machines]
+        with_leader = [status for status in statuses if status.get("leader")]
+        newest = max(with_leader, key=lambda status: status.get("term") or 0, default=None)
+        return self._names.get(newest["leader"]) if newest else None
+
+    def _read(self, machine: str) -> dict[str, Any]:
+        ip = self._ips[machine]
+        head = request_head("GET", "/status", ip, b"")
+        answer = exchange((ip, CONTROL_PORT), head, b"", STATUS_TIMEOUT_SECONDS)
+        if isinstance(answer, Failure) or answer.status != 200:
+            return {}
+        status = json.loads(b"".join(answer.parts))
+        return status if isinstance(status, dict) else {}
--- a/ashlift/lab/system/runs.py
+++ b/ashlift/lab/system/runs.py
@@ -1,4 +1,4 @@
-"""Plays scenes, on simulated time or as processes, and keeps what came of it."""
+"""Plays scenarios of the whole system, on simulated time or on processes, and saves what came of them."""
 
 import contextlib
 import signal
@@ -11,8 +11,8 @@
 
 from ashlift.lab.checker import Verdict
 from ashlift.lab.results import Results
-from ashlift.lab.system.kept import Did, as_lab, lines
-from ashlift.lab.system.world import ProcessWorld
+from ashlift.lab.system.process_world import ProcessWorld
+from ashlift.lab.system.saved_runs import RunEvent, rule_verdicts, to_lab_history
 from ashlift.simulation.checkers.rules import check_rules
 from ashlift.simulation.history import History
 from ashlift.simulation.scenario import Scenario, ScenarioEvent
@@ -21,60 +21,68 @@
 
 
 class StoppedError(Exception):
-    """SIGTERM or SIGINT came."""
+    """SIGTERM or SIGINT has come; the text is the signal's name."""
 
 
 @define
-class Played:
-    """What came of one run; `took`: s of real time."""
+class PlayedRun:
+    """What came of one run.
 
-    scene: Scenario
+    `duration`: seconds of real time; `max_lag`: the most seconds that the lab's process was late.
+    """
+
+    scenario: Scenario
     seed: int
     history: History
     verdicts: list[Verdict]
-    did: Did
-    took: float
-    lag: float = 0.0  # s, the most that this process was late
+    events: list[RunEvent]
+    duration: float
+    max_lag: float = 0.0
 
     @property
-    def ok(self) -> bool:
-        return all(one.ok for one in self.verdicts)
+    def is_ok(self) -> bool:
+        """Whether every verdict is good."""
+        return all(verdict.ok for verdict in self.verdicts)
 
-    def keep(self, results: Results, git: str, began: str, kind: str) -> int:
-        plan = evolve(self.scene.plan, seed=self.seed)
-        lab = as_lab(self.history, self.did, plan.rate)
+    def save(self, results: Results, commit: str, began: str, kind: str) -> int:
+        """Save the run and return its number; `kind`: `sim` or `processes`."""
+        plan = evolve(self.scenario.plan, seed=self.seed)
         return results.store(
-            lab,
+            to_lab_history(self.history, self.events, plan.rate),
             self.verdicts,
-            name=f"{kind}: {self.scene.title.partition(':')[0]}",
+            name=f"{kind}: {self.scenario.title.partition(':')[0]}",
             began=began,
-            git=git,
+            git=commit,
             seed=self.seed,
-            scenario=evolve(self.scene, plan=plan).to_text(),
+            scenario=evolve(self.scenario, plan=plan).to_text(),
             allows=0.0,
         )
 
 
-def simulated(scene: Scenario, seed: int) -> Played:
+def play_simulated(scenario: Scenario, seed: int) -> PlayedRun:
+    """Play a scenario on simulated time."""
     began = time.perf_counter()
-    did: Did = []
-    play = ScenarioPlayer(
-        scene, seed, on_event=lambda line: did.append((line.at, "scene", " ".join(line.words)))
-    )
-    play.run()
-    return _played(play, seed, did, began)
+    events: list[RunEvent] = []
+
+    def record_event(event: ScenarioEvent) -> None:
+        events.append(RunEvent(event.at, "scene", " ".join(event.words)))
 
+    player = ScenarioPlayer(scenario, seed, on_event=record_event)
+    player.run()
+    return _judge(player, seed, events, began)
 
-def _played(play: ScenarioPlayer, seed: int, did: Did, began: float) -> Played:
-    world = play.world
-    found = check_rules(world.history, world.bounds)
-    took = time.perf_counter() - began
-    return Played(play.scenario, seed, world.history, lines(found, play.failed_expectation), did, took)
+
+def _judge(player: ScenarioPlayer, seed: int, events: list[RunEvent], began: float) -> PlayedRun:
+    world = player.world
+    violations = check_rules(world.history, world.bounds)
+    duration = time.perf_counter() - began
+    verdicts = rule_verdicts(violations, player.failed_expectation)
+    return PlayedRun(player.scenario, seed, world.history, verdicts, events, duration)
 
 
 @contextlib.contextmanager
-def _ended_by_signals() -> Iterator[None]:
-    """SIGTERM and SIGINT raise StoppedError here, wherever it waits, so that all is cleared away."""
+def _stopped_by_signals() -> Iterator[None]:
+    """Within, SIGTERM and SIGINT raise StoppedError wherever the caller waits, so that it can clean up."""
     main = gevent.getcurrent()
     handlers: list[Any] = [
         gevent.signal_handler(number, main.throw, StoppedError(number.name))
@@ -83,30 +91,33 @@
     try:
         yield
     finally:
-        for one in handlers:
-            one.cancel()
+        for handler in handlers:
+            handler.cancel()
 
 
-def processes(
-    scene: Scenario,
+def play_on_processes(
+    scenario: Scenario,
     seed: int,
-    progress: Callable[[str], None],
-    told: Callable[[ScenarioEvent], None],
-    keep: bool = False,
-) -> Played:
-    """Play it on processes. `keep`: the folder of settings, disks and logs stays.
-
-    StoppedError: by a signal; RuntimeError, OSError: it could not be played. All is ended then too.
+    on_progress: Callable[[str], None],
+    on_event: Callable[[ScenarioEvent], None],
+    keep_files: bool = False,
+) -> PlayedRun:
+    """Play a scenario on processes; `keep_files`: the directory of settings, disks and logs stays.
+
+    Raises StoppedError on a signal, RuntimeError or OSError where it cannot be played. All processes are
+    ended then too.
     """
     began = time.perf_counter()
-    world = ProcessWorld(evolve(scene.plan, seed=seed), progress)
-    with _ended_by_signals():
+    world = ProcessWorld(evolve(scenario.plan, seed=seed), on_progress)
+    with _stopped_by_signals():
         try:
             world.begin()
-            play = ScenarioPlayer(scene, seed, make_world=lambda plan: cast(World, world), on_event=told)
-            play.run()
-            return evolve(_played(play, seed, world.did, began), lag=world.clock.max_lag)
+            player = ScenarioPlayer(
+                scenario, seed, make_world=lambda _plan: cast(World, world), on_event=on_event
+            )
+            player.run()
+            return evolve(_judge(player, seed, world.events, began), max_lag=world.real_time_loop.max_lag)
         finally:
             world.stop()
-            if not keep:
-                world.clear()
+            if not keep_files:
+                world.remove_files()
--- a/tests/lab/test_control_calls.py
+++ b/tests/lab/test_control_calls.py
@@ -11,7 +11,7 @@
 from ashlift.simulation.registry_methods import RegistryMethod
 
 
-@test("the lab's workers and operator speak as the pages say")
+@test("the lab's workers and operator send requests of the HTTP protocol")
 def _() -> None:
     fields = {
         "service": "fleet",
--- a/tests/lab/test_machine_layout.py
+++ b/tests/lab/test_machine_layout.py
@@ -13,7 +13,7 @@
 NETWORK = 77
 
 
-@test("settings of the lab's machines read back as they were meant")
+@test("settings of the lab's machines parse to what was written")
 def _() -> None:
     machines = lay_out_machines(PLAN, NETWORK)
     cluster_settings = ClusterSettings(machines, ["core-1", "core-2"], BOUNDS)
@@ -31,7 +31,7 @@
         assert (parsed.data_directory is None) != (front is None)
 
 
-@test("every link between machines has an address of its own, told by the caller's ports")
+@test("every link between machines has an address of its own, identified by the caller's ports")
 def _() -> None:
     machines = lay_out_machines(PLAN, NETWORK)
     links = list(machine_links(machines))
