--- a/tests/registry/test_command_answers.py
+++ b/tests/registry/test_command_answers.py
@@ -1,4 +1,4 @@
-"""Orders from operators' sockets to stores and back, troubles in between: each answer is its own order's."""
+"""Commands from operators' sockets to stores, faults in between: each response is its own command's."""
 
 import itertools
 import json
@@ -18,92 +18,114 @@
 from tests.support.fault_proxy import FAULT_KINDS, HOST, TO_CLIENT, TO_SERVER, FaultProxy
 from tests.support.stub_client import ENOUGH_SECONDS, TIMED_OUT
 
-STEP = 11  # bytes between two tries of a trouble: tests/rpc/test_client.py tries each
-MOST = 150  # and some more than a call and its answer have
+FAULT_STEP_BYTES = 11  # between two positions of a fault: tests/rpc/test_client.py tries each
+MAX_FAULT_POSITION = 150  # some bytes more than a request and its response have
+OPERATORS = 3
+COMMANDS_PER_OPERATOR = 2
+RECEIVE_BYTES = 65536
 
 
 class Stores:
-    """Two stores behind stand-ins; the first leads not, so that orders go on to the second."""
+    """Two stores behind fault proxies; the first does not lead, so that commands go on to the second."""
 
     def __init__(self) -> None:
-        self.ran: Counter[str] = Counter()
-        self._servers = [serve((HOST, 0), {"submit": one}) for one in (self._unready, self._submit)]
-        self.ways = [FaultProxy((HOST, one.server_port or 0)) for one in self._servers]
+        self.executed: Counter[str] = Counter()
+        handlers = (self._reject, self._submit)
+        self._servers = [serve((HOST, 0), {"submit": handler}) for handler in handlers]
+        self.fault_proxies = [FaultProxy((HOST, server.server_port or 0)) for server in self._servers]
         self._turn = itertools.count()
 
-    def _unready(self, body: Any) -> Any:
+    def _reject(self, body: Any) -> Any:
         return Failure(FailureReason.UNAVAILABLE, "leads not")
 
     def _submit(self, body: Any) -> Any:
-        word = body["body"]["word"]
-        self.ran[word] += 1
-        for _ in range(next(self._turn) % 3):  # answers do not keep the order of their calls
+        name = body["body"]["name"]
+        self.executed[name] += 1
+        for _ in range(next(self._turn) % 3):  # responses do not keep the order of their requests
             gevent.idle()
-        return {"status": 412, "reason": f"it was {word}"}
+        return {"status": 412, "reason": f"it was {name}"}
 
     def close(self) -> None:
-        for way, server in zip(self.ways, self._servers, strict=True):
-            way.close()
+        for fault_proxy, server in zip(self.fault_proxies, self._servers, strict=True):
+            fault_proxy.close()
             server.close()
 
 
-class Way(ClientPool):
-    """To each store by the address of its stand-in."""
+class ClientsThroughFaults(ClientPool):
+    """Reaches each store through its fault proxy."""
 
     def __init__(self, stores: Stores) -> None:
         super().__init__()
-        self._at = {f"store-{number}": way.address for number, way in enumerate(stores.ways)}
+        addresses = (fault_proxy.address for fault_proxy in stores.fault_proxies)
+        self._addresses = {f"store-{number}": address for number, address in enumerate(addresses)}
 
     def client(self, address: tuple[str, int]) -> Any:
-        return super().client(self._at[address[0]])
+        return super().client(self._addresses[address[0]])
 
 
-def asked(address: tuple[str, int], words: list[str]) -> list[tuple[int, str]]:
-    """Orders, one behind the other on a connection: status and reason of each answer, as many as come."""
+def send_commands(address: tuple[str, int], names: list[str]) -> list[tuple[int, str]]:
+    """Commands, one behind the other on a connection: status and error of each response, as many as come."""
     sock = socket.create_connection(address)
-    bodies = [json.dumps({"word": word}).encode() for word in words]
+    bodies = [json.dumps({"name": name}).encode() for name in names]
     head = b"PUT /config HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b"
-    sock.sendall(b"".join(head % (len(one), one) for one in bodies))
-    found, data = list[tuple[int, str]](), b""
+    sock.sendall(b"".join(head % (len(body), body) for body in bodies))
+    responses: list[tuple[int, str]] = []
+    received = b""
     with gevent.Timeout(ENOUGH_SECONDS, TIMED_OUT):
-        while len(found) < len(words) and (got := sock.recv(65536)):
-            data += got
-            while b"\r\n\r\n" in data:
-                head, _, rest = data.partition(b"\r\n\r\n")
-                size = int(head.partition(b"Content-Length: ")[2].split(b"\r\n")[0])
-                if len(rest) < size:
-                    break
-                found.append((int(head.split()[1]), json.loads(rest[:size])["error"]))
-                data = rest[size:]
+        while len(responses) < len(names) and (data := sock.recv(RECEIVE_BYTES)):
+            received += data
+            while (complete := cut_response(received)) is not None:
+                response, received = complete
+                responses.append(response)
     sock.close()
-    return found
+    return responses
 
 
-def played(kind: str, way: str, which: int, at: int) -> None:
-    """A trouble on the way to one store while three operators give two orders each."""
+def cut_response(received: bytes) -> tuple[tuple[int, str], bytes] | None:
+    """The first response as status and error, and the bytes after it; None: it is not complete."""
+    head, end, rest = received.partition(b"\r\n\r\n")
+    if not end:
+        return None
+    size = int(head.partition(b"Content-Length: ")[2].split(b"\r\n")[0])
+    if len(rest) < size:
+        return None
+    return (int(head.split()[1]), json.loads(rest[:size])["error"]), rest[size:]
+
+
+def play_fault(kind: str, direction: str, store_number: int, position: int) -> None:
+    """A fault between the registry and one store while three operators send two commands each."""
     stores = Stores()
-    store = StoreClient("store-0", 7600, lambda: ["store-0", "store-1"], Way(stores))
-    door = HttpServer((HOST, 0), {"config": ConfigResource(store)})
-    door.start()
-    address = HOST, door._server.server_port or 0
-    stores.ways[which].inject(way, at, kind)
-    words = [[f"w{operator}{number}" for number in range(2)] for operator in range(3)]
-    runs = [gevent.spawn(asked, address, one) for one in words]
+    clients = ClientsThroughFaults(stores)
+    store = StoreClient("store-0", 7600, lambda: ["store-0", "store-1"], clients)
+    server = HttpServer((HOST, 0), {"config": ConfigResource(store)})
+    server.start()
+    address = HOST, server._server.server_port or 0
+    stores.fault_proxies[store_number].inject(direction, position, kind)
+    names = [
+        [f"w{operator}{number}" for number in range(COMMANDS_PER_OPERATOR)] for operator in range(OPERATORS)
+    ]
+    runs = [gevent.spawn(send_commands, address, own_names) for own_names in names]
     gevent.joinall(runs, raise_error=True)
-    for mine, run in zip(words, runs, strict=True):
-        answers = run.get()
-        assert len(answers) == len(mine)
-        for word, (status, reason) in zip(mine, answers, strict=True):
-            assert stores.ran[word] <= 1, f"{word} was given to stores {stores.ran[word]} times"
-            assert status in (412, 503), reason
-            assert status == 503 or (reason == f"it was {word}" and stores.ran[word]), f"{word}: {reason}"
-    door.shut_down()
+    for own_names, run in zip(names, runs, strict=True):
+        responses = run.get()
+        assert len(responses) == len(own_names)
+        for name, (status, error) in zip(own_names, responses, strict=True):
+            executed = stores.executed[name]
+            assert executed <= 1, f"{name} was executed {executed} times"
+            assert status in (412, 503), error
+            assert status == 503 or (error == f"it was {name}" and executed), f"{name}: {error}"
+    server.shut_down()
     stores.close()
 
 
-@test("orders: the way to a store is {kind}, {way}")
+@test("commands: the connection to a store is {kind}, {direction}")
 def _(
-    kind: str = each(*FAULT_KINDS, *FAULT_KINDS), way: str = each(*[TO_SERVER] * 5, *[TO_CLIENT] * 5)
+    kind: str = each(*FAULT_KINDS, *FAULT_KINDS),
+    direction: str = each(*[TO_SERVER] * 5, *[TO_CLIENT] * 5),
 ) -> None:
-    pool = [gevent.spawn(played, kind, way, which, at) for which in (0, 1) for at in range(0, MOST, STEP)]
+    pool = [
+        gevent.spawn(play_fault, kind, direction, store_number, position)
+        for store_number in (0, 1)
+        for position in range(0, MAX_FAULT_POSITION, FAULT_STEP_BYTES)
+    ]
     gevent.joinall(pool, raise_error=True)
