--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -33,7 +33,9 @@
 from ashlift.proxy.source_state import ClusterChange
 from ashlift.rpc import fragmentation
 from ashlift.traffic.rate_limiter import RateLimiter, UsageByTenant
-from benchmarks.scale.target import Size, drawn, tenant, worker_address, worker_id
+from benchmarks.scale.sample_objects import worker_address, worker_id
+from benchmarks.scale.sizes import ClusterSize
+from benchmarks.scale.tenant_distribution import draw_tenant_rank, tenant_name
 
 Json = dict[str, Any]
 ANSWER_S = 1.0  # a worker waits so long for its beat's answer
@@ -104,7 +106,7 @@
         counts: UsageByTenant = {}
         while self._left >= 1:
             self._left -= 1
-            name = tenant(drawn(self.tenants, self._chance))
+            name = tenant_name(draw_tenant_rank(self.tenants, self._chance))
             counts[name] = counts.get(name, (0, 0))[0] + 1, 0
         return counts
 
@@ -153,7 +155,7 @@
 class Worker:
     """What one hollow worker says of itself."""
 
-    def __init__(self, number: int, size: Size, zones: list[str]) -> None:
+    def __init__(self, number: int, size: ClusterSize, zones: list[str]) -> None:
         self.number, self.size, self.life, self.seq = number, size, 0, 0
         self.zone = zones[number % len(zones)]
         self.acked = 0.0  # when its first beat was answered
@@ -269,7 +271,11 @@
                 gevent.sleep(1 / a_second)
 
     def _workers(self, orders: Json) -> Json:
-        size, zones, boards = Size(**orders["size"]), sorted(orders["zones"]), list(orders["boards"])
+        size, zones, boards = (
+            ClusterSize.from_json(orders["size"]),
+            sorted(orders["zones"]),
+            list(orders["boards"]),
+        )
         workers = [Worker(number, size, zones) for number in range(*orders["numbers"])]
         for at in range(orders["lines"]):
             mine, turned = (
--- a/benchmarks/scale/site.py
+++ b/benchmarks/scale/site.py
@@ -21,7 +21,8 @@
 from ashlift.lab.system.machine_layout import CONTROL_PORT, FRONT_PORT, LabMachine
 from ashlift.lab.system.machine_settings import ClusterSettings
 from ashlift.lab.system.programs import CHECKOUT, Program, stop_programs
-from benchmarks.scale.target import TARGET, Size, change, configuration, zones
+from benchmarks.scale.sample_objects import build_configuration, build_route_change
+from benchmarks.scale.sizes import TARGET_SIZE, ClusterSize, regions_by_zone
 
 LOW = 7600
 BEATS_MOST = 2000.0  # a second, of all hollow workers: with more, their heartbeat is stretched
@@ -53,7 +54,7 @@
     most: int = 6000
     churn: float = 5.0
     losses: bool = True
-    target: Size = TARGET
+    target: ClusterSize = TARGET_SIZE
 
 
 class Hollow:
@@ -95,11 +96,11 @@
 class Site:
     """Core machines, real gatekeepers, and what holds the hollow ones."""
 
-    def __init__(self, size: Size, options: Options, tell: Tell) -> None:
+    def __init__(self, size: ClusterSize, options: Options, tell: Tell) -> None:
         self.size, self.options, self.tell = size, options, tell
         self.net = 20 + os.getpid() % 200
         self.folder = Path(tempfile.mkdtemp(prefix="ashlift-scale-"))
-        self.zones = zones(options.core)  # a core machine in each region, so that all get alike
+        self.zones = regions_by_zone(options.core)  # a core machine in each region, so that all get alike
         self.heartbeat = max(HEARTBEAT_S, size.workers / BEATS_MOST)
         self.places = [self._place("core", 1, number) for number in range(options.core)]
         self.places += [self._place("edge", 2, number) for number in range(options.real)]
@@ -183,10 +184,10 @@
         except ValueError:
             return status, {"error": found[:200].decode(errors="replace")}
 
-    def put(self, size: Size) -> Json:
+    def put(self, size: ClusterSize) -> Json:
         """A whole configuration; how it went."""
         began = time.monotonic()
-        body = configuration(size, self.version + 1)
+        body = build_configuration(size, self.version + 1)
         made = time.monotonic()
         status, answer = self.call("PUT", "/config", body, ORDER_S, f"{self.version:08x}")
         took = time.monotonic() - made
@@ -203,7 +204,11 @@
     def patch(self) -> Json:
         began = time.monotonic()
         status, answer = self.call(
-            "PATCH", "/config", change(self.size, self.version + 1), ORDER_S, f"{self.version:08x}"
+            "PATCH",
+            "/config",
+            build_route_change(self.size, self.version + 1),
+            ORDER_S,
+            f"{self.version:08x}",
         )
         self.version += status == 200
         return {
@@ -220,7 +225,7 @@
     # ---- hollow ones
     def hollow(self, tenants: int) -> None:
         """All hollow gatekeepers and workers start at once; requests are those of so many tenants."""
-        count, hosts = self.size.gatekeepers - self.options.real, self.options.hosts
+        count, hosts = self.size.proxies - self.options.real, self.options.hosts
         if self.size.workers:
             self.workers = Hollow(self.folder / "workers.log")
         self.hosts = [
@@ -230,7 +235,7 @@
             self.workers.ask(
                 do="workers",
                 numbers=[0, self.size.workers],
-                size=attrs.asdict(self.size),
+                size=self.size.to_json(),
                 zones=self.zones,
                 boards=[one.ip for one in self.core],
                 heartbeat=self.heartbeat,
