--- a/ashlift/simulation/catching.py
+++ b/ashlift/simulation/catching.py
@@ -1,9 +1,9 @@
 """How long a member that was away takes to be level again while changes go on, and what that costs.
 
-Real members of the store (`ashlift.simulation.store`) on links of a stated width. A change is an order of the
-harness itself (`config.operator_config` would take most of the time, and is measured elsewhere) that leaves
-the map as `configstore.commands` does: what it sets, `Version`, `Taken/` of the last 64. Only acknowledged
-ones count.
+Real members of the store (`ashlift.simulation.configstore_process`) on links of a stated width. A change is
+an order of the harness itself (`config.operator_config` would take most of the time, and is measured
+elsewhere) that leaves the map as `configstore.commands` does: what it sets, `Version`, `Taken/` of the last
+64. Only acknowledged ones count.
 """
 
 import time
@@ -22,7 +22,7 @@
 from ashlift.configstore.proposals import Proposal, ReadOnlyResult
 from ashlift.configstore.stored_names import ACCEPTED_PREFIX
 from ashlift.errors import Failure, FailureReason
-from ashlift.simulation import store
+from ashlift.simulation import configstore_process
 from ashlift.simulation.event_loop import EventLoop, Future
 from ashlift.simulation.figures import Spread
 from ashlift.simulation.network import SimulatedNetwork
@@ -101,19 +101,19 @@
         self._size = FRAME
 
 
-class Counting(store.Store):
+class Counting(configstore_process.ConfigstoreProcess):
     """Counts its processor time, and decides as the harness does."""
 
     spent = 0.0
 
     def on_start(self) -> None:
         super().on_start()
-        assert self.member is not None
-        self.member.command_handler = decide
+        assert self.replica is not None
+        self.replica.command_handler = decide
 
-    def _feed(self, event: Any) -> None:
+    def handle_event(self, event: Any) -> None:
         began = time.process_time()
-        super()._feed(event)
+        super().handle_event(event)
         self.spent += time.process_time() - began
 
 
@@ -189,17 +189,17 @@
             self.store(name).start()
 
     def store(self, name: str) -> Counting:
-        found = self.net.machines[name].processes[store.KIND]
+        found = self.net.machines[name].processes[configstore_process.KIND]
         assert isinstance(found, Counting)
         return found
 
     def leader(self) -> str | None:
         leads = [
-            (one.member.leader_role.term, name)
+            (one.replica.leader_role.term, name)
             for name in self.names
-            if (one := self.store(name)).member
-            and one.member.leader_role
-            and one.member.leader_role.commit_index
+            if (one := self.store(name)).replica
+            and one.replica.leader_role
+            and one.replica.leader_role.commit_index
         ]
         return max(leads)[1] if leads else None
 
@@ -209,7 +209,7 @@
         while self.loop.now < until - 1e-9:
             self.loop.run(min(until, self.loop.now + 0.01))
             name = self.leader()
-            member = self.store(name).member if name else None
+            member = self.store(name).replica if name else None
             index = member.committed_state.index if member else 0
             if index > (self.commits[-1][1] if self.commits else 0):
                 self.commits.append((self.loop.now, index))
@@ -226,11 +226,11 @@
         """Until it is acknowledged; one that is in doubt comes again, and 412 then says that it was taken."""
         while True:
             name = self.leader() or self.names[0]
-            member = self.store(name).member
+            member = self.store(name).replica
             round_ = member.newest_heartbeat_round() if member else (0, 0)
             fence = [*round_, 0, PATIENCE_S]
             order = {"kind": "put", "if_match": self.version, "body": sets, "fence": fence}
-            answer = yield self.desk.call(name, store.KIND, "submit", order, PATIENCE_S)
+            answer = yield self.desk.call(name, configstore_process.KIND, "submit", order, PATIENCE_S)
             if not isinstance(answer, Failure) and answer["status"] in (200, 412):
                 self.version += 1
                 self.acked.append(self.loop.now)
@@ -275,16 +275,16 @@
 
     def _members(self) -> int:
         name = self.leader()
-        member = self.store(name).member if name else None
+        member = self.store(name).replica if name else None
         return len(member.voters(member.committed_state.snapshot)) if member else 0
 
     def votes(self, name: str) -> bool:
-        member = self.store(name).member
+        member = self.store(name).replica
         return member is not None and member.vote[2]
 
     def late(self, name: str) -> float:
         """s since the first commit that it does not know to be one."""
-        member = self.store(name).member
+        member = self.store(name).replica
         index = member.committed_state.index if member and self.votes(name) else 0
         behind = [at for at, one in reversed(self.commits[-4000:]) if one > index]
         return self.loop.now - behind[-1] if behind else 0.0
--- a/ashlift/simulation/figures.py
+++ b/ashlift/simulation/figures.py
@@ -186,9 +186,9 @@
         process = world.configstore(one)
         if process.up:
             begun = min(begun, world.loop.now)
-        member = process.member
+        member = process.replica
         newest = max(
-            (other.member.committed_state.snapshot for other in world.configstores() if other.member),
+            (other.replica.committed_state.snapshot for other in world.configstores() if other.replica),
             key=_stamp,
         )
         if (
--- a/ashlift/simulation/registry_process.py
+++ b/ashlift/simulation/registry_process.py
@@ -23,7 +23,7 @@
     TICK_INTERVAL_SECONDS,
 )
 from ashlift.registry.store_client import WATCH_GRACE_SECONDS
-from ashlift.simulation import store
+from ashlift.simulation import configstore_process
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.network import SimulatedNetwork
 from ashlift.simulation.process import Condition, Machine, Process, Task
@@ -175,7 +175,9 @@
             body = codec.encode_watch_request(config.version, wait, config.wanted_fragment())
             answer: Any = Failure(FailureReason.UNREACHABLE, "there is no other store")
             if ip is not None:
-                answer = yield self.call(ip, store.KIND, "watch", body, wait + WATCH_GRACE_SECONDS)
+                answer = yield self.call(
+                    ip, configstore_process.KIND, "watch", body, wait + WATCH_GRACE_SECONDS
+                )
             now = self.clock()
             is_fresh = False
             failed = isinstance(answer, Failure)
--- a/ashlift/simulation/route_edit_service.py
+++ b/ashlift/simulation/route_edit_service.py
@@ -12,7 +12,7 @@
 from ashlift.route_reconciliation.hybrid_clock import HybridLogicalClock, HybridTimestamp
 from ashlift.route_reconciliation.proposals import decode_request, latest_timestamp, prepare_pending
 from ashlift.route_reconciliation.stored_records import outcome_of
-from ashlift.simulation import store
+from ashlift.simulation import configstore_process
 from ashlift.simulation.process import Process, Task
 from ashlift.simulation.simulated_store_client import SimulatedStoreClient
 
@@ -69,7 +69,9 @@
         """Leave edits at all stores; returns all pending edits, and the stores that answered."""
         ips = dict.fromkeys([self._process.name, *self._store_client.stores()])
         answers = {
-            ip: self._process.call(ip, store.KIND, "drafts", {"add": added}, PENDING_EDITS_TIMEOUT_SECONDS)
+            ip: self._process.call(
+                ip, configstore_process.KIND, "drafts", {"add": added}, PENDING_EDITS_TIMEOUT_SECONDS
+            )
             for ip in ips
         }
         pending_edits: dict[str, RouteEdit] = {}
--- a/ashlift/simulation/route_edits.py
+++ b/ashlift/simulation/route_edits.py
@@ -9,13 +9,13 @@
 from ashlift.config.routing_table import RoutingTable
 from ashlift.route_reconciliation.stored_records import Outcome, outcome_of
 from ashlift.simulation import registry_process
+from ashlift.simulation.configstore_process import ConfigstoreProcess
 from ashlift.simulation.configurations import new_route_specification
 from ashlift.simulation.history import ConfigurationChange, History
 from ashlift.simulation.operators import Operator
 from ashlift.simulation.process import Task
 from ashlift.simulation.registry_methods import RegistryMethod
 from ashlift.simulation.registry_process import RegistryProcess
-from ashlift.simulation.store import Store
 
 CALL_TIMEOUT_SECONDS = 5.0  # the command line's
 
@@ -90,16 +90,16 @@
     operator.spawn(call())
 
 
-def agreed_entries(stores: list[Store]) -> Mapping[str, Any]:
+def agreed_entries(stores: list[ConfigstoreProcess]) -> Mapping[str, Any]:
     """Return the newest map known to be committed."""
-    snapshots = [store.member.committed_state.snapshot for store in stores if store.member]
+    snapshots = [store.replica.committed_state.snapshot for store in stores if store.replica]
     if not snapshots:
         return {}
     entries: Mapping[str, Any] = max(snapshots, key=lambda snapshot: snapshot.term_index).entries.map
     return entries
 
 
-def outcome_in(edit_id: str, stores: list[Store]) -> str:
+def outcome_in(edit_id: str, stores: list[ConfigstoreProcess]) -> str:
     """Return what the agreed map says of an edit; `waits`, or `unknown` where no store holds it either."""
     record = outcome_of(agreed_entries(stores), edit_id)
     if record:
--- a/ashlift/simulation/simulated_store_client.py
+++ b/ashlift/simulation/simulated_store_client.py
@@ -8,7 +8,7 @@
 from ashlift.registry.registry import Registry
 from ashlift.registry.store_client import COMMAND_TIMEOUT_SECONDS
 from ashlift.registry.store_position import POSITION_REQUEST, StorePosition, stores_to_try
-from ashlift.simulation import store
+from ashlift.simulation import configstore_process
 from ashlift.simulation.event_loop import Future
 from ashlift.simulation.process import Process, Task
 
@@ -89,9 +89,13 @@
     ) -> Task:
         """Call once, and again with the store's position if the known one is too old."""
         process = self._process
-        answer = yield process.call(ip, store.KIND, method, body(), deadline - process.clock())
+        answer = yield process.call(ip, configstore_process.KIND, method, body(), deadline - process.clock())
         if isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
             remaining = deadline - process.clock()
-            self.observe((yield process.call(ip, store.KIND, "watch", POSITION_REQUEST, remaining)))
-            answer = yield process.call(ip, store.KIND, method, body(), deadline - process.clock())
+            self.observe(
+                (yield process.call(ip, configstore_process.KIND, "watch", POSITION_REQUEST, remaining))
+            )
+            answer = yield process.call(
+                ip, configstore_process.KIND, method, body(), deadline - process.clock()
+            )
         return answer
--- a/ashlift/simulation/world.py
+++ b/ashlift/simulation/world.py
@@ -7,16 +7,16 @@
 
 from ashlift.config.settings import Bindings, Settings
 from ashlift.errors import Failure, FailureReason
-from ashlift.simulation import proxy_process, registry_process, store
+from ashlift.simulation import configstore_process, proxy_process, registry_process
 from ashlift.simulation.base_world import CORE, EDGE, HEARTBEAT_SECONDS, RESTART_SECONDS, BaseWorld
 from ashlift.simulation.clients import ClientPopulation
+from ashlift.simulation.configstore_process import ConfigstoreProcess
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.network import SimulatedNetwork
 from ashlift.simulation.plan import ZONES, Plan
 from ashlift.simulation.process import Machine, Process
 from ashlift.simulation.proxy_process import ProxyProcess
 from ashlift.simulation.registry_process import RegistryProcess
-from ashlift.simulation.store import Store
 from ashlift.simulation.worker_pool import WorkerPool
 
 BOOT_SECONDS: Final = 0.2
@@ -27,11 +27,11 @@
 READINESS_PORT: Final = 81
 # The programs that the words of scenarios stand for.
 PROGRAMS: Final = {
-    "configstore": [store.KIND],
+    "configstore": [configstore_process.KIND],
     "registry": [registry_process.KIND],
     "proxy": [proxy_process.KIND],
-    "core": [store.KIND, registry_process.KIND],
-    "all": [store.KIND, registry_process.KIND, proxy_process.KIND],
+    "core": [configstore_process.KIND, registry_process.KIND],
+    "all": [configstore_process.KIND, registry_process.KIND, proxy_process.KIND],
 }
 
 AnyProcess = TypeVar("AnyProcess", bound=Process)
@@ -71,7 +71,7 @@
 
     def _add_core_machine(self, name: str, zone: str) -> None:
         machine = self._add_machine(name, zone)
-        Store(self.loop, self.net, machine, lambda: self.seeds)
+        ConfigstoreProcess(self.loop, self.net, machine, lambda: self.seeds)
         RegistryProcess(self.loop, self.net, machine, lambda: self.seeds, self.zones, HEARTBEAT_SECONDS)
 
     def _add_edge_machine(self, name: str, zone: str) -> None:
@@ -110,11 +110,11 @@
         assert isinstance(process, process_type)
         return process
 
-    def configstore(self, machine: str) -> Store:
+    def configstore(self, machine: str) -> ConfigstoreProcess:
         """Return the configuration store on a core machine."""
-        return self._process(machine, store.KIND, Store)
+        return self._process(machine, configstore_process.KIND, ConfigstoreProcess)
 
-    def configstores(self) -> list[Store]:
+    def configstores(self) -> list[ConfigstoreProcess]:
         """Return the configuration stores of all core machines."""
         return [self.configstore(name) for name in self.core]
 
@@ -133,9 +133,9 @@
     def leader(self) -> str | None:
         """Return the machine of the newest of those stores that believe that they lead."""
         leaders = [
-            (process.member.leader_role.term, process.name)
+            (process.replica.leader_role.term, process.name)
             for process in self.configstores()
-            if process.member and process.member.leader_role
+            if process.replica and process.replica.leader_role
         ]
         return max(leaders)[1] if leaders else None
 
@@ -144,7 +144,7 @@
         leader = self.leader()
         if leader is None:
             return False
-        replica = self.configstore(leader).member
+        replica = self.configstore(leader).replica
         return bool(replica and replica.leader_role and replica.leader_role.commit_index)
 
     def versions(self) -> dict[str, int]:
@@ -202,7 +202,7 @@
         for process in self._processes(programs, machines):
             if process.up:
                 self.begin_fault(process.name, termination=True)
-                if isinstance(process, Store | ProxyProcess):
+                if isinstance(process, ConfigstoreProcess | ProxyProcess):
                     process.shut_down()
                 else:
                     process.kill()
