--- a/ashlift/registry/api/command_responses.py
+++ b/ashlift/registry/api/command_responses.py
@@ -16,7 +16,11 @@
 def log_command(kind: str, result: CommandResult) -> None:
     """Log one line a command, with what the operator receives."""
     log_event(
-        events.COMMAND_ANSWERED, kind=kind, status=result.status, index=result.index, reason=result.reason
+        events.COMMAND_ANSWERED,
+        kind=kind,
+        status=result.status,
+        index=result.config_index,
+        reason=result.reason,
     )
 
 
--- a/ashlift/registry/delta.py
+++ b/ashlift/registry/delta.py
@@ -1,14 +1,11 @@
 """Differences between two versions of a record source, and which versions a delta can start from. Pure."""
 
-from typing import Any, Final
-
-import attrs
+from typing import Any, Final, NamedTuple
 
 MAX_VERSION_GAPS: Final = 64  # ranges of skipped versions that are remembered
 
 
-@attrs.frozen
-class Delta:
+class Delta(NamedTuple):
     """What changed up to `version`: records set, keys removed.
 
     `full`: `values` is everything there is (a snapshot), and `removed` is empty.
--- a/ashlift/registry/identity.py
+++ b/ashlift/registry/identity.py
@@ -1,10 +1,9 @@
 """Who a registry is, as its settings and its start determine it."""
 
-import attrs
+from typing import NamedTuple
 
 
-@attrs.frozen
-class RegistryIdentity:
+class RegistryIdentity(NamedTuple):
     """Name, place and addresses of one registry process.
 
     `incarnation` is random and new at each start. `http_port` is the port of the HTTP API, the same on
--- a/ashlift/registry/load_reports.py
+++ b/ashlift/registry/load_reports.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from ashlift.registry.codec import FAILURES_PREFIX, IN_FLIGHT_PREFIX
-from ashlift.registry.messages import LoadReport
+from ashlift.registry.messages import NO_LOAD, LoadReport
 from ashlift.registry.replicated_source import ReplicatedSource
 
 MIN_IN_FLIGHT_SHIFT: Final = 2.0  # requests by which the published sum may be off
@@ -29,7 +29,7 @@
 
     def update(self, node: str, report: LoadReport) -> None:
         """A proxy's newest report."""
-        previous = self._reports.pop(node, LoadReport())
+        previous = self._reports.pop(node, NO_LOAD)
         if report.in_flight or report.failures:
             self._reports[node] = report
         for worker_id in previous.in_flight.keys() | report.in_flight.keys():
@@ -41,7 +41,7 @@
 
     def remove(self, node: str) -> None:
         """Forget the report of a proxy that has stopped, or reports to another registry."""
-        self.update(node, LoadReport())
+        self.update(node, NO_LOAD)
 
     def _publish_in_flight(self, worker_id: str) -> None:
         key = IN_FLIGHT_PREFIX + worker_id
--- a/ashlift/registry/locality.py
+++ b/ashlift/registry/locality.py
@@ -3,9 +3,7 @@
 Distances are plain numbers, the nearer the lower: they are compared for every pull and every heartbeat.
 """
 
-from typing import Final
-
-import attrs
+from typing import Final, NamedTuple
 
 SAME_ZONE: Final = 0
 SAME_REGION: Final = 1
@@ -13,8 +11,7 @@
 UNKNOWN_DISTANCE: Final = 3
 
 
-@attrs.frozen
-class Place:
+class Place(NamedTuple):
     """A zone and the region that it lies in."""
 
     zone: str
--- a/ashlift/registry/messages.py
+++ b/ashlift/registry/messages.py
@@ -4,36 +4,34 @@
 """
 
 from collections.abc import Mapping
-from typing import Any
-
-import attrs
+from typing import Any, Final, NamedTuple
 
 from ashlift.registry.delta import Delta
 
 Json = dict[str, Any]
 
 
-@attrs.frozen
-class LoadReport:
+class LoadReport(NamedTuple):
     """What one proxy reports of the workers that it calls, by worker ID.
 
     `failures`: recent failures and requests, both in tenths.
     """
 
-    in_flight: dict[str, int] = attrs.field(factory=dict)
-    failures: dict[str, tuple[int, int]] = attrs.field(factory=dict)
+    in_flight: dict[str, int]
+    failures: dict[str, tuple[int, int]]
+
+
+NO_LOAD: Final = LoadReport({}, {})
 
 
-@attrs.frozen
-class UsageReport:
+class UsageReport(NamedTuple):
     """`(tenant, requests, declined)` since a proxy's last report; `number` rises: none counts twice."""
 
     number: int
     increments: list[tuple[str, int, int]]
 
 
-@attrs.frozen
-class PullRequest:
+class PullRequest(NamedTuple):
     """`pull`: a proxy renews its session, reports usage and load, and asks for what it lacks.
 
     `fragment`: which fragment of a large configuration it asks for, as `[id, offset]`.
@@ -56,16 +54,14 @@
     fragment: list[Any] | None
 
 
-@attrs.frozen
-class SourceUpdate:
+class SourceUpdate(NamedTuple):
     """A delta of one registry's records; `uptime`, in a snapshot: how long that registry has run."""
 
     delta: Delta
     uptime: float | None
 
 
-@attrs.frozen
-class PullResponse:
+class PullResponse(NamedTuple):
     """The answer to `pull`.
 
     `config_update`: the operator's configuration, already encoded, as it may be a fragment or packed.
@@ -85,8 +81,7 @@
     proxy_count: int
 
 
-@attrs.frozen
-class SwapRequest:
+class SwapRequest(NamedTuple):
     """`swap`: another registry asks for this one's records; `caller_ip`: where it may not be known yet."""
 
     incarnation: str
@@ -94,8 +89,7 @@
     caller_ip: str | None
 
 
-@attrs.frozen
-class SwapOrigin:
+class SwapOrigin(NamedTuple):
     """Whose snapshot a `swap` response holds, and at which steady time that registry started."""
 
     node: str
@@ -110,8 +104,7 @@
         return f"{self.node}#{self.incarnation}"
 
 
-@attrs.frozen
-class SwapResponse:
+class SwapResponse(NamedTuple):
     """The answer to `swap`: nothing new (`delta` is None), a delta, or a snapshot with its `origin`."""
 
     version: int
@@ -119,8 +112,7 @@
     origin: SwapOrigin | None = None
 
 
-@attrs.frozen
-class WatchResponse:
+class WatchResponse(NamedTuple):
     """A store's answer to `watch`: what changed of the operator's configuration, and when it was the newest.
 
     `is_behind`: the store holds a newer one, and proves nothing. `response_delay_seconds`: for how long the
@@ -135,8 +127,7 @@
     is_behind: bool
 
 
-@attrs.frozen
-class CommandResult:
+class CommandResult(NamedTuple):
     """A store's clear answer to an operator's command; `details` are the fields besides the status."""
 
     status: int
@@ -148,6 +139,6 @@
         return self.details.get("reason") or ""
 
     @property
-    def index(self) -> int | None:
+    def config_index(self) -> int | None:
         """The index of the configuration as of this command, if the store gave one."""
         return self.details.get("index")
--- a/ashlift/registry/proxy_sessions.py
+++ b/ashlift/registry/proxy_sessions.py
@@ -4,7 +4,7 @@
 """
 
 from collections.abc import Iterable
-from typing import Final
+from typing import Final, NamedTuple
 
 import attrs
 
@@ -31,8 +31,7 @@
     last_usage_report: dict[str, int] = attrs.field(factory=dict)
 
 
-@attrs.frozen
-class SessionProgress:
+class SessionProgress(NamedTuple):
     """Which configuration a proxy holds, and how many seconds ago it last pulled."""
 
     config_index: int
--- a/ashlift/registry/registry.py
+++ b/ashlift/registry/registry.py
@@ -6,9 +6,7 @@
 """
 
 from collections.abc import Mapping
-from typing import Any, Final
-
-import attrs
+from typing import Any, Final, NamedTuple
 
 from ashlift.errors import Failure, FailureReason
 from ashlift.registry.codec import encode_delta, is_partial_config_update
@@ -38,8 +36,7 @@
 PEER_IN_REACH_SECONDS: Final = 2.0  # peers that responded within this are recommended to proxies first
 
 
-@attrs.frozen
-class TickResult:
+class TickResult(NamedTuple):
     """What a tick found: whether this process was paused, and the sources of peers that were dropped."""
 
     stood_still: bool
--- a/ashlift/registry/worker_instances.py
+++ b/ashlift/registry/worker_instances.py
@@ -5,7 +5,7 @@
 """
 
 from collections.abc import Iterable
-from typing import Final
+from typing import Final, NamedTuple
 
 import attrs
 
@@ -21,8 +21,7 @@
 EXPIRED_MEMORY_SECONDS: Final = 60.0  # how long a worker whose lease has expired is remembered
 
 
-@attrs.define
-class LastHeartbeat:
+class LastHeartbeat(NamedTuple):
     """When a worker's last heartbeat came here, and its sequence number."""
 
     received_at: float
