--- a/ashlift/simulation/cell.py
+++ b/ashlift/simulation/cell.py
@@ -32,8 +32,8 @@
 from ashlift.configstore.replica import Replica
 from ashlift.configstore.replica_io import CommandSubmitted, ReadRequested
 from ashlift.configstore.replication import Replication
+from ashlift.simulation.invariant_checker import InvariantChecker
 from ashlift.simulation.linearizability import Call, ConfigurationWrite
-from ashlift.simulation.sworn import Sworn
 
 PAUSE_S = 0.1  # between two ends of one timer at least
 PLAIN: Final = (int, str, bytes, bool, type(None))
@@ -229,7 +229,7 @@
     count: int = 0
     open: frozenset[int] = frozenset()
     calls: tuple[tuple[int, Call], ...] = ()
-    sworn: Sworn = Sworn()
+    invariants: InvariantChecker = InvariantChecker()
     script: tuple[str, ...] = ()
     calm_at: float = 0.0  # trouble comes before this only
     asked_at: float = float("-inf")  # when the script's last line was asked
@@ -249,7 +249,7 @@
         calls = tuple(call for _, call in self.calls)
         clients = (calls, self.script, self.asked_at, asking, self.heard)
         budget = (self.calm_at, self.most, tuple(self.left.values()))
-        return hash((round(self.now, 6), places, tuple(mail), self.sworn, clients, budget))
+        return hash((round(self.now, 6), places, tuple(mail), self.invariants, clients, budget))
 
     def over(self) -> bool:
         """All is agreed on, and who was frozen has heard its clients."""
--- a/ashlift/simulation/explore.py
+++ b/ashlift/simulation/explore.py
@@ -15,8 +15,8 @@
 
 from ashlift.configstore.replica_state import InvariantError
 from ashlift.simulation.cell import Cell, Kind, Rules
+from ashlift.simulation.invariant_checker import InvariantViolationError
 from ashlift.simulation.moves import after, begun, coming, steps
-from ashlift.simulation.sworn import Wrong
 
 MESSAGES: Final[dict[Kind, int]] = {"lose": 9, "double": 9, "late": 9}
 DISKS: Final[dict[Kind, int]] = {"crash": 9, "refuse": 9}
@@ -104,7 +104,7 @@
     began, report = time.perf_counter(), Report()
     try:
         start = begun(rules if most is None else evolve(rules, most=most))
-    except (Wrong, InvariantError) as error:
+    except (InvariantViolationError, InvariantError) as error:
         report.wrong, report.way = f"{error}", ("before any trouble",)
         return report
     todo: deque[tuple[Cell, Way, int]] = deque([(start, None, 0)])
@@ -128,7 +128,7 @@
                     continue
                 seen.add(key)
                 todo.append((next_, (way, told), deep + 1))
-        except (Wrong, InvariantError) as error:
+        except (InvariantViolationError, InvariantError) as error:
             report.wrong, report.way = f"{error}", (*_told(way), f"after: {told}")
     report.cells += len(seen)
     report.seconds = time.perf_counter() - began
--- a/ashlift/simulation/members.py
+++ b/ashlift/simulation/members.py
@@ -2,7 +2,8 @@
 too), disks that fail or are caught in the middle of a write, processes killed, frozen, without power, wiped.
 
 Every world checks the invariants of docs/design/store.md: I1, I2, I3, I7 and I8 at every event
-(`simulation.sworn`), I4, I5 and I6 at its end by the history of all calls (`simulation.linearizability`).
+(`simulation.invariant_checker`), I4, I5 and I6 at its end by the history of all calls
+(`simulation.linearizability`).
 """
 
 import functools
@@ -34,6 +35,12 @@
 )
 from ashlift.configstore.timing import CALL_TIMEOUT_SECONDS
 from ashlift.errors import Failure, FailureReason
+from ashlift.simulation.invariant_checker import (
+    InvariantChecker,
+    InvariantViolationError,
+    decide_history_command,
+    history_of,
+)
 from ashlift.simulation.linearizability import (
     ACKNOWLEDGED,
     CONFLICT,
@@ -42,7 +49,6 @@
     find_unexplained_call,
     items_of,
 )
-from ashlift.simulation.sworn import Sworn, Wrong, decide, history_of
 
 SEED_MOST = 3
 
@@ -116,7 +122,7 @@
         self.at_step: dict[int, Callable[[], None]] = {}
         # (from, to, kind) -> drop, double, late or None
         self.fate: Callable[[str, str, str], str | None] | None = None
-        self.sworn = Sworn()
+        self.invariants = InvariantChecker()
         self.turns = 0  # changes of who votes
         self._open: set[tuple[str, int, int]] = set()  # calls still waited for
         self._calls = 0
@@ -126,7 +132,7 @@
     @property
     def chain(self) -> tuple[str, ...]:
         """The longest committed history."""
-        return self.sworn.chain
+        return self.invariants.committed_history
 
     # ---- time
     def later(self, delay: float, action: Callable[[], None]) -> None:
@@ -155,7 +161,9 @@
         node.inbox, node.disk_fails = None, False
         node.offset = self.chance.uniform(0, 1000)  # another steady clock in each life
         seeds = node.seeds or self.seeds
-        node.member = Replica(ip, seeds, bootstrap, node.vote, node.state, decide, self.chance)
+        node.member = Replica(
+            ip, seeds, bootstrap, node.vote, node.state, decide_history_command, self.chance
+        )
         self._do(node, node.member.start(self._clock(node)))
         self._tick(node, node.life)
 
@@ -317,7 +325,9 @@
                     done = functools.partial(self._written, node, node.life)
                     self.later(self.chance.uniform(0.002, 0.012) + node.slow_s, done)
                 case LogEvent(event=events.LEADER_ELECTED) if node.member is not None:
-                    self.sworn = self.sworn.led(effect.fields["term"], node.member, node.life)
+                    self.invariants = self.invariants.record_leader(
+                        effect.fields["term"], node.member, node.life
+                    )
                 case HandoverComplete():
                     self.kill(node.ip)
                     return self.later(0.5, lambda: self.start(node.ip))
@@ -395,7 +405,9 @@
 
     def _note_vote(self, node: Node, request: VoteRequest, body: list[Any]) -> None:
         if not request.is_pre_vote and decode_vote_response(body).granted:
-            self.sworn = self.sworn.voted(node.ip, node.disk_life, request.term, request.candidate, node.vote)
+            self.invariants = self.invariants.record_vote(
+                node.ip, node.disk_life, request.term, request.candidate, node.vote
+            )
 
     def _answer(self, op: Op, body: Any) -> None:
         if op.answer is not None:
@@ -406,16 +418,19 @@
     # ---- the invariants
     def _check(self, node: Node) -> None:
         if node.member is not None:
-            self.sworn = self.sworn.seen(self.now, node.member, node.offset, node.vote)
+            self.invariants = self.invariants.check_replica(self.now, node.member, node.offset, node.vote)
             disks = [(ip, one.vote, one.state) for ip, one in self.nodes.items()]
-            before, self.sworn = self.sworn.config[1], self.sworn.counted(node.member, disks)
-            self.turns += before != self.sworn.config[1]
+            before, self.invariants = (
+                self.invariants.membership[1],
+                self.invariants.check_commit(node.member, disks),
+            )
+            self.turns += before != self.invariants.membership[1]
 
     def judge(self) -> None:
         """The whole history, at the end."""
         wrong = find_unexplained_call(call for op in self.ops if (call := op.told()) is not None)
         if wrong is not None:
-            raise Wrong(f"I4 I5 I6: no order of all calls explains {wrong}")
+            raise InvariantViolationError(f"I4 I5 I6: no order of all calls explains {wrong}")
 
     def settle(self, seconds: float = 12.0) -> None:
         """Heal all, find a leader that commits, read back, judge."""
@@ -432,4 +447,4 @@
             self.run(0.6)
             if op.done and isinstance(read.answer, list):
                 return self.judge()
-        raise Wrong("no agreement though all are well")
+        raise InvariantViolationError("no agreement though all are well")
--- a/ashlift/simulation/moves.py
+++ b/ashlift/simulation/moves.py
@@ -33,6 +33,13 @@
 from ashlift.configstore.timing import CALL_TIMEOUT_SECONDS
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation.cell import Asked, Cell, Draw, Kind, Mail, Place, Rules, forked
+from ashlift.simulation.invariant_checker import (
+    ZONE,
+    InvariantChecker,
+    InvariantViolationError,
+    decide_history_command,
+    history_of,
+)
 from ashlift.simulation.linearizability import (
     ACKNOWLEDGED,
     CONFLICT,
@@ -41,7 +48,6 @@
     find_unexplained_call,
     items_of,
 )
-from ashlift.simulation.sworn import ZONE, Sworn, Wrong, decide, history_of
 
 TRIP_S = 0.004  # of a message, when nothing befalls it
 FROZEN_S = 1.6  # long enough for another to lead meanwhile
@@ -83,7 +89,7 @@
 
 def _on(cell: Cell) -> Cell:
     if cell.now > BEGUN_S:
-        raise Wrong("it does not come to its beginning")
+        raise InvariantViolationError("it does not come to its beginning")
     return next(after(cell, coming(cell)))[1]
 
 
@@ -118,7 +124,10 @@
 
 
 def steps(cell: Cell) -> Iterator[Step]:
-    """All that may happen next, told and with what comes of it. Raises Wrong or InvariantError."""
+    """All that may happen next, told and with what comes of it.
+
+    Raises InvariantViolationError or InvariantError.
+    """
     if cell.rules.free:
         yield from _any(cell)
     else:
@@ -220,7 +229,7 @@
     now: float = 0.0
     count: int = 0
     open: set[int] = field(factory=set)
-    sworn: Sworn = field(factory=Sworn)
+    invariants: InvariantChecker = field(factory=InvariantChecker)
     script: tuple[str, ...] = ()
     asked_at: float = 0.0
     asking: list[Asked] = field(factory=list)
@@ -232,7 +241,12 @@
     def __attrs_post_init__(self) -> None:
         cell = self.cell
         self.places, self.mail, self.calls = dict(cell.places), list(cell.mail), dict(cell.calls)
-        self.now, self.count, self.open, self.sworn = cell.now, cell.count, set(cell.open), cell.sworn
+        self.now, self.count, self.open, self.invariants = (
+            cell.now,
+            cell.count,
+            set(cell.open),
+            cell.invariants,
+        )
         self.script, self.asked_at = cell.script, cell.asked_at
         self.asking, self.moments = list(cell.asking), cell.moments
         self.line, self.heard = cell.line, cell.heard
@@ -248,7 +262,7 @@
             count=self.count,
             open=frozenset(self.open),
             calls=tuple(sorted(self.calls.items())),
-            sworn=self.sworn,
+            invariants=self.invariants,
             script=self.script,
             asked_at=self.asked_at,
             asking=tuple(self.asking),
@@ -286,7 +300,7 @@
             return
         seeds = ips[-rules.seeds :] if rules.turned and not bootstrap else ips[: rules.seeds]
         draw = Draw(int(ip), place.life + 1)
-        member = Replica(ip, seeds, bootstrap, place.vote, place.state, decide, draw)
+        member = Replica(ip, seeds, bootstrap, place.vote, place.state, decide_history_command, draw)
         self._put(ip, member=member, life=place.life + 1)
         self._do(ip, member, member.start(self.now))
 
@@ -344,7 +358,7 @@
         while todo:
             if member.leader_role is not None:  # before a write that it may not outlive
                 disks = [(at, one.vote, one.state) for at, one in self.places.items()]
-                self.sworn = self.sworn.counted(member, disks)
+                self.invariants = self.invariants.check_commit(member, disks)
             effect = todo.popleft()
             match effect:
                 case SendRequest():
@@ -372,18 +386,20 @@
                         return
                     todo.extend(member.handle(self.now, StatePersisted(fate == "kept")))
                 case LogEvent(event=events.LEADER_ELECTED):
-                    self.sworn = self.sworn.led(effect.fields["term"], member, self.places[ip].life)
+                    self.invariants = self.invariants.record_leader(
+                        effect.fields["term"], member, self.places[ip].life
+                    )
                 case HandoverComplete():
                     self.kill(ip)
                     return
-        self.sworn = self.sworn.seen(self.now, member, 0.0, self.places[ip].vote)
+        self.invariants = self.invariants.check_replica(self.now, member, 0.0, self.places[ip].vote)
 
     def _answer(self, ip: str, reply: SendReply) -> None:
         number, caller, _, method, _, (_, context) = reply.reply_to
         is_vote = method == METHOD_VOTE and not context.is_pre_vote and isinstance(reply.body, list)
         if is_vote and decode_vote_response(reply.body).granted:
             place = self.places[ip]
-            self.sworn = self.sworn.voted(ip, place.disk, context.term, caller, place.vote)
+            self.invariants = self.invariants.record_vote(ip, place.disk, context.term, caller, place.vote)
         if number in self.open:
             self.post("answer", caller, reply.reply_to, TRIP_S, reply.body)
 
@@ -391,7 +407,7 @@
     def _go_on(self) -> None:
         """The script's next line, once what was asked before is answered or given up."""
         if self.now > self.cell.calm_at + AGREE_S:
-            raise Wrong("no agreement, though nothing befalls anybody any more")
+            raise InvariantViolationError("no agreement, though nothing befalls anybody any more")
         if not self.heard and self.now < self.asked_at + PATIENCE_S:
             return
         awake = [one.member for one in self.places.values() if one.frozen <= self.now]
@@ -404,7 +420,7 @@
         word, *rest = self.script[0].split()
         if word not in AGREE:
             self.script = self.script[1:]
-        base, names = len(self.sworn.chain), [f"z{self.moments}"]
+        base, names = len(self.invariants.committed_history), [f"z{self.moments}"]
         if word == "put":
             base, names = int(rest[0]), rest[1:]
         if word == "again":
@@ -493,4 +509,6 @@
             self.script = self.script[1:]
         wrong = find_unexplained_call(self.calls.values())
         if wrong is not None:
-            raise Wrong(f"no order of all calls explains {wrong}: {[*map(str, self.calls.values())]}")
+            raise InvariantViolationError(
+                f"no order of all calls explains {wrong}: {[*map(str, self.calls.values())]}"
+            )
--- a/ashlift/simulation/turnover.py
+++ b/ashlift/simulation/turnover.py
@@ -6,8 +6,8 @@
 
 from ashlift.configstore.membership import LEARNER_PREFIX, VOTER_PREFIX, addresses_under
 from ashlift.configstore.replica_state import InvariantError
+from ashlift.simulation.invariant_checker import InvariantViolationError
 from ashlift.simulation.members import World
-from ashlift.simulation.sworn import Wrong
 
 AGREED_S = 40.0  # within this, once all is well, all machines that are there vote
 
@@ -120,7 +120,7 @@
                 node.slow_s = chance.choice([0.0, 0.1, 0.5])
     world.settle(20)
     if turnover and not world.run(AGREED_S, lambda: agreed(world)):
-        raise Wrong(f"members do not come to what is wanted: {sorted(world.map())[-30:]}")
+        raise InvariantViolationError(f"members do not come to what is wanted: {sorted(world.map())[-30:]}")
     return world
 
 
@@ -139,7 +139,7 @@
         for seed in range(told.first, told.first + told.seeds):
             try:
                 world = mixed(size, seed, turnover=told.turnover)
-            except (Wrong, InvariantError) as error:
+            except (InvariantViolationError, InvariantError) as error:
                 failed += 1
                 print(f"{size} members, seed {seed}: {error}", flush=True)
             else:
--- a/tests/configstore/test_membership.py
+++ b/tests/configstore/test_membership.py
@@ -32,7 +32,7 @@
 from ashlift.registry.messages import CommandResult
 from ashlift.registry.store_client import StoreClient
 from ashlift.simulation.explore import CASES, explore
-from ashlift.simulation.sworn import Wrong, decide
+from ashlift.simulation.invariant_checker import InvariantViolationError, decide_history_command
 from ashlift.simulation.turnover import mixed
 from tests.support.mutants import mutated
 from tests.support.replica_driver import requests_sent
@@ -142,7 +142,7 @@
         for seed in range(12):
             try:
                 mixed(5, seed, turnover=0.15)
-            except (Wrong, InvariantError):
+            except (InvariantViolationError, InvariantError):
                 return
     raise AssertionError("not found")
 
@@ -151,7 +151,7 @@
     """Whether replica 1 of these is elected by that one's vote beside its own."""
     vote = PersistentVote(1, None, True, 11)
     snapshot = Snapshot((1, 3), RangedMap(entries))
-    replica = Replica("1", ["1", "2"], False, vote, snapshot, decide, random.Random(4))
+    replica = Replica("1", ["1", "2"], False, vote, snapshot, decide_history_command, random.Random(4))
     replica.start(0.0)
     effects = replica.handle(2.0, ClockTicked())
     for _ in range(2):  # the pre-vote, then the vote
--- a/tests/proxy/test_staleness.py
+++ b/tests/proxy/test_staleness.py
@@ -4,8 +4,8 @@
 
 from ward import each, raises, test
 
+from ashlift.simulation.invariant_checker import InvariantViolationError
 from ashlift.simulation.members import World
-from ashlift.simulation.sworn import Wrong
 
 MEMBERS = 5
 
@@ -103,7 +103,7 @@
     for ip in world.ips:
         world.kill(ip)
     world.nodes[others[2]].vote, world.nodes[others[2]].state = earlier
-    with raises(Wrong):
+    with raises(InvariantViolationError):
         for ip in others[:3]:
             world.start(ip)
         world.run(15.0)
--- a/tests/support/replica_driver.py
+++ b/tests/support/replica_driver.py
@@ -16,7 +16,7 @@
     StatePersisted,
 )
 from ashlift.configstore.replication import AppendContext
-from ashlift.simulation.sworn import decide
+from ashlift.simulation.invariant_checker import decide_history_command
 
 ELECTED_AT = 2.0
 
@@ -25,7 +25,7 @@
     vote: PersistentVote | None, snapshot: Snapshot | None, ip: str = "1", members: str = "123"
 ) -> Replica:
     """A replica that has started at time 0, with this on its disk."""
-    replica = Replica(ip, list(members), False, vote, snapshot, decide, random.Random(4))
+    replica = Replica(ip, list(members), False, vote, snapshot, decide_history_command, random.Random(4))
     for effect in replica.start(0.0):
         assert not isinstance(effect, SendRequest)
     return replica
--- a/tests/support/replica_scenarios.py
+++ b/tests/support/replica_scenarios.py
@@ -105,7 +105,7 @@
                 came = world.run(float(within), lambda: addresses_under(world.map(), VOTER_PREFIX) == wants)
                 assert came, f"{text}: {addresses_under(world.map(), VOTER_PREFIX)}"
             case "term":
-                term, before = max(one[0] for one in world.sworn.leaders), self.term
+                term, before = max(one[0] for one in world.invariants.leaderships), self.term
                 self.term = term
                 assert rest[0] != "same" or term == before, f"term {term} after {before}"
             case "break":
