--- a/ashlift/gatekeeper/cli.py
+++ b/ashlift/gatekeeper/cli.py
@@ -193,20 +193,24 @@
     allowed: float | None,
 ) -> None:
     """Run real gatekeeper processes before our stand-ins, with faults, check the history they made and
-    keep it in the results. A SCENARIO file (S-expressions: ashlift/lab/scenario.py) takes the options'
+    keep it in the results. A SCENARIO file (S-expressions: ashlift/lab/scenario_file.py) takes the options'
     place."""
     import dataclasses
     import time as clock
 
-    from ashlift.lab.checker import check
-    from ashlift.lab.history import read
-    from ashlift.lab.run import LabError, Run, commit
-    from ashlift.lab.scenario import Scenario, ScenarioError, load
+    from ashlift.lab.checker import check_history
+    from ashlift.lab.gatekeeper_process import LabError
+    from ashlift.lab.git_commit import current_commit
+    from ashlift.lab.history import read_history
+    from ashlift.lab.results import RunDescription
+    from ashlift.lab.run import Run
+    from ashlift.lab.scenario import Scenario, ScenarioError
+    from ashlift.lab.scenario_file import load_scenario
 
     try:
         if scenario is not None:
             text = scenario.read_text(encoding="utf-8")
-            plan = load(text, str(scenario))
+            plan = load_scenario(text, str(scenario))
         else:
             plan = Scenario(
                 gatekeepers,
@@ -223,10 +227,10 @@
             plan = dataclasses.replace(plan, seed=seed)
         began = clock.strftime("%Y-%m-%dT%H:%M:%S")
         with open(history, "w", encoding="utf-8") as out:
-            run = Run(plan, out, progress=_progress(plan.seconds))
+            run = Run(plan, out, _progress(plan.seconds))
             click.echo(
                 f"lab: {plan.name}, {plan.gatekeepers} gatekeepers, {plan.nodes} nodes, "
-                f"{plan.seconds:g} s, seed {plan.seed}; logs in {run.folder}",
+                f"{plan.seconds:g} s, seed {plan.seed}; logs in {run.directory}",
                 err=True,
             )
             run.play()
@@ -235,20 +239,22 @@
         raise click.ClickException(str(error)) from None
     bound = allowed if allowed is not None else plan.allowed if plan.allowed is not None else 2 * plan.burst
     with open(history, encoding="utf-8") as file:
-        recorded = read(file)
-    verdicts = check(recorded, bound)
+        recorded = read_history(file)
+    verdicts = check_history(recorded, bound)
     for verdict in verdicts:
         click.echo(verdict.line())
     store = _results(results)
     number = store.store(
         recorded,
         verdicts,
-        name=plan.name,
-        began=began,
-        git=commit(),
-        seed=plan.seed,
-        scenario=text,
-        allows=plan.firms * plan.quota,
+        RunDescription(
+            name=plan.name,
+            began=began,
+            commit=current_commit(),
+            seed=plan.seed,
+            scenario=text,
+            allowed_rate=plan.firms * plan.quota,
+        ),
     )
     click.echo(f"history: {history}; run {number} in {results}")
     if report_to is not None:
@@ -304,9 +310,9 @@
 
 
 def _write_report(store: Any, number: int, path: Path) -> None:
-    from ashlift.lab.report import page
+    from ashlift.lab.report import render_report
 
-    path.write_text(page(store, number), encoding="utf-8")
+    path.write_text(render_report(store, number), encoding="utf-8")
     click.echo(f"report: {path.resolve()}")
 
 
@@ -333,12 +339,11 @@
 def lab_list(results: Path) -> None:
     """The kept runs: id, name, when, commit, seed, jobs, share admitted, p99, verdict."""
     store = _kept(results)
-    for number in store.ids():
+    for number in store.run_ids():
         one = store.summary(number)
-        share = one.admitted / one.asked if one.asked else 0.0
         click.echo(
-            f"{one.id:4}  {one.name:20} {one.began}  {one.git:10} seed {one.seed:<6} "
-            f"{one.asked:6} jobs {share:6.1%} admitted  p99 {one.percentile_ms(99):8.1f} ms  "
+            f"{one.id:4}  {one.name:20} {one.began}  {one.commit:10} seed {one.seed:<6} "
+            f"{one.sent:6} jobs {one.admitted_share:6.1%} admitted  p99 {one.percentile_ms(99):8.1f} ms  "
             f"{'ok' if one.ok else 'BREACH'}"
         )
 
@@ -351,17 +356,21 @@
     store = _kept(results)
     one = _summary(store, number)
     detail = store.detail(number)
-    click.echo(f"run {one.id}: {one.name}, seed {one.seed}, commit {one.git}, began {one.began}")
-    click.echo(detail["scenario"].rstrip())
-    for name, ok, text in detail["verdicts"]:
-        click.echo(f"{name}: {'ok' if ok else 'BREACH'}: {text}")
-    for begin, until, what, ways in detail["faults"]:
-        click.echo(f"fault {begin / 1000:g}-{until / 1000:g} s: {what} on {len(ways)} ways")
-    for t, keeper, what in detail["processes"]:
-        click.echo(f"process {t / 1000:.3f} s: {keeper} {what}")
+    click.echo(f"run {one.id}: {one.name}, seed {one.seed}, commit {one.commit}, began {one.began}")
+    click.echo(detail.scenario.rstrip())
+    for verdict in detail.verdicts:
+        click.echo(f"{verdict.name}: {'ok' if verdict.ok else 'BREACH'}: {verdict.text}")
+    for fault in detail.faults:
+        span = f"{fault.started_ms / 1000:g}-{fault.ended_ms / 1000:g} s"
+        click.echo(f"fault {span}: {fault.text} on {len(fault.directions)} ways")
+    for event in detail.process_events:
+        click.echo(f"process {event.at_ms / 1000:.3f} s: {event.subject} {event.text}")
     click.echo("second  gatekeeper  asked  admitted  refused  unanswered")
-    for row in detail["seconds"]:
-        click.echo("{:6}  {:10}  {:5}  {:8}  {:7}  {:10}".format(*row))
+    for row in detail.seconds:
+        click.echo(
+            f"{row.second:6}  {row.gatekeeper:10}  {row.sent:5}  {row.admitted:8}  {row.rejected:7}  "
+            f"{row.unanswered:10}"
+        )
 
 
 @lab_group.command("compare")
@@ -371,11 +380,11 @@
 def lab_compare(first: str, second: str, results: Path) -> None:
     """Kept runs side by side, with B over A. A and B are each a run, or several as 3-7: then least, median
     and most are told, and whether the two spreads meet."""
-    from ashlift.lab.compare import lines
+    from ashlift.lab.run_comparison import compare_runs
 
     store = _kept(results)
     groups = [[_summary(store, number) for number in _numbers(text)] for text in (first, second)]
-    for line in lines(*groups):
+    for line in compare_runs(*groups):
         click.echo(line)
 
 
@@ -408,12 +417,14 @@
 )
 def lab_check(history: Path, allowed: float) -> None:
     """Check a recorded HISTORY (JSON lines): one verdict line an invariant; exits with 1 on any breach."""
-    from ashlift.lab.checker import check  # the lab is never loaded by the daemon or the other commands
-    from ashlift.lab.history import HistoryError, read
+    from ashlift.lab.checker import (
+        check_history,  # the lab is never loaded by the daemon or the other commands
+    )
+    from ashlift.lab.history import HistoryError, read_history
 
     try:
         with open(history, encoding="utf-8") as file:
-            verdicts = check(read(file), allowed)
+            verdicts = check_history(read_history(file), allowed)
     except (OSError, HistoryError) as error:
         click.echo(f"{history}:{error}", err=True)
         sys.exit(2)
--- a/ashlift/lab/__init__.py
+++ b/ashlift/lab/__init__.py
@@ -1,4 +1,5 @@
-"""ashlift lab: our own installation of several gatekeepers, faults between them, and a checker.
+"""ashlift lab: several gatekeepers or the whole system as processes, faults on their links, and checkers.
 
-Never imported by the daemon. Pure parts first: `history` (what a run recorded), `checker` (its invariants).
+Never imported by the daemons. `history` holds what a run recorded, `checker` its invariants; `system` plays
+the simulator's scenarios on processes.
 """
--- a/ashlift/lab/history.py
+++ b/ashlift/lab/history.py
@@ -1,4 +1,4 @@
-"""What a lab run recorded: one JSON object a line, in the order the load driver saw it.
+"""What a lab run recorded: one JSON object a line, in the order in which the load driver saw it.
 
 Shapes (times `t` in ms of the run, units as the platform's `X-Units`):
 
@@ -14,119 +14,210 @@
 """
 
 import json
-from collections.abc import Iterable
-from dataclasses import dataclass, field
+from collections.abc import Callable, Iterable
+from typing import Any, Final
+
+import attrs
+
+NUMBER: Final = (int, float)
+PROCESS_EVENTS: Final = ("paused", "resumed", "restarted", "terminated")
 
 
 class HistoryError(ValueError):
-    """A line of a history that cannot be taken: `where` is "LINE: key"."""
+    """A line of a history that cannot be read; the text is `LINE: KEY: problem`."""
 
 
-@dataclass(frozen=True)
-class Plan:
+@attrs.frozen
+class QuotaPlan:
+    """A quota: `rate` in units a second, `burst` in units."""
+
     name: str
-    rate: float  # units a second
-    burst: float  # units
+    rate: float
+    burst: float
+
 
+@attrs.frozen
+class Answer:
+    """An answer to a job; `retry_after`: seconds, None where it gave none."""
 
-@dataclass
+    at_ms: float
+    status: int
+    retry_after: float | None
+
+
+@attrs.define
 class Job:
-    job: str
+    """A request of the load driver, and its answers in the order recorded."""
+
+    id: str
     firm: str
     plan: str
     units: float
     gatekeeper: str
-    asked_at: float  # ms
-    # (ms, status, Retry-After in seconds or None), in the order recorded
-    answers: list[tuple[float, int, float | None]] = field(default_factory=list)
+    sent_at_ms: float
+    answers: list[Answer] = attrs.Factory(list)
 
 
-@dataclass
+@attrs.frozen
+class RecordedFault:
+    """A fault of the run; `directions` of links as `SOURCE>TARGET`."""
+
+    started_ms: float
+    ended_ms: float
+    text: str
+    directions: tuple[str, ...]
+
+
+@attrs.frozen
+class ProcessEvent:
+    """Something that happened to a process, or to another `subject` of a run of the whole system."""
+
+    at_ms: float
+    subject: str
+    text: str
+
+
+@attrs.frozen
+class StrayAnswer:
+    """An answer to a job that was never sent, with the number of its line."""
+
+    line: int
+    job: str
+
+
+@attrs.define
 class History:
-    plans: dict[str, Plan] = field(default_factory=dict)
-    jobs: dict[str, Job] = field(default_factory=dict)
-    killed: dict[str, float] = field(default_factory=dict)  # gatekeeper -> ms of its first kill
-    faults: list[tuple[float, float, str, tuple[str, ...]]] = field(
-        default_factory=list
-    )  # (from, until, what, ways)
-    seen: dict[tuple[str, str], int] = field(default_factory=dict)  # (way, what) -> count
-    processes: list[tuple[float, str, str]] = field(default_factory=list)  # (ms, gatekeeper, what)
-    strays: list[tuple[int, str]] = field(default_factory=list)  # (line, job) answers of no job asked
-
-
-def _get(line: int, row: dict[str, object], key: str, kind: type | tuple[type, ...]) -> object:
-    value = row.get(key)
-    if not isinstance(value, kind) or isinstance(value, bool):
-        raise HistoryError(f"{line}: {key}: wants {getattr(kind, '__name__', 'a number')}, has {value!r}")
-    return value
-
-
-def read(lines: Iterable[str]) -> History:
-    """Read a history from its lines; blank lines are passed over."""
-    history, number = History(), (int, float)
-    for at, text in enumerate(lines, 1):
-        if not text.strip():
-            continue
-        try:
-            row = json.loads(text)
-        except json.JSONDecodeError as error:
-            raise HistoryError(f"{at}: not JSON ({error.msg})") from None
-        if not isinstance(row, dict):
-            raise HistoryError(f"{at}: not a JSON object")
-        kind = _get(at, row, "kind", str)
-        if kind == "plan":
-            name = str(_get(at, row, "name", str))
-            history.plans[name] = Plan(
-                name,
-                float(_get(at, row, "rate", number)),  # type: ignore[arg-type]
-                float(_get(at, row, "burst", number)),  # type: ignore[arg-type]
-            )
-            continue
-        if kind == "seen":
-            way, what = str(_get(at, row, "way", str)), str(_get(at, row, "what", str))
-            history.seen[way, what] = int(_get(at, row, "count", int))  # type: ignore[call-overload]
-            continue
-        t = float(_get(at, row, "t", number))  # type: ignore[arg-type]
-        if kind == "asked":
-            job = str(_get(at, row, "job", str))
-            if job in history.jobs:
-                raise HistoryError(f"{at}: job: {job!r} was asked before")
-            plan = str(_get(at, row, "plan", str))
-            if plan not in history.plans:
-                raise HistoryError(f"{at}: plan: {plan!r} is no plan named before it")
-            history.jobs[job] = Job(
-                job,
-                str(_get(at, row, "firm", str)),
-                plan,
-                float(_get(at, row, "units", number)),  # type: ignore[arg-type]
-                str(_get(at, row, "gatekeeper", str)),
-                t,
-            )
-        elif kind == "answered":
-            job = str(_get(at, row, "job", str))
-            status = int(_get(at, row, "status", int))  # type: ignore[call-overload]
-            after = row.get("retry_after")
-            if after is not None and (not isinstance(after, number) or isinstance(after, bool) or after < 0):
-                raise HistoryError(f"{at}: retry_after: wants seconds or null, has {after!r}")
-            if job in history.jobs:
-                history.jobs[job].answers.append((t, status, None if after is None else float(after)))
-            else:
-                history.strays.append((at, job))
-        elif kind == "killed":
-            history.killed.setdefault(str(_get(at, row, "gatekeeper", str)), t)
-        elif kind == "process":
-            what = str(_get(at, row, "what", str))
-            if what not in ("paused", "resumed", "restarted", "terminated"):
-                raise HistoryError(f"{at}: what: {what!r} is none of paused, resumed, restarted, terminated")
-            history.processes.append((t, str(_get(at, row, "gatekeeper", str)), what))
-        elif kind == "fault":
-            until = float(_get(at, row, "until", number))  # type: ignore[arg-type]
-            ways = row.get("ways", [])
-            if not isinstance(ways, list) or not all(isinstance(way, str) for way in ways):
-                raise HistoryError(f"{at}: ways: wants a list of ways as text, has {ways!r}")
-            history.faults.append((t, until, str(_get(at, row, "what", str)), tuple(ways)))
-        else:
-            raise HistoryError(
-                f"{at}: kind: {kind!r} is none of plan, asked, answered, killed, process, fault, seen"
-            )
+    """A whole run."""
+
+    plans: dict[str, QuotaPlan] = attrs.Factory(dict)
+    jobs: dict[str, Job] = attrs.Factory(dict)
+    killed_at_ms: dict[str, float] = attrs.Factory(dict)  # by gatekeeper, of its first kill
+    faults: list[RecordedFault] = attrs.Factory(list)
+    proxy_counts: dict[tuple[str, str], int] = attrs.Factory(dict)  # by direction and what was done
+    process_events: list[ProcessEvent] = attrs.Factory(list)
+    stray_answers: list[StrayAnswer] = attrs.Factory(list)
+
+
+@attrs.frozen
+class _Row:
+    """One line's object, whose values are checked as they are read."""
+
+    line: int
+    values: dict[str, Any]
+
+    def error(self, key: str, problem: str) -> HistoryError:
+        return HistoryError(f"{self.line}: {key}: {problem}")
+
+    def text(self, key: str) -> str:
+        return str(self._value(key, str))
+
+    def number(self, key: str) -> float:
+        return float(self._value(key, NUMBER))
+
+    def integer(self, key: str) -> int:
+        return int(self._value(key, int))
+
+    def _value(self, key: str, kind: type | tuple[type, ...]) -> Any:
+        value = self.values.get(key)
+        if not isinstance(value, kind) or isinstance(value, bool):
+            raise self.error(key, f"wants {getattr(kind, '__name__', 'a number')}, has {value!r}")
+        return value
+
+
+def read_history(lines: Iterable[str]) -> History:
+    """Read a history from its lines, without the blank ones. Raises HistoryError."""
+    history = History()
+    for number, line in enumerate(lines, 1):
+        if line.strip():
+            _add_row(history, _parse_row(number, line))
     return history
+
+
+def _parse_row(number: int, line: str) -> _Row:
+    try:
+        values = json.loads(line)
+    except json.JSONDecodeError as error:
+        raise HistoryError(f"{number}: not JSON ({error.msg})") from None
+    if not isinstance(values, dict):
+        raise HistoryError(f"{number}: not a JSON object")
+    return _Row(number, values)
+
+
+def _add_row(history: History, row: _Row) -> None:
+    kind = row.text("kind")
+    if kind in UNTIMED_ROWS:
+        UNTIMED_ROWS[kind](history, row)
+        return
+    at_ms = row.number("t")
+    if kind not in TIMED_ROWS:
+        raise row.error("kind", f"{kind!r} is none of plan, asked, answered, killed, process, fault, seen")
+    TIMED_ROWS[kind](history, row, at_ms)
+
+
+def _add_plan(history: History, row: _Row) -> None:
+    name = row.text("name")
+    history.plans[name] = QuotaPlan(name, row.number("rate"), row.number("burst"))
+
+
+def _add_proxy_count(history: History, row: _Row) -> None:
+    direction = row.text("way")
+    action = row.text("what")
+    history.proxy_counts[direction, action] = row.integer("count")
+
+
+def _add_job(history: History, row: _Row, at_ms: float) -> None:
+    job = row.text("job")
+    if job in history.jobs:
+        raise row.error("job", f"{job!r} was asked before")
+    plan = row.text("plan")
+    if plan not in history.plans:
+        raise row.error("plan", f"{plan!r} is no plan named before it")
+    firm = row.text("firm")
+    history.jobs[job] = Job(job, firm, plan, row.number("units"), row.text("gatekeeper"), at_ms)
+
+
+def _add_answer(history: History, row: _Row, at_ms: float) -> None:
+    job = row.text("job")
+    status = row.integer("status")
+    retry_after = row.values.get("retry_after")
+    if retry_after is not None:
+        is_number = isinstance(retry_after, NUMBER) and not isinstance(retry_after, bool)
+        if not is_number or retry_after < 0:
+            raise row.error("retry_after", f"wants seconds or null, has {retry_after!r}")
+        retry_after = float(retry_after)
+    if job in history.jobs:
+        history.jobs[job].answers.append(Answer(at_ms, status, retry_after))
+    else:
+        history.stray_answers.append(StrayAnswer(row.line, job))
+
+
+def _add_kill(history: History, row: _Row, at_ms: float) -> None:
+    history.killed_at_ms.setdefault(row.text("gatekeeper"), at_ms)
+
+
+def _add_process_event(history: History, row: _Row, at_ms: float) -> None:
+    text = row.text("what")
+    if text not in PROCESS_EVENTS:
+        raise row.error("what", f"{text!r} is none of paused, resumed, restarted, terminated")
+    history.process_events.append(ProcessEvent(at_ms, row.text("gatekeeper"), text))
+
+
+def _add_fault(history: History, row: _Row, at_ms: float) -> None:
+    ended_ms = row.number("until")
+    directions = row.values.get("ways", [])
+    if not isinstance(directions, list) or not all(isinstance(text, str) for text in directions):
+        raise row.error("ways", f"wants a list of ways as text, has {directions!r}")
+    history.faults.append(RecordedFault(at_ms, ended_ms, row.text("what"), tuple(directions)))
+
+
+UNTIMED_ROWS: Final[dict[str, Callable[[History, _Row], None]]] = {
+    "plan": _add_plan,
+    "seen": _add_proxy_count,
+}
+TIMED_ROWS: Final[dict[str, Callable[[History, _Row, float], None]]] = {
+    "asked": _add_job,
+    "answered": _add_answer,
+    "killed": _add_kill,
+    "process": _add_process_event,
+    "fault": _add_fault,
+}
--- /dev/null
+++ b/ashlift/lab/history_writer.py
@@ -0,0 +1,66 @@
+"""Writes the history of a lab run, in the format of `ashlift.lab.history`."""
+
+import json
+import time
+from collections import Counter
+from typing import Any, TextIO
+
+from ashlift.lab.gatekeeper_settings import PLAN
+from ashlift.lab.link_faults import LinkFault
+from ashlift.lab.scenario import Scenario
+
+
+class HistoryWriter:
+    """Owns the clock of the run: milliseconds since `begin`."""
+
+    def __init__(self, out: TextIO) -> None:
+        self._out = out
+        self.began = 0.0
+
+    def begin(self) -> None:
+        """Count the time from now on."""
+        self.began = time.monotonic()
+
+    def now_ms(self) -> float:
+        """Return the time of the run."""
+        return (time.monotonic() - self.began) * 1000
+
+    def plan(self, scenario: Scenario) -> None:
+        """Record the quota of all firms."""
+        self._write(kind="plan", name=PLAN, rate=scenario.quota, burst=scenario.burst)
+
+    def fault(self, fault: LinkFault) -> None:
+        """Record a fault of the schedule."""
+        directions = sorted(map(str, fault.directions))
+        self._write(
+            kind="fault", t=fault.started_ms, until=fault.ended_ms, what=fault.state.kind, ways=directions
+        )
+
+    def job_sent(self, job: str, firm: str, gatekeeper: str) -> None:
+        """Record that a job of one unit was sent just now."""
+        self._write(
+            kind="asked", t=self.now_ms(), job=job, firm=firm, plan=PLAN, units=1, gatekeeper=gatekeeper
+        )
+
+    def job_answered(self, job: str, status: int, retry_after: float | None) -> None:
+        """Record an answer that has come just now."""
+        self._write(kind="answered", t=self.now_ms(), job=job, status=status, retry_after=retry_after)
+
+    def killed(self, gatekeeper: str) -> None:
+        """Record that a gatekeeper was killed and has ended."""
+        self._write(kind="killed", t=self.now_ms(), gatekeeper=gatekeeper)
+
+    def process_event(self, gatekeeper: str, text: str) -> None:
+        """Record another event of a gatekeeper's process."""
+        self._write(kind="process", t=self.now_ms(), gatekeeper=gatekeeper, what=text)
+
+    def proxy_counts(self, counts: Counter[str]) -> None:
+        """Record what the proxy of a link did."""
+        for key, count in sorted(counts.items()):
+            direction, action = key.split(" ", 1)
+            self._write(kind="seen", way=direction, what=action, count=count)
+
+    def _write(self, **row: Any) -> None:
+        if "t" in row:
+            row["t"] = round(row["t"], 3)
+        self._out.write(json.dumps(row) + "\n")
--- a/ashlift/lab/results.py
+++ b/ashlift/lab/results.py
@@ -1,7 +1,6 @@
-"""Lab runs kept in SQLite (the standard library's): what ran, its verdicts, per-second rows and latency as
-HDR histograms (`hdrhistogram`, loaded only here), for `list`, `show`, `compare` and `report`.
+"""Lab runs saved in SQLite: what ran, its verdicts, figures by second, and latency as HDR histograms.
 
-Tables (times in ms of the run, latency in microseconds):
+`hdrhistogram` is loaded only here. Tables (times in ms of the run, latency in microseconds):
 
     runs(id, name, began, git, seed, scenario, verdicts, ok, latency, allows)
         latency: an encoded HdrHistogram; allows: jobs a second that the quotas allow over all firms
@@ -9,25 +8,25 @@
     faults(run, begin, until, what, ways)
     processes(run, t, gatekeeper, what)
 
-A run is stored whole in one transaction or not at all. `ResultsError` names the run that is not there.
+A run is stored whole in one transaction or not at all.
 """
 
 import json
 import sqlite3
-from collections import Counter
-from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Final
 
+import attrs
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from ashlift.lab.checker import Verdict
-from ashlift.lab.history import History
+from ashlift.lab.history import History, ProcessEvent, RecordedFault
 
-LATENCY_MOST_US = 60_000_000  # a minute: nothing is answered later
-DIGITS = 3
+MAX_LATENCY_MICROSECONDS: Final = 60_000_000  # nothing is answered later
+SIGNIFICANT_DIGITS: Final = 3
+KILLED: Final = "killed"
 
-SCHEMA = """
+SCHEMA: Final = """
 create table if not exists runs (id integer primary key, name text, began text, git text, seed integer,
     scenario text, verdicts text, ok integer, latency text, allows real);
 create table if not exists seconds (run integer, second integer, gatekeeper text, asked integer,
@@ -41,160 +40,194 @@
     """A run that the results do not hold."""
 
 
-@dataclass(frozen=True)
-class Summary:
-    """One run as `list` and `compare` show it."""
+@attrs.frozen
+class RunDescription:
+    """What is saved of a run beside its history and verdicts.
+
+    `began`: the time of day; `scenario`: its text; `allowed_rate`: jobs a second that the quotas allow over
+    all firms, 0 for no quotas.
+    """
+
+    name: str
+    began: str
+    commit: str
+    seed: int
+    scenario: str
+    allowed_rate: float
+
+
+@attrs.frozen
+class RunSummary:
+    """One run as `list` and `compare` show it; jobs are counted by their first answer."""
 
     id: int
     name: str
     began: str
-    git: str
+    commit: str
     seed: int
     ok: bool
-    asked: int
+    latency: HdrHistogram
+    allowed_rate: float
+    sent: int
     admitted: int
-    refused: int
+    rejected: int
     unanswered: int
-    latency: HdrHistogram
-    allows: float
 
-    def percentile_ms(self, share: float) -> float:
-        return float(self.latency.get_value_at_percentile(share)) / 1000
+    @property
+    def admitted_share(self) -> float:
+        """The part of the jobs that was admitted; 0 where there were none."""
+        return self.admitted / self.sent if self.sent else 0.0
+
+    def percentile_ms(self, percentile: float) -> float:
+        """Return a percentile of the latency of answered jobs."""
+        return float(self.latency.get_value_at_percentile(percentile)) / 1000
+
+
+@attrs.define
+class SecondCounts:
+    """Jobs sent to a gatekeeper in one second of the run; admitted is a 2xx, rejected any other answer."""
+
+    second: int
+    gatekeeper: str
+    sent: int = 0
+    admitted: int = 0
+    rejected: int = 0
+    unanswered: int = 0
+
 
+@attrs.frozen
+class RunDetail:
+    """Everything else that is saved of one run."""
 
-def latency(history: History) -> HdrHistogram:
-    """Ask to first answer of each answered job, in microseconds."""
-    histogram = HdrHistogram(1, LATENCY_MOST_US, DIGITS)
+    scenario: str
+    verdicts: list[Verdict]
+    seconds: list[SecondCounts]
+    faults: list[RecordedFault]
+    process_events: list[ProcessEvent]
+
+
+def latency_histogram(history: History) -> HdrHistogram:
+    """Return the time from each answered job to its first answer, in microseconds."""
+    histogram = HdrHistogram(1, MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS)
     for job in history.jobs.values():
         if job.answers:
-            taken = round((job.answers[0][0] - job.asked_at) * 1000)
-            histogram.record_value(max(1, min(LATENCY_MOST_US, taken)))
+            latency = round((job.answers[0].at_ms - job.sent_at_ms) * 1000)
+            histogram.record_value(max(1, min(MAX_LATENCY_MICROSECONDS, latency)))
     return histogram
 
 
-def per_second(history: History) -> dict[tuple[int, str], Counter[str]]:
-    """(second asked, gatekeeper) -> asked, admitted (a 2xx), refused (any other answer), unanswered."""
-    rows: dict[tuple[int, str], Counter[str]] = {}
+def count_seconds(history: History) -> list[SecondCounts]:
+    """Return the counts of each second and gatekeeper that has any, in order."""
+    counts: dict[tuple[int, str], SecondCounts] = {}
     for job in history.jobs.values():
-        row = rows.setdefault((int(job.asked_at // 1000), job.gatekeeper), Counter())
-        row["asked"] += 1
+        second = int(job.sent_at_ms // 1000)
+        row = counts.setdefault((second, job.gatekeeper), SecondCounts(second, job.gatekeeper))
+        row.sent += 1
         if not job.answers:
-            row["unanswered"] += 1
+            row.unanswered += 1
+        elif 200 <= job.answers[0].status < 300:
+            row.admitted += 1
         else:
-            row["admitted" if 200 <= job.answers[0][1] < 300 else "refused"] += 1
-    return rows
+            row.rejected += 1
+    return [row for _, row in sorted(counts.items())]
 
 
 class Results:
     """One SQLite file of runs."""
 
     def __init__(self, path: Path) -> None:
-        self.db = sqlite3.connect(path)
-        self.db.executescript(SCHEMA)
+        self._database = sqlite3.connect(path)
+        self._database.executescript(SCHEMA)
 
     def close(self) -> None:
-        self.db.close()
-
-    def store(
-        self,
-        history: History,
-        verdicts: list[Verdict],
-        *,
-        name: str,
-        began: str,
-        git: str,
-        seed: int,
-        scenario: str,
-        allows: float,
-    ) -> int:
-        """Keeps one run; returns its id."""
-        encoded = latency(history).encode().decode("ascii")
-        with self.db:
-            cursor = self.db.execute(
-                "insert into runs (name, began, git, seed, scenario, verdicts, ok, latency, allows) "
-                "values (?, ?, ?, ?, ?, ?, ?, ?, ?)",
-                (
-                    name,
-                    began,
-                    git,
-                    seed,
-                    scenario,
-                    json.dumps([[v.name, v.ok, v.text] for v in verdicts]),
-                    int(all(v.ok for v in verdicts)),
-                    encoded,
-                    allows,
-                ),
-            )
-            run = int(cursor.lastrowid or 0)
-            self.db.executemany(
-                "insert into seconds values (?, ?, ?, ?, ?, ?, ?)",
-                [
-                    (run, second, keeper, row["asked"], row["admitted"], row["refused"], row["unanswered"])
-                    for (second, keeper), row in sorted(per_second(history).items())
-                ],
-            )
-            self.db.executemany(
-                "insert into faults values (?, ?, ?, ?, ?)",
-                [(run, begin, until, what, json.dumps(ways)) for begin, until, what, ways in history.faults],
-            )
-            self.db.executemany(
-                "insert into processes values (?, ?, ?, ?)",
-                [(run, t, keeper, what) for t, keeper, what in history.processes]
-                + [(run, t, keeper, "killed") for keeper, t in history.killed.items()],
-            )
+        """Close the file."""
+        self._database.close()
+
+    def store(self, history: History, verdicts: list[Verdict], description: RunDescription) -> int:
+        """Save one run and return its number."""
+        with self._database:
+            run = self._insert_run(history, verdicts, description)
+            self._insert_rows(run, history)
         return run
 
-    def ids(self) -> list[int]:
-        return [row[0] for row in self.db.execute("select id from runs order by id")]
+    def _insert_run(self, history: History, verdicts: list[Verdict], description: RunDescription) -> int:
+        cursor = self._database.execute(
+            "insert into runs (name, began, git, seed, scenario, verdicts, ok, latency, allows) "
+            "values (?, ?, ?, ?, ?, ?, ?, ?, ?)",
+            (
+                description.name,
+                description.began,
+                description.commit,
+                description.seed,
+                description.scenario,
+                json.dumps([[verdict.name, verdict.ok, verdict.text] for verdict in verdicts]),
+                int(all(verdict.ok for verdict in verdicts)),
+                latency_histogram(history).encode().decode("ascii"),
+                description.allowed_rate,
+            ),
+        )
+        return int(cursor.lastrowid or 0)
+
+    def _insert_rows(self, run: int, history: History) -> None:
+        self._database.executemany(
+            "insert into seconds values (?, ?, ?, ?, ?, ?, ?)",
+            [
+                (run, row.second, row.gatekeeper, row.sent, row.admitted, row.rejected, row.unanswered)
+                for row in count_seconds(history)
+            ],
+        )
+        self._database.executemany(
+            "insert into faults values (?, ?, ?, ?, ?)",
+            [
+                (run, fault.started_ms, fault.ended_ms, fault.text, json.dumps(fault.directions))
+                for fault in history.faults
+            ],
+        )
+        kills = [ProcessEvent(at_ms, name, KILLED) for name, at_ms in history.killed_at_ms.items()]
+        self._database.executemany(
+            "insert into processes values (?, ?, ?, ?)",
+            [(run, event.at_ms, event.subject, event.text) for event in history.process_events + kills],
+        )
+
+    def run_ids(self) -> list[int]:
+        """Return the numbers of all runs, in order."""
+        return [run for (run,) in self._database.execute("select id from runs order by id")]
 
-    def summary(self, run: int) -> Summary:
-        found = self.db.execute(
+    def summary(self, run: int) -> RunSummary:
+        """Return a run's summary. Raises ResultsError where it is not saved here."""
+        row = self._database.execute(
             "select id, name, began, git, seed, ok, latency, allows from runs where id = ?", (run,)
         ).fetchone()
-        if found is None:
+        if row is None:
             raise ResultsError(f"run {run}: no such run in the results")
-        totals = self.db.execute(
+        counts = self._database.execute(
             "select coalesce(sum(asked), 0), coalesce(sum(admitted), 0), coalesce(sum(refused), 0), "
             "coalesce(sum(unanswered), 0) from seconds where run = ?",
             (run,),
         ).fetchone()
-        number, name, began, git, seed, ok, encoded, allows = found
-        asked, admitted, refused, unanswered = totals
-        return Summary(
-            number,
-            name,
-            began,
-            git,
-            seed,
-            ok == 1,
-            asked,
-            admitted,
-            refused,
-            unanswered,
-            HdrHistogram.decode(encoded),
-            allows,
-        )
+        number, name, began, commit, seed, ok, latency, allowed_rate = row
+        decoded = HdrHistogram.decode(latency)
+        return RunSummary(number, name, began, commit, seed, ok == 1, decoded, allowed_rate, *counts)
 
-    def detail(self, run: int) -> dict[str, Any]:
-        """Everything kept of one run: scenario, verdicts, seconds, faults, processes."""
+    def detail(self, run: int) -> RunDetail:
+        """Return everything else of a run. Raises ResultsError where it is not saved here."""
         self.summary(run)
-        query = self.db.execute
+        query = self._database.execute
         scenario, verdicts = query("select scenario, verdicts from runs where id = ?", (run,)).fetchone()
-        return {
-            "scenario": scenario,
-            "verdicts": json.loads(verdicts),
-            "seconds": query(
-                "select second, gatekeeper, asked, admitted, refused, unanswered from seconds "
-                "where run = ? order by second, gatekeeper",
-                (run,),
-            ).fetchall(),
-            "faults": [
-                (b, u, w, json.loads(ways))
-                for b, u, w, ways in query(
-                    "select begin, until, what, ways from faults where run = ?", (run,)
-                )
+        seconds = query(
+            "select second, gatekeeper, asked, admitted, refused, unanswered from seconds "
+            "where run = ? order by second, gatekeeper",
+            (run,),
+        )
+        faults = query("select begin, until, what, ways from faults where run = ?", (run,))
+        events = query("select t, gatekeeper, what from processes where run = ? order by t", (run,))
+        return RunDetail(
+            scenario,
+            [Verdict(*verdict) for verdict in json.loads(verdicts)],
+            [SecondCounts(*row) for row in seconds],
+            [
+                RecordedFault(started_ms, ended_ms, text, tuple(json.loads(directions)))
+                for started_ms, ended_ms, text, directions in faults
             ],
-            "processes": query(
-                "select t, gatekeeper, what from processes where run = ? order by t", (run,)
-            ).fetchall(),
-        }
+            [ProcessEvent(*row) for row in events],
+        )
--- a/ashlift/lab/system/commands.py
+++ b/ashlift/lab/system/commands.py
@@ -8,9 +8,9 @@
 import click
 
 from ashlift.lab.checker import Verdict
-from ashlift.lab.report import page
+from ashlift.lab.git_commit import current_commit
+from ashlift.lab.report import render_report
 from ashlift.lab.results import Results
-from ashlift.lab.run import commit
 from ashlift.lab.system.runs import PlayedRun, StoppedError, play_on_processes, play_simulated
 from ashlift.lab.system.supported_scenarios import unsupported_parts
 from ashlift.simulation import shrinking
@@ -67,7 +67,7 @@
         number = _print_and_save(run, results, results_file, began)
         all_ok = all_ok and run.is_ok
         if report_file is not None:
-            report_file.write_text(page(results, number), encoding="utf-8")
+            report_file.write_text(render_report(results, number), encoding="utf-8")
             click.echo(f"report: {report_file.resolve()}")
     return 0 if all_ok else 1
 
@@ -110,7 +110,7 @@
             f"the machine is full: this process came {run.max_lag:.2f} s late, and what the scene "
             "expects by a time may have failed for that"
         )
-    number = run.save(results, commit(), began, "processes")
+    number = run.save(results, current_commit(), began, "processes")
     click.echo(f"run {number} in {results_file}, {run.duration:.1f} s")
     click.echo(summarize(run.verdicts))
     return number
@@ -125,7 +125,7 @@
     shorter scenario for each run that fails.
     """
     results = Results(results_file) if results_file else None
-    git_commit = commit() if results else ""
+    git_commit = current_commit() if results else ""
     all_ok = True
     for scenario in read_scenario_file(scenario_file):
         first = scenario.plan.seed if first_seed is None else first_seed
--- a/ashlift/lab/system/machine_connectivity.py
+++ b/ashlift/lab/system/machine_connectivity.py
@@ -1,15 +1,18 @@
 """The links between machines of a run, and which of them are blocked.
 
-Each link passes through a fault-injecting proxy (`TcpLink`), which holds back the bytes of a blocked
+Each link passes through a fault-injecting proxy (`TcpFaultProxy`), which holds back the bytes of a blocked
 direction: neither end is notified, as where packets are lost.
 """
 
 import math
 from collections.abc import Iterable
+from typing import Final
 
-from ashlift.lab.faults import Fault, Schedule, State, Way
-from ashlift.lab.proxy import TcpLink
+from ashlift.lab.link_faults import Direction, FaultSchedule, LinkFault, LinkState, LinkStateKind
 from ashlift.lab.system.machine_layout import LabMachine, machine_links
+from ashlift.lab.tcp_fault_proxy import TcpFaultProxy
+
+HELD: Final = LinkState(LinkStateKind.HOLD)
 
 
 class MachineConnectivity:
@@ -17,13 +20,13 @@
 
     def __init__(self) -> None:
         self._blocked: set[tuple[str, str]] = set()
-        self._schedule = Schedule([])
-        self._links: list[TcpLink] = []
+        self._schedule = FaultSchedule([])
+        self._links: list[TcpFaultProxy] = []
 
     def open_links(self, machines: list[LabMachine]) -> None:
         """Listen for all links. Raises OSError where an address cannot be had."""
         for seed, link in enumerate(machine_links(machines)):
-            proxy = TcpLink(
+            proxy = TcpFaultProxy(
                 link.caller, link.callee, link.target_address, self._schedule, seed, link.listen_address
             )
             self._links.append(proxy)
@@ -72,6 +75,6 @@
         return {name for pair in unblocked for name in pair}
 
     def _apply(self) -> None:
-        ways = frozenset(Way(source, target) for source, target in self._blocked)
+        directions = frozenset(Direction(source, target) for source, target in self._blocked)
         # In place: every link asks this schedule.
-        self._schedule.faults[:] = [Fault(ways, 0.0, math.inf, State("hold"))] if ways else []
+        self._schedule.faults[:] = [LinkFault(directions, 0.0, math.inf, HELD)] if directions else []
--- a/ashlift/lab/system/runs.py
+++ b/ashlift/lab/system/runs.py
@@ -10,7 +10,7 @@
 from attrs import define, evolve
 
 from ashlift.lab.checker import Verdict
-from ashlift.lab.results import Results
+from ashlift.lab.results import Results, RunDescription
 from ashlift.lab.system.process_world import ProcessWorld
 from ashlift.lab.system.saved_runs import RunEvent, rule_verdicts, to_lab_history
 from ashlift.simulation.checkers.rules import check_rules
@@ -47,16 +47,16 @@
     def save(self, results: Results, commit: str, began: str, kind: str) -> int:
         """Save the run and return its number; `kind`: `sim` or `processes`."""
         plan = evolve(self.scenario.plan, seed=self.seed)
-        return results.store(
-            to_lab_history(self.history, self.events, plan.rate),
-            self.verdicts,
+        description = RunDescription(
             name=f"{kind}: {self.scenario.title.partition(':')[0]}",
             began=began,
-            git=commit,
+            commit=commit,
             seed=self.seed,
             scenario=evolve(self.scenario, plan=plan).to_text(),
-            allows=0.0,
+            allowed_rate=0.0,
         )
+        history = to_lab_history(self.history, self.events, plan.rate)
+        return results.store(history, self.verdicts, description)
 
 
 def play_simulated(scenario: Scenario, seed: int) -> PlayedRun:
--- a/ashlift/lab/system/saved_runs.py
+++ b/ashlift/lab/system/saved_runs.py
@@ -10,8 +10,8 @@
 import attrs
 
 from ashlift.lab.checker import Verdict
+from ashlift.lab.history import Answer, Job, ProcessEvent, QuotaPlan, RecordedFault
 from ashlift.lab.history import History as LabHistory
-from ashlift.lab.history import Job, Plan
 from ashlift.simulation.checkers.rules import RULE_TEXTS
 from ashlift.simulation.checkers.violation import Violation
 from ashlift.simulation.history import History, Request
@@ -41,14 +41,16 @@
 
     `events`: what befell the run's programs; `rate`: requests a second.
     """
-    lab_history = LabHistory(plans={PLAN_NAME: Plan(PLAN_NAME, rate, 0.0)})
+    lab_history = LabHistory(plans={PLAN_NAME: QuotaPlan(PLAN_NAME, rate, 0.0)})
     for request in history.requests:
         if not _is_open_at_end(request, history.end):
             job = _to_job(request)
-            lab_history.jobs[job.job] = job
+            lab_history.jobs[job.id] = job
     lab_history.faults = list(_faults(history))
     all_events = sorted(events + operator_and_worker_events(history))
-    lab_history.processes = [(event.at * MILLISECONDS, event.subject, event.text) for event in all_events]
+    lab_history.process_events = [
+        ProcessEvent(event.at * MILLISECONDS, event.subject, event.text) for event in all_events
+    ]
     return lab_history
 
 
@@ -59,12 +61,12 @@
 def _to_job(request: Request) -> Job:
     job = Job(str(request.id), request.key, PLAN_NAME, 1.0, request.proxy, request.sent * MILLISECONDS)
     if request.status:
-        job.answers.append((request.ended * MILLISECONDS, request.status, None))
+        job.answers.append(Answer(request.ended * MILLISECONDS, request.status, None))
     return job
 
 
-def _faults(history: History) -> Iterator[tuple[float, float, str, tuple[str, ...]]]:
-    """Faults of the same span, to a tenth of a second, together: start and end in ms, text, links."""
+def _faults(history: History) -> Iterator[RecordedFault]:
+    """Faults of the same span, to a tenth of a second, are one."""
     machines_by_span: dict[tuple[float, float], list[str]] = {}
     for machine, intervals in [*sorted(history.faults.items()), (UNSETTLED_CORE, history.core_unsettled)]:
         for interval in intervals:
@@ -74,8 +76,10 @@
                 machines_by_span.setdefault(span, []).append(machine)
     for (started, ended), machines in sorted(machines_by_span.items()):
         names = list(dict.fromkeys(machines))
-        links = tuple(f"{name}>" for name in names)
-        yield started * MILLISECONDS, ended * MILLISECONDS, f"trouble: {', '.join(names)}", links
+        directions = tuple(f"{name}>" for name in names)
+        yield RecordedFault(
+            started * MILLISECONDS, ended * MILLISECONDS, f"trouble: {', '.join(names)}", directions
+        )
 
 
 def operator_and_worker_events(history: History) -> list[RunEvent]:
--- a/tests/gatekeeper/test_lab.py
+++ b/tests/gatekeeper/test_lab.py
@@ -12,12 +12,22 @@
 from gevent import socket
 
 from ashlift.gatekeeper.cli import ashlift
-from ashlift.lab.checker import check
-from ashlift.lab.faults import Fault, FaultError, Schedule, State, Way, one_way, partition
-from ashlift.lab.history import HistoryError, read
-from ashlift.lab.proxy import TcpLink, UdpLink
+from ashlift.lab.checker import check_history
+from ashlift.lab.history import HistoryError, read_history
+from ashlift.lab.link_faults import (
+    Direction,
+    FaultSchedule,
+    LinkFault,
+    LinkFaultError,
+    LinkState,
+    LinkStateKind,
+    one_way_fault,
+    partition_fault,
+)
 from ashlift.lab.run import Run
 from ashlift.lab.scenario import Scenario
+from ashlift.lab.tcp_fault_proxy import TcpFaultProxy
+from ashlift.lab.udp_fault_proxy import UdpFaultProxy
 
 PLAN = {"kind": "plan", "name": "basic", "rate": 10.0, "burst": 5.0}
 
@@ -51,7 +61,7 @@
 
 
 def failed(rows: list[dict[str, object]], allowed: float = 0.0) -> set[str]:
-    return {verdict.name for verdict in check(read(lines(rows)), allowed) if not verdict.ok}
+    return {verdict.name for verdict in check_history(read_history(lines(rows)), allowed) if not verdict.ok}
 
 
 def test_a_clean_history_passes_and_each_planted_breach_is_caught() -> None:
@@ -75,7 +85,9 @@
 def test_jobs_open_at_a_kill_are_reported_not_breaches() -> None:
     rows = [*clean(), asked("k", 2500.0, gatekeeper="g2")]
     rows.append({"kind": "killed", "t": 2600.0, "gatekeeper": "g2"})
-    (verdict,) = [verdict for verdict in check(read(lines(rows))) if verdict.name == "one_answer"]
+    (verdict,) = [
+        verdict for verdict in check_history(read_history(lines(rows))) if verdict.name == "one_answer"
+    ]
     assert verdict.ok and "open at a kill: g2 1" in verdict.line()
     assert failed([*rows, asked("late", 2700.0, gatekeeper="g3")]) == {"one_answer"}
 
@@ -91,7 +103,7 @@
 )
 def test_a_line_that_cannot_be_right_names_its_place_and_key(text: str, where: str) -> None:
     with pytest.raises(HistoryError, match=f"^{where}"):
-        read([text])
+        read_history([text])
 
 
 def test_the_command_line_says_one_line_an_invariant_and_fails_on_a_breach(tmp_path: Path) -> None:
@@ -103,19 +115,27 @@
 
 
 def test_faults_lay_over_one_another_and_a_partition_cuts_both_ways_between_sides() -> None:
-    split = partition([{"g1"}, {"g2", "g3"}], 1000.0, 4000.0)
-    slow = Fault(frozenset({Way("g1", "g2")}), 2500.0, 2600.0, State("delay", 50.0, 10.0))
-    schedule = Schedule([split, one_way("g2", "g3", 2000.0, 3000.0), slow])
-    assert {str(way) for way in split.ways} == {"g1>g2", "g2>g1", "g1>g3", "g3>g1"}
-    assert schedule.state(Way("g1", "g2"), 999.0).kind == "pass"
-    assert schedule.state(Way("g2", "g1"), 1000.0).kind == "cut"
-    assert schedule.state(Way("g1", "g2"), 2550.0) == State("delay", 50.0, 10.0)  # the later one wins
-    assert schedule.state(Way("g2", "g3"), 2000.0).kind == "drop"  # g3 hears nothing of g2 ...
-    assert schedule.state(Way("g3", "g2"), 2000.0).kind == "pass"  # ... and g2 still hears g3
-    assert schedule.state(Way("g1", "g3"), 4000.0).kind == "pass"
-    assert schedule.changes() == [1000.0, 2000.0, 2500.0, 2600.0, 3000.0, 4000.0]
-    with pytest.raises(FaultError, match="^at"):
-        one_way("a", "b", 5.0, 5.0)
+    split = partition_fault([{"g1"}, {"g2", "g3"}], 1000.0, 4000.0)
+    slow = LinkFault(
+        frozenset({Direction("g1", "g2")}), 2500.0, 2600.0, LinkState(LinkStateKind.DELAY, 50.0, 10.0)
+    )
+    schedule = FaultSchedule([split, one_way_fault("g2", "g3", 2000.0, 3000.0), slow])
+    assert {str(way) for way in split.directions} == {"g1>g2", "g2>g1", "g1>g3", "g3>g1"}
+    assert schedule.state(Direction("g1", "g2"), 999.0).kind is LinkStateKind.PASS
+    assert schedule.state(Direction("g2", "g1"), 1000.0).kind is LinkStateKind.CUT
+    assert schedule.state(Direction("g1", "g2"), 2550.0) == LinkState(
+        LinkStateKind.DELAY, 50.0, 10.0
+    )  # the later one wins
+    assert (
+        schedule.state(Direction("g2", "g3"), 2000.0).kind is LinkStateKind.DROP
+    )  # g3 hears nothing of g2 ...
+    assert (
+        schedule.state(Direction("g3", "g2"), 2000.0).kind is LinkStateKind.PASS
+    )  # ... and g2 still hears g3
+    assert schedule.state(Direction("g1", "g3"), 4000.0).kind is LinkStateKind.PASS
+    assert schedule.change_times() == [1000.0, 2000.0, 2500.0, 2600.0, 3000.0, 4000.0]
+    with pytest.raises(LinkFaultError, match="^at"):
+        one_way_fault("a", "b", 5.0, 5.0)
 
 
 def echo_server() -> tuple[socket.socket, list[bytes]]:
@@ -139,10 +159,12 @@
     clock = [0.0]
     # From 0.5 s the asks wait 5 to 10 ms; from 1 s the answers are dropped (the far end hears the near one,
     # not the other way); from 2 s, a cut.
-    cut = partition([{"g1"}, {"counter"}], 2000.0, 9e9)
-    slow = Fault(frozenset({Way("g1", "counter")}), 500.0, 1000.0, State("delay", 5.0, 5.0))
-    schedule = Schedule([slow, one_way("counter", "g1", 1000.0, 2000.0), cut])
-    link = TcpLink("g1", "counter", server.getsockname(), schedule, seed=3, clock=lambda: clock[0])
+    cut = partition_fault([{"g1"}, {"counter"}], 2000.0, 9e9)
+    slow = LinkFault(
+        frozenset({Direction("g1", "counter")}), 500.0, 1000.0, LinkState(LinkStateKind.DELAY, 5.0, 5.0)
+    )
+    schedule = FaultSchedule([slow, one_way_fault("counter", "g1", 1000.0, 2000.0), cut])
+    link = TcpFaultProxy("g1", "counter", server.getsockname(), schedule, seed=3, clock=lambda: clock[0])
     with gevent.Timeout(10), socket.create_connection(link.address) as client:
         client.sendall(b"one")
         assert client.recv(16) == b"one"
@@ -168,8 +190,10 @@
 def test_a_held_way_keeps_bytes_and_brings_them_on_where_the_connection_stands() -> None:
     server, heard = echo_server()
     clock = [0.0]
-    hold = Fault(frozenset({Way("g1", "core")}), 1000.0, 2000.0, State("hold"))
-    link = TcpLink("g1", "core", server.getsockname(), Schedule([hold]), seed=3, clock=lambda: clock[0])
+    hold = LinkFault(frozenset({Direction("g1", "core")}), 1000.0, 2000.0, LinkState(LinkStateKind.HOLD))
+    link = TcpFaultProxy(
+        "g1", "core", server.getsockname(), FaultSchedule([hold]), seed=3, clock=lambda: clock[0]
+    )
     with gevent.Timeout(10), socket.create_connection(link.address) as client:
         client.sendall(b"one")
         assert client.recv(16) == b"one"
@@ -177,12 +201,12 @@
         client.sendall(b"two")
         with socket.create_connection(link.address) as late:  # comes up, and is carried on after the hold
             late.sendall(b"new")
-            while not link.held:
+            while not link.held_count:
                 gevent.sleep(0.01)
             assert heard == [b"one"]
             clock[0] = 2.5
             assert client.recv(16) == b"two" and late.recv(16) == b"new"
-    assert link.counts["g1>core held"] >= 3 and not link.held
+    assert link.counts["g1>core held"] >= 3 and not link.held_count
     link.close()
     server.close()
 
@@ -203,14 +227,17 @@
         counter_cuts=((2, 0.5, 1.5),),
     )
     Run(scenario, out).play()
-    verdicts = {verdict.name: verdict for verdict in check(read(out.getvalue().splitlines()), allowed=40.0)}
+    verdicts = {
+        verdict.name: verdict
+        for verdict in check_history(read_history(out.getvalue().splitlines()), allowed=40.0)
+    }
     assert all(verdict.ok for verdict in verdicts.values()), [v.line() for v in verdicts.values()]
     assert re.search(r"open at a kill: g1 [1-9]", verdicts["one_answer"].text)
     assert "cut counter>g2,g2>counter" in verdicts["crossed"].text  # the cut from the counter was met
-    history = read(out.getvalue().splitlines())
-    assert [what for _, _, what in history.processes] == ["paused", "resumed", "restarted"]
-    restarted = history.processes[-1][0]
-    again = [job for job in history.jobs.values() if job.gatekeeper == "g1" and job.asked_at > restarted]
+    history = read_history(out.getvalue().splitlines())
+    assert [event.text for event in history.process_events] == ["paused", "resumed", "restarted"]
+    restarted = history.process_events[-1].at_ms
+    again = [job for job in history.jobs.values() if job.gatekeeper == "g1" and job.sent_at_ms > restarted]
     assert again and all(job.answers for job in again)
 
 
@@ -218,14 +245,14 @@
     far = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     far.bind(("127.0.0.1", 0))
     clock = [0.0]
-    schedule = Schedule(
+    schedule = FaultSchedule(
         [
-            Fault(frozenset({Way("g1", "g2")}), 1000.0, 2000.0, State("duplicate")),
-            Fault(frozenset({Way("g1", "g2")}), 2000.0, 3000.0, State("reorder")),
-            one_way("g2", "g1", 0.0, 9e9),
+            LinkFault(frozenset({Direction("g1", "g2")}), 1000.0, 2000.0, LinkState(LinkStateKind.DUPLICATE)),
+            LinkFault(frozenset({Direction("g1", "g2")}), 2000.0, 3000.0, LinkState(LinkStateKind.REORDER)),
+            one_way_fault("g2", "g1", 0.0, 9e9),
         ]
     )
-    link = UdpLink("g1", "g2", far.getsockname(), schedule, seed=3, clock=lambda: clock[0])
+    link = UdpFaultProxy("g1", "g2", far.getsockname(), schedule, seed=3, clock=lambda: clock[0])
     near = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     heard = []
     with gevent.Timeout(10):
--- a/tests/gatekeeper/test_lab_runs.py
+++ b/tests/gatekeeper/test_lab_runs.py
@@ -9,21 +9,27 @@
 from click.testing import CliRunner
 
 from ashlift.gatekeeper.cli import ashlift
-from ashlift.lab.faults import Way
-from ashlift.lab.scenario import ScenarioError, load
+from ashlift.lab.link_faults import Direction
+from ashlift.lab.scenario import ScenarioError
+from ashlift.lab.scenario_file import load_scenario
 
 ROOT = Path(__file__).resolve().parents[2]
 
 
 def test_the_shipped_scenarios_read_and_a_partition_takes_the_rest_of_the_ends() -> None:
-    five = load((ROOT / "scenarios" / "partition-five.sexp").read_text())
+    five = load_scenario((ROOT / "scenarios" / "partition-five.sexp").read_text())
     split, drop, delay = five.faults
-    assert Way("g0", "counter") in split.ways and Way("n5", "g1") in split.ways
-    assert Way("g0", "n3") not in split.ways and Way("g2", "g3") not in split.ways  # same side
-    assert drop.ways == {Way("g2", "counter")} and (delay.state.ms, delay.state.jitter) == (20.0, 10.0)
-    assert five.acts() == [(9.0, "pause", 4), (12.0, "kill", 1), (13.0, "restart", 1)]
+    assert Direction("g0", "counter") in split.directions and Direction("n5", "g1") in split.directions
+    assert (
+        Direction("g0", "n3") not in split.directions and Direction("g2", "g3") not in split.directions
+    )  # same side
+    assert drop.directions == {Direction("g2", "counter")} and (
+        delay.state.delay_ms,
+        delay.state.jitter_ms,
+    ) == (20.0, 10.0)
+    assert five.process_actions() == [(9.0, "pause", 4), (12.0, "kill", 1), (13.0, "restart", 1)]
     assert five.rate_at(0.0) == 10.0 and five.rate_at(16.0) == 24.0 and five.work_ms == 20.0
-    assert load((ROOT / "scenarios" / "demo.sexp").read_text()).nodes == 12
+    assert load_scenario((ROOT / "scenarios" / "demo.sexp").read_text()).nodes == 12
 
 
 @pytest.mark.parametrize(
@@ -44,7 +50,7 @@
 )
 def test_a_scenario_that_cannot_be_run_is_told_by_line_column_and_key(text: str, told: str) -> None:
     with pytest.raises(ScenarioError, match=f"^{re.escape(told)}"):
-        load(text, "s")
+        load_scenario(text, "s")
 
 
 def test_a_run_from_a_file_splits_a_gatekeeper_from_nodes_and_is_kept_and_reported(tmp_path: Path) -> None:
--- a/tests/lab/test_saved_runs.py
+++ b/tests/lab/test_saved_runs.py
@@ -6,8 +6,8 @@
 from attrs import evolve
 from ward import test
 
-from ashlift.lab.compare import lines as compare
 from ashlift.lab.results import Results
+from ashlift.lab.run_comparison import compare_runs
 from ashlift.lab.system.request_content import content_of
 from ashlift.lab.system.runs import play_simulated
 from ashlift.lab.system.saved_runs import RunEvent, rule_verdicts, to_lab_history
@@ -30,9 +30,9 @@
     jobs = lab_history.jobs.values()
     assert len(jobs) > 800
     assert sum(bool(job.answers) for job in jobs) > 0.95 * len(jobs)
-    texts = {text for _, _, text in lab_history.processes}
+    texts = {event.text for event in lab_history.process_events}
     assert texts >= {"version 4 taken", "leaves", "proxy killed"}
-    spans = {text: (started, ended) for started, ended, text, _ in lab_history.faults}
+    spans = {fault.text: (fault.started_ms, fault.ended_ms) for fault in lab_history.faults}
     assert spans["trouble: core-1, core-2, core-3"] == (14000.0, 18000.0)
     assert spans["trouble: edge-2"][0] == 10000.0
     assert content_of(history.requests[0]).target.decode() == history.requests[0].path
@@ -48,10 +48,10 @@
             for seed in seeds:
                 run = play_simulated(evolve(scenario, plan=plan), seed)
                 assert run.save(results, "abc", "now", "sim") == seed
-        compared = compare(
+        compared = compare_runs(
             [results.summary(seed) for seed in (1, 2, 3)], [results.summary(4), results.summary(5)]
         )
-        single_runs = compare([results.summary(1)], [results.summary(2)])
+        single_runs = compare_runs([results.summary(1)], [results.summary(2)])
         results.close()
     jobs = next(line for line in compared if line.startswith("jobs"))
     assert ".." in jobs, jobs
