--- a/ashlift/registry/api/proposals.py
+++ b/ashlift/registry/api/proposals.py
@@ -1,11 +1,13 @@
 """`/proposals`: edits of routes that are pending, and what operators decide about them."""
 
+from typing import Final
+
 from ashlift.errors import Failure
 from ashlift.registry.api.messages import HttpRequest, HttpResponse, error_response
 from ashlift.registry.api.resource import Resource, parse_json
 from ashlift.registry.api.route_edits import RouteEditService, edit_response, name_in_path
 
-DECISIONS = ("confirm", "reject")
+DECISIONS: Final = ("confirm", "reject")
 
 
 class ProposalsResource(Resource):
--- a/ashlift/registry/peer_registries.py
+++ b/ashlift/registry/peer_registries.py
@@ -85,7 +85,8 @@
         significant change."""
         name = self._source_by_ip.get(ip, "")
         replica = self.replicas.get(name)
-        delta, origin = response.delta, response.origin
+        delta = response.delta
+        origin = response.origin
         if delta is None:
             if replica is not None:
                 replica.last_contact_at = max(replica.last_contact_at, sent_at)
--- a/ashlift/registry/replication_loops.py
+++ b/ashlift/registry/replication_loops.py
@@ -5,6 +5,7 @@
 
 import time
 from collections.abc import Callable
+from typing import Final
 
 import gevent
 from gevent.event import Event
@@ -26,13 +27,13 @@
 from ashlift.registry.store_client import StoreClient
 from ashlift.rpc.client import ClientPool
 
-RESPONSE_TIMEOUT_SECONDS = 0.6  # for a response beyond the time for which the call may be held
-OWN_STORE_WATCH_SECONDS = 0.1  # the own store is asked so often: the age of the freshness lease grows by this
-TICK_INTERVAL_SECONDS = 0.25
+RESPONSE_TIMEOUT_SECONDS: Final = 0.6  # for a response beyond the time for which the call may be held
+OWN_STORE_WATCH_SECONDS: Final = 0.1  # between two answers of the own store; the lease's age grows by this
+TICK_INTERVAL_SECONDS: Final = 0.25
 
 
 class ReplicationLoops:
-    """`failed` is set once a loop has ended by an error: what it keeps up would go stale unseen."""
+    """`failed` is set once a loop has raised an exception: the process must end, or records go stale."""
 
     def __init__(
         self, registry: Registry, store: StoreClient, notifier: ChangeNotifier, clients: ClientPool, port: int
@@ -52,7 +53,7 @@
         self._other_loops = [self._spawn(self._watch_loop), self._spawn(self._tick_loop)]
 
     def stop(self) -> None:
-        """End all loops, in the middle of what they do."""
+        """End all loops immediately."""
         gevent.killall([*self._swap_loops.values(), *self._other_loops], block=False)
 
     def _spawn(self, run: Callable[..., None], *args: str) -> "gevent.Greenlet[..., None]":
@@ -126,24 +127,24 @@
                 announced.add(source)
 
     def _watch_loop(self) -> None:
-        """Watches the own store; another one after each answer of it that proves nothing."""
+        """Watch the own store; after each answer of it that proves nothing, another one."""
         ask_own = True
         own_is_unreachable = False
         while True:
             sent_at = time.monotonic()
             answer = self._watch(ask_own)
             received_at = time.monotonic()
-            in_touch = False
+            has_proof = False
             if isinstance(answer, Failure):
                 if ask_own and not own_is_unreachable:
                     log_event(events.STORE_UNREACHABLE, error=answer)
                 own_is_unreachable = own_is_unreachable or ask_own
             else:
-                in_touch = self._registry.operator_config.receive_watch_response(answer, sent_at)
+                has_proof = self._registry.operator_config.receive_watch_response(answer, sent_at)
                 own_is_unreachable = own_is_unreachable and not ask_own
                 self._notifier.notify_if_changed()
-            ask_own = in_touch or not ask_own
-            if not in_touch:
+            ask_own = has_proof or not ask_own
+            if not has_proof:
                 gevent.sleep(max(0.0, sent_at + INITIAL_BACKOFF_SECONDS - received_at))
 
     def _watch(self, ask_own: bool) -> Json | Failure:
