--- a/ashlift/simulation/__main__.py
+++ b/ashlift/simulation/__main__.py
@@ -1,12 +1,12 @@
-"""`python -m ashlift.simulation SCENE... [--seeds N] [--first SEED] [--shrink]`: plays scene files.
+"""`python -m ashlift.simulation SCENE... [--seeds N] [--first SEED] [--shrink]`: plays scenario files.
 
-`python -m ashlift.simulation --chance|--worst [--seeds N]`: runs by chance, `worst` with every trouble.
-Prints the first breach of each that fails, and the shortest schedule found that still fails; the exit status
-is 1 then.
+`python -m ashlift.simulation --chance|--worst [--seeds N]`: random faults, `worst` with every fault there is.
+Prints the first violation of each that fails, and with `--shrink` the shortest scenario found that still
+fails; the exit status is 1 then.
 
-`python -m ashlift.simulation explore [CASE...] [--most N] [--cells N]`: all ways of a few members of the
+`python -m ashlift.simulation explore [CASE...] [--most N] [--cells N]`: all ways of a few replicas of the
 store. `python -m ashlift.simulation members SIZE... [--seeds N] [--turnover SHARE]`: many of them in long
-worlds by chance. `python -m ashlift.simulation record [--check]`: records what is played, or compares it with
+random worlds. `python -m ashlift.simulation record [--check]`: records what is played, or compares it with
 the record. `python -m ashlift.simulation --figures failover|repair|catching [--seeds N] [--jobs N]`: a table,
 least, median, most.
 """
@@ -14,73 +14,107 @@
 import argparse
 import sys
 import time
+from collections.abc import Callable, Iterator
+from typing import Final
+
+from attrs import frozen
 
 from ashlift.simulation import catching, explore, recording, turnover, worst_days
 from ashlift.simulation.checkers.rules import explain
 from ashlift.simulation.checkers.violation import Violation
-from ashlift.simulation.figures import TABLES
+from ashlift.simulation.failover_figures import failover_table
 from ashlift.simulation.random_faults import random_scenario
+from ashlift.simulation.repair_figures import repair_table
 from ashlift.simulation.scenario import Scenario, read_scenarios
 from ashlift.simulation.scenario_player import ScenarioPlayer
 from ashlift.simulation.shrinking import shrink
 
+Table = Callable[[range, int], Iterator[str]]  # of seeds and jobs
+
+SUBCOMMANDS: Final[dict[str, Callable[[list[str]], int]]] = {
+    "explore": explore.main,
+    "members": turnover.main,
+    "record": recording.main,
+}
+FIGURE_TABLES: Final[dict[str, Table]] = {
+    "failover": failover_table,
+    "repair": repair_table,
+    "catching": catching.table,
+}
+
+
+@frozen
+class Play:
+    """A scenario and the seed to play it with."""
+
+    scenario: Scenario
+    seed: int
+
 
 def main(arguments: list[str]) -> int:
-    if arguments[:1] == ["explore"]:
-        return explore.main(arguments[1:])
-    if arguments[:1] == ["members"]:
-        return turnover.main(arguments[1:])
-    if arguments[:1] == ["record"]:
-        return recording.main(arguments[1:])
+    """Run the command; returns its exit status."""
+    if arguments and arguments[0] in SUBCOMMANDS:
+        return SUBCOMMANDS[arguments[0]](arguments[1:])
+    options = _parser().parse_args(arguments)
+    if options.figures:
+        for line in FIGURE_TABLES[options.figures](_seeds(options), options.jobs):
+            print(line, flush=True)
+    failed = [play for play in _plays(options) if not _passes(play, options.shrink)]
+    return 1 if failed else 0
+
+
+def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="python -m ashlift.simulation", description=__doc__.splitlines()[0] if __doc__ else ""
     )
-    parser.add_argument("scenes", nargs="*", metavar="SCENE", help="files of scenes")
-    parser.add_argument("--chance", action="store_true", help="faults by chance instead of a file")
-    parser.add_argument("--worst", action="store_true", help="worst days by chance")
-    parser.add_argument("--figures", choices=[*TABLES, "catching"], help="print a table of times")
+    parser.add_argument("scenes", nargs="*", metavar="SCENE", help="files of scenarios")
+    parser.add_argument("--chance", action="store_true", help="random faults instead of a file")
+    parser.add_argument("--worst", action="store_true", help="random worst days")
+    parser.add_argument("--figures", choices=list(FIGURE_TABLES), help="print a table of times")
     parser.add_argument("--seeds", type=int, default=1, help="how many seeds")
-    parser.add_argument("--jobs", type=int, default=1, help="processes that reckon figures")
+    parser.add_argument("--jobs", type=int, default=1, help="processes that measure figures")
     parser.add_argument("--first", type=int, default=None, help="the first seed")
-    parser.add_argument("--edge", type=int, default=11, help="gatekeepers of runs by chance")
-    parser.add_argument("--until", type=float, default=30.0, help="s of runs by chance")
+    parser.add_argument("--edge", type=int, default=11, help="proxies in random faults")
+    parser.add_argument("--until", type=float, default=30.0, help="s of random faults")
     parser.add_argument("--shrink", action="store_true", help="shorten what fails")
-    told = parser.parse_args(arguments)
-    failed = 0
-    if told.figures:
-        begin, table = told.first or 1, {**TABLES, "catching": catching.table}[told.figures]
-        for line in table(range(begin, begin + told.seeds), told.jobs):
-            print(line, flush=True)
-    if told.chance:
-        begin = told.first or 1
-        for seed in range(begin, begin + told.seeds):
-            failed += played(random_scenario(seed, told.edge, told.until), seed, told.shrink)
-    if told.worst:
-        begin = told.first or 1
-        for seed in range(begin, begin + told.seeds):
-            failed += played(worst_days.random_scenario(seed), seed, told.shrink)
-    for path in told.scenes:
-        for scene in read_scenarios(path):
-            begin = told.first if told.first is not None else scene.plan.seed
-            for seed in range(begin, begin + told.seeds):
-                failed += played(scene, seed, told.shrink)
-    return 1 if failed else 0
+    return parser
+
+
+def _seeds(options: argparse.Namespace) -> range:
+    first = options.first or 1
+    return range(first, first + options.seeds)
+
+
+def _plays(options: argparse.Namespace) -> Iterator[Play]:
+    if options.chance:
+        for seed in _seeds(options):
+            yield Play(random_scenario(seed, options.edge, options.until), seed)
+    if options.worst:
+        for seed in _seeds(options):
+            yield Play(worst_days.random_scenario(seed), seed)
+    for path in options.scenes:
+        for scenario in read_scenarios(path):
+            first = scenario.plan.seed if options.first is None else options.first
+            for seed in range(first, first + options.seeds):
+                yield Play(scenario, seed)
 
 
-def played(scene: Scenario, seed: int, shorten: bool) -> bool:
-    """Play it and tell; whether it failed."""
-    began = time.perf_counter()
-    play = ScenarioPlayer(scene, seed)
-    found = play.run()
-    took = time.perf_counter() - began
-    told = explain(found) if isinstance(found, Violation) else found
+def _passes(play: Play, shorten: bool) -> bool:
+    """Play it and print what came of it."""
+    started = time.perf_counter()
+    player = ScenarioPlayer(play.scenario, play.seed)
+    failure = player.run()
+    elapsed = time.perf_counter() - started
+    verdict = explain(failure) if isinstance(failure, Violation) else failure
+    simulated_seconds = player.world.loop.now
     print(
-        f"{scene.title}, seed {seed}: {told or 'well'} ({play.world.loop.now:g} s in {took:.2f} s)",
+        f"{play.scenario.title}, seed {play.seed}: {verdict or 'well'} "
+        f"({simulated_seconds:g} s in {elapsed:.2f} s)",
         flush=True,
     )
-    if found is not None and shorten:
-        print(shrink(scene, seed).to_text(), flush=True)
-    return found is not None
+    if failure is not None and shorten:
+        print(shrink(play.scenario, play.seed).to_text(), flush=True)
+    return failure is None
 
 
 if __name__ == "__main__":
--- a/ashlift/simulation/catching.py
+++ b/ashlift/simulation/catching.py
@@ -24,10 +24,10 @@
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation import configstore_process
 from ashlift.simulation.event_loop import EventLoop, Future
-from ashlift.simulation.figures import Spread
 from ashlift.simulation.network import SimulatedNetwork
 from ashlift.simulation.plan import ZONES
 from ashlift.simulation.process import Connection, Machine, Process, RpcCall, Task
+from ashlift.simulation.spread import Spread
 
 LATE_S = 0.5  # a member is level that holds whatever was committed before this
 PATIENCE_S = 5.0  # of who sends a change
--- /dev/null
+++ b/ashlift/simulation/failover_figures.py
@@ -0,0 +1,148 @@
+"""Figures of failover on simulated time, over seeds: how long until all is served again after a fault.
+
+Every seed draws other times, delays of links, places of workers and choices of operators. The fault lasts to
+the end unless its words say otherwise.
+"""
+
+import math
+from collections.abc import Iterator
+from multiprocessing import Pool
+from typing import Final
+
+from attrs import frozen
+
+from ashlift.simulation.clients import ClientOperation
+from ashlift.simulation.plan import Plan
+from ashlift.simulation.scenario import Scenario
+from ashlift.simulation.scenario_player import ScenarioPlayer
+from ashlift.simulation.spread import Spread
+from ashlift.simulation.world import World
+
+EARLIEST_FAULT_SECONDS: Final = 7.0
+USUAL_SECONDS: Final = 1.5  # before the fault, to know the usual share of served operations
+WINDOW_SECONDS: Final = 0.5  # the share is counted in windows of this length
+WINDOW_STEP_SECONDS: Final = 0.05
+SERVED_AGAIN_RATIO: Final = 0.9  # of the usual share
+OBSERVED_SECONDS: Final = 6.0  # from the fault on
+CLIENT_TIMEOUT_SECONDS: Final = 3.0
+REQUESTS_PER_SECOND: Final = 80.0
+FOLLOWER_PREFIX: Final = "follower-"
+
+# The words of each fault's events; ZONE and REGION stand for all that is in one of them.
+FAULTS: Final = {
+    "nothing (the order's own time)": [],
+    "leader killed, back after 0.7 s": ["kill configstore leader"],
+    "leader's machine without power": ["power leader"],
+    "leader hears nobody": ["oneway core | leader"],
+    "nobody hears the leader": ["oneway leader | core"],
+    "leader frozen": ["freeze all leader for 20"],
+    "leader told to end": ["term configstore leader"],
+    "leader's disk hangs": ["disk hang leader"],
+    "leader's disk refuses": ["disk refuse leader"],
+    "leader's disk takes 0.3 s more a write": ["disk slow leader 0.3"],
+    "leader's disk takes 1 s more a write": ["disk slow leader 1"],
+    "the disks of two followers hang": ["disk hang follower-1 follower-2"],
+    "two followers' disks take 0.3 s more": ["disk slow follower-1 follower-2 0.3"],
+    "all disks take 0.3 s more a write": ["disk slow core 0.3"],
+    "two machines lose their disks": ["wipe follower-1 leader for 1"],
+    "seeds exchanged, two old ones and all proxies down": [
+        "seeds core-4 core-5",
+        "power core-1 core-2",
+        "kill proxy *",
+    ],
+    "all core processes killed": ["kill core *"],
+    "all processes killed": ["kill all *"],
+    "all power lost for 0.5 s": ["power * for 0.5"],
+    "core cut in two, leader in the smaller part": [
+        "cut leader follower-1 | follower-2 follower-3 follower-4 edge",
+    ],
+    "zone lost": ["power ZONE"],
+    "region lost": ["power REGION"],
+}
+
+
+@frozen
+class FailoverTimes:
+    """Seconds from a fault until all is served again, and until a command sent with it is acknowledged."""
+
+    served_again: float
+    acknowledged: float
+
+
+def served_again_after(operations: list[ClientOperation], fault_at: float) -> float:
+    """Return the seconds from the fault until all later windows have 0.9 of the usual share served.
+
+    It is infinite where that does not come within `OBSERVED_SECONDS`.
+    """
+    by_start = sorted((operation.started, operation.served) for operation in operations)
+
+    def served_share(start: float, end: float) -> float:
+        served = [served for at, served in by_start if start <= at < end]
+        return sum(served) / len(served) if served else 1.0
+
+    usual_share = served_share(fault_at - USUAL_SECONDS, fault_at)
+    window_count = round((OBSERVED_SECONDS - WINDOW_SECONDS) / WINDOW_STEP_SECONDS)
+    last_bad_window = -1
+    for window in range(window_count):
+        start = fault_at + window * WINDOW_STEP_SECONDS
+        if served_share(start, start + WINDOW_SECONDS) < SERVED_AGAIN_RATIO * usual_share:
+            last_bad_window = window
+    if last_bad_window == window_count - 1:
+        return math.inf
+    return (last_bad_window + 1) * WINDOW_STEP_SECONDS
+
+
+def measure_failover(fault: list[str], seed: int) -> FailoverTimes:
+    """Play a fault and a command that is sent with it."""
+    plan = Plan(seed=seed, rate=REQUESTS_PER_SECOND)
+    player = ScenarioPlayer(Scenario("figures", plan, ()), seed)
+    world = player.world
+    fault_at = EARLIEST_FAULT_SECONDS + world.loop.rng.random()
+    world.run(fault_at)
+    leader = world.leader() or world.core[0]
+    lost_machine = world.loop.rng.choice(world.core[:3])
+    for event in fault:
+        words = [name for word in event.split() for name in _resolve(world, word, leader, lost_machine)]
+        player.perform(words)
+    player.perform(["put", "2", "look=desk"])
+    world.run(fault_at + OBSERVED_SECONDS + CLIENT_TIMEOUT_SECONDS)
+    acknowledged = min(change.acknowledged for change in world.history.changes if change.version == 2)
+    operations = [operation for population in world.client_populations for operation in population.operations]
+    return FailoverTimes(served_again_after(operations, fault_at), acknowledged - fault_at)
+
+
+def _resolve(world: World, word: str, leader: str, lost_machine: str) -> list[str]:
+    """Return the machines that a word of a fault stands for; workers of a lost zone or region are killed."""
+    followers = [name for name in world.core if name != leader]
+    if word.startswith(FOLLOWER_PREFIX):
+        return [followers[int(word.removeprefix(FOLLOWER_PREFIX)) - 1]]
+    if word in ("ZONE", "REGION"):
+        zones = _lost_zones(world, lost_machine, whole_region=word == "REGION")
+        for worker in world.worker_pool.workers.values():
+            if worker.machine.zone in zones and worker.up:
+                worker.kill()
+        return [name for name in [*world.core, *world.edge] if world.net.machines[name].zone in zones]
+    return [leader if word == "leader" else word]
+
+
+def _lost_zones(world: World, lost_machine: str, whole_region: bool) -> list[str]:
+    machine = world.net.machines[lost_machine]
+    return [
+        zone
+        for zone, region in world.zones.items()
+        if zone == machine.zone or (whole_region and region == machine.region)
+    ]
+
+
+def failover_table(seeds: range, jobs: int) -> Iterator[str]:
+    """Yield the lines of a table: least, median, most in seconds of each fault."""
+    yield f"| {len(seeds)} seeds; s: least, **median**, most | served again | an order acknowledged |"
+    yield "| --- | --- | --- |"
+    tasks = [(fault, seed) for fault in FAULTS.values() for seed in seeds]
+    with Pool(jobs) as pool:
+        measured = pool.starmap(measure_failover, tasks, chunksize=1)
+    for number, name in enumerate(FAULTS):
+        times = measured[number * len(seeds) : (number + 1) * len(seeds)]
+        served_again = Spread([one.served_again for one in times])
+        acknowledged = Spread([one.acknowledged for one in times])
+        yield f"| {name} | {served_again} | {acknowledged} |"
--- a/tests/simulation/test_system_scenarios.py
+++ b/tests/simulation/test_system_scenarios.py
@@ -8,7 +8,7 @@
 
 from ashlift.simulation import worst_days
 from ashlift.simulation.clients import ClientOperation, RequestPattern
-from ashlift.simulation.figures import failed_over, served_again
+from ashlift.simulation.failover_figures import measure_failover, served_again_after
 from ashlift.simulation.random_faults import random_scenario
 from ashlift.simulation.scenario import ScenarioEvent, parse_scenarios, read_scenarios
 from ashlift.simulation.scenario_player import ScenarioPlayer
@@ -76,13 +76,13 @@
 
 @test("figures: how long an order waits for another leader, and since when all is served again")
 def _() -> None:
-    served, acked = failed_over(["power leader"], 3)
-    assert 0.3 < acked < 3.0 and served < 2.0
+    times = measure_failover(["power leader"], 3)
+    assert 0.3 < times.acknowledged < 3.0 and times.served_again < 2.0
     pattern = RequestPattern("/x", True, "k", 1.0)
     operations = [
         ClientOperation(pattern, 10.0 + number / 100 + pattern.timeout, served=not 300 <= number < 400)
         for number in range(-200, 900)
     ]
-    assert 3.9 < served_again(operations, 10.0) < 4.0 and served_again(operations, 12.0) < 2.0
+    assert 3.9 < served_again_after(operations, 10.0) < 4.0 and served_again_after(operations, 12.0) < 2.0
     lost = [ClientOperation(pattern, one.deadline, served=one.deadline < 14.0) for one in operations]
-    assert served_again(lost, 10.5) == inf
+    assert served_again_after(lost, 10.5) == inf
