--- a/ashlift/configstore/follower.py
+++ b/ashlift/configstore/follower.py
@@ -19,7 +19,7 @@
 )
 from ashlift.configstore.persistent_state import PersistentVote, Snapshot, TermIndex
 from ashlift.configstore.ranged_map import RangedMap
-from ashlift.configstore.replica_state import InvariantError
+from ashlift.configstore.replica_state import InvariantError, PersistCallback
 from ashlift.errors import Failure, FailureReason
 
 if TYPE_CHECKING:
@@ -63,18 +63,7 @@
                 return
             self._finish_append(reply_to, request, accepted)
 
-        if accepted.is_promotion:
-            voted_for = replica.vote.voted_for or request.leader
-            vote = PersistentVote(request.term, voted_for, True, replica.incarnation)
-            replica.persist(vote, replica.snapshot, finish)
-        elif not replica.vote.is_voter:  # in memory alone: nothing on its disk may count before it votes
-            replica.vote = accepted.vote or replica.vote
-            replica.accept_snapshot(accepted.snapshot or replica.snapshot)
-            finish(True)
-        elif accepted.vote or accepted.snapshot:
-            replica.persist(accepted.vote, accepted.snapshot, finish)
-        else:
-            finish(True)
+        self._hold(request, accepted, finish)
 
     def _follow(self, request: AppendRequest) -> None:
         replica = self.replica
@@ -96,14 +85,17 @@
         self._learn_commit(request)
         payload = None if request.payload is None else decode_payload(request.payload)
         entries = self._apply_payload(payload)
-        is_newer = entries is not None and requested > replica.term_index
+        vote = None
+        if request.term > replica.vote.term:
+            vote = replica.vote._replace(term=request.term, voted_for=request.leader)
+        snapshot = None
+        if entries is not None and requested > replica.term_index:
+            snapshot = Snapshot(requested, entries)
         return Accepted(
-            vote=replica.vote._replace(term=request.term, voted_for=request.leader)
-            if request.term > replica.vote.term
-            else None,
-            snapshot=Snapshot(requested, entries) if entries is not None and is_newer else None,
+            vote=vote,
+            snapshot=snapshot,
             is_promotion=self._is_promoted_by(payload, requested),
-            is_repair=is_newer and entries is self.staged_entries,
+            is_repair=snapshot is not None and entries is self.staged_entries,
         )
 
     def _apply_payload(self, payload: Payload | None) -> RangedMap | None:
@@ -130,6 +122,22 @@
         position = payload.term_index or requested
         return payload.incarnation == replica.incarnation and replica.term_index == position
 
+    def _hold(self, request: AppendRequest, accepted: Accepted, finish: PersistCallback) -> None:
+        """Make what is accepted durable; a learner's is held in memory until it may count."""
+        replica = self.replica
+        if accepted.is_promotion:
+            voted_for = replica.vote.voted_for or request.leader
+            vote = PersistentVote(request.term, voted_for, True, replica.incarnation)
+            replica.persist(vote, replica.snapshot, finish)
+        elif not replica.vote.is_voter:
+            replica.vote = accepted.vote or replica.vote
+            replica.accept_snapshot(accepted.snapshot or replica.snapshot)
+            finish(True)
+        elif accepted.vote or accepted.snapshot:
+            replica.persist(accepted.vote, accepted.snapshot, finish)
+        else:
+            finish(True)
+
     def _finish_append(self, reply_to: Any, request: AppendRequest, accepted: Accepted) -> None:
         """What was accepted is durable, or nothing of this replica counts."""
         replica = self.replica
