--- a/tests/configstore/test_membership.py
+++ b/tests/configstore/test_membership.py
@@ -8,7 +8,6 @@
 
 from ward import each, test
 
-from ashlift.cli.store_member_commands import plan_member_change
 from ashlift.configstore.codec import METHOD_VOTE
 from ashlift.configstore.membership import LEARNER_PREFIX, VOTER_PREFIX, addresses_under, quorum
 from ashlift.configstore.membership_rules import (
@@ -26,19 +25,14 @@
 from ashlift.configstore.replica import Replica
 from ashlift.configstore.replica_io import ClockTicked, ResponseReceived, StatePersisted
 from ashlift.configstore.replica_state import InvariantError
-from ashlift.errors import Failure
-from ashlift.registry.api.members import MembersResource
-from ashlift.registry.api.messages import HttpRequest
-from ashlift.registry.messages import CommandResult
-from ashlift.registry.store_client import StoreClient
 from ashlift.simulation.explore import CASES, explore
 from ashlift.simulation.invariant_checker import InvariantViolationError, decide_history_command
 from ashlift.simulation.turnover import mixed
 from tests.support.mutants import mutated
 from tests.support.replica_driver import requests_sent
-from tests.support.replica_scenarios import Play, scenes
+from tests.support.replica_scenarios import ReplicaScenarioPlayer, membership_table, read_scenarios
 
-SCENES = dict(scenes(Path(__file__).parent.parent / "scenarios" / "configstore_members.txt"))
+SCENES = dict(read_scenarios(Path(__file__).parent.parent / "scenarios" / "configstore_members.txt"))
 ABLE, SILENT, MOVED, LOST, GONE = (
     ReplicaView(0.1, True, 7),
     ReplicaView(2.0),
@@ -51,9 +45,9 @@
 @test("members scene: {scene}")
 def _(scene: str = each(*SCENES)) -> None:
     for seed in (1, 2):
-        play = Play(seed)
+        player = ReplicaScenarioPlayer(seed)
         for line in SCENES[scene]:
-            play.line(line)
+            player.play(line)
 
 
 def apply_change(entries: dict[str, Any], change: Proposal) -> dict[str, Any]:
@@ -199,17 +193,6 @@
         assert elects(three, "2", 99) or any(removed)
 
 
-def membership_table(*lines: str) -> list[dict[str, Any]]:
-    """The leader's table after these lines of a scene."""
-    play = Play(1)
-    for line in lines:
-        play.line(line)
-    member = play.world.nodes[str(play.world.leader())].member
-    assert member is not None
-    assert member.leader_role is not None
-    return member.leader_role.membership_table()
-
-
 @test("the operator's table shows voters, learners and leaving ones, how far behind, and why one stays")
 def _() -> None:
     found = membership_table("members 5", "run 5", "order replace 5 -> 200", "lose 4", "run 2")
@@ -225,55 +208,3 @@
     }
     assert rows["5"]["role"] == "held learner"
     assert not rows["5"]["counts"]
-
-
-@test("toolbox members: a plan in words, or why it is refused")
-def _() -> None:
-    rows = membership_table("members 5", "run 5")
-    leads = next(row["ip"] for row in rows if row["leads"])
-    told = plan_member_change(rows, "remove", leads)
-    assert isinstance(told, list)
-    assert told[0] == f"{leads} is the leader, and transfers leadership first"
-    assert told[-1] == "4 voters then, of which 3 must be up"
-    assert isinstance(plan_member_change(rows, "remove", "9"), Failure)
-    assert isinstance(plan_member_change(rows, "add", "1"), list)
-    few = membership_table("members 3", "run 5")
-    refused = plan_member_change(few, "remove", "1")
-    assert isinstance(refused, Failure)
-    assert "2 voters would be left, and 3 are needed" in refused.detail
-    assert isinstance(plan_member_change(few, "replace", "1"), list)
-
-
-class Asked(StoreClient):
-    """A store that notes what it was asked."""
-
-    def __init__(self, answer: Any) -> None:
-        self.answer, self.calls = answer, list[tuple[str, str]]()
-
-    def members(self, do: str, ip: str) -> Any:
-        self.calls.append((do, ip))
-        return self.answer
-
-
-@test("GET and POST /members: what is passed on, and what each answer becomes")
-def _() -> None:
-    for said, status in (
-        (b'{"Do": "remove", "Ip": "10.0.0.4"}', 200),
-        (b'{"Do": "show", "Ip": "10.0.0.4"}', 400),
-        (b"[]", 400),
-        (b'{"Do": "add"}', 400),
-        (b"{", 400),
-    ):
-        store = Asked(CommandResult(200, {}))
-        assert MembersResource(store).post(HttpRequest("POST", "/members", {}, {}, said)).status == status, (
-            said
-        )
-        assert store.calls == ([("remove", "10.0.0.4")] if status == 200 else [])
-    get = HttpRequest("GET", "/members", {}, {}, b"")
-    got = MembersResource(Asked(CommandResult(200, {"members": [{"ip": "1"}]}))).get(get)
-    assert got.status == 200
-    assert got.body == {"members": [{"ip": "1"}]}
-    refused = Asked(CommandResult(409, {"reason": "no"}))
-    add = HttpRequest("POST", "/members", {}, {}, b'{"Do": "add", "Ip": "1"}')
-    assert MembersResource(refused).post(add).status == 409
-    assert MembersResource(Asked(Failure("unanswered"))).get(get).status == 503
--- a/tests/configstore/test_replication_scenarios.py
+++ b/tests/configstore/test_replication_scenarios.py
@@ -8,17 +8,17 @@
 
 from ashlift.simulation.members import World
 from ashlift.simulation.turnover import mixed
-from tests.support.replica_scenarios import Play, scenes
+from tests.support.replica_scenarios import ReplicaScenarioPlayer, read_scenarios
 
-SCENES = dict(scenes(Path(__file__).parent.parent / "scenarios" / "configstore_agreement.txt"))
+SCENES = dict(read_scenarios(Path(__file__).parent.parent / "scenarios" / "configstore_agreement.txt"))
 
 
 @test("configuration store scene: {scene}")
 def _(scene: str = each(*SCENES)) -> None:
     for seed in (1, 2, 3):
-        play = Play(seed)
+        player = ReplicaScenarioPlayer(seed)
         for line in SCENES[scene]:
-            play.line(line)
+            player.play(line)
 
 
 @test("I1 to I8 in long mixed runs of {members}")
--- a/tests/simulation/test_command_scenarios.py
+++ b/tests/simulation/test_command_scenarios.py
@@ -6,7 +6,7 @@
 
 from ashlift.simulation.scenario import read_scenarios
 from ashlift.simulation.scenario_player import ScenarioPlayer
-from tests.support.mutants import GUARDS, mutated
+from tests.support.mutants import COMMAND_MUTANTS, mutated
 
 FOLDER = Path(__file__).parent.parent / "scenarios"
 SCENES = {
@@ -21,6 +21,6 @@
 
 
 @test("orders without their guard, {broken}: found")
-def _(broken: str = each(*GUARDS)) -> None:
+def _(broken: str = each(*COMMAND_MUTANTS)) -> None:
     with mutated(broken):
-        assert ScenarioPlayer(SCENES[GUARDS[broken][-1]]).run() is not None
+        assert ScenarioPlayer(SCENES[COMMAND_MUTANTS[broken].scenario]).run() is not None
--- a/tests/support/replica_scenarios.py
+++ b/tests/support/replica_scenarios.py
@@ -1,11 +1,11 @@
-"""Plays text scenes on members of the store (`simulation.members`). One line an event; WHO: numbers,
+"""Plays text scenarios on replicas of the store (`simulation.members`). One line an event; WHO: numbers,
 `leader`, `others`, `all`.
 
-    # title of the next scene
+    # title of the next scenario
     members 5                     started for the first time; three of them are the seeds
     run 3                         simulated time goes on, s
     put a -> 200                  at the leader, on top of all that is known; `on N` another base, `at N` a
-                                  member; 412, doubt (no response), unready (not begun), none
+                                  replica; 412, doubt (no response), unready (not begun), none
     read -> a b                   at the leader, or `at N`; the history, or `none`, or `unready`
     kill WHO, wipe WHO, start WHO, freeze WHO, thaw WHO, leave WHO, break WHO (the disk refuses)
     cut A B, oneway A B, join     links: none both ways, none from A to B, all
@@ -21,109 +21,155 @@
 """
 
 from pathlib import Path
-from typing import Any
+from typing import Any, Final
 
 from ashlift.configstore.membership import VOTER_PREFIX, addresses_under
 from ashlift.errors import Failure
 from ashlift.simulation.members import Op, World
 
-ANSWER_S = 1.0
+ANSWER_TIMEOUT_SECONDS: Final = 1.0
+FAILURE_WORDS: Final = {"unanswered": "doubt"}  # in scenarios; other failures have their own names
 
 
-def scenes(path: Path) -> list[tuple[str, list[str]]]:
-    found: list[tuple[str, list[str]]] = []
+def read_scenarios(path: Path) -> list[tuple[str, list[str]]]:
+    """Title and lines of each scenario of a file."""
+    scenarios: list[tuple[str, list[str]]] = []
     for line in path.read_text().splitlines():
         if line.startswith("# "):
-            found.append((line[2:], []))
+            scenarios.append((line[2:], []))
         elif line.strip():
-            found[-1][1].append(line.strip())
-    return found
+            scenarios[-1][1].append(line.strip())
+    return scenarios
 
 
-def told(op: Op) -> str:
+def answer_word(op: Op) -> str:
+    """A client's answer as a scenario's line has it."""
     answer: Any = op.answer
     match answer:
         case None:
             return "none"
         case Failure(reason=reason):
-            return {"unanswered": "doubt"}.get(reason, reason)
+            return FAILURE_WORDS.get(reason, reason)
         case list():
             return " ".join(answer)
         case _:
             return str(answer["status"])
 
 
-class Play:
+class ReplicaScenarioPlayer:
+    """Plays the lines of one scenario, one after another."""
+
     def __init__(self, seed: int = 1) -> None:
         self.seed = seed
         self.term = 0
         self.world = World(1, seed)
 
-    def leads(self) -> bool:
+    def has_committed_leader(self) -> bool:
+        """Whether a replica leads that has committed in its term."""
         ip = self.world.leader()
-        member = self.world.nodes[ip].member if ip else None
-        return bool(member and member.leader_role and member.leader_role.commit_index)
+        replica = self.world.nodes[ip].member if ip else None
+        return bool(replica and replica.leader_role and replica.leader_role.commit_index)
 
-    def who(self, words: list[str]) -> list[str]:
-        all_, leader = self.world.ips, self.world.leader()
-        lead = [leader] if leader else []
-        groups = {"all": all_, "leader": lead, "others": [ip for ip in all_ if ip != leader]}
+    def addresses(self, words: list[str]) -> list[str]:
+        """The replicas that WHO names."""
+        leader = self.world.leader()
+        groups = {
+            "all": self.world.ips,
+            "leader": [leader] if leader else [],
+            "others": [ip for ip in self.world.ips if ip != leader],
+        }
         return [ip for word in words for ip in groups.get(word, [word])]
 
-    def line(self, text: str) -> None:
-        text, _, wanted = (part.strip() for part in text.partition("->"))
-        word, *rest = text.split()
-        world = self.world
+    def play(self, line: str) -> None:
+        """Raises AssertionError where the line's expectation does not hold."""
+        text, _, expected = (part.strip() for part in line.partition("->"))
+        word, *arguments = text.split()
         match word:
             case "members":
-                self.world = World(int(rest[0]), self.seed)
+                self.world = World(int(arguments[0]), self.seed)
+            case "put" | "read" | "order":
+                op = self._submit(word, arguments)
+                self.world.run(ANSWER_TIMEOUT_SECONDS, lambda: op.answer is not None)
+                assert answer_word(op) == expected, f"{text}: {answer_word(op)} {op.answer}"
+            case "voters" | "term" | "leader" | "learners" | "settle" | "run":
+                self._run(word, arguments, text)
+            case _:
+                self._inject(word, arguments, text)
+
+    def _submit(self, word: str, arguments: list[str]) -> Op:
+        """A client's request; `on` and `at` say on which base, and at which replica."""
+        if word == "order":
+            return self.world.order(arguments[0], self.addresses(arguments[1:])[0])
+        name = arguments[0] if word == "put" else ""
+        pairs = arguments[word == "put" :]
+        options = dict(zip(pairs[::2], pairs[1::2], strict=True))
+        ip = options.get("at") or self.world.leader() or self.world.ips[0]
+        if word == "read":
+            return self.world.read(ip)
+        return self.world.put(ip, int(options["on"]) if "on" in options else None, name)
+
+    def _run(self, word: str, arguments: list[str], text: str) -> None:
+        """Simulated time goes on, or something is expected."""
+        world = self.world
+        match word:
             case "run":
-                world.run(float(rest[0]))
-            case "put" | "read":
-                options = dict(zip(rest[word == "put" :: 2], rest[(word == "put") + 1 :: 2], strict=True))
-                ip = options.get("at") or world.leader() or world.ips[0]
-                base = int(options["on"]) if "on" in options else None
-                op = world.put(ip, base, rest[0]) if word == "put" else world.read(ip)
-                world.run(ANSWER_S, lambda: op.answer is not None)
-                assert told(op) == wanted, f"{text}: {told(op)}"
+                world.run(float(arguments[0]))
+            case "settle":
+                world.settle()
+            case "voters":
+                *names, _, seconds = arguments
+                expected = sorted(self.addresses(names))
+                reached = world.run(
+                    float(seconds), lambda: addresses_under(world.map(), VOTER_PREFIX) == expected
+                )
+                assert reached, f"{text}: {addresses_under(world.map(), VOTER_PREFIX)}"
+            case "term":
+                previous = self.term
+                self.term = max(term for term, *_ in world.invariants.leaderships)
+                assert arguments[0] != "same" or self.term == previous, f"term {self.term} after {previous}"
+            case "leader":
+                assert world.run(float(arguments[1]), self.has_committed_leader), text
+            case "learners":
+                assert world.learners() == int(arguments[0]), f"{text}: {world.learners()}"
+
+    def _inject(self, word: str, arguments: list[str], text: str) -> None:
+        """A fault, or its end."""
+        world = self.world
+        faults = {"lose": world.lose, "back": world.bring_back, "old": world.put_back}
+        match word:
             case "kill" | "wipe" | "start" | "freeze" | "thaw" | "leave":
-                for ip in self.who(rest):
+                for ip in self.addresses(arguments):
                     getattr(world, word)(ip)
             case "lose" | "back" | "old":
-                acts = {"lose": world.lose, "back": world.bring_back, "old": world.put_back}
-                for ip in self.who(rest):
-                    acts[word](ip)
-            case "new":
-                world.add()
-            case "order":
-                op = world.order(rest[0], self.who(rest[1:])[0])
-                world.run(ANSWER_S, lambda: op.answer is not None)
-                assert told(op) == wanted, f"{text}: {told(op)} {op.answer}"
-            case "voters":
-                *ips, _, within = rest
-                wants = sorted(self.who(ips))
-                came = world.run(float(within), lambda: addresses_under(world.map(), VOTER_PREFIX) == wants)
-                assert came, f"{text}: {addresses_under(world.map(), VOTER_PREFIX)}"
-            case "term":
-                term, before = max(one[0] for one in world.invariants.leaderships), self.term
-                self.term = term
-                assert rest[0] != "same" or term == before, f"term {term} after {before}"
+                for ip in self.addresses(arguments):
+                    faults[word](ip)
             case "break":
-                for ip in self.who(rest):
+                for ip in self.addresses(arguments):
                     world.nodes[ip].disk_fails = True
             case "cut" | "oneway":
-                one, other = self.who(rest[:1]), self.who(rest[1:])
-                for a, b in [(a, b) for a in one for b in other if a != b]:
-                    world.cut(a, b)
-                    if word == "cut":
-                        world.cut(b, a)
+                self._cut(arguments, both_ways=word == "cut")
             case "join":
                 world.cuts.clear()
-            case "leader":
-                assert world.run(float(rest[1]), self.leads), text
-            case "learners":
-                assert world.learners() == int(rest[0]), f"{text}: {world.learners()}"
-            case "settle":
-                world.settle()
+            case "new":
+                world.add()
             case _:
                 raise ValueError(text)
+
+    def _cut(self, arguments: list[str], *, both_ways: bool) -> None:
+        senders = self.addresses(arguments[:1])
+        receivers = self.addresses(arguments[1:])
+        for sender, receiver in [(a, b) for a in senders for b in receivers if a != b]:
+            self.world.cut(sender, receiver)
+            if both_ways:
+                self.world.cut(receiver, sender)
+
+
+def membership_table(*lines: str) -> list[dict[str, Any]]:
+    """The leader's table after these lines of a scenario."""
+    player = ReplicaScenarioPlayer(1)
+    for line in lines:
+        player.play(line)
+    replica = player.world.nodes[str(player.world.leader())].member
+    assert replica is not None
+    assert replica.leader_role is not None
+    return replica.leader_role.membership_table()
