--- a/ashlift/lab/charts.py
+++ b/ashlift/lab/charts.py
@@ -110,7 +110,7 @@
     for axes, name in zip(rows[:, 0], names, strict=True):
         counts = [answered[name].get(second, 0) for second in seconds]
         axes.step(seconds, counts, where="post", color="black")
-        _mark_events(axes, [event for event in detail.process_events if event.subject == name])
+        _draw_events(axes, [event for event in detail.process_events if event.subject == name])
         _shade_faults(axes, [fault for fault in detail.faults if _concerns(fault, name)])
         axes.set_ylabel(name, rotation=0, labelpad=14)
         _add_legend(axes)
@@ -122,7 +122,7 @@
     return any(gatekeeper in direction.split(">") for direction in fault.directions)
 
 
-def _mark_events(axes: Any, events: list[ProcessEvent]) -> None:
+def _draw_events(axes: Any, events: list[ProcessEvent]) -> None:
     for event in events:
         axes.plot(
             [event.at_ms / 1000],
--- a/ashlift/lab/history_writer.py
+++ b/ashlift/lab/history_writer.py
@@ -13,8 +13,8 @@
 class HistoryWriter:
     """Owns the clock of the run: milliseconds since `begin`."""
 
-    def __init__(self, out: TextIO) -> None:
-        self._out = out
+    def __init__(self, stream: TextIO) -> None:
+        self._stream = stream
         self.began = 0.0
 
     def begin(self) -> None:
@@ -63,4 +63,4 @@
     def _write(self, **row: Any) -> None:
         if "t" in row:
             row["t"] = round(row["t"], 3)
-        self._out.write(json.dumps(row) + "\n")
+        self._stream.write(json.dumps(row) + "\n")
--- a/ashlift/lab/run.py
+++ b/ashlift/lab/run.py
@@ -26,12 +26,12 @@
 
 
 class Run:
-    """Starts, drives and ends one scenario; its history is written as JSON lines to `out`."""
+    """Starts, drives and ends one scenario; its history is written as JSON lines to `stream`."""
 
-    def __init__(self, scenario: Scenario, out: TextIO, on_progress: Progress | None = None) -> None:
+    def __init__(self, scenario: Scenario, stream: TextIO, on_progress: Progress | None = None) -> None:
         self.directory = Path(tempfile.mkdtemp(prefix="ashlift-lab-"))
         self._scenario = scenario
-        self._writer = HistoryWriter(out)
+        self._writer = HistoryWriter(stream)
         self._on_progress = on_progress
         self._schedule = FaultSchedule(scenario.all_faults())
         self._gatekeepers: list[GatekeeperProcess] = []
--- a/ashlift/lab/tcp_fault_proxy.py
+++ b/ashlift/lab/tcp_fault_proxy.py
@@ -53,7 +53,7 @@
         self._listener.bind(require_loopback(listen))
         self._listener.listen(LISTEN_BACKLOG)
         self.address: Address = self._listener.getsockname()
-        self.held_count = 0  # chunks and new connections that wait now
+        self.waiting_count = 0  # chunks and new connections that wait now
         self._pairs: set[SocketPair] = set()
         self._greenlets = [gevent.spawn(self._accept), gevent.spawn(self._reset_while_cut)]
 
@@ -72,10 +72,10 @@
         """Return when the direction is not held; whether it was."""
         if self._state(direction).kind is not LinkStateKind.HOLD:
             return False
-        self.held_count += 1
+        self.waiting_count += 1
         while self._state(direction).kind is LinkStateKind.HOLD:
             gevent.sleep(POLL_SECONDS)
-        self.held_count -= 1
+        self.waiting_count -= 1
         return True
 
     def _accept(self) -> None:
--- a/ashlift/lab/udp_fault_proxy.py
+++ b/ashlift/lab/udp_fault_proxy.py
@@ -38,7 +38,7 @@
         self._far_socket.bind(ANY_LOOPBACK_PORT)
         self.address: Address = self._near_socket.getsockname()
         self._last_sender: Address | None = None
-        self._held_back: dict[Direction, bytes] = {}
+        self._delayed_until_next: dict[Direction, bytes] = {}
         self._greenlets = [
             gevent.spawn(self._relay_outward),
             gevent.spawn(self._relay_backward),
@@ -80,9 +80,9 @@
             datagrams = [data, data]
             self._count(direction, "duplicated")
         elif state.kind is LinkStateKind.REORDER:
-            earlier = self._held_back.pop(direction, None)
+            earlier = self._delayed_until_next.pop(direction, None)
             if earlier is None:
-                self._held_back[direction] = data
+                self._delayed_until_next[direction] = data
                 return
             datagrams = [data, earlier]
             self._count(direction, "reordered")
--- a/tests/gatekeeper/test_lab_runs.py
+++ b/tests/gatekeeper/test_lab_runs.py
@@ -1,84 +1,91 @@
-"""Scenario files are read with place and key; a run from a file splits gatekeepers from nodes, and is kept,
-listed, shown, compared and reported."""
+"""The lab's runs with real gatekeeper processes: faults of processes and links, and runs that are saved."""
 
+import io
 import re
 import sqlite3
 from pathlib import Path
 
-import pytest
-from click.testing import CliRunner
+from click.testing import CliRunner, Result
 
 from ashlift.gatekeeper.cli import ashlift
-from ashlift.lab.link_faults import Direction
-from ashlift.lab.scenario import ScenarioError
-from ashlift.lab.scenario_file import load_scenario
+from ashlift.lab.checker import check_history
+from ashlift.lab.history import read_history
+from ashlift.lab.run import Run
+from ashlift.lab.scenario import Scenario
 
-ROOT = Path(__file__).resolve().parents[2]
+SPLIT_SCENARIO = (
+    "(scenario (name split) (seed 5) (seconds 3) (gatekeepers 2) (nodes 2) (work 5ms)\n"
+    "  (firms 2) (rate 10) (quota 10) (faults (partition 1s 2s (g0 n0) rest)))"
+)
 
 
-def test_the_shipped_scenarios_read_and_a_partition_takes_the_rest_of_the_ends() -> None:
-    five = load_scenario((ROOT / "scenarios" / "partition-five.sexp").read_text())
-    split, drop, delay = five.faults
-    assert Direction("g0", "counter") in split.directions and Direction("n5", "g1") in split.directions
-    assert (
-        Direction("g0", "n3") not in split.directions and Direction("g2", "g3") not in split.directions
-    )  # same side
-    assert drop.directions == {Direction("g2", "counter")} and (
-        delay.state.delay_ms,
-        delay.state.jitter_ms,
-    ) == (20.0, 10.0)
-    assert five.process_actions() == [(9.0, "pause", 4), (12.0, "kill", 1), (13.0, "restart", 1)]
-    assert five.rate_at(0.0) == 10.0 and five.rate_at(16.0) == 24.0 and five.work_ms == 20.0
-    assert load_scenario((ROOT / "scenarios" / "demo.sexp").read_text()).nodes == 12
+def test_three_gatekeeper_processes_killed_restarted_paused_and_cut_keep_one_answer_a_job() -> None:
+    """What was open at the killed one is reported by name; the paused one answers all it took once it goes
+    on; the restarted one serves again; the cut from the counter is met."""
+    stream = io.StringIO()
+    scenario = Scenario(
+        3,
+        3,
+        3.0,
+        seed=4,
+        work_ms=400.0,
+        kills=((1, 1.2),),
+        restarts=((1, 1.8),),
+        pauses=((0, 0.6, 1.6),),
+        counter_cuts=((2, 0.5, 1.5),),
+    )
+    Run(scenario, stream).play()
+    history = read_history(stream.getvalue().splitlines())
+    verdicts = {verdict.name: verdict for verdict in check_history(history, allowed=40.0)}
+    assert all(verdict.ok for verdict in verdicts.values()), [v.line() for v in verdicts.values()]
+    assert re.search(r"open at a kill: g1 [1-9]", verdicts["one_answer"].text)
+    # The cut from the counter was met.
+    assert "cut counter>g2,g2>counter" in verdicts["crossed"].text
+    assert [event.text for event in history.process_events] == ["paused", "resumed", "restarted"]
+    restarted_ms = history.process_events[-1].at_ms
+    jobs_after = [
+        job for job in history.jobs.values() if job.gatekeeper == "g1" and job.sent_at_ms > restarted_ms
+    ]
+    assert jobs_after
+    assert all(job.answers for job in jobs_after)
 
 
-@pytest.mark.parametrize(
-    ("text", "told"),
-    [
-        ("(scenario (gatekeepers 2)\n  (speed 3))", "s:2:3: speed: no such key"),
-        ("(scenario (gatekeepers 2) (seconds 3x))", "s:1:36: seconds: wants a time"),
-        ("(scenario (gatekeepers 2) (faults (cut 1s 2s g0 g7)))", "s:1:49: faults.cut: g7: no such end"),
-        (
-            "(scenario (gatekeepers 2) (faults (partition 1 2 (g0 n3-n1) rest)))",
-            "s:1:54: faults.partition: n3-n1: a range runs upwards",
-        ),
-        ("(scenario (gatekeepers 2) (faults (kill g0)))", "s:1:35: faults.kill: wants G AT"),
-        ("(scenario (gatekeepers 2) (faults (restart g2 1s)))", "s:1:44: faults.restart: g2: no such end"),
-        ("(scenario (seed 1))", "s:1:1: gatekeepers: is missing"),
-        ("(scenario (gatekeepers 2)", "s:1:26: the file ends within a list"),
-    ],
-)
-def test_a_scenario_that_cannot_be_run_is_told_by_line_column_and_key(text: str, told: str) -> None:
-    with pytest.raises(ScenarioError, match=f"^{re.escape(told)}"):
-        load_scenario(text, "s")
+def run_lab(*arguments: str) -> Result:
+    return CliRunner().invoke(ashlift, ["lab", *arguments])
 
 
-def test_a_run_from_a_file_splits_a_gatekeeper_from_nodes_and_is_kept_and_reported(tmp_path: Path) -> None:
+def test_a_run_from_a_file_splits_a_gatekeeper_from_nodes_and_is_saved_and_reported(tmp_path: Path) -> None:
     """Two real gatekeepers: g0 and n0 are split from the rest for a second; the split is met on the links to
-    the nodes; the run is kept with its verdicts, and is listed, shown, compared and reported."""
-    plan = tmp_path / "split.sexp"
-    plan.write_text(
-        "(scenario (name split) (seed 5) (seconds 3) (gatekeepers 2) (nodes 2) (work 5ms)\n"
-        "  (firms 2) (rate 10) (quota 10) (faults (partition 1s 2s (g0 n0) rest)))"
-    )
-    db, page = tmp_path / "r.sqlite", tmp_path / "r.html"
-    common = ["--results", str(db), "--history", str(tmp_path / "h.jsonl")]
-    ran = CliRunner().invoke(ashlift, ["lab", "run", str(plan), *common, "--report", str(page)])
-    assert ran.exit_code == 0, ran.output
-    assert re.search(r"PASS crossed: cut \d+ ways: [1-9]\d* met", ran.output)
-    with sqlite3.connect(db) as kept:
-        ways = [w for (w,) in kept.execute("select ways from faults")]
-        assert len(ways) == 1 and '"g0>n1"' in ways[0] and '"g1>n0"' in ways[0] and '"g0>n0"' not in ways[0]
-        assert kept.execute("select sum(asked) from seconds").fetchone()[0] > 20
-    html = page.read_text()
-    assert html.count("data:image/png;base64,") == 3 and "split, seed 5" in html
-    with sqlite3.connect(db) as kept:
-        assert kept.execute("select ok from runs").fetchall() == [(1,)]
-    listed = CliRunner().invoke(ashlift, ["lab", "list", "--results", str(db)])
-    assert listed.exit_code == 0 and re.search(r"^\s+1\s+split .* ok$", listed.output, re.M)
-    shown = CliRunner().invoke(ashlift, ["lab", "show", "1", "--results", str(db)])
-    assert "fault 1-2 s: cut on" in shown.output and "one_answer: ok" in shown.output
-    compared = CliRunner().invoke(ashlift, ["lab", "compare", "1", "1", "--results", str(db)])
-    assert re.search(r"^jobs\s+\d+\s+\d+\s+1\.000$", compared.output, re.M)
-    missing = CliRunner().invoke(ashlift, ["lab", "report", "9", "--results", str(db)])
-    assert missing.exit_code == 1 and "run 9: no such run" in missing.output
+    the nodes; the run is saved with its verdicts, and is listed, shown, compared and reported."""
+    scenario_file = tmp_path / "split.sexp"
+    scenario_file.write_text(SPLIT_SCENARIO)
+    database = tmp_path / "r.sqlite"
+    results = ("--results", str(database))
+    report = tmp_path / "r.html"
+    history = str(tmp_path / "h.jsonl")
+    run = run_lab("run", str(scenario_file), *results, "--history", history, "--report", str(report))
+    assert run.exit_code == 0, run.output
+    assert re.search(r"PASS crossed: cut \d+ ways: [1-9]\d* met", run.output)
+    with sqlite3.connect(database) as connection:
+        rows = connection.execute("select ways from faults").fetchall()
+        assert len(rows) == 1
+        directions = rows[0][0]
+        assert '"g0>n1"' in directions
+        assert '"g1>n0"' in directions
+        assert '"g0>n0"' not in directions
+        assert connection.execute("select sum(asked) from seconds").fetchone()[0] > 20
+        assert connection.execute("select ok from runs").fetchall() == [(1,)]
+    html = report.read_text()
+    assert html.count("data:image/png;base64,") == 3
+    assert "split, seed 5" in html
+    runs = run_lab("list", *results)
+    assert runs.exit_code == 0
+    assert re.search(r"^\s+1\s+split .* ok$", runs.output, re.MULTILINE)
+    shown = run_lab("show", "1", *results)
+    assert "fault 1-2 s: cut on" in shown.output
+    assert "one_answer: ok" in shown.output
+    compared = run_lab("compare", "1", "1", *results)
+    assert re.search(r"^jobs\s+\d+\s+\d+\s+1\.000$", compared.output, re.MULTILINE)
+    missing = run_lab("report", "9", *results)
+    assert missing.exit_code == 1
+    assert "run 9: no such run" in missing.output
