--- a/ashlift/config/routing_table.py
+++ b/ashlift/config/routing_table.py
@@ -1,7 +1,7 @@
 """A configuration indexed for use: routes by host and path prefix, tenants by API key, services, limits."""
 
 from collections.abc import Iterable, Mapping
-from typing import Any, Final, TypeVar
+from typing import Any, Final, NamedTuple, TypeVar
 
 import attrs
 
@@ -23,8 +23,7 @@
 T = TypeVar("T")
 
 
-@attrs.frozen
-class Route:
+class Route(NamedTuple):
     """One route. `traffic_split`: services with weights above 0. `timeout`, `latency_target`: s.
 
     `priority`: 0 is the highest. `home_regions`: where its requests may run; empty: anywhere. `anonymous`:
@@ -44,8 +43,7 @@
     home_regions: frozenset[str]
 
 
-@attrs.frozen
-class Service:
+class Service(NamedTuple):
     """One service. `max_connections`: of one worker, 0: not limited. `warmup`: slow start, s.
 
     `warmup_rate`: the most requests a second of a worker in slow start, or infinite.
@@ -58,8 +56,7 @@
     warmup_rate: float
 
 
-@attrs.frozen
-class Tenant:
+class Tenant(NamedTuple):
     """One tenant. `rate_limit`: requests a second, 0: none. `burst_size`: requests beyond it.
 
     `priority`: None: the route's. `home_regions`: as of a route.
@@ -79,8 +76,7 @@
     return host if colon and (not port or port.isdigit()) else header.strip().lower()
 
 
-@attrs.frozen
-class _HostRoutes:
+class _HostRoutes(NamedTuple):
     """The routes of one host by path prefix, and the length of the longest."""
 
     by_prefix: dict[str, Route]
--- a/ashlift/proxy/attempts.py
+++ b/ashlift/proxy/attempts.py
@@ -5,7 +5,6 @@
 """
 
 from collections.abc import Mapping
-from dataclasses import dataclass
 from enum import Enum, auto
 from typing import Final, NamedTuple
 
@@ -50,8 +49,7 @@
 }
 
 
-@dataclass(slots=True)
-class AttemptOutcome:
+class AttemptOutcome(NamedTuple):
     """The end of an attempt.
 
     `elapsed`: seconds since it began. `idle_reset`: the connection was lost because it had been idle for too
--- a/ashlift/proxy/registry_client.py
+++ b/ashlift/proxy/registry_client.py
@@ -4,9 +4,7 @@
 """
 
 import random
-from typing import Any, Final
-
-from attrs import frozen
+from typing import Any, Final, NamedTuple
 
 from ashlift.config.settings import Settings
 from ashlift.errors import Failure, FailureReason
@@ -28,8 +26,7 @@
 URGENT_PULL_AGE_SECONDS: Final = 1.0  # with an older configuration, the registry is to answer at once
 
 
-@frozen
-class PullRequest:
+class PullRequest(NamedTuple):
     """One call to be made: the registry's IP, when it is sent, its content, and its connect time-out in s."""
 
     registry_ip: str
--- a/ashlift/proxy/source_state.py
+++ b/ashlift/proxy/source_state.py
@@ -2,15 +2,14 @@
 
 import math
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from ashlift.proxy.pull_messages import KIND_LENGTH, RecordKind, SourceUpdate
 from ashlift.rpc.addresses import Address, parse_address
 from ashlift.traffic.outlier_detection import FailureTotals
 
 
-@dataclass(frozen=True, slots=True)
-class Worker:
+class Worker(NamedTuple):
     """One incarnation of a worker, as its newest heartbeat describes it."""
 
     id: str
--- a/ashlift/simulation/worker_pool.py
+++ b/ashlift/simulation/worker_pool.py
@@ -104,8 +104,8 @@
         started = attempt.started
 
         def arrive() -> None:
-            outcome.elapsed = proxy.loop.now - started
-            attempt.finish(outcome, outcome.result is not AttemptResult.CONNECTION_LOST)
+            measured = outcome._replace(elapsed=proxy.loop.now - started)
+            attempt.finish(measured, outcome.result is not AttemptResult.CONNECTION_LOST)
 
         proxy.call_later(net.delay(worker.machine, proxy.machine), arrive)
 
