--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -11,10 +11,11 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any, Final
 
+from benchmarks.scale.comparison import compare_proxies
 from benchmarks.scale.recorded_runs import FEW_OBJECTS, IN_PROPORTION
 from benchmarks.scale.recorder import CHECKOUT
-from benchmarks.scale.runs import compare, play
-from benchmarks.scale.site import Options
+from benchmarks.scale.run import run_at_size
+from benchmarks.scale.run_options import RunOptions
 from benchmarks.scale.sizes import TARGET_SIZE
 
 Json = dict[str, Any]
@@ -46,15 +47,22 @@
 
 def measure_compare(sizes: tuple[int, ...]) -> Json:
     """Simulated proxies beside real ones."""
-    return {str(size): compare(size, Options(hosts=1), _print_progress) for size in sizes}
+    return {str(size): compare_proxies(size, RunOptions(proxy_hosts=1), _print_progress) for size in sizes}
 
 
 def measure_quick_runs(sizes: tuple[int, ...], _core_machines: int, write: Callable[[Json], None]) -> None:
     """Runs that are as short as can be and show only that the measurement works."""
-    options = Options(
-        window=0.5, settle=0.3, core=1, real=1, hosts=1, rates=(0.0, 1.0), churn=0.0, losses=False
+    options = RunOptions(
+        window_seconds=0.5,
+        settle_seconds=0.3,
+        core_machines=1,
+        real_proxies=1,
+        proxy_hosts=1,
+        request_rate_factors=(0.0, 1.0),
+        worker_restarts_per_second=0.0,
+        measure_core_loss=False,
     )
-    runs = {str(size): play(TARGET_SIZE.scaled_to(size), options, _print_progress) for size in sizes}
+    runs = {str(size): run_at_size(TARGET_SIZE.scaled_to(size), options, _print_progress) for size in sizes}
     write({IN_PROPORTION: runs, FEW_OBJECTS: {}})
 
 
@@ -67,24 +75,24 @@
     for size in sizes:
         if size in PROPORTIONAL_PROXY_COUNTS:
             _print_progress(f"{size} gatekeepers, all in proportion")
-            runs[IN_PROPORTION][str(size)] = _measure_run(size, Options(core=core_machines))
+            runs[IN_PROPORTION][str(size)] = _measure_run(size, RunOptions(core_machines=core_machines))
             write(runs)
     for size in sizes:
         _print_progress(f"{size} gatekeepers, few objects")
-        options = Options(
-            core=core_machines,
-            word=FEW_OBJECTS_OF_KIND,
-            workers=FEW_WORKERS,
-            a_second=STARTS_PER_SECOND,
-            real=1,
-            hosts=2 if size <= MAX_PROXIES_OF_TWO_PROCESSES else 3,
+        options = RunOptions(
+            core_machines=core_machines,
+            max_objects=FEW_OBJECTS_OF_KIND,
+            max_workers=FEW_WORKERS,
+            starts_per_second=STARTS_PER_SECOND,
+            real_proxies=1,
+            proxy_hosts=2 if size <= MAX_PROXIES_OF_TWO_PROCESSES else 3,
         )
         runs[FEW_OBJECTS][str(size)] = _measure_run(size, options)
         write(runs)
 
 
-def _measure_run(size: int, options: Options) -> Json:
-    run = play(TARGET_SIZE.scaled_to(size), options, _print_progress)
+def _measure_run(size: int, options: RunOptions) -> Json:
+    run = run_at_size(TARGET_SIZE.scaled_to(size), options, _print_progress)
     _print_progress(f"  broken: {run['broken']}")
     return run
 
--- a/benchmarks/scale/proxy_figures.py
+++ b/benchmarks/scale/proxy_figures.py
@@ -98,20 +98,20 @@
         """The parts of the first response, one after the other: configuration, workers, usage totals."""
         configuration = {OPERATOR_SOURCE: self._full_response["sources"][OPERATOR_SOURCE]}
         updates = unpack_sources(self._full_response["sources"])
-        updates.pop(OPERATOR_SOURCE)
         self._measure_part(
             "gatekeeper: configuration, ms",
             "gatekeeper: memory of the configuration and limits, MB",
             configuration,
         )
-        # Both stay alive until the end: what is freed would be memory for the next part to grow into.
-        workers = {name: _without_usage(update) for name, update in updates.items()}
+        # All of these stay alive until the end: what is freed would be memory for the next part to grow into.
+        sources = [name for name in updates if name != OPERATOR_SOURCE]
+        workers = {name: _without_usage(updates[name]) for name in sources}
         self._measure_part(
             "gatekeeper: all workers and members, ms",
             "gatekeeper: memory of workers and members, MB",
             workers,
         )
-        usage = {name: _usage_only(update) for name, update in updates.items()}
+        usage = {name: _usage_only(updates[name]) for name in sources}
         self._measure_part("gatekeeper: all sums, ms", "gatekeeper: memory of sums, MB", usage)
 
     def _measure_part(self, time_name: str, memory_name: str, sources: Json) -> None:
--- /dev/null
+++ b/benchmarks/scale/run_options.py
@@ -0,0 +1,36 @@
+"""What a run measures and with how much."""
+
+from typing import Final
+
+import attrs
+
+from benchmarks.scale.sizes import TARGET_SIZE, ClusterSize
+
+REQUEST_RATE_FACTORS: Final = (0.0, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0)
+
+
+@attrs.frozen
+class RunOptions:
+    """Options of a run.
+
+    `window_seconds`, `settle_seconds`: of each measurement and before it. `request_rate_factors`: in
+    multiples of the rate in proportion. `max_objects`: of each kind in the configuration; None: as many as in
+    proportion. `max_workers`: the same of workers. `starts_per_second`: of simulated proxies; 0: all at once.
+    `fallback_tenants`: tried where the store refuses the tenants in proportion. `proxy_hosts`: processes of
+    simulated proxies. `worker_restarts_per_second`: while restarts are measured; 0: they are not.
+    `measure_core_loss`: whether the leader's machine is stopped for a while.
+    """
+
+    window_seconds: float = 4.0
+    settle_seconds: float = 2.0
+    core_machines: int = 3
+    real_proxies: int = 2
+    proxy_hosts: int = 2
+    request_rate_factors: tuple[float, ...] = REQUEST_RATE_FACTORS
+    max_objects: int | None = None
+    max_workers: int | None = None
+    starts_per_second: float = 0.0
+    fallback_tenants: int = 6000
+    worker_restarts_per_second: float = 5.0
+    measure_core_loss: bool = True
+    target: ClusterSize = TARGET_SIZE
--- a/benchmarks/scale/store_figures.py
+++ b/benchmarks/scale/store_figures.py
@@ -5,6 +5,7 @@
 import os
 import tempfile
 import time
+from collections.abc import Iterable
 from typing import Any
 
 from ashlift.config import operator_config
@@ -26,89 +27,108 @@
 CHANGES = 3
 
 
+class StoreMeasurement:
+    """Measures the store of one size, step by step.
+
+    It keeps what it measured until it is dropped as a whole: memory that were freed in between would be there
+    for the registry to grow into, whose memory is measured next.
+    """
+
+    def __init__(self, size: ClusterSize, recorder: FigureRecorder) -> None:
+        self.size = size
+        self.recorder = recorder
+        self._put_body = build_configuration(size)
+        recorder.record(figure_names.PUT_BYTES, len(json.dumps(self._put_body, separators=(",", ":"))))
+        put_change = recorder.record_cpu_ms(
+            figure_names.PUT_MS,
+            lambda: operator_config.apply_change({}, "put", "0", self._put_body),
+            repeats=2,
+        )
+        assert not isinstance(put_change, Failure), put_change
+        self.configuration: dict[str, Any] = put_change.entries
+        self._entries = RangedMap(self.configuration)
+        self._snapshots: list[Snapshot] = []
+        self._committed = CommittedState()
+
+    def run(self) -> None:
+        """Measure everything besides the PUT."""
+        self.recorder.record_cpu_ms("store: digests of all, first time, ms", self._entries.digest, repeats=1)
+        self._measure_patch()
+        self._measure_watch()
+        self._measure_disk()
+
+    def _measure_patch(self) -> None:
+        """A change of one route: checked, applied, and encoded for a follower that lacks it or everything."""
+        change = self.recorder.record_cpu_ms(
+            figure_names.PATCH_MS,
+            lambda: operator_config.apply_change(
+                self._entries.map, "patch", "1", build_route_change(self.size, 2)
+            ),
+            repeats=2,
+        )
+        assert not isinstance(change, Failure), change
+        changed = self._changed_entries = self.recorder.record_cpu_ms(
+            "store: map changed and digested, ms",
+            lambda: _apply_and_digest(self._entries, change.entries, change.removed_keys),
+        )
+        payload = encode_payload(Delta((TERM, 1), change.entries, change.removed_keys, changed.digest()))
+        self.recorder.record("store: a change to a follower, bytes", len(payload))
+        self.recorder.record(
+            "store: whole map to a follower, bytes compressed",
+            sum(len(pack([changed.encoded_range(number)])) for number in changed.nonempty_ranges()),
+        )
+        self.recorder.record(
+            "store: largest of 64 ranges, bytes",
+            max(len(changed.encoded_range(number)) for number in changed.nonempty_ranges()),
+        )
+
+    def _measure_watch(self) -> None:
+        """What a registry that watches is sent."""
+        self._committed.advance(Snapshot((TERM, 1), self._entries))
+        self._snapshots = [self._snapshot_with_change(number) for number in range(CHANGES)]
+        next_snapshot = iter(self._snapshots)
+        self.recorder.record_cpu_ms(
+            "store: what changed since, ms",
+            lambda: self._committed.advance(next(next_snapshot)),
+            repeats=CHANGES,
+        )
+        response = encode_response(1, self._committed.changes_since(0))
+        self.recorder.record(figure_names.MAP_TO_REGISTRY_BYTES, len(response))
+
+    def _snapshot_with_change(self, number: int) -> Snapshot:
+        changed_entries = self._entries.with_changes({"Routes/r00000": {"Host": str(number)}}, ())
+        return Snapshot((TERM, 2 + number), changed_entries)
+
+    def _measure_disk(self) -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            storage = ReplicaStorage(folder)
+            indexes = itertools.count(1)
+            for _ in range(2):  # one complete map for each of the two slots
+                snapshot = Snapshot((TERM, next(indexes)), self._entries)
+                _measure_persist(storage, snapshot, "store: map to disk, first", self.recorder)
+            for changed in self._snapshots:
+                snapshot = Snapshot((TERM, next(indexes)), changed.entries)
+                _measure_persist(storage, snapshot, "store: a change to disk", self.recorder)
+            stored_bytes = sum(os.path.getsize(os.path.join(folder, name)) for name in os.listdir(folder))
+            self.recorder.record("store: disk, MB", stored_bytes / 1e6)
+            self.recorder.record_cpu_ms(
+                "store: map from disk, ms", lambda: ReplicaStorage(folder).read(), repeats=2
+            )
+
+
 def measure_store(size: ClusterSize, recorder: FigureRecorder) -> dict[str, Any]:
     """Measure everything; returns the entries of the configuration of this size."""
-    configuration = _measure_put(size, recorder)
-    entries = RangedMap(configuration)
-    recorder.record_cpu_ms("store: digests of all, first time, ms", entries.digest, repeats=1)
-    _measure_patch(size, entries, recorder)
-    snapshots = [_snapshot_with_change(entries, number) for number in range(CHANGES)]
-    _measure_watch(entries, snapshots, recorder)
-    _measure_disk(entries, snapshots, recorder)
-    return configuration
-
-
-def _measure_put(size: ClusterSize, recorder: FigureRecorder) -> dict[str, Any]:
-    body = build_configuration(size)
-    recorder.record(figure_names.PUT_BYTES, len(json.dumps(body, separators=(",", ":"))))
-    change = recorder.record_cpu_ms(
-        figure_names.PUT_MS, lambda: operator_config.apply_change({}, "put", "0", body), repeats=2
-    )
-    assert not isinstance(change, Failure), change
-    entries: dict[str, Any] = change.entries
-    return entries
-
-
-def _measure_patch(size: ClusterSize, entries: RangedMap, recorder: FigureRecorder) -> None:
-    """A change of one route: checked, applied, and encoded for a follower that lacks it or everything."""
-    change = recorder.record_cpu_ms(
-        figure_names.PATCH_MS,
-        lambda: operator_config.apply_change(entries.map, "patch", "1", build_route_change(size, 2)),
-        repeats=2,
-    )
-    assert not isinstance(change, Failure), change
-
-    def apply_and_digest() -> RangedMap:
-        changed_entries = entries.with_changes(change.entries, change.removed_keys)
-        changed_entries.digest()
-        return changed_entries
-
-    changed = recorder.record_cpu_ms("store: map changed and digested, ms", apply_and_digest)
-    payload = encode_payload(Delta((TERM, 1), change.entries, change.removed_keys, changed.digest()))
-    ranges = [changed.encoded_range(number) for number in changed.nonempty_ranges()]
-    recorder.record("store: a change to a follower, bytes", len(payload))
-    recorder.record(
-        "store: whole map to a follower, bytes compressed",
-        sum(len(pack([encoded_range])) for encoded_range in ranges),
-    )
-    recorder.record("store: largest of 64 ranges, bytes", max(map(len, ranges)))
-
-
-def _snapshot_with_change(entries: RangedMap, number: int) -> Snapshot:
-    changed_entries = entries.with_changes({"Routes/r00000": {"Host": str(number)}}, ())
-    return Snapshot((TERM, 2 + number), changed_entries)
-
-
-def _measure_watch(entries: RangedMap, snapshots: list[Snapshot], recorder: FigureRecorder) -> None:
-    """What a registry that watches is sent."""
-    committed = CommittedState()
-    committed.advance(Snapshot((TERM, 1), entries))
-    next_snapshot = iter(snapshots)
-    recorder.record_cpu_ms(
-        "store: what changed since, ms", lambda: committed.advance(next(next_snapshot)), repeats=CHANGES
-    )
-    response = encode_response(1, committed.changes_since(0))
-    recorder.record(figure_names.MAP_TO_REGISTRY_BYTES, len(response))
-
-
-def _measure_disk(entries: RangedMap, snapshots: list[Snapshot], recorder: FigureRecorder) -> None:
-    with tempfile.TemporaryDirectory() as folder:
-        storage = ReplicaStorage(folder)
-        indexes = itertools.count(1)
-        for _ in range(2):  # one complete map for each of the two slots
-            _measure_persist(
-                storage, Snapshot((TERM, next(indexes)), entries), "store: map to disk, first", recorder
-            )
-        for snapshot in snapshots:
-            _measure_persist(
-                storage,
-                Snapshot((TERM, next(indexes)), snapshot.entries),
-                "store: a change to disk",
-                recorder,
-            )
-        stored_bytes = sum(os.path.getsize(os.path.join(folder, name)) for name in os.listdir(folder))
-        recorder.record("store: disk, MB", stored_bytes / 1e6)
-        recorder.record_cpu_ms("store: map from disk, ms", lambda: ReplicaStorage(folder).read(), repeats=2)
+    measurement = StoreMeasurement(size, recorder)
+    measurement.run()
+    return measurement.configuration
+
+
+def _apply_and_digest(
+    entries: RangedMap, changed_entries: dict[str, Any], removed_keys: Iterable[str]
+) -> RangedMap:
+    result = entries.with_changes(changed_entries, removed_keys)
+    result.digest()
+    return result
 
 
 def _measure_persist(
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run (`benchmarks.scale`): its arithmetic, hollow ones beside real ones, a small run end to end.
+"""The scale benchmark (`benchmarks.scale`): its arithmetic, simulated proxies beside real ones, a small run.
 
 The last test starts real processes and takes some seconds: it is what keeps the run working.
 """
@@ -9,7 +9,6 @@
 import sys
 import tempfile
 from pathlib import Path
-from typing import Any
 
 from ward import each, raises, test
 
@@ -20,13 +19,25 @@
 from ashlift.registry.registry import Registry
 from ashlift.rpc.messages import encode_request, encode_response
 from benchmarks.scale.capacity_page import build_tables, fill_page
-from benchmarks.scale.hollow import Gatekeeper, HollowLimiter
+from benchmarks.scale.connection_traffic import Role, Traffic, parse_traffic
+from benchmarks.scale.host_messages import (
+    HostFigures,
+    ReadArrivalTimes,
+    ReadFigures,
+    SetRequestRate,
+    SetRestartRate,
+    StartProxies,
+    decode_command,
+    decode_response,
+    encode_command,
+)
+from benchmarks.scale.host_messages import encode_response as encode_host_response
 from benchmarks.scale.line_fit import fit_line, relative_spread
 from benchmarks.scale.markdown import format_number
 from benchmarks.scale.proxy_figures import proxy_settings
-from benchmarks.scale.readings import Carried, sorted_out
 from benchmarks.scale.recorded_figures import RecordedFigures
 from benchmarks.scale.sample_objects import build_configuration
+from benchmarks.scale.simulated_proxies import RequestLoad, SimulatedProxy, SimulatedRateLimiter
 from benchmarks.scale.sizes import TARGET_SIZE, regions_by_zone
 from benchmarks.scale.tenant_distribution import draw_tenant_rank, expected_distinct_tenants, tenant_name
 from tests.support.registry_wire import begin_pull, pull_response
@@ -123,79 +134,110 @@
         ]
     )
     owner = {1: 11, 2: 12, 3: 13, 4: 12, 5: 14, 6: 14}
-    roles = {11: "proxy", 12: "registry", 13: "registry", 14: "workers"}
-    found = sorted_out(text, owner, roles, 7600, {7600, 7601, 8200})
+    roles = {11: Role.PROXY, 12: Role.REGISTRY, 13: Role.REGISTRY, 14: Role.SIMULATED_WORKERS}
+    found = parse_traffic(text, owner, roles, 7600, {7600, 7601, 8200})
     assert found == {
-        11: {"pull": Carried(1, 500, 900, 5)},
-        12: {"pull answered": Carried(1, 900, 500, 6), "swap answered": Carried(1, 80, 70, 2)},
-        13: {"swap": Carried(1, 70, 80, 2)},
-        14: {"beat": Carried(1, 10, 20, 1)},
+        11: {"pull": Traffic(1, 500, 900, 5)},
+        12: {"pull answered": Traffic(1, 900, 500, 6), "swap answered": Traffic(1, 80, 70, 2)},
+        13: {"swap": Traffic(1, 70, 80, 2)},
+        14: {"beat": Traffic(1, 10, 20, 1)},
     }
 
 
 def _registry() -> Registry:
-    own = Registry(
-        RegistryIdentity("core-1", "ab", "10.9.0.1", "z00", "r00", 8200, 1.5),
-        ["10.9.0.1"],
-        regions_by_zone(),
-        0.0,
-    )
-    word = load_configuration(build_configuration(TARGET_SIZE.scaled_to(5)))
-    assert isinstance(word, dict)
-    own.operator_config.receive_watch_response(
-        {"index": 4, "set": word, "gone": [], "full": True, "age": 0.1}, 9.0
+    identity = RegistryIdentity("core-1", "ab", "10.9.0.1", "z00", "r00", 8200, 1.5)
+    registry = Registry(identity, ["10.9.0.1"], regions_by_zone(), 0.0)
+    configuration = load_configuration(build_configuration(TARGET_SIZE.scaled_to(5)))
+    assert isinstance(configuration, dict)
+    registry.operator_config.receive_watch_response(
+        {"index": 4, "set": configuration, "gone": [], "full": True, "age": 0.1}, 9.0
     )
-    return own
+    return registry
+
+
+class _PullingProxy:
+    """A proxy and a registry of its own; records the lengths of requests and responses."""
+
+    def __init__(self, router: RequestRouter, client: RegistryClient) -> None:
+        self.registry = _registry()
+        self.router = router
+        self.client = client
+        self.message_lengths: list[tuple[int, int]] = []
+
+    def pull(self, now: float, usage_of_another_proxy: bool) -> None:
+        """One pull, its response 0.25 s later; another proxy's usage may be counted in between."""
+        pull = self.client.next_request(now)
+        assert pull is not None
+        assert pull.registry_ip == "10.9.0.1"
+        begin_pull(self.registry, pull.body, now)
+        if usage_of_another_proxy:
+            adds = {"number": 1, "counts": {"t000001": (5, 1)}}
+            begin_pull(self.registry, {**pull.body, "node": "other", "adds": adds}, now)
+            self.registry.sessions.end_pull("other")
+        response = pull_response(self.registry, pull.body, now, now + 0.2)
+        self.registry.sessions.end_pull("hollow-0")
+        self.message_lengths.append(
+            (len(encode_request(1, "pull", pull.body)), len(encode_response(1, response)))
+        )
+        assert self.client.handle_response(pull, now + 0.25, response)
+        assert self.router.is_ready(now + 0.25)
 
 
-@test("a hollow gatekeeper says what a real one says, call after call, and gets the same answers")
+@test("a simulated proxy sends what a real one sends, pull after pull, and gets the same responses")
 def _() -> None:
-    made = proxy_settings("hollow-0")
-    orders = {"zones": regions_by_zone(), "low": 7600, "seeds": ["10.9.0.1"]}
-    hollow, real = Gatekeeper(0, orders), RequestRouter(made, random.Random(0), 10.0)
-    sides: list[tuple[Registry, RequestRouter, Any]] = [
-        (_registry(), hollow.gate, hollow.pulling),
-        (_registry(), real, RegistryClient(made, real, f"{0:08x}", random.Random(0))),
-    ]
-    told: list[list[tuple[int, int]]] = [[], []]
-    now = 10.0
+    command = StartProxies(
+        first=0,
+        end=1,
+        regions_by_zone=regions_by_zone(),
+        low_port=7600,
+        seed_ips=["10.9.0.1"],
+        tenants=1,
+        starts_per_second=0.0,
+    )
+    simulated_proxy = SimulatedProxy(0, command, RequestLoad())
+    settings = proxy_settings("hollow-0")
+    router = RequestRouter(settings, random.Random(0), 10.0)
+    simulated = _PullingProxy(simulated_proxy.router, simulated_proxy.client)
+    real = _PullingProxy(router, RegistryClient(settings, router, f"{0:08x}", random.Random(0)))
+    view = simulated_proxy.cluster
     for step in range(6):
-        for side, (own, gate, pulling) in enumerate(sides):
-            pull = pulling.next_request(now)
-            assert pull is not None and pull.registry_ip == "10.9.0.1"
-            begin_pull(own, pull.body, now)
-            if step == 3:
-                adds = {"number": 1, "counts": {"t000001": (5, 1)}}
-                begin_pull(own, {**pull.body, "node": "other", "adds": adds}, now)
-                own.sessions.end_pull("other")
-            answer = pull_response(own, pull.body, now, now + 0.2)
-            own.sessions.end_pull("hollow-0")
-            told[side].append(
-                (
-                    len(encode_request(1, "pull", pull.body)),
-                    len(encode_response(1, answer)),
-                )
-            )
-            assert pulling.handle_response(pull, now + 0.25, answer) and gate.is_ready(now + 0.25)
-        assert (
-            hollow.ledger.versions() == real.cluster.versions()
-            and hollow.ledger.configuration.confirmed_at == real.cluster.configuration.confirmed_at
-        )
-        now += 0.25
-    assert told[0] == told[1], told
-    assert hollow.ledger.seen > 0
-    held = hollow.ledger.sources.values()
-    assert not any(source.workers or source.proxies or source.usage for source in held)
+        for proxy in (simulated, real):
+            proxy.pull(10.0 + 0.25 * step, usage_of_another_proxy=step == 3)
+        assert view.versions() == router.cluster.versions()
+        assert view.configuration.confirmed_at == router.cluster.configuration.confirmed_at
+    assert len(simulated.message_lengths) == 6
+    assert simulated.message_lengths == real.message_lengths
+    assert view.received_entries > 0
+    sources = view.sources.values()
+    assert not any(source.workers or source.proxies or source.usage for source in sources)
 
 
-@test("a hollow limiter says as many requests as its rate")
+@test("a simulated rate limiter counts as many requests as its load has")
 def _() -> None:
-    limiter = HollowLimiter(random.Random(3), proxy_settings().bounds)
-    limiter.rate, limiter.tenants = 1000.0, 50
-    limiter._since -= 1.0
+    load = RequestLoad(tenants=50, requests_per_second=1000.0)
+    limiter = SimulatedRateLimiter(random.Random(3), proxy_settings().bounds, load)
+    limiter._counted_until -= 1.0
     counts = limiter.take_new_counts()
     assert 990 <= sum(total for total, _ in counts.values()) <= 1100
-    assert max(counts, key=lambda name: counts[name]) == tenant_name(1) and len(counts) > 30
+    assert max(counts, key=lambda name: counts[name]) == tenant_name(1)
+    assert len(counts) > 30
+
+
+@test("a simulation host's commands and figures survive encoding")
+def _() -> None:
+    command = StartProxies(
+        first=3,
+        end=5,
+        regions_by_zone={"z00": "r00"},
+        low_port=7600,
+        seed_ips=["10.9.0.1"],
+        tenants=7,
+        starts_per_second=2.0,
+    )
+    for sent in (command, ReadFigures(), ReadArrivalTimes(4), SetRequestRate(1.5), SetRestartRate(0.5)):
+        assert decode_command(encode_command(sent)) == sent
+    figures = HostFigures(pulls=3, ready_after_seconds=[0.5, 1.5], confirmation_age_seconds=float("inf"))
+    assert decode_response(encode_host_response(figures).encode(), HostFigures) == figures
 
 
 @test("a small run gives one JSON, and the page's tables are made from it")
