--- a/ashlift/simulation/recording.py
+++ b/ashlift/simulation/recording.py
@@ -38,9 +38,9 @@
 from ashlift.simulation.world import World
 
 ROOT: Final = Path(__file__).parents[2]
-SCENES: Final = ROOT / "tests" / "scenarios"
+SCENARIOS: Final = ROOT / "tests" / "scenarios"
 RECORD: Final = ROOT / "tests" / "simulation" / "recorded_histories.json"
-SCENE_FILES: Final = ("open_*.txt", "orders_*.txt", "system_*.txt")
+SCENARIO_FILES: Final = ("open_*.txt", "orders_*.txt", "system_*.txt")
 HASH_SEED: Final = "0"
 CHANCE_DAYS: Final = 20
 WORST_DAYS: Final = 20
@@ -81,7 +81,8 @@
         self._dump = dump
         self._counts = dict.fromkeys(SECTIONS, 0)
         self._digests = {section: hashlib.sha256() for section in SECTIONS}
-        self._programs, self._methods = Numbers(), Numbers()
+        self._programs = Numbers()
+        self._methods = Numbers()
 
     def add(self, section: str, *entry: Any) -> None:
         """One more entry of a section, of values that cbor2 encodes."""
@@ -123,11 +124,11 @@
         self._disk(process)
 
     def attempted(self, proxy: Process, worker: str, request: int, reused: bool) -> None:
-        """Record a try of a request at a worker."""
+        """Record an attempt of a request at a worker."""
         self.add("tries", proxy.loop.now, "request", proxy.name, worker, request, reused)
 
     def replied(self, worker: Process, proxy: Process, request: int, status: int) -> None:
-        """Record a worker's answer to a try."""
+        """Record a worker's answer to an attempt."""
         self.add("tries", worker.loop.now, "answer", worker.name, proxy.name, request, status)
 
     def _method(self, method: str) -> str | int:
@@ -137,22 +138,23 @@
         return self._method(method), body if method in WIRE_METHODS else values_of(body)
 
     def _disk(self, process: Process) -> None:
-        """What an agreement member's disk holds now: its vote, and of its map the term, index and digest."""
+        """What a store's disk holds now: its vote, and of its map the term, index and digest."""
         disk = process.machine.disk
-        vote, state = disk.get("vote"), disk.get("state")
-        held = [*state.term_index, state.entries.digest()] if isinstance(state, Snapshot) else None
+        vote = disk.get("vote")
+        state = disk.get("state")
+        position = [*state.term_index, state.entries.digest()] if isinstance(state, Snapshot) else None
         self.add(
             "disks",
             process.loop.now,
             process.name,
             [*vote] if isinstance(vote, PersistentVote) else None,
-            held,
+            position,
         )
 
     # ---- what is known once it has ended
-    def ended(self, play: ScenarioPlayer, sound: bool) -> None:
-        """Take the play's history; `sound`: all its expectations and rules held."""
-        world = play.world
+    def ended(self, player: ScenarioPlayer, passed: bool) -> None:
+        """Take the player's history; `passed`: all its expectations and rules held."""
+        world = player.world
         self._requests(world.history)
         self._operators(world.history)
         self._workers(world.history)
@@ -161,28 +163,28 @@
             self._disk(process)
             self.add("disks", process.name, process.machine.disk.get(EDITS))
         loop = world.loop
-        self.add("end", loop.now, loop.event_count, loop.rng.getrandbits(64), sound)
+        self.add("end", loop.now, loop.event_count, loop.rng.getrandbits(64), passed)
 
     def _requests(self, history: History) -> None:
-        for one in history.requests:
+        for request in history.requests:
             self.add(
                 "requests",
-                one.id,
-                one.path,
-                one.key,
-                one.zone,
-                one.sent,
-                one.proxy,
-                one.proxy_incarnation,
-                one.received,
-                one.status,
-                one.cause,
-                one.ended,
-                one.connection_broken,
-                one.pool_exhausted_count,
+                request.id,
+                request.path,
+                request.key,
+                request.zone,
+                request.sent,
+                request.proxy,
+                request.proxy_incarnation,
+                request.received,
+                request.status,
+                request.cause,
+                request.ended,
+                request.connection_broken,
+                request.pool_exhausted_count,
                 [
                     [run.at, run.worker, run.tenant, run.proxy, run.ran, run.rejection_status]
-                    for run in one.arrivals
+                    for run in request.arrivals
                 ],
             )
 
@@ -225,19 +227,19 @@
             )
 
     def _workers(self, history: History) -> None:
-        for one in history.workers.values():
+        for worker in history.workers.values():
             self.add(
                 "workers",
-                one.id,
-                one.service,
-                one.zone,
-                one.address,
-                one.started,
-                one.ended,
-                one.warmups,
-                one.draining_acknowledged,
-                one.draining_registry,
-                one.deregistered,
+                worker.id,
+                worker.service,
+                worker.zone,
+                worker.address,
+                worker.started,
+                worker.ended,
+                worker.warmups,
+                worker.draining_acknowledged,
+                worker.draining_registry,
+                worker.deregistered,
             )
 
     def _machines(self, history: History) -> None:
@@ -252,27 +254,27 @@
 
 @define(frozen=True)
 class Source:
-    """One play of the record by its name, with the seed and the scene that are played."""
+    """One play of the record by its name, with the seed and the scenario that are played."""
 
     name: str
-    scene: Callable[[], Scenario]
+    scenario: Callable[[], Scenario]
     seed: int | None = None
 
 
-def _scene_at(path: Path, number: int) -> Callable[[], Scenario]:
+def _scenario_at(path: Path, number: int) -> Callable[[], Scenario]:
     return lambda: read_scenarios(path)[number]
 
 
-def sources(scenes: Path = SCENES) -> Iterator[Source]:
-    """All plays of the record in their order: days drawn by chance, worst days, and the scenes of files."""
+def sources(scenarios: Path = SCENARIOS) -> Iterator[Source]:
+    """All plays of the record in their order: random faults, worst days, and the scenarios of files."""
     for seed in range(1, CHANCE_DAYS + 1):
         yield Source(f"chance {seed}", lambda seed=seed: random_faults.random_scenario(seed), seed)  # type: ignore[misc]
     for seed in range(1, WORST_DAYS + 1):
         yield Source(f"worst {seed}", lambda seed=seed: worst_days.random_scenario(seed), seed)  # type: ignore[misc]
-    for pattern in SCENE_FILES:
-        for path in sorted(scenes.glob(pattern)):
+    for pattern in SCENARIO_FILES:
+        for path in sorted(scenarios.glob(pattern)):
             for number in range(len(read_scenarios(path))):
-                yield Source(f"{path.stem} {number + 1}", _scene_at(path, number))
+                yield Source(f"{path.stem} {number + 1}", _scenario_at(path, number))
 
 
 def part_of(names: list[str], count: int) -> list[str]:
@@ -281,40 +283,41 @@
     return [names[int(number * step)] for number in range(min(count, len(names)))]
 
 
-def recorded(name: str, dump: TextIO | None = None) -> Summary:
+def record_play(name: str, dump: TextIO | None = None) -> Summary:
     """Play one of `sources` by its name, and digest what happens."""
     source = next(one for one in sources() if one.name == name)
     recorder = Recorder(dump)
 
-    def made(plan: Plan) -> World:
+    def observed_world(plan: Plan) -> World:
         world = World(plan)
         as_simulated(world.net).observer = recorder
         return world
 
-    play = ScenarioPlayer(source.scene(), source.seed, made)
-    found = play.run()
-    recorder.ended(play, found is None)
+    player = ScenarioPlayer(source.scenario(), source.seed, observed_world)
+    failure = player.run()
+    recorder.ended(player, failure is None)
     return recorder.summary()
 
 
-def _named(name: str) -> tuple[str, Summary]:
-    return name, recorded(name)
+def _named_record(name: str) -> tuple[str, Summary]:
+    return name, record_play(name)
 
 
-def recorded_all(names: list[str], jobs: int = 1) -> Iterator[tuple[str, Summary]]:
+def record_plays(names: list[str], jobs: int = 1) -> Iterator[tuple[str, Summary]]:
     """The plays of these names in their order, `jobs` processes at a time."""
     if jobs == 1:
-        yield from map(_named, names)
+        yield from map(_named_record, names)
         return
     with Pool(jobs) as pool:
-        yield from pool.imap(_named, names)
+        yield from pool.imap(_named_record, names)
 
 
 def difference(old: Summary, new: Summary) -> str:
     """The first section that differs, in the order of `SECTIONS`; "" where all are equal."""
     for section in SECTIONS:
         if old[section] != new[section]:
-            before, now = old[section]["count"], new[section]["count"]
+            before = old[section]["count"]
+            now = new[section]["count"]
             return f"{section}: {before} entries before, {now} now" + (
                 "" if before != now else ", other values"
             )
@@ -323,27 +326,28 @@
 
 def read_record(path: Path = RECORD) -> dict[str, Summary]:
     """The plays' digests by their names."""
-    found: dict[str, Summary] = json.loads(path.read_text())
-    return found
+    record: dict[str, Summary] = json.loads(path.read_text())
+    return record
 
 
 def _write(path: Path, record: dict[str, Summary]) -> None:
     """A line each section, so that a difference between two records shows where it is."""
     plays = []
     for name, summary in record.items():
-        lines = [f"    {json.dumps(section)}: {json.dumps(found)}" for section, found in summary.items()]
+        lines = [f"    {json.dumps(section)}: {json.dumps(digest)}" for section, digest in summary.items()]
         plays.append(f"  {json.dumps(name)}: {{\n" + ",\n".join(lines) + "\n  }")
     path.write_text("{\n" + ",\n".join(plays) + "\n}\n")
 
 
 def _check(names: list[str], jobs: int, path: Path) -> int:
     """Compare with the record; the exit status."""
-    old, failed = read_record(path), 0
-    for name, summary in recorded_all(names, jobs):
-        wrong = difference(old[name], summary) if name in old else "not in the record"
-        if wrong:
+    recorded = read_record(path)
+    failed = 0
+    for name, summary in record_plays(names, jobs):
+        problem = difference(recorded[name], summary) if name in recorded else "not in the record"
+        if problem:
             failed += 1
-            print(f"{name}: {wrong}", flush=True)
+            print(f"{name}: {problem}", flush=True)
     print(f"{len(names) - failed} of {len(names)} plays as recorded")
     return 1 if failed else 0
 
@@ -368,17 +372,17 @@
     parser.add_argument(
         "--dump", type=Path, metavar="FILE", help="write one play's entries there, a line each"
     )
-    told = parser.parse_args(arguments)
-    names = told.play or [source.name for source in sources()]
-    if told.part is not None:
-        names = part_of(names, told.part)
-    if told.dump is not None:
-        with told.dump.open("w") as dump:
-            recorded(names[0], dump)
+    options = parser.parse_args(arguments)
+    names = options.play or [source.name for source in sources()]
+    if options.part is not None:
+        names = part_of(names, options.part)
+    if options.dump is not None:
+        with options.dump.open("w") as dump:
+            record_play(names[0], dump)
         return 0
-    if told.check:
-        return _check(names, told.jobs, told.record)
-    record = dict(recorded_all(names, told.jobs))
-    _write(told.record, record)
+    if options.check:
+        return _check(names, options.jobs, options.record)
+    record = dict(record_plays(names, options.jobs))
+    _write(options.record, record)
     print(f"{len(record)} plays recorded")
     return 0
