--- a/ashlift/simulation/__main__.py
+++ b/ashlift/simulation/__main__.py
@@ -19,7 +19,7 @@
 
 from attrs import frozen
 
-from ashlift.simulation import catching, explore, recording, turnover, worst_days
+from ashlift.simulation import catching, explore, random_replica_worlds, recording, worst_days
 from ashlift.simulation.checkers.rules import explain
 from ashlift.simulation.checkers.violation import Violation
 from ashlift.simulation.failover_figures import failover_table
@@ -33,7 +33,7 @@
 
 SUBCOMMANDS: Final[dict[str, Callable[[list[str]], int]]] = {
     "explore": explore.main,
-    "members": turnover.main,
+    "members": random_replica_worlds.main,
     "record": recording.main,
 }
 FIGURE_TABLES: Final[dict[str, Table]] = {
--- /dev/null
+++ b/ashlift/simulation/random_replica_worlds.py
@@ -0,0 +1,233 @@
+"""Random worlds of the store's replicas: long runs of faults, and of members that change."""
+
+import argparse
+import random
+import time
+from collections.abc import Callable
+from typing import Any, Final
+
+from attrs import define
+
+from ashlift.configstore.membership import LEARNER_PREFIX, VOTER_PREFIX, addresses_under
+from ashlift.configstore.replica_state import InvariantError
+from ashlift.simulation.invariant_checker import InvariantViolationError
+from ashlift.simulation.replica_world import ReplicaWorld
+
+MAX_MACHINES: Final = 24
+MAX_VOTERS: Final = 13
+FIRST_FAULT_SECONDS: Final = 5
+SETTLE_SECONDS: Final = 20
+MEMBERS_AGREED_SECONDS: Final = 40.0  # within this, once all is well, all machines that are there vote
+
+
+def run_random_world(members: int, seed: int, seconds: float = 40.0, turnover: float = 0.0) -> ReplicaWorld:
+    """Run a world with random faults and check it, with a minority of learners at a time at most.
+
+    `turnover`: the share of steps in which members change; then the members must agree in the end, too.
+    Raises InvariantViolationError or InvariantError.
+    """
+    return _RandomRun(members, seed, turnover).run(seconds)
+
+
+class _RandomRun:
+    """One run. The order of the draws is part of what a seed means."""
+
+    def __init__(self, members: int, seed: int, turnover: float) -> None:
+        self._rng = rng = random.Random(seed * 7 + members)
+        self._turnover = turnover
+        loss_rate = rng.choice([0, 0.02, 0.15])
+        duplicate_rate = rng.choice([0, 0.1])
+        slow_rate = rng.choice([0, 0.05])
+        self._world = ReplicaWorld(members, seed, loss_rate, duplicate_rate, slow_rate)
+        self._faults: list[tuple[int, Callable[[str, str], None]]] = [
+            (30, lambda _ip, _other: self._call_leaders(self._world.put)),
+            (15, lambda _ip, _other: self._call_leaders(self._world.read)),
+            (7, lambda ip, _other: self._world.kill(ip)),
+            (12, lambda ip, _other: self._world.start(ip)),
+            (5, self._wipe),
+            (10, self._freeze_or_thaw),
+            (9, self._world.block),
+            (4, lambda _ip, _other: self._world.blocked_links.clear()),
+            (3, self._isolate),
+            (2, self._toggle_disk_failure),
+            (2, lambda ip, _other: self._world.shut_down(ip)),
+            (2, self._closing_fault),
+            (5, self._resend_unacknowledged),
+            (3, self._set_disk_delay),
+        ]
+
+    def run(self, seconds: float) -> ReplicaWorld:
+        """Let one fault after the other happen, and settle."""
+        world = self._world
+        rng = self._rng
+        weights, faults = zip(*self._faults, strict=True)
+        world.run(FIRST_FAULT_SECONDS)
+        while world.now < seconds:
+            world.run(rng.uniform(0.02, 0.6))
+            if self._turnover and rng.random() < self._turnover:
+                change_membership(world, rng)
+            ip, other = rng.sample(world.ips, 2)
+            self._may_wipe = self._may_lose_disk()
+            fault = rng.choices(faults, weights)[0]
+            fault(ip, other)
+        world.settle(SETTLE_SECONDS)
+        if self._turnover and not world.run(MEMBERS_AGREED_SECONDS, lambda: members_agreed(world)):
+            entries = sorted(world.newest_entries())[-30:]
+            raise InvariantViolationError(f"members do not come to what is wanted: {entries}")
+        return world
+
+    def _may_lose_disk(self) -> bool:
+        if self._turnover:
+            return self._world.expendable_voters() > 0
+        return self._world.learner_count() < (self._world.voter_count() - 1) // 2
+
+    # ---- faults of a machine and of its link to another one
+    def _call_leaders(self, call: Callable[[str], Any]) -> None:
+        """Call all that lead, and a few others."""
+        for ip in self._world.ips:
+            replica = self._world.nodes[ip].replica
+            if replica and (replica.leader_role or self._rng.random() < 0.1):
+                call(ip)
+
+    def _wipe(self, ip: str, _other: str) -> None:
+        if self._may_wipe:
+            self._world.wipe(ip)
+
+    def _freeze_or_thaw(self, ip: str, _other: str) -> None:
+        if self._world.nodes[ip].frozen_events is not None:
+            self._world.thaw(ip)
+        else:
+            self._world.freeze(ip)
+
+    def _isolate(self, ip: str, _other: str) -> None:
+        for peer in set(self._world.ips) - {ip}:
+            self._world.block(ip, peer)
+            self._world.block(peer, ip)
+
+    def _toggle_disk_failure(self, ip: str, _other: str) -> None:
+        node = self._world.nodes[ip]
+        node.disk_fails = not node.disk_fails
+
+    def _set_disk_delay(self, ip: str, _other: str) -> None:
+        self._world.nodes[ip].disk_delay = self._rng.choice([0.0, 0.1, 0.5])
+
+    def _closing_fault(self, ip: str, _other: str) -> None:
+        """Right after a change, one disk is lost and all machines lose power."""
+        world = self._world
+        leader = world.leader()
+        if leader:
+            world.put(leader)
+            world.run(self._rng.uniform(0, 0.06))
+            if self._may_lose_disk():
+                world.wipe(self._rng.choice([leader, ip]))
+        for machine in world.ips:
+            world.kill(machine)
+        if self._rng.random() < 0.5:
+            world.heal()
+
+    def _resend_unacknowledged(self, _ip: str, _other: str) -> None:
+        """Puts that were not acknowledged come again, anywhere."""
+        puts = [call for call in self._world.client_calls if call.kind == "put" and not call.succeeded]
+        for put in puts[-3:]:
+            self._world.put(self._rng.choice(self._world.ips), put.base, put.name)
+
+
+def change_membership(world: ReplicaWorld, rng: random.Random) -> None:
+    """Let one random change of who belongs to the system happen."""
+    leader = world.leader()
+    entries = world.newest_entries()
+    voters = addresses_under(entries, VOTER_PREFIX)
+    held = _held_learners(entries)
+    lost = [ip for ip in world.ips if world.nodes[ip].lost]
+    ip = rng.choice(voters)
+    match rng.choices(range(7), [5, 1, 3, 2, 2, 2, 2])[0]:
+        case 0 if world.expendable_voters() > 0 and len(world.ips) < MAX_MACHINES:
+            # A machine is replaced by one at another address.
+            world.lose(ip)
+            world.run(rng.uniform(0, 3))
+            world.add_machine()
+        case 1 if len(voters) < MAX_VOTERS and len(world.ips) < MAX_MACHINES:
+            world.add_machine()
+        case 2 if leader:
+            world.change_members("remove", rng.choice([ip, leader]))
+        case 3 if leader:
+            world.change_members("replace", rng.choice([ip, leader]))
+            world.add_machine()
+        case 4 if held:
+            world.change_members("add", rng.choice(held))
+        case 5 if lost:
+            world.bring_back(rng.choice(lost))
+        case 6 if world.expendable_voters() > 0 and world.nodes[ip].lost_disk[0] is not None:
+            world.kill(ip)
+            world.run(1.0)
+            world.restore_lost_disk(ip)
+            world.start(ip)
+
+
+def _held_learners(entries: Any) -> list[str]:
+    """The learners that were taken off by an order, and wait for another one."""
+    return [ip for ip in addresses_under(entries, LEARNER_PREFIX) if entries[LEARNER_PREFIX + ip].get("held")]
+
+
+def members_agreed(world: ReplicaWorld) -> bool:
+    """Whether all machines that are there vote, or were taken off; of an even number none is lost."""
+    entries = world.newest_entries()
+    voters = addresses_under(entries, VOTER_PREFIX)
+    lost_voters = [ip for ip in voters if world.nodes[ip].lost]
+    present = {ip for ip in world.ips if not world.nodes[ip].lost}
+    expected = present - {*_held_learners(entries)}
+    if any((vote := world.nodes[ip].vote) is None or not vote.is_voter for ip in expected):
+        return False
+    is_odd_or_small = len(voters) % 2 == 1 or len(voters) < 4
+    return expected <= {*voters} and (is_odd_or_small or not lost_voters)
+
+
+@define
+class Totals:
+    """What the worlds of one size came to."""
+
+    calls: int = 0
+    commands: int = 0
+    new_machines: int = 0
+    voter_changes: int = 0
+    failed: int = 0
+
+
+def _run_worlds(size: int, seeds: range, turnover: float) -> Totals:
+    totals = Totals()
+    for seed in seeds:
+        try:
+            world = run_random_world(size, seed, turnover=turnover)
+        except (InvariantViolationError, InvariantError) as error:
+            totals.failed += 1
+            print(f"{size} members, seed {seed}: {error}", flush=True)
+        else:
+            totals.calls += len(world.client_calls)
+            totals.commands += len(world.committed_history)
+            totals.new_machines += len(world.ips) - size
+            totals.voter_changes += world.voter_changes
+    return totals
+
+
+def main(arguments: list[str]) -> int:
+    """Run the command; returns its exit status."""
+    parser = argparse.ArgumentParser(
+        prog="python -m ashlift.simulation members", description="Random worlds."
+    )
+    parser.add_argument("sizes", nargs="+", type=int, metavar="MEMBERS")
+    parser.add_argument("--seeds", type=int, default=10, help="how many worlds of each size")
+    parser.add_argument("--turnover", type=float, default=0.0, help="how often in a step members change")
+    parser.add_argument("--first", type=int, default=1, help="the first seed")
+    options = parser.parse_args(arguments)
+    seeds = range(options.first, options.first + options.seeds)
+    failed = 0
+    for size in options.sizes:
+        started = time.perf_counter()
+        totals = _run_worlds(size, seeds, options.turnover)
+        failed += totals.failed
+        elapsed = time.perf_counter() - started
+        print(
+            f"{size} members, {options.seeds} worlds: {totals.calls} calls, {totals.commands} changes, "
+            f"{totals.new_machines} new machines, {totals.voter_changes} changes of voters, {elapsed:.0f} s"
+        )
+    return 1 if failed else 0
--- /dev/null
+++ b/ashlift/simulation/replica_world.py
@@ -0,0 +1,230 @@
+"""A world of replicas of the store: machines that fail, change and come back, and clients.
+
+Every world checks the invariants of docs/design/store.md: I1, I2, I3, I7 and I8 at every event
+(`simulation.invariant_checker`), I4, I5 and I6 at its end by the history of all calls
+(`simulation.linearizability`).
+"""
+
+from typing import Any, Final
+
+from ashlift.configstore.membership import VOTER_PREFIX, addresses_under, incarnation_matches, quorum
+from ashlift.configstore.membership_rules import MembershipCommand
+from ashlift.configstore.replica import Replica
+from ashlift.configstore.replica_io import CommandSubmitted, ReadRequested, ShutdownRequested
+from ashlift.simulation.invariant_checker import InvariantViolationError, decide_history_command
+from ashlift.simulation.linearizability import find_unexplained_call
+from ashlift.simulation.replica_host import ReplicaHost
+from ashlift.simulation.replica_node import ClientCall, ReplicaNode
+
+MAX_SEEDS: Final = 3
+MAX_CLOCK_OFFSET_SECONDS: Final = 1000
+SETTLE_SECONDS: Final = 12.0
+SETTLE_POLL_SECONDS: Final = 0.1
+SETTLE_CALL_SECONDS: Final = 0.6
+
+
+class ReplicaWorld(ReplicaHost):
+    """Replicas on machines `1`, `2`, ...; the first of them are the seeds."""
+
+    def __init__(
+        self,
+        members: int,
+        seed: int,
+        loss_rate: float = 0.0,
+        duplicate_rate: float = 0.0,
+        slow_rate: float = 0.0,
+    ) -> None:
+        """The rates are of messages that are lost, duplicated, and much slower than others."""
+        super().__init__(seed, loss_rate, duplicate_rate, slow_rate)
+        self.ips = [str(number) for number in range(1, members + 1)]
+        self.seeds = self.ips[:MAX_SEEDS]
+        self.nodes = {ip: ReplicaNode(ip) for ip in self.ips}
+        self.client_calls: list[ClientCall] = []
+        for ip in self.ips:
+            self._start(ip, bootstrap=True)
+
+    @property
+    def committed_history(self) -> tuple[str, ...]:
+        """The longest committed history."""
+        return self.invariants.committed_history
+
+    # ---- processes and machines
+    def start(self, ip: str) -> None:
+        """Start the process of a machine, unless it runs or the machine is lost."""
+        self._start(ip, bootstrap=False)
+
+    def _start(self, ip: str, bootstrap: bool) -> None:
+        node = self.nodes[ip]
+        if node.replica is not None or node.lost:
+            return
+        node.incarnation += 1
+        node.frozen_events = None
+        node.disk_fails = False
+        node.clock_offset = self.rng.uniform(0, MAX_CLOCK_OFFSET_SECONDS)  # the steady clock begins anew
+        seeds = node.seeds or self.seeds
+        node.replica = Replica(
+            ip, seeds, bootstrap, node.vote, node.snapshot, decide_history_command, self.rng
+        )
+        self.perform(node, node.replica.start(self.clock(node)))
+        self.tick(node, node.incarnation)
+
+    def shut_down(self, ip: str) -> None:
+        """SIGTERM: the replica hands leadership over, ends, and is started again."""
+        self._submit(ip, ShutdownRequested())
+
+    def freeze(self, ip: str) -> None:
+        """Stop the process as SIGSTOP does."""
+        self.nodes[ip].frozen_events = self.nodes[ip].frozen_events or []
+
+    def thaw(self, ip: str) -> None:
+        """Let the process handle what has come meanwhile."""
+        node = self.nodes[ip]
+        frozen_events, node.frozen_events = node.frozen_events or [], None
+        for event in frozen_events:
+            self.handle_event(node, node.incarnation, event)
+
+    def wipe(self, ip: str) -> None:
+        """Kill the process and put an empty disk in place of the machine's."""
+        self.kill(ip)
+        node = self.nodes[ip]
+        if node.snapshot is not None:
+            node.lost_disk = node.vote, node.snapshot
+        node.vote = None
+        node.snapshot = None
+        node.disk_number += 1
+
+    def restore_lost_disk(self, ip: str) -> None:
+        """Kill the process and put the disk that was lost last into the machine again."""
+        self.kill(ip)
+        node = self.nodes[ip]
+        node.vote, node.snapshot = node.lost_disk
+        node.disk_number += 1
+
+    def lose(self, ip: str) -> None:
+        """Take a machine away with its disk, until `bring_back`."""
+        self.kill(ip)
+        self.nodes[ip].lost = True
+
+    def bring_back(self, ip: str) -> None:
+        """Start a lost machine, with its disk."""
+        self.nodes[ip].lost = False
+        self.start(ip)
+
+    def add_machine(self) -> str:
+        """Start a new machine at a new address; returns that."""
+        ip = str(len(self.ips) + 1)
+        self.ips.append(ip)
+        self.nodes[ip] = ReplicaNode(ip)
+        self.nodes[ip].seeds = [other for other in self.ips if not self.nodes[other].lost][:MAX_SEEDS]
+        self.start(ip)
+        return ip
+
+    # ---- links
+    def block(self, sender: str, receiver: str) -> None:
+        """Let nothing through in this direction."""
+        self.blocked_links.add((sender, receiver))
+
+    def heal(self) -> None:
+        """End all faults: all machines run, and the links are sound."""
+        self.blocked_links.clear()
+        self.loss_rate = 0.0
+        self.duplicate_rate = 0.0
+        self.slow_rate = 0.0
+        self.fate = None
+        for ip, node in self.nodes.items():
+            node.disk_fails = False
+            node.disk_delay = 0.0
+            if node.frozen_events is not None:
+                self.thaw(ip)
+            self.start(ip)
+
+    # ---- looking at disks and replicas
+    def newest_entries(self) -> Any:
+        """Return the newest map on a disk."""
+        snapshots = [node.snapshot for node in self.nodes.values() if node.snapshot]
+        return max(snapshots, key=lambda snapshot: snapshot.term_index).entries.map
+
+    def voter_count(self) -> int:
+        """Return the number of voters by the newest map on a disk, 0 where there is none."""
+        if not any(node.snapshot for node in self.nodes.values()):
+            return 0
+        return sum(key.startswith(VOTER_PREFIX) for key in self.newest_entries())
+
+    def learner_count(self) -> int:
+        """Return the number of machines whose disk does not vote."""
+        return sum(node.vote is None or not node.vote.is_voter for node in self.nodes.values())
+
+    def expendable_voters(self) -> int:
+        """Return how many voters may still be lost, even if a change of members is under way."""
+        entries = self.newest_entries()
+        voters = addresses_under(entries, VOTER_PREFIX)
+        votes = {ip: self.nodes[ip].vote for ip in voters if not self.nodes[ip].lost}
+        counting = [
+            ip
+            for ip, vote in votes.items()
+            if vote and vote.is_voter and incarnation_matches(entries, ip, vote.incarnation)
+        ]
+        return len(counting) - quorum(len(voters) + 1)
+
+    def leader(self) -> str | None:
+        """Return a machine whose replica believes that it leads; of several the one of the newest term."""
+        leaders = [
+            (node.replica.leader_role.term, ip)
+            for ip, node in self.nodes.items()
+            if node.replica and node.replica.leader_role
+        ]
+        return max(leaders)[1] if leaders else None
+
+    # ---- clients
+    def put(self, ip: str, base: int | None = None, name: str = "") -> ClientCall:
+        """Submit a command, on the longest committed history or on `base`."""
+        base = len(self.committed_history) if base is None else base
+        call = ClientCall("put", self.now, base, name or f"c{len(self.client_calls)}")
+        self.client_calls.append(call)
+        self._submit(ip, CommandSubmitted(call, (base, call.name)))
+        return call
+
+    def read(self, ip: str) -> ClientCall:
+        """Read the history."""
+        call = ClientCall("read", self.now)
+        self.client_calls.append(call)
+        self._submit(ip, ReadRequested(call))
+        return call
+
+    def change_members(self, action: str, ip: str) -> ClientCall:
+        """Submit a change of members to the leader."""
+        call = ClientCall("members", self.now)
+        leader = self.leader() or self.ips[0]
+        self.client_calls.append(call)
+        self._submit(leader, CommandSubmitted(call, MembershipCommand(action, ip)))
+        return call
+
+    def _submit(self, ip: str, event: Any) -> None:
+        node = self.nodes[ip]
+        self.handle_event(node, node.incarnation, event)
+
+    # ---- the verdict
+    def check_linearizability(self) -> None:
+        """I4, I5, I6: raises InvariantViolationError where no order of all calls explains them."""
+        calls = [call for client_call in self.client_calls if (call := client_call.as_call()) is not None]
+        unexplained = find_unexplained_call(calls)
+        if unexplained is not None:
+            raise InvariantViolationError(f"I4 I5 I6: no order of all calls explains {unexplained}")
+
+    def settle(self, seconds: float = SETTLE_SECONDS) -> None:
+        """End all faults, wait for a leader that commits, read back, and check all calls."""
+        self.heal()
+        started = self.now
+        while self.now < started + seconds:
+            self.run(SETTLE_POLL_SECONDS)
+            leader = self.leader()
+            if leader is None:
+                continue
+            put = self.put(leader)
+            self.run(SETTLE_CALL_SECONDS)
+            read = self.read(leader)
+            self.run(SETTLE_CALL_SECONDS)
+            if put.succeeded and isinstance(read.answer, list):
+                self.check_linearizability()
+                return
+        raise InvariantViolationError("no agreement though all are well")
--- a/tests/configstore/test_membership.py
+++ b/tests/configstore/test_membership.py
@@ -27,7 +27,7 @@
 from ashlift.configstore.replica_state import InvariantError
 from ashlift.simulation.explore import CASES, explore
 from ashlift.simulation.invariant_checker import InvariantViolationError, decide_history_command
-from ashlift.simulation.turnover import mixed
+from ashlift.simulation.random_replica_worlds import run_random_world
 from tests.support.mutants import mutated
 from tests.support.replica_driver import requests_sent
 from tests.support.replica_scenarios import ReplicaScenarioPlayer, membership_table, read_scenarios
@@ -116,8 +116,8 @@
 
 @test("M1 to M4 in long worlds of {members} in which members change")
 def _(members: int = each(5, 7)) -> None:
-    worlds = [mixed(members, seed, turnover=0.1) for seed in range(5)]
-    assert sum(world.turns for world in worlds) > 20, "too few changes of voters to tell"
+    worlds = [run_random_world(members, seed, turnover=0.1) for seed in range(5)]
+    assert sum(world.voter_changes for world in worlds) > 20, "too few changes of voters to tell"
 
 
 BREACHES = (
@@ -135,7 +135,7 @@
             planted.enter_context(mutated(name))
         for seed in range(12):
             try:
-                mixed(5, seed, turnover=0.15)
+                run_random_world(5, seed, turnover=0.15)
             except (InvariantViolationError, InvariantError):
                 return
     raise AssertionError("not found")
--- a/tests/configstore/test_replication_scenarios.py
+++ b/tests/configstore/test_replication_scenarios.py
@@ -6,8 +6,9 @@
 
 from ward import each, test
 
-from ashlift.simulation.members import World
-from ashlift.simulation.turnover import mixed
+from ashlift.simulation.random_replica_worlds import run_random_world
+from ashlift.simulation.replica_host import Fate
+from ashlift.simulation.replica_world import ReplicaWorld
 from tests.support.replica_scenarios import ReplicaScenarioPlayer, read_scenarios
 
 SCENES = dict(read_scenarios(Path(__file__).parent.parent / "scenarios" / "configstore_agreement.txt"))
@@ -23,13 +24,15 @@
 
 @test("I1 to I8 in long mixed runs of {members}")
 def _(members: int = each(3, 5, 7, 12)) -> None:
-    acknowledged = sum(len(mixed(members, seed).chain) for seed in range(8 if members < 12 else 3))
+    acknowledged = sum(
+        len(run_random_world(members, seed).committed_history) for seed in range(8 if members < 12 else 3)
+    )
     assert acknowledged > 20, "too little was agreed on to tell"
 
 
-def start_world(members: int, seed: int) -> World:
+def start_world(members: int, seed: int) -> ReplicaWorld:
     """A world with a leader that has committed one change, and a second one just submitted."""
-    world = World(members, seed)
+    world = ReplicaWorld(members, seed)
     world.run(2.5 if members == 3 else 5.0)
     leader = world.leader()
     assert leader
@@ -54,11 +57,11 @@
     for step, ip in itertools.product(range(first + 1, last + 1), ("1", "2", "3")):
         world = start_world(3, 5)
 
-        def inject_fault(world: World = world, ip: str = ip) -> None:
+        def inject_fault(world: ReplicaWorld = world, ip: str = ip) -> None:
             if fault == "cut":
                 for other in set(world.ips) - {ip}:
-                    world.cut(ip, other)
-                    world.cut(other, ip)
+                    world.block(ip, other)
+                    world.block(other, ip)
             else:
                 getattr(world, fault)(ip)
 
@@ -73,7 +76,7 @@
     for step, ip in itertools.product(range(first + 1, last + 2), "12345"[:members]):
         world = start_world(members, 3)
 
-        def inject_fault(world: World = world, ip: str = ip) -> None:
+        def inject_fault(world: ReplicaWorld = world, ip: str = ip) -> None:
             world.wipe(ip)
             for other in world.ips:
                 world.kill(other)
@@ -82,13 +85,13 @@
         world.run(0.3)
         world.settle()
 
-        def all_vote(world: World = world) -> bool:
-            return world.learners() == 0
+        def all_vote(world: ReplicaWorld = world) -> bool:
+            return world.learner_count() == 0
 
         assert all_vote() or world.run(5, all_vote)
 
 
-def fates_in_turn(fates: Iterable[str | None]) -> Callable[[str, str, str], str | None]:
+def fates_in_turn(fates: Iterable[Fate | None]) -> Callable[[str, str, str], Fate | None]:
     """The fates of the next messages, whoever sends them."""
     remaining = iter(fates)
     return lambda sender, receiver, kind: next(remaining, None)
@@ -96,7 +99,7 @@
 
 @test("I1 I2 I3: every fate (lost, doubled, late) of the first messages between three who elect and commit")
 def _() -> None:
-    every = itertools.product((None, "drop", "double", "late"), repeat=4)
+    every = itertools.product((None, Fate.DROPPED, Fate.DUPLICATED, Fate.LATE), repeat=4)
     for fates, leader_is_lost in itertools.product(every, (False, True)):
         world = start_world(3, 7)
         leader = world.leader()
@@ -105,7 +108,7 @@
             world.kill(str(leader))
         world.run(1.6)
         for ip in world.ips:
-            if world.nodes[ip].member:
+            if world.nodes[ip].replica:
                 world.put(ip)
         world.run(0.3)
         world.settle()
--- a/tests/proxy/test_staleness.py
+++ b/tests/proxy/test_staleness.py
@@ -5,24 +5,24 @@
 from ward import each, raises, test
 
 from ashlift.simulation.invariant_checker import InvariantViolationError
-from ashlift.simulation.members import World
+from ashlift.simulation.replica_world import ReplicaWorld
 
 MEMBERS = 5
 
 
-def stale(seed: int) -> World:
+def stale(seed: int) -> ReplicaWorld:
     """Five members of which each stopped after other changes: the first after none of them, the last with all
     that was acknowledged, which a majority holds."""
-    world = World(MEMBERS, seed)
-    assert world.run(8.0, lambda: world.leader() is not None and world.count() == MEMBERS)
+    world = ReplicaWorld(MEMBERS, seed)
+    assert world.run(8.0, lambda: world.leader() is not None and world.voter_count() == MEMBERS)
     world.run(2.0)
     for gone in (0, 1):
         for _ in range(4):
             _taken(world)
         leader = world.leader()
-        ip = next(ip for ip in world.ips if ip != leader and world.nodes[ip].member)
+        ip = next(ip for ip in world.ips if ip != leader and world.nodes[ip].replica)
         world.kill(ip)
-        assert world.nodes[ip].state is not None, gone
+        assert world.nodes[ip].snapshot is not None, gone
     for _ in range(4):
         _taken(world)
     for ip in world.ips:
@@ -30,30 +30,30 @@
     return world
 
 
-def _taken(world: World) -> None:
+def _taken(world: ReplicaWorld) -> None:
     """One change that is acknowledged."""
     for _ in range(20):
         leader = world.leader()
         op = world.put(leader) if leader else None
         world.run(0.5, lambda op=op: op is None or op.answer is not None)  # type: ignore[misc]
-        if op is not None and op.done:
+        if op is not None and op.succeeded:
             return
     raise AssertionError("nothing is acknowledged")
 
 
-def staleness(world: World) -> dict[str, int]:
-    return {ip: node.state.term_index[1] for ip, node in world.nodes.items() if node.state}
+def staleness(world: ReplicaWorld) -> dict[str, int]:
+    return {ip: node.snapshot.term_index[1] for ip, node in world.nodes.items() if node.snapshot}
 
 
-def begun(world: World, ips: tuple[str, ...]) -> str:
+def begun(world: ReplicaWorld, ips: tuple[str, ...]) -> str:
     """These start; -> who leads, once it has committed."""
-    acked = len(world.chain)
+    acked = len(world.committed_history)
     for ip in ips:
         world.start(ip)
 
     def leads() -> bool:
         ip = world.leader()
-        lead = world.nodes[ip].member.leader_role if ip else None  # type: ignore[union-attr]
+        lead = world.nodes[ip].replica.leader_role if ip else None  # type: ignore[union-attr]
         return bool(lead and lead.commit_index)
 
     assert world.run(15.0, leads), "nobody leads"
@@ -92,19 +92,19 @@
 
 @test("broken on purpose, a disk put back as it was on an earlier day: found, for that no arithmetic bears")
 def _() -> None:
-    world = World(MEMBERS, 1)
+    world = ReplicaWorld(MEMBERS, 1)
     world.run(10.0)
     _taken(world)
     leader = world.leader()
     others = [ip for ip in world.ips if ip != leader]
     for ip in others[:2]:
         world.kill(ip)
-    earlier = world.nodes[others[2]].vote, world.nodes[others[2]].state
+    earlier = world.nodes[others[2]].vote, world.nodes[others[2]].snapshot
     for _ in range(3):
         _taken(world)
     for ip in world.ips:
         world.kill(ip)
-    world.nodes[others[2]].vote, world.nodes[others[2]].state = earlier
+    world.nodes[others[2]].vote, world.nodes[others[2]].snapshot = earlier
     with raises(InvariantViolationError):
         for ip in others[:3]:
             world.start(ip)
--- a/tests/support/replica_scenarios.py
+++ b/tests/support/replica_scenarios.py
@@ -1,5 +1,6 @@
-"""Plays text scenarios on replicas of the store (`simulation.members`). One line an event; WHO: numbers,
-`leader`, `others`, `all`.
+"""Plays text scenarios on replicas of the store (`simulation.replica_world`).
+
+One line an event; WHO: numbers, `leader`, `others`, `all`.
 
     # title of the next scenario
     members 5                     started for the first time; three of them are the seeds
@@ -25,7 +26,8 @@
 
 from ashlift.configstore.membership import VOTER_PREFIX, addresses_under
 from ashlift.errors import Failure
-from ashlift.simulation.members import Op, World
+from ashlift.simulation.replica_node import ClientCall
+from ashlift.simulation.replica_world import ReplicaWorld
 
 ANSWER_TIMEOUT_SECONDS: Final = 1.0
 FAILURE_WORDS: Final = {"unanswered": "doubt"}  # in scenarios; other failures have their own names
@@ -42,9 +44,9 @@
     return scenarios
 
 
-def answer_word(op: Op) -> str:
+def answer_word(call: ClientCall) -> str:
     """A client's answer as a scenario's line has it."""
-    answer: Any = op.answer
+    answer: Any = call.answer
     match answer:
         case None:
             return "none"
@@ -62,12 +64,12 @@
     def __init__(self, seed: int = 1) -> None:
         self.seed = seed
         self.term = 0
-        self.world = World(1, seed)
+        self.world = ReplicaWorld(1, seed)
 
     def has_committed_leader(self) -> bool:
         """Whether a replica leads that has committed in its term."""
         ip = self.world.leader()
-        replica = self.world.nodes[ip].member if ip else None
+        replica = self.world.nodes[ip].replica if ip else None
         return bool(replica and replica.leader_role and replica.leader_role.commit_index)
 
     def addresses(self, words: list[str]) -> list[str]:
@@ -86,7 +88,7 @@
         word, *arguments = text.split()
         match word:
             case "members":
-                self.world = World(int(arguments[0]), self.seed)
+                self.world = ReplicaWorld(int(arguments[0]), self.seed)
             case "put" | "read" | "order":
                 op = self._submit(word, arguments)
                 self.world.run(ANSWER_TIMEOUT_SECONDS, lambda: op.answer is not None)
@@ -96,10 +98,10 @@
             case _:
                 self._inject(word, arguments, text)
 
-    def _submit(self, word: str, arguments: list[str]) -> Op:
+    def _submit(self, word: str, arguments: list[str]) -> ClientCall:
         """A client's request; `on` and `at` say on which base, and at which replica."""
         if word == "order":
-            return self.world.order(arguments[0], self.addresses(arguments[1:])[0])
+            return self.world.change_members(arguments[0], self.addresses(arguments[1:])[0])
         name = arguments[0] if word == "put" else ""
         pairs = arguments[word == "put" :]
         options = dict(zip(pairs[::2], pairs[1::2], strict=True))
@@ -120,9 +122,9 @@
                 *names, _, seconds = arguments
                 expected = sorted(self.addresses(names))
                 reached = world.run(
-                    float(seconds), lambda: addresses_under(world.map(), VOTER_PREFIX) == expected
+                    float(seconds), lambda: addresses_under(world.newest_entries(), VOTER_PREFIX) == expected
                 )
-                assert reached, f"{text}: {addresses_under(world.map(), VOTER_PREFIX)}"
+                assert reached, f"{text}: {addresses_under(world.newest_entries(), VOTER_PREFIX)}"
             case "term":
                 previous = self.term
                 self.term = max(term for term, *_ in world.invariants.leaderships)
@@ -130,17 +132,22 @@
             case "leader":
                 assert world.run(float(arguments[1]), self.has_committed_leader), text
             case "learners":
-                assert world.learners() == int(arguments[0]), f"{text}: {world.learners()}"
+                assert world.learner_count() == int(arguments[0]), f"{text}: {world.learner_count()}"
 
     def _inject(self, word: str, arguments: list[str], text: str) -> None:
         """A fault, or its end."""
         world = self.world
-        faults = {"lose": world.lose, "back": world.bring_back, "old": world.put_back}
+        faults = {
+            "lose": world.lose,
+            "back": world.bring_back,
+            "old": world.restore_lost_disk,
+            "leave": world.shut_down,
+        }
         match word:
-            case "kill" | "wipe" | "start" | "freeze" | "thaw" | "leave":
+            case "kill" | "wipe" | "start" | "freeze" | "thaw":
                 for ip in self.addresses(arguments):
                     getattr(world, word)(ip)
-            case "lose" | "back" | "old":
+            case "lose" | "back" | "old" | "leave":
                 for ip in self.addresses(arguments):
                     faults[word](ip)
             case "break":
@@ -149,9 +156,9 @@
             case "cut" | "oneway":
                 self._cut(arguments, both_ways=word == "cut")
             case "join":
-                world.cuts.clear()
+                world.blocked_links.clear()
             case "new":
-                world.add()
+                world.add_machine()
             case _:
                 raise ValueError(text)
 
@@ -159,9 +166,9 @@
         senders = self.addresses(arguments[:1])
         receivers = self.addresses(arguments[1:])
         for sender, receiver in [(a, b) for a in senders for b in receivers if a != b]:
-            self.world.cut(sender, receiver)
+            self.world.block(sender, receiver)
             if both_ways:
-                self.world.cut(receiver, sender)
+                self.world.block(receiver, sender)
 
 
 def membership_table(*lines: str) -> list[dict[str, Any]]:
@@ -169,7 +176,7 @@
     player = ReplicaScenarioPlayer(1)
     for line in lines:
         player.play(line)
-    replica = player.world.nodes[str(player.world.leader())].member
+    replica = player.world.nodes[str(player.world.leader())].replica
     assert replica is not None
     assert replica.leader_role is not None
     return replica.leader_role.membership_table()
