--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -8,7 +8,6 @@
 import json
 import os
 import platform
-import signal
 import statistics
 import subprocess
 import sys
@@ -20,6 +19,7 @@
 from pathlib import Path
 from typing import Any
 
+from benchmarks.child_process import ChildProcess, MemoryFigure
 from benchmarks.peers import connect, head, read_head
 
 BUFFER = 8 << 20  # buffer-bytes of the settings below
@@ -76,72 +76,25 @@
     }
 
 
-class Process:
-    """A process of the measurement, and what it takes of the machine."""
-
-    def __init__(self, *command: str, env: dict[str, str] | None = None) -> None:
-        self.popen = subprocess.Popen(
-            [sys.executable, "-m", *command],
-            env=os.environ | (env or {}),
-            stdout=subprocess.PIPE,
-            stderr=subprocess.PIPE,
-            text=True,
-        )
-        self.lines: list[str] = []
-
-    def address(self) -> str:
-        """The first line of a stand-in."""
-        assert self.popen.stdout is not None
-        return self.popen.stdout.readline().strip()
-
-    def logged(self) -> Iterator[str]:
-        assert self.popen.stderr is not None
-        for line in self.popen.stderr:
-            self.lines.append(line)
-            yield line
-
-    def cpu(self) -> float:
-        """Seconds of CPU so far."""
-        fields = Path(f"/proc/{self.popen.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
-
-    def memory(self, kind: str = "VmRSS") -> int:
-        """Bytes now (VmRSS) or at most so far (VmHWM)."""
-        status = Path(f"/proc/{self.popen.pid}/status").read_text()
-        return 1024 * int(status.split(kind + ":")[1].split()[0])
-
-    def forget_peak(self) -> None:
-        """From now on VmHWM is of what comes."""
-        Path(f"/proc/{self.popen.pid}/clear_refs").write_text("5")
-
-    def end(self) -> int:
-        self.popen.send_signal(signal.SIGTERM)
-        try:
-            return self.popen.wait(10)
-        except subprocess.TimeoutExpired:
-            self.popen.kill()
-            return -1
-
-
 @contextmanager
-def gatekeeper(node: str) -> Iterator[tuple[Process, str]]:
+def gatekeeper(node: str) -> Iterator[tuple[ChildProcess, str]]:
     """The real program, before that node."""
     with tempfile.TemporaryDirectory() as folder:
         path, own = Path(folder, "config.json"), Path(folder, "own.sexp")
         path.write_text(json.dumps(config(node)))
         own.write_text(OWN)
         with connect_free() as listen:
-            process = Process(
-                "ashlift", env={"GW_CONFIG": str(path), "GW_LISTEN": listen, "GW_SETTINGS": str(own)}
+            process = ChildProcess(
+                "ashlift", environment={"GW_CONFIG": str(path), "GW_LISTEN": listen, "GW_SETTINGS": str(own)}
             )
-        for line in process.logged():
+        for line in process.log_lines():
             if "listens" in line:
                 break
-        threading.Thread(target=lambda: [None for _ in process.logged()], daemon=True).start()
+        threading.Thread(target=lambda: [None for _ in process.log_lines()], daemon=True).start()
         try:
             yield process, listen
         finally:
-            process.end()
+            process.stop()
 
 
 @contextmanager
@@ -170,22 +123,22 @@
 def throughput(node: str, size: int, rounds: int) -> Row:
     """Both ways, against a bare relay in the same run, turn by turn."""
     found: dict[str, list[float]] = {}
-    relay = Process("benchmarks.peers", "relay", node)
-    direct = relay.address()
+    relay = ChildProcess("benchmarks.peers", "relay", node)
+    direct = relay.read_address()
     try:
         with gatekeeper(node) as (gate, address):
             for _ in range(rounds):
                 for way in ("down", "up"):
                     for who, process, where in (("relay", relay, direct), ("ashlift", gate, address)):
-                        before = process.cpu()
+                        before = process.cpu_seconds()
                         out = told(client(way, where, size, 0, *([0] if way == "down" else [])))
                         assert out["status"] == 200 and out["got"] == size, out
                         found.setdefault(f"{way}.{who}.gb_s", []).append(size / out["s"] / 1e9)
                         found.setdefault(f"{way}.{who}.cpu_s_gb", []).append(
-                            (process.cpu() - before) / size * 1e9
+                            (process.cpu_seconds() - before) / size * 1e9
                         )
     finally:
-        relay.end()
+        relay.stop()
     row: Row = {}
     for name, values in found.items():
         row[name] = [round(v, 3) for v in (min(values), statistics.median(values), max(values))]
@@ -202,16 +155,16 @@
     slow = size / 10  # bytes a second: a tenth of the body a second
     row: Row = {}
     with gatekeeper(node) as (gate, address):
-        start = gate.memory()
+        start = gate.memory_bytes()
         for name, words in (
             ("slow client reads", ("down", address, size, slow, 0)),
             ("slow node writes", ("down", address, size, 0, 0, f"&rate={slow}")),
             ("slow client writes", ("up", address, size, slow)),
             ("slow node reads", ("up", address, size, 0, f"take={slow}")),
         ):
-            gate.forget_peak()
+            gate.reset_peak_memory()
             out = told(client(*words))
-            grown = gate.memory("VmHWM") - start
+            grown = gate.memory_bytes(MemoryFigure.PEAK) - start
             whole = out["got"] == size and out["status"] == 200
             row[name] = {
                 "s": round(out["s"], 2),
@@ -255,12 +208,15 @@
 def slow_readers(node: str, count: int) -> Row:
     """Readers at 5 kB/s, as many as there are, with small jobs beside them."""
     with gatekeeper(node) as (gate, address):
-        start = gate.memory()
+        start = gate.memory_bytes()
         clients = [client("down", address, 40 << 20, 5000, 2048) for _ in range(count)]
         time.sleep(6)
         beside = small(address, 400, 0.02)
         fast = told(client("down", address, 200 << 20, 0, 0))
-        grown, alive = gate.memory("VmHWM") - start, sum(one.poll() is None for one in clients)
+        grown, alive = (
+            gate.memory_bytes(MemoryFigure.PEAK) - start,
+            sum(one.poll() is None for one in clients),
+        )
         for one in clients:
             one.kill()
             one.wait()
@@ -359,8 +315,8 @@
     parser.add_argument("--only", nargs="*", choices=parts, default=parts)
     asked = parser.parse_args()
     size = asked.megabytes * 10**6
-    nodes = Process("benchmarks.peers", "node")
-    node = nodes.address()
+    nodes = ChildProcess("benchmarks.peers", "node")
+    node = nodes.read_address()
     figures: Row = {
         "machine": {"cores": os.cpu_count(), "python": platform.python_version()},
         "megabytes": asked.megabytes,
@@ -379,7 +335,7 @@
                 f"node {delay * 1000:g} ms": beside_bulk(node, 20, delay) for delay in (0.0, 0.05, 0.12)
             }
     finally:
-        nodes.end()
+        nodes.stop()
     bad = list(table(figures, ""))
     print(json.dumps(figures))
     return 1 if bad else 0
