--- a/ashlift/registry/api/command_responses.py
+++ b/ashlift/registry/api/command_responses.py
@@ -33,6 +33,6 @@
         return no_clear_answer(result)
     log_command(kind, result)
     if result.status == 200:
-        return HttpResponse(200)
+        return HttpResponse(200, {})
     retry_after_seconds = RETRY_AFTER_SECONDS if result.status == 503 else None
     return error_response(result.status, result.reason, retry_after_seconds)
--- a/ashlift/registry/api/instances.py
+++ b/ashlift/registry/api/instances.py
@@ -48,7 +48,7 @@
         self._registry.instances.deregister(worker_id, time.monotonic())
         self._notify_if_changed()
         log_event(events.WORKER_DEREGISTERED, worker=worker_id)
-        return HttpResponse(200)
+        return HttpResponse(200, {})
 
 
 def _worker_id(request: HttpRequest) -> str | None:
--- a/ashlift/registry/api/messages.py
+++ b/ashlift/registry/api/messages.py
@@ -1,9 +1,7 @@
 """Requests and responses of the HTTP API, independent of connections. Times in seconds."""
 
 import json
-from typing import Any, Final
-
-import attrs
+from typing import Any, Final, NamedTuple
 
 REASON_PHRASES: Final = {
     200: "OK",
@@ -22,8 +20,7 @@
 }
 
 
-@attrs.define
-class HttpRequest:
+class HttpRequest(NamedTuple):
     """A complete request; header names are in lower case."""
 
     method: str
@@ -31,7 +28,7 @@
     query: dict[str, str]
     headers: dict[str, str]
     body: bytes
-    not_written_before: float = attrs.field(default=0.0, eq=False)  # steady time: its client wrote it later
+    not_written_before: float = 0.0  # steady time: its client wrote it later
 
     @property
     def segments(self) -> list[str]:
@@ -39,12 +36,11 @@
         return self.path.split("/")[2:]
 
 
-@attrs.frozen
-class HttpResponse:
+class HttpResponse(NamedTuple):
     """A status and a JSON value; `location`: where to send the request again."""
 
     status: int
-    body: Any = attrs.field(factory=dict)
+    body: Any
     retry_after_seconds: float | None = None
     location: str = ""
 
--- a/ashlift/registry/api/server.py
+++ b/ashlift/registry/api/server.py
@@ -134,8 +134,7 @@
         """
         answered_at = 0.0
         for request, keep_alive in parser.requests:
-            request.not_written_before = not_written_before
-            response = self._respond(request)
+            response = self._respond(request._replace(not_written_before=not_written_before))
             keep_alive = keep_alive and not self.is_shutting_down
             sock.settimeout(REQUEST_TIMEOUT_SECONDS)
             answered_at = time.monotonic()
--- a/ashlift/registry/peer_registries.py
+++ b/ashlift/registry/peer_registries.py
@@ -3,8 +3,6 @@
 from collections.abc import Collection, Iterable, Iterator
 from typing import Final
 
-import attrs
-
 from ashlift.registry.delta import Delta
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.lease_clock import LeaseClock
@@ -19,18 +17,18 @@
 MIN_UPTIME_SECONDS: Final = 1.5  # a registry that has run for less may know few of those there are
 
 
-@attrs.define
 class PeerReplica:
     """Another registry's records as last received.
 
     `started_at`: when it started. `last_contact_at`: when the last request was sent that it answered.
     """
 
-    ip: str
-    place: Place
-    started_at: float
-    last_contact_at: float
-    source: ReplicatedSource = attrs.field(factory=ReplicatedSource)
+    def __init__(self, ip: str, place: Place, started_at: float, last_contact_at: float) -> None:
+        self.ip = ip
+        self.place = place
+        self.started_at = started_at
+        self.last_contact_at = last_contact_at
+        self.source = ReplicatedSource()
 
 
 class PeerRegistries:
--- a/ashlift/registry/proxy_sessions.py
+++ b/ashlift/registry/proxy_sessions.py
@@ -6,8 +6,6 @@
 from collections.abc import Iterable
 from typing import Final, NamedTuple
 
-import attrs
-
 from ashlift.registry.codec import PREFIX_LENGTH, SESSION_KIND, SESSION_PREFIX
 from ashlift.registry.lease_clock import LeaseClock
 from ashlift.registry.load_reports import LoadReports
@@ -21,14 +19,14 @@
 USAGE_MEMORY_SECONDS: Final = 30.0  # how long the numbers of usage reports are remembered after the last pull
 
 
-@attrs.define
 class ProxySession:
     """A proxy's pulls: the last, those in progress, and the last usage report of each of its incarnations."""
 
-    last_pull_at: float
-    pulls_in_progress: int = 0
-    config_index: int = 0  # of the operator's configuration that the proxy holds
-    last_usage_report: dict[str, int] = attrs.field(factory=dict)
+    def __init__(self, last_pull_at: float) -> None:
+        self.last_pull_at = last_pull_at
+        self.pulls_in_progress = 0
+        self.config_index = 0  # of the operator's configuration that the proxy holds
+        self.last_usage_report: dict[str, int] = {}
 
 
 class SessionProgress(NamedTuple):
--- a/ashlift/registry/records.py
+++ b/ashlift/registry/records.py
@@ -4,7 +4,7 @@
 """
 
 from enum import StrEnum
-from typing import Final
+from typing import Final, NamedTuple
 
 import attrs
 
@@ -22,8 +22,7 @@
     TOMBSTONE = "gone"
 
 
-@attrs.frozen
-class WorkerRecord:
+class WorkerRecord(NamedTuple):
     """A worker as its newest heartbeat describes it.
 
     `call_seq` is that heartbeat's sequence number, `warm_at` the steady time at which its slow start ends.
@@ -40,14 +39,14 @@
 
     def is_equivalent(self, other: "WorkerRecord", now: float) -> bool:
         """Whether both describe the same worker alike, apart from the sequence number and small delays."""
-        own_fields = attrs.evolve(self, call_seq=0, warm_at=0.0)
-        other_fields = attrs.evolve(other, call_seq=0, warm_at=0.0)
+        own_fields = self._replace(call_seq=0, warm_at=0.0)
+        other_fields = other._replace(call_seq=0, warm_at=0.0)
         warm_at_shift = abs(max(self.warm_at, now) - max(other.warm_at, now))
         return own_fields == other_fields and warm_at_shift <= WARM_AT_TOLERANCE_SECONDS
 
     def as_tombstone(self) -> "WorkerRecord":
         """The record that replaces this one when the worker deregisters."""
-        return attrs.evolve(self, state=WorkerState.TOMBSTONE, call_seq=TOMBSTONE_SEQ, warm_at=0.0)
+        return self._replace(state=WorkerState.TOMBSTONE, call_seq=TOMBSTONE_SEQ, warm_at=0.0)
 
 
 UNKNOWN_WORKER: Final = WorkerRecord("", "0.0.0.0:1", "", 0, WorkerState.TOMBSTONE, 0, 0.0, "")
--- a/ashlift/registry/worker_instances.py
+++ b/ashlift/registry/worker_instances.py
@@ -7,8 +7,6 @@
 from collections.abc import Iterable
 from typing import Final, NamedTuple
 
-import attrs
-
 from ashlift.registry.codec import PREFIX_LENGTH, WORKER_KIND, WORKER_PREFIX
 from ashlift.registry.lease_clock import LeaseClock
 from ashlift.registry.own_records import OwnRecords
@@ -38,7 +36,7 @@
 
     def add(self, worker_id: str, record: WorkerRecord, call_seq: int, now: float) -> None:
         """Its lease has expired; `call_seq`: of its last heartbeat, which the record need not hold."""
-        self._last[worker_id] = now, attrs.evolve(record, call_seq=call_seq)
+        self._last[worker_id] = now, record._replace(call_seq=call_seq)
 
     def is_late(self, worker_id: str, record: WorkerRecord) -> bool:
         """Whether it was sent before that incarnation's last heartbeat; a new one has another address."""
