--- a/tests/simulation/test_explore.py
+++ b/tests/simulation/test_explore.py
@@ -13,7 +13,8 @@
 def _(case: str = each("change", "closing", "leaders")) -> None:
     report = explore(CASES[case])
     assert not report.wrong, "\n".join([report.wrong, *report.way])
-    assert not report.cut and report.ends > 50, str(report)
+    assert not report.cut, str(report)
+    assert report.ends > 50, str(report)
 
 
 BROKEN = {
@@ -49,9 +50,12 @@
 def _() -> None:
     cell = evolve(begun(CASES["change"]), most=0)
     for _ in range(20):
-        key, told = cell.key(), coming(cell)
+        key = cell.key()
+        next_event = coming(cell)
         (_, after), *_ = steps(cell)
-        assert cell.key() == key and after.key() != key, told
+        assert cell.key() == key, next_event
+        assert after.key() != key, next_event
         member = cell.places["1"].member
-        assert member is not None and known(forked(member, {}), set()) == known(member, set())
+        assert member is not None
+        assert known(forked(member, {}), set()) == known(member, set())
         cell = after
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -33,7 +33,7 @@
 BOUNDS = Bounds(revocation_strict=True)
 
 
-class Made:
+class HistoryBuilder:
     """A history by hand: version 1 is in force from 1 s on, and all is calm."""
 
     def __init__(self) -> None:
@@ -41,17 +41,17 @@
         self.body = first_configuration(Plan(homes=["r1"], quota=10.0))
         places = {"fleet-1": "z1", "fleet-2": "z2", "desk-1": "z1", "bill-1": "z1", "bill-2": "z2"}
         for name, zone in places.items():
-            life = WorkerRecord(name, name.partition("-")[0], zone, ZONES[zone], name, 0.0)
-            self.history.workers[name] = life
+            record = WorkerRecord(name, name.partition("-")[0], zone, ZONES[zone], name, 0.0)
+            self.history.workers[name] = record
         self.put(1, 0, [], 1.0)
 
     def put(self, version: int, base: int, words: list[str], acked: float) -> Any:
-        made = configuration_change(
+        change = configuration_change(
             version, base, "A", edit_configuration(self.body, version, words), acked - 0.5
         )
-        made.acknowledged = made.ended = acked
-        self.history.changes.append(made)
-        return made
+        change.acknowledged = change.ended = acked
+        self.history.changes.append(change)
+        return change
 
     def ask(
         self,
@@ -82,163 +82,163 @@
         self.history.readings.append(Reading(at, at + 0.1, version, body or sent.body, entries))
 
 
-def twice(made: Made, bad: bool) -> None:
-    made.more(made.ask(10, "/hold/x", "desk-1"), 10.2, "desk-1", ran=bad)
+def twice(builder: HistoryBuilder, bad: bool) -> None:
+    builder.more(builder.ask(10, "/hold/x", "desk-1"), 10.2, "desk-1", ran=bad)
 
 
-def refused(made: Made, bad: bool) -> None:
-    made.ask(10, "/hold/x", "desk-1", 503, ran=bad, code=0 if bad else 503)
+def refused(builder: HistoryBuilder, bad: bool) -> None:
+    builder.ask(10, "/hold/x", "desk-1", 503, ran=bad, code=0 if bad else 503)
 
 
-def route(made: Made, bad: bool) -> None:
-    made.ask(10, "/hold/x", "fleet-1" if bad else "desk-1")
+def route(builder: HistoryBuilder, bad: bool) -> None:
+    builder.ask(10, "/hold/x", "fleet-1" if bad else "desk-1")
 
 
-def tenant(made: Made, bad: bool) -> None:
-    made.ask(10, "/hold/x", "desk-1", tenant="t2" if bad else "t1")
+def tenant(builder: HistoryBuilder, bad: bool) -> None:
+    builder.ask(10, "/hold/x", "desk-1", tenant="t2" if bad else "t1")
 
 
-def denied(made: Made, bad: bool) -> None:
+def denied(builder: HistoryBuilder, bad: bool) -> None:
     for _ in range(8):
-        made.ask(10, "/look/x", status=401, key="t1-a" if bad else "wrong")
+        builder.ask(10, "/look/x", status=401, key="t1-a" if bad else "wrong")
 
 
-def stopped(made: Made, bad: bool) -> None:
-    made.put(2, 1, ["t+t9=10"], 10)
-    made.ask(10.001 if bad else 9.9, "/look/x", status=401, key="t9-a", gate="edge-2")
+def stopped(builder: HistoryBuilder, bad: bool) -> None:
+    builder.put(2, 1, ["t+t9=10"], 10)
+    builder.ask(10.001 if bad else 9.9, "/look/x", status=401, key="t9-a", gate="edge-2")
 
 
-def stale(made: Made, bad: bool) -> None:
-    made.put(2, 1, ["look=desk"], 10)
-    made.ask(13.2 if bad else 12.8, "/look/x", "fleet-1")
+def stale(builder: HistoryBuilder, bad: bool) -> None:
+    builder.put(2, 1, ["look=desk"], 10)
+    builder.ask(13.2 if bad else 12.8, "/look/x", "fleet-1")
 
 
-def stale_key(made: Made, bad: bool) -> None:
-    made.put(2, 1, ["k+t1=new"], 10)
-    made.ask(14, "/look/x", status=401, key="new" if bad else "other")
+def stale_key(builder: HistoryBuilder, bad: bool) -> None:
+    builder.put(2, 1, ["k+t1=new"], 10)
+    builder.ask(14, "/look/x", status=401, key="new" if bad else "other")
 
 
-def downgraded(made: Made, bad: bool) -> None:
-    made.put(2, 1, ["look=desk"], 10)
-    made.ask(10.5, "/look/x", "desk-1")
-    made.ask(11, "/look/x", "fleet-1", gate="edge-1" if bad else "edge-2")
+def downgraded(builder: HistoryBuilder, bad: bool) -> None:
+    builder.put(2, 1, ["look=desk"], 10)
+    builder.ask(10.5, "/look/x", "desk-1")
+    builder.ask(11, "/look/x", "fleet-1", gate="edge-1" if bad else "edge-2")
 
 
-def raced(made: Made, bad: bool) -> None:
-    made.put(2, 1, ["look=desk"], 10)
-    made.put(3, 1 if bad else 2, ["hold=fleet"], 10.1)
+def raced(builder: HistoryBuilder, bad: bool) -> None:
+    builder.put(2, 1, ["look=desk"], 10)
+    builder.put(3, 1 if bad else 2, ["hold=fleet"], 10.1)
 
 
-def revoked(made: Made, bad: bool) -> None:
-    made.put(2, 1, ["k-t1-a"], 10)
-    made.history.begin_fault("edge-1", 9.0)  # out of touch: only Revoke binds
-    made.ask(15.1 if bad else 14.9, "/look/x", "fleet-1")
+def revoked(builder: HistoryBuilder, bad: bool) -> None:
+    builder.put(2, 1, ["k-t1-a"], 10)
+    builder.history.begin_fault("edge-1", 9.0)  # out of touch: only Revoke binds
+    builder.ask(15.1 if bad else 14.9, "/look/x", "fleet-1")
 
 
-def read_back(made: Made, bad: bool) -> None:
-    made.put(2, 1, ["look=desk"], 10)
-    made.read(11, 1 if bad else 2)
+def read_back(builder: HistoryBuilder, bad: bool) -> None:
+    builder.put(2, 1, ["look=desk"], 10)
+    builder.read(11, 1 if bad else 2)
 
 
-def read_other(made: Made, bad: bool) -> None:
-    made.read(11, 1, edit_configuration(made.body, 1, ["look=desk"]) if bad else None)
+def read_other(builder: HistoryBuilder, bad: bool) -> None:
+    builder.read(11, 1, edit_configuration(builder.body, 1, ["look=desk"]) if bad else None)
 
 
-def read_refused(made: Made, bad: bool) -> None:
-    late = made.put(2, 1, ["look=desk"], 10)
+def read_refused(builder: HistoryBuilder, bad: bool) -> None:
+    late = builder.put(2, 1, ["look=desk"], 10)
     late.acknowledged, late.rejected_status = math.inf, 412 if bad else 0
-    made.read(11, 2)
+    builder.read(11, 2)
 
 
-def lost(made: Made, bad: bool) -> None:
-    made.history.evacuations.append(EvacuationChange("z1", True, 9, 10))
-    made.read(11, 1, None, **{} if bad else {"Evacuations/z1": True})
+def lost(builder: HistoryBuilder, bad: bool) -> None:
+    builder.history.evacuations.append(EvacuationChange("z1", True, 9, 10))
+    builder.read(11, 1, None, **{} if bad else {"Evacuations/z1": True})
 
 
-def drain(made: Made, bad: bool) -> None:
+def drain(builder: HistoryBuilder, bad: bool) -> None:
     (
-        made.history.workers["fleet-1"].draining_acknowledged,
-        made.history.workers["fleet-1"].draining_registry,
+        builder.history.workers["fleet-1"].draining_acknowledged,
+        builder.history.workers["fleet-1"].draining_registry,
     ) = 10, "core-1"
-    made.ask(13.1 if bad else 12.7, "/look/x", "fleet-1")
+    builder.ask(13.1 if bad else 12.7, "/look/x", "fleet-1")
 
 
-def evacuated(made: Made, bad: bool) -> None:
-    made.history.evacuations.append(EvacuationChange("z1", True, 9, 10))
-    made.ask(15.1, "/look/x", "fleet-1" if bad else "fleet-2")
+def evacuated(builder: HistoryBuilder, bad: bool) -> None:
+    builder.history.evacuations.append(EvacuationChange("z1", True, 9, 10))
+    builder.ask(15.1, "/look/x", "fleet-1" if bad else "fleet-2")
 
 
-def budget(made: Made, bad: bool) -> None:
+def budget(builder: HistoryBuilder, bad: bool) -> None:
     for number in range(70 if bad else 50):
-        made.more(made.ask(10 + number / 100, "/look/x", "fleet-1"), 10.2 + number / 100, "fleet-2")
+        builder.more(builder.ask(10 + number / 100, "/look/x", "fleet-1"), 10.2 + number / 100, "fleet-2")
 
 
-def quota(made: Made, bad: bool) -> None:
+def quota(builder: HistoryBuilder, bad: bool) -> None:
     for number in range(90):  # (10 x 5 + 10) x 1.1 + 20 = 86
-        made.ask(10 + number / (20 if bad else 10), "/look/x", "fleet-1")
+        builder.ask(10 + number / (20 if bad else 10), "/look/x", "fleet-1")
 
 
-def failback(made: Made, bad: bool) -> None:
-    made.history.workers["fleet-1"].warmups.append((9, 20))
+def failback(builder: HistoryBuilder, bad: bool) -> None:
+    builder.history.workers["fleet-1"].warmups.append((9, 20))
     for number in range(14):  # 5 x 1.5 + 5 = 12.5
-        made.ask(10 + number / (20 if bad else 10), "/look/x", "fleet-1")
+        builder.ask(10 + number / (20 if bad else 10), "/look/x", "fleet-1")
 
 
-def home(made: Made, bad: bool) -> None:
-    made.ask(10, "/bill/x", "bill-2" if bad else "bill-1")
+def home(builder: HistoryBuilder, bad: bool) -> None:
+    builder.ask(10, "/bill/x", "bill-2" if bad else "bill-1")
 
 
-def spun(made: Made, bad: bool) -> None:
-    made.ask(10, "/look/x", "fleet-1").pool_exhausted_count = 1000 if bad else 3
+def spun(builder: HistoryBuilder, bad: bool) -> None:
+    builder.ask(10, "/look/x", "fleet-1").pool_exhausted_count = 1000 if bad else 3
 
 
-def mixed(made: Made, bad: bool) -> None:
-    one = made.ask(10, "/look/x", "fleet-1")
+def mixed(builder: HistoryBuilder, bad: bool) -> None:
+    one = builder.ask(10, "/look/x", "fleet-1")
     one.arrivals[0].status, one.arrivals[0].seal = 200, "s-1"
     one.seal = "s-2" if bad else "s-1"
 
 
-def mixed_failure(made: Made, bad: bool) -> None:
-    one = made.ask(10, "/look/x", "fleet-1")
+def mixed_failure(builder: HistoryBuilder, bad: bool) -> None:
+    one = builder.ask(10, "/look/x", "fleet-1")
     one.arrivals[0].status, one.arrivals[0].seal, one.seal = 500 if bad else 200, "s", "s"
 
 
-def stray(made: Made, bad: bool) -> None:
+def stray(builder: HistoryBuilder, bad: bool) -> None:
     if bad:
-        made.history.unexpected_arrivals.append(UnexpectedArrival(10, "fleet-1", "GET /look/y of id 1"))
+        builder.history.unexpected_arrivals.append(UnexpectedArrival(10, "fleet-1", "GET /look/y of id 1"))
 
 
-def cut_off(made: Made, bad: bool) -> None:
-    one = made.ask(10, "/look/x", "fleet-1", status=0)
+def cut_off(builder: HistoryBuilder, bad: bool) -> None:
+    one = builder.ask(10, "/look/x", "fleet-1", status=0)
     one.connection_broken = True
     if not bad:
-        made.history.begin_fault("edge-1", 9.9)
+        builder.history.begin_fault("edge-1", 9.9)
 
 
-def cut_off_leaving(made: Made, bad: bool) -> None:
+def cut_off_leaving(builder: HistoryBuilder, bad: bool) -> None:
     """In the first half of Grace, or in the second with the worker at work."""
-    one = made.ask(10, "/look/x", "fleet-1", status=0)
+    one = builder.ask(10, "/look/x", "fleet-1", status=0)
     one.connection_broken = True
-    made.history.begin_fault("edge-1", 9.9 if bad else 7.0, termination=True)
+    builder.history.begin_fault("edge-1", 9.9 if bad else 7.0, termination=True)
 
 
-def recovered(made: Made, bad: bool) -> None:
-    made.history.closing_fault_at = 20.0
-    made.history.begin_fault("core-1", 20.0)
-    made.history.end_faults("core-1", 21.0)
+def recovered(builder: HistoryBuilder, bad: bool) -> None:
+    builder.history.closing_fault_at = 20.0
+    builder.history.begin_fault("core-1", 20.0)
+    builder.history.end_faults("core-1", 21.0)
     for number in range(30):
-        made.ask(10 + number / 10, "/look/x", "fleet-1")
-        made.ask(40 + number / 10, "/look/x", status=503 if bad else 200)
+        builder.ask(10 + number / 10, "/look/x", "fleet-1")
+        builder.ask(40 + number / 10, "/look/x", status=503 if bad else 200)
 
 
-def slighted(made: Made, bad: bool) -> None:
-    made.put(2, 1, ["r+new=fleet"], 10)
+def slighted(builder: HistoryBuilder, bad: bool) -> None:
+    builder.put(2, 1, ["r+new=fleet"], 10)
     for number in range(30):
-        made.ask(20 + number / 10, "/look/x", "fleet-1")
-        made.ask(20 + number / 10, "/new/x", status=503 if bad else 200)
+        builder.ask(20 + number / 10, "/look/x", "fleet-1")
+        builder.ask(20 + number / 10, "/new/x", status=503 if bad else 200)
 
 
-PLANTED: dict[str, tuple[str, Callable[[Made, bool], None]]] = {
+PLANTED: dict[str, tuple[str, Callable[[HistoryBuilder, bool], None]]] = {
     "twice": ("TWICE", twice),
     "refused": ("REFUSED", refused),
     "route": ("ROUTE", route),
@@ -276,41 +276,43 @@
 def _(name: str = each(*PLANTED)) -> None:
     rule, plant = PLANTED[name]
     for bad in (True, False):
-        made = Made()
-        plant(made, bad)
-        found = [one for one, breach in check_rules(made.history, BOUNDS).items() if breach]
+        builder = HistoryBuilder()
+        plant(builder, bad)
+        found = [one for one, breach in check_rules(builder.history, BOUNDS).items() if breach]
         assert (rule in found) == bad, f"{'planted' if bad else 'clean'}: {found}"
 
 
 @test("dovetail's checkers: no order explains a change that shows up and vanishes, or a torn PATCH")
 def _() -> None:
     for seen, torn in ((1, False), (2, True), (2, False)):
-        made = Made()
-        late = made.put(2, 1, ["look=desk", "r+new=desk"], 10)
+        builder = HistoryBuilder()
+        late = builder.put(2, 1, ["look=desk", "r+new=desk"], 10)
         late.acknowledged = late.ended = math.inf  # in doubt
-        late.patch = patch_between(made.body, late.body)
-        made.read(11, 2)
-        made.read(12, seen, made.body if torn else None)
-        found = list(check_linearizability(CheckedHistory(made.history, BOUNDS)))
+        late.patch = patch_between(builder.body, late.body)
+        builder.read(11, 2)
+        builder.read(12, seen, builder.body if torn else None)
+        found = list(check_linearizability(CheckedHistory(builder.history, BOUNDS)))
         assert bool(found) == (seen == 1 or torn)
 
 
 @test("dovetail's checkers: what is out of touch is bound later, or not")
 def _() -> None:
-    made = Made()
-    made.history.begin_fault("edge-1", 8.0)
-    stale(made, True)
-    assert not list(check_configuration_in_force(CheckedHistory(made.history, BOUNDS)))
+    builder = HistoryBuilder()
+    builder.history.begin_fault("edge-1", 8.0)
+    stale(builder, True)
+    assert not list(check_configuration_in_force(CheckedHistory(builder.history, BOUNDS)))
 
 
 @test("dovetail's checkers: each rule has a planted breach; one is told with the rule's words")
 def _() -> None:
     assert {rule for rule, _ in PLANTED.values()} == {*RULE_TEXTS}
-    made = Made()
-    twice(made, True)
-    refused(made, True)
-    found = first_violation(made.history, BOUNDS)
+    builder = HistoryBuilder()
+    twice(builder, True)
+    refused(builder, True)
+    found = first_violation(builder.history, BOUNDS)
     assert found is not None
-    told = explain(found)
-    assert told.startswith("TWICE at 10.200: request 1 /hold/x (t1-a) sent 10.000 to edge-1 ran at desk-1")
-    assert told.endswith("TWICE: a request that is not repeatable runs at most once")
+    explanation = explain(found)
+    assert explanation.startswith(
+        "TWICE at 10.200: request 1 /hold/x (t1-a) sent 10.000 to edge-1 ran at desk-1"
+    )
+    assert explanation.endswith("TWICE: a request that is not repeatable runs at most once")
--- a/tests/simulation/test_linearizability.py
+++ b/tests/simulation/test_linearizability.py
@@ -92,7 +92,8 @@
 def _() -> None:
     late = Call(0.0, 5.0, evacuation=("z", True), effect_deadline=1.0)
     before = Call(2.0, 3.0, evacuated_zones=frozenset())
-    assert find_unexplained_call([late, before]) is not None and find_unexplained_call([late]) is None
+    assert find_unexplained_call([late, before]) is not None
+    assert find_unexplained_call([late]) is None
 
 
 def random_history(seed: int, count: int = 120) -> list[Call]:
--- a/tests/simulation/test_system_scenarios.py
+++ b/tests/simulation/test_system_scenarios.py
@@ -55,12 +55,14 @@
 
 @test("the same scene and seed give the same history")
 def _() -> None:
-    told = []
+    histories = []
     for _ in range(2):
         play = ScenarioPlayer(random_scenario(2, until=16.0), 2)
         play.run()
-        told.append([(one.sent, one.proxy, one.status, one.ended) for one in play.world.history.requests])
-    assert told[0] == told[1]
+        histories.append(
+            [(one.sent, one.proxy, one.status, one.ended) for one in play.world.history.requests]
+        )
+    assert histories[0] == histories[1]
 
 
 @test("a failing schedule is shortened to what it needs, and reads back from its text")
@@ -77,12 +79,14 @@
 @test("figures: how long an order waits for another leader, and since when all is served again")
 def _() -> None:
     times = measure_failover(["power leader"], 3)
-    assert 0.3 < times.acknowledged < 3.0 and times.served_again < 2.0
+    assert 0.3 < times.acknowledged < 3.0
+    assert times.served_again < 2.0
     pattern = RequestPattern("/x", True, "k", 1.0)
     operations = [
         ClientOperation(pattern, 10.0 + number / 100 + pattern.timeout, served=not 300 <= number < 400)
         for number in range(-200, 900)
     ]
-    assert 3.9 < served_again_after(operations, 10.0) < 4.0 and served_again_after(operations, 12.0) < 2.0
+    assert 3.9 < served_again_after(operations, 10.0) < 4.0
+    assert served_again_after(operations, 12.0) < 2.0
     lost = [ClientOperation(pattern, one.deadline, served=one.deadline < 14.0) for one in operations]
     assert served_again_after(lost, 10.5) == inf
