--- a/tests/benchmarks/test_campaign.py
+++ b/tests/benchmarks/test_campaign.py
@@ -1,24 +1,17 @@
-"""Campaigns of troubles (`benchmarks.campaign`): drawn whole, seeded, read back as days, and counted."""
+"""Fault injection campaigns (`benchmarks.hunt`): covered, seeded, read back as days, and counted."""
 
 import tomllib
 from collections import Counter
+from itertools import pairwise
 
 from attrs import evolve
 from ward import each, raises, test
 
-from benchmarks.campaign import (
-    CLOSINGS,
-    LEAST,
-    PLANNED,
-    Campaign,
-    Day,
-    Entry,
-    UnknownKindError,
-    cells_of,
-    kinds_of,
-    site_of,
-    table,
-)
+from benchmarks.hunt.campaign_day import CampaignDay, CampaignEntry, ClosingFault
+from benchmarks.hunt.campaign_generator import MIN_OCCURRENCES, CampaignGenerator
+from benchmarks.hunt.coverage_table import DayOutcome, coverage_table
+from benchmarks.hunt.fault_kinds import CLOSING_KINDS, PLANNED_WORK_KINDS
+from benchmarks.hunt.site import UnknownKindError, parse_kinds, parse_site
 
 KINDS = """Each entry has 'at' (seconds) and 'kind'. for_s: how long (5).
 
@@ -45,91 +38,100 @@
 faults = [{ at = 3.0, kind = "core_cut", how = "late" }]
 traffic = [{ zone = "z1", mix = { look-up = 5.8 }, per_s = 20.5, shape = { kind = "wave" } }]
 """
-SITE = site_of(SETTINGS, KINDS)
+SITE = parse_site(SETTINGS, KINDS)
 
 
 @test("kinds are read with their own words, what stands in brackets left out")
 def _() -> None:
-    found = kinds_of(KINDS)
-    assert found["srv_grey"] == ("errors", "hang", "slow", "one_zone")
-    assert found["srv_lying_health"] == ("errors", "reset", "bad")
-    assert found["herd_kill"] == ("power", "taken")
-    assert found["after_ack_kill"] == ("kill", "timed", "taken")
-    assert found["core_cut"] == ("one_way", "seeds", "both")
-    assert found["evacuate"] == ("warm",) and found["seed_turnover"] == ()
-    assert "Each entry has" not in found and len(found) == 10
+    modes_by_kind = parse_kinds(KINDS)
+    assert modes_by_kind["srv_grey"] == ("errors", "hang", "slow", "one_zone")
+    assert modes_by_kind["srv_lying_health"] == ("errors", "reset", "bad")
+    assert modes_by_kind["herd_kill"] == ("power", "taken")
+    assert modes_by_kind["after_ack_kill"] == ("kill", "timed", "taken")
+    assert modes_by_kind["core_cut"] == ("one_way", "seeds", "both")
+    assert modes_by_kind["evacuate"] == ("warm",)
+    assert modes_by_kind["seed_turnover"] == ()
+    assert "Each entry has" not in modes_by_kind
+    assert len(modes_by_kind) == 10
 
 
 @test("words that only the site's own troubles use become ways of that kind; general ones keep their places")
 def _() -> None:
-    assert SITE.kinds["core_cut"] == ("one_way", "seeds", "both", "late")
-    assert SITE.kinds["node_kill"] == ("power",)
-    assert "aimed" in SITE.closings
+    assert SITE.modes_by_kind["core_cut"] == ("one_way", "seeds", "both", "late")
+    assert SITE.modes_by_kind["node_kill"] == ("power",)
+    assert "aimed" in SITE.closing_modes
 
 
 @test("a kind without known fields is told by its name")
 def _() -> None:
-    with raises(UnknownKindError) as told:
-        site_of(SETTINGS, KINDS + "moon_loss: the moon goes\n")
-    assert "moon_loss" in str(told.raised)
+    with raises(UnknownKindError) as raised:
+        parse_site(SETTINGS, KINDS + "moon_loss: the moon goes\n")
+    assert "moon_loss" in str(raised.raised)
 
 
 @test("in {count} days each kind and way comes three times or more, seed {seed}")
 def _(count: int = each(60, 10, 10, 10), seed: int = each(1, 1, 2, 3)) -> None:
-    counts = Counter(cell for day in Campaign(SITE, seed).days(count, "d") for cell in day.cells())
-    assert {cell: counts[cell] for cell in cells_of(SITE) if counts[cell] < LEAST} == {}
-    closings = Counter(kind for kind, _, _ in counts.elements() if kind.startswith("closing "))
-    assert all(closings["closing " + kind] >= LEAST for kind in CLOSINGS)
-    ways = {how for kind, _, how in counts if kind.startswith("closing ")}
-    assert ways >= {"", "timed", "taken"} and (count == 10 or "aimed" in ways)
+    days = CampaignGenerator(SITE, seed).draw_days(count, "d")
+    occurrences = Counter(cell for day in days for cell in day.cells())
+    assert [cell for cell in SITE.cells() if occurrences[cell] < MIN_OCCURRENCES] == []
+    closing_cells = [cell for cell in occurrences.elements() if cell.kind.startswith("closing ")]
+    closing_kinds = Counter(cell.kind for cell in closing_cells)
+    assert all(closing_kinds["closing " + kind] >= MIN_OCCURRENCES for kind in CLOSING_KINDS)
+    closing_modes = {cell.mode for cell in closing_cells}
+    assert closing_modes >= {"", "timed", "taken"}
+    assert count == 10 or "aimed" in closing_modes
 
 
 @test("the same seed draws the same days, another one others")
 def _() -> None:
-    first, again, other = ([day.toml() for day in Campaign(SITE, seed).days(12, "d")] for seed in (7, 7, 8))
-    assert first == again and not set(first) & set(other)
+    first, again, other = (
+        [day.to_toml() for day in CampaignGenerator(SITE, seed).draw_days(12, "d")] for seed in (7, 7, 8)
+    )
+    assert first == again
+    assert not set(first) & set(other)
 
 
 @test("a day is read back from its TOML whole, planned work and faults apart, all within the day")
 def _() -> None:
-    for day in Campaign(SITE, 5).days(12, "d"):
-        (raw,) = tomllib.loads(day.toml())["day"]
-        assert raw["name"] == day.name and raw["seed"] == day.seed
-        assert sorted(map(str, raw["plan"] + raw["faults"])) == sorted(
-            str(one.table()) for one in day.entries
-        )
-        assert {one["kind"] for one in raw["plan"]} <= PLANNED and not {
-            one["kind"] for one in raw["faults"]
-        } & PLANNED
-        assert all(0.0 < one["at"] < SITE.length_s - 5.0 for one in raw["plan"] + raw["faults"])
-        assert (
-            raw["traffic"] == list(day.traffic)
-            and raw.get("closing", {}).get("kind") == (day.closing or (None,))[0]
-        )
+    for day in CampaignGenerator(SITE, 5).draw_days(12, "d"):
+        (raw,) = tomllib.loads(day.to_toml())["day"]
+        raw_entries = raw["plan"] + raw["faults"]
+        assert raw["name"] == day.name
+        assert raw["seed"] == day.seed
+        assert sorted(map(str, raw_entries)) == sorted(str(entry.to_table()) for entry in day.entries)
+        assert {entry["kind"] for entry in raw["plan"]} <= PLANNED_WORK_KINDS
+        assert not {entry["kind"] for entry in raw["faults"]} & PLANNED_WORK_KINDS
+        assert all(0.0 < entry["at"] < SITE.day_seconds - 5.0 for entry in raw_entries)
+        assert raw["traffic"] == list(day.traffic)
+        assert raw.get("closing", {}).get("kind") == (day.closing.kind if day.closing else None)
 
 
 @test("days come in three shapes: alone, in pairs within 0.4 s, one trouble three times")
 def _() -> None:
-    days = Campaign(SITE, 5).days(12, "d")
-    for number, day in enumerate(days):
-        times = [one.at for one in day.entries]
-        close = sum(after - before <= 0.4 for before, after in zip(times, times[1:], strict=False))
-        same = Counter(str(evolve(one, at=0.0)) for one in day.entries).most_common(1)[0][1]
-        assert number % 3 != 1 or close >= len(times) // 2
-        assert number % 3 != 2 or same >= 3
+    for number, day in enumerate(CampaignGenerator(SITE, 5).draw_days(12, "d")):
+        times = [entry.at_seconds for entry in day.entries]
+        close_pairs = sum(after - before <= 0.4 for before, after in pairwise(times))
+        same_entries = Counter(str(evolve(entry, at_seconds=0.0)) for entry in day.entries)
+        assert number % 3 != 1 or close_pairs >= len(times) // 2
+        assert number % 3 != 2 or same_entries.most_common(1)[0][1] >= 3
 
 
 @test("the table counts what came about on days that were played, void ones not, and where a rule broke")
 def _() -> None:
-    cut, kill = Entry("core_cut", "", ("leader", "race")), Entry("node_kill", "core")
+    partition = CampaignEntry("core_cut", "", ("leader", "race"))
+    kill = CampaignEntry("node_kill", "core")
     days = [
-        Day("a", 1, (cut, cut)),
-        Day("b", 1, (cut, kill), ("kill_all", "timed", 1.0)),
-        Day("c", 1, (kill,)),
-        Day("d", 1, (kill,)),
+        CampaignDay("a", 1, (partition, partition)),
+        CampaignDay("b", 1, (partition, kill), ClosingFault("kill_all", "timed", 1.0)),
+        CampaignDay("c", 1, (kill,)),
+        CampaignDay("d", 1, (kill,)),
     ]
-    came = {"a": {"core_cut"}, "b": {"core_cut", "kill_all"}, "c": {"node_kill"}}
-    lines = table(days, {"a": "kept", "b": "CONFIG", "c": "void"}, came).splitlines()
+    outcomes = {
+        "a": DayOutcome("kept", frozenset({"core_cut"})),
+        "b": DayOutcome("CONFIG", frozenset({"core_cut", "kill_all"})),
+        "c": DayOutcome("void", frozenset({"node_kill"})),
+    }
+    lines = coverage_table(days, outcomes).splitlines()
     assert "| core_cut | leader 2, race 2 | 0 | 1 |" in lines
     assert "| node_kill (core) | plain 0 | 1 | 1 |" in lines
     assert "| closing kill_all | timed 1 | 0 | 1 |" in lines
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -60,11 +60,12 @@
 
 @test("a line through points finds intercept, slope and the farthest point")
 def _() -> None:
-    found = fit_line([(10, 25.0), (20, 45.0), (40, 85.0), (80, 165.0)])
-    assert abs(found.intercept - 5) < 1e-6 and abs(found.slope - 2) < 1e-9 and found.max_error < 1e-9
-    assert (
-        found.value_at(100) == found.intercept + 100 * found.slope and found.extrapolation_factor(160) == 2.0
-    )
+    line = fit_line([(10, 25.0), (20, 45.0), (40, 85.0), (80, 165.0)])
+    assert abs(line.intercept - 5) < 1e-6
+    assert abs(line.slope - 2) < 1e-9
+    assert line.max_error < 1e-9
+    assert line.value_at(100) == line.intercept + 100 * line.slope
+    assert line.extrapolation_factor(160) == 2.0
     assert fit_line([(10, 25.0), (20, 45.0), (40, 99.0)]).max_error > 0.05
     with raises(ValueError):
         fit_line([(10, 1.0), (10, 2.0)])
@@ -103,26 +104,27 @@
     assert (size.workers, size.services, size.routes, size.tenants) == (190, 9, 59, 1200)
     assert abs(size.request_rate / size.proxies - TARGET_SIZE.request_rate / TARGET_SIZE.proxies) < 1e-9
     assert TARGET_SIZE.scaled_to(TARGET_SIZE.proxies) == TARGET_SIZE
-    found = load_configuration(build_configuration(size))
-    assert isinstance(found, dict) and sum(key.startswith("Tenants/") for key in found) == 1200
+    configuration = load_configuration(build_configuration(size))
+    assert isinstance(configuration, dict)
+    assert sum(key.startswith("Tenants/") for key in configuration) == 1200
 
 
 @test("how many tenants are among so many requests is what drawing them gives")
 def _(requests: int = each(50, 500, 5000)) -> None:
-    chance = random.Random(1)
-    runs = [len({draw_tenant_rank(3000, chance) for _ in range(requests)}) for _ in range(20)]
+    rng = random.Random(1)
+    runs = [len({draw_tenant_rank(3000, rng) for _ in range(requests)}) for _ in range(20)]
     assert abs(expected_distinct_tenants(3000, requests) - sum(runs) / 20) < 0.03 * requests
 
 
 @test("what connections carried is told by process and kind of call")
 def _() -> None:
-    def row(near: str, far: str, inode: int, sent: int, received: int, calls: int) -> str:
+    def row(local: str, remote: str, inode: int, sent: int, received: int, segments: int) -> str:
         return (
-            f"0 0 {near} {far} ino:{inode} sk:1 <-> ts bytes_sent:{sent} bytes_acked:{sent} "
-            f"bytes_received:{received} segs_out:9 data_segs_out:{calls}"
+            f"0 0 {local} {remote} ino:{inode} sk:1 <-> ts bytes_sent:{sent} bytes_acked:{sent} "
+            f"bytes_received:{received} segs_out:9 data_segs_out:{segments}"
         )
 
-    text = "\n".join(
+    ss_output = "\n".join(
         [
             row("127.0.0.1:40000", "127.5.1.1:7601", 1, 500, 900, 5),
             row("127.5.1.1:7601", "127.0.0.1:40000", 2, 900, 500, 6),
@@ -133,10 +135,10 @@
             row("127.0.0.1:40009", "127.5.1.1:7601", 99, 5, 5, 5),
         ]
     )
-    owner = {1: 11, 2: 12, 3: 13, 4: 12, 5: 14, 6: 14}
+    pid_by_inode = {1: 11, 2: 12, 3: 13, 4: 12, 5: 14, 6: 14}
     roles = {11: Role.PROXY, 12: Role.REGISTRY, 13: Role.REGISTRY, 14: Role.SIMULATED_WORKERS}
-    found = parse_traffic(text, owner, roles, 7600, {7600, 7601, 8200})
-    assert found == {
+    traffic = parse_traffic(ss_output, pid_by_inode, roles, 7600, {7600, 7601, 8200})
+    assert traffic == {
         11: {"pull": Traffic(1, 500, 900, 5)},
         12: {"pull answered": Traffic(1, 900, 500, 6), "swap answered": Traffic(1, 80, 70, 2)},
         13: {"swap": Traffic(1, 70, 80, 2)},
@@ -244,27 +246,30 @@
 def _() -> None:
     with tempfile.TemporaryDirectory() as folder:
         out = Path(folder) / "scale.json"
-        for words in (["cores", "--sizes", "3,6", "--repeats", "1"], ["run", "--quick", "--sizes", "4"]):
-            done = subprocess.run(
-                [sys.executable, "-m", "benchmarks.scale", *words, "--out", str(out)],
+        for arguments in (["cores", "--sizes", "3,6", "--repeats", "1"], ["run", "--quick", "--sizes", "4"]):
+            completed = subprocess.run(
+                [sys.executable, "-m", "benchmarks.scale", *arguments, "--out", str(out)],
                 cwd=ROOT,
                 capture_output=True,
                 text=True,
                 check=False,
             )
-            assert done.returncode == 0, done.stderr[-2000:]
-        found = json.loads(out.read_text())
-    one = found["run"]["in proportion"]["4"]
-    assert one["broken"] == [], one["broken"]
-    assert one["start"]["ready"] == one["start"]["wanted"] == 3 and one["start"]["workers"] == 45
-    assert one["change"]["status"] == 200 and one["change"]["reached"] == 3
-    quiet, busy = one["windows"]
-    assert quiet["gatekeepers"]["entries_s"] == 0 < busy["gatekeepers"]["entries_s"]
-    assert quiet["gatekeepers"]["pulls_s"] > 3
-    assert quiet["registry"]["processes"] == quiet["configstore"]["processes"] == 1
-    assert quiet["proxy"]["mb"] > 10 and quiet["registry"]["files"] > 5
+            assert completed.returncode == 0, completed.stderr[-2000:]
+        recorded = json.loads(out.read_text())
+    run = recorded["run"]["in proportion"]["4"]
+    assert run["broken"] == [], run["broken"]
+    assert run["start"]["ready"] == run["start"]["wanted"] == 3
+    assert run["start"]["workers"] == 45
+    assert run["change"]["status"] == 200
+    assert run["change"]["reached"] == 3
+    idle, busy = run["windows"]
+    assert idle["gatekeepers"]["entries_s"] == 0 < busy["gatekeepers"]["entries_s"]
+    assert idle["gatekeepers"]["pulls_s"] > 3
+    assert idle["registry"]["processes"] == idle["configstore"]["processes"] == 1
+    assert idle["proxy"]["mb"] > 10
+    assert idle["registry"]["files"] > 5
     page = "\n".join(f"<!-- scale: {name} -->\n(none yet)\n<!-- end -->" for name in PARTS)
-    built = build_tables(found)
+    built = build_tables(recorded)
     filled = fill_page(page, built)
     assert "(none yet)" not in filled
     assert filled.count("| --- |") >= 10
