--- a/ashlift/configstore/catch_up.py
+++ b/ashlift/configstore/catch_up.py
@@ -10,7 +10,6 @@
 from typing import Any, Final, NamedTuple
 
 import cbor2
-from attrs import define, field
 
 from ashlift.configstore.change_log import ChangeLog
 from ashlift.configstore.codec import encode_payload
@@ -29,15 +28,15 @@
     digest: bytes
 
 
-@define
 class ReplicaProgress:
     """Another replica's map as the leader knows it."""
 
-    position: TermIndex | None  # None: nobody knows which state it is
-    payload_in_flight: bool = False  # a payload, or a request for digests
-    chunk_bytes: int = PAYLOAD_CHUNK_BYTES  # about; halved when a payload did not get through in time
-    last_delta_base: TermIndex | None = None
-    sent_ranges: dict[int, SentRange] = field(factory=dict)
+    def __init__(self, position: TermIndex | None) -> None:
+        self.position = position  # None: nobody knows which state it is
+        self.payload_in_flight = False  # a payload, or a request for digests
+        self.chunk_bytes = PAYLOAD_CHUNK_BYTES  # about; halved when a payload did not get through in time
+        self.last_delta_base: TermIndex | None = None
+        self.sent_ranges: dict[int, SentRange] = {}
 
     def acknowledge(self, position: TermIndex | None) -> None:
         """The replica has said what it holds."""
--- a/ashlift/configstore/peers.py
+++ b/ashlift/configstore/peers.py
@@ -2,8 +2,6 @@
 
 from typing import TYPE_CHECKING, Final, NamedTuple
 
-from attrs import define
-
 from ashlift.configstore.catch_up import ReplicaProgress
 from ashlift.configstore.membership import LEARNER_PREFIX, VOTER_PREFIX, addresses_under
 from ashlift.configstore.persistent_state import Snapshot
@@ -24,18 +22,18 @@
     promotion_index: int
 
 
-@define
 class PeerState:
     """One other replica, in this term. Times are seconds of the leader's clock."""
 
-    progress: ReplicaProgress
-    acknowledged_round: int = 0  # the newest round that it answered
-    heard_at: float = float("-inf")  # when the newest answered request was sent
-    match_index: int = 0  # the newest index that it holds durably
-    clock_token: int = 0  # its newest one
-    learning: RestoringLearner | None = None  # not None: it does not count
-    join_requested_at: float = float("-inf")
-    incarnation: int = 0  # that it named when it asked to join
+    def __init__(self, progress: ReplicaProgress) -> None:
+        self.progress = progress
+        self.acknowledged_round = 0  # the newest round that it answered
+        self.heard_at = float("-inf")  # when the newest answered request was sent
+        self.match_index = 0  # the newest index that it holds durably
+        self.clock_token = 0  # its newest one
+        self.learning: RestoringLearner | None = None  # not None: it does not count
+        self.join_requested_at = float("-inf")
+        self.incarnation = 0  # that it named when it asked to join
 
 
 class PeerTable:
--- a/ashlift/proxy/locality.py
+++ b/ashlift/proxy/locality.py
@@ -7,7 +7,6 @@
 import math
 import random
 from collections.abc import Mapping
-from dataclasses import dataclass
 from typing import Final
 
 from ashlift.config.routing_table import Route
@@ -40,12 +39,14 @@
 RISK_JITTER: Final = 0.3  # and a fraction of the risk
 
 
-@dataclass(slots=True)
 class RegionLag:
     """How much longer than usual responses took at `updated_at`, in seconds."""
 
-    seconds: float = 0.0
-    updated_at: float = -math.inf
+    __slots__ = ("seconds", "updated_at")
+
+    def __init__(self) -> None:
+        self.seconds = 0.0
+        self.updated_at = -math.inf
 
     def decayed(self, now: float) -> float:
         """The lag now, in seconds; negative while responses are quicker than usual."""
@@ -54,21 +55,25 @@
         return self.seconds * math.exp(-(now - self.updated_at) / LAG_DECAY_SECONDS)
 
 
-@dataclass(slots=True)
 class RouteLatency:
     """What is usual for a route: seconds, and bytes of request and response."""
 
-    seconds: float
-    responses: int = 0
-    size_bytes: float = INITIAL_SIZE_BYTES
+    __slots__ = ("responses", "seconds", "size_bytes")
+
+    def __init__(self, seconds: float) -> None:
+        self.seconds = seconds
+        self.responses = 0
+        self.size_bytes: float = INITIAL_SIZE_BYTES
 
 
-@dataclass(slots=True)
 class RegionShares:
     """How requests of one kind were shared among the regions allowed for them at `updated_at`."""
 
-    shares: dict[str, float]
-    updated_at: float
+    __slots__ = ("shares", "updated_at")
+
+    def __init__(self, shares: dict[str, float], updated_at: float) -> None:
+        self.shares = shares
+        self.updated_at = updated_at
 
 
 class LocalityRouting:
--- a/ashlift/proxy/source_state.py
+++ b/ashlift/proxy/source_state.py
@@ -1,7 +1,6 @@
 """The records of one source: what one registry has heard from workers and proxies. Pure."""
 
 import math
-from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
 from ashlift.proxy.pull_messages import KIND_LENGTH, RecordKind, SourceUpdate
@@ -22,16 +21,15 @@
     warm_at: float  # steady time at which its slow start ends
 
 
-@dataclass(slots=True)
 class ClusterChange:
     """Which parts of the cluster's state a response changed."""
 
-    config: bool = False
-    workers: bool = False
-    proxies: bool = False
+    def __init__(self, config: bool = False, workers: bool = False, proxies: bool = False) -> None:
+        self.config = config
+        self.workers = workers
+        self.proxies = proxies
 
 
-@dataclass(slots=True)
 class SourceState:
     """All records of a source at `version`. Times are steady, in seconds.
 
@@ -39,14 +37,15 @@
     minus infinity if it has not said.
     """
 
-    version: int = 0
-    last_listed_at: float = 0.0
-    started_at: float = -math.inf
-    workers: dict[str, Worker] = field(default_factory=dict)
-    proxies: dict[str, Any] = field(default_factory=dict)
-    in_flight: dict[str, int] = field(default_factory=dict)
-    failures: dict[str, FailureTotals] = field(default_factory=dict)
-    usage: dict[str, tuple[int, int]] = field(default_factory=dict)
+    def __init__(self, last_listed_at: float = 0.0, started_at: float = -math.inf) -> None:
+        self.version = 0
+        self.last_listed_at = last_listed_at
+        self.started_at = started_at
+        self.workers: dict[str, Worker] = {}
+        self.proxies: dict[str, Any] = {}
+        self.in_flight: dict[str, int] = {}
+        self.failures: dict[str, FailureTotals] = {}
+        self.usage: dict[str, tuple[int, int]] = {}
 
     def apply(self, update: SourceUpdate, now: float, change: ClusterChange) -> None:
         """Apply an update that is not older than what is held; notes in `change` what it touches."""
--- a/ashlift/registry/api/status.py
+++ b/ashlift/registry/api/status.py
@@ -5,7 +5,6 @@
 from ashlift.registry.api.messages import HttpRequest, HttpResponse
 from ashlift.registry.api.resource import Resource
 from ashlift.registry.registry import Registry
-from ashlift.registry.status_report import status_report
 
 
 class StatusResource(Resource):
@@ -16,4 +15,6 @@
 
     def get(self, _request: HttpRequest) -> HttpResponse:
         """The report as of now."""
+        from ashlift.registry.status_report import status_report  # seldom needed: not loaded at a start
+
         return HttpResponse(200, status_report(self._registry, time.monotonic()))
