--- a/ashlift/configstore/replication.py
+++ b/ashlift/configstore/replication.py
@@ -82,7 +82,8 @@
     def handle_response(self, event: ResponseReceived) -> None:
         """The outcome of an append request, in time or not."""
         context: AppendContext = event.context
-        leader, replica = self.leader, self.leader.replica
+        leader = self.leader
+        replica = leader.replica
         if context.term != leader.term:
             return
         peer = leader.peers.get(event.peer)
--- a/ashlift/configstore/request_handlers.py
+++ b/ashlift/configstore/request_handlers.py
@@ -4,11 +4,11 @@
 """
 
 from collections.abc import Callable
-from typing import Any, Final
+from typing import Any
 
 import gevent
 
-from ashlift.configstore import requests, watch
+from ashlift.configstore import codec, requests, watch
 from ashlift.configstore.leader_requests import (
     LEADER_WAIT_SECONDS,
     NO_LEADER,
@@ -28,7 +28,6 @@
 from ashlift.rpc.client import ClientPool
 
 Handler = Callable[[Any], Any]
-REPLICA_METHODS: Final = ("request_vote", "append", "join", "succeed")
 
 
 def replica_handlers(runner: ReplicaRunner) -> dict[str, Handler]:
@@ -39,7 +38,7 @@
             lambda reference: RequestReceived(reference, method, body), CALL_TIMEOUT_SECONDS
         )
 
-    return {method: make_handler(method) for method in REPLICA_METHODS}
+    return {method: make_handler(method) for method in codec.METHODS}
 
 
 class RegistryRequestHandler:
--- a/ashlift/simulation/configstore_process.py
+++ b/ashlift/simulation/configstore_process.py
@@ -9,6 +9,7 @@
 from typing import Any, Final
 
 from ashlift.configstore import requests, watch
+from ashlift.configstore.codec import METHODS
 from ashlift.configstore.commands import decide_command
 from ashlift.configstore.leader_requests import (
     LEADER_WAIT_SECONDS,
@@ -49,7 +50,6 @@
 KIND: Final = "configstore"
 DISK_WRITE_SECONDS: Final = (0.002, 0.012)  # a durable write takes between these
 HANGING_DISK_POLL_SECONDS: Final = 0.02
-REPLICA_METHODS: Final = ("request_vote", "append", "join", "succeed")  # that replicas call on each other
 
 
 class InterruptedWrite(enum.Enum):
@@ -94,7 +94,7 @@
         self._may_bootstrap = True  # at the first start
         self._write: PersistState | None = None  # under way
         self._deferred_by_write: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self.handlers = {method: self._replica_handler(method) for method in REPLICA_METHODS}
+        self.handlers = {method: self._replica_handler(method) for method in METHODS}
         self.handlers |= {
             requests.SUBMIT: self._handle_submit,
             requests.READ: self._handle_read,
