--- a/ashlift/registry/__main__.py
+++ b/ashlift/registry/__main__.py
@@ -1,6 +1,6 @@
 """`python3 -m ashlift.registry`: the registry of one core machine, as its settings file says."""
 
-import secrets
+import os
 import sys
 import time
 import zlib
@@ -145,7 +145,7 @@
     _, http_port = http_address
     return RegistryIdentity(
         node=settings.node_name,
-        incarnation=secrets.token_hex(INCARNATION_BYTES),
+        incarnation=os.urandom(INCARNATION_BYTES).hex(),  # `secrets` would load OpenSSL at each start
         ip=settings.ip,
         zone=settings.zone,
         region=settings.region,
