--- a/benchmarks/child_process.py
+++ b/benchmarks/child_process.py
@@ -44,7 +44,8 @@
     def log_lines(self) -> Iterator[str]:
         """The lines of its standard error, until it ends."""
         assert self._process.stderr is not None
-        yield from self._process.stderr
+        # Not a generator: closing one that delegates to the pipe would close the pipe.
+        return iter(self._process.stderr)
 
     def cpu_seconds(self) -> float:
         """Processor time so far, of user and system."""
--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -54,7 +54,7 @@
     """Runs that are as short as can be and show only that the measurement works."""
     options = RunOptions(
         window_seconds=0.5,
-        settle_seconds=0.3,
+        stabilize_seconds=0.3,
         core_machines=1,
         real_proxies=1,
         proxy_hosts=1,
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -26,7 +26,7 @@
 READY_TIMEOUT_SECONDS: Final = 30.0
 RECOVERY_TIMEOUT_SECONDS: Final = 20.0
 POLL_SECONDS: Final = 0.1
-RESTART_SETTLE_SECONDS: Final = 1.0
+RESTART_STABILIZE_SECONDS: Final = 1.0
 CORE_LOSS_SECONDS: Final = 3.0
 SMALLER_TENANT_COUNTS: Final = (2000, 200)  # tried where the store refuses more
 MAX_TENANT_FACTOR: Final = 4  # x the fallback: more tenants are not even tried
@@ -144,7 +144,7 @@
         self._report_progress(f"  start {self.record['start']}")
 
     def _measure_idle_window(self) -> None:
-        gevent.sleep(self._options.settle_seconds)
+        gevent.sleep(self._options.stabilize_seconds)
         window = measure_window(self._cluster)
         self.record["calm"] = window
         self._report_progress(f"  calm: {window['gatekeepers']} registry {window['registry']['core']}")
@@ -160,7 +160,7 @@
         if worker_host is None or not restarts_per_second:
             return
         worker_host.execute(SetRestartRate(restarts_per_second))
-        gevent.sleep(RESTART_SETTLE_SECONDS)
+        gevent.sleep(RESTART_STABILIZE_SECONDS)
         self.record["churn"] = {"rate": restarts_per_second, **measure_window(self._cluster)}
         worker_host.execute(SetRestartRate(0.0))
 
@@ -183,7 +183,7 @@
         for factor in self._options.request_rate_factors:
             self._set_request_rate(factor * target.request_rate / target.proxies)
             if factor:
-                gevent.sleep(self._options.settle_seconds)
+                gevent.sleep(self._options.stabilize_seconds)
             window = {"rate": factor, **measure_window(self._cluster)}
             windows.append(window)
             registry_cores = window.get("registry", {}).get("core")
--- a/benchmarks/scale/run_events.py
+++ b/benchmarks/scale/run_events.py
@@ -21,7 +21,7 @@
 RECOVERY_TIMEOUT_SECONDS: Final = 15.0
 MIN_RECOVERY_SECONDS: Final = 1.0  # after the start: before, proxies still show their state before the loss
 FRESH_AGE_SECONDS: Final = 1.0
-SETTLE_SECONDS: Final = 1.0
+STABILIZE_SECONDS: Final = 1.0
 
 
 def wait_until_ready(cluster: Cluster, started_at: float, timeout: float) -> Json:
@@ -91,7 +91,7 @@
         for program in self._programs:
             program.kill()
         fresh_at = self._wait_until_fresh(killed_at, before.ready_proxies)
-        gevent.sleep(SETTLE_SECONDS)
+        gevent.sleep(STABILIZE_SECONDS)
         after = self._cluster.figures()
         return {
             "gone_s": round(self._seconds, 2),
--- a/benchmarks/scale/run_options.py
+++ b/benchmarks/scale/run_options.py
@@ -13,7 +13,7 @@
 class RunOptions:
     """Options of a run.
 
-    `window_seconds`, `settle_seconds`: of each measurement and before it. `request_rate_factors`: in
+    `window_seconds`, `stabilize_seconds`: of each measurement and before it. `request_rate_factors`: in
     multiples of the rate in proportion. `max_objects`: of each kind in the configuration; None: as many as in
     proportion. `max_workers`: the same of workers. `starts_per_second`: of simulated proxies; 0: all at once.
     `fallback_tenants`: tried where the store refuses the tenants in proportion. `proxy_hosts`: processes of
@@ -22,7 +22,7 @@
     """
 
     window_seconds: float = 4.0
-    settle_seconds: float = 2.0
+    stabilize_seconds: float = 2.0
     core_machines: int = 3
     real_proxies: int = 2
     proxy_hosts: int = 2
