--- a/ashlift/proxy/cluster_view.py
+++ b/ashlift/proxy/cluster_view.py
@@ -8,6 +8,7 @@
 
 import math
 from collections import Counter
+from dataclasses import replace
 from typing import Final
 
 from ashlift.proxy.configuration_state import ConfigurationState
@@ -104,7 +105,7 @@
         self._retained_workers.update(now, missing, self._registries_uptime)
         for worker_id in self._retained_workers.missing_since:
             # It may have restarted meanwhile: until it is named again it counts as in slow start.
-            newest[worker_id] = self.workers[worker_id]._replace(warm_at=math.inf)
+            newest[worker_id] = replace(self.workers[worker_id], warm_at=math.inf)
         self.workers = newest
         self.by_service = {}
         for worker in newest.values():
--- a/ashlift/proxy/source_state.py
+++ b/ashlift/proxy/source_state.py
@@ -1,14 +1,17 @@
 """The records of one source: what one registry has heard from workers and proxies. Pure."""
 
 import math
-from typing import Any, NamedTuple
+from dataclasses import dataclass
+from typing import Any
 
 from ashlift.proxy.pull_messages import KIND_LENGTH, RecordKind, SourceUpdate
 from ashlift.rpc.addresses import Address, parse_address
 from ashlift.traffic.outlier_detection import FailureTotals
 
 
-class Worker(NamedTuple):
+# Read for every candidate of every request: slots are quicker to read than fields of a named tuple.
+@dataclass(frozen=True, slots=True)
+class Worker:
     """One incarnation of a worker, as its newest heartbeat describes it."""
 
     id: str
