--- a/ashlift/configstore/election.py
+++ b/ashlift/configstore/election.py
@@ -2,6 +2,11 @@
 
 An attempt begins with a pre-vote, which asks whether a majority would vote: a replica that cannot win must
 not raise the term and so end a leadership. Votes are durable before they are given.
+
+In order: `Replica._tick` finds `Election.deadline` past, `start_pre_vote`, `handle_vote_response` of a
+majority, `stand` (the own vote becomes durable), `_stand_with`, `handle_vote_response` of a majority again,
+`Replica.become_leader`. `Leader.start` then commits the accepted map anew; until that is done it answers
+no read and begins no command. A successor that the leader has named begins with `stand`.
 """
 
 from typing import TYPE_CHECKING, Any, Final, NamedTuple
--- a/ashlift/configstore/joining.py
+++ b/ashlift/configstore/joining.py
@@ -3,6 +3,16 @@
 A process without a usable disk asks to join. It is a learner, in quarantine at first, until the leader has
 committed something without it and promotes it. A voter that no leader calls asks too whether it is one still:
 the answer may be a committed map by which nothing on its disk counts.
+
+From an empty disk to a vote, in order:
+
+1. `_ask_all` asks the seeds, `handle_response` the leader that they name; `Leader.handle_join_request` notes
+   it. The leader calls a replica that the map names by itself.
+2. `MembershipManager.next_change` enters a replica that is new as a learner. For a voter whose disk is new,
+   and which stays a voter in the map, `_enter_incarnations` puts the new incarnation there.
+3. `Replication._restore_learner` has something committed without it, and then sends a `Promotion`.
+4. `Follower._hold` writes vote and snapshot: from now on this disk counts. A voter with a new disk is done.
+5. A learner becomes a voter by a commit of its own: `membership_rules.next_membership_change`, one at a time.
 """
 
 from typing import TYPE_CHECKING, Any, Final
--- a/ashlift/configstore/persistent_state.py
+++ b/ashlift/configstore/persistent_state.py
@@ -13,7 +13,9 @@
 class PersistentVote(NamedTuple):
     """The vote, and whether this replica counts. The order of the fields is that of the record on disk.
 
-    `is_voter` is False while nothing that this replica holds counts. `incarnation` is that of the disk: drawn
+    `is_voter` is False while nothing that this replica holds counts. True says that the disk counts, not that
+    its replica is a voter: that stands in the map (`membership.VOTER_PREFIX`), and both are needed
+    (`Replica.can_stand_for_election`). `incarnation` is that of the disk: drawn
     with its first write, and drawn anew once nothing on it counts any more.
     """
 
--- a/ashlift/configstore/proposal_queue.py
+++ b/ashlift/configstore/proposal_queue.py
@@ -94,7 +94,12 @@
         return any(committed.may_have_changed_since(key, token.known_index) for key in keys)
 
     def propose(self, proposal: Proposal, reply_to: Any = None) -> None:
-        """Send the changed map to the others while it is written here."""
+        """Send the changed map to the others, and write it here.
+
+        The order does not matter to safety: a copy counts once it is durable where it is, this replica's own
+        as well (`PeerTable.holds`). The requests leave once the write here has ended, since it holds up the
+        process (`ReplicaRunner`).
+        """
         leader = self.leader
         index = leader.proposed.term_index[1] + 1
         entries = leader.proposed.entries.with_changes(proposal.updates, proposal.deletions)
--- a/ashlift/configstore/replica.py
+++ b/ashlift/configstore/replica.py
@@ -126,7 +126,10 @@
         return self._take_effects()
 
     def _take_effects(self) -> list[Effect]:
-        """The effects, a `PersistState` last."""
+        """The effects, a `PersistState` last.
+
+        What depends on the write is not among them: its callback makes those effects once it has ended.
+        """
         if self.shutdown_deadline is not None and self.leader_role is None and not self.is_persisting:
             self.effects.append(HandoverComplete())
         return sorted(self.effects, key=lambda effect: isinstance(effect, PersistState))
--- a/ashlift/configstore/replica_runner.py
+++ b/ashlift/configstore/replica_runner.py
@@ -2,7 +2,8 @@
 
 The replica decides everything and waits for nothing; this module is its only way out. The greenlet that feeds
 an event carries out the effects. Nothing there yields to other greenlets, writes to disk included, so a write
-is complete before any later event is handled.
+is complete before any later event is handled, and before a request of the same batch leaves: each of those
+has a greenlet of its own, which starts afterwards.
 """
 
 import time
--- a/ashlift/configstore/replica_state.py
+++ b/ashlift/configstore/replica_state.py
@@ -65,7 +65,11 @@
     def persist(
         self, vote: PersistentVote | None, snapshot: Snapshot | None, on_done: PersistCallback
     ) -> None:
-        """Make these durable and go on with `on_done`. The last thing that a handler does."""
+        """Make these durable and go on with `on_done`. The last thing that a handler does.
+
+        `vote` and `snapshot` of this replica change once the write has succeeded (`complete_persist`). So
+        what must be durable first, a vote or an acknowledgement, is sent by `on_done`.
+        """
         if self._pending_write is not None:
             raise InvariantError("two writes at a time")
         if vote is not None:
--- a/ashlift/configstore/replica_storage.py
+++ b/ashlift/configstore/replica_storage.py
@@ -30,7 +30,12 @@
         return _decode_vote(self._votes.read()), _decode_snapshot(self._snapshots.read())
 
     def persist(self, request: PersistState) -> Failure | None:
-        """Make the given parts durable, the snapshot first. After a Failure none, one or both are."""
+        """Make the given parts durable, the snapshot first. After a Failure none, one or both are.
+
+        A vote may say that this disk counts, which it must not before it holds the map that it was promoted
+        with. A snapshot without its vote does no harm: at the next start a voter takes the snapshot's term
+        for seen (`_vote_for_start` in `replica`), and a learner has it as a base to catch up from.
+        """
         if request.snapshot is not None:
             failure = self._snapshots.write(_encode_snapshot(request.snapshot))
             if failure is not None:
--- a/ashlift/proxy/admission.py
+++ b/ashlift/proxy/admission.py
@@ -36,15 +36,19 @@
     deadline: float
     attempted_workers: list[str] = field(default_factory=list)  # ids
     attempts_in_flight: int = 0
-    may_have_run: bool = False
-    retry_forbidden: bool = False
-    reached_worker: bool = False
+    may_have_run: bool = False  # neither a 503 nor a refund any more
+    retry_forbidden: bool = False  # by the result of an attempt, for good
+    reached_worker: bool = False  # even if it was not run there: a further attempt takes retry budget
     size_bytes: int = INITIAL_SIZE_BYTES  # head and body
     no_further_hedge: bool = False  # no attempt beside the one in flight
 
 
 def configuration_is_current(cluster: ClusterView, bounds: Bounds, now: float) -> bool:
-    """Whether revoked API keys can be told by the configuration: it was the newest less than `Revoke` ago."""
+    """Whether revoked API keys can be told by the configuration: it was the newest less than `Revoke` ago.
+
+    This is what ends the service of a proxy that is cut off; until then `ashlift.traffic.quota_sharing` says
+    how much of a quota it may use.
+    """
     return cluster.configuration.age(now) <= bounds.revoke - REVOCATION_MARGIN_SECONDS
 
 
--- a/ashlift/proxy/attempts.py
+++ b/ashlift/proxy/attempts.py
@@ -2,6 +2,11 @@
 
 An attempt is one exchange with one worker. A request that is not idempotent must never run twice, so the only
 attempts that another one may follow there are those of which it is certain that the worker has not run them.
+
+The rules here are necessary, not sufficient: `RequestRouter.choose_worker` also asks for time before the
+deadline, an attempt of the route's `max_attempts` left, a worker not attempted yet, and a unit of the retry
+budget if a worker was reached or another attempt is in flight. `RequestRouter.hedge_time` says when one may
+begin beside another.
 """
 
 from collections.abc import Mapping
@@ -38,7 +43,8 @@
         return self.retry_idempotent if idempotent else self.retry_non_idempotent
 
 
-# A response below 500 is final on every route; this row is for failures that a worker reported.
+# A response below 500 is final on every route; the row RESPONSE is for failures that a worker reported.
+# In each row: may_have_run, retry_idempotent, retry_non_idempotent.
 ATTEMPT_RULES: Final[Mapping[AttemptResult, AttemptRule]] = {
     AttemptResult.RESPONSE: AttemptRule(True, True, False),
     AttemptResult.NOT_RUN: AttemptRule(False, True, True),
--- a/ashlift/proxy/rejections.py
+++ b/ashlift/proxy/rejections.py
@@ -1,6 +1,9 @@
 """Responses of the proxy's own to requests that it does not forward, or whose attempts all failed. Pure.
 
 429 and 503 promise that the request has not run and never will; 504 promises nothing.
+
+A worker's own 503 is never relayed (`WorkerResponse.is_valid`): every 503 of a proxy is one of these. They
+are told apart by `Retry-After` (docs/operations/system.md, "Why a proxy is not ready, or answers 503").
 """
 
 import math
--- a/ashlift/registry/proxy_sessions.py
+++ b/ashlift/registry/proxy_sessions.py
@@ -1,6 +1,12 @@
 """Sessions of the proxies that pull from this registry, and what all registries know of proxies. Pure.
 
 A session is a lease of two seconds, renewed by each pull. With its pulls a proxy reports usage and load.
+
+The lease counts from when a pull was received, however long the pull is held then. Its record is dropped here
+by `ProxySessions.expire` (`ReplicationLoops` calls `Registry.tick` every 0.25 s), or at once by
+`release_moved` when another registry has it and no pull is in progress here. Other registries and the proxies
+learn of that as of any change; if this registry is silent, `live` at the others leaves its proxies out after
+the same two seconds. A proxy that shuts down says `ready=False` and lets its session lapse.
 """
 
 from collections.abc import Iterable
--- a/ashlift/simulation/scenario.py
+++ b/ashlift/simulation/scenario.py
@@ -4,8 +4,9 @@
 core 5 | edge 11 | rate 60 | seed 1 | workers 6 | quota 200 | homes r1 ...      what is built (world.Plan)
 until 20
 at 3.0 cut core-1 | core-2 core-3 [for 2]     both ways; `oneway A | B`: none from A to B; `join`: all
-at 4 kill proxy * [for 1]        configstore, registry, proxy, core, all; WHO: names, `*`, `leader`, `others`
-at 4 freeze all WHO for 2 | term proxy WHO
+at 4 kill PROGRAMS WHO [for 1] | freeze PROGRAMS WHO [for 2] | term PROGRAMS WHO
+                                 PROGRAMS: configstore, registry, proxy, core (the first two), all
+                                 WHO: names of machines, `*`, `leader`, `others`; `kill proxy edge-1 for 2`
 at 4 power WHO [for 2] | wipe WHO [for 2] | start WHO | spoil WHO      machines; spoil: the disk reads no more
 at 4 disk hang WHO [for 2] | disk refuse WHO [for 2] | disk slow WHO 0.8 [for 2] (s more a write)
 at 4 closing                     what comes now is the closing fault
@@ -23,11 +24,11 @@
 at 5 seeds core-4 core-5
 at 5 edit ID hold=bill|r+NAME=SERVICE|r-NAME at core-2 [by B]     one route; clock core-4 3
 at 5 confirm|reject ID [over] at core-2 [by B]                    the operator's word on it
-at 8 expect WHAT                 version N everywhere|at GATE | acked N | refused N | served S (share since
+at 8 expect WHAT                 version N everywhere|at PROXY | acked N | refused N | served S (share since
                                  the last) | crew (all know the workers) | evacuated z1 | leader | runs N
                                  | idle WORKER (nothing since the last `expect` of its kind, or `mark`)
                                  | busy WORKER | told ID STATUS | edit ID in-force|lost|rejected|waits
-                                 | alike (all gatekeepers hold the routes agreed on, byte for byte)
+                                 | alike (all proxies hold the routes agreed on, byte for byte)
                                  | busy WORKER | sure KEY S (share served of all wanted with it)
                                  | one N (one order of that version is acknowledged, by whoever sent it)
                                  | swift S (every order since the last had its clear answer within so long)
--- a/ashlift/traffic/rate_limiter.py
+++ b/ashlift/traffic/rate_limiter.py
@@ -5,6 +5,11 @@
 keeps the rule QUOTA whatever other proxies do unheard. Both go by this proxy's own counts and by the totals
 of all proxies (`ashlift.traffic.usage_totals`). What travels is the caller's to send and to fetch. Times are
 seconds of the steady clock.
+
+While a proxy is cut off, both sides see to the quota. It finds itself isolated (`UsageTotals.is_isolated`)
+and admits within its own share alone (`QuotaSharing.isolated_share`, `has_isolated_room`). The others set a
+share aside for it as long as it may go on (`ashlift.traffic.unreported_usage`). What it admitted is reported
+by and by after it has returned (`TenantUsage.report_late`).
 """
 
 import math
--- a/ashlift/traffic/unreported_usage.py
+++ b/ashlift/traffic/unreported_usage.py
@@ -17,7 +17,9 @@
 from ashlift.traffic.usage_window import UsageWindow
 
 LEASE_SECONDS: Final = 2.5  # before it is missed that the reports of a proxy may have ended
-FENCED_AFTER_SECONDS: Final = 5.0  # that a partitioned proxy admits requests, from its last configuration
+# That a partitioned proxy admits requests, from its last configuration. The default of the bound `Revoke`,
+# which ends it (`ashlift.proxy.admission.configuration_is_current`); it does not follow that setting.
+FENCED_AFTER_SECONDS: Final = 5.0
 # In which proxies that have returned report what they admitted; they begin a second after their return.
 RETURN_REPORT_SECONDS: Final = 3.0
 RETURN_DELAY_SECONDS: Final = 1.0
