--- a/tests/support/known_failures.py
+++ b/tests/support/known_failures.py
@@ -1,6 +1,6 @@
 """Which tests may fail in CI: those named in KNOWN-RED.txt, and no others.
 
-A line there is `TEST | CAUSE | ISSUE`, TEST as it is told below: of ward
+A line there is `TEST | CAUSE | ISSUE`, TEST as the reports name it: of ward
 `tests/PACKAGE/test_X.py: title` (with its number if it has several cases alike), of pytest
 `tests/gatekeeper/test_y.py: name`.
 `python -m tests.support.known_failures LIST REPORTS` judges what a run has left in the folder REPORTS:
@@ -26,8 +26,8 @@
 def after_session(config: Any, test_results: list[Any], status_code: Any) -> None:
     path = os.environ.get(REPORT)
     if path:
-        told = [(FAILED if one.outcome.will_fail_session else PASSED, one.test) for one in test_results]
-        Path(path).write_text("".join(f"{outcome}\t{named(test)}\n" for outcome, test in told))
+        outcomes = [(FAILED if one.outcome.will_fail_session else PASSED, one.test) for one in test_results]
+        Path(path).write_text("".join(f"{outcome}\t{named(test)}\n" for outcome, test in outcomes))
 
 
 def named(test: Any) -> str:
@@ -50,8 +50,9 @@
 
 
 def judged(listed: Iterable[str], results: dict[str, bool]) -> tuple[bool, list[str]]:
-    """Whether the run passes, and what is to be told."""
-    told, good = list[str](), True
+    """Whether the run passes, and the messages to print."""
+    messages = list[str]()
+    good = True
     known = dict[str, tuple[str, str]]()
     for line in listed:
         if not line.strip() or line.startswith("#"):
@@ -59,34 +60,34 @@
         parts = [part.strip() for part in line.split(" | ")]
         if len(parts) != 3 or not all(parts):
             good = False
-            told.append(f"no line of TEST | CAUSE | ISSUE: {line.strip()}")
+            messages.append(f"no line of TEST | CAUSE | ISSUE: {line.strip()}")
             continue
         test, cause, issue = parts
         cases = [one for one in results if one.rpartition(" [")[0] == test]
         test = cases[0] if test not in results and len(cases) == 1 else test
         if test in known:
             good = False
-            told.append(f"named twice: {test}")
+            messages.append(f"named twice: {test}")
         known[test] = cause, issue
     if len(known) > MOST:
         good = False
-        told.append(f"{len(known)} tests are named, {MOST} at most may be")
+        messages.append(f"{len(known)} tests are named, {MOST} at most may be")
     for test, (cause, issue) in known.items():
         if test not in results:
             good = False
-            told.append(f"there is no such test: {test}")
+            messages.append(f"there is no such test: {test}")
         elif results[test]:
-            told.append(f"passes after all, to be taken off the list: {test} ({issue})")
+            messages.append(f"passes after all, to be taken off the list: {test} ({issue})")
         else:
-            told.append(f"known to fail: {test}: {cause} ({issue})")
+            messages.append(f"known to fail: {test}: {cause} ({issue})")
     for test in sorted(test for test, passed in results.items() if not passed and test not in known):
         good = False
-        told.append(f"failed: {test}")
-    return good, told
+        messages.append(f"failed: {test}")
+    return good, messages
 
 
 def broken_off(exits: str, results: dict[str, bool]) -> list[str]:
-    """Files whose run failed though no test of theirs is told to have failed, or that told of no test."""
+    """Files whose run failed though no test of theirs is reported as failed, or that reported no test."""
     found = []
     for line in exits.splitlines():
         status, _, file = line.partition("\t")
@@ -105,9 +106,9 @@
     for path in sorted(reports.glob("*.xml")):
         results |= from_pytest(path.read_text())
     lines = listed.read_text().splitlines() if listed.exists() else []
-    good, told = judged(lines, results)
+    good, messages = judged(lines, results)
     gone = broken_off((reports / "exits").read_text(), results)
-    print(*told, *gone, f"{len(results)} tests, {sum(results.values())} passed", sep="\n")
+    print(*messages, *gone, f"{len(results)} tests, {sum(results.values())} passed", sep="\n")
     return 0 if good and not gone else 1
 
 
--- a/tests/support/stub_workers.py
+++ b/tests/support/stub_workers.py
@@ -114,33 +114,39 @@
         raise OSError
 
 
-def worker_response(status: int, id: str, body: bytes, *lines: str) -> bytes:
+def worker_response(status: int, attempt_id: str, body: bytes, *lines: str) -> bytes:
     """The bytes of a response with further header lines; a success has its seal."""
-    head = [f"HTTP/1.1 {status} Said", f"X-Attempt-Id: {id}", *lines, f"Content-Length: {len(body)}"]
+    head = [f"HTTP/1.1 {status} Said", f"X-Attempt-Id: {attempt_id}", *lines, f"Content-Length: {len(body)}"]
     if status == 200:
-        head.insert(1, f"X-Server-Seal: {server_seal(id, body)}")
+        head.insert(1, f"X-Server-Seal: {server_seal(attempt_id, body)}")
     return "\r\n".join(head).encode() + b"\r\n\r\n" + body
 
 
 # The bytes of each behaviour, made of the request's id, a complete response, and its body.
 RESPONSES: dict[str, Callable[[str, bytes, bytes], bytes]] = {
     "well": lambda _id, response, _body: response,
-    "not: full": lambda id, _response, _body: worker_response(503, id, b"", "X-Not-Executed: 1"),
-    "not: meant": lambda id, _response, _body: worker_response(421, id, b""),
+    "not: full": lambda attempt_id, _response, _body: worker_response(
+        503, attempt_id, b"", "X-Not-Executed: 1"
+    ),
+    "not: meant": lambda attempt_id, _response, _body: worker_response(421, attempt_id, b""),
     "not: another's id": lambda _id, _response, _body: worker_response(503, "0", b"", "X-Not-Executed: 1"),
-    "fails": lambda id, _response, _body: worker_response(500, id, b"failed"),
+    "fails": lambda attempt_id, _response, _body: worker_response(500, attempt_id, b"failed"),
     "a second answer at once": lambda _id, response, _body: response + response,
     "continue first": lambda _id, response, _body: b"HTTP/1.1 100 Continue\r\n\r\n" + response,
-    "large": lambda id, _response, body: worker_response(200, id, body + bytes(LARGE_BYTES)),
+    "large": lambda attempt_id, _response, body: worker_response(200, attempt_id, body + bytes(LARGE_BYTES)),
     "noise": lambda _id, _response, _body: b"\x00\x01 no answer \r\n\r\n",
     "noise behind": lambda _id, response, _body: response + b"HTTP/1.1 20",
     "no seal": lambda _id, response, _body: response.replace(b"X-Server-Seal", b"X-Other"),
-    "encoded": lambda id, _response, body: worker_response(200, id, body, "Content-Encoding: gzip"),
-    "a false promise": lambda id, _response, _body: worker_response(503, id, b""),
+    "encoded": lambda attempt_id, _response, body: worker_response(
+        200, attempt_id, body, "Content-Encoding: gzip"
+    ),
+    "a false promise": lambda attempt_id, _response, _body: worker_response(503, attempt_id, b""),
 }
 # The same, and then the connection ends.
 ENDING_RESPONSES: dict[str, Callable[[str, bytes, bytes], bytes]] = {
-    "closing": lambda id, _response, body: worker_response(200, id, body, "Connection: close"),
+    "closing": lambda attempt_id, _response, body: worker_response(
+        200, attempt_id, body, "Connection: close"
+    ),
     "no length": lambda _id, response, _body: response.replace(b"Content-Length", b"X-Length"),
     "short": lambda _id, response, _body: response[:-3],
 }
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -61,15 +61,19 @@
         case _:
             results["tests/test_a.py: two [2]"], good = True, True
             wanted = "passes after all, to be taken off the list: tests/test_a.py: two [2] (39)"
-    found, told = judged(listed, results)
-    assert found == good and wanted in told, told
+    passed, messages = judged(listed, results)
+    assert passed == good, messages
+    assert wanted in messages, messages
 
 
 @test("known red: a file that breaks off, or tells of no test, is no pass")
 def _() -> None:
     exits = "1\ttests/test_a.py\n0\ttests/gatekeeper/\n1\ttests/gatekeeper/test_b.py\n0\ttests/test_gone.py\n"
-    told = broken_off(exits, RESULTS)
-    assert told == ["broke off with 1: tests/gatekeeper/test_b.py", "broke off with 0: tests/test_gone.py"]
+    messages = broken_off(exits, RESULTS)
+    assert messages == [
+        "broke off with 1: tests/gatekeeper/test_b.py",
+        "broke off with 0: tests/test_gone.py",
+    ]
 
 
 WARD = """
