--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -1,4 +1,4 @@
-"""Every checker of dovetail catches a planted breach of its rule, and passes the same history without it."""
+"""Every checker catches a planted breach of its rule, and passes the same history without it."""
 
 import math
 from collections.abc import Callable
@@ -272,7 +272,7 @@
 }
 
 
-@test("dovetail's checkers: {name} is caught, and only when it is there")
+@test("checkers: {name} is caught, and only when it is there")
 def _(name: str = each(*PLANTED)) -> None:
     rule, plant = PLANTED[name]
     for bad in (True, False):
@@ -282,7 +282,7 @@
         assert (rule in found) == bad, f"{'planted' if bad else 'clean'}: {found}"
 
 
-@test("dovetail's checkers: no order explains a change that shows up and vanishes, or a torn PATCH")
+@test("checkers: no order explains a change that shows up and vanishes, or a torn PATCH")
 def _() -> None:
     for seen, torn in ((1, False), (2, True), (2, False)):
         builder = HistoryBuilder()
@@ -295,7 +295,7 @@
         assert bool(found) == (seen == 1 or torn)
 
 
-@test("dovetail's checkers: what is out of touch is bound later, or not")
+@test("checkers: what is out of touch is bound later, or not")
 def _() -> None:
     builder = HistoryBuilder()
     builder.history.begin_fault("edge-1", 8.0)
@@ -303,7 +303,7 @@
     assert not list(check_configuration_in_force(CheckedHistory(builder.history, BOUNDS)))
 
 
-@test("dovetail's checkers: each rule has a planted breach; one is told with the rule's words")
+@test("checkers: each rule has a planted breach; one is told with the rule's words")
 def _() -> None:
     assert {rule for rule, _ in PLANTED.values()} == {*RULE_TEXTS}
     builder = HistoryBuilder()
