--- a/lathe/news.py
+++ b/ashlift/proxy/configuration_updates.py
@@ -1,4 +1,4 @@
-"""Pulls news from the pegboard that `lathe.pulling` chooses, and brings it this gatekeeper's counts."""
+"""Pulls news from the registry that `proxy.registry_client` chooses, and brings it this proxy's counts."""
 
 import random
 import time
@@ -6,17 +6,23 @@
 
 from gevent.event import Event
 
-from jig.settings import Settings
-from lathe.gate import Gate
-from lathe.pulling import ANSWER_S, MOST_S, WAIT_S, Pulling
-from workbench.bench import Callers
+from ashlift.config.settings import Settings
+from ashlift.proxy.request_router import Gate
+from ashlift.proxy.registry_client import ANSWER_S, MOST_S, WAIT_S, Pulling
+from ashlift.rpc.transport import Callers
 
 PAUSE_S = 0.05
 
 
 class News:
-    def __init__(self, settings: Settings, gate: Gate, incarnation: str, rng: random.Random,
-                 changed: Callable[[], None]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        settings: Settings,
+        gate: Gate,
+        incarnation: str,
+        rng: random.Random,
+        changed: Callable[[], None],
+    ) -> None:
         self._port, self._changed = settings.internal_ports[0] + 1, changed
         self._pulling = Pulling(settings, gate, incarnation, rng)
         self._callers = Callers()
--- a/lathe/crew.py
+++ b/ashlift/proxy/load_balancer.py
@@ -5,10 +5,10 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
 
-from gauge.jury import Jury
-from jig.tables import Route
-from lathe.ledger import Worker
-from lathe.spill import Spill
+from ashlift.traffic.outlier_detection import Jury
+from ashlift.config.routing_table import Route
+from ashlift.proxy.cluster_view import Worker
+from ashlift.proxy.locality import Spill
 
 GAIN = 0.2  # weight of one answer in a worker's latency ratio
 FADE_S = 8.0  # in which a judgement of a worker grows old
@@ -115,8 +115,9 @@
             for view in views:
                 waits.setdefault(self.region(view), []).append(self.wait(view))
             for region, each in waits.items():
-                costs[region] = self.spill.cost(now, service, region, route.name, route.aim, route.repeatable,
-                                                sum(each) / len(each))  # fmt: skip
+                costs[region] = self.spill.cost(
+                    now, service, region, route.name, route.aim, route.repeatable, sum(each) / len(each)
+                )
         regions = self.spill.ranked(now, service, route.name, costs)
         ranks = {region: at * NEXT_REGION for at, region in enumerate(regions)}
         # All hear the same of the others, and late: were all looked at, everybody would turn to the same one.
@@ -127,9 +128,15 @@
             ids = [one for one in ids if one not in bad]
             ids.sort(key=lambda _: random())
             left_out.update(ids[LOOKED_AT:])
-        return sorted(views, key=lambda view: ranks[self.region(view)] + self._cost(now, view, usual)
-                      + LOOKED_PAST * (view.worker.id in left_out)
-                      + LAST_RESORT * (view.worker.id in bad))  # fmt: skip
+        return sorted(
+            views,
+            key=lambda view: (
+                ranks[self.region(view)]
+                + self._cost(now, view, usual)
+                + LOOKED_PAST * (view.worker.id in left_out)
+                + LAST_RESORT * (view.worker.id in bad)
+            ),
+        )
 
     def _bad(self, now: float, service: str) -> set[str]:
         """The workers of a service that fail too often; they go after all others."""
--- a/lathe/spill.py
+++ b/ashlift/proxy/locality.py
@@ -79,8 +79,9 @@
         lag = self._lags.get((service, region))
         return max(0.0, lag.now(now)) if lag is not None else 0.0
 
-    def answered(self, now: float, service: str, region: str, route: str, aim: float, waited: float,
-                 size: int) -> None:  # fmt: skip
+    def answered(
+        self, now: float, service: str, region: str, route: str, aim: float, waited: float, size: int
+    ) -> None:
         """Learn from an answer: `waited` s, `size` bytes both ways."""
         custom = self._customs.get(route)
         if custom is None:
@@ -100,8 +101,9 @@
             gain = USUAL_GAIN if calm else USUAL_LEAK
             custom.latency = max(LEAST_S, usual + gain * (min(waited, 4 * usual) - usual))
 
-    def cost(self, now: float, service: str, region: str, route: str, aim: float, repeatable: bool,
-             wait: float) -> float:  # fmt: skip
+    def cost(
+        self, now: float, service: str, region: str, route: str, aim: float, repeatable: bool, wait: float
+    ) -> float:
         """What one more request of a route costs there, in worth. `wait`: for so many others' work."""
         custom = self._customs.get(route)
         usual, size = (custom.latency, custom.size) if custom is not None else (aim / 4, SIZE_FIRST)
--- a/lathe/pulling.py
+++ b/ashlift/proxy/registry_client.py
@@ -1,20 +1,20 @@
-"""Which pegboard a gatekeeper pulls from, what it says there, and what it makes of the answer. Pure."""
+"""Which registry a gatekeeper pulls from, what it says there, and what it makes of the answer. Pure."""
 
 import random
 from typing import Any
 
 from attrs import frozen
 
-from jig.settings import Settings
-from lathe.gate import Gate
-from lathe.ledger import WORD
-from workbench.bench import DIAL_S
-from workbench.faults import INVALID, UNREACHED, Fault
-from workbench.pieces import Joiner
+from ashlift.config.settings import Settings
+from ashlift.proxy.request_router import Gate
+from ashlift.rpc.sources import OPERATOR_SOURCE
+from ashlift.rpc.transport import DIAL_S
+from ashlift.errors import INVALID, UNREACHED, Fault
+from ashlift.rpc.fragmentation import Joiner
 
 WAIT_S = 0.25
-ANSWER_S = 0.6  # beyond the wait: so late, another pegboard is asked
-STALE_S = 1.5  # a pegboard whose proof is older is left for another
+ANSWER_S = 0.6  # beyond the wait: so late, another registry is asked
+STALE_S = 1.5  # a registry whose proof is older is left for another
 MOST_S = 3.0  # so long an answer may take in all while bytes of it come: a whole configuration, a narrow line
 AVOID_S = 2.0
 DIAL_FIRST_S = 0.15  # a connection may take so long to come up, twice that after each that did not
@@ -24,7 +24,7 @@
 
 @frozen
 class Pull:
-    """One call: the pegboard's IP, when it was sent, its body, and s for its connection to come up."""
+    """One call: the registry's IP, when it was sent, its body, and s for its connection to come up."""
 
     ip: str
     sent: float
@@ -45,7 +45,7 @@
         self.seeds = [host for host, _ in settings.seeds]
 
     def _choose(self, now: float) -> str | None:
-        """The nearest pegboard that is not avoided, by the order in which the last answer named them: members
+        """The nearest registry that is not avoided, by the order in which the last answer named them: members
         that are not heard of by others come last there. Where all are avoided, one that answers."""
         core = self._gate.ledger.core
         known = sorted(core) if core else list(dict.fromkeys(self.seeds))
@@ -70,14 +70,21 @@
         front = settings.bindings.front
         self._number += 1
         body = {
-            "node": settings.node_name, "incarnation": self._incarnation, "zone": settings.zone,
-            "region": settings.region, "front": f"{front[0]}:{front[1]}" if front else "",
+            "node": settings.node_name,
+            "incarnation": self._incarnation,
+            "zone": settings.zone,
+            "region": settings.region,
+            "front": f"{front[0]}:{front[1]}" if front else "",
             "ready": gate.ready(now),
-            "have": gate.ledger.have(), "wait": 0.0 if gate.ledger.table is None else WAIT_S,
-            "outs": gate.crew.outs(), "faults": gate.crew.jury.fresh(now),
-            "packs": True, "part": self._joiner.asks(), "eager": gate.ledger.age(now) > EAGER_S,
+            "have": gate.ledger.have(),
+            "wait": 0.0 if gate.ledger.table is None else WAIT_S,
+            "outs": gate.crew.outs(),
+            "faults": gate.crew.jury.fresh(now),
+            "packs": True,
+            "part": self._joiner.asks(),
+            "eager": gate.ledger.age(now) > EAGER_S,
             "adds": {"number": self._number, "counts": gate.limiter.fresh()},
-        }  # fmt: skip
+        }
         return Pull(ip, now, body, self._dial)
 
     def ended(self, pull: Pull, now: float, answer: Json | Fault) -> bool:
@@ -114,8 +121,11 @@
         if there is a newer one already (`late`), its proof is none of what is held here."""
         try:
             sources, late = dict(answer["sources"]), bool(answer.get("late"))
-            if WORD in sources and (word := self._joiner.take(sources.pop(WORD))) is not None:
-                sources[WORD] = word
+            if (
+                OPERATOR_SOURCE in sources
+                and (word := self._joiner.take(sources.pop(OPERATOR_SOURCE))) is not None
+            ):
+                sources[OPERATOR_SOURCE] = word
         except (LookupError, TypeError, ValueError) as error:
             return Fault(INVALID, f"pull: {error!r}")
         return {**answer, "sources": sources, "late": late, "age": None if late else answer.get("age")}
--- a/lathe/desk.py
+++ b/ashlift/proxy/request_handler.py
@@ -5,11 +5,11 @@
 import gevent
 from gevent.event import Event
 
-from lathe.answering import ATTEMPT, Answer, relay
-from lathe.asking import HOP, Asked, BadRequestError
-from lathe.crew import View
-from lathe.gate import Gate, Live, Turn
-from lathe.links import Ended, Links, Outcome, Try
+from ashlift.proxy.responses import ATTEMPT, Answer, relay
+from ashlift.proxy.request_reader import HOP, Asked, BadRequestError
+from ashlift.proxy.load_balancer import View
+from ashlift.proxy.request_router import Gate, Live, Turn
+from ashlift.proxy.upstream import Ended, Links, Outcome, Try
 
 OURS = HOP | {b"x-tenant", b"x-target-instance", b"x-time-remaining", b"authorization"}
 REMAINING_MOST = 3600.0
@@ -131,13 +131,15 @@
         case.out[one] = view
         gevent.spawn(self._try, one, head, asked, attempt, live, case, view)
 
-    def _try(self, one: Try, head: bytes, asked: Asked, attempt: bytes, live: Live, case: Case,
-             view: View) -> None:  # fmt: skip
+    def _try(
+        self, one: Try, head: bytes, asked: Asked, attempt: bytes, live: Live, case: Case, view: View
+    ) -> None:
         left = live.deadline - time.monotonic()
         request, worker = _request(head, asked, view, left), view.worker
         most, dial = self.gate.connections(view), self.gate.dial(view)
-        outcome = self.links.exchange(one, worker.id, worker.address, request, attempt, most, dial, left,
-                                      live.route.repeatable)  # fmt: skip
+        outcome = self.links.exchange(
+            one, worker.id, worker.address, request, attempt, most, dial, left, live.route.repeatable
+        )
         del case.out[one]
         if case.closed:
             self.gate.ended(time.monotonic(), live, view, outcome, True)
@@ -154,8 +156,11 @@
     """What of a request's head is the same for all tries."""
     named = {token.strip().lower() for token in asked.all(b"connection").split(b",")}
     lines = [b"%b %b HTTP/1.1" % (asked.method, asked.target)]
-    lines += [b"%b: %b" % (name, value) for name, value in asked.headers
-              if (low := name.lower()) not in OURS and low not in named]  # fmt: skip
+    lines += [
+        b"%b: %b" % (name, value)
+        for name, value in asked.headers
+        if (low := name.lower()) not in OURS and low not in named
+    ]
     if live.tenant is not None:
         lines.append(b"X-Tenant: " + live.tenant.name.encode())
     if asked.framed:
@@ -165,8 +170,11 @@
 
 def _request(head: bytes, asked: Asked, view: View, left: float) -> bytes:
     return b"%b\r\nX-Time-Remaining: %d\r\nX-Target-Instance: %b\r\n\r\n%b" % (
-        head, max(1, int(left * 1000)), view.worker.id.encode(), asked.body,
-    )  # fmt: skip
+        head,
+        max(1, int(left * 1000)),
+        view.worker.id.encode(),
+        asked.body,
+    )
 
 
 __all__ = ["Case", "Desk"]
--- a/lathe/asking.py
+++ b/ashlift/proxy/request_reader.py
@@ -4,10 +4,21 @@
 
 import httptools
 
-from jig.tables import Limits
-
-HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
-                 b"upgrade", b"content-length", b"expect"))  # fmt: skip
+from ashlift.config.routing_table import Limits
+
+HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"expect",
+    )
+)
 Headers = list[tuple[bytes, bytes]]
 
 
--- a/lathe/gate.py
+++ b/ashlift/proxy/request_router.py
@@ -7,14 +7,14 @@
 import random
 from dataclasses import dataclass, field
 
-from gauge.limits import Limiter
-from gauge.retries import RetryBudget
-from gauge.warmth import ColdPace, owners
-from jig.settings import Settings
-from jig.tables import Route, Service, Tenant
-from lathe.crew import Crew, View
-from lathe.ledger import Change, Ledger
-from lathe.links import Ended, Outcome
+from ashlift.traffic.rate_limiter import Limiter
+from ashlift.traffic.retry_budget import RetryBudget
+from ashlift.traffic.slow_start import ColdPace, owners
+from ashlift.config.settings import Settings
+from ashlift.config.routing_table import Route, Service, Tenant
+from ashlift.proxy.load_balancer import Crew, View
+from ashlift.proxy.cluster_view import Change, Ledger
+from ashlift.proxy.upstream import Ended, Outcome
 
 KNOWN_S = 1.0  # with a proof younger than this, one from after a request's coming is soon there
 UNSURE_S, UNSURE_PART = 0.8, 0.25  # s, x what its client will wait: what is not known is held so long for it
--- a/lathe/answering.py
+++ b/ashlift/proxy/responses.py
@@ -4,8 +4,8 @@
 from http import HTTPStatus
 from typing import Final
 
-from ashlift.net.replies import Reply
-from lathe.asking import HOP, Headers
+from ashlift.gatekeeper.net.replies import Reply
+from ashlift.proxy.request_reader import HOP, Headers
 
 ATTEMPT: Final = b"x-attempt-id"
 SEAL: Final = b"x-server-seal"
--- a/lathe/front.py
+++ b/ashlift/proxy/server.py
@@ -8,12 +8,12 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from ashlift.net.links import hung_up
-from jig.tables import Limits
-from lathe.answering import Answer, render
-from lathe.asking import Asked, RequestReader
-from lathe.desk import Case, Desk
-from workbench.bench import Address
+from ashlift.gatekeeper.net.links import hung_up
+from ashlift.config.routing_table import Limits
+from ashlift.proxy.responses import Answer, render
+from ashlift.proxy.request_reader import Asked, RequestReader
+from ashlift.proxy.request_handler import Case, Desk
+from ashlift.rpc.transport import Address
 
 WRITE_S = 5.0  # a client that takes no bytes for so long is gone
 BODY_S = 10.0  # between two pieces of a body
--- a/lathe/links.py
+++ b/ashlift/proxy/upstream.py
@@ -8,11 +8,11 @@
 import gevent
 from gevent import socket
 
-from ashlift.net.links import quiet
-from ashlift.net.replies import SpoiltAnswerError
-from lathe.answering import ATTEMPT, WorkerReply
-from lathe.rests import Rests
-from workbench.bench import Address
+from ashlift.gatekeeper.net.links import quiet
+from ashlift.gatekeeper.net.replies import SpoiltAnswerError
+from ashlift.proxy.responses import ATTEMPT, WorkerReply
+from ashlift.proxy.idle_connections import Rests
+from ashlift.rpc.transport import Address
 
 IDLE_S = 4.0  # an idle connection is used again for so long, or as long as `Keep-Alive` says, less a second
 IDLE_EACH = 16  # kept to one worker
@@ -67,8 +67,18 @@
         self._open: dict[str, int] = {}
         self._rests = Rests()
 
-    def exchange(self, one: Try, worker: str, address: Address, request: bytes, attempt: bytes, most: int,
-                 dial: float, left: float, repeatable: bool) -> Outcome:  # fmt: skip
+    def exchange(
+        self,
+        one: Try,
+        worker: str,
+        address: Address,
+        request: bytes,
+        attempt: bytes,
+        most: int,
+        dial: float,
+        left: float,
+        repeatable: bool,
+    ) -> Outcome:
         """Send a request and read its answer. `dial`, `left`: s; `most`: connections to this worker."""
         began = time.monotonic()
         rested = 0.0
--- a/pegboard/__main__.py
+++ b/ashlift/registry/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m pegboard`: the registry of one core machine, as its settings file says."""
+"""`python3 -m ashlift.registry`: the registry of one core machine, as its settings file says."""
 
 import os
 import secrets
@@ -10,17 +10,17 @@
 import gevent
 from gevent.event import Event
 
-from jig import settings as jig_settings
-from jig.settings import Settings
-from pegboard.door import Door, Resource
-from pegboard.loops import Bell, Calls, Loops
-from pegboard.registry import Registry, Self
-from pegboard.belonging import Belonging
-from pegboard.resources import Config, Evacuation, Instances, Lookup, Status
-from pegboard.routes import Desk, Proposals, Routes
-from pegboard.store import Store
-from workbench.bench import Address, Callers, serve
-from workbench.events import ERROR, SETTINGS_BAD, SETTINGS_READ, STARTED, STOPPING, set_up, tell
+from ashlift.config import settings as jig_settings
+from ashlift.config.settings import Settings
+from ashlift.registry.http_server import Door, Resource
+from ashlift.registry.server import Bell, Calls, Loops
+from ashlift.registry.registry import Registry, Self
+from ashlift.registry.store_membership import Belonging
+from ashlift.registry.resources import Config, Evacuation, Instances, Lookup, Status
+from ashlift.registry.route_resources import Desk, Proposals, Routes
+from ashlift.registry.store_client import Store
+from ashlift.rpc.transport import Address, Callers, serve
+from ashlift.events import ERROR, SETTINGS_BAD, SETTINGS_READ, STARTED, STOPPING, set_up, tell
 
 PATH = "/etc/ashlift/settings.toml"
 LOOK_S = 1.0  # the settings file is looked at so often
@@ -36,9 +36,14 @@
         control = settings.bindings.control or settings.bindings.directory
         assert control is not None
         me = Self(
-            settings.node_name, secrets.token_hex(4), settings.ip, settings.zone, settings.region,
-            control[1], settings.heartbeat,
-        )  # fmt: skip
+            settings.node_name,
+            secrets.token_hex(4),
+            settings.ip,
+            settings.zone,
+            settings.region,
+            control[1],
+            settings.heartbeat,
+        )
         self._registry = Registry(me, self._seeds(), settings.zones, time.monotonic())
         self._bell, callers = Bell(self._registry), Callers()
         store = Store(settings.ip, low, self._stores, callers)
@@ -115,11 +120,11 @@
     path = os.environ.get("ASHLIFT_SETTINGS", PATH)
     settings = jig_settings.read(path)
     if isinstance(settings, list):
-        set_up("pegboard", "?")
+        set_up("registry", "?")
         for fault in settings:
             tell(SETTINGS_BAD, level=ERROR, fault=fault.detail)
         return 2
-    set_up("pegboard", settings.node_name)
+    set_up("registry", settings.node_name)
     if settings.bindings.control is None and settings.bindings.directory is None:
         tell(SETTINGS_BAD, level=ERROR, fault="neither Bindings.Control nor Bindings.Directory")
         return 2
--- a/pegboard/lookup.py
+++ b/ashlift/registry/endpoint_directory.py
@@ -3,7 +3,7 @@
 import zlib
 from collections.abc import Callable, Iterable, Mapping
 
-from pegboard.records import Session
+from ashlift.registry.records import Session
 
 MOST = 64  # addresses in one answer
 LOOK_S = 0.1  # what a zone's clients are told is worked out so often
--- a/pegboard/asking.py
+++ b/ashlift/registry/http_requests.py
@@ -1,13 +1,13 @@
 """Which stores are asked for one call, and when. Pure; times are of this machine's steady clock, s.
 
 A call may be asked for at several stores: an order that was taken is acknowledged again, and none is begun
-once its caller may have gone (`vise.interface.Fence`).
+once its caller may have gone (`ashlift.configstore.messages.Fence`).
 """
 
 from collections import deque
 from typing import Any
 
-from workbench.faults import LATE, UNANSWERED, UNKNOWN, UNREACHED, UNREADY, Fault
+from ashlift.errors import LATE, UNANSWERED, UNKNOWN, UNREACHED, UNREADY, Fault
 
 UNREADY_THERE = frozenset((UNREACHED, UNREADY, UNKNOWN))  # not done, and it may be asked for again
 UNDONE = UNREADY_THERE | {LATE}  # not done
--- a/pegboard/door.py
+++ b/ashlift/registry/http_server.py
@@ -12,7 +12,7 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from workbench.bench import Address, tune
+from ashlift.rpc.transport import Address, tune
 
 HEAD_MOST = 32 << 10  # bytes of target and headers
 BODY_MOST = 64 << 10  # bytes, where a resource does not say otherwise
@@ -22,11 +22,20 @@
 STILL_S = 0.3  # s without one: it has stood still
 SETTLE_S = 0.3  # s after a stand in which what waited meanwhile is taken
 STATUSES = {
-    200: "OK", 202: "Accepted", 307: "Temporary Redirect", 400: "Bad Request", 404: "Not Found",
-    405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 412: "Precondition Failed",
-    413: "Content Too Large", 422: "Unprocessable Content", 431: "Request Header Fields Too Large",
+    200: "OK",
+    202: "Accepted",
+    307: "Temporary Redirect",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    412: "Precondition Failed",
+    413: "Content Too Large",
+    422: "Unprocessable Content",
+    431: "Request Header Fields Too Large",
     503: "Service Unavailable",
-}  # fmt: skip
+}
 
 
 @attrs.define
--- a/pegboard/tallies.py
+++ b/ashlift/registry/load_reports.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from pegboard.source import FAULT, OUT, Source
+from ashlift.registry.replicated_source import FAULT, OUT, Source
 
 OUT_GRAIN, OUT_LEAST = 0.3, 2.0  # x capacity, and requests: so far off may those told to be under way be
 SAW: Final = 3  # tenths of a failure, from which on a gatekeeper has seen any
--- a/pegboard/records.py
+++ b/ashlift/registry/records.py
@@ -5,8 +5,8 @@
 
 import attrs
 
-from jig.times import parse_time
-from workbench.faults import INVALID, Fault
+from ashlift.config.durations import parse_time
+from ashlift.errors import INVALID, Fault
 
 READY: Final = "ready"
 DRAINING: Final = "draining"
--- a/pegboard/registry.py
+++ b/ashlift/registry/registry.py
@@ -9,15 +9,15 @@
 
 import attrs
 
-from pegboard.lookup import Looks
-from pegboard.records import GONE, GONE_SEQ, Beats, Lapsed, Session, Worker, worker
-from pegboard.source import SUM, Difference, Source
-from pegboard.tallies import Said, Tallies
-from workbench.faults import INVALID, UNREADY, Fault
-from workbench.pieces import Cutter, Joiner
+from ashlift.registry.endpoint_directory import Looks
+from ashlift.registry.records import GONE, GONE_SEQ, Beats, Lapsed, Session, Worker, worker
+from ashlift.registry.replicated_source import SUM, Difference, Source
+from ashlift.registry.load_reports import Said, Tallies
+from ashlift.errors import INVALID, UNREADY, Fault
+from ashlift.rpc.sources import OPERATOR_SOURCE
+from ashlift.rpc.fragmentation import Cutter, Joiner
 
 STORES_OWN = ("Taken", "Refused/")  # what the store keeps to know resends by: no gatekeeper needs it
-WORD: Final = "vise"  # the source of the operator's word
 BEATS: Final = 3  # a worker's lease, in heartbeats
 SESSION_S: Final = 2.0  # a gatekeeper's lease from its last pull
 SILENT_S: Final = 5.0  # a source that is silent for so long is dropped
@@ -159,7 +159,11 @@
     def pull(self, body: Json, now: float) -> Fault | None:
         """A gatekeeper's call has come: its session is renewed, its adds are counted."""
         try:
-            node, adds, index = body["node"], body.get("adds") or {}, int(dict(body["have"]).get(WORD, 0))
+            node, adds, index = (
+                body["node"],
+                body.get("adds") or {},
+                int(dict(body["have"]).get(OPERATOR_SOURCE, 0)),
+            )
             ready = bool(body["ready"]) and not body.get("leaving")
             said = Session(body["front"], body["zone"], body["region"], ready, now)
             number, counts = adds.get("number", 0), dict(adds.get("counts") or {})
@@ -192,7 +196,7 @@
 
     def lacks(self, have: Mapping[str, int]) -> bool:
         """Whether somebody with this vector is to be answered at once."""
-        if self.word.version and self.word.news(have.get(WORD)):
+        if self.word.version and self.word.news(have.get(OPERATOR_SOURCE)):
             return True
         return any(source.news(have.get(name)) for name, source in self._named())
 
@@ -211,17 +215,19 @@
                 if difference.full:
                     born = self.copies[name].born if name in self.copies else self._began
                     found[name]["run"] = round(now - born, 2)
-        if self.word.version and (difference := self.word.since(have.get(WORD))):
-            told = found[WORD] = self._wire(difference, now)
+        if self.word.version and (difference := self.word.since(have.get(OPERATOR_SOURCE))):
+            told = found[OPERATOR_SOURCE] = self._wire(difference, now)
             if body.get("packs"):
-                told = self._cutter.next(have.get(WORD), told, body.get("part"), now, "part" in body)
-                found[WORD] = told
+                told = self._cutter.next(
+                    have.get(OPERATOR_SOURCE), told, body.get("part"), now, "part" in body
+                )
+                found[OPERATOR_SOURCE] = told
             late = told["version"] < self.word.version or "part" in told
         age = self.age(now)
         alive = [name for name, one in self.copies.items() if not self._late(one.heard, NAMED_S, now)]
         return {
             "sources": found,
-            "alive": [self.me.source, *alive, WORD],
+            "alive": [self.me.source, *alive, OPERATOR_SOURCE],
             "age": None if age is None else round(age, 4),
             "held": round(now - began, 4),
             "ran": self.ran(now),
@@ -490,6 +496,8 @@
                 value = value.wire()
             values[key] = value
         return {
-            "version": difference.version, "full": difference.full, "set": values, "gone": difference.gone,
-        }  # fmt: skip
-
+            "version": difference.version,
+            "full": difference.full,
+            "set": values,
+            "gone": difference.gone,
+        }
--- a/pegboard/resources.py
+++ b/ashlift/registry/resources.py
@@ -4,15 +4,15 @@
 from collections.abc import Callable
 from typing import Any
 
-from jig.settings import Settings
-from pegboard import events
-from pegboard.door import Answer, Request, Resource, refusal
-from pegboard.overview import overview
-from pegboard.records import read_beat, read_json
-from pegboard.registry import Registry
-from pegboard.store import Store
-from workbench.events import tell
-from workbench.faults import INVALID, LATE, Fault
+from ashlift.config.settings import Settings
+from ashlift.registry import events
+from ashlift.registry.http_server import Answer, Request, Resource, refusal
+from ashlift.registry.status_report import overview
+from ashlift.registry.records import read_beat, read_json
+from ashlift.registry.registry import Registry
+from ashlift.registry.store_client import Store
+from ashlift.events import tell
+from ashlift.errors import INVALID, LATE, Fault
 
 AGAIN_S = 0.3  # Retry-After where there was no clear answer
 VOUCH_S = 0.4  # an order that nothing else guards, and may be older than this, is asked for again
@@ -92,7 +92,7 @@
             return refusal(503, f"no clear answer: {answer.reason}", AGAIN_S)
         if not answer["objects"].get("Version"):
             return refusal(404, "there is no configuration yet")
-        from jig.configuration import whole  # 6 ms of a start, and seldom needed
+        from ashlift.config.operator_config import whole  # 6 ms of a start, and seldom needed
 
         return Answer(200, whole(answer["objects"]))
 
--- a/pegboard/routes.py
+++ b/ashlift/registry/route_resources.py
@@ -4,18 +4,18 @@
 from typing import TYPE_CHECKING, Any
 from urllib.parse import unquote
 
-from pegboard import events
-from pegboard.asking import UNDONE
-from pegboard.door import Answer, Request, Resource, refusal
-from pegboard.records import read_json
-from pegboard.registry import Registry
-from pegboard.resources import AGAIN_S
-from pegboard.store import Store
-from workbench.events import tell
-from workbench.faults import Fault
+from ashlift.registry import events
+from ashlift.registry.http_requests import UNDONE
+from ashlift.registry.http_server import Answer, Request, Resource, refusal
+from ashlift.registry.records import read_json
+from ashlift.registry.registry import Registry
+from ashlift.registry.resources import AGAIN_S
+from ashlift.registry.store_client import Store
+from ashlift.events import tell
+from ashlift.errors import Fault
 
 if TYPE_CHECKING:
-    from mitre.clock import Clock
+    from ashlift.route_reconciliation.hybrid_clock import Clock
 
 
 class Desk:
@@ -32,7 +32,7 @@
 
     def waiting(self, add: tuple[dict[str, Any], ...] = ()) -> tuple[dict[str, Any], list[str]]:
         """All edits that wait at stores in reach, and the IPs of these, `add` given to each first."""
-        from mitre.edits import Edit, join, read_edit
+        from ashlift.route_reconciliation.edits import Edit, join, read_edit
 
         answers = self.store.drafts(list(add))
         held = {ip: answer for ip, answer in answers.items() if not isinstance(answer, Fault)}
@@ -41,8 +41,8 @@
 
     def stamp(self, name: str, book: dict[str, Any]) -> Any:
         """A new stamp, above all that is known of the name."""
-        from mitre import clock
-        from mitre.desk import past
+        from ashlift.route_reconciliation import hybrid_clock as clock
+        from ashlift.route_reconciliation.proposals import past
 
         wall, steady = time.time(), time.monotonic()
         self._clock = self._clock or clock.Clock(self.registry.me.node, wall, steady)
@@ -74,7 +74,7 @@
     """GET and POST /routes/NAME: a route with its history; an edit of it, `{id, who, text, base}`."""
 
     def get(self, request: Request) -> Answer:
-        from mitre.desk import history
+        from ashlift.route_reconciliation.proposals import history
 
         name, map = _named(request), self._desk.map
         book, held = self._desk.waiting()
@@ -83,7 +83,7 @@
 
     def post(self, request: Request) -> Answer:
         """200: in force; 202: it waits, not in force; 409: the route is not what the edit was made on."""
-        from mitre.desk import kept, made
+        from ashlift.route_reconciliation.proposals import kept, made
 
         name, map = _named(request), self._desk.map
         body = read_json(request.body)
@@ -108,7 +108,7 @@
     """GET /proposals: what waits. POST /proposals/ID: an operator's word, `{word, who, version, over}`."""
 
     def get(self, request: Request) -> Answer:
-        from mitre.desk import listed
+        from ashlift.route_reconciliation.proposals import listed
 
         book, held = self._desk.waiting()
         found = listed(self._desk.map, book)
@@ -116,7 +116,7 @@
 
     def post(self, request: Request) -> Answer:
         """200: settled, and how; 404: no such edit waits in reach; 409, 412: look again; 503: ask again."""
-        from mitre.settling import SETTLED
+        from ashlift.route_reconciliation.merging import SETTLED
 
         body, id = read_json(request.body), _named(request)
         if not isinstance(body, dict) or body.get("word") not in ("confirm", "reject"):
--- a/pegboard/loops.py
+++ b/ashlift/registry/server.py
@@ -10,12 +10,12 @@
 import gevent
 from gevent.event import Event
 
-from pegboard import events
-from pegboard.registry import Registry
-from pegboard.store import Store
-from workbench.bench import Callers
-from workbench.events import BROKEN, CRITICAL, tell
-from workbench.faults import UNANSWERED, Fault
+from ashlift.registry import events
+from ashlift.registry.registry import Registry
+from ashlift.registry.store_client import Store
+from ashlift.rpc.transport import Callers
+from ashlift.events import BROKEN, CRITICAL, tell
+from ashlift.errors import UNANSWERED, Fault
 
 WAIT_S = 0.25  # a call is held open for so long at most
 LEAST_S = 0.05  # and for so long at least where nothing is new: a caller in a hurry must not spin
--- a/pegboard/overview.py
+++ b/ashlift/registry/status_report.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from pegboard.registry import Registry
+from ashlift.registry.registry import Registry
 
 
 def overview(registry: Registry, now: float) -> dict[str, Any]:
--- a/pegboard/store.py
+++ b/ashlift/registry/store_client.py
@@ -7,9 +7,9 @@
 import gevent
 from gevent.queue import Empty, Queue
 
-from pegboard.asking import Asking
-from workbench.bench import Callers
-from workbench.faults import LATE, UNANSWERED, UNREACHED, Fault
+from ashlift.registry.http_requests import Asking
+from ashlift.rpc.transport import Callers
+from ashlift.errors import LATE, UNANSWERED, UNREACHED, Fault
 
 ANSWER_S = 0.9  # callers move on after a second
 BYTE_S = 1e-5  # s more for each byte of a body: callers wait longer for large ones
--- a/pegboard/belonging.py
+++ b/ashlift/registry/store_membership.py
@@ -2,12 +2,12 @@
 
 from typing import Any
 
-from pegboard import events
-from pegboard.door import Answer, Request, Resource, refusal
-from pegboard.records import read_json
-from pegboard.store import Store
-from workbench.events import tell
-from workbench.faults import Fault
+from ashlift.registry import events
+from ashlift.registry.http_server import Answer, Request, Resource, refusal
+from ashlift.registry.records import read_json
+from ashlift.registry.store_client import Store
+from ashlift.events import tell
+from ashlift.errors import Fault
 
 AGAIN_S = 0.3  # Retry-After where there was no clear answer
 ORDERS = ("remove", "replace", "add")
--- a/mitre/edits.py
+++ b/ashlift/route_reconciliation/edits.py
@@ -6,9 +6,9 @@
 
 import attrs
 
-from jig.tables import host_of
-from mitre.clock import Stamp
-from workbench.faults import INVALID, Fault
+from ashlift.config.routing_table import host_of
+from ashlift.route_reconciliation.hybrid_clock import Stamp
+from ashlift.errors import INVALID, Fault
 
 Text = dict[str, Any] | None  # a route's Specification; None: there is no such route
 Book = Mapping[str, "Edit"]  # by id
--- a/mitre/settling.py
+++ b/ashlift/route_reconciliation/merging.py
@@ -11,10 +11,10 @@
 from hashlib import blake2b
 from typing import Any, Final, NamedTuple
 
-from jig import configuration
-from mitre.clock import NEVER, Stamp, above
-from mitre.edits import Edit, Text, join, rank, read_edit, same, why_not
-from workbench.faults import Fault
+from ashlift.config import operator_config as configuration
+from ashlift.route_reconciliation.hybrid_clock import NEVER, Stamp, above
+from ashlift.route_reconciliation.edits import Edit, Text, join, rank, read_edit, same, why_not
+from ashlift.errors import Fault
 
 SETTLED: Final = "Settled/"
 EDITED: Final = "Edited/"
@@ -194,9 +194,16 @@
         done = {"seq": max(seqs, default=0) + 1, "outcome": outcome, "version": version, "lost_to": lost_to}
         self.map[SETTLED + edit.id] = done
         entry = {
-            "id": edit.id, "outcome": outcome, "version": version, "on": edit.version, "who": edit.who,
-            "where": edit.where, "by": who, "at_ms": edit.stamp.ms, "lost_to": lost_to,
-        }  # fmt: skip
+            "id": edit.id,
+            "outcome": outcome,
+            "version": version,
+            "on": edit.version,
+            "who": edit.who,
+            "where": edit.where,
+            "by": who,
+            "at_ms": edit.stamp.ms,
+            "lost_to": lost_to,
+        }
         if known is None:  # a rejected edit of a route that no edit has touched: told, and worth no stamp
             known = {"stamp": [*NEVER], "id": "", "text": "", "log": []}
         self.map[EDITED + edit.name] = {**known, "log": [*known["log"], entry][-LOG_MOST:]}
--- a/mitre/desk.py
+++ b/ashlift/route_reconciliation/proposals.py
@@ -5,11 +5,11 @@
 
 import attrs
 
-from jig.configuration import current_version
-from mitre.clock import NEVER, Stamp, above
-from mitre.edits import Book, Edit, Text, read_edit, same, why_not
-from mitre.settling import EDITED, SETTLED, merge
-from workbench.faults import Fault
+from ashlift.config.operator_config import current_version
+from ashlift.route_reconciliation.hybrid_clock import NEVER, Stamp, above
+from ashlift.route_reconciliation.edits import Book, Edit, Text, read_edit, same, why_not
+from ashlift.route_reconciliation.merging import EDITED, SETTLED, merge
+from ashlift.errors import Fault
 
 
 def past(map: Mapping[str, Any], book: Book, name: str) -> Stamp:
@@ -67,8 +67,17 @@
     entries: list[dict[str, Any]] = list(map.get(EDITED + name, {"log": []})["log"])
     for one in listed(map, book):
         if one["name"] == name:
-            entries.append({
-                "id": one["id"], "outcome": "waits", "version": "", "on": one["version"], "who": one["who"],
-                "where": one["where"], "by": "", "at_ms": one["stamp"][0], "lost_to": "",
-            })  # fmt: skip
+            entries.append(
+                {
+                    "id": one["id"],
+                    "outcome": "waits",
+                    "version": "",
+                    "on": one["version"],
+                    "who": one["who"],
+                    "where": one["where"],
+                    "by": "",
+                    "at_ms": one["stamp"][0],
+                    "lost_to": "",
+                }
+            )
     return entries
--- a/workbench/bench.py
+++ b/ashlift/rpc/transport.py
@@ -20,7 +20,7 @@
 from gevent.lock import Semaphore
 from gevent.server import StreamServer
 
-from workbench.faults import INVALID, UNANSWERED, UNKNOWN, UNREACHED, Fault
+from ashlift.errors import INVALID, UNANSWERED, UNKNOWN, UNREACHED, Fault
 
 Address = tuple[str, int]
 Handler = Callable[[Any], Any]
@@ -30,8 +30,10 @@
 SILENT_MS = 2000  # TCP_USER_TIMEOUT: bytes that nobody confirms for so long end the connection
 SILENT_S = SILENT_MS / 1000  # a write of which the other side takes nothing for so long is given up
 ALIVE = {  # s of rest, s between probes, probes: so ends a connection on which nobody is there any more
-    socket.TCP_KEEPIDLE: 10, socket.TCP_KEEPINTVL: 5, socket.TCP_KEEPCNT: 3,
-}  # fmt: skip
+    socket.TCP_KEEPIDLE: 10,
+    socket.TCP_KEEPINTVL: 5,
+    socket.TCP_KEEPCNT: 3,
+}
 CALLS, ANSWERS = zlib.crc32(b"call"), zlib.crc32(b"answer")  # what the checks of either direction begin from
 _HEAD = struct.Struct(">II")
 
--- a/dovetail/board.py
+++ b/ashlift/simulation/board.py
@@ -1,25 +1,25 @@
-"""The registry's process as `pegboard.loops`, `.store` and `.resources` run it: the real registry."""
+"""The registry's process as `registry.server`, `.store` and `.resources` run it: the real registry."""
 
 from collections.abc import Callable
 from typing import Any
 
-from dovetail import store
-from dovetail.engine import Future, Loop, Machine, Net, Process, Signal, Steps
-from jig.configuration import whole
-from mitre.clock import Clock, Stamp
-from mitre.desk import kept, made, past
-from mitre.edits import Edit, join, read_edit
-from mitre.settling import SETTLED
-from pegboard.asking import UNDONE, Asking
-from pegboard.loops import ANSWER_S, GATHER_S, LEAST_S, PAUSE_S, TICK_S, WAIT_S, WATCH_S
-from pegboard.records import Worker
-from pegboard.registry import Registry, Self
-from pegboard.resources import VOUCH_S
-from pegboard.store import ANSWER_S as STORE_S
-from pegboard.store import DRAFTS_S, LATE_S, NOW
-from workbench.faults import LATE, UNANSWERED, UNREACHED, Fault
+from ashlift.simulation import store
+from ashlift.simulation.engine import Future, Loop, Machine, Net, Process, Signal, Steps
+from ashlift.config.operator_config import whole
+from ashlift.route_reconciliation.hybrid_clock import Clock, Stamp
+from ashlift.route_reconciliation.proposals import kept, made, past
+from ashlift.route_reconciliation.edits import Edit, join, read_edit
+from ashlift.route_reconciliation.merging import SETTLED
+from ashlift.registry.http_requests import UNDONE, Asking
+from ashlift.registry.server import ANSWER_S, GATHER_S, LEAST_S, PAUSE_S, TICK_S, WAIT_S, WATCH_S
+from ashlift.registry.records import Worker
+from ashlift.registry.registry import Registry, Self
+from ashlift.registry.resources import VOUCH_S
+from ashlift.registry.store_client import ANSWER_S as STORE_S
+from ashlift.registry.store_client import DRAFTS_S, LATE_S, NOW
+from ashlift.errors import LATE, UNANSWERED, UNREACHED, Fault
 
-KIND = "pegboard"
+KIND = "registry"
 CONTROL = 8200
 
 
@@ -68,7 +68,7 @@
             self._told = self.registry.news
             self._bell.ring()
 
-    # ---- calls by frames (pegboard.loops.Calls)
+    # ---- calls by frames (ashlift.registry.server.Calls)
     def _pull(self, body: Any) -> Steps:
         began, registry = self.clock(), self.registry
         fault = registry.pull(body, began)
@@ -93,7 +93,7 @@
             yield self._bell.wait(began + WAIT_S - self.clock())
         return registry.told(*asked, self.clock())
 
-    # ---- loops (pegboard.loops.Loops)
+    # ---- loops (ashlift.registry.server.Loops)
     def _tick(self) -> Steps:
         while True:
             self.registry.tick(self.clock())
@@ -171,7 +171,7 @@
         return found
 
     def _stored(self, method: str, body: Callable[[], dict[str, Any]], until: float) -> Steps:
-        """As `pegboard.store.Store` asks one store after the other."""
+        """As `ashlift.registry.store_client.Store` asks one store after the other."""
         others = [ip for ip in self._stores() if ip != self.name]
         stores = [*others, self.name] if self._hangs else [self.name, *others]
         asking, answers, turn = Asking(stores, self.clock(), until), list[tuple[str, Any]](), [Future()]
@@ -197,7 +197,7 @@
                 asking.heard(*answers.pop(0), self.clock())
         return asking.answer
 
-    # ---- outside calls (pegboard.resources): a status and a value
+    # ---- outside calls (ashlift.registry.resources): a status and a value
     def _beat(self, body: tuple[str, dict[str, Any]]) -> Any:
         key, fields = body
         now = self.clock()
@@ -233,7 +233,7 @@
         map = answer["objects"]
         return (200, (whole(map), map)) if map.get("Version") else (404, ({}, map))
 
-    # ---- calls on single routes (pegboard.routes)
+    # ---- calls on single routes (ashlift.registry.route_resources)
     def wall(self) -> float:
         return self.loop.now + self.machine.skew
 
--- a/dovetail/callers.py
+++ b/ashlift/simulation/callers.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
-from dovetail.engine import Steps
-from dovetail.history import Change, Resend
-from dovetail.people import Operator, change, edited, patched
+from ashlift.simulation.engine import Steps
+from ashlift.simulation.history import Change, Resend
+from ashlift.simulation.people import Operator, change, edited, patched
 
 PAUSE_S = (0.4, 1.6)  # between one order and the next, by chance
 AGAIN = 0.4  # share of changes that are sent again once they are taken
@@ -65,6 +65,6 @@
     def _resend(self, made: Change) -> Steps:
         """One call of what was taken."""
         sent, at = self.loop.now, self._first()
-        answer: Any = yield self.call(at, "pegboard", "order", made.order(), 1.0)
+        answer: Any = yield self.call(at, "registry", "order", made.order(), 1.0)
         status = answer[0] if isinstance(answer, tuple) else 0
         self.history.resends.append(Resend(made, at, sent, self.loop.now, status))
--- a/dovetail/chance.py
+++ b/ashlift/simulation/chance.py
@@ -5,8 +5,8 @@
 
 from attrs import evolve
 
-from dovetail.scene import Line, Play, Scene
-from dovetail.world import Plan
+from ashlift.simulation.scene import Line, Play, Scene
+from ashlift.simulation.world import Plan
 
 CALM_S = 9.0  # at the end of a run: all is well again and what was acknowledged is read back
 ZONES = ["z1", "z2", "z3", "z4", "z5", "z6"]
@@ -73,7 +73,7 @@
                 ["oneway", "core", "|", one, *span],
                 ["cut", *core[:2], "|", *core[2:], *span],
                 ["kill", "core", "*"],
-                ["kill", "pegboard", "*"],
+                ["kill", "registry", "*"],
                 ["cut", one, "|", *rest, "edge", *span],
             ]
         )
@@ -83,12 +83,12 @@
         span = ["for", f"{chance.uniform(0.3, 7.0):.2f}"]
         return chance.choice(
             [
-                ["kill", "lathe", *some],
-                ["freeze", "lathe", *some, *span],
+                ["kill", "proxy", *some],
+                ["freeze", "proxy", *some, *span],
                 ["cut", *some, "|", "core", *span],
                 ["oneway", *some, "|", "core", *span],
                 ["oneway", "core", "|", *some, *span],
-                ["term", "lathe", some[0]],
+                ["term", "proxy", some[0]],
                 ["cut", *some, "|", "workers", *span],
                 ["cut", *some, "|", "clients", *span],
             ]
--- a/dovetail/engine.py
+++ b/ashlift/simulation/engine.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Generator
 from typing import Any
 
-from workbench.bench import DIAL_S, SILENT_MS
-from workbench.faults import UNANSWERED, UNKNOWN, UNREACHED, Fault
+from ashlift.rpc.transport import DIAL_S, SILENT_MS
+from ashlift.errors import UNANSWERED, UNKNOWN, UNREACHED, Fault
 
 Steps = Generator[Any, Any, Any]  # yields seconds to sleep or a Future to wait for
 STUCK_S = SILENT_MS / 1000  # a connection whose bytes nobody confirms for so long is given up
@@ -306,9 +306,16 @@
         return future
 
     def _again(
-        self, caller: Process, to: str, kind: str, method: str, body: Any, timeout: float, dial: float,
+        self,
+        caller: Process,
+        to: str,
+        kind: str,
+        method: str,
+        body: Any,
+        timeout: float,
+        dial: float,
         future: Future,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.call(caller, to, kind, method, body, timeout, dial).pass_to(future)
 
     def _send(
--- a/dovetail/history.py
+++ b/ashlift/simulation/history.py
@@ -11,8 +11,8 @@
 
 from attrs import define, field
 
-from dovetail import linear
-from jig.tables import Table
+from ashlift.simulation import linear
+from ashlift.config.routing_table import Table
 
 HOST = "app.example"
 
@@ -206,7 +206,7 @@
         self.resends: list[Resend] = []
         self.orders: list[Order] = []
         self.copies: list[Copy] = []
-        self.errands: dict[str, Any] = {}  # edits of single routes by id (`dovetail.clerks`)
+        self.errands: dict[str, Any] = {}  # edits of single routes by id (`ashlift.simulation.clerks`)
         self.troubles: dict[str, list[list[float]]] = {}  # machine -> [from, until]
         self.planned: dict[str, list[float]] = {}  # machine -> when a trouble began that was a SIGTERM
         self.unsettled: list[list[float]] = []  # of the core
--- a/dovetail/marks.py
+++ b/ashlift/simulation/marks.py
@@ -3,7 +3,7 @@
 import math
 from abc import ABC, abstractmethod
 
-from dovetail.history import History
+from ashlift.simulation.history import History
 
 
 class Marks(ABC):
--- a/dovetail/members.py
+++ b/ashlift/simulation/members.py
@@ -2,7 +2,7 @@
 too), disks that fail or are caught in the middle of a write, processes killed, frozen, without power, wiped.
 
 Every world checks the invariants of docs/design/store.md: I1, I2, I3, I7 and I8 at every event
-(`dovetail.sworn`), I4, I5 and I6 at its end by the history of all calls (`dovetail.linear`).
+(`simulation.sworn`), I4, I5 and I6 at its end by the history of all calls (`simulation.linear`).
 """
 
 import functools
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from dovetail.linear import STALE, TAKEN, Call, Change, items, unexplained
-from dovetail.sworn import Sworn, Wrong, decide, history_of
-from vise import events
-from vise.agreement import Member
-from vise.interface import (
+from ashlift.simulation.linear import STALE, TAKEN, Call, Change, items, unexplained
+from ashlift.simulation.sworn import Sworn, Wrong, decide, history_of
+from ashlift.configstore import events
+from ashlift.configstore.replica import Member
+from ashlift.configstore.messages import (
     CALL_S,
     Answered,
     Called,
@@ -31,9 +31,9 @@
     Tell,
     Tick,
     Vote,
-)  # fmt: skip
-from vise.membership import MEMBERS, Membership, life_fits, named, quorum
-from workbench.faults import UNANSWERED, UNREACHED, UNREADY, Fault
+)
+from ashlift.configstore.membership import MEMBERS, Membership, life_fits, named, quorum
+from ashlift.errors import UNANSWERED, UNREACHED, UNREADY, Fault
 
 SEED_MOST = 3
 
--- a/dovetail/moves.py
+++ b/ashlift/simulation/moves.py
@@ -10,16 +10,29 @@
 
 from attrs import define, evolve, field
 
-from dovetail.cell import Asked, Cell, Draw, Kind, Mail, Place, Rules, forked
-from dovetail.linear import STALE, TAKEN, Call, Change, items, unexplained
-from dovetail.sworn import ZONE, Sworn, Wrong, decide, history_of
-from vise import events
-from vise.agreement import Member
-from vise.interface import (
-    CALL_S, Answered, Called, Fence, Gone, Keep, Kept, Read, Reply, Send, State, Submit, Tell, Tick,
-)  # fmt: skip
-from vise.membership import LEARNERS, Membership
-from workbench.faults import LATE, UNANSWERED, UNREADY, Fault
+from ashlift.simulation.cell import Asked, Cell, Draw, Kind, Mail, Place, Rules, forked
+from ashlift.simulation.linear import STALE, TAKEN, Call, Change, items, unexplained
+from ashlift.simulation.sworn import ZONE, Sworn, Wrong, decide, history_of
+from ashlift.configstore import events
+from ashlift.configstore.replica import Member
+from ashlift.configstore.messages import (
+    CALL_S,
+    Answered,
+    Called,
+    Fence,
+    Gone,
+    Keep,
+    Kept,
+    Read,
+    Reply,
+    Send,
+    State,
+    Submit,
+    Tell,
+    Tick,
+)
+from ashlift.configstore.membership import LEARNERS, Membership
+from ashlift.errors import LATE, UNANSWERED, UNREADY, Fault
 
 TRIP_S = 0.004  # of a message, when nothing befalls it
 FROZEN_S = 1.6  # long enough for another to lead meanwhile
@@ -219,11 +232,21 @@
         if self.script and not self.cell.rules.free:
             self._go_on()
         return evolve(
-            self.cell, now=self.now, places=self.places, mail=tuple(self.mail), count=self.count,
-            open=frozenset(self.open), calls=tuple(sorted(self.calls.items())), sworn=self.sworn,
-            script=self.script, asked_at=self.asked_at, asking=tuple(self.asking), moments=self.moments,
-            line=self.line, heard=self.heard,
-        )  # fmt: skip
+            self.cell,
+            now=self.now,
+            places=self.places,
+            mail=tuple(self.mail),
+            count=self.count,
+            open=frozenset(self.open),
+            calls=tuple(sorted(self.calls.items())),
+            sworn=self.sworn,
+            script=self.script,
+            asked_at=self.asked_at,
+            asking=tuple(self.asking),
+            moments=self.moments,
+            line=self.line,
+            heard=self.heard,
+        )
 
     # ---- what happens
     def take(self, what: Mail | str) -> None:
--- a/dovetail/store.py
+++ b/ashlift/simulation/store.py
@@ -1,16 +1,24 @@
-"""The store's process as `vise.daemon` runs it: the real member on a made disk."""
+"""The store's process as `ashlift.configstore.server` runs it: the real member on a made disk."""
 
 from collections import deque
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from dovetail.engine import Future, Loop, Machine, Net, Process, Signal, Steps
-from vise.agreement import Member
-from vise.daemon import (
-    MERGE_S, ORDER_S, PAUSE_S, READ_S, SEEK_S, STEP_S, WATCH_MOST_S, WATCH_PIECE, watched,
-)  # fmt: skip
-from vise.drafts import NAME, Drafts
-from vise.interface import (
+from ashlift.simulation.engine import Future, Loop, Machine, Net, Process, Signal, Steps
+from ashlift.configstore.replica import Member
+from ashlift.configstore.server import (
+    MERGE_S,
+    ORDER_S,
+    PAUSE_S,
+    READ_S,
+    SEEK_S,
+    STEP_S,
+    WATCH_MOST_S,
+    WATCH_PIECE,
+    watched,
+)
+from ashlift.configstore.pending_edits import NAME, Drafts
+from ashlift.configstore.messages import (
     CALL_S,
     Answered,
     Called,
@@ -26,11 +34,11 @@
     Submit,
     Tick,
 )
-from vise.orders import decide, read_fence
-from workbench.faults import INVALID, UNANSWERED, UNREACHED, UNREADY, Fault
-from workbench.pieces import Cutter
+from ashlift.configstore.commands import decide, read_fence
+from ashlift.errors import INVALID, UNANSWERED, UNREACHED, UNREADY, Fault
+from ashlift.rpc.fragmentation import Cutter
 
-KIND = "vise"
+KIND = "configstore"
 SYNC_S = (0.002, 0.012)  # a durable write takes between these
 HANGING_S = 0.02  # between two looks whether the disk hangs still
 DISK_FAULTS = ("done", "undone", "half")  # what a write in the middle of which the process ends has come to
--- a/dovetail/sworn.py
+++ b/ashlift/simulation/sworn.py
@@ -1,6 +1,6 @@
 """What the store's members have done so far, and the invariants of it (docs/design/store.md). A value.
 
-`dovetail.members` (worlds by chance) and `dovetail.cell` (the explorer) tell it what they see.
+`simulation.members` (worlds by chance) and `simulation.cell` (the explorer) tell it what they see.
 """
 
 from collections.abc import Iterable, Mapping
@@ -8,9 +8,9 @@
 
 from attrs import evolve, frozen
 
-from vise.agreement import Member
-from vise.interface import Settled, State, TermIndex, Vote, Work
-from vise.membership import MEMBERS, life_fits, named, quorum
+from ashlift.configstore.replica import Member
+from ashlift.configstore.messages import Settled, State, TermIndex, Vote, Work
+from ashlift.configstore.membership import MEMBERS, life_fits, named, quorum
 
 
 ZONE = "zone"
--- a/dovetail/wholeness.py
+++ b/ashlift/simulation/wholeness.py
@@ -3,8 +3,8 @@
 import math
 from collections.abc import Iterator
 
-from dovetail.checks import Breach, Judge
-from dovetail.history import Request
+from ashlift.simulation.checks import Breach, Judge
+from ashlift.simulation.history import Request
 
 ENOUGH = 20  # requests, fewer tell nothing of a share
 
--- a/dovetail/world.py
+++ b/ashlift/simulation/world.py
@@ -6,18 +6,22 @@
 
 from attrs import define, evolve, field
 
-from dovetail import board, keeper, store
-from dovetail.board import Board
-from dovetail.callers import Caller
-from dovetail.engine import Loop, Machine, Net, Process
-from dovetail.history import HOST
-from dovetail.keeper import Keeper
-from dovetail.marks import Marks
-from dovetail.people import Crowd, Operator, Want
-from dovetail.store import Store
-from dovetail.workers import Yard
-from jig.settings import Bindings, Bounds, Settings
-from workbench.faults import INVALID, Fault
+from ashlift.simulation import board
+
+from ashlift.simulation import keeper
+
+from ashlift.simulation import store
+from ashlift.simulation.board import Board
+from ashlift.simulation.callers import Caller
+from ashlift.simulation.engine import Loop, Machine, Net, Process
+from ashlift.simulation.history import HOST
+from ashlift.simulation.keeper import Keeper
+from ashlift.simulation.marks import Marks
+from ashlift.simulation.people import Crowd, Operator, Want
+from ashlift.simulation.store import Store
+from ashlift.simulation.workers import Yard
+from ashlift.config.settings import Bindings, Bounds, Settings
+from ashlift.errors import INVALID, Fault
 
 ZONES = {"z1": "r1", "z2": "r2", "z3": "r3", "z4": "r1", "z5": "r2", "z6": "r3"}
 BACK_S = 0.5  # a process that has ended is started again after so long
@@ -26,9 +30,9 @@
 TRAFFIC_S = 5.0  # clients come so long after the machines
 CORE, EDGE = "core", "edge"
 KINDS = {
-    "vise": [store.KIND],
-    "pegboard": [board.KIND],
-    "lathe": [keeper.KIND],
+    "configstore": [store.KIND],
+    "registry": [board.KIND],
+    "proxy": [keeper.KIND],
     "core": [store.KIND, board.KIND],
     "all": [store.KIND, board.KIND, keeper.KIND],
 }
@@ -142,7 +146,6 @@
             self.operators[name].start()
         return self.operators[name]
 
-
     def callers(self, count: int, until: float, places: list[str]) -> None:
         """So many operators with an order under way until then."""
         for number in range(count):
--- a/gauge/limits.py
+++ b/ashlift/traffic/rate_limiter.py
@@ -13,8 +13,9 @@
 from collections.abc import Container, Mapping
 from typing import NamedTuple, Protocol
 
-from gauge.unheard import KEPT_FOR, MOST, Behind, Source, Span, Unheard
-from mintfront import Bucket, window
+from ashlift.traffic.unreported_usage import KEPT_FOR, MOST, Behind, Source, Span, Unheard
+from ashlift.gatekeeper.admission import Bucket
+from ashlift.gatekeeper.admission import window
 
 Counts = dict[str, tuple[int, int]]  # by tenant: total, declined
 
@@ -55,7 +56,7 @@
 
 
 class _Tenant:
-    """Counts and limits of one tenant. Buckets are in ms (`mintfront.window`)."""
+    """Counts and limits of one tenant. Buckets are in ms (`ashlift.gatekeeper.admission.window`)."""
 
     def __init__(self) -> None:
         self.rate, self.burst, self.length, self.bound = 0.0, 0.0, 1.0, math.inf
--- a/bench/campaign.py
+++ b/benchmarks/campaign.py
@@ -24,10 +24,21 @@
 SPREADS = ("across", "all")  # which workers
 CLOSINGS = ("power_off_all", "wipe_after_ack", "kill_all")
 CLOSING_WAYS = ("", "timed", "taken")
-PLANNED = frozenset({
-    "seed_turnover", "config_change", "config_storm", "config_race", "big_config", "revoke", "evacuate",
-    "release", "scale_out", "scale_in", "roll_term",
-})  # fmt: skip
+PLANNED = frozenset(
+    {
+        "seed_turnover",
+        "config_change",
+        "config_storm",
+        "config_race",
+        "big_config",
+        "revoke",
+        "evacuate",
+        "release",
+        "scale_out",
+        "scale_in",
+        "roll_term",
+    }
+)
 WORKERS = ("srv_crash", "srv_grey", "srv_lying_health", "srv_flap")
 SPARED = {"roll_term": ("busy",)}  # words that the page names outside the line of the kind
 SHARE, LAST = (0.1, 0.3), (3.0, 8.0)
@@ -65,12 +76,17 @@
 # Per kind and class: the words that make a cell beside the kind's own ones.
 ADDED: dict[tuple[str, str], tuple[str, ...]] = {
     **{(kind, ""): SPREADS for kind in WORKERS},
-    ("node_kill", "core"): (*AIMS, *RETURNS), ("roll_term", "core"): ("leader", *RETURNS),
-    ("herd_kill", "core"): RETURNS, ("after_ack_kill", ""): RETURNS,
-    ("after_ack_wipe", ""): ("kill", "timed", "taken", *RETURNS), ("zone_loss", ""): RETURNS,
-    ("core_cut", ""): (*AIMS, *RETURNS, *CUTS), ("node_cut", ""): CUTS,
-    ("clock_step", ""): AIMS, ("disk_full", ""): AIMS,
-}  # fmt: skip
+    ("node_kill", "core"): (*AIMS, *RETURNS),
+    ("roll_term", "core"): ("leader", *RETURNS),
+    ("herd_kill", "core"): RETURNS,
+    ("after_ack_kill", ""): RETURNS,
+    ("after_ack_wipe", ""): ("kill", "timed", "taken", *RETURNS),
+    ("zone_loss", ""): RETURNS,
+    ("core_cut", ""): (*AIMS, *RETURNS, *CUTS),
+    ("node_cut", ""): CUTS,
+    ("clock_step", ""): AIMS,
+    ("disk_full", ""): AIMS,
+}
 CLASSES = {"node_kill": ("front", "core"), "roll_term": ("front", "core"), "herd_kill": ("front", "core")}
 FRONT_ONLY, CORE_ONLY = {("roll_term", "busy")}, {("herd_kill", "taken")}
 LONG_CUT_S = 21.0  # a cut that outlasts every lease and time-out
--- a/bench/hunt.py
+++ b/benchmarks/hunt.py
@@ -1,4 +1,4 @@
-"""Draws, plays and counts campaigns of troubles: `python -m bench.hunt draw|play|table --help`.
+"""Draws, plays and counts campaigns of troubles: `python -m benchmarks.hunt draw|play|table --help`.
 
 draw SITE KINDS OUT writes days as TOML (KINDS: a file with the text of `fleetbench kinds SITE`); play OUT
 plays those that have no report yet, a few at once, each by one `fleetbench run`; table OUT... prints kinds by
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from bench.campaign import Campaign, Day, Entry, cells_of, site_of, table
+from benchmarks.campaign import Campaign, Day, Entry, cells_of, site_of, table
 
 
 def draw(site: Path, kinds: Path, out: Path, count: int, seed: int) -> None:
@@ -51,8 +51,18 @@
 
     def one(name: str) -> tuple[str, str]:
         log = out / f"{name}.txt"
-        call = [str(bench), "run", site, str(out / f"{name}.toml"), "--jobs", "1", "--why", f"{why} {name}",
-                "--report", str(out / f"{name}.json")]  # fmt: skip
+        call = [
+            str(bench),
+            "run",
+            site,
+            str(out / f"{name}.toml"),
+            "--jobs",
+            "1",
+            "--why",
+            f"{why} {name}",
+            "--report",
+            str(out / f"{name}.json"),
+        ]
         with log.open("w") as file:
             subprocess.run(call, stdout=file, stderr=subprocess.STDOUT, check=False)
         return name, verdict(out / f"{name}.json")
@@ -80,7 +90,7 @@
 
 
 def main(words: list[str]) -> int:
-    parser = argparse.ArgumentParser(prog="bench.hunt", description=__doc__)
+    parser = argparse.ArgumentParser(prog="benchmarks.hunt", description=__doc__)
     verbs = parser.add_subparsers(dest="verb", required=True)
     drawn = verbs.add_parser("draw")
     drawn.add_argument("site", type=Path)
--- a/bench/peers.py
+++ b/benchmarks/peers.py
@@ -1,6 +1,6 @@
 """Stand-ins for the measurements, each a process of its own: an execute node, a bare relay, bulk clients.
 
-    python -m bench.peers node | relay TARGET | down ADDRESS BYTES RATE WINDOW | up ADDRESS BYTES RATE
+    python -m benchmarks.peers node | relay TARGET | down ADDRESS BYTES RATE WINDOW | up ADDRESS BYTES RATE
 
 Servers print their address and run until they are killed; clients print one line of JSON.
 """
--- a/bench/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,4 +1,4 @@
-"""python -m bench.scale [cores | run | compare | all | page] [--out FILE] [--sizes N,N...] [--quick]
+"""python -m benchmarks.scale [cores | run | compare | all | page] [--out FILE] [--sizes N,N...] [--quick]
 
 `cores`: pure parts, by size. `run`: processes, in proportion until they break, then with few objects in the
 configuration up to the whole number of gatekeepers. `compare`: hollow gatekeepers beside real ones. `all`
@@ -21,7 +21,7 @@
 
 import attrs
 
-from bench.scale.target import SIZES, TARGET
+from benchmarks.scale.target import SIZES, TARGET
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 OUT = ROOT / "docs" / "capacity" / "scale.json"
@@ -38,7 +38,7 @@
     """Two sizes at a time, each in a process of its own; the largest begins."""
 
     def one(size: int) -> Json:
-        words = ["-m", "bench.scale", "core", "--sizes", str(size), "--repeats", str(repeats)]
+        words = ["-m", "benchmarks.scale", "core", "--sizes", str(size), "--repeats", str(repeats)]
         done = subprocess.run([sys.executable, *words], cwd=ROOT, capture_output=True, text=True, check=True)
         _tell(f"cores of {size}")
         return {**json.loads(done.stdout), "load": os.getloadavg()[0]}
@@ -50,8 +50,8 @@
 
 def _runs(sizes: tuple[int, ...], core: int, quick: bool, keep: Callable[[Json], None]) -> None:
     """`keep` is called after each size, so that it stays where a later one does not come to its end."""
-    from bench.scale.runs import play
-    from bench.scale.site import Options
+    from benchmarks.scale.runs import play
+    from benchmarks.scale.site import Options
 
     made: Json = {"in proportion": {}, "few objects": {}}
     if quick:
@@ -76,8 +76,8 @@
 
 
 def _compared(sizes: tuple[int, ...]) -> Json:
-    from bench.scale.runs import compare
-    from bench.scale.site import Options
+    from benchmarks.scale.runs import compare
+    from benchmarks.scale.site import Options
 
     return {str(size): compare(size, Options(hosts=1), _tell) for size in sizes}
 
@@ -102,7 +102,7 @@
 
 def main(words: list[str]) -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m bench.scale",
+        prog="python -m benchmarks.scale",
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -118,12 +118,12 @@
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))  # what was started is ended on the way out
     sizes = tuple(int(one) for one in asked.sizes.split(",") if one) or SIZES
     if asked.what == "core":
-        from bench.scale.cores import measure
+        from benchmarks.scale.cores import measure
 
         print(json.dumps(measure(sizes[0], repeats=asked.repeats)))
         return 0
     if asked.what == "page":
-        from bench.scale.page import write
+        from benchmarks.scale.page import write
 
         return write(json.loads(asked.out.read_text()), ROOT / "docs")
     if asked.what in ("all", "cores"):
--- a/bench/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,6 +1,6 @@
-"""Hollow gatekeepers and workers: many in one process, started by `bench.scale.runs`.
+"""Hollow gatekeepers and workers: many in one process, started by `benchmarks.scale.runs`.
 
-    python -m bench.scale.hollow < orders
+    python -m benchmarks.scale.hollow < orders
 
 A hollow gatekeeper is the real `News`, `Pulling` and `Gate` on real connections, so that sessions, pulls,
 adds and proofs are those of a real one; its ledger keeps versions and proofs and throws records away, and
@@ -19,17 +19,17 @@
 from gevent import socket
 from gevent.fileobject import FileObject
 
-from ashlift.net.replies import Reply
-from bench.scale.target import Size, drawn, tenant, worker_address, worker_id
-from gauge.limits import Counts, Limiter
-from jig.settings import Bindings, Settings
-from jig.tables import Table
-from lathe import pulling
-from lathe.gate import Gate
-from lathe.ledger import WORD, Change, Ledger
-from lathe.news import News
-from workbench import pieces
-from workbench.faults import Fault
+from ashlift.gatekeeper.net.replies import Reply
+from benchmarks.scale.target import Size, drawn, tenant, worker_address, worker_id
+from ashlift.traffic.rate_limiter import Counts, Limiter
+from ashlift.config.settings import Bindings, Settings
+from ashlift.config.routing_table import Table
+from ashlift.proxy import registry_client as pulling
+from ashlift.proxy.request_router import Gate
+from ashlift.proxy.cluster_view import Change, Ledger
+from ashlift.proxy.configuration_updates import News
+from ashlift.rpc import fragmentation as pieces
+from ashlift.errors import Fault
 
 Json = dict[str, Any]
 ANSWER_S = 1.0  # a worker waits so long for its beat's answer
@@ -321,7 +321,7 @@
         print(json.dumps(host.order(json.loads(line))), flush=True)
 
 
-__all__ = ["WORD", "Gatekeeper", "Host", "HollowLedger", "HollowLimiter", "Worker"]
+__all__ = ["Gatekeeper", "Host", "HollowLedger", "HollowLimiter", "Worker"]
 
 if __name__ == "__main__":
     main()
--- a/bench/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any, Final
 
-from bench.scale.fit import line
-from bench.scale.reckoned import Cores, Model, limits
-from bench.scale.target import CORE, GATEKEEPER_BYTES, GATEKEEPER_CORE, GATEKEEPER_MB, TARGET
+from benchmarks.scale.fit import line
+from benchmarks.scale.reckoned import Cores, Model, limits
+from benchmarks.scale.target import CORE, GATEKEEPER_BYTES, GATEKEEPER_CORE, GATEKEEPER_MB, TARGET
 
 Json = dict[str, Any]
 Row = list[str]
@@ -158,7 +158,7 @@
             rows.append([kind, f"{int(size):,}", "; ".join(one["broken"]) or "-", *[""] * 10])
             continue
         idle = _calm(one)
-        registry, store, gate = idle["pegboard"], idle["vise"], idle.get("lathe", {})
+        registry, store, gate = idle["registry"], idle["configstore"], idle.get("proxy", {})
         pulls = idle["gatekeepers"]["pulls_s"]
         hollow = idle["hollow"]["kinds"].get("pull", {})
         hosts, count = idle["hollow"]["processes"], one["size"]["gatekeepers"] - one["real"]
@@ -234,7 +234,7 @@
                 shown(change.get("s")),
                 f"{shown(change.get('half_s'))} / {shown(change.get('all_s'))}",
                 more,
-                shown(churn.get("pegboard", {}).get("core")),
+                shown(churn.get("registry", {}).get("core")),
                 shown(loss.get("oldest_proof_s")),
                 shown(loss.get("all_fresh_again_s")),
                 shown(loss.get("pulls_missed")),
@@ -271,8 +271,8 @@
                     f"{window['rate']:g}",
                     shown(told["entries_s"] / max(1.0, told["pulls_s"])),
                     shown(hollow.get("received_s", 0.0) * hosts / count),
-                    shown(window["pegboard"]["core"]),
-                    shown(window["pegboard"]["core_most"]),
+                    shown(window["registry"]["core"]),
+                    shown(window["registry"]["core_most"]),
                     shown(window["hollow"]["core_most"]),
                     shown(told["wait_ms"]),
                     shown(told["missed_s"]),
@@ -422,7 +422,7 @@
     ]
     for rate in sorted({window["rate"] for _, windows in few for window in windows}):
         points = [
-            (size, window["pegboard"]["core"])
+            (size, window["registry"]["core"])
             for size, windows in few
             for window in windows
             if window["rate"] == rate
--- a/trials/test_tenant_steps.py
+++ b/tests/cli/test_tenant_steps.py
@@ -11,10 +11,10 @@
 
 from ward import test
 
-from jig.settings import Settings, parse
-from lathe.gate import Gate, Live, Turn
-from pegboard.registry import Registry, Self
-from trials.gate_scenes import SETTINGS, WORD
+from ashlift.config.settings import Settings, parse
+from ashlift.proxy.request_router import Gate, Live, Turn
+from ashlift.registry.registry import Registry, Self
+from tests.support.request_router_scenarios import SETTINGS, WORD
 
 STEP_S, STEPS = 0.001, 6
 NEW = {"Version": "00000002", "Tenants/new": {"ApiKeys": ["n"], "RatePerS": 5, "BurstSize": 5}}
--- a/trials/test_orders.py
+++ b/tests/configstore/test_commands.py
@@ -6,14 +6,14 @@
 
 from ward import each, test
 
-from dovetail.world import Plan, first_configuration
-from jig.configuration import digest
-from pegboard.asking import AGAIN_S, HEDGE_S, Asking
-from pegboard.door import SETTLE_S, STILL_S, Awake
-from pegboard.records import read_json
-from vise.interface import Settled, Work
-from vise.orders import FORGOTTEN, REFUSED, REFUSED_MOST, TAKEN_MOST, decide
-from workbench.faults import LATE, UNANSWERED, UNREACHED, UNREADY, Fault
+from ashlift.simulation.world import Plan, first_configuration
+from ashlift.config.operator_config import digest
+from ashlift.registry.http_requests import AGAIN_S, HEDGE_S, Asking
+from ashlift.registry.http_server import SETTLE_S, STILL_S, Awake
+from ashlift.registry.records import read_json
+from ashlift.configstore.messages import Settled, Work
+from ashlift.configstore.commands import FORGOTTEN, REFUSED, REFUSED_MOST, TAKEN_MOST, decide
+from ashlift.errors import LATE, UNANSWERED, UNREACHED, UNREADY, Fault
 
 FIRST = first_configuration(Plan())
 Map = dict[str, Any]
--- a/trials/test_vise_shelf.py
+++ b/tests/configstore/test_snapshot_storage.py
@@ -16,17 +16,17 @@
 from attrs import evolve
 from ward import each, fixture, raises, test
 
-from jig.settings import Settings
-from vise import daemon as daemons
-from vise import events
-from vise import shelf as shelves
-from vise.daemon import Disk
-from vise.interface import Keep, Settled, State, Vote, Work
-from vise.news import News
-from vise.orders import TAKEN, TAKEN_MOST, decide
-from vise.ranges import RangedMap
-from vise.shelf import Shelf
-from workbench.faults import REFUSED, Fault
+from ashlift.config.settings import Settings
+from ashlift.configstore import server as daemons
+from ashlift.configstore import events
+from ashlift.configstore import snapshot_storage as shelves
+from ashlift.configstore.server import Disk
+from ashlift.configstore.messages import Keep, Settled, State, Vote, Work
+from ashlift.configstore.committed_state import News
+from ashlift.configstore.commands import TAKEN, TAKEN_MOST, decide
+from ashlift.configstore.ranged_map import RangedMap
+from ashlift.configstore.snapshot_storage import Shelf
+from ashlift.errors import REFUSED, Fault
 
 SYNCS = 3  # of one write: data, index, folder
 
--- a/tests/standins.py
+++ b/tests/gatekeeper/standins.py
@@ -11,7 +11,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from ashlift.ratelimit.messages import is_negative
+from ashlift.gatekeeper.ratelimit.messages import is_negative
 
 
 class ManualClock:
--- a/tests/test_exchanges.py
+++ b/tests/gatekeeper/test_exchanges.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.play import play
+from tests.gatekeeper.play import play
 
 EXCHANGES = sorted((Path(__file__).parent / "exchanges").glob("*.txt"))
 
--- a/tests/test_fleet.py
+++ b/tests/gatekeeper/test_fleet.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from mintfront import interface as i
-from tests.fleet import SETTINGS, Fleet
+from ashlift.gatekeeper.admission import interface as i
+from tests.gatekeeper.fleet import SETTINGS, Fleet
 
 
 def replaced(fleet: Fleet, share: float) -> list[str]:
--- a/tests/test_random_orders.py
+++ b/tests/gatekeeper/test_random_orders.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from mintfront import Gateway
-from mintfront import interface as i
-from tests.helpers import BASE, KEYED, PROVES_NOT_RUN, PURE, UNSAFE
+from ashlift.gatekeeper.admission import Gateway
+from ashlift.gatekeeper.admission import interface as i
+from tests.gatekeeper.helpers import BASE, KEYED, PROVES_NOT_RUN, PURE, UNSAFE
 
 CEILING = i.Plan(rate=2, burst=6, ceiling_rate=0.5, ceiling_burst=4, ceiling_slack=2)  # a ceiling that binds
 PLANS = (CEILING, i.Plan(max_out=3), i.Plan(rate=3, burst=9, max_out=4), i.Plan())
