--- a/ashlift/route_reconciliation/map_draft.py
+++ b/ashlift/route_reconciliation/map_draft.py
@@ -85,7 +85,7 @@
             if not are_equal(current, edit.specification):
                 return ConflictReason.SPECIFICATION.value
             version = operator_config.current_version(self.entries)
-            self.record_outcome(edit, Outcome.IN_FORCE, version, edit.author)
+            self.record_outcome(edit, Outcome.APPLIED, version, edit.author)
             return None
         reason = conflict_reason(self.entries, edit.route, edit.specification, edit.base_specification)
         if reason is not None:
@@ -103,7 +103,7 @@
             history, edit.id, edit.specification, timestamp
         )
         version = operator_config.current_version(self.entries)
-        self.record_outcome(edit, Outcome.IN_FORCE, version, operator)
+        self.record_outcome(edit, Outcome.APPLIED, version, operator)
         return None
 
     def record_outcome(self, edit: RouteEdit, outcome: Outcome, version: str, operator: str) -> Record:
--- a/ashlift/route_reconciliation/stored_records.py
+++ b/ashlift/route_reconciliation/stored_records.py
@@ -31,7 +31,7 @@
 class Outcome(StrEnum):
     """What became of an edit. The values are the words on disk and on the wire."""
 
-    IN_FORCE = "in force"
+    APPLIED = "in force"
     LOST = "lost"  # a newer edit of the route is in force
     REJECTED = "rejected"  # by an operator
     CONFLICT = "conflict"  # never stored: it waits for an operator, or for the map to change
--- a/ashlift/simulation/route_edits.py
+++ b/ashlift/simulation/route_edits.py
@@ -40,7 +40,7 @@
         """Note what a registry answered: a status and a value, or a failure."""
         if isinstance(answer, tuple):
             self.status = answer[0]
-            if answer[0] == 200 and answer[1]["outcome"] == Outcome.IN_FORCE:
+            if answer[0] == 200 and answer[1]["outcome"] == Outcome.APPLIED:
                 self.acknowledged = now
 
 
@@ -116,7 +116,7 @@
     outcomes = {edit_id: outcome_of(entries, edit_id) or {} for edit_id in history.route_edits}
     for edit_id in sorted(outcomes, key=lambda edit_id: str(outcomes[edit_id].get("version"))):
         outcome = outcomes[edit_id]
-        if outcome.get("outcome") == Outcome.IN_FORCE:
+        if outcome.get("outcome") == Outcome.APPLIED:
             _add_change(history, history.route_edits[edit_id], outcome["version"])
 
 
