--- a/ashlift/configstore/commands.py
+++ b/ashlift/configstore/commands.py
@@ -86,8 +86,8 @@
         case _:
             result = merging.decide_edit(current, command.body)
     if not result.changed and not result.removed:
-        return ReadOnlyResult(result.answer)
-    return Proposal(result.changed, result.removed, result.answer)
+        return ReadOnlyResult(result.response)
+    return Proposal(result.changed, result.removed, result.response)
 
 
 def _decide_evacuation(current: Mapping[str, Any], zone: str, evacuated: bool) -> Proposal | ReadOnlyResult:
--- a/ashlift/route_reconciliation/map_draft.py
+++ b/ashlift/route_reconciliation/map_draft.py
@@ -40,7 +40,7 @@
 
     changed: dict[str, Any]
     removed: list[str]
-    answer: dict[str, Any]
+    response: dict[str, Any]
 
 
 class MapDraft:
@@ -50,10 +50,10 @@
         self._current = current
         self.entries = dict(current)
 
-    def result(self, answer: dict[str, Any]) -> CommandResult:
+    def result(self, response: dict[str, Any]) -> CommandResult:
         """What has changed. Outcomes and histories beyond what is kept are dropped, the oldest first."""
         if self.entries == self._current:
-            return CommandResult({}, [], answer)
+            return CommandResult({}, [], response)
         self._trim(OUTCOME_PREFIX, MAX_OUTCOMES, outcome_sequence)
         for history in self._trim(HISTORY_PREFIX, MAX_HISTORIES, newest_timestamp):
             dropped = self.entries.get(DROPPED_HISTORY_TIMESTAMP, [*NEVER])
@@ -64,7 +64,7 @@
             if key not in self._current or self._current[key] is not value
         }
         removed = [key for key in self._current if key not in self.entries]
-        return CommandResult(changed, removed, answer)
+        return CommandResult(changed, removed, response)
 
     def newest_timestamp(self, route: str) -> HybridTimestamp | None:
         """Of the newest edit of the route that is known to have been in force."""
--- a/tests/route_reconciliation/test_edits.py
+++ b/tests/route_reconciliation/test_edits.py
@@ -81,4 +81,4 @@
     ]
     for bad in (None, {}, [1], *(good | fields for fields in wrong_fields)):
         assert not decode_edit(bad)
-        assert decide(BASE, "edit", {"edit": bad}).answer["status"] == 400
+        assert decide(BASE, "edit", {"edit": bad}).response["status"] == 400
--- a/tests/support/route_edits.py
+++ b/tests/support/route_edits.py
@@ -80,7 +80,7 @@
     assert not isinstance(
         operator_config.load_configuration(operator_config.export_configuration(after)), list
     )
-    return after, result.answer
+    return after, result.response
 
 
 def merged(entries: Map, batches: Iterable[Sequence[RouteEdit]]) -> Map:
@@ -89,7 +89,7 @@
     for batch in batches:
         known += batch
         result = merging.merge(entries, known)
-        assert result.answer["outcomes"].keys() == {edit.id for edit in known}
+        assert result.response["outcomes"].keys() == {edit.id for edit in known}
         entries = applied(entries, result)
     return entries
 
