--- a/ashlift/rpc/fragmentation.py
+++ b/ashlift/rpc/fragmentation.py
@@ -136,7 +136,7 @@
         """The update, once it is complete; None: more fragments are to come. ValueError: it is not valid."""
         if "part" not in message:
             self._id = ""
-            return unpack_update(message) if "pack" in message else message
+            return decompress_update(message) if "pack" in message else message
         if message["id"] != self._id or message["at"] != len(self._data):
             self._id = ""
             self._data = bytearray()
@@ -150,10 +150,10 @@
         packed = {"version": message["version"], "full": self._full, "pack": bytes(self._data)}
         self._id = ""
         self._data = bytearray()
-        return unpack_update(packed)
+        return decompress_update(packed)
 
 
-def unpack_update(message: Json) -> Json:
+def decompress_update(message: Json) -> Json:
     """The update in a compressed message. ValueError: not compressed data, incomplete or too large."""
     decompressor = zlib.decompressobj()
     try:
@@ -166,8 +166,9 @@
     return {"version": message["version"], "full": message["full"], "set": values, "gone": gone}
 
 
-def unpack_sources(sources: dict[str, Json]) -> dict[str, Json]:
-    """The updates of a response by state source, none compressed. Raises ValueError as `unpack_update`."""
+def decompress_sources(sources: dict[str, Json]) -> dict[str, Json]:
+    """The updates of a response by state source, decompressed. Raises ValueError as `decompress_update`."""
     return {
-        name: unpack_update(message) if "pack" in message else message for name, message in sources.items()
+        name: decompress_update(message) if "pack" in message else message
+        for name, message in sources.items()
     }
--- a/benchmarks/scale/proxy_figures.py
+++ b/benchmarks/scale/proxy_figures.py
@@ -14,7 +14,7 @@
 from ashlift.proxy.registry_client import RegistryClient
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.registry.registry import Registry
-from ashlift.rpc.fragmentation import unpack_sources
+from ashlift.rpc.fragmentation import decompress_sources
 from ashlift.rpc.framing import MAX_FRAME_BYTES
 from ashlift.rpc.messages import encode_request
 from ashlift.rpc.sources import OPERATOR_SOURCE
@@ -97,7 +97,7 @@
     def _measure_first_response(self) -> None:
         """The parts of the first response, one after the other: configuration, workers, usage totals."""
         configuration = {OPERATOR_SOURCE: self._full_response["sources"][OPERATOR_SOURCE]}
-        updates = unpack_sources(self._full_response["sources"])
+        updates = decompress_sources(self._full_response["sources"])
         self._measure_part(
             "gatekeeper: configuration, ms",
             "gatekeeper: memory of the configuration and limits, MB",
--- a/benchmarks/scale/simulated_proxies.py
+++ b/benchmarks/scale/simulated_proxies.py
@@ -39,12 +39,12 @@
     """Unpacks the newest packed update once for all proxies of this process."""
 
     def __init__(self) -> None:
-        self._unpack = fragmentation.unpack_update
+        self._unpack = fragmentation.decompress_update
         self._newest: dict[bytes, Json] = {}
 
     def install(self) -> None:
         """Let everything in this process unpack through this object."""
-        fragmentation.unpack_update = self.unpack
+        fragmentation.decompress_update = self.unpack
 
     def unpack(self, message: Json) -> Json:
         """The update that a message carries packed."""
--- a/tests/proxy/test_registry_client.py
+++ b/tests/proxy/test_registry_client.py
@@ -13,7 +13,7 @@
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.registry import Registry
 from ashlift.rpc.client import CONNECT_TIMEOUT_SECONDS
-from ashlift.rpc.fragmentation import unpack_update
+from ashlift.rpc.fragmentation import decompress_update
 from ashlift.rpc.messages import encode_response
 from ashlift.rpc.sources import OPERATOR_SOURCE
 from tests.support.registry_wire import pull_response
@@ -101,13 +101,13 @@
         pull_response(packer, body, 0.0, 0.0),
         pull_response(packer, {**body, "packs": True}, 0.0, 0.0),
     )
-    packed["sources"][OPERATOR_SOURCE] = unpack_update(compressed := packed["sources"][OPERATOR_SOURCE])
+    packed["sources"][OPERATOR_SOURCE] = decompress_update(compressed := packed["sources"][OPERATOR_SOURCE])
     assert packed["sources"] == plain["sources"]
     packed["sources"][OPERATOR_SOURCE] = compressed
     assert 8 * len(encode_response(1, packed)) < len(encode_response(1, plain))
     packed["sources"][OPERATOR_SOURCE]["pack"] = packed["sources"][OPERATOR_SOURCE]["pack"][:-9]
     with raises(ValueError):
-        unpack_update(packed["sources"][OPERATOR_SOURCE])
+        decompress_update(packed["sources"][OPERATOR_SOURCE])
 
 
 @test("an answer that cannot be read is as none: the next registry is asked")
