--- a/ashlift/events.py
+++ b/ashlift/events.py
@@ -32,7 +32,7 @@
 STOPPING: Final = EventType(102, "stopping")
 SETTINGS_READ: Final = EventType(103, "settings reloaded")
 SETTINGS_INVALID: Final = EventType(104, "settings invalid")
-INVARIANT_VIOLATED: Final = EventType(105, "invariant violated")
+UNHANDLED_ERROR: Final = EventType(105, "invariant violated")
 INVARIANT_BROKEN: Final = EventType(107, "invariant does not hold")
 METRICS_UNAVAILABLE: Final = EventType(106, "metrics endpoint unavailable")
 
--- a/ashlift/lab/system/program_health.py
+++ b/ashlift/lab/system/program_health.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from ashlift.errors import Failure
-from ashlift.events import INVARIANT_BROKEN, INVARIANT_VIOLATED
+from ashlift.events import INVARIANT_BROKEN, UNHANDLED_ERROR
 from ashlift.lab.checker import Verdict
 from ashlift.lab.system.http_exchange import exchange, request_head
 from ashlift.metrics import INVARIANT_VIOLATIONS
@@ -15,7 +15,7 @@
 VERDICT_NAME: Final = "INVARIANTS"
 METRICS_TIMEOUT_SECONDS: Final = 2.0
 MAX_NAMED_PROBLEMS: Final = 5
-VIOLATION_LINE: Final = re.compile(rf" (?:{INVARIANT_BROKEN.number}|{INVARIANT_VIOLATED.number}) .*")
+VIOLATION_LINE: Final = re.compile(rf" (?:{INVARIANT_BROKEN.number}|{UNHANDLED_ERROR.number}) .*")
 VIOLATION_COUNT: Final = re.compile(rf'^{INVARIANT_VIOLATIONS.name}\{{invariant="(.*)"\}} (\S+)$', re.M)
 
 
--- a/ashlift/process.py
+++ b/ashlift/process.py
@@ -10,7 +10,7 @@
 
 import gevent
 
-from ashlift.events import CRITICAL, INVARIANT_VIOLATED, log_event
+from ashlift.events import CRITICAL, UNHANDLED_ERROR, log_event
 
 SETTINGS_PATH_VARIABLE: Final = "ASHLIFT_SETTINGS"
 DEFAULT_SETTINGS_PATH: Final = "/etc/ashlift/settings.toml"
@@ -51,7 +51,7 @@
     def handle_error(context: Any, kind: Any, value: Any, traceback: Any) -> None:
         if kind is not None and issubclass(kind, _EXPECTED_EXCEPTIONS):
             return
-        log_event(INVARIANT_VIOLATED, level=CRITICAL, error=repr(value))
+        log_event(UNHANDLED_ERROR, level=CRITICAL, error=repr(value))
         hub.print_exception(context, kind, value, traceback)
         os._exit(EXIT_INTERNAL_ERROR)
 
--- a/ashlift/proxy/program.py
+++ b/ashlift/proxy/program.py
@@ -16,11 +16,11 @@
 from ashlift.events import (
     CRITICAL,
     ERROR,
-    INVARIANT_VIOLATED,
     SETTINGS_INVALID,
     SETTINGS_READ,
     STARTED,
     STOPPING,
+    UNHANDLED_ERROR,
     log_event,
 )
 from ashlift.invariants import Invariant, monitor
@@ -163,7 +163,7 @@
         """Run a loop in a greenlet. If it fails, the process ends: its state would go stale unnoticed."""
 
         def failed(greenlet: "gevent.Greenlet[[], None]") -> None:
-            log_event(INVARIANT_VIOLATED, level=CRITICAL, error=repr(greenlet.exception))
+            log_event(UNHANDLED_ERROR, level=CRITICAL, error=repr(greenlet.exception))
             self.invariant_violated = True
             self._stop.set()
 
--- a/ashlift/registry/replication_loops.py
+++ b/ashlift/registry/replication_loops.py
@@ -11,7 +11,7 @@
 from gevent.event import Event
 
 from ashlift.errors import Failure, FailureReason
-from ashlift.events import CRITICAL, INVARIANT_VIOLATED, log_event
+from ashlift.events import CRITICAL, UNHANDLED_ERROR, log_event
 from ashlift.registry import codec, events
 from ashlift.registry.change_notifier import ChangeNotifier
 from ashlift.registry.messages import Json
@@ -62,7 +62,7 @@
         return greenlet
 
     def _fail(self, greenlet: "gevent.Greenlet[..., None]") -> None:
-        log_event(INVARIANT_VIOLATED, level=CRITICAL, error=repr(greenlet.exception))
+        log_event(UNHANDLED_ERROR, level=CRITICAL, error=repr(greenlet.exception))
         self.failed.set()
 
     def _tick_loop(self) -> None:
