--- a/ashlift/invariants.py
+++ b/ashlift/invariants.py
@@ -42,7 +42,7 @@
         self.action = action
         self.violations: Counter[str] = Counter({invariant.value: 0 for invariant in Invariant})
 
-    def holds(self, condition: bool, invariant: Invariant, **fields: Any) -> bool:
+    def check(self, condition: bool, invariant: Invariant, **fields: Any) -> bool:
         """Whether the condition holds. `fields` say what was seen, where it does not.
 
         Raises InvariantViolationError, or ends the process, where `action` says so.
--- a/ashlift/proxy/client_connection.py
+++ b/ashlift/proxy/client_connection.py
@@ -134,7 +134,7 @@
             return
         if self._is_draining():
             log_event(events.REQUEST_UNANSWERED, level=WARNING, reason=end.value)
-        monitor.holds(end is not RequestEnd.CLOSED_HERE, Invariant.REQUEST_ANSWERED, end=end.value)
+        monitor.check(end is not RequestEnd.CLOSED_HERE, Invariant.REQUEST_ANSWERED, end=end.value)
 
     def _drop_pipelined_requests(self) -> None:
         """Count requests that were read behind one that ended the connection."""
--- a/ashlift/proxy/program.py
+++ b/ashlift/proxy/program.py
@@ -117,7 +117,7 @@
             connections=len(self.proxy_server.connections),
             open_requests=open_requests,
         )
-        monitor.holds(
+        monitor.check(
             is_grace_over or not open_requests, Invariant.REQUEST_ANSWERED, open_requests=open_requests
         )
 
--- a/ashlift/proxy/request_router.py
+++ b/ashlift/proxy/request_router.py
@@ -145,7 +145,7 @@
         Checked when a worker is chosen, and again right before anything of the request leaves for it.
         """
         region = self.load_balancer.region_of(worker)
-        return monitor.holds(
+        return monitor.check(
             not request.allowed_regions or region in request.allowed_regions,
             Invariant.ATTEMPT_REGION,
             route=request.route.name,
--- a/ashlift/registry/registry.py
+++ b/ashlift/registry/registry.py
@@ -173,7 +173,7 @@
         if not answer.other_regions:
             return True
         homes = self.home_regions.shared_home_regions(host)
-        return monitor.holds(
+        return monitor.check(
             homes is None or homes.issuperset(answer.other_regions),
             Invariant.DIRECTORY_REGION,
             host=host,
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -98,8 +98,8 @@
 def _() -> None:
     program = (
         "from ashlift.invariants import Invariant, monitor\n"
-        "assert monitor.holds(True, Invariant.ATTEMPT_REGION)\n"
-        "monitor.holds(False, Invariant.ATTEMPT_REGION, worker='w1')\n"
+        "assert monitor.check(True, Invariant.ATTEMPT_REGION)\n"
+        "monitor.check(False, Invariant.ATTEMPT_REGION, worker='w1')\n"
         "print('goes on')\n"
     )
     for value, status in (("1", EXIT_STATUS), ("", 0)):
@@ -120,5 +120,5 @@
 @test("what holds is not counted, and every invariant is shown from the start")
 def _() -> None:
     quiet = InvariantMonitor(ViolationAction.RAISE)
-    assert quiet.holds(True, Invariant.DIRECTORY_REGION)
+    assert quiet.check(True, Invariant.DIRECTORY_REGION)
     assert quiet.violations == {invariant.value: 0 for invariant in Invariant}
