--- a/ashlift/route_reconciliation/__init__.py
+++ b/ashlift/route_reconciliation/__init__.py
@@ -1,1 +1,1 @@
-"""Edits of single routes made on both sides of a network partition, and how they are merged after it."""
+"""Edits of single routes made on either side of a network partition, and their merge after it heals."""
--- a/ashlift/route_reconciliation/edit_codec.py
+++ b/ashlift/route_reconciliation/edit_codec.py
@@ -1,4 +1,4 @@
-"""Edits of routes on the wire and on disk: the only module that knows their keys."""
+"""Encodes and decodes route edits, on the wire and on disk. No other module knows their keys."""
 
 import json
 from typing import Any, Final
@@ -7,14 +7,14 @@
 from ashlift.route_reconciliation.edits import RouteEdit
 from ashlift.route_reconciliation.hybrid_clock import HybridTimestamp
 
-MAX_NAME_CHARACTERS: Final = 200  # of a route's name, an id, an author, a node
-MAX_SPECIFICATION_CHARACTERS: Final = 8 << 10  # so that all pending edits fit a frame
+MAX_NAME_CHARACTERS: Final = 200  # limit for route names, edit ids, versions, authors and nodes
+MAX_SPECIFICATION_CHARACTERS: Final = 8 << 10  # as JSON; keeps all pending edits within one frame
 
 _WRONG_FIELD: Final = "no edit: a field is of the wrong kind, or too long"
 
 
 def encode_edit(edit: RouteEdit) -> dict[str, Any]:
-    """The edit as `decode_edit` reads it."""
+    """Encode an edit so that `decode_edit` can read it."""
     return {
         "id": edit.id,
         "name": edit.route,
@@ -30,7 +30,7 @@
 
 
 def decode_edit(value: Any) -> RouteEdit | Failure:
-    """An edit as `encode_edit` gave it; `doubt` may be missing. A Failure says what is wrong."""
+    """Decode the output of `encode_edit`, in which `doubt` may be missing; INVALID if it is malformed."""
     try:
         fields = dict(value)
         edit = RouteEdit(
@@ -49,16 +49,16 @@
         return Failure(FailureReason.INVALID, f"no edit: {error}")
     if fields:
         return Failure(FailureReason.INVALID, f"no edit: {', '.join(map(str, fields))}")
-    return edit if _is_sound(edit) else Failure(FailureReason.INVALID, _WRONG_FIELD)
+    return edit if _is_valid(edit) else Failure(FailureReason.INVALID, _WRONG_FIELD)
 
 
 def decode_timestamp(value: Any) -> HybridTimestamp:
-    """`[ms, counter, node]`. Raises LookupError, TypeError or ValueError."""
+    """Decode `[ms, counter, node]`. Raises LookupError, TypeError or ValueError if it is malformed."""
     wall_ms, counter, node = value
     return HybridTimestamp(int(wall_ms), int(counter), str(node))
 
 
-def _is_sound(edit: RouteEdit) -> bool:
+def _is_valid(edit: RouteEdit) -> bool:
     return (
         all(map(_is_name, (edit.id, edit.route, edit.base_version, edit.author, edit.node)))
         and all(map(_is_specification, (edit.specification, edit.base_specification)))
--- a/ashlift/route_reconciliation/edit_sets.py
+++ b/ashlift/route_reconciliation/edit_sets.py
@@ -1,4 +1,4 @@
-"""Sets of edits by id: joined in any order, any number of times, they come out the same. Pure."""
+"""Sets of route edits by id. Joining them is commutative, associative and idempotent. No I/O."""
 
 import json
 from collections.abc import Iterable, Mapping
@@ -12,21 +12,24 @@
 
 
 def recency(edit: RouteEdit) -> tuple[HybridTimestamp, str]:
-    """Sort key: the newest edit is the highest."""
+    """Sort key that orders edits from oldest to newest."""
     return edit.timestamp, edit.id
 
 
 def join_edits(*edit_sets: EditsById) -> dict[str, RouteEdit]:
-    """The union, whatever the order and the grouping; under one id the newest."""
+    """Return the union of the sets; of edits with the same id, the newest is kept."""
     joined: dict[str, RouteEdit] = {}
     for edits in edit_sets:
         for edit_id, edit in edits.items():
-            joined[edit_id] = _newest(joined.get(edit_id, edit), edit)
+            joined[edit_id] = _newer(joined.get(edit_id, edit), edit)
     return joined
 
 
-def _newest(edit: RouteEdit, other: RouteEdit) -> RouteEdit:
-    """Of two with one id. Were their timestamps equal too, which cannot be, their contents decide alike."""
+def _newer(edit: RouteEdit, other: RouteEdit) -> RouteEdit:
+    """Return the newer of two edits with the same id.
+
+    Equal timestamps are not expected; the contents then break the tie, so that all nodes choose alike.
+    """
     if edit == other:
         return edit
 
@@ -37,6 +40,6 @@
 
 
 def decode_edits(values: Iterable[Any]) -> dict[str, RouteEdit]:
-    """The edits among `values`, by id; what is none is left out."""
+    """Decode edits and index them by id; malformed values are skipped."""
     decoded = (decode_edit(value) for value in values)
     return {edit.id: edit for edit in decoded if isinstance(edit, RouteEdit)}
--- a/ashlift/route_reconciliation/edits.py
+++ b/ashlift/route_reconciliation/edits.py
@@ -1,4 +1,4 @@
-"""Edits of single routes: what one is, and which may be merged without an operator. Pure."""
+"""Edits of single routes, and the rules for which of them may be merged without an operator. No I/O."""
 
 import json
 from collections.abc import Mapping
@@ -11,27 +11,27 @@
 from ashlift.route_reconciliation.hybrid_clock import HybridTimestamp
 from ashlift.route_reconciliation.stored_records import route_key
 
-Specification = dict[str, Any] | None  # of a route, as the operator wrote it; None: there is no such route
+Specification = dict[str, Any] | None  # a route's Specification; None: the route does not exist
 
-IDEMPOTENT: Final = "idempotent"  # the `RouteType` whose requests may be executed more than once
+IDEMPOTENT: Final = "idempotent"  # the `RouteType` of routes whose requests may be executed more than once
 
 
 class ConflictReason(StrEnum):
-    """Why an edit must not be merged without an operator. The values are the words on the wire."""
+    """Why an edit must not be merged without an operator. The values are sent on the wire."""
 
     ROUTE_TYPE = "kind"  # a route that is not idempotent would change, or gain or lose paths
-    ADDRESS = "place"  # another route has its host and path prefix
-    HOME_REGIONS = "homes"  # the regions that may serve the route change, or have changed since
-    SPECIFICATION = "text"  # the route is not what the edit was made on
+    ADDRESS = "place"  # another route has the same host and path prefix
+    HOME_REGIONS = "homes"  # the edit changes the home regions, or they changed after it was made
+    SPECIFICATION = "text"  # the route differs from the edit's base
 
 
 @frozen
 class RouteEdit:
-    """A change of one route that an operator made; never changed itself.
+    """An operator's change of one route.
 
-    `base_specification`: the route as committed in `base_version`, as known where the edit was made.
-    `automatic`: it may merge without an operator. `in_doubt`: it was sent to a leader that gave no clear
-    answer. `node`: where it was made.
+    `base_specification`: the route as committed in `base_version`, according to the node that accepted the
+    edit. `automatic`: it may be merged without an operator. `in_doubt`: it was sent to a leader, and whether
+    the leader committed it is unknown. `node`: the node that accepted it.
     """
 
     id: str
@@ -48,28 +48,28 @@
 
 @frozen
 class RouteChanged:
-    """A route that is not what an edit was made on: what the edit wants, the current one, and its base."""
+    """An edit whose route has changed: the specification that it asks for, the current one and its base."""
 
     wanted: Specification
     current: Specification
     base: Specification
 
     def encode(self) -> dict[str, Any]:
-        """As operators get it."""
+        """Encode it for responses to operators."""
         return {"yours": self.wanted, "theirs": self.current, "base": self.base}
 
 
-def are_equal(specification: Specification, other: Specification) -> bool:
-    """Whether both are written alike: 1, 1.0 and true are three values."""
+def specifications_equal(specification: Specification, other: Specification) -> bool:
+    """Whether both have the same JSON, apart from the order of keys: 1, 1.0 and true differ."""
     return json.dumps(specification, sort_keys=True) == json.dumps(other, sort_keys=True)
 
 
 def conflict_reason(
     entries: Mapping[str, Any], route: str, wanted: Specification, base: Specification
 ) -> ConflictReason | None:
-    """Why this change of the map needs an operator after a partition; None: it may be merged.
+    """Return why an operator must confirm this change after a partition; None if it may be merged.
 
-    :param entries: the map that the change is made on.
+    :param entries: the map that the change is applied to.
     :param wanted: the route after the change.
     :param base: the route as it was when the edit was made.
     """
@@ -102,13 +102,13 @@
 
 
 def _address(specification: Mapping[str, Any]) -> tuple[str, str]:
-    """Host and path prefix."""
+    """Return the host and the path prefix."""
     host = normalize_host(str(specification.get("Host", "")))
     return host, str(specification.get("PathPrefix", ""))
 
 
 def _overlap(address: tuple[str, str], other: tuple[str, str]) -> bool:
-    """Whether some path would match either route, were the other one not there."""
+    """Whether some path has both prefixes, so that either route could match it."""
     host, prefix = address
     other_host, other_prefix = other
     return host == other_host and (prefix.startswith(other_prefix) or other_prefix.startswith(prefix))
--- a/ashlift/route_reconciliation/hybrid_clock.py
+++ b/ashlift/route_reconciliation/hybrid_clock.py
@@ -1,60 +1,64 @@
-"""A hybrid logical clock: timestamps near the time of day that never go back, whatever the time of day does.
+"""A hybrid logical clock: timestamps that stay near wall-clock time and never go back when that is set.
 
-Pure: callers pass the time of day and the steady time, both in seconds.
+No I/O: callers pass the wall-clock time and the monotonic time, both in seconds.
 """
 
 from typing import Final, NamedTuple
 
-MAX_DRIFT_MS: Final = 500  # of the time of day from the steady clock, within one run of the process
-MAX_AHEAD_MS: Final = 10_000  # a timestamp further ahead of this clock than that does not advance it
+MAX_DRIFT_MS: Final = 500  # of the wall clock relative to the monotonic clock since the process started
+MAX_AHEAD_MS: Final = 10_000  # timestamps of other nodes that are further ahead do not advance this clock
 MS_PER_SECOND: Final = 1000
 
 
 class HybridTimestamp(NamedTuple):
-    """Ordered as a tuple: the time of day in ms, a counter within the ms, and the node as the tie-break."""
+    """Compares as a tuple: wall-clock time in ms, a counter within that ms, the node as tie-breaker."""
 
     wall_ms: int
     counter: int
     node: str
 
 
-NEVER: Final = HybridTimestamp(0, 0, "")
+ZERO_TIMESTAMP: Final = HybridTimestamp(0, 0, "")
 
 
-def later_than(timestamp: HybridTimestamp, other: HybridTimestamp) -> HybridTimestamp:
-    """`timestamp` if it is later than `other`, else the first one of its node that is."""
+def advance_past(timestamp: HybridTimestamp, other: HybridTimestamp) -> HybridTimestamp:
+    """Return `timestamp` if it is later than `other`, else the first later timestamp of its node."""
     if timestamp > other:
         return timestamp
     return HybridTimestamp(other.wall_ms, other.counter + 1, timestamp.node)
 
 
 class HybridLogicalClock:
-    """The clock of one node, from its start on.
+    """The clock of one process.
 
-    The time of day is followed at most MAX_DRIFT_MS away from its first reading plus the steady time since
-    then: a jump of the time of day moves timestamps by no more.
+    Timestamps follow the wall clock within MAX_DRIFT_MS of its reading at the start plus the monotonic time
+    since then, which bounds the effect of a jump of the wall clock.
     """
 
-    def __init__(self, node: str, wall_time: float, steady_time: float) -> None:
+    def __init__(self, node: str, wall_time: float, monotonic_time: float) -> None:
         self.node = node
         self._start_wall_time = wall_time
-        self._start_steady_time = steady_time
-        self._last = NEVER
+        self._start_monotonic_time = monotonic_time
+        self._last = ZERO_TIMESTAMP
 
-    def observe(self, timestamp: HybridTimestamp, wall_time: float, steady_time: float) -> None:
-        """Take another node's timestamp: later ones of this clock are above it, unless it is far ahead."""
-        if timestamp.wall_ms <= self._read_ms(wall_time, steady_time) + MAX_AHEAD_MS:
+    def observe(self, timestamp: HybridTimestamp, wall_time: float, monotonic_time: float) -> None:
+        """Advance the clock past another node's timestamp, unless that is more than MAX_AHEAD_MS ahead."""
+        if timestamp.wall_ms <= self._read_ms(wall_time, monotonic_time) + MAX_AHEAD_MS:
             self._last = max(self._last, timestamp)
 
     def next_timestamp(
-        self, previous: HybridTimestamp, wall_time: float, steady_time: float
+        self, previous: HybridTimestamp, wall_time: float, monotonic_time: float
     ) -> HybridTimestamp:
-        """A new timestamp, above all of this clock and above `previous`, of the edit that is replaced."""
-        now = HybridTimestamp(self._read_ms(wall_time, steady_time), 0, self.node)
-        self._last = later_than(now, self._last)
-        return later_than(self._last, previous)
+        """Return a timestamp later than `previous`, that of the edit to be replaced.
 
-    def _read_ms(self, wall_time: float, steady_time: float) -> int:
-        expected_ms = (self._start_wall_time + steady_time - self._start_steady_time) * MS_PER_SECOND
+        It is later than this clock's earlier timestamps too, except those that were moved past a `previous`
+        far ahead: these do not advance the clock.
+        """
+        now = HybridTimestamp(self._read_ms(wall_time, monotonic_time), 0, self.node)
+        self._last = advance_past(now, self._last)
+        return advance_past(self._last, previous)
+
+    def _read_ms(self, wall_time: float, monotonic_time: float) -> int:
+        expected_ms = (self._start_wall_time + monotonic_time - self._start_monotonic_time) * MS_PER_SECOND
         wall_ms = wall_time * MS_PER_SECOND
         return int(min(expected_ms + MAX_DRIFT_MS, max(expected_ms - MAX_DRIFT_MS, wall_ms)))
--- a/ashlift/route_reconciliation/map_draft.py
+++ b/ashlift/route_reconciliation/map_draft.py
@@ -1,4 +1,4 @@
-"""The replicated map while a command about edits of routes is decided on it. Pure."""
+"""A working copy of the replicated map, to which a command about route edits is applied. No I/O."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
@@ -9,15 +9,15 @@
     ConflictReason,
     RouteEdit,
     Specification,
-    are_equal,
     conflict_reason,
+    specifications_equal,
 )
-from ashlift.route_reconciliation.hybrid_clock import NEVER, HybridTimestamp
+from ashlift.route_reconciliation.hybrid_clock import ZERO_TIMESTAMP, HybridTimestamp
 from ashlift.route_reconciliation.stored_records import (
-    DROPPED_HISTORY_TIMESTAMP,
     HISTORY_PREFIX,
     MAX_HISTORIES,
     MAX_OUTCOMES,
+    NEWEST_DROPPED_TIMESTAMP_KEY,
     OUTCOME_PREFIX,
     Outcome,
     Record,
@@ -32,11 +32,11 @@
     wrote_specification,
 )
 
-_TOO_OLD = "too old to be told from what came after it"
+_TOO_OLD_REASON = "too old to be told from what came after it"
 
 
 class CommandResult(NamedTuple):
-    """The keys that a command sets and removes, none if it changes nothing; its answer `{status, ...}`."""
+    """The keys that a command sets and removes, none if it changes nothing; its response `{status, ...}`."""
 
     changed: dict[str, Any]
     removed: list[str]
@@ -44,20 +44,20 @@
 
 
 class MapDraft:
-    """A copy of the map's entries that a command changes; `result` compares it with the original."""
+    """A copy of the map's entries that a command modifies; `result` compares it with the original."""
 
     def __init__(self, current: Mapping[str, Any]) -> None:
         self._current = current
         self.entries = dict(current)
 
     def result(self, response: dict[str, Any]) -> CommandResult:
-        """What has changed. Outcomes and histories beyond what is kept are dropped, the oldest first."""
+        """Return the changes, after dropping the oldest outcomes and histories beyond their limits."""
         if self.entries == self._current:
             return CommandResult({}, [], response)
         self._trim(OUTCOME_PREFIX, MAX_OUTCOMES, outcome_sequence)
         for history in self._trim(HISTORY_PREFIX, MAX_HISTORIES, newest_timestamp):
-            dropped = self.entries.get(DROPPED_HISTORY_TIMESTAMP, [*NEVER])
-            self.entries[DROPPED_HISTORY_TIMESTAMP] = max(dropped, [*newest_timestamp(history)])
+            dropped = self.entries.get(NEWEST_DROPPED_TIMESTAMP_KEY, [*ZERO_TIMESTAMP])
+            self.entries[NEWEST_DROPPED_TIMESTAMP_KEY] = max(dropped, [*newest_timestamp(history)])
         changed = {
             key: value
             for key, value in self.entries.items()
@@ -67,22 +67,22 @@
         return CommandResult(changed, removed, response)
 
     def newest_timestamp(self, route: str) -> HybridTimestamp | None:
-        """Of the newest edit of the route that is known to have been in force."""
+        """Return the timestamp of the newest applied edit of the route; None without a stored history."""
         history = history_of(self.entries, route)
         return newest_timestamp(history) if history else None
 
     def merge(self, edit: RouteEdit) -> str | None:
-        """Put an edit in force, or record that it has lost; None, or why it is a conflict."""
+        """Apply an edit, or record that it lost to a newer one; return the reason if it conflicts."""
         current: Specification = self.entries.get(route_key(edit.route))
         history = history_of(self.entries, edit.route)
         if history is not None and edit.timestamp < newest_timestamp(history):
             self.record_outcome(edit, Outcome.LOST, "", edit.author)
             return None
-        if history is None and self._is_older_than_known(edit):
-            return _TOO_OLD
+        if history is None and self._is_older_than_dropped(edit):
+            return _TOO_OLD_REASON
         written_by_edit = history is not None and wrote_specification(history, current)
-        if not written_by_edit and not are_equal(current, edit.base_specification):
-            if not are_equal(current, edit.specification):
+        if not written_by_edit and not specifications_equal(current, edit.base_specification):
+            if not specifications_equal(current, edit.specification):
                 return ConflictReason.SPECIFICATION.value
             version = operator_config.current_version(self.entries)
             self.record_outcome(edit, Outcome.APPLIED, version, edit.author)
@@ -90,11 +90,11 @@
         reason = conflict_reason(self.entries, edit.route, edit.specification, edit.base_specification)
         if reason is not None:
             return reason.value
-        return self.put_in_force(edit, edit.timestamp, edit.author)
+        return self.apply_edit(edit, edit.timestamp, edit.author)
 
-    def put_in_force(self, edit: RouteEdit, timestamp: HybridTimestamp, operator: str) -> str | None:
-        """Write the edit's route, in a version of its own; None, or why it is not a valid configuration."""
-        if not are_equal(self.entries.get(route_key(edit.route)), edit.specification):
+    def apply_edit(self, edit: RouteEdit, timestamp: HybridTimestamp, operator: str) -> str | None:
+        """Write the edit's route as a new configuration version; return the errors if that is not valid."""
+        if not specifications_equal(self.entries.get(route_key(edit.route)), edit.specification):
             failure = self._write_route(edit)
             if failure is not None:
                 return failure.detail
@@ -107,10 +107,10 @@
         return None
 
     def record_outcome(self, edit: RouteEdit, outcome: Outcome, version: str, operator: str) -> Record:
-        """Store how an edit ended, for good, and log it in its route's history.
+        """Store the final outcome of an edit and log it in its route's history.
 
-        :param version: in which it came into force, else empty.
-        :param operator: who decided; the edit's author where nobody else did.
+        :param version: the configuration version that contains the edit, empty if it was not applied.
+        :param operator: who decided; the edit's author unless an operator confirmed or rejected it.
         """
         history = history_of(self.entries, edit.route)
         lost_to = newest_edit_id(history) if history and outcome == Outcome.LOST else ""
@@ -123,9 +123,9 @@
         self.entries[HISTORY_PREFIX + edit.route] = with_log_entry(history, log_entry)
         return record
 
-    def _is_older_than_known(self, edit: RouteEdit) -> bool:
-        """Whether the history that it would have to be compared with may have been dropped."""
-        dropped: list[Any] = self.entries.get(DROPPED_HISTORY_TIMESTAMP, [*NEVER])
+    def _is_older_than_dropped(self, edit: RouteEdit) -> bool:
+        """Whether a newer edit of the route may have been applied, its history having been dropped."""
+        dropped: list[Any] = self.entries.get(NEWEST_DROPPED_TIMESTAMP_KEY, [*ZERO_TIMESTAMP])
         return [*edit.timestamp] <= dropped
 
     def _write_route(self, edit: RouteEdit) -> Failure | None:
@@ -149,7 +149,7 @@
         return None
 
     def _trim(self, prefix: str, max_count: int, age: Callable[[Any], Any]) -> list[Any]:
-        """Drop the oldest records under the prefix beyond `max_count`, and return them."""
+        """Remove the oldest records under the prefix beyond `max_count`, and return them."""
         keys = [key for key in self.entries if key.startswith(prefix)]
         keys.sort(key=lambda key: age(self.entries[key]))
         return [self.entries.pop(key) for key in keys[: max(0, len(keys) - max_count)]]
@@ -158,7 +158,7 @@
 def encode_log_entry(
     edit: RouteEdit, outcome: Outcome, *, version: str = "", operator: str = "", lost_to: str = ""
 ) -> Record:
-    """What the history of a route says of an edit."""
+    """Encode an edit as an entry in the log of its route's history."""
     return {
         "id": edit.id,
         "outcome": outcome.value,
--- a/ashlift/route_reconciliation/proposals.py
+++ b/ashlift/route_reconciliation/proposals.py
@@ -1,4 +1,4 @@
-"""Edits of routes at a registry: made of an operator's request, kept pending, shown to operators. Pure."""
+"""Route edits at a registry: decoded from operators' requests, kept pending, listed for operators. No I/O."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -14,10 +14,10 @@
     RouteChanged,
     RouteEdit,
     Specification,
-    are_equal,
     conflict_reason,
+    specifications_equal,
 )
-from ashlift.route_reconciliation.hybrid_clock import NEVER, HybridTimestamp, later_than
+from ashlift.route_reconciliation.hybrid_clock import ZERO_TIMESTAMP, HybridTimestamp, advance_past
 from ashlift.route_reconciliation.map_draft import encode_log_entry
 from ashlift.route_reconciliation.merging import merge
 from ashlift.route_reconciliation.stored_records import (
@@ -32,18 +32,18 @@
 
 
 def latest_timestamp(entries: Mapping[str, Any], pending: EditsById, route: str) -> HybridTimestamp:
-    """The newest timestamp known of a route, in the committed map or among pending edits; else NEVER."""
+    """Return the newest timestamp of a route's committed and pending edits; ZERO_TIMESTAMP without any."""
     history = history_of(entries, route)
-    committed = newest_timestamp(history) if history else NEVER
+    committed = newest_timestamp(history) if history else ZERO_TIMESTAMP
     return max([committed, *(edit.timestamp for edit in pending.values() if edit.route == route)])
 
 
 def decode_request(
     entries: Mapping[str, Any], route: str, body: Any, timestamp: HybridTimestamp, node: str
 ) -> RouteEdit | Failure:
-    """The edit that an operator's request asks for.
+    """Decode the edit in the body of an operator's request.
 
-    :param entries: the committed map as known here.
+    :param entries: the committed map as known to this registry.
     :param body: `{id, who, text, base}`.
     """
     body = body if isinstance(body, dict) else {}
@@ -61,13 +61,14 @@
 def prepare_pending(
     entries: Mapping[str, Any], pending: EditsById, edit: RouteEdit, in_doubt: bool
 ) -> RouteEdit | RouteChanged:
-    """The edit as it is to be kept pending, or how its route has changed since.
+    """Return the edit as it is to be stored as pending, or how its route differs from the edit's base.
 
-    Whether it may merge by itself is decided on the map as it will be after the pending ones are merged; its
-    timestamp is later than all that are pending for its route, whatever clocks those had.
+    It may be merged automatically if it does not conflict with the map that results from merging the other
+    pending edits. Its timestamp is moved past those of the route's other edits, whose nodes' clocks may be
+    ahead.
     """
     current: Specification = entries.get(route_key(edit.route))
-    if not are_equal(current, edit.base_specification):
+    if not specifications_equal(current, edit.base_specification):
         return RouteChanged(wanted=edit.specification, current=current, base=edit.base_specification)
     expected = merge(entries, [other for other in pending.values() if other.automatic])
     remaining = {key: value for key, value in entries.items() if key not in expected.removed}
@@ -78,14 +79,14 @@
     return evolve(
         edit,
         automatic=reason is None,
-        timestamp=later_than(edit.timestamp, latest_timestamp(entries, other_pending, edit.route)),
+        timestamp=advance_past(edit.timestamp, latest_timestamp(entries, other_pending, edit.route)),
         in_doubt=in_doubt,
     )
 
 
 def list_pending(entries: Mapping[str, Any], pending: EditsById) -> list[Record]:
-    """The pending edits, oldest first, each with its route as it is now, and why it does not merge."""
-    return [_describe(entries, edit) for edit in _unresolved(entries, pending)]
+    """Return the pending edits, oldest first, with the current route and the reason why each is pending."""
+    return [_pending_record(entries, edit) for edit in _unresolved(entries, pending)]
 
 
 def _unresolved(entries: Mapping[str, Any], pending: EditsById) -> list[RouteEdit]:
@@ -93,10 +94,10 @@
     return [edit for edit in edits if outcome_of(entries, edit.id) is None]
 
 
-def _describe(entries: Mapping[str, Any], edit: RouteEdit) -> Record:
+def _pending_record(entries: Mapping[str, Any], edit: RouteEdit) -> Record:
     current: Specification = entries.get(route_key(edit.route))
-    is_conflict = not are_equal(current, edit.base_specification)
-    reason = _reason_to_wait(entries, edit, is_conflict)
+    is_conflict = not specifications_equal(current, edit.base_specification)
+    reason = _pending_reason(entries, edit, is_conflict)
     return {
         **encode_edit(edit),
         "now": current,
@@ -105,7 +106,7 @@
     }
 
 
-def _reason_to_wait(entries: Mapping[str, Any], edit: RouteEdit, is_conflict: bool) -> ConflictReason | None:
+def _pending_reason(entries: Mapping[str, Any], edit: RouteEdit, is_conflict: bool) -> ConflictReason | None:
     if is_conflict:
         return ConflictReason.SPECIFICATION
     reason = conflict_reason(entries, edit.route, edit.specification, edit.base_specification)
@@ -115,7 +116,7 @@
 
 
 def route_history(entries: Mapping[str, Any], pending: EditsById, route: str) -> list[Record]:
-    """What became of the edits of a route, oldest first, the pending ones last."""
+    """Return the log of a route's edits, oldest first, followed by its pending edits."""
     edits = [edit for edit in _unresolved(entries, pending) if edit.route == route]
     return [
         *log_of(history_of(entries, route)),
--- a/ashlift/route_reconciliation/stored_records.py
+++ b/ashlift/route_reconciliation/stored_records.py
@@ -1,10 +1,10 @@
-"""What the replicated map holds about edits of routes: its keys and the records under them.
+"""Keys and records of route edits in the replicated map, which is stored on disk.
 
-These stand on disk, only where edits were made. Under OUTCOME_PREFIX + edit id: how an edit ended, `{seq,
-outcome, version, lost_to}`. Under HISTORY_PREFIX + route: `{stamp, id, text, log}`, that is timestamp, id and
-digest of the newest edit that came into force (kept after a withdrawal), and a log of who did what.
+OUTCOME_PREFIX + edit id: the outcome of an edit, `{seq, outcome, version, lost_to}`.
+HISTORY_PREFIX + route: `{stamp, id, text, log}`: timestamp, id and specification digest of the newest applied
+edit, which are kept after the route is withdrawn, and a log of the route's edits.
 
-Records are plain dicts whose order of keys matters: they are digested as they are encoded.
+The order of keys in these dicts matters: digests of the map are computed over their encoded form.
 """
 
 import json
@@ -13,64 +13,64 @@
 from hashlib import blake2b
 from typing import Any, Final
 
-from ashlift.route_reconciliation.hybrid_clock import NEVER, HybridTimestamp
+from ashlift.route_reconciliation.hybrid_clock import ZERO_TIMESTAMP, HybridTimestamp
 
 Record = dict[str, Any]
 
-ROUTE_PREFIX: Final = "Routes/"  # + name: the route's Specification
+ROUTE_PREFIX: Final = "Routes/"  # + route name: its Specification
 OUTCOME_PREFIX: Final = "Settled/"
 HISTORY_PREFIX: Final = "Edited/"
-DROPPED_HISTORY_TIMESTAMP: Final = "Forgotten"  # the newest timestamp of a history that was dropped
+NEWEST_DROPPED_TIMESTAMP_KEY: Final = "Forgotten"  # holds the newest timestamp of all dropped histories
 MAX_OUTCOMES: Final = 256
 MAX_HISTORIES: Final = 256
-MAX_LOG_ENTRIES: Final = 8  # of one route's history
+MAX_LOG_ENTRIES: Final = 8  # per route
 
 _DIGEST_BYTES: Final = 8
 
 
 class Outcome(StrEnum):
-    """What became of an edit. The values are the words on disk and on the wire."""
+    """What became of an edit. The values are stored on disk and sent on the wire."""
 
     APPLIED = "in force"
-    LOST = "lost"  # a newer edit of the route is in force
+    LOST = "lost"  # a newer edit of the route had been applied
     REJECTED = "rejected"  # by an operator
-    CONFLICT = "conflict"  # never stored: it waits for an operator, or for the map to change
-    PENDING = "waits"  # never stored
+    CONFLICT = "conflict"  # not stored: pending until an operator decides or the map changes
+    PENDING = "waits"  # not stored
 
 
 def route_key(route: str) -> str:
-    """The map's key of a route."""
+    """Return the key of a route in the map."""
     return ROUTE_PREFIX + route
 
 
 def outcome_of(entries: Mapping[str, Any], edit_id: str) -> Record | None:
-    """How an edit ended; None: it has not, or nothing of it is kept any more."""
+    """Return the outcome of an edit; None if it is pending, or its outcome has been dropped."""
     return entries.get(OUTCOME_PREFIX + edit_id)
 
 
 def history_of(entries: Mapping[str, Any], route: str) -> Record | None:
-    """The history of a route; None: no edit of it is known."""
+    """Return the history of a route; None if no edit of it was decided, or the history was dropped."""
     return entries.get(HISTORY_PREFIX + route)
 
 
 def newest_timestamp(history: Record) -> HybridTimestamp:
-    """Of the newest edit that came into force."""
+    """Return the timestamp of the newest applied edit; ZERO_TIMESTAMP if there is none."""
     return HybridTimestamp(*history["stamp"])
 
 
 def newest_edit_id(history: Record) -> str:
-    """Of the newest edit that came into force; empty: none has."""
+    """Return the id of the newest applied edit; empty if there is none."""
     edit_id: str = history["id"]
     return edit_id
 
 
 def wrote_specification(history: Record, specification: Mapping[str, Any] | None) -> bool:
-    """Whether this is what the newest edit in force wrote."""
+    """Whether the newest applied edit wrote this specification."""
     return bool(history["text"] == _digest(specification))
 
 
 def log_of(history: Record | None) -> list[Record]:
-    """The log of a route's history, oldest entry first."""
+    """Return the log of a route's history, oldest entry first."""
     return list(history["log"]) if history else []
 
 
@@ -80,25 +80,25 @@
     specification: Mapping[str, Any] | None,
     timestamp: HybridTimestamp,
 ) -> Record:
-    """The history of a route after an edit came into force."""
+    """Return the history of a route after an edit of it was applied."""
     newest = {"stamp": [*timestamp], "id": edit_id, "text": _digest(specification)}
     return {**(history or {"log": []}), **newest}
 
 
 def with_log_entry(history: Record | None, entry: Record) -> Record:
-    """The history of a route with one entry more in its log, the oldest one gone where they are too many."""
-    if history is None:  # a rejected edit of a route that no edit has touched
-        history = {"stamp": [*NEVER], "id": "", "text": "", "log": []}
+    """Return the history with `entry` appended to its log, which keeps the last MAX_LOG_ENTRIES."""
+    if history is None:  # the first edit of a route, and it was rejected
+        history = {"stamp": [*ZERO_TIMESTAMP], "id": "", "text": "", "log": []}
     return {**history, "log": [*history["log"], entry][-MAX_LOG_ENTRIES:]}
 
 
 def encode_outcome(sequence: int, outcome: Outcome, version: str, lost_to: str) -> Record:
-    """`version`: in which the edit came into force; `lost_to`: id of the edit that it lost to."""
+    """Encode an outcome. `version`: the one that contains the edit; `lost_to`: id of the newer edit."""
     return {"seq": sequence, "outcome": outcome.value, "version": version, "lost_to": lost_to}
 
 
 def outcome_sequence(outcome: Record) -> int:
-    """Outcomes are numbered in the order in which they were stored."""
+    """Return the sequence number of an outcome; they rise in the order in which outcomes are stored."""
     sequence: int = outcome["seq"]
     return sequence
 
--- a/tests/route_reconciliation/test_merging.py
+++ b/tests/route_reconciliation/test_merging.py
@@ -11,7 +11,7 @@
 from ashlift.config import operator_config
 from ashlift.route_reconciliation.edit_codec import encode_edit
 from ashlift.route_reconciliation.edits import RouteEdit
-from ashlift.route_reconciliation.hybrid_clock import NEVER
+from ashlift.route_reconciliation.hybrid_clock import ZERO_TIMESTAMP
 from ashlift.route_reconciliation.stored_records import MAX_HISTORIES, MAX_OUTCOMES
 from tests.support.route_edit_strategies import edit_sets, quick
 from tests.support.route_edits import (
@@ -140,7 +140,7 @@
     for name in "xy":
         of_route = [edit for edit in edits if edit.route == name]
         newest = max(of_route, key=lambda edit: edit.timestamp, default=None)
-        majority_timestamp = before.get(f"Edited/{name}", {"stamp": [*NEVER]})["stamp"]
+        majority_timestamp = before.get(f"Edited/{name}", {"stamp": [*ZERO_TIMESTAMP]})["stamp"]
         expected = before.get(f"Routes/{name}")
         if newest is not None and [*newest.timestamp] > majority_timestamp:
             expected = newest.specification
