--- a/ashlift/rpc/__init__.py
+++ b/ashlift/rpc/__init__.py
@@ -1,4 +1,4 @@
-"""Requests between the processes of the system: CBOR in checked frames over TCP.
+"""RPC between the processes of the system: CBOR in checksummed frames over TCP.
 
-Importing the package loads nothing: a program imports the modules that it needs.
+Importing the package loads no modules: each program imports the ones that it needs.
 """
--- a/ashlift/rpc/addresses.py
+++ b/ashlift/rpc/addresses.py
@@ -2,20 +2,20 @@
 
 from typing import Final
 
-Address = tuple[str, int]  # host, port: the form that sockets take
+Address = tuple[str, int]  # host and port, as sockets expect them
 
 MAX_PORT: Final = 65535
 
 
 def parse_address(text: str) -> Address:
-    """Read `HOST:PORT`.
+    """Parse `HOST:PORT`.
 
-    Raises ValueError where the host is missing or the port is no number from 1 to `MAX_PORT`.
+    Raises ValueError if the host is missing or the port is not a number from 1 to `MAX_PORT`.
     """
     host, _, port_text = text.rpartition(":")
     if not host:
-        raise ValueError(f"no address: {text}")
+        raise ValueError(f"address without a host: {text!r}")
     port = int(port_text)
     if not 0 < port <= MAX_PORT:
-        raise ValueError(f"no address: {text}")
+        raise ValueError(f"port is not between 1 and {MAX_PORT}: {text!r}")
     return host, port
--- a/ashlift/rpc/client.py
+++ b/ashlift/rpc/client.py
@@ -1,8 +1,7 @@
 """The client side of RPC: one connection to each peer, with many requests in flight on it.
 
-Whoever gives up in the middle of writing a frame closes the connection, and so does whoever reads a frame
-that is not valid; the outcome of the requests in flight is then unknown, and the next request opens a new
-connection.
+A write that is abandoned halfway through a frame closes the connection, and so does an invalid frame that is
+read. The outcome of the requests in flight is then unknown, and the next request opens a new connection.
 """
 
 import time
@@ -20,30 +19,31 @@
 from ashlift.rpc.sockets import RECEIVE_BYTES, configure_socket, send_all
 
 CONNECT_TIMEOUT_SECONDS: Final = 0.5
-PROGRESS_TIMEOUT_SECONDS: Final = 0.3  # an extended wait goes on while bytes arrive at least so often
+PROGRESS_TIMEOUT_SECONDS: Final = 0.3  # an extended wait ends if no bytes arrive for this long
 
 
 class ProgressDeadline:
-    """Extends the wait for a response while bytes arrive, until the latest time.
+    """Extends the wait for a response while bytes arrive, until the hard deadline.
 
-    `latest`: steady time, s. `received_bytes`: on the connection when the current wait began.
+    `hard_deadline`: monotonic time, s. `received_bytes`: what the connection had received when the current
+    wait began.
     """
 
-    def __init__(self, latest: float) -> None:
-        self.latest = latest
+    def __init__(self, hard_deadline: float) -> None:
+        self.hard_deadline = hard_deadline
         self.received_bytes = 0
 
     def extension(self, now: float, received_bytes: int) -> float:
-        """How many s to wait on; 0: give up."""
+        """Return how many more seconds to wait; 0: give up."""
         if received_bytes <= self.received_bytes:
             return 0.0
-        return max(0.0, min(PROGRESS_TIMEOUT_SECONDS, self.latest - now))
+        return max(0.0, min(PROGRESS_TIMEOUT_SECONDS, self.hard_deadline - now))
 
 
 class Connection:
-    """One connection to a peer and the requests in flight on it; none of them outlives it.
+    """One connection to a peer and the requests in flight on it, which fail when it closes.
 
-    The greenlet that reads from it ends when it is closed.
+    Closing it also ends the greenlet that reads from it.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -52,7 +52,7 @@
         self.received_bytes = 0
 
     def close(self) -> None:
-        """Close it and fail its requests: whether they were executed is unknown."""
+        """Close the connection and fail its requests: whether they were executed is unknown."""
         self.sock.close()
         in_flight = self.in_flight
         self.in_flight = {}
@@ -61,7 +61,7 @@
 
 
 class _RequestInFlight:
-    """A request of one caller; `connection` is None until it may have been sent."""
+    """A request of one caller; `connection` is None as long as no part of it can have been sent."""
 
     __slots__ = ("connection", "number", "response")
 
@@ -72,10 +72,9 @@
 
 
 class RpcClient:
-    """Requests to one peer over one connection, opened on demand and again after it broke.
+    """Sends requests to one peer over one connection, which is opened on demand and reopened after a failure.
 
-    Request numbers rise over all its connections: a response can only belong to a request of the connection
-    that it arrived on.
+    Request numbers rise across connections, so that a response never matches a request of another connection.
     """
 
     def __init__(self, address: Address) -> None:
@@ -94,26 +93,26 @@
     ) -> Any:
         """Send a request and wait for its response: the body, or a Failure. Never raises for network errors.
 
-        Failures of the call itself: UNREACHABLE: not sent. OUTCOME_UNKNOWN: it may have been executed, or may
-        still be. INVALID: too large.
+        Failures of the call itself are UNREACHABLE (not sent), OUTCOME_UNKNOWN (it may have been executed, or
+        may still be) and INVALID (too large).
 
-        `timeout`: s, connecting included, which may take `connect_timeout` of it. While bytes arrive the wait
-        is extended up to `max_timeout` s in all: a large response on a slow line must not be given up and
+        `timeout`: s, of which connecting may take `connect_timeout`. While bytes arrive, the wait is extended
+        up to `max_timeout` s in total: otherwise a large response over a slow link would be abandoned and
         requested again.
         """
         timer = gevent.Timeout(timeout)
         timer.start()
-        latest = time.monotonic() + max_timeout
+        hard_deadline = time.monotonic() + max_timeout
         request = _RequestInFlight()
         try:
             connection = self._send(request, method, body, connect_timeout)
-            return _await_response(request, connection, timer, latest)
+            return _await_response(request, connection, timer, hard_deadline)
         except gevent.Timeout as expired:
             if expired is not timer:
                 raise
-            return Failure(_reason_without_response(request), f"{method}: {timeout:g} s")
+            return Failure(_failure_reason(request), f"{method}: {timeout:g} s")
         except OSError as error:
-            return Failure(_reason_without_response(request), str(error))
+            return Failure(_failure_reason(request), str(error))
         except ValueError as error:
             return Failure(FailureReason.INVALID, f"{method}: {error}")
         finally:
@@ -122,12 +121,12 @@
                 request.connection.in_flight.pop(request.number, None)
 
     def close(self) -> None:
-        """Close the connection, if there is one; the next request opens another."""
+        """Close the connection, if it is open; the next request opens a new one."""
         if self._connection is not None:
             self._disconnect(self._connection)
 
     def _send(self, request: _RequestInFlight, method: str, body: Any, connect_timeout: float) -> Connection:
-        """Number the request, and write it to the connection that it is returned with."""
+        """Assign the request its number, write it to the connection, and return the connection."""
         with self._send_lock:
             number = self._last_number + 1
             frame = encode_request(number, method, body)
@@ -156,7 +155,7 @@
         return connection
 
     def _receive(self, connection: Connection) -> None:
-        """Deliver responses until the connection ends or something else arrives on it."""
+        """Deliver responses until the connection ends or anything but a valid response arrives."""
         decoder = FrameDecoder(RESPONSE_CRC_SEED)
         try:
             while data := connection.sock.recv(RECEIVE_BYTES):
@@ -168,10 +167,10 @@
         self._disconnect(connection)
 
     def _deliver(self, connection: Connection, value: Any) -> None:
-        """Hand a response to its caller, if it still waits. ValueError: no response to any request so far."""
+        """Pass a response to its caller, if it still waits. Raises ValueError for a number not yet used."""
         number, result = decode_response(value)
         if number > self._last_number:
-            raise ValueError("no answer")
+            raise ValueError(f"response to request {number}, which was not sent")
         waiting = connection.in_flight.pop(number, None)
         if waiting is not None:
             waiting.set(result)
@@ -182,18 +181,18 @@
         connection.close()
 
 
-def _reason_without_response(request: _RequestInFlight) -> FailureReason:
+def _failure_reason(request: _RequestInFlight) -> FailureReason:
     return FailureReason.OUTCOME_UNKNOWN if request.connection else FailureReason.UNREACHABLE
 
 
 def _await_response(
-    request: _RequestInFlight, connection: Connection, timer: gevent.Timeout, latest: float
+    request: _RequestInFlight, connection: Connection, timer: gevent.Timeout, hard_deadline: float
 ) -> Any:
-    """The response; while its connection receives, it may come after `timer`, until the steady time `latest`.
+    """Return the response. While bytes arrive, the wait goes on after `timer`, until `hard_deadline`.
 
-    Raises `timer` where it does not come.
+    Raises `timer` if the response does not arrive.
     """
-    deadline = ProgressDeadline(latest)
+    deadline = ProgressDeadline(hard_deadline)
     deadline.received_bytes = connection.received_bytes
     try:
         return request.response.get()
@@ -209,13 +208,13 @@
 
 
 class ClientPool:
-    """One RpcClient for each address."""
+    """Keeps one RpcClient per address."""
 
     def __init__(self) -> None:
         self._clients: dict[Address, RpcClient] = {}
 
     def client(self, address: Address) -> RpcClient:
-        """The client of that address; a new one connects with its first request."""
+        """Return the client of an address, created on first use; it connects with its first request."""
         client = self._clients.get(address)
         if client is None:
             client = self._clients[address] = RpcClient(address)
--- a/ashlift/rpc/framing.py
+++ b/ashlift/rpc/framing.py
@@ -1,8 +1,8 @@
-"""Frames on a byte stream: how one CBOR value is delimited and checked. No sockets.
+"""Encodes and decodes frames on a byte stream. No sockets.
 
-A frame is a length and a checksum (4 bytes each, big-endian), then one CBOR value. The checksum is the CRC-32
-of the value's bytes, started from one seed for requests and another for responses: bytes put together of two
-frames, and frames that come back to their sender, do not pass.
+A frame is a length and a checksum (4 bytes each, big-endian), followed by one CBOR value. The checksum is the
+CRC-32 of the encoded value, with one seed for requests and another for responses. It rejects frames whose
+bytes are corrupted or belong to two frames, and frames that are sent back to their sender.
 """
 
 import struct
@@ -11,17 +11,17 @@
 
 import cbor2
 
-MAX_FRAME_BYTES: Final = 8 << 20  # a complete configuration of thousands of routes
+MAX_FRAME_BYTES: Final = 8 << 20  # holds a complete configuration with thousands of routes
 REQUEST_CRC_SEED: Final = zlib.crc32(b"call")
 RESPONSE_CRC_SEED: Final = zlib.crc32(b"answer")
 _HEADER: Final = struct.Struct(">II")  # length, checksum
 
 
 def encode_frame(crc_seed: int, value: Any) -> bytes:
-    """The frame of `value` as it is sent.
+    """Encode `value` as a frame.
 
-    `crc_seed`: `REQUEST_CRC_SEED` or `RESPONSE_CRC_SEED`. Raises ValueError where the value is larger than
-    `MAX_FRAME_BYTES`: no receiver would read it.
+    `crc_seed`: `REQUEST_CRC_SEED` or `RESPONSE_CRC_SEED`. Raises ValueError if the encoded value is larger
+    than `MAX_FRAME_BYTES`, the receivers' limit.
     """
     payload = cbor2.dumps(value)
     if len(payload) > MAX_FRAME_BYTES:
@@ -30,7 +30,7 @@
 
 
 class FrameDecoder:
-    """Splits the bytes of one connection into the values of its frames; keeps an incomplete frame."""
+    """Decodes the frames of one connection; buffers an incomplete frame until the rest of it arrives."""
 
     def __init__(self, crc_seed: int) -> None:
         self._crc_seed = crc_seed
@@ -38,27 +38,27 @@
 
     @property
     def has_partial_frame(self) -> bool:
-        """Whether a frame has begun and is not complete."""
+        """Whether the beginning of an incomplete frame has been received."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Any]:
-        """The values of all frames that `data` completes.
+        """Return the values of all frames that `data` completes.
 
-        Raises ValueError for a frame that is too long, whose checksum is wrong, or that is no CBOR. Nothing
-        after it can be trusted: the connection must be closed.
+        Raises ValueError for a frame that is too large, has a wrong checksum or is not CBOR. The rest of the
+        stream cannot be trusted then, so the connection must be closed.
         """
         self._buffer += data
         values = []
         while len(self._buffer) >= _HEADER.size:
             size, checksum = _HEADER.unpack_from(self._buffer)
             if size > MAX_FRAME_BYTES:
-                raise ValueError(f"a frame of {size} bytes")
+                raise ValueError(f"frame of {size} bytes exceeds the limit of {MAX_FRAME_BYTES}")
             end = _HEADER.size + size
             if len(self._buffer) < end:
                 break
             payload = bytes(self._buffer[_HEADER.size : end])
             if zlib.crc32(payload, self._crc_seed) != checksum:
-                raise ValueError("a frame whose check fails")
+                raise ValueError("frame checksum does not match")
             try:
                 values.append(cbor2.loads(payload))
             except cbor2.CBORDecodeError as error:
--- a/ashlift/rpc/messages.py
+++ b/ashlift/rpc/messages.py
@@ -1,7 +1,7 @@
-"""Requests and responses as frames carry them. The only module that knows the positions of their fields.
+"""Encodes and decodes requests and responses. No other module knows the positions of their fields.
 
 On the wire: a request `[number, method, body]`, a response `[number, body]`, a failure
-`[number, null, reason, detail]`. The number is the request's, rising over the life of a client.
+`[number, null, reason, detail]`. The number is that of the request; a client's request numbers rise.
 """
 
 from typing import Any, Final, NamedTuple
@@ -15,7 +15,7 @@
 
 
 class Request(NamedTuple):
-    """A request as it was received."""
+    """A decoded request."""
 
     number: int
     method: str
@@ -23,38 +23,38 @@
 
 
 class Response(NamedTuple):
-    """A response as it was received; `result`: the body, or why there is none."""
+    """A decoded response; `result`: the body, or a Failure."""
 
     number: int
     result: Any | Failure
 
 
 def encode_request(number: int, method: str, body: Any) -> bytes:
-    """A request as a frame. Raises ValueError where it is too large."""
+    """Encode a request as a frame. Raises ValueError if it is too large."""
     return encode_frame(REQUEST_CRC_SEED, [number, method, body])
 
 
 def encode_response(number: int, result: Any | Failure) -> bytes:
-    """A response as a frame. Raises ValueError where it is too large."""
+    """Encode a response as a frame. Raises ValueError if it is too large."""
     if isinstance(result, Failure):
         return encode_frame(RESPONSE_CRC_SEED, [number, None, result.reason, result.detail])
     return encode_frame(RESPONSE_CRC_SEED, [number, result])
 
 
-# Plain checks instead of `match`: a sequence pattern takes five times as long, once for each message.
+# Checks by isinstance and length instead of `match`, whose sequence patterns are much slower.
 
 
 def decode_request(value: Any) -> Request:
-    """The request in a frame's value. Raises ValueError where it is none."""
+    """Decode the value of a request's frame. Raises ValueError if it is malformed."""
     if isinstance(value, list) and len(value) == REQUEST_FIELDS:
         number, method, body = value
         if isinstance(number, int) and isinstance(method, str):
             return Request(number, method, body)
-    raise ValueError("no call")
+    raise ValueError("malformed request")
 
 
 def decode_response(value: Any) -> Response:
-    """The response in a frame's value. Raises ValueError where it is none."""
+    """Decode the value of a response's frame. Raises ValueError if it is malformed."""
     if isinstance(value, list) and value and isinstance(value[0], int):
         if len(value) == RESPONSE_FIELDS:
             return Response(value[0], value[1])
@@ -62,4 +62,4 @@
             number, absent, reason, detail = value
             if absent is None and isinstance(reason, str) and isinstance(detail, str):
                 return Response(number, Failure(reason, detail))
-    raise ValueError("no answer")
+    raise ValueError("malformed response")
--- a/ashlift/rpc/server.py
+++ b/ashlift/rpc/server.py
@@ -23,12 +23,14 @@
 
 Handler = Callable[[Any], Any]  # takes a request's body; returns the response's body or a Failure
 ACCEPT_BACKLOG: Final = 256  # connections
-FIRST_CALL_SECONDS: Final = 0.2  # for which a new connection may wait for its first call at the end
-SHUTDOWN_CHECK_SECONDS: Final = 0.01
+FIRST_REQUEST_GRACE_SECONDS: Final = (
+    0.2  # at shutdown, how long a new connection may wait for its first request
+)
+SHUTDOWN_POLL_SECONDS: Final = 0.01
 
 
 class RpcServer(StreamServer):
-    """Listens at one address. `handlers`: by method."""
+    """Listens on one address. `handlers`: by method."""
 
     def __init__(self, address: Address, handlers: Mapping[str, Handler]) -> None:
         super().__init__(address, self._serve_connection, backlog=ACCEPT_BACKLOG)
@@ -37,17 +39,20 @@
         self.is_shutting_down = False
 
     @property
-    def calls_in_progress(self) -> int:
-        """How many requests have been read whose responses have not been written."""
-        return sum(connection.calls_in_progress for connection in self._connections)
+    def requests_in_progress(self) -> int:
+        """The number of requests that have been read and whose responses have not been written."""
+        return sum(connection.requests_in_progress for connection in self._connections)
 
     def shut_down(self, timeout: float) -> None:
-        """Accept no more connections; end each when its calls are answered, all after `timeout` s."""
+        """Stop accepting connections, and close each one once it is idle.
+
+        Returns when all are closed, or after `timeout` s, with the remaining ones open.
+        """
         self.is_shutting_down = True
         stop_listening(self)
         deadline = time.monotonic() + timeout
         while time.monotonic() < deadline:
-            gevent.sleep(SHUTDOWN_CHECK_SECONDS)  # first, as connections just accepted have not begun yet
+            gevent.sleep(SHUTDOWN_POLL_SECONDS)  # lets the greenlets of connections just accepted start
             for connection in list(self._connections):
                 connection.close_if_idle()
             if not self._connections:
@@ -63,9 +68,9 @@
 
 
 def serve(address: Address, handlers: Mapping[str, Handler]) -> RpcServer:
-    """Serve requests: `handlers[method](body)` in a greenlet of its own, returning a body or a Failure.
+    """Start a server that runs `handlers[method](body)` in a greenlet for each request.
 
-    The server is started. Raises OSError where the address cannot be bound.
+    A handler returns a body or a Failure. Raises OSError if the address cannot be bound.
     """
     server = RpcServer(address, handlers)
     server.start()
@@ -73,16 +78,16 @@
 
 
 class _ServerConnection:
-    """One accepted connection. Its requests run side by side; their responses are written one at a time.
+    """One accepted connection. Its requests run concurrently; their responses are written one at a time.
 
-    A handler goes on when its connection ends: its client cannot know whether the request was executed.
+    A handler runs to completion even if its connection closes: the client cannot know how far it got.
     """
 
     def __init__(
         self, sock: socket.socket, handlers: Mapping[str, Handler], is_shutting_down: Callable[[], bool]
     ) -> None:
-        """`is_shutting_down`: whether the connection ends with its last call in progress."""
-        self.calls_in_progress = 0
+        """`is_shutting_down`: whether to close the connection once no request is in progress."""
+        self.requests_in_progress = 0
         self._is_shutting_down = is_shutting_down
         self._sock = sock
         self._handlers = handlers
@@ -92,14 +97,14 @@
         self._last_number = 0
 
     def run(self) -> None:
-        """Read requests until the connection ends or something else arrives on it."""
+        """Read requests until the connection ends or anything but a valid request arrives."""
         try:
             configure_socket(self._sock)
             while data := self._sock.recv(RECEIVE_BYTES):
                 for value in self._decoder.feed(data):
                     request = decode_request(value)
-                    self._admit(request)
-                    self.calls_in_progress += 1
+                    self._check_number(request)
+                    self.requests_in_progress += 1
                     gevent.spawn(self._respond, request)
         except (OSError, ValueError):
             pass
@@ -107,26 +112,26 @@
             self._sock.close()
 
     def close_if_idle(self) -> None:
-        """End the connection if no call is in progress and nothing of one has arrived."""
-        if self.calls_in_progress or self._decoder.has_partial_frame:
+        """Close the connection if no request is in progress and no part of another has arrived."""
+        if self.requests_in_progress or self._decoder.has_partial_frame:
             return
-        is_new = not self._last_number and time.monotonic() < self._accepted_at + FIRST_CALL_SECONDS
+        is_new = not self._last_number and time.monotonic() < self._accepted_at + FIRST_REQUEST_GRACE_SECONDS
         if not is_new and not has_unread_input(self._sock):
             self._sock.close()
 
-    def _admit(self, request: Request) -> None:
-        """Raises ValueError for a number that was used before: a request must not be executed twice."""
+    def _check_number(self, request: Request) -> None:
+        """Raise ValueError for a number that is not above all before: no request may be executed twice."""
         if request.number <= self._last_number:
-            raise ValueError("a call that has come before")
+            raise ValueError(f"request number {request.number} after {self._last_number}")
         self._last_number = request.number
 
     def _respond(self, request: Request) -> None:
         try:
             self._send(self._execute(request))
         finally:
-            self.calls_in_progress -= 1
+            self.requests_in_progress -= 1
             if self._is_shutting_down():
-                self.close_if_idle()  # at once: its peer would ask again, and wait in vain
+                self.close_if_idle()  # now, before the peer sends a request that would not be answered
 
     def _send(self, frame: bytes) -> None:
         with self._send_lock:
@@ -139,7 +144,7 @@
                 raise
 
     def _execute(self, request: Request) -> bytes:
-        """The response's frame."""
+        """Run the request's handler and encode the response."""
         handler = self._handlers.get(request.method)
         result = handler(request.body) if handler else Failure(FailureReason.NOT_FOUND, request.method)
         try:
--- a/ashlift/rpc/sockets.py
+++ b/ashlift/rpc/sockets.py
@@ -1,8 +1,8 @@
-"""TCP sockets of the system's connections: options that detect lost peers, complete writes, orderly ends.
+"""TCP socket helpers: options that detect lost peers, complete writes, orderly shutdown.
 
-To close a socket on which bytes lie unread resets the connection: the peer loses its request, and perhaps a
-response that it has not read yet. `SHUT_RD` is never used: the kernel then reports our own half-close as the
-peer's (`POLLRDHUP`).
+Closing a socket that has unread input resets the connection: the peer loses its request, and possibly a
+response that it has not read yet. `SHUT_RD` is not used, because the kernel would then report `POLLRDHUP`, as
+if the peer had closed its side.
 """
 
 import contextlib
@@ -12,9 +12,9 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-UNACKNOWLEDGED_TIMEOUT_MS: Final = 2000  # TCP_USER_TIMEOUT: unacknowledged bytes for so long end a connection
-SEND_TIMEOUT_SECONDS: Final = UNACKNOWLEDGED_TIMEOUT_MS / 1000  # a write that makes no progress is given up
-RECEIVE_BYTES: Final = 65536  # read from a socket at once
+UNACKNOWLEDGED_TIMEOUT_MS: Final = 2000  # TCP_USER_TIMEOUT: limit for data without an acknowledgement
+SEND_TIMEOUT_SECONDS: Final = UNACKNOWLEDGED_TIMEOUT_MS / 1000  # limit for a write without progress
+RECEIVE_BYTES: Final = 65536  # per read
 KEEPALIVE_OPTIONS: Final = {
     socket.TCP_KEEPIDLE: 10,  # s without traffic before the first probe
     socket.TCP_KEEPINTVL: 5,  # s between probes
@@ -23,7 +23,7 @@
 
 
 def configure_socket(sock: socket.socket) -> None:
-    """Send without delay, and detect peers that disappeared without closing the connection."""
+    """Disable Nagle's algorithm, and detect peers that disappeared without closing the connection."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -34,8 +34,8 @@
 def send_all(sock: socket.socket, data: bytes, timeout: float = SEND_TIMEOUT_SECONDS) -> None:
     """Write all of `data`.
 
-    Raises OSError where the connection broke or the peer accepted nothing for `timeout` s. After any
-    exception a part of `data` may have been sent: nothing else may be written to this connection.
+    Raises OSError if the connection fails or the peer accepts no data for `timeout` s. After any exception a
+    part of `data` may have been sent, so nothing else may be written to the connection.
     """
     remaining = memoryview(data)
     while remaining:
@@ -44,9 +44,9 @@
 
 
 def has_unread_input(sock: socket.socket) -> bool:
-    """Whether something lies unread on a connection: bytes, its end, or an error."""
+    """Whether there is something to read on a connection: data, its end, or an error."""
     try:
-        sock._sock.recv(1, socket.MSG_PEEK)  # type: ignore[attr-defined]  # the plain socket does not wait
+        sock._sock.recv(1, socket.MSG_PEEK)  # type: ignore[attr-defined]  # the underlying non-blocking socket
     except BlockingIOError:
         return False
     except OSError:
@@ -55,19 +55,19 @@
 
 
 def stop_listening(server: StreamServer) -> None:
-    """Serve the connections that the kernel has accepted, and accept no more."""
+    """Stop listening, after handling the connections that are in the listen queue."""
     if not server.started:
         return
-    with contextlib.suppress(OSError):  # no descriptors are left: the rest cannot be served
+    with contextlib.suppress(OSError):  # out of file descriptors: the remaining ones cannot be handled
         while (accepted := server.do_read()) is not None:
             server.do_handle(*accepted)
     server.close()
 
 
 def close_after_last_response(sock: socket.socket, timeout: float) -> None:
-    """End a connection in order: what the peer still sends is read and dropped until it closes, too.
+    """Close a connection without a reset: half-close it, and discard input until the peer closes it too.
 
-    `timeout`: seconds that it has for that.
+    `timeout`: seconds to wait for the peer.
     """
     with contextlib.suppress(OSError, gevent.Timeout), gevent.Timeout(timeout):
         sock.shutdown(socket.SHUT_WR)
--- a/ashlift/rpc/sources.py
+++ b/ashlift/rpc/sources.py
@@ -1,6 +1,7 @@
-"""Names of state sources in version vectors, as they stand on the wire between registries and proxies."""
+"""Names of state sources in the version vectors that registries and proxies exchange."""
 
 from typing import Final
 
-# The operator's configuration. The wire keeps the name that the store had when the calls were defined.
-OPERATOR_SOURCE: Final = "vise"
+OPERATOR_SOURCE: Final = (
+    "vise"  # the operator's configuration; the wire protocol keeps the store's former name
+)
--- a/tests/rpc/test_client.py
+++ b/tests/rpc/test_client.py
@@ -295,14 +295,14 @@
         check_abandoned_calls,
     ),
     "a number may come again": (
-        rpc_server._ServerConnection._admit,
+        rpc_server._ServerConnection._check_number,
         "request.number <= self._last_number",
         "False",
         duplicate_bytes,
     ),
     "sent is told as not sent": (
         RpcClient.call,
-        'Failure(_reason_without_response(request), f"{method}: {timeout:g} s")',
+        'Failure(_failure_reason(request), f"{method}: {timeout:g} s")',
         "Failure(FailureReason.UNREACHABLE, method)",
         run_random_calls_once,
     ),
--- a/tests/rpc/test_fragmentation.py
+++ b/tests/rpc/test_fragmentation.py
@@ -123,7 +123,7 @@
     assert lines.longest_transfer < LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS, (
         "an answer is too large for a call"
     )
-    assert len(lines.registry._fragmenter._packs) <= MAX_CACHED_UPDATES
+    assert len(lines.registry._fragmenter._cache) <= MAX_CACHED_UPDATES
 
 
 @test("what it was before: in one answer, such a configuration never comes through")
--- a/tests/rpc/test_server.py
+++ b/tests/rpc/test_server.py
@@ -117,7 +117,7 @@
     busy, idle = RpcClient(address_of(server)), RpcClient(address_of(server))
     assert idle.call("echo", 1, LONG_SECONDS) == 1
     call = gevent.spawn(busy.call, "late", 2, LONG_SECONDS)
-    while not server.calls_in_progress:
+    while not server.requests_in_progress:
         gevent.idle()
     unread = socket.create_connection(address_of(server))  # in the listener's queue
     unread.sendall(encode_request(1, "echo", 3))
@@ -139,11 +139,11 @@
     server = serve((HOST, 0), {"late": lambda _: may_answer.wait(LONG_SECONDS)})
     client = RpcClient(address_of(server))
     call = gevent.spawn(client.call, "late", 1, LONG_SECONDS)
-    while not server.calls_in_progress:
+    while not server.requests_in_progress:
         gevent.idle()
     with gevent.Timeout(LONG_SECONDS, OVERDUE):
         server.shut_down(0.05)
-    assert server.calls_in_progress == 1
+    assert server.requests_in_progress == 1
     may_answer.set()
     call.join()
     client.close()
--- a/tests/rpc/test_slow_responses.py
+++ b/tests/rpc/test_slow_responses.py
@@ -15,14 +15,14 @@
 
 @test("an answer is waited for while its bytes come, and no longer than it may take")
 def _() -> None:
-    deadline = ProgressDeadline(latest=5.0)
+    deadline = ProgressDeadline(hard_deadline=5.0)
     assert deadline.extension(0.1, 0) == 0  # nothing came at all
     assert deadline.extension(0.1, 300) == PROGRESS_TIMEOUT_SECONDS
     deadline.received_bytes = 300
     assert deadline.extension(0.4, 300) == 0  # the line fell silent
     assert 0 < deadline.extension(4.95, 600) < PROGRESS_TIMEOUT_SECONDS
     assert deadline.extension(5.1, 900) == 0
-    assert ProgressDeadline(latest=0.0).extension(0.1, 300) == 0  # no extension
+    assert ProgressDeadline(hard_deadline=0.0).extension(0.1, 300) == 0  # no extension
 
 
 class SlowServer:
