--- a/ashlift/config/__init__.py
+++ b/ashlift/config/__init__.py
@@ -1,1 +1,4 @@
-"""The settings file and the operator's configuration: read, checked, indexed. Importing it loads nothing."""
+"""Reads, validates and indexes the settings file and the operator's configuration.
+
+Importing the package loads no modules: each program imports the ones that it needs.
+"""
--- a/ashlift/config/object_schema.py
+++ b/ashlift/config/object_schema.py
@@ -1,7 +1,7 @@
-"""The objects of the operator's configuration: their types, and the fields of each type's `Specification`.
+"""The object types of the operator's configuration, and the fields of each type's `Specification`.
 
-The classes are the schema: `ashlift.config.validation` checks with them, `ashlift.config.routing_table` reads
-stored objects with them. Each default stands here alone.
+These classes are the schema by which `ashlift.config.validation` checks objects and
+`ashlift.config.routing_table` reads stored ones. All defaults are defined here.
 """
 
 import math
@@ -20,9 +20,9 @@
 ROUTES: Final = "Routes"
 SERVICES: Final = "Services"
 TENANTS: Final = "Tenants"
-LIMITS: Final = "Limits"  # one object without a name
+LIMITS: Final = "Limits"  # a single object, without a name
 
-LOWEST_PRIORITY: Final = 9  # of a route without one; 0 is the highest
+LOWEST_PRIORITY: Final = 9  # the default; 0 is the highest
 
 
 @attrs.frozen(kw_only=True)
@@ -43,13 +43,13 @@
 
     @property
     def weighted_services(self) -> WeightedServices:
-        """The services that the route sends to: its split, or the one that it names."""
+        """The route's services with their weights: its traffic split, or its only service."""
         return self.traffic_split or (((self.service, 1.0),) if self.service else ())
 
 
 @attrs.frozen(kw_only=True)
 class ServiceSpecification:
-    """How the workers of a service are checked and loaded."""
+    """Health check, connection limit and slow start of a service's workers."""
 
     health_check: str = "/"
     max_connections: NonNegativeInt = 0
@@ -59,7 +59,7 @@
 
 @attrs.frozen(kw_only=True)
 class TenantSpecification:
-    """A tenant's keys, quota and priority."""
+    """A tenant's API keys, rate limit, priority and home regions."""
 
     api_keys: Strings = ()
     priority: NonNegativeInt | None = None
@@ -70,7 +70,7 @@
 
 @attrs.frozen(kw_only=True)
 class ClientLimits:
-    """What a client may send, and how long it may take for it or stay idle."""
+    """Limits on the size of clients' requests, and timeouts of their connections."""
 
     max_header_bytes: NonNegativeInt = 16384
     max_body_bytes: NonNegativeInt = 64 << 20
@@ -87,5 +87,5 @@
 
 
 def object_key(object_type: str, name: str) -> str:
-    """The key of an object in the stored map: `Routes/NAME`, or `Limits`."""
+    """Return the key of an object in the stored map: `Routes/NAME`, or `Limits`."""
     return LIMITS if object_type == LIMITS else f"{object_type}/{name}"
--- a/ashlift/config/operator_config.py
+++ b/ashlift/config/operator_config.py
@@ -1,6 +1,6 @@
-"""Changes of the operator's configuration: a request and the stored map give a change, or all errors. Pure.
+"""Computes the change that a request makes to the operator's configuration, or all errors in it. No I/O.
 
-The map is described in `ashlift.config.stored_objects`. Nothing that is given is ever changed.
+The stored map is described in `ashlift.config.stored_objects`. Arguments are never modified.
 """
 
 import json
@@ -9,9 +9,9 @@
 from typing import Any, Final, NamedTuple
 
 from ashlift.config.stored_objects import (
+    configuration_entries,
     export_configuration,
     is_identical,
-    own_entries,
     put_objects,
     remove_object,
     upsert_objects,
@@ -34,13 +34,13 @@
 
 PUT: Final = "put"  # a request with a complete configuration
 PATCH: Final = "patch"  # a request that upserts and withdraws objects by name
-STALE_VERSION: Final = "stale"  # reason of a Failure: it builds on a version that is not the current one
-MAX_REPORTED_ERRORS: Final = 5  # in one response
+STALE_VERSION: Final = "stale"  # reason of a Failure: the request builds on a version that is not current
+MAX_REPORTED_ERRORS: Final = 5  # per response
 DIGEST_BYTES: Final = 16
 
 
 class ConfigChange(NamedTuple):
-    """What a request changes in the map: entries to set, keys to remove; its version; its digest."""
+    """The entries that a request sets and the keys that it removes, its version and its digest."""
 
     entries: dict[str, Any]
     removed_keys: list[str]
@@ -49,9 +49,9 @@
 
 
 def request_digest(kind: str, if_match: str, body: Any) -> str:
-    """Equal for requests that ask for exactly the same; "" for a body that is no JSON value.
+    """Return a digest that identifies repetitions of a request; "" for a body that is not a JSON value.
 
-    How the JSON is written makes no difference: the order of keys, blanks, 1.0 for 1, a version's zeros.
+    It does not depend on the formatting: order of keys, whitespace, 1.0 for 1, leading zeros of versions.
     """
     base_version = parse_version(if_match)
     try:
@@ -60,7 +60,7 @@
         request = [
             kind,
             base_version if isinstance(base_version, int) else str(if_match),
-            _with_integers(normalized),
+            _integral_floats_to_ints(normalized),
         ]
         text = json.dumps(request, sort_keys=True, allow_nan=False)
     except (TypeError, ValueError, RecursionError):
@@ -69,21 +69,22 @@
 
 
 def apply_change(current: Mapping[str, Any], kind: str, if_match: str, body: Any) -> ConfigChange | Failure:
-    """The change that a request makes to `current`.
+    """Return the change that a request makes to `current`.
 
-    `kind`: `PUT` or `PATCH`. `if_match`: the version that the request builds on. Failures: `STALE_VERSION`,
-    or INVALID with a detail `OBJECT NAME: KEY: MESSAGE`, several separated by `; `.
+    `kind`: `PUT` or `PATCH`. `if_match`: the version that the request builds on. Fails with `STALE_VERSION`,
+    or with INVALID and the errors as `OBJECT NAME: KEY: MESSAGE`, separated by `; `.
     """
     base = parse_version(if_match)
     if isinstance(base, Failure):
         return Failure(FailureReason.INVALID, f"If-Match: {base.detail}")
-    now = parse_version(current_version(current))
-    assert isinstance(now, int)
-    if base != now:
+    current_number = parse_version(current_version(current))
+    assert isinstance(current_number, int)
+    if base != current_number:
         return Failure(
-            STALE_VERSION, f"builds on {format_version(base)}, and {format_version(now)} is current"
+            STALE_VERSION,
+            f"builds on {format_version(base)}, and {format_version(current_number)} is current",
         )
-    change = _make_change(current, now, kind, if_match, body)
+    change = _make_change(current, current_number, kind, if_match, body)
     if isinstance(change, ConfigChange):
         return change
     reported = change[:MAX_REPORTED_ERRORS]
@@ -93,16 +94,16 @@
 
 
 def validate_change(current: Mapping[str, Any], kind: str, body: Any) -> list[Failure]:
-    """All errors that keep a request from being applied to `current`, whatever version it builds on."""
-    now = parse_version(current_version(current))
-    if isinstance(now, Failure):
-        return [Failure(FailureReason.INVALID, now.detail)]
-    change = _make_change(current, now, kind, INITIAL_VERSION, body)
+    """Return all errors of a request against `current`, without checking the version that it builds on."""
+    current_number = parse_version(current_version(current))
+    if isinstance(current_number, Failure):
+        return [Failure(FailureReason.INVALID, current_number.detail)]
+    change = _make_change(current, current_number, kind, INITIAL_VERSION, body)
     return [] if isinstance(change, ConfigChange) else _failures(change)
 
 
 def load_configuration(body: Any) -> dict[str, Any] | list[Failure]:
-    """A complete configuration that stands by itself as a map, or all its errors."""
+    """Return a complete configuration as a stored map, or all its errors."""
     before_any_version = -1
     change = _make_change({}, before_any_version, PUT, "0", body)
     return change.entries if isinstance(change, ConfigChange) else _failures(change)
@@ -115,7 +116,7 @@
 def _make_change(
     current: Mapping[str, Any], current_number: int, kind: str, if_match: str, body: Any
 ) -> ConfigChange | list[str]:
-    """The change, or the messages of all errors."""
+    """Return the change, or the messages of all errors."""
     digest = request_digest(kind, if_match, body)
     if not digest or not isinstance(body, dict) or not _is_encodable(body):
         return ["the body is no JSON object that can be read whole"]
@@ -128,11 +129,11 @@
     if errors:
         return [str(error) for error in errors]
     entries[VERSION_KEY] = format_version(version)
-    return _difference(own_entries(current), entries, digest)
+    return _difference(configuration_entries(current), entries, digest)
 
 
 def _read_version(body: dict[str, Any], current_number: int, errors: list[ConfigError]) -> int:
-    """The version that the request gives the configuration; 0 with an error if it has none."""
+    """Return the new version in the request; 0 and an error added if it is invalid."""
     version = parse_version(body.get("ConfigVersion"))
     if isinstance(version, Failure):
         errors.append(config_error("ConfigVersion", "", version.detail))
@@ -144,13 +145,13 @@
 
 
 def _put(current: Mapping[str, Any], body: dict[str, Any], errors: list[ConfigError]) -> dict[str, Any]:
-    """The map after a put."""
+    """Return the map after a put."""
     return put_objects(current, body, read_objects(body.get("Objects"), errors))
 
 
 def _patch(current: Mapping[str, Any], body: dict[str, Any], errors: list[ConfigError]) -> dict[str, Any]:
-    """The map after a patch: what is withdrawn is removed, and then what is upserted is set."""
-    entries = own_entries(current)
+    """Return the map after a patch: objects are withdrawn first, then upserted."""
+    entries = configuration_entries(current)
     for key in read_withdrawn_keys(body.get("Withdraw"), errors):
         remove_object(entries, key)
     upsert = body.get("Upsert") or {}
@@ -172,7 +173,7 @@
 
 
 def _is_encodable(body: dict[str, Any]) -> bool:
-    """Whether all its texts are valid Unicode: JSON may hold halves of surrogate pairs."""
+    """Whether all strings can be encoded as UTF-8: JSON permits unpaired surrogates."""
     try:
         json.dumps(body, ensure_ascii=False).encode()
     except UnicodeEncodeError:
@@ -180,14 +181,14 @@
     return True
 
 
-def _with_integers(value: Any) -> Any:
-    """Whole numbers as integers, however they were written."""
+def _integral_floats_to_ints(value: Any) -> Any:
+    """Replace floats with integral values by integers, recursively."""
     if isinstance(value, float) and value.is_integer():
         return int(value)
     if isinstance(value, list):
-        return [_with_integers(item) for item in value]
+        return [_integral_floats_to_ints(item) for item in value]
     if isinstance(value, dict):
-        return {key: _with_integers(item) for key, item in value.items()}
+        return {key: _integral_floats_to_ints(item) for key, item in value.items()}
     return value
 
 
--- a/ashlift/config/routing_table.py
+++ b/ashlift/config/routing_table.py
@@ -1,4 +1,4 @@
-"""A configuration indexed for use: routes by host and path prefix, tenants by API key, services, limits."""
+"""A configuration indexed for lookups: routes by host and path prefix, tenants by API key."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any, Final, NamedTuple, TypeVar
@@ -18,16 +18,16 @@
 from ashlift.config.structuring import Strings, WeightedServices, structure
 from ashlift.config.versions import VERSION_KEY
 
-DEFAULT_LATENCY_TARGET_SECONDS: Final = 1.0  # of a route without a target latency or a time-out
-IDEMPOTENT: Final = "idempotent"  # the RouteType whose requests may be sent again
+DEFAULT_LATENCY_TARGET_SECONDS: Final = 1.0  # for routes with neither a target latency nor a timeout
+IDEMPOTENT: Final = "idempotent"  # the RouteType of routes whose requests may be retried
 T = TypeVar("T")
 
 
 class Route(NamedTuple):
     """One route. `traffic_split`: services with weights above 0. `timeout`, `latency_target`: s.
 
-    `priority`: 0 is the highest. `home_regions`: where its requests may run; empty: anywhere. `anonymous`:
-    needs no API key.
+    `priority`: 0 is the highest. `home_regions`: the regions that may serve its requests; empty: all.
+    `anonymous`: requests need no API key.
     """
 
     name: str
@@ -43,14 +43,14 @@
     home_regions: frozenset[str]
 
     def allows_region(self, region: str) -> bool:
-        """Whether its requests may be served in that region."""
+        """Whether the route's requests may be served in `region`."""
         return not self.home_regions or region in self.home_regions
 
 
 class Service(NamedTuple):
-    """One service. `max_connections`: of one worker, 0: not limited. `warmup`: slow start, s.
+    """One service. `max_connections`: per worker; 0: unlimited. `warmup`: duration of slow start, s.
 
-    `warmup_rate`: the most requests a second of a worker in slow start, or infinite.
+    `warmup_rate`: limit of requests per second to a worker in slow start, or infinity.
     """
 
     name: str
@@ -61,9 +61,9 @@
 
 
 class Tenant(NamedTuple):
-    """One tenant. `rate_limit`: requests a second, 0: none. `burst_size`: requests beyond it.
+    """One tenant. `rate_limit`: requests per second; 0: unlimited. `burst_size`: requests.
 
-    `priority`: None: the route's. `home_regions`: as of a route.
+    `priority`: overrides the route's unless None. `home_regions`: as for a route.
     """
 
     name: str
@@ -75,13 +75,13 @@
 
 
 def normalize_host(header: str) -> str:
-    """A `Host` header in the form that routes are indexed by: lower case, without a port."""
+    """Return a `Host` header as routes are indexed by it: in lower case, without the port."""
     host, colon, port = header.strip().lower().rpartition(":")
     return host if colon and (not port or port.isdigit()) else header.strip().lower()
 
 
 class _HostRoutes(NamedTuple):
-    """The routes of one host by path prefix, and the length of the longest."""
+    """The routes of one host by path prefix, and the length of the longest prefix."""
 
     by_prefix: dict[str, Route]
     max_prefix_length: int
@@ -89,7 +89,7 @@
 
 @attrs.frozen
 class RoutingTable:
-    """A configuration in force. Immutable: `updated` makes another, which shares what is the same."""
+    """One version of the configuration. Immutable; `updated` returns a copy that shares unchanged parts."""
 
     version: int
     routes: dict[str, Route]
@@ -101,18 +101,18 @@
 
     @classmethod
     def from_entries(cls, entries: Mapping[str, Any]) -> "RoutingTable":
-        """The table of a stored map; keys that are no part of a configuration are ignored."""
+        """Build the table of a stored map; keys that do not belong to the configuration are ignored."""
         return cls(0, {}, {}, {}, ClientLimits(), {}, {}).updated(entries, ())
 
     @property
     def has_tenants(self) -> bool:
-        """Whether there is any tenant: without one, no request needs an API key."""
+        """Whether there are tenants; without any, no request needs an API key."""
         return bool(self.tenants)
 
     def updated(self, entries: Mapping[str, Any], removed_keys: Iterable[str]) -> "RoutingTable":
-        """With `removed_keys` taken out, and then `entries` set.
+        """Return a table with `removed_keys` removed, and then `entries` set.
 
-        Raises ValueError for an entry that is not valid: it should have been checked before it was stored.
+        Raises ValueError for an invalid entry. Entries are validated before they are stored.
         """
         update = _TableUpdate(self)
         for key in removed_keys:
@@ -122,7 +122,7 @@
         return update.table()
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """The route of that host (a `Host` header) with the longest prefix of the path."""
+        """Return the route with the longest matching path prefix. `host`: a `Host` header."""
         routes = self._hosts.get(host) or self._hosts.get(normalize_host(host))
         if routes is None:
             return None
@@ -135,12 +135,12 @@
         return None
 
     def find_tenant(self, api_key: str) -> Tenant | None:
-        """The tenant whose API key it is."""
+        """Return the tenant that has this API key."""
         return self._tenants_by_key.get(api_key)
 
 
 class _TableUpdate:
-    """The changes from one table to the next; only what is touched is indexed again."""
+    """Collects the changes from one table to the next; only changed hosts are indexed again."""
 
     def __init__(self, previous: RoutingTable) -> None:
         self._previous = previous
@@ -175,7 +175,7 @@
         elif object_type == TENANTS:
             self._tenants[name] = _make_tenant(name, value)
         elif key == LIMITS:
-            self._limits = _valid(ClientLimits, key, value)
+            self._limits = _structured(ClientLimits, key, value)
         elif key == VERSION_KEY:
             self._version = int(value, 16)
 
@@ -202,7 +202,7 @@
 def _reindexed(
     previous: dict[str, _HostRoutes], routes: dict[str, Route], changed_hosts: set[str]
 ) -> dict[str, _HostRoutes]:
-    """`previous` with the entries of `changed_hosts` made anew."""
+    """Return `previous` with the entries of `changed_hosts` rebuilt."""
     by_host: dict[str, dict[str, Route]] = {host: {} for host in changed_hosts}
     for route in routes.values():
         if route.host in by_host:
@@ -215,7 +215,7 @@
 
 
 def _make_route(name: str, value: Any) -> Route:
-    specification = _valid(RouteSpecification, name, value)
+    specification = _structured(RouteSpecification, name, value)
     return Route(
         name=name,
         host=normalize_host(specification.host),
@@ -234,7 +234,7 @@
 
 
 def _make_service(name: str, value: Any) -> Service:
-    specification = _valid(ServiceSpecification, name, value)
+    specification = _structured(ServiceSpecification, name, value)
     return Service(
         name=name,
         health_check=specification.health_check,
@@ -245,7 +245,7 @@
 
 
 def _make_tenant(name: str, value: Any) -> Tenant:
-    specification = _valid(TenantSpecification, name, value)
+    specification = _structured(TenantSpecification, name, value)
     return Tenant(
         name=name,
         api_keys=specification.api_keys,
@@ -256,8 +256,8 @@
     )
 
 
-def _valid(cls: type[T], name: str, value: Any) -> T:
-    found = structure(cls, value)
-    if isinstance(found, list):
-        raise ValueError(f"{name}: {'; '.join(map(str, found))}")  # it was checked before it was stored
-    return found
+def _structured(cls: type[T], name: str, value: Any) -> T:
+    result = structure(cls, value)
+    if isinstance(result, list):
+        raise ValueError(f"{name}: {'; '.join(map(str, result))}")
+    return result
--- a/ashlift/config/settings.py
+++ b/ashlift/config/settings.py
@@ -1,6 +1,6 @@
-"""The settings file of one process (TOML), checked. Keys that are not known here are ignored.
+"""Reads and validates the settings file of a process (TOML). Unknown keys are ignored.
 
-`read_settings` and `parse_settings` return Settings, or every error in the file with its place and key.
+`read_settings` and `parse_settings` return Settings, or all errors in the file, each with its key.
 """
 
 import tomllib
@@ -21,13 +21,13 @@
 )
 from ashlift.errors import Failure, FailureReason
 
-EDGE: Final = "edge"  # in `serves`: takes client requests, on Bindings.Front
-CONTROL: Final = "control"  # in `serves`: takes operators' requests, on Bindings.Control
+EDGE: Final = "edge"  # in `serves`: accepts clients' requests on Bindings.Front
+CONTROL: Final = "control"  # in `serves`: accepts operators' requests on Bindings.Control
 
 
 @attrs.frozen
 class Bindings:
-    """Addresses to listen on, for what the role serves; None where it does not."""
+    """Addresses to listen on; None for what the role does not serve."""
 
     front: Endpoint | None = None
     readiness: Endpoint | None = None
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class MachineLimits:
-    """The resources of the machine that the process may use."""
+    """The resources of its machine that the process may use."""
 
     cpu_share: NonNegativeFloat = 1.0
     cpu_cores: NonNegativeInt = 1
@@ -49,7 +49,7 @@
 
 @attrs.frozen
 class FaultTolerance:
-    """How many may be lost at the same time while every guarantee holds."""
+    """How many machines, zones and regions may fail at the same time while all guarantees hold."""
 
     machines: NonNegativeInt = 1
     zones: NonNegativeInt = 0
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class Bounds:
-    """The figures of the service's guarantees. A missing one has its usual value."""
+    """Limits that the service guarantees to observe."""
 
     seed_lag: Seconds = 3.0
     address_reuse: Seconds = 2.0
@@ -90,8 +90,8 @@
 class Settings:
     """The settings of one process.
 
-    `internal_ports`: the first and the last port for the system's own connections. `seeds`: registries to
-    contact first. `zones`: region by zone. `heartbeat`: the interval of workers' heartbeats.
+    `internal_ports`: first and last port for connections within the system. `seeds`: registries to contact
+    first. `zones`: region by zone. `heartbeat`: interval of workers' heartbeats, s.
     """
 
     node_name: str
@@ -118,7 +118,7 @@
 
 
 def read_settings(path: str) -> Settings | list[Failure]:
-    """The settings in the file at `path`, or all its errors."""
+    """Return the settings in the file at `path`, or all its errors."""
     try:
         with open(path, "rb") as file:
             text = file.read().decode()
@@ -127,24 +127,24 @@
     return parse_settings(text, path)
 
 
-def parse_settings(text: str, place: str = "settings") -> Settings | list[Failure]:
-    """The settings in `text`, or all its errors, each with `place` before its key."""
+def parse_settings(text: str, source: str = "settings") -> Settings | list[Failure]:
+    """Return the settings in `text`, or all its errors, each prefixed with `source`."""
     try:
         table = tomllib.loads(text)
     except (ValueError, RecursionError) as error:
-        return [Failure(FailureReason.INVALID, f"{place}: is no TOML: {error}")]
-    found = structure(Settings, table)
-    if isinstance(found, Settings):
-        errors = list(_semantic_errors(found))
+        return [Failure(FailureReason.INVALID, f"{source}: is no TOML: {error}")]
+    result = structure(Settings, table)
+    if isinstance(result, Settings):
+        errors = list(_semantic_errors(result))
         if not errors:
-            return found
+            return result
     else:
-        errors = found
-    return [Failure(FailureReason.INVALID, f"{place}: {error}") for error in errors]
+        errors = result
+    return [Failure(FailureReason.INVALID, f"{source}: {error}") for error in errors]
 
 
 def _semantic_errors(settings: Settings) -> Iterator[FieldError]:
-    """Errors of values that are well formed."""
+    """Yield the errors of settings whose values have the right types."""
     required = {"NodeName": settings.node_name, "Ip": settings.ip, "SeedNodes": settings.seeds}
     for key, value in required.items():
         if not value:
--- a/ashlift/config/stored_objects.py
+++ b/ashlift/config/stored_objects.py
@@ -1,9 +1,9 @@
-"""The operator's configuration as the flat map that is stored and replicated, and back.
+"""Converts the operator's configuration to the flat map that is stored and replicated, and back.
 
-Keys: `Routes/NAME`, `Services/NAME`, `Tenants/NAME`, `Limits`: an object's Specification as it was given.
-`Version`: the current version. `Place/KEY`: an object's position among all, rising, with gaps. `Rest/KEY`: an
-object's other fields, where it has more than its type and its name; `Rest`: those of the configuration.
-Other keys of the map belong to others and are left alone.
+Keys: `Routes/NAME`, `Services/NAME`, `Tenants/NAME`, `Limits`: an object's Specification as it was received.
+`Version`: the current version. `Place/KEY`: an object's position, rising with gaps, which keeps the order of
+objects. `Rest/KEY`: an object's other fields, if it has any besides type and name; `Rest`: those of the
+configuration itself. Other keys of the map do not belong to the configuration and are not modified.
 """
 
 import json
@@ -14,12 +14,12 @@
 from ashlift.config.versions import VERSION_KEY, current_version
 
 POSITION: Final = "Place"  # first part of a key
-OTHER_FIELDS: Final = "Rest"  # first part of a key, or the key
-_OWN: Final = frozenset({*SPECIFICATIONS, POSITION, OTHER_FIELDS, VERSION_KEY})
+OTHER_FIELDS: Final = "Rest"  # first part of a key, or the whole key
+_KEY_PREFIXES: Final = frozenset({*SPECIFICATIONS, POSITION, OTHER_FIELDS, VERSION_KEY})
 
 
 class ConfigObject(NamedTuple):
-    """One object. `other_fields`: all but its Specification; None: only its type and its name."""
+    """One object. `other_fields`: all but its Specification; None if these are only its type and name."""
 
     key: str
     specification: dict[str, Any]
@@ -27,13 +27,13 @@
 
     @property
     def label(self) -> str:
-        """How errors name it: `Routes NAME`, or `Limits`."""
+        """The object's name in errors: `Routes NAME`, or `Limits`."""
         object_type, _, name = self.key.partition("/")
         return f"{object_type} {name}" if name else object_type
 
 
 def make_object(object_type: str, name: str, value: Mapping[str, Any]) -> ConfigObject:
-    """The object that a request gives as `value`, whose form has been checked."""
+    """Return an object of a request; its fields have been validated."""
     other_fields = {key: item for key, item in value.items() if key != "Specification"}
     minimal = {"ObjectType": object_type, "Metadata": {} if object_type == LIMITS else {"Name": name}}
     return ConfigObject(
@@ -43,9 +43,9 @@
     )
 
 
-def own_entries(entries: Mapping[str, Any]) -> dict[str, Any]:
-    """The entries that belong to the configuration."""
-    return {key: value for key, value in entries.items() if key.partition("/")[0] in _OWN}
+def configuration_entries(entries: Mapping[str, Any]) -> dict[str, Any]:
+    """Return the entries that belong to the configuration."""
+    return {key: value for key, value in entries.items() if key.partition("/")[0] in _KEY_PREFIXES}
 
 
 def set_object(entries: dict[str, Any], config_object: ConfigObject, position: int) -> None:
@@ -57,7 +57,7 @@
 
 
 def remove_object(entries: dict[str, Any], key: str) -> None:
-    """Take an object out of `entries`, if it is there."""
+    """Remove an object from `entries`, if it exists."""
     for part in (key, f"{POSITION}/{key}", f"{OTHER_FIELDS}/{key}"):
         entries.pop(part, None)
 
@@ -65,7 +65,7 @@
 def put_objects(
     current: Mapping[str, Any], body: dict[str, Any], objects: list[ConfigObject]
 ) -> dict[str, Any]:
-    """The complete map of a put. Positions are kept where the order allows it, so that few entries change."""
+    """Return the complete map of a put. Positions are kept where possible, so that few entries change."""
     other_fields = {key: value for key, value in body.items() if key not in ("ConfigVersion", "Objects")}
     entries: dict[str, Any] = {OTHER_FIELDS: other_fields} if other_fields else {}
     last_position = 0
@@ -77,7 +77,7 @@
 
 
 def upsert_objects(entries: dict[str, Any], objects: list[ConfigObject]) -> None:
-    """Set objects in `entries`; new ones go behind all others."""
+    """Set objects in `entries`; new ones are placed after all others."""
     positions = [position for key, position in entries.items() if key.startswith(f"{POSITION}/")]
     last_position = max(positions, default=0)
     for config_object in objects:
@@ -88,7 +88,7 @@
 
 
 def export_configuration(entries: Mapping[str, Any]) -> dict[str, Any]:
-    """The stored configuration in the form in which it is put."""
+    """Return the stored configuration as the body of a put."""
     keys = [key for key in entries if key.partition("/")[0] in SPECIFICATIONS]
     keys.sort(key=lambda key: (entries.get(f"{POSITION}/{key}", 0), key))
     objects = []
@@ -105,5 +105,5 @@
 
 
 def is_identical(value: Any, other: Any) -> bool:
-    """Whether both are written alike too: 1, 1.0 and true are three values."""
+    """Whether both have the same JSON: 1, 1.0 and true differ, and so do orders of keys."""
     return value is other or (bool(value == other) and json.dumps(value) == json.dumps(other))
--- a/ashlift/config/structuring.py
+++ b/ashlift/config/structuring.py
@@ -1,7 +1,7 @@
-"""Plain values (of TOML or JSON) into attrs classes, by cattrs: strict types, every error with its key.
+"""Converts values from TOML or JSON to attrs classes by cattrs, with strict types and the key of each error.
 
-A field's key is its name in CamelCase (`seed_lag`: `SeedLag`), or `key` of its metadata. Keys without a field
-are ignored; null stands for a missing key.
+A field's key is its name in CamelCase (`seed_lag`: `SeedLag`), or `key` in its metadata. Unknown keys are
+ignored, and null counts as a missing key.
 """
 
 import math
@@ -26,12 +26,12 @@
 PortRange = Annotated[tuple[int, int], "first, last"]
 WeightedServices = tuple[tuple[str, float], ...]  # written as [{Service, Weight}]
 
-MAX_NUMBER: Final = 1e15  # larger ones are not exact in every program that reads them
+MAX_NUMBER: Final = 1e15  # below 2**53, so that integers are exact as doubles
 MAX_PORT: Final = 65535
 
 
 class FieldError(NamedTuple):
-    """What is wrong with one field. `key`: dotted where it is nested, empty for the value as a whole."""
+    """The error of one field. `key`: dotted if it is nested, empty for the value as a whole."""
 
     key: str
     message: str
@@ -41,13 +41,13 @@
 
 
 def key_of(field: "attrs.Attribute[Any]") -> str:
-    """The key that a field has in settings and bodies."""
+    """Return the key of a field in settings and request bodies."""
     key: str | None = field.metadata.get("key")
     return key or "".join(part.capitalize() for part in field.name.split("_"))
 
 
 def structure(cls: type[T], value: Any) -> T | list[FieldError]:
-    """`value` as an instance of `cls`, or all that is wrong with it."""
+    """Convert `value` to an instance of `cls`, or return all its errors."""
     try:
         return _CONVERTER.structure(value, cls)
     except (ClassValidationError, ValueError) as error:
@@ -73,7 +73,7 @@
     return errors
 
 
-# Structure hooks, as cattrs calls them: the value, the wanted type. Each raises ValueError with its message.
+# cattrs calls a structure hook with the value and the target type. An invalid value raises ValueError.
 
 
 def _string(value: Any, _: Any = None) -> str:
@@ -91,7 +91,7 @@
 def _number(value: Any, _: Any = None) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise ValueError("is not a number")
-    if not abs(value) < MAX_NUMBER:  # NaN and the infinite too
+    if not abs(value) < MAX_NUMBER:  # also rejects NaN and infinity
         raise ValueError("is not a number that can be counted with")
     return float(value)
 
@@ -138,7 +138,7 @@
 
 def _endpoint(value: Any, _: Any = None) -> Endpoint:
     host, _colon, port = _string(value).rpartition(":")
-    # No sign, blank or leading part that int() would accept.
+    # int() would accept signs, whitespace and underscores.
     is_number = port.isascii() and port.isdigit() and len(port) <= len(str(MAX_PORT))
     if not host or not is_number or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"is no address such as 10.1.0.8:8206: {value[:40]!r}")
@@ -177,7 +177,7 @@
 
 
 def _attrs_class(cls: type[Any], converter: Converter) -> Callable[[Any, Any], Any]:
-    """The hook of an attrs class: its fields by their keys, null as missing."""
+    """Return the structure hook of an attrs class."""
     overrides = {field.name: override(rename=key_of(field)) for field in attrs.fields(cls)}
     structure_fields = make_dict_structure_fn(cls, converter, **overrides)  # type: ignore[arg-type]
 
@@ -207,11 +207,11 @@
         (WeightedServices, _weighted_services),
         (dict[str, str], _string_table),
     ]
-    for wanted, hook in hooks:
-        if wanted in (str, bool, float, int):  # these go by class, before all that goes by a predicate
-            converter.register_structure_hook(wanted, hook)
+    for target, hook in hooks:
+        if target in (str, bool, float, int):  # hooks by class take precedence over hooks by predicate
+            converter.register_structure_hook(target, hook)
         else:
-            converter.register_structure_hook_func(partial(eq, wanted), hook)
+            converter.register_structure_hook_func(partial(eq, target), hook)
     return converter
 
 
--- a/ashlift/config/validation.py
+++ b/ashlift/config/validation.py
@@ -1,6 +1,6 @@
-"""Checks of the operator's configuration: the objects of a request, each by itself and all together.
+"""Validates the operator's configuration: each object of a request, and the references between objects.
 
-Errors are collected, not raised: an operator sees all of them at once, each with the object and the key.
+Errors are collected rather than raised, so that an operator sees all of them, each with its object and key.
 """
 
 from collections.abc import Iterator, Mapping
@@ -23,40 +23,40 @@
 
 
 class ConfigError(NamedTuple):
-    """One error of a configuration; `place`: the object, or the part of the request."""
+    """One error in a configuration. `location`: the object, or the part of the request."""
 
-    place: str
+    location: str
     error: FieldError
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.error}"
+        return f"{self.location}: {self.error}"
 
 
-def config_error(place: str, key: str, message: str) -> ConfigError:
-    """The error `PLACE: KEY: MESSAGE`; without the key where it is empty."""
-    return ConfigError(place, FieldError(key, message))
+def config_error(location: str, key: str, message: str) -> ConfigError:
+    """Return the error `LOCATION: KEY: MESSAGE`; an empty key is omitted."""
+    return ConfigError(location, FieldError(key, message))
 
 
 def read_objects(values: Any, errors: list[ConfigError]) -> list[ConfigObject]:
-    """The objects in a request's list; what is wrong with each by itself is added to `errors`."""
+    """Return the objects in a request's list; the errors of each object are added to `errors`."""
     if not isinstance(values, list):
         errors.append(config_error("Objects", "", "is not a list"))
         return []
     objects: dict[str, ConfigObject] = {}
     for number, value in enumerate(values, 1):
-        found = _read_object(value)
-        if isinstance(found, FieldError):
-            errors.append(ConfigError(f"object {number}", found))
+        config_object = _read_object(value)
+        if isinstance(config_object, FieldError):
+            errors.append(ConfigError(f"object {number}", config_object))
             continue
-        if found.key in objects:
-            errors.append(config_error(found.label, "", "is there twice"))
-        objects[found.key] = found
-        errors += [ConfigError(found.label, error) for error in _specification_errors(found)]
+        if config_object.key in objects:
+            errors.append(config_error(config_object.label, "", "is there twice"))
+        objects[config_object.key] = config_object
+        errors += [ConfigError(config_object.label, error) for error in _specification_errors(config_object)]
     return list(objects.values())
 
 
 def read_withdrawn_keys(withdraw: Any, errors: list[ConfigError]) -> list[str]:
-    """The keys of the objects that a patch withdraws, whether they are there or not."""
+    """Return the keys of the objects that a patch withdraws, whether or not they exist."""
     if withdraw is None:
         return []
     if not isinstance(withdraw, dict):
@@ -90,7 +90,7 @@
 
 
 def _specification_errors(config_object: ConfigObject) -> list[FieldError]:
-    """What is wrong with one object by itself."""
+    """Return the errors of one object, regardless of other objects."""
     object_type = config_object.key.partition("/")[0]
     specification = structure(SPECIFICATIONS[object_type], config_object.specification)
     if isinstance(specification, list):
@@ -117,13 +117,13 @@
 
 
 def cross_object_errors(entries: Mapping[str, Any]) -> Iterator[ConfigError]:
-    """What only all objects of a map together show. Fields of the wrong type were reported before."""
-    route_by_place: dict[tuple[str, str], str] = {}
+    """Yield conflicts and missing references between objects. Fields of the wrong type are skipped."""
+    route_by_address: dict[tuple[str, str], str] = {}
     tenant_by_key: dict[str, str] = {}
     for key, value in entries.items():
         object_type, _, name = key.partition("/")
         if object_type == ROUTES:
-            yield from _route_conflicts(name, value, route_by_place)
+            yield from _route_conflicts(name, value, route_by_address)
             for service in _service_names(value):
                 if object_key(SERVICES, service) not in entries:
                     yield config_error(f"Routes {name}", "Service", f"no such service: {service[:40]!r}")
@@ -132,12 +132,12 @@
 
 
 def _route_conflicts(
-    name: str, route: Mapping[str, Any], route_by_place: dict[tuple[str, str], str]
+    name: str, route: Mapping[str, Any], route_by_address: dict[tuple[str, str], str]
 ) -> Iterator[ConfigError]:
     host = route.get("Host")
     path_prefix = route.get("PathPrefix")
     if isinstance(host, str) and isinstance(path_prefix, str):
-        first = route_by_place.setdefault((normalize_host(host), path_prefix), name)
+        first = route_by_address.setdefault((normalize_host(host), path_prefix), name)
         if first != name:
             yield config_error(f"Routes {name}", "PathPrefix", f"Routes {first} has this host and prefix too")
 
@@ -153,7 +153,7 @@
 
 
 def _service_names(route: Mapping[str, Any]) -> set[str]:
-    """All services that a route names."""
+    """Return the names of all services that a route refers to."""
     split = route.get("TrafficSplit")
     parts = split if isinstance(split, list) else []
     names = [route.get("Service"), *(part.get("Service") for part in parts if isinstance(part, dict))]
--- a/ashlift/config/versions.py
+++ b/ashlift/config/versions.py
@@ -1,18 +1,18 @@
-"""Versions of the operator's configuration: eight hexadecimal digits, rising with each change."""
+"""Versions of the operator's configuration: eight hexadecimal digits that rise with each change."""
 
 from collections.abc import Mapping
 from typing import Any, Final
 
 from ashlift.errors import Failure, FailureReason
 
-VERSION_KEY: Final = "Version"  # of the entry that holds the current version
-INITIAL_VERSION: Final = "00000000"  # before the first configuration
+VERSION_KEY: Final = "Version"  # key of the current version in the stored map
+INITIAL_VERSION: Final = "00000000"  # until the first configuration is put
 MAX_DIGITS: Final = 8
 _HEXADECIMAL: Final = frozenset("0123456789abcdefABCDEF")
 
 
 def parse_version(version: Any) -> int | Failure:
-    """A version as a number; accepts fewer digits, blanks and the quotes of an If-Match header."""
+    """Parse a version; accepts fewer digits, whitespace and the quotes of an If-Match header."""
     text = version.strip().strip('"') if isinstance(version, str) else ""
     if not 0 < len(text) <= MAX_DIGITS or not _HEXADECIMAL.issuperset(text):
         return Failure(
@@ -22,11 +22,11 @@
 
 
 def format_version(number: int) -> str:
-    """The eight digits of a version."""
+    """Format a version as eight digits."""
     return f"{number:08x}"
 
 
 def current_version(entries: Mapping[str, Any]) -> str:
-    """The version of a stored configuration, as eight digits."""
+    """Return the version of a stored configuration, as eight digits."""
     version: str = entries.get(VERSION_KEY, INITIAL_VERSION)
     return version
