--- a/ashlift/events.py
+++ b/ashlift/events.py
@@ -30,7 +30,7 @@
 
 STARTED: Final = EventType(101, "started")
 STOPPING: Final = EventType(102, "stopping")
-SETTINGS_READ: Final = EventType(103, "settings reloaded")
+SETTINGS_RELOADED: Final = EventType(103, "settings reloaded")
 SETTINGS_INVALID: Final = EventType(104, "settings invalid")
 UNHANDLED_ERROR: Final = EventType(105, "invariant violated")
 INVARIANT_BROKEN: Final = EventType(107, "invariant does not hold")
--- a/ashlift/proxy/program.py
+++ b/ashlift/proxy/program.py
@@ -17,7 +17,7 @@
     CRITICAL,
     ERROR,
     SETTINGS_INVALID,
-    SETTINGS_READ,
+    SETTINGS_RELOADED,
     STARTED,
     STOPPING,
     UNHANDLED_ERROR,
@@ -193,7 +193,7 @@
                 log_event(SETTINGS_INVALID, level=ERROR, error=failure.detail)
             return
         self.registry_poller.seeds = [host for host, _ in settings.seeds]
-        log_event(SETTINGS_READ, seeds=",".join(self.registry_poller.seeds))
+        log_event(SETTINGS_RELOADED, seeds=",".join(self.registry_poller.seeds))
 
 
 def _abbreviated(names: list[str]) -> str:
--- a/ashlift/registry/__main__.py
+++ b/ashlift/registry/__main__.py
@@ -12,7 +12,7 @@
 from ashlift import process
 from ashlift.config.settings import Settings, read_settings
 from ashlift.errors import Failure
-from ashlift.events import ERROR, SETTINGS_INVALID, SETTINGS_READ, STARTED, STOPPING, configure, log_event
+from ashlift.events import ERROR, SETTINGS_INVALID, SETTINGS_RELOADED, STARTED, STOPPING, configure, log_event
 from ashlift.metrics_server import metrics_port, serve_metrics
 from ashlift.registry.api.config import ConfigResource
 from ashlift.registry.api.evacuation import EvacuationResource
@@ -140,7 +140,7 @@
         self._settings = settings
         self._registry.seeds = self._seeds()
         self._registry.zones = settings.zones
-        log_event(SETTINGS_READ, seeds=",".join(self._registry.seeds))
+        log_event(SETTINGS_RELOADED, seeds=",".join(self._registry.seeds))
 
 
 def _identity(settings: Settings) -> RegistryIdentity:
