--- a/ashlift/invariants.py
+++ b/ashlift/invariants.py
@@ -11,7 +11,9 @@
 
 from ashlift.events import ERROR, INVARIANT_BROKEN, log_event
 
-FATAL_VARIABLE: Final = "ASHLIFT_FATAL_INVARIANTS"  # set and not empty: a violation ends the process
+FATAL_INVARIANTS_VARIABLE: Final = (
+    "ASHLIFT_FATAL_INVARIANTS"  # set and not empty: a violation ends the process
+)
 EXIT_STATUS: Final = 70  # os.EX_SOFTWARE
 
 
@@ -60,5 +62,5 @@
 
 
 monitor: Final = InvariantMonitor(
-    ViolationAction.EXIT if os.environ.get(FATAL_VARIABLE) else ViolationAction.CONTINUE
+    ViolationAction.EXIT if os.environ.get(FATAL_INVARIANTS_VARIABLE) else ViolationAction.CONTINUE
 )
--- a/ashlift/lab/system/programs.py
+++ b/ashlift/lab/system/programs.py
@@ -11,7 +11,7 @@
 import gevent
 from gevent import socket, subprocess
 
-from ashlift.invariants import FATAL_VARIABLE
+from ashlift.invariants import FATAL_INVARIANTS_VARIABLE
 from ashlift.metrics_server import METRICS_OPTION
 
 CHECKOUT: Final = Path(__file__).resolve().parents[3]  # the programs run its code
@@ -67,7 +67,7 @@
     def _start_process(self) -> None:
         self.incarnation += 1
         self.is_frozen = False
-        environment = {**os.environ, "ASHLIFT_SETTINGS": str(self._settings), FATAL_VARIABLE: "1"}
+        environment = {**os.environ, "ASHLIFT_SETTINGS": str(self._settings), FATAL_INVARIANTS_VARIABLE: "1"}
         port = METRICS_PORTS.get(self.kind)
         options = [] if port is None else [METRICS_OPTION, str(port)]
         with open(self._log, "ab") as log:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -11,7 +11,7 @@
 from ashlift.errors import Failure
 from ashlift.invariants import (
     EXIT_STATUS,
-    FATAL_VARIABLE,
+    FATAL_INVARIANTS_VARIABLE,
     Invariant,
     InvariantMonitor,
     InvariantViolationError,
@@ -105,7 +105,7 @@
     for value, status in (("1", EXIT_STATUS), ("", 0)):
         done = subprocess.run(
             [sys.executable, "-c", program],
-            env={FATAL_VARIABLE: value},
+            env={FATAL_INVARIANTS_VARIABLE: value},
             cwd=ROOT,
             capture_output=True,
             text=True,
