--- a/ashlift/__init__.py
+++ b/ashlift/__init__.py
@@ -1,3 +1,3 @@
-"""ashlift: a global load balancer. Importing the package loads nothing else of it."""
+"""ashlift: a global load balancer. Importing the package loads none of its modules."""
 
 __version__ = "0.2.0"
--- a/ashlift/__main__.py
+++ b/ashlift/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m ashlift`: the gatekeeper and its command line, as `python -m ashlift.gatekeeper`.
+"""`python -m ashlift`: the gatekeeper and its command line, like `python -m ashlift.gatekeeper`.
 
-Installations and pages of the users start it by this name.
+Existing installations start the gatekeeper by this name.
 """
 
 import sys
--- a/ashlift/errors.py
+++ b/ashlift/errors.py
@@ -1,28 +1,28 @@
-"""Outcomes as values: a `Failure` stands where a result could have stood, and says why there is none.
+"""Failures as return values: functions return a `Failure` in place of a result.
 
-Nothing that the network, a disk or a caller does is raised as an exception; exceptions are for broken
-invariants alone. The reasons travel between processes as the strings below.
+Failures of the network, of disks and of callers are not raised; exceptions are reserved for violated
+invariants.
 """
 
 from enum import StrEnum
 
 
 class FailureReason(StrEnum):
-    """Why there is no result. The values are the words on the wire between our processes."""
+    """Why there is no result. The values are sent on the wire."""
 
-    UNREACHABLE = "unreached"  # no connection came up: the request was not sent
-    OUTCOME_UNKNOWN = "unanswered"  # sent, and no response in time: it may have been executed
-    INVALID = "invalid"  # what was given cannot be right
-    REJECTED = "refused"  # understood, and not done
-    NOT_FOUND = "unknown"  # what was named does not exist
-    UNAVAILABLE = "unready"  # not now: retry later
-    EXPIRED = "late"  # not done, and will not be: the caller may have given up meanwhile
+    UNREACHABLE = "unreached"  # no connection could be opened, so the request was not sent
+    OUTCOME_UNKNOWN = "unanswered"  # sent without a response in time: it may have been executed
+    INVALID = "invalid"  # the request or the value is malformed
+    REJECTED = "refused"  # valid, but not executed
+    NOT_FOUND = "unknown"  # the named object does not exist
+    UNAVAILABLE = "unready"  # temporarily impossible: retry later
+    EXPIRED = "late"  # not executed, because the caller may have given up meanwhile
 
 
 class Failure:
-    """A falsy sentinel with a reason and a detail for people.
+    """A falsy result with a reason and a human-readable detail.
 
-    `reason` is a `FailureReason`, or another string where a newer process sent one that is not known here.
+    `reason` is a `FailureReason`, or an unknown string if it was received from a newer version.
     """
 
     __slots__ = ("detail", "reason")
--- a/ashlift/events.py
+++ b/ashlift/events.py
@@ -1,10 +1,10 @@
-"""Numbered log events on standard error, by logbook. The catalogue is docs/events.md; a test compares both.
+"""Logs numbered events to standard error by logbook. docs/events.md lists them; a test compares the two.
 
 Numbers: 1xx all programs, 2xx configuration store, 3xx registry, 4xx proxy. A number is never reused.
 
-Loading logbook takes a sixth of a program's start, and after the loss of all machines everybody waits for
-that. So the events of the first seconds are buffered and written a little later, with their own times; one at
-level ERROR or above is written at once, after all before it, and so is the buffer when the process ends.
+Importing logbook is slow, so it is deferred until after startup: events are buffered for the first seconds
+and then written with their original times. An event at level ERROR or above, a full buffer and the end of the
+process flush the buffer at once.
 """
 
 import atexit
@@ -17,13 +17,13 @@
 
 
 class EventType(NamedTuple):
-    """What can be logged: a number that stands for it, and the words of its line."""
+    """A kind of event: its unique number and its text."""
 
     number: int
-    words: str
+    text: str
 
 
-INFO: Final = 11  # the levels are logbook's
+INFO: Final = 11  # the levels equal logbook's
 WARNING: Final = 13
 ERROR: Final = 14
 CRITICAL: Final = 15
@@ -36,17 +36,17 @@
 INVARIANT_BROKEN: Final = EventType(107, "invariant does not hold")
 METRICS_UNAVAILABLE: Final = EventType(106, "metrics endpoint unavailable")
 
-STARTUP_BUFFER_SECONDS: Final = 2.0  # by then the store has a leader, and proxies are ready
+STARTUP_BUFFER_SECONDS: Final = 2.0  # long enough for the store to elect a leader and proxies to become ready
 MAX_BUFFERED_EVENTS: Final = 200
 
-_buffer: list[tuple[int, str, str]] = []  # level, time of day, line
+_buffer: list[tuple[int, str, str]] = []  # level, UTC time, line
 _logger: "logbook.Logger | None" = None  # None: events are buffered
 _process_name = ""  # program@node
 
 
 def configure(program: str, node: str) -> None:
-    """Name the process in its lines, and see to it that buffered events are written."""
-    import gevent  # here: pure cores name events too, and load no sockets for it
+    """Set the process name in log lines, and schedule the flush of buffered events."""
+    import gevent  # deferred: modules without I/O import this one, and must not load gevent
 
     global _process_name
     _process_name = f"{program}@{node}"
@@ -55,15 +55,15 @@
 
 
 def log_event(event: EventType, /, *, level: int = INFO, **fields: Any) -> None:
-    """Log an event on one line: its number, its words, its fields."""
-    line = f"{event.number} {event.words} {' '.join(f'{key}={value}' for key, value in fields.items())}"
+    """Log an event as one line: its number, text and fields."""
+    line = f"{event.number} {event.text} {' '.join(f'{key}={value}' for key, value in fields.items())}"
     _buffer.append((level, _time_of_day(time.time()), line))
     if _logger is not None or level >= ERROR or len(_buffer) >= MAX_BUFFERED_EVENTS:
         flush()
 
 
 def flush() -> None:
-    """Write what is buffered; from now on events are written as they are logged."""
+    """Write the buffered events; later ones are written as they are logged."""
     global _logger
     if _logger is None:
         _logger = _open_logger()
@@ -73,12 +73,12 @@
 
 
 def _time_of_day(now: float) -> str:
-    """UTC, to a microsecond."""
+    """Format the UTC time of day with microseconds."""
     return time.strftime("%H:%M:%S", time.gmtime(now)) + f".{int(now % 1 * 1e6):06d}"
 
 
 def _open_logger() -> "logbook.Logger":
-    import logbook  # here, as it is slow to load: see above
+    import logbook  # deferred, because it is slow to load
 
     handler = logbook.StreamHandler(sys.stderr, level=logbook.INFO)
     handler.format_string = (
--- a/ashlift/invariants.py
+++ b/ashlift/invariants.py
@@ -1,7 +1,7 @@
-"""What must always hold while a program runs: checked, counted, and fatal in tests.
+"""Run-time invariants: checked, counted, and fatal in tests.
 
-A violation is a bug. In service it is counted, shown in the metrics and logged (event 107), and the caller
-refuses what would break the rule. In tests it raises; a process of the soak ends at once.
+A violation is a bug. In production it is counted in the metrics and logged (event 107), and the caller
+rejects the operation. In tests it raises. If ASHLIFT_FATAL_INVARIANTS is set, the process exits.
 """
 
 import os
@@ -11,22 +11,20 @@
 
 from ashlift.events import ERROR, INVARIANT_BROKEN, log_event
 
-FATAL_INVARIANTS_VARIABLE: Final = (
-    "ASHLIFT_FATAL_INVARIANTS"  # set and not empty: a violation ends the process
-)
+FATAL_INVARIANTS_VARIABLE: Final = "ASHLIFT_FATAL_INVARIANTS"  # unless empty, violations end the process
 EXIT_STATUS: Final = 70  # os.EX_SOFTWARE
 
 
 class Invariant(StrEnum):
-    """What is checked. The values stand in metrics and log lines."""
+    """The invariants. The values appear in metrics and log lines."""
 
-    DIRECTORY_REGION = "directory_region"  # /lookup names proxies in allowed regions alone
-    ATTEMPT_REGION = "attempt_region"  # an attempt goes to a worker in an allowed region
-    REQUEST_ANSWERED = "request_answered"  # a request that was read is answered, unless its client has gone
+    DIRECTORY_REGION = "directory_region"  # /lookup returns only proxies in allowed regions
+    ATTEMPT_REGION = "attempt_region"  # requests are sent only to workers in allowed regions
+    REQUEST_ANSWERED = "request_answered"  # each request read gets a response, unless its client disconnects
 
 
 class ViolationAction(Enum):
-    """What follows a violation, besides its count and its log line."""
+    """What a violation does after it has been counted and logged."""
 
     CONTINUE = "continue"
     RAISE = "raise"
@@ -34,20 +32,20 @@
 
 
 class InvariantViolationError(AssertionError):
-    """An invariant does not hold."""
+    """An invariant is violated."""
 
 
 class InvariantMonitor:
-    """Counts the violations of one process."""
+    """Checks invariants, and counts the violations of this process."""
 
     def __init__(self, action: ViolationAction) -> None:
         self.action = action
         self.violations: Counter[str] = Counter({invariant.value: 0 for invariant in Invariant})
 
     def check(self, condition: bool, invariant: Invariant, **fields: Any) -> bool:
-        """Whether the condition holds. `fields` say what was seen, where it does not.
+        """Return `condition`; count and log a violation if it is false. `fields` are added to the log line.
 
-        Raises InvariantViolationError, or ends the process, where `action` says so.
+        Depending on `action`, a violation also raises InvariantViolationError or ends the process.
         """
         if condition:
             return True
--- a/ashlift/metrics.py
+++ b/ashlift/metrics.py
@@ -1,7 +1,6 @@
-"""Counters of one process, and their text in the exposition format of Prometheus. Pure.
+"""Metrics of one process in the Prometheus exposition format. No I/O.
 
-Written here rather than taken from a client library: the libraries load an HTTP server and OpenSSL with them,
-and after the loss of all machines everybody waits for the programs' starts.
+Prometheus client libraries are not used, because they load an HTTP server and OpenSSL, which slows startup.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -14,7 +13,7 @@
 
 
 class Metric:
-    """One metric: a value for each value of its label. `read` is called for each scrape."""
+    """One metric with one label."""
 
     def __init__(self, name: str, kind: str, label: str, help_text: str) -> None:
         """`name`: without the prefix. `kind`: "counter" or "gauge"."""
@@ -24,7 +23,7 @@
         self.help_text = help_text
 
     def render(self, values: LabelledValues) -> Iterator[str]:
-        """The lines of this metric."""
+        """Yield the lines of this metric."""
         yield f"# HELP {self.name} {self.help_text}"
         yield f"# TYPE {self.name} {self.kind}"
         for label_value, value in sorted(values.items()):
@@ -37,17 +36,17 @@
 
 
 class MetricsRegistry:
-    """The metrics of a process, each with the function that reads its values."""
+    """The metrics of a process, each with a function that reads its values."""
 
     def __init__(self) -> None:
         self._metrics: list[tuple[Metric, Callable[[], LabelledValues]]] = []
 
     def add(self, metric: Metric, read: Callable[[], LabelledValues]) -> None:
-        """Show a metric from now on."""
+        """Add a metric. `read` is called on each scrape."""
         self._metrics.append((metric, read))
 
     def render(self) -> str:
-        """All metrics as text."""
+        """Return all metrics in the exposition format."""
         lines = [line for metric, read in self._metrics for line in metric.render(read())]
         return "".join(f"{line}\n" for line in lines)
 
--- a/ashlift/metrics_server.py
+++ b/ashlift/metrics_server.py
@@ -1,7 +1,7 @@
-"""The metrics endpoint of a program: `GET /metrics` on a port of its own. It owns the sockets.
+"""The metrics endpoint of a program: `GET /metrics` on a separate port.
 
-The port is the same on all machines, as the deploy file names it (`metrics` of a role), and stands in the
-program's command line. A port that cannot be had is logged and does not keep the program from serving.
+The port is an option of the program's command line, and must match `metrics` of the role in the deploy file.
+If it cannot be bound, this is logged and the program runs without the endpoint.
 """
 
 import contextlib
@@ -28,7 +28,7 @@
 
 
 def metrics_port(arguments: Sequence[str]) -> int | None | Failure:
-    """The port that a command line names; None: there is to be no endpoint. INVALID: it names no port."""
+    """Return the port in a command line, None if the option is absent, or INVALID for a malformed port."""
     if METRICS_OPTION not in arguments:
         return None
     text = "".join(arguments[arguments.index(METRICS_OPTION) + 1 :][:1])
@@ -38,7 +38,7 @@
 
 
 def serve_metrics(address: Address, metrics: MetricsRegistry) -> StreamServer | None:
-    """Start the endpoint; None where the address cannot be had."""
+    """Start the endpoint; return None if the address cannot be bound."""
 
     def handle_connection(sock: socket.socket, _: Address) -> None:
         with (
@@ -58,7 +58,7 @@
 
 
 def _read_target(sock: socket.socket) -> str:
-    """The target of the request on a connection; empty if there is no whole request."""
+    """Read a request and return its target; empty unless it is a complete GET request."""
     head = b""
     while END_OF_HEAD not in head:
         data = sock.recv(RECEIVE_BYTES)
--- a/ashlift/process.py
+++ b/ashlift/process.py
@@ -1,6 +1,6 @@
-"""What the programs' entry points share: path of the settings, signals, the end after an unhandled error.
+"""Functions shared by the programs' entry points: settings path, signal handlers, exit on unhandled errors.
 
-It owns no state. What a program does when it is told to stop stands in its own `__main__`.
+Each program implements its shutdown itself.
 """
 
 import os
@@ -15,16 +15,14 @@
 SETTINGS_PATH_VARIABLE: Final = "ASHLIFT_SETTINGS"
 DEFAULT_SETTINGS_PATH: Final = "/etc/ashlift/settings.toml"
 TERMINATION_SIGNALS: Final = (signal.SIGTERM, signal.SIGINT)
-EXIT_INVALID_SETTINGS: Final = (
-    os.EX_CONFIG
-)  # of the configuration store; registry and proxy have always given 2
+EXIT_INVALID_SETTINGS: Final = os.EX_CONFIG  # of the configuration store; registry and proxy exit with 2
 EXIT_INTERNAL_ERROR: Final = os.EX_SOFTWARE
 
 _EXPECTED_EXCEPTIONS: Final = (KeyboardInterrupt, SystemExit, gevent.GreenletExit)
 
 
 def settings_path() -> str:
-    """Path of the settings file: from the environment, else the default one."""
+    """Return the path of the settings file: from the environment, or the default."""
     return os.environ.get(SETTINGS_PATH_VARIABLE, DEFAULT_SETTINGS_PATH)
 
 
@@ -40,12 +38,12 @@
 
 
 def ignore_reload() -> None:
-    """Let SIGHUP, which ends a process by default, do nothing."""
+    """Ignore SIGHUP, which would end the process by default."""
     on_reload(lambda: None)
 
 
 def exit_on_unhandled_error() -> None:
-    """Let an exception that leaves a greenlet end the process at once: it is a broken invariant."""
+    """End the process at once when a greenlet dies of an unhandled exception, which is a bug."""
     hub: Any = gevent.get_hub()
 
     def handle_error(context: Any, kind: Any, value: Any, traceback: Any) -> None:
--- a/ashlift/response_status.py
+++ b/ashlift/response_status.py
@@ -1,4 +1,4 @@
-"""Statuses of the configuration store's answers to operators: HTTP's numbers, which registries pass on."""
+"""HTTP status codes in the configuration store's responses to operators, which registries relay."""
 
 from typing import Final
 
