--- a/tests/route_reconciliation/test_edits.py
+++ b/tests/route_reconciliation/test_edits.py
@@ -1,4 +1,4 @@
-"""Edits of routes: how they are decoded, how sets of them join, and what never merges by itself."""
+"""Route edits: decoding, joining sets of them, and the conflicts that need an operator."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 from tests.support.route_edits import BASE, Map, decide, execute, make_edit, route
 
 
-@test("sets of edits: joined in any order, any grouping, any number of times, they are the same")
+@test("sets of edits: the join is commutative, associative and idempotent")
 def _() -> None:
     @quick
     @given(edit_sets, edit_sets, edit_sets)
@@ -26,52 +26,52 @@
 
 
 CHANGES: dict[str, tuple[str, Any, ConflictReason | None]] = {
-    "another kind": ("x", route("a", kind="non_idempotent"), ConflictReason.ROUTE_TYPE),
-    "a route that is not repeatable": (
+    "changes the route type": ("x", route("a", kind="non_idempotent"), ConflictReason.ROUTE_TYPE),
+    "changes a route that is not idempotent": (
         "hold",
         route("c", "/hold/", "non_idempotent"),
         ConflictReason.ROUTE_TYPE,
     ),
-    "its withdrawal": ("hold", None, ConflictReason.ROUTE_TYPE),
-    "paths taken from one that is not repeatable": (
+    "withdraws a route that is not idempotent": ("hold", None, ConflictReason.ROUTE_TYPE),
+    "takes paths from a route that is not idempotent": (
         "y",
         route("a", "/hold/new/"),
         ConflictReason.ROUTE_TYPE,
     ),
-    "paths given to one that is not repeatable": ("y", route("a", "/"), ConflictReason.ROUTE_TYPE),
-    "another's place: a renaming": ("y", route("a"), ConflictReason.ADDRESS),
-    "other homes": ("x", route("a", homes=["r1"]), ConflictReason.HOME_REGIONS),
-    "a new route": ("y", route("a", "/y/"), None),
-    "a withdrawal": ("x", None, None),
+    "covers paths of a route that is not idempotent": ("y", route("a", "/"), ConflictReason.ROUTE_TYPE),
+    "has the address of another route": ("y", route("a"), ConflictReason.ADDRESS),
+    "changes home regions": ("x", route("a", homes=["r1"]), ConflictReason.HOME_REGIONS),
+    "adds a route": ("y", route("a", "/y/"), None),
+    "withdraws a route": ("x", None, None),
 }
-WORDS = {"ROUTE_TYPE": "kind", "ADDRESS": "place", "HOME_REGIONS": "homes", "SPECIFICATION": "text"}
+WIRE_VALUES = {"ROUTE_TYPE": "kind", "ADDRESS": "place", "HOME_REGIONS": "homes", "SPECIFICATION": "text"}
 
 
-@test("reasons of conflicts travel as the words that they have always had")
+@test("conflict reasons keep their values on the wire")
 def _() -> None:
-    assert {reason.name: reason.value for reason in ConflictReason} == WORDS
+    assert {reason.name: reason.value for reason in ConflictReason} == WIRE_VALUES
 
 
-@test("what may merge by itself: {what}")
+@test("edits that merge automatically, and those that need an operator: {what}")
 def _(what: str = each(*CHANGES)) -> None:
     name, specification, reason = CHANGES[what]
     wire_reason = reason.value if reason else ""
     assert conflict_reason(BASE, name, specification, BASE.get(f"Routes/{name}")) == reason
     edit = make_edit(name, specification, 5)
-    after, answer = execute(BASE, "merge", {"edits": [encode_edit(edit)]})
-    assert answer["outcomes"][edit.id].get("why", "") == wire_reason
+    after, response = execute(BASE, "merge", {"edits": [encode_edit(edit)]})
+    assert response["outcomes"][edit.id].get("why", "") == wire_reason
     assert (after == BASE) == (reason is not None)
     proposal = make_edit(name, specification, 5, automatic=False)
-    after, answer = execute(BASE, "merge", {"edits": [encode_edit(proposal)]})
+    after, response = execute(BASE, "merge", {"edits": [encode_edit(proposal)]})
     assert after == BASE
-    assert answer["outcomes"][edit.id]["why"] == "kind"
+    assert response["outcomes"][edit.id]["why"] == "kind"
 
 
 @test("an invalid edit is a Failure, never an exception")
 def _() -> None:
-    good = encode_edit(make_edit("x", route("b"), 5))
-    assert decode_edit(good) == make_edit("x", route("b"), 5)
-    wrong_fields: list[Map] = [
+    valid = encode_edit(make_edit("x", route("b"), 5))
+    assert decode_edit(valid) == make_edit("x", route("b"), 5)
+    invalid_fields: list[Map] = [
         {"stamp": [1]},
         {"text": 3},
         {"name": ""},
@@ -79,6 +79,6 @@
         {"auto": "yes"},
         {"text": {"Host": "h" * 9000}},
     ]
-    for bad in (None, {}, [1], *(good | fields for fields in wrong_fields)):
-        assert not decode_edit(bad)
-        assert decide(BASE, "edit", {"edit": bad}).response["status"] == 400
+    for invalid in (None, {}, [1], *(valid | fields for fields in invalid_fields)):
+        assert not decode_edit(invalid)
+        assert decide(BASE, "edit", {"edit": invalid}).response["status"] == 400
--- a/tests/route_reconciliation/test_hybrid_clock.py
+++ b/tests/route_reconciliation/test_hybrid_clock.py
@@ -1,4 +1,4 @@
-"""The hybrid logical clock: its timestamps rise, near the time of day."""
+"""The hybrid logical clock: its timestamps rise and stay near wall-clock time."""
 
 from ward import test
 
@@ -11,14 +11,14 @@
 )
 
 
-@test("timestamps rise through jumps of the time of day, which move them by a bounded time")
+@test("timestamps rise despite jumps of the wall clock, which shift them by a bounded amount")
 def _() -> None:
     clock = HybridLogicalClock("n", 1000.0, 0.0)
     last = ZERO_TIMESTAMP
-    for steady, wall in ((0.1, 1000.1), (0.2, 1003.2), (0.3, 997.0), (0.4, 1000.4), (0.4, 1000.4)):
-        timestamp = clock.next_timestamp(ZERO_TIMESTAMP, wall, steady)
+    for monotonic, wall in ((0.1, 1000.1), (0.2, 1003.2), (0.3, 997.0), (0.4, 1000.4), (0.4, 1000.4)):
+        timestamp = clock.next_timestamp(ZERO_TIMESTAMP, wall, monotonic)
         assert timestamp > last
-        assert abs(timestamp.wall_ms - (1000 + steady) * 1000) <= MAX_DRIFT_MS + 1
+        assert abs(timestamp.wall_ms - (1000 + monotonic) * 1000) <= MAX_DRIFT_MS + 1
         last = timestamp
     clock.observe(HybridTimestamp(1_000_400 + 3000, 0, "ahead"), 1000.5, 0.5)
     assert clock.next_timestamp(ZERO_TIMESTAMP, 1000.5, 0.5) > HybridTimestamp(1_003_400, 0, "ahead")
--- a/tests/route_reconciliation/test_merging.py
+++ b/tests/route_reconciliation/test_merging.py
@@ -1,4 +1,4 @@
-"""Merges of edits made on both sides of a partition: in any order of arrival, and operators' decisions."""
+"""Merges of edits made on both sides of a partition, and operators' decisions on pending edits."""
 
 import itertools
 from typing import Any
@@ -28,13 +28,13 @@
 )
 
 
-@test("merges: the same routes in any order and any batches, and a newest withdrawal is never lost")
+@test("merges: the result does not depend on order or batches, and the newest edit of a route wins")
 def _() -> None:
     @quick
     @given(some.data(), edit_sets)
     def holds(data: Any, drawn: dict[str, RouteEdit]) -> None:
-        # One prefix a route: two sides that claim one address is the next test's.
-        edits = [_with_own_prefix(edit) for edit in drawn.values()]
+        # A distinct prefix per route avoids address conflicts, which the next test covers.
+        edits = [_with_distinct_prefix(edit) for edit in drawn.values()]
         order = data.draw(some.permutations(edits))
         split = data.draw(some.integers(0, len(order)))
         in_one_batch = merged(BASE, [edits])
@@ -49,20 +49,19 @@
     holds()
 
 
-def _with_own_prefix(edit: RouteEdit) -> RouteEdit:
+def _with_distinct_prefix(edit: RouteEdit) -> RouteEdit:
     specification = edit.specification and {**edit.specification, "PathPrefix": f"/{edit.route}/"}
     return evolve(edit, specification=specification)
 
 
-# What one side may do: a route goes elsewhere, is withdrawn, a new one takes an address, or the first one's.
-STEPS: dict[str, tuple[str, Any]] = {
+STEPS: dict[str, tuple[str, Any]] = {  # route and its new service; None: withdrawn
     "move": ("x", "c"),
     "withdraw": ("x", None),
     "add": ("y", "b"),
     "drop": ("y", None),
 }
-MAJORITY_MS = (10, 20, 30)  # times of the majority's edits, each made on the newest map
-MINORITY_MS = (5, 15, 35)  # times of the other side's, all made on BASE
+MAJORITY_MS = (10, 20, 30)  # timestamps of the majority's edits, each based on the newest map
+MINORITY_MS = (5, 15, 35)  # timestamps of the minority's edits, all based on BASE
 
 
 def _step_edit(step: str, wall_ms: int, node: str) -> RouteEdit:
@@ -70,8 +69,8 @@
     return make_edit(name, service and route(service, f"/{name}/"), wall_ms, node=node)
 
 
-@test("two sides with three edits each, all of them, in every order of arrival, the majority's by {plain}")
-def _(plain: str = each("edit", "patch")) -> None:
+@test("merges: all combinations of three edits on each side, in every order, majority by {method}")
+def _(method: str = each("edit", "patch")) -> None:
     majority_states: set[str] = set()
     final_states: set[str] = set()
     for majority_steps in itertools.product(STEPS, repeat=3):
@@ -79,9 +78,9 @@
         for step, wall_ms in zip(majority_steps, MAJORITY_MS, strict=True):
             edit = _step_edit(step, wall_ms, "m")
             current = entries.get(f"Routes/{edit.route}")
-            if plain == "edit":
-                entries, answer = execute(entries, "edit", {"edit": {**encode_edit(edit), "base": current}})
-                assert answer["status"] == 200
+            if method == "edit":
+                entries, response = execute(entries, "edit", {"edit": {**encode_edit(edit), "base": current}})
+                assert response["status"] == 200
             elif current != edit.specification:
                 version = operator_config.current_version(entries)
                 patch = _patch(edit, int(version, 16) + 1)
@@ -99,16 +98,16 @@
                 for step, wall_ms in zip(minority_steps, MINORITY_MS, strict=True)
             ]
             results = [merged(entries, [edits]), *_after_each_order(entries, edits, [])]
-            alike = all(routes_in(result) == routes_in(results[0]) for result in results)
-            assert alike, (majority_steps, minority_steps)
+            converged = all(routes_in(result) == routes_in(results[0]) for result in results)
+            assert converged, (majority_steps, minority_steps)
             final_states.add(repr(routes_in(results[0])))
-            if plain == "edit":
+            if method == "edit":
                 _assert_newest_wins(entries, edits, results[0])
     assert len(final_states) > 4
 
 
 def _routes_and_timestamps(entries: Map) -> str:
-    """What merges depend on, to go through each state once."""
+    """The state that merges depend on, to test each one once."""
     keys = sorted(routes_in(entries))
     histories = [entries.get(key.replace("Routes/", "Edited/"), {}) for key in keys]
     return repr(
@@ -117,7 +116,7 @@
 
 
 def _after_each_order(entries: Map, arriving: list[RouteEdit], known: list[RouteEdit]) -> list[Map]:
-    """Every map that the edits may end in, arriving one by one."""
+    """The maps that result from the edits arriving one by one, in every order."""
     if not arriving:
         return [entries]
     results: list[Map] = []
@@ -128,7 +127,7 @@
 
 
 def _patch(edit: RouteEdit, version: int) -> Map:
-    """A plain change of the configuration, which has no timestamp, in place of the edit."""
+    """A configuration patch with the same change as the edit, which has no timestamp."""
     patch: Map = {"ConfigVersion": f"{version:08x}"}
     if edit.specification is None:
         return {**patch, "Withdraw": {"Routes": [edit.route]}}
@@ -147,30 +146,32 @@
         assert after.get(f"Routes/{name}") == expected
 
 
-@test("a service that is gone, home regions that changed, a plain change: the majority's version stands")
+@test("merges: an edit that conflicts with the majority's changes is not applied")
 def _() -> None:
-    for theirs, why in (
+    for majority_routes, why in (
         ({**FIRST_ROUTES, "x": route("b")}, "text"),
         ({**FIRST_ROUTES, "x": route("a", homes=["r1"])}, "text"),
         ({**FIRST_ROUTES, "y": route("a", "/y/")}, "place"),
     ):
-        entries = entries_of(configuration_of(2, theirs))
-        edit = make_edit("z", route("c", "/y/"), 5) if "y" in theirs else make_edit("x", route("c"), 5)
-        after, answer = execute(entries, "merge", {"edits": [encode_edit(edit)]})
+        entries = entries_of(configuration_of(2, majority_routes))
+        edit = (
+            make_edit("z", route("c", "/y/"), 5) if "y" in majority_routes else make_edit("x", route("c"), 5)
+        )
+        after, response = execute(entries, "merge", {"edits": [encode_edit(edit)]})
         assert after == entries
-        assert answer["outcomes"][edit.id] == {"outcome": "conflict", "why": why}
-    after, answer = execute(BASE, "merge", {"edits": [encode_edit(make_edit("x", route("gone"), 5))]})
+        assert response["outcomes"][edit.id] == {"outcome": "conflict", "why": why}
+    after, response = execute(BASE, "merge", {"edits": [encode_edit(make_edit("x", route("gone"), 5))]})
     assert after == BASE
-    assert "no such service" in answer["outcomes"]["x-5-n"]["why"]
+    assert "no such service" in response["outcomes"]["x-5-n"]["why"]
 
 
-@test("a proposal is confirmed once, on the version that was shown, and over a change only on request")
+@test("a proposal is confirmed once, on the current version, and overwrites a change only on request")
 def _() -> None:
     edit = make_edit("hold", route("c", "/hold/", "non_idempotent"), 5, automatic=False)
     body = {"edit": encode_edit(edit), "who": "boss", "stamp": [90, 0, "n"]}
     assert execute(BASE, "confirm", body, "00000009")[1]["status"] == 412
-    after, answer = execute(BASE, "confirm", body, "00000001")
-    assert answer["status"] == 200
+    after, response = execute(BASE, "confirm", body, "00000001")
+    assert response["status"] == 200
     assert after["Version"] == "00000002"
     assert after["Routes/hold"] == edit.specification
     log_entry = after["Edited/hold"]["log"][-1]
@@ -179,28 +180,28 @@
     assert again[0] == after
     assert again[1]["outcome"] == "in force"
     moved = entries_of(configuration_of(2, {**FIRST_ROUTES, "hold": route("a", "/hold/", "non_idempotent")}))
-    same, answer = execute(moved, "confirm", body, "00000002")
+    same, response = execute(moved, "confirm", body, "00000002")
     assert same == moved
-    assert answer["status"] == 409
-    assert (answer["yours"], answer["theirs"]) == (edit.specification, moved["Routes/hold"])
+    assert response["status"] == 409
+    assert (response["yours"], response["theirs"]) == (edit.specification, moved["Routes/hold"])
     assert (
         execute(moved, "confirm", body | {"over": True}, "00000002")[0]["Routes/hold"] == edit.specification
     )
-    gone, answer = execute(moved, "reject", body, "00000002")
+    gone, response = execute(moved, "reject", body, "00000002")
     assert routes_in(gone) == routes_in(moved)
     assert gone["Version"] == moved["Version"]
     assert execute(gone, "confirm", body, "00000002")[1]["outcome"] == "rejected"
 
 
-@test("outcomes and histories are bounded, and an edit older than they reach waits for an operator")
+@test("outcomes and histories are bounded, and an edit older than dropped histories needs an operator")
 def _() -> None:
     entries = dict(BASE)
     withdrawals = [make_edit(f"n{number}", None, 100 + number) for number in range(MAX_HISTORIES + 3)]
     entries = merged(entries, [withdrawals])
     assert sum(key.startswith("Edited/") for key in entries) == MAX_HISTORIES
     assert sum(key.startswith("Settled/") for key in entries) == MAX_OUTCOMES
-    after, answer = execute(
+    after, response = execute(
         entries, "merge", {"edits": [encode_edit(make_edit("n0", route("a", "/n/"), 50))]}
     )
     assert after == entries
-    assert answer["outcomes"]["n0-50-n"]["outcome"] == "conflict"
+    assert response["outcomes"]["n0-50-n"]["outcome"] == "conflict"
