--- a/tests/rpc/test_client.py
+++ b/tests/rpc/test_client.py
@@ -1,5 +1,5 @@
-"""The client on real sockets: whatever faults occur, a response is its own request's, and no request is
-executed twice.
+"""The RPC client on real sockets: whatever faults occur, each response belongs to its request, no request is
+executed twice, and none that was executed is reported as not sent.
 """
 
 from collections.abc import Callable
@@ -41,8 +41,8 @@
     address_of,
 )
 
-SMALL_CALL_BYTES = 36  # of a small request, and more than its response has
-HUGE_BODY_BYTES = 6 << 20  # more than the buffers of both ends hold
+SMALL_CALL_BYTES = 36  # size of a small request; its response is smaller
+HUGE_BODY_BYTES = 6 << 20  # exceeds the socket buffers of both ends
 LARGE_BODY_BYTES = 1_400_000
 RUN_SETTINGS = settings(
     max_examples=25,
@@ -78,8 +78,10 @@
         size=st.sampled_from((0, 30, 70_000)),
     )
     def calls(self, methods: list[str], size: int) -> None:
-        is_calm = not self.proxy.pending_faults and self.proxy.fault_count == 0 and "late" not in methods
-        timeout = LONG_SECONDS if is_calm else SHORT_SECONDS
+        is_fault_free = (
+            not self.proxy.pending_faults and self.proxy.fault_count == 0 and "late" not in methods
+        )
+        timeout = LONG_SECONDS if is_fault_free else SHORT_SECONDS
         calls = [gevent.spawn(self.history.call, method, size, timeout) for method in methods]
         gevent.joinall(calls, raise_error=True)
         self.history.check()
@@ -111,14 +113,13 @@
         self.peer.may_answer.set()
         self.proxy.end_faults()
         results = [self.history.call("echo", 10, SHORT_SECONDS) for _ in range(2)]
-        if all(
-            isinstance(result, Failure) for result in results
-        ):  # delayed bytes may still have been on their way
+        # The proxy may have delivered delayed bytes only now: one more attempt on a new connection.
+        if all(isinstance(result, Failure) for result in results):
             self.client.close()
             results.append(self.history.call("echo", 10, LONG_SECONDS))
         self.history.check()
         all_failed = all(isinstance(result, Failure) for result in results)
-        assert not all_failed, f"there is no fault any more, and calls fail: {results}"
+        assert not all_failed, f"all calls fail after the end of all faults: {results}"
         self.client.close()
         self.proxy.close()
         self.peer.close()
@@ -129,17 +130,17 @@
 
 
 def run_random_calls_once() -> None:
-    """The same, and no search for a shorter case."""
+    """Like `run_random_calls`, without shrinking a failing case."""
     run_state_machine_as_test(Calls, settings=settings(RUN_SETTINGS, phases=[Phase.generate]))
 
 
-@test("rpc client: calls through any faults, one after the other and beside each other")
+@test("rpc client: sequential and concurrent calls through random faults")
 def _() -> None:
     run_random_calls()
 
 
 def call_with_fault(direction: str, after_bytes: int, kind: str) -> int:
-    """Three calls, the fault in the first two; how many were answered."""
+    """Make three calls, the first two with the fault; return how many were answered."""
     peer = Peer()
     proxy = FaultProxy(peer.address)
     history = CallHistory(peer, RpcClient(proxy.address))
@@ -172,7 +173,10 @@
 
 
 def frames_of_abandoned_calls() -> list[list[Any]]:
-    """Calls to a peer that does not read, then does; the values by connection, None where it was no frame."""
+    """Make calls to a peer that starts to read late, some of which time out.
+
+    Returns the values that the peer received, by connection; None stands for an invalid frame.
+    """
     peer = SilentPeer()
     client = RpcClient(peer.address)
     first = client.call("echo", [0, b"a" * HUGE_BODY_BYTES], SHORT_SECONDS)
@@ -199,7 +203,7 @@
 
 
 def is_as_sent(value: Any) -> bool:
-    """Whether it is a request as `frames_of_abandoned_calls` makes them."""
+    """Whether a value is an intact request of `frames_of_abandoned_calls`."""
     if value is None:
         return False
     _, method, (token, padding) = value
@@ -211,29 +215,29 @@
     assert all(is_as_sent(value) for values in frames_of_abandoned_calls() for value in values)
 
 
-@test("rpc client: a call given up in the middle of being written ends its connection")
+@test("rpc client: a call that times out while it is written closes its connection")
 def _() -> None:
     connections = frames_of_abandoned_calls()
-    assert len(connections) > 1, "the connection with a part of a frame on it was used again"
+    assert len(connections) > 1, "a connection was reused after an incomplete frame"
     assert all(is_as_sent(value) for values in connections for value in values)
 
 
-@test(
-    "rpc client: what cannot be a response ends the connection, and its calls have unknown outcomes: {what}"
-)
-def _(what: str = each("of no call yet", "half", "a wrong check", "a call", "words for a fault")) -> None:
-    answer = {
-        "of no call yet": encode_response(9, "x"),
-        "half": encode_response(1, "x")[:-1],
-        "a wrong check": encode_response(1, "x")[:-1] + b"y",
-        "a call": encode_frame(REQUEST_CRC_SEED, [1, "x"]),
-        "words for a fault": encode_frame(RESPONSE_CRC_SEED, [1, None, 7, 8]),
+@test("rpc client: after an invalid response, the outcome of all calls is unknown: {what}")
+def _(
+    what: str = each("unused number", "truncated", "wrong checksum", "request seed", "malformed failure"),
+) -> None:
+    response = {
+        "unused number": encode_response(9, "x"),
+        "truncated": encode_response(1, "x")[:-1],
+        "wrong checksum": encode_response(1, "x")[:-1] + b"y",
+        "request seed": encode_frame(REQUEST_CRC_SEED, [1, "x"]),
+        "malformed failure": encode_frame(RESPONSE_CRC_SEED, [1, None, 7, 8]),
     }[what]
 
     def connection(sock: socket.socket, _: Any) -> None:
         sock.recv(65536)
-        sock.sendall(answer)
-        if what == "half":
+        sock.sendall(response)
+        if what == "truncated":
             sock.shutdown(socket.SHUT_WR)
         sock.recv(65536)
 
@@ -249,7 +253,7 @@
     server.stop(0.1)
 
 
-@test("rpc client: a call that waits for its turn to write, and is given up, has not been sent")
+@test("rpc client: a call that times out while another one is written has not been sent")
 def _() -> None:
     peer = SilentPeer()
     client = RpcClient(peer.address)
@@ -264,7 +268,7 @@
     peer.close()
 
 
-@test("rpc client: one that is killed while it writes leaves no part of a frame behind")
+@test("rpc client: a call that is killed while it is written closes its connection")
 def _() -> None:
     peer = SilentPeer()
     client = RpcClient(peer.address)
@@ -288,25 +292,25 @@
 
 
 MUTATIONS: dict[str, tuple[Callable[..., Any], str, str, Callable[[], None]]] = {
-    "the connection is kept after a write that was given up": (
+    "a connection is kept after an incomplete write": (
         RpcClient._send,
         "self._disconnect(connection)  # a part of the frame may have been sent",
         "pass",
         check_abandoned_calls,
     ),
-    "a number may come again": (
+    "a request number may be repeated": (
         rpc_server._ServerConnection._check_number,
         "request.number <= self._last_number",
         "False",
         duplicate_bytes,
     ),
-    "sent is told as not sent": (
+    "a request that was sent is reported as not sent": (
         RpcClient.call,
         'Failure(_failure_reason(request), f"{method}: {timeout:g} s")',
         "Failure(FailureReason.UNREACHABLE, method)",
         run_random_calls_once,
     ),
-    "any answer is anybody's": (
+    "a response is delivered to any caller": (
         RpcClient._deliver,
         "waiting = connection.in_flight.pop(number, None)",
         "waiting = connection.in_flight.popitem()[1] if connection.in_flight else None",
--- a/tests/rpc/test_fragmentation.py
+++ b/tests/rpc/test_fragmentation.py
@@ -1,4 +1,4 @@
-"""A configuration too large for one response arrives in fragments over a slow line while it changes."""
+"""Transfer of a configuration that is too large for one response, in fragments, while it changes."""
 
 import random
 from typing import Any
@@ -27,20 +27,18 @@
 from tests.proxy.test_registry_client import TEXT
 from tests.support.registry_wire import pull_response
 
-LINE_BYTES_PER_SECOND = 2e6 / 8  # of each proxy's line
-TRIP_SECONDS = 0.04  # one way
+LINK_BYTES_PER_SECOND = 2e6 / 8  # of each proxy's link
+ONE_WAY_DELAY_SECONDS = 0.04
+IDENTITY = RegistryIdentity("core-1", "0", "10.1.0.1", "a", "r", 80, 1.5)
 
 
-ME = RegistryIdentity("core-1", "0", "10.1.0.1", "a", "r", 80, 1.5)
-
-
-def route(chance: random.Random, size: int) -> dict[str, Any]:
-    text = chance.randbytes(size // 2).hex()
+def route(rng: random.Random, size: int) -> dict[str, Any]:
+    text = rng.randbytes(size // 2).hex()
     return {"Host": "h.example", "PathPrefix": "/x/", "Timeout": "2s", "Note": text}
 
 
 def registry() -> Registry:
-    return Registry(ME, [ME.ip], {"a": "r"}, 0.0)
+    return Registry(IDENTITY, [IDENTITY.ip], {"a": "r"}, 0.0)
 
 
 def registry_client(seed: int) -> RegistryClient:
@@ -50,11 +48,11 @@
     return RegistryClient(settings, RequestRouter(settings, rng, 0.0), str(seed), rng)
 
 
-class SlowLines:
-    """A registry whose configuration changes `rate` times a second, and proxies that pull over slow lines."""
+class SlowLinks:
+    """A registry whose configuration changes `rate` times a second, and slow links on which proxies pull."""
 
     def __init__(self, routes: int, size: int, rate: float) -> None:
-        self.chance = random.Random(1)
+        self.rng = random.Random(1)
         self.rate = rate
         self.routes = routes
         self.size = size
@@ -62,98 +60,99 @@
         self.index = 1
         self.longest_transfer = 0.0
         self.registry = registry()
-        entries: dict[str, Any] = {f"Routes/{number}": route(self.chance, size) for number in range(routes)}
+        entries: dict[str, Any] = {f"Routes/{number}": route(self.rng, size) for number in range(routes)}
         entries |= {"Version": "00000001", "Members/10.1.0.1": {}}
         self.publish(entries, True)
 
     def publish(self, entries: dict[str, Any], full: bool = False) -> None:
-        answer = {"index": self.index, "full": full, "set": entries, "gone": [], "age": 0.05, "term": 1}
-        self.registry.operator_config.receive_watch_response(answer, self.now)
+        response = {"index": self.index, "full": full, "set": entries, "gone": [], "age": 0.05, "term": 1}
+        self.registry.operator_config.receive_watch_response(response, self.now)
 
     def change(self) -> None:
         self.index += 1
-        key = f"Routes/{self.chance.randrange(self.routes)}"
-        self.publish({key: route(self.chance, self.size), "Version": f"{self.index:08x}"})
+        key = f"Routes/{self.rng.randrange(self.routes)}"
+        self.publish({key: route(self.rng, self.size), "Version": f"{self.index:08x}"})
 
     def advance_to(self, now: float) -> None:
         while self.now + 1 / self.rate <= now:
             self.now += 1 / self.rate
             self.change()
 
-    def pull(self, client: RegistryClient, at: float, in_one: bool = False) -> float:
-        """One pull begun at `at`; returns when it ended. `in_one`: by a proxy that accepts no fragments."""
-        call = client.next_request(at)
-        assert call is not None
-        body = call.body
-        if in_one:
+    def pull(self, client: RegistryClient, at: float, unfragmented: bool = False) -> float:
+        """Make a pull at `at`, and return when it ended. `unfragmented`: the proxy accepts no fragments."""
+        request = client.next_request(at)
+        assert request is not None
+        body = request.body
+        if unfragmented:
             del body["part"]
-        self.advance_to(at + TRIP_SECONDS)
-        answer: Any = pull_response(self.registry, body, self.now, self.now)
-        took = 2 * TRIP_SECONDS + len(cbor2.dumps(answer)) / LINE_BYTES_PER_SECOND
-        self.longest_transfer = max(self.longest_transfer, took)
-        if took > MAX_RESPONSE_SECONDS:
-            took = MAX_RESPONSE_SECONDS
-            answer = Failure(FailureReason.OUTCOME_UNKNOWN)
-        client.handle_response(call, at + took, answer)
+        self.advance_to(at + ONE_WAY_DELAY_SECONDS)
+        response: Any = pull_response(self.registry, body, self.now, self.now)
+        elapsed = 2 * ONE_WAY_DELAY_SECONDS + len(cbor2.dumps(response)) / LINK_BYTES_PER_SECOND
+        self.longest_transfer = max(self.longest_transfer, elapsed)
+        if elapsed > MAX_RESPONSE_SECONDS:
+            elapsed = MAX_RESPONSE_SECONDS
+            response = Failure(FailureReason.OUTCOME_UNKNOWN)
+        client.handle_response(request, at + elapsed, response)
         cluster = client._router.cluster
-        if cluster.configuration.version != self.index and cluster.configuration.age(at + took) < 0.05:
-            raise AssertionError("a configuration counts as fresh that is not the newest")
-        return at + took
+        if cluster.configuration.version != self.index and cluster.configuration.age(at + elapsed) < 0.05:
+            raise AssertionError("an outdated configuration counts as fresh")
+        return at + elapsed
 
 
-@test("a configuration of {routes} routes of {size} bytes over 2 Mbit/s, 10 changes a second: up to date")
+@test("fragments: {routes} routes of {size} bytes over 2 Mbit/s stay up to date at 10 changes a second")
 def _(routes: int = each(1000, 2500), size: int = each(250, 1000)) -> None:
-    lines = SlowLines(routes, size, 10.0)
+    links = SlowLinks(routes, size, 10.0)
     clients = [registry_client(seed) for seed in (1, 2, 3)]
-    due = {0: 0.0, 1: 0.7, 2: 3.1}  # they start one after the other
-    up_to_date: dict[int, float] = {}  # when each first was
-    while any(at < 14.0 for at in due.values()):
-        who = min(due, key=lambda one: due[one])
-        due[who] = lines.pull(clients[who], due[who])
-        index = clients[who]._router.cluster.configuration.version
-        if who not in up_to_date and index > 1 and index >= lines.index - 5:
-            up_to_date[who] = due[who]
-        elif who in up_to_date:  # and it stays so
-            assert index >= lines.index - 5
-            assert clients[who]._router.cluster.configuration.age(due[who]) < MAX_CONFIGURATION_AGE_SECONDS
-    packed_bytes = routes * (size * 0.55 + 60)
-    assert {*up_to_date} == {0, 1, 2}
-    took = [up_to_date[0], up_to_date[1] - 0.7, up_to_date[2] - 3.1]
-    assert max(took) < 2.0 + 2.5 * packed_bytes / LINE_BYTES_PER_SECOND, took
-    assert lines.longest_transfer < LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS, (
-        "an answer is too large for a call"
+    next_pull_at = {0: 0.0, 1: 0.7, 2: 3.1}  # by client; they start one after the other
+    up_to_date_at: dict[int, float] = {}  # by client
+    while any(at < 14.0 for at in next_pull_at.values()):
+        number = min(next_pull_at, key=lambda one: next_pull_at[one])
+        next_pull_at[number] = links.pull(clients[number], next_pull_at[number])
+        configuration = clients[number]._router.cluster.configuration
+        index = configuration.version
+        if number not in up_to_date_at and index > 1 and index >= links.index - 5:
+            up_to_date_at[number] = next_pull_at[number]
+        elif number in up_to_date_at:  # it must remain up to date
+            assert index >= links.index - 5
+            assert configuration.age(next_pull_at[number]) < MAX_CONFIGURATION_AGE_SECONDS
+    compressed_bytes = routes * (size * 0.55 + 60)
+    assert {*up_to_date_at} == {0, 1, 2}
+    elapsed = [up_to_date_at[0], up_to_date_at[1] - 0.7, up_to_date_at[2] - 3.1]
+    assert max(elapsed) < 2.0 + 2.5 * compressed_bytes / LINK_BYTES_PER_SECOND, elapsed
+    assert links.longest_transfer < LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS, (
+        "a response takes longer than a pull may"
     )
-    assert len(lines.registry._fragmenter._cache) <= MAX_CACHED_UPDATES
+    assert len(links.registry._fragmenter._cache) <= MAX_CACHED_UPDATES
 
 
-@test("what it was before: in one answer, such a configuration never comes through")
+@test("without fragments, a large configuration always exceeds the response timeout")
 def _() -> None:
-    lines = SlowLines(2500, 1000, 10.0)
+    links = SlowLinks(2500, 1000, 10.0)
     client = registry_client(1)
     at = 0.0
     for _ in range(5):
-        at = lines.pull(client, at, in_one=True)
+        at = links.pull(client, at, unfragmented=True)
     assert client._router.cluster.configuration.version == 0
-    assert lines.longest_transfer > MAX_RESPONSE_SECONDS
+    assert links.longest_transfer > MAX_RESPONSE_SECONDS
 
 
-@test("fragments: joined as they were cut, from another place anew, and none of another pack's")
+@test("fragments: reassembled in order, restarted by another sender, rejected at a wrong offset")
 def _() -> None:
-    chance = random.Random(1)
-    entries = {str(number): chance.randbytes(900) for number in range(300)}
+    rng = random.Random(1)
+    entries = {str(number): rng.randbytes(900) for number in range(300)}
     update = {"version": 3, "full": True, "set": entries, "gone": []}
     fragmenter = Fragmenter("a")
     other = Fragmenter("b")
     reassembler = Reassembler()
-    calls = 0
+    requests = 0
     received = None
     while received is None:
-        calls += 1
-        sender = other if calls == 3 else fragmenter  # the receiver asks another sender once
-        message = sender.next_message(None, update, reassembler.wanted_fragment(), 0.1 * calls)
+        requests += 1
+        sender = other if requests == 3 else fragmenter  # the receiver asks another sender once
+        message = sender.next_message(None, update, reassembler.wanted_fragment(), 0.1 * requests)
         received = reassembler.add(message)
     assert received == update
-    assert calls == 3 + -(-300 * 900 // FRAGMENT_BYTES)
+    assert requests == 3 + -(-300 * 900 // FRAGMENT_BYTES)
     assert reassembler.wanted_fragment() is None
     fragment = fragmenter.next_message(None, update, None, 1.0)
     assert reassembler.add({**fragment, "at": 7}) is None
@@ -166,29 +165,29 @@
     assert fragmenter.next_message(2, small, None, 1.0) == small
 
 
-@test("a store sends a registry a large map in fragments, and its freshness only with the newest")
+@test("a store sends a registry a large map in fragments, and its lease only with the last one")
 def _() -> None:
-    chance = random.Random(1)
+    rng = random.Random(1)
     committed = CommittedState()
-    committed.advance(Snapshot((1, 5), RangedMap({f"Routes/{n}": route(chance, 1000) for n in range(3000)})))
+    committed.advance(Snapshot((1, 5), RangedMap({f"Routes/{n}": route(rng, 1000) for n in range(3000)})))
     receiver = registry()
     fragmenter = Fragmenter("1", 256 << 10, 256 << 10)
-    calls = 0
+    requests = 0
     now = 0.0
     while receiver.operator_config.version < committed.index:
-        calls += 1
+        requests += 1
         now += 0.1
-        if calls == 2:
+        if requests == 2:
             entries = committed.snapshot.entries.with_changes({"Routes/7": {"Host": "new"}}, ["Routes/8"])
             committed.advance(Snapshot((1, 6), entries))
-        have = receiver.operator_config.version
-        body = {"have": have, "wait": 0.1, "part": receiver.operator_config.wanted_fragment()}
+        base_version = receiver.operator_config.version
+        body = {"have": base_version, "wait": 0.1, "part": receiver.operator_config.wanted_fragment()}
         request = decode_watch(body)
         assert not isinstance(request, Failure)
-        answer = fragment_changes(fragmenter, committed.changes_since(have), request, now)
-        assert len(cbor2.dumps(answer)) < 300 << 10
+        response = fragment_changes(fragmenter, committed.changes_since(base_version), request, now)
+        assert len(cbor2.dumps(response)) < 300 << 10
         accepted = receiver.operator_config.receive_watch_response(
-            {**answer, "age": 0.01, "term": 1, "leader": None}, now
+            {**response, "age": 0.01, "term": 1, "leader": None}, now
         )
         assert accepted
         assert (
@@ -196,5 +195,5 @@
             or receiver.operator_config.version == committed.index
         )
     assert receiver.operator_config.values == committed.snapshot.entries.map
-    assert 5 < calls < 14
+    assert 5 < requests < 14
     assert abs((receiver.operator_config.lease_age(now) or 0.0) - 0.01) < 1e-6
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -1,4 +1,4 @@
-"""Frames and messages without sockets: what is read, and what never is."""
+"""Encoding and decoding of frames and messages, and rejection of invalid ones."""
 
 from collections.abc import Callable
 from typing import Any
@@ -28,7 +28,7 @@
 SECOND = encode_request(2, "echo", b"b" * 90)
 
 
-@test("frames: a frame of two calls, of the wrong direction or of no call is not read")
+@test("frames: mixed, corrupted and reflected frames are rejected")
 def _() -> None:
     for length in range(1, len(FIRST)):
         with raises(ValueError):
@@ -39,12 +39,12 @@
         with raises(ValueError):
             FrameDecoder(REQUEST_CRC_SEED).feed(bytes(changed))
     with raises(ValueError):
-        FrameDecoder(RESPONSE_CRC_SEED).feed(FIRST)  # a connection that leads back to its own beginning
+        FrameDecoder(RESPONSE_CRC_SEED).feed(FIRST)  # a connection that returns the sender's own bytes
     values = FrameDecoder(REQUEST_CRC_SEED).feed(FIRST + SECOND)
     assert values == [[1, "echo", b"a" * 90], [2, "echo", b"b" * 90]]
 
 
-@test("frames: split at any byte, the values are the same")
+@test("frames: the values do not depend on where the stream is split")
 def _() -> None:
     data = FIRST + SECOND
     for length in range(len(data) + 1):
@@ -53,7 +53,7 @@
         assert values == [[1, "echo", b"a" * 90], [2, "echo", b"b" * 90]]
 
 
-@test("frames: none larger than the limit is made, and the header of one is enough to refuse it")
+@test("frames: one above the size limit is not encoded, and is rejected by its header")
 def _() -> None:
     with raises(ValueError):
         encode_frame(REQUEST_CRC_SEED, b"x" * MAX_FRAME_BYTES)
@@ -62,7 +62,7 @@
         FrameDecoder(REQUEST_CRC_SEED).feed(header)
 
 
-@test("messages: requests, responses and failures come back as they were sent")
+@test("messages: requests, responses and failures are decoded as they were encoded")
 def _() -> None:
     (request,) = FrameDecoder(REQUEST_CRC_SEED).feed(encode_request(7, "pull", {"have": 3}))
     assert decode_request(request) == Request(7, "pull", {"have": 3})
@@ -105,7 +105,7 @@
 
 
 MUTATIONS: dict[str, tuple[Callable[..., Any], str, str, Callable[[], None]]] = {
-    "the check is not compared": (
+    "the checksum is not compared": (
         FrameDecoder.feed,
         "zlib.crc32(payload, self._crc_seed) != checksum",
         "False",
--- a/tests/rpc/test_server.py
+++ b/tests/rpc/test_server.py
@@ -1,4 +1,4 @@
-"""The server on real sockets: what it executes, and what ends a connection."""
+"""The RPC server on real sockets: which requests it executes, what closes a connection, shutdown."""
 
 from contextlib import suppress
 from typing import Any
@@ -28,7 +28,7 @@
 HEADER_BYTES = 8
 
 
-@test("rpc server: a response that the client does not read ends its connection, and delays no other")
+@test("rpc server: a response that is not read closes its connection, and delays no other")
 def _() -> None:
     server = serve((HOST, 0), {"large": lambda _: b"x" * (MAX_FRAME_BYTES - 100), "echo": lambda body: body})
     accepted: list[socket.socket] = []
@@ -51,15 +51,15 @@
     with suppress(OSError):
         while data := sock.recv(1 << 20):
             received += data
-    assert 0 < len(received) < MAX_FRAME_BYTES, "a part of the response, and then the end"
-    assert not FrameDecoder(RESPONSE_CRC_SEED).feed(received), "a part of the response, and then the end"
+    assert 0 < len(received) < MAX_FRAME_BYTES, "the connection should close in the middle of the response"
+    assert not FrameDecoder(RESPONSE_CRC_SEED).feed(received), "the response should be incomplete"
     other.close()
     server.close()
 
 
-@test("rpc server: what cannot be a request ends the connection: {what}")
+@test("rpc server: an invalid request closes the connection: {what}")
 def _(
-    what: str = each("number again", "number below", "two words", "no number", "a list for a method"),
+    what: str = each("repeated number", "lower number", "two fields", "number as text", "method as list"),
 ) -> None:
     executed: list[Any] = []
 
@@ -69,11 +69,11 @@
 
     server = serve((HOST, 0), {"echo": echo})
     second = {
-        "number again": [5, "echo", 2],
-        "number below": [4, "echo", 2],
-        "two words": [6, "echo"],
-        "no number": ["6", "echo", 2],
-        "a list for a method": [6, ["echo"], 2],
+        "repeated number": [5, "echo", 2],
+        "lower number": [4, "echo", 2],
+        "two fields": [6, "echo"],
+        "number as text": ["6", "echo", 2],
+        "method as list": [6, ["echo"], 2],
     }[what]
     sock = socket.create_connection(address_of(server))
     sock.sendall(encode_request(5, "echo", 1))
@@ -86,15 +86,18 @@
     server.close()
 
 
-@test("rpc: at the size limit, and beyond")
+@test("rpc: requests and responses at the size limit and above it")
 def _() -> None:
     server = serve((HOST, 0), {"echo": lambda body: body, "large": lambda size: b"x" * size})
     client = RpcClient(address_of(server))
-    most = MAX_FRAME_BYTES - 12  # its number, its method, the length of its text
-    assert client.call("echo", b"x" * most, LONG_SECONDS, connect_timeout=LONG_SECONDS) == b"x" * most
-    assert len(encode_request(1, "echo", b"x" * most)) == MAX_FRAME_BYTES + HEADER_BYTES
+    largest_body_bytes = MAX_FRAME_BYTES - 12  # less the number, the method and the length of the body
+    assert (
+        client.call("echo", b"x" * largest_body_bytes, LONG_SECONDS, connect_timeout=LONG_SECONDS)
+        == b"x" * largest_body_bytes
+    )
+    assert len(encode_request(1, "echo", b"x" * largest_body_bytes)) == MAX_FRAME_BYTES + HEADER_BYTES
     connection = client._connection
-    for method, body in (("echo", b"x" * (most + 1)), ("large", MAX_FRAME_BYTES)):
+    for method, body in (("echo", b"x" * (largest_body_bytes + 1)), ("large", MAX_FRAME_BYTES)):
         failure = client.call(method, body, LONG_SECONDS)
         assert isinstance(failure, Failure), failure
         assert failure.reason == FailureReason.INVALID, failure
@@ -105,12 +108,12 @@
     server.close()
 
 
-@test("rpc server: at its end, calls in progress and unread ones are answered; idle peers go at once")
+@test("rpc server: shutdown answers pending and unread requests, and closes idle connections at once")
 def _() -> None:
-    may_answer = Event()
+    may_respond = Event()
 
     def late(body: Any) -> Any:
-        may_answer.wait(LONG_SECONDS)
+        may_respond.wait(LONG_SECONDS)
         return body
 
     server = serve((HOST, 0), {"late": late, "echo": lambda body: body})
@@ -119,7 +122,7 @@
     call = gevent.spawn(busy.call, "late", 2, LONG_SECONDS)
     while not server.requests_in_progress:
         gevent.idle()
-    unread = socket.create_connection(address_of(server))  # in the listener's queue
+    unread = socket.create_connection(address_of(server))  # remains in the listen queue
     unread.sendall(encode_request(1, "echo", 3))
     end = gevent.spawn(server.shut_down, LONG_SECONDS)
     with gevent.Timeout(LONG_SECONDS, OVERDUE):
@@ -127,16 +130,16 @@
         while idle._connection is not None:
             gevent.idle()
         assert not end.ready()
-        may_answer.set()
+        may_respond.set()
         assert call.get() == 2
         end.join()
     assert isinstance(busy.call("echo", 4, LONG_SECONDS), Failure)
 
 
-@test("rpc server: its end waits no longer than it is told, also for a call that nobody answers")
+@test("rpc server: shutdown returns after its timeout while a request is still in progress")
 def _() -> None:
-    may_answer = Event()
-    server = serve((HOST, 0), {"late": lambda _: may_answer.wait(LONG_SECONDS)})
+    may_respond = Event()
+    server = serve((HOST, 0), {"late": lambda _: may_respond.wait(LONG_SECONDS)})
     client = RpcClient(address_of(server))
     call = gevent.spawn(client.call, "late", 1, LONG_SECONDS)
     while not server.requests_in_progress:
@@ -144,6 +147,6 @@
     with gevent.Timeout(LONG_SECONDS, OVERDUE):
         server.shut_down(0.05)
     assert server.requests_in_progress == 1
-    may_answer.set()
+    may_respond.set()
     call.join()
     client.close()
