--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -14,7 +14,7 @@
 from ashlift.cli.application import create_application
 from ashlift.cli.control_client import Address, ControlResponse
 from ashlift.errors import Failure, FailureReason
-from tests.config.test_operator_config import PATCH, PUT, damaged
+from tests.config.test_operator_config import PATCH, PUT, mutated
 from tests.support.config_play import SCENARIOS
 
 STATUS: dict[str, Any] = {
@@ -181,4 +181,4 @@
 
 @test("damaged configurations: a value in the place of all of it is possible")
 def _() -> None:
-    assert damaged(PUT, [("set", 0, 3)]) == 3
+    assert mutated(PUT, [("set", 0, 3)]) == 3
--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -58,14 +58,14 @@
     st.text(max_size=4),
     st.sampled_from(["s", "t", "h.example", "/a/", "/a/b/", "-1ms", "2.5s", "0000000a", [], {}, [{}]]),
 )
-DAMAGE_STEPS = st.lists(
+MUTATION_STEPS = st.lists(
     st.tuples(st.sampled_from(["set", "drop", "twice"]), st.integers(0, 10**6), SIMPLE_VALUES),
     min_size=1,
     max_size=3,
 )
 
 
-def damaged(body: Any, steps: list[tuple[str, int, Any]]) -> Any:
+def mutated(body: Any, steps: list[tuple[str, int, Any]]) -> Any:
     """A copy of `body`; each step sets, drops or doubles one value at a place drawn among all."""
     holder = {"": copy.deepcopy(body)}
     for action, drawn, value in steps:
@@ -128,12 +128,12 @@
     @hypothesis_settings(
         max_examples=400, database=None, deadline=None, suppress_health_check=list(HealthCheck)
     )
-    @given(st.sampled_from(["put", "patch"]), DAMAGE_STEPS)
+    @given(st.sampled_from(["put", "patch"]), MUTATION_STEPS)
     def fuzz(kind: str, steps: list[tuple[str, int, Any]]) -> None:
         config = ConfigPlay()
         assert isinstance(config.call("put", "0", {**PUT, "ConfigVersion": "1"}), ConfigChange)
         before = json.dumps(config.entries)
-        outcome = config.call(kind, "1", damaged(PUT if kind == "put" else PATCH, steps))
+        outcome = config.call(kind, "1", mutated(PUT if kind == "put" else PATCH, steps))
         if isinstance(outcome, Failure):
             assert json.dumps(config.entries) == before
         else:
@@ -162,7 +162,7 @@
 @test("configurations: equal requests have equal digests, others do not")
 def _() -> None:
     again = json.loads(json.dumps(PUT, sort_keys=True))
-    other = damaged(PUT, [("set", 10, "x")])
+    other = mutated(PUT, [("set", 10, "x")])
     digest = request_digest("put", "0", PUT)
     assert digest == request_digest("put", "00000000", again)
     assert digest != request_digest("put", "1", PUT)
