--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -1,4 +1,4 @@
-"""Changes of the operator's configuration: scenarios of what is accepted, and any damage to a valid one."""
+"""Changes of the operator's configuration: scenarios, and random mutations of valid requests."""
 
 import copy
 import json
@@ -59,18 +59,18 @@
     st.sampled_from(["s", "t", "h.example", "/a/", "/a/b/", "-1ms", "2.5s", "0000000a", [], {}, [{}]]),
 )
 MUTATION_STEPS = st.lists(
-    st.tuples(st.sampled_from(["set", "drop", "twice"]), st.integers(0, 10**6), SIMPLE_VALUES),
+    st.tuples(st.sampled_from(["set", "drop", "duplicate"]), st.integers(0, 10**6), SIMPLE_VALUES),
     min_size=1,
     max_size=3,
 )
 
 
 def mutated(body: Any, steps: list[tuple[str, int, Any]]) -> Any:
-    """A copy of `body`; each step sets, drops or doubles one value at a place drawn among all."""
+    """Return a copy of `body`; each step sets, drops or duplicates one of its values."""
     holder = {"": copy.deepcopy(body)}
     for action, drawn, value in steps:
-        places = _places(holder)
-        container, key = places[drawn % len(places)]
+        positions = _positions(holder)
+        container, key = positions[drawn % len(positions)]
         if action == "set" or container is holder:
             container[key] = copy.deepcopy(value)
         elif action == "drop":
@@ -80,21 +80,21 @@
     return holder[""]
 
 
-def _places(holder: dict[str, Any]) -> list[tuple[Any, Any]]:
-    """Every container in it with each of its keys."""
-    places: list[tuple[Any, Any]] = []
+def _positions(holder: dict[str, Any]) -> list[tuple[Any, Any]]:
+    """Return each container in `holder`, recursively, with each of its keys."""
+    positions: list[tuple[Any, Any]] = []
     stack: list[Any] = [holder]
     while stack:
         container = stack.pop()
         items = list(container.items() if isinstance(container, dict) else enumerate(container))
-        places += [(container, key) for key, _ in items]
+        positions += [(container, key) for key, _ in items]
         stack += [item for _, item in items if isinstance(item, dict | list)]
-    return places
+    return positions
 
 
 def is_valid(entries: dict[str, Any]) -> bool:
-    """What the rules ask of a configuration in force, computed in another way than by the code under test."""
-    places = []
+    """Whether a stored configuration is valid, computed independently of the code under test."""
+    addresses = []
     for key, route in entries.items():
         if key.startswith("Routes/"):
             split = route.get("TrafficSplit") or [{"Service": route["Service"], "Weight": 1}]
@@ -103,7 +103,7 @@
                 return False
             if not all(f"Services/{part['Service']}" in entries for part in split):
                 return False
-            places.append((route["Host"].lower(), route["PathPrefix"]))
+            addresses.append((route["Host"].lower(), route["PathPrefix"]))
     api_keys = [
         (key, api_key)
         for key in entries
@@ -112,7 +112,7 @@
     ]
     tenants = {api_key: key for key, api_key in api_keys}
     unique_keys = all(tenants[api_key] == key for key, api_key in api_keys)
-    return len(set(places)) == len(places) and unique_keys
+    return len(set(addresses)) == len(addresses) and unique_keys
 
 
 @test("configurations: {name}")
@@ -120,7 +120,7 @@
     assert play(name) > 5
 
 
-@test("configurations: damage of any kind raises nothing, changes nothing given, is never half applied")
+@test("configurations: mutated requests raise nothing, and are applied completely or not at all")
 def _() -> None:
     accepted = []
 
@@ -144,7 +144,7 @@
     assert 0.05 < sum(accepted) / len(accepted) < 0.95, "neither all accepted nor all rejected"
 
 
-@test("configurations: a put changes only what differs, and a patch replaces all of an object")
+@test("configurations: a put changes only what differs, and a patch replaces objects completely")
 def _() -> None:
     config = ConfigPlay()
     first = {**PUT, "Objects": [{**PUT["Objects"][0], "Owner": "me"}, *PUT["Objects"][1:]]}
--- a/tests/config/test_routing_table.py
+++ b/tests/config/test_routing_table.py
@@ -1,4 +1,4 @@
-"""The routing table: what it makes of stored objects, and which route and tenant a request has."""
+"""The routing table: built from stored objects, and the lookup of routes and tenants."""
 
 from typing import Any
 
@@ -17,7 +17,7 @@
 }
 
 
-@test("routing table: it leaves out services of weight 0, and sends to one worker at least")
+@test("routing table: services of weight 0 are omitted, and at least one attempt is allowed")
 def _() -> None:
     split = [{"Service": "s", "Weight": 0}, {"Service": "t", "Weight": 3}]
     specification = {"Host": "h", "PathPrefix": "/", "TrafficSplit": split, "MaxAttempts": 0}
@@ -27,7 +27,7 @@
     assert route.max_attempts == 1
 
 
-@test("routing table: the longest prefix of the path decides: {path} at {host}: {name}")
+@test("routing table: the longest matching prefix is chosen: {path} at {host}: {name}")
 def _(
     host: str = each("h.example", "h.example:8206", "h.example", "h.example", "other", "h.example"),
     path: str = each("/a/x", "/a/b/", "/a/bc", "/b/", "/a/", "/a"),
@@ -37,14 +37,14 @@
     assert (route.name if route else None) == name
 
 
-@test("routing table: a latency target is the route's, its time-out, or the default")
+@test("routing table: the latency target is the route's, its timeout, or the default")
 def _() -> None:
     table = RoutingTable.from_entries(ENTRIES)
     assert table.routes["r"].latency_target == 2.0
     assert table.routes["q"].latency_target == DEFAULT_LATENCY_TARGET_SECONDS
 
 
-@test("routing table: an update changes what it names and nothing of the table before")
+@test("routing table: an update leaves the previous table unchanged")
 def _() -> None:
     table = RoutingTable.from_entries(ENTRIES)
     moved = {"Routes/q": {"Host": "other", "PathPrefix": "/", "Service": "s"}}
@@ -61,14 +61,14 @@
     assert (table.version, table.limits.max_header_bytes, table.has_tenants) == (10, 100, True)
 
 
-@test("routing table: an entry that is not valid raises with its name")
+@test("routing table: an invalid entry raises an error with its name")
 def _() -> None:
     with raises(ValueError) as caught:
         RoutingTable.from_entries({"Routes/r": {"Host": "h"}})
     assert str(caught.raised) == "r: PathPrefix: is missing"
 
 
-@test("routing table: a Host header is compared in small letters and without its port: {header}")
+@test("routing table: Host headers are compared in lower case and without the port: {header}")
 def _(
     header: str = each("A.example", " a.example ", "a.example:", "a.example:80", "a.example:x", "[::1]:80"),
     host: str = each("a.example", "a.example", "a.example", "a.example", "a.example:x", "[::1]"),
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: what is read, the defaults, and every error by its key."""
+"""The settings file: keys, defaults, and the key in each error."""
 
 from hypothesis import HealthCheck, given, seed
 from hypothesis import settings as hypothesis_settings
@@ -12,7 +12,7 @@
 PATH = str(SCENARIOS / "config_settings.toml")
 LINES = (SCENARIOS / "config_settings.toml").read_text().splitlines()
 MINIMAL = 'NodeName="n"\nIp="10.0.0.1"\nInternalPortRange=[7600,7601]\nSeedNodes=["10.0.0.1:80"]\n'
-WRONG_VALUES = [
+INVALID_VALUES = [
     "3",
     "-1",
     "1.5",
@@ -35,46 +35,51 @@
 ]
 
 
-@test("settings: all that is given is read, fields that are not known are ignored")
+@test("settings: all known keys are read, and unknown ones are ignored")
 def _() -> None:
-    found = read_settings(PATH)
-    assert isinstance(found, Settings), found
-    assert (found.node_name, found.ip, found.zone, found.region) == ("core-a-1", "10.1.0.11", "a", "r")
-    assert found.seeds == (("10.1.0.11", 8200), ("10.2.0.5", 8200))
-    assert found.internal_ports == (7600, 7615)
-    assert found.bindings.control == ("10.1.0.11", 8200)
-    assert found.bindings.front is None
-    assert found.serves == ("control", "directory")
-    assert found.zones == {"a": "r"}
-    assert found.heartbeat == 1.5
+    settings = read_settings(PATH)
+    assert isinstance(settings, Settings), settings
+    assert (settings.node_name, settings.ip, settings.zone, settings.region) == (
+        "core-a-1",
+        "10.1.0.11",
+        "a",
+        "r",
+    )
+    assert settings.seeds == (("10.1.0.11", 8200), ("10.2.0.5", 8200))
+    assert settings.internal_ports == (7600, 7615)
+    assert settings.bindings.control == ("10.1.0.11", 8200)
+    assert settings.bindings.front is None
+    assert settings.serves == ("control", "directory")
+    assert settings.zones == {"a": "r"}
+    assert settings.heartbeat == 1.5
     assert (
-        found.machine_limits.cpu_share,
-        found.machine_limits.memory_mb,
-        found.fault_tolerance.machines,
+        settings.machine_limits.cpu_share,
+        settings.machine_limits.memory_mb,
+        settings.fault_tolerance.machines,
     ) == (
         0.5,
         296,
         1,
     )
-    assert found.bounds == Bounds(contact=4.5, revocation_strict=True, retry_slack=62.0, ttl_max=2.5)
-    assert found.bootstrap
-    assert found.quorum_member
-    assert found.data_directory == "/data/keeper"
+    assert settings.bounds == Bounds(contact=4.5, revocation_strict=True, retry_slack=62.0, ttl_max=2.5)
+    assert settings.bootstrap
+    assert settings.quorum_member
+    assert settings.data_directory == "/data/keeper"
 
 
-@test("settings: the bounds of slow start keep their old keys")
+@test("settings: the bounds of slow start have keys that differ from their names")
 def _() -> None:
-    found = parse_settings(MINIMAL + "[Bounds]\nColdOverrun=2.5\nColdSlack=7.0\n")
-    assert isinstance(found, Settings)
-    assert (found.bounds.slow_start_overrun, found.bounds.slow_start_slack) == (2.5, 7.0)
+    settings = parse_settings(MINIMAL + "[Bounds]\nColdOverrun=2.5\nColdSlack=7.0\n")
+    assert isinstance(settings, Settings)
+    assert (settings.bounds.slow_start_overrun, settings.bounds.slow_start_slack) == (2.5, 7.0)
 
 
-@test("settings: the least that a process needs is enough")
+@test("settings: the required keys are sufficient")
 def _() -> None:
-    found = parse_settings(MINIMAL)
-    assert isinstance(found, Settings)
-    assert found.bounds == Bounds()
-    assert found.data_directory is None
+    settings = parse_settings(MINIMAL)
+    assert isinstance(settings, Settings)
+    assert settings.bounds == Bounds()
+    assert settings.data_directory is None
 
 
 ERRORS = {
@@ -94,24 +99,24 @@
 @test("settings: {line} is reported as {error}")
 def _(line: str = each(*ERRORS), error: str = each(*ERRORS.values())) -> None:
     base = [given for given in MINIMAL.splitlines() if given.split("=")[0] != line.split("=")[0]]
-    found = parse_settings("\n".join([*base, line]), "f.toml")
-    assert isinstance(found, list), found
-    assert len(found) == 1, found
-    assert found[0].detail.startswith(f"f.toml: {error}"), found
+    errors = parse_settings("\n".join([*base, line]), "f.toml")
+    assert isinstance(errors, list), errors
+    assert len(errors) == 1, errors
+    assert errors[0].detail.startswith(f"f.toml: {error}"), errors
 
 
-@test("settings: all errors are reported at once, and a file that is not there is one")
+@test("settings: all errors are reported at once, and a missing file is an error")
 def _() -> None:
-    found = parse_settings('Ip=3\nSeedNodes=["10.0.0.1:80"]\n[Bounds]\nDrain="3m"\n', "f")
-    assert isinstance(found, list)
-    keys = [failure.detail.split(": ")[1] for failure in found]
+    errors = parse_settings('Ip=3\nSeedNodes=["10.0.0.1:80"]\n[Bounds]\nDrain="3m"\n', "f")
+    assert isinstance(errors, list)
+    keys = [failure.detail.split(": ")[1] for failure in errors]
     assert sorted(keys) == ["Bounds.Drain", "InternalPortRange", "Ip", "NodeName"]
     missing = read_settings(PATH + ".none")
     assert isinstance(missing, list)
     assert "cannot be read" in missing[0].detail
 
 
-@test("settings: damage of any kind raises nothing and is reported by its place")
+@test("settings: mutated files raise nothing, and errors begin with the file's name")
 def _() -> None:
     accepted = []
 
@@ -121,7 +126,7 @@
     )
     @given(
         st.lists(
-            st.tuples(st.integers(0, len(LINES) - 1), st.sampled_from(WRONG_VALUES)), min_size=1, max_size=3
+            st.tuples(st.integers(0, len(LINES) - 1), st.sampled_from(INVALID_VALUES)), min_size=1, max_size=3
         )
     )
     def fuzz(steps: list[tuple[int, str]]) -> None:
@@ -129,12 +134,12 @@
         for number, value in steps:
             key = lines[number].split(" = ")[0]
             lines[number] = f"{key} = {value}" if value else ""
-        found = parse_settings("\n".join(lines), "f")
-        accepted.append(isinstance(found, Settings))
-        if isinstance(found, list):
-            assert found
-            assert all(isinstance(error, Failure) and error.detail.startswith("f: ") for error in found)
-            assert not any("\n" in error.detail for error in found)
+        result = parse_settings("\n".join(lines), "f")
+        accepted.append(isinstance(result, Settings))
+        if isinstance(result, list):
+            assert result
+            assert all(isinstance(error, Failure) and error.detail.startswith("f: ") for error in result)
+            assert not any("\n" in error.detail for error in result)
 
     fuzz()
     assert 0.05 < sum(accepted) / len(accepted) < 0.95, "neither all accepted nor all rejected"
