--- a/tests/test_census.py
+++ b/tests/test_census.py
@@ -1,4 +1,4 @@
-"""The census of the tests: what it counts, and what it says is lost."""
+"""The census of the tests: what it counts, and which losses it reports."""
 
 from textwrap import dedent
 
@@ -26,7 +26,7 @@
 ''')
 
 
-@test("census: titles of ward and pytest with their assertions, and those that tests share")
+@test("census: titles of ward and pytest tests with their assertions, and assertions outside tests")
 def _() -> None:
     assert counted(SOURCE, "a.py") == [
         Row("a.py", "a title in two pieces, {case}", 2),
@@ -35,7 +35,7 @@
     ]
 
 
-@test("census: a test that moves to another file is not lost, one with fewer assertions is told")
+@test("census: a test that moves to another file is not lost, one with fewer assertions is reported")
 def _() -> None:
     old = [Row("a.py", "one", 2), Row("a.py", "two", 1)]
     assert list(losses(old, [Row("b.py", "one", 2), Row("c.py", "two", 1)], {})) == []
@@ -44,7 +44,7 @@
     ]
 
 
-@test("census: of several tests with one title each counts, and what tests share as well")
+@test("census: tests with the same title are counted each, and so are assertions outside tests")
 def _() -> None:
     old = [Row("a.py", "one", 2), Row("b.py", "one", 1), Row("b.py", "-", 3)]
     assert list(losses(old, [Row("a.py", "one", 2), Row("a.py", "-", 2)], {})) == [
@@ -53,7 +53,7 @@
     ]
 
 
-@test("census: a title that is listed as renamed is looked for by its new one")
+@test("census: a title that is listed as renamed is compared by its new title")
 def _() -> None:
     renamed = read_renamed("# old, new\none\tfirst\n")
     assert list(losses([Row("a.py", "one", 1)], [Row("a.py", "first", 1)], renamed)) == []
--- a/tests/test_event_catalogue.py
+++ b/tests/test_event_catalogue.py
@@ -1,4 +1,4 @@
-"""docs/events.md and the code: the same numbers, words and fields, both ways."""
+"""docs/events.md and the code have the same events: numbers, texts and fields."""
 
 import ast
 import re
@@ -11,20 +11,20 @@
 from ashlift.events import EventType
 
 ROOT = Path(__file__).parent.parent
-PACKAGES = {1: ".", 2: "configstore", 3: "registry", 4: "proxy"}  # whose events.py, by hundreds of numbers
+PACKAGES = {1: ".", 2: "configstore", 3: "registry", 4: "proxy"}  # by the hundreds of their event numbers
 LOGGING_FUNCTION = "log_event"  # of ashlift.events, and the method of a store's replica
-OPTION = "level"  # of that function; its other keywords are fields
+OPTION = "level"  # the only keyword of that function that is not a field
 ROW = re.compile(r"\| (\d{3}) \| ([^|]+) \| ([^|]*) \| [^|]{20,} \|")
 
 
 def catalogue() -> list[tuple[EventType, set[str]]]:
-    """The rows of the page: events with their fields."""
+    """Return the rows of the page: events with their fields."""
     rows = map(ROW.fullmatch, (ROOT / "docs" / "events.md").read_text().splitlines())
     return [(EventType(int(row[1]), row[2]), set(row[3].replace(",", " ").split())) for row in rows if row]
 
 
 def constants() -> dict[str, EventType]:
-    """The events of the code by the names of their constants."""
+    """Return the events in the code by the names of their constants."""
     events: dict[str, EventType] = {}
     for hundreds, package in PACKAGES.items():
         for statement in ast.parse((ROOT / "ashlift" / package / "events.py").read_text()).body:
@@ -38,7 +38,7 @@
 
 
 def source_files(package: str) -> list[Path]:
-    """Of a package with its sub-packages; of `ashlift` itself, its own modules alone."""
+    """Return the files of a package and its subpackages; of `ashlift` itself, only its own modules."""
     folder = ROOT / "ashlift" / package
     return sorted(folder.glob("*.py") if package == "." else folder.rglob("*.py"))
 
@@ -52,13 +52,13 @@
 
 
 def name_of(node: ast.AST) -> str:
-    """The last part of a name, `c` of `a.b.c`; "" for any other expression."""
+    """Return the last part of a name, `c` of `a.b.c`; "" for any other expression."""
     name: str = getattr(node, "id", getattr(node, "attr", ""))
     return name
 
 
 def logged_fields(names: set[str]) -> dict[str, set[str]]:
-    """The fields of each event, over all places in the code that log it."""
+    """Return the fields of each event, from all calls that log it."""
     fields: dict[str, set[str]] = {}
     for call in logging_calls():
         keywords = {keyword.arg for keyword in call.keywords if keyword.arg and keyword.arg != OPTION}
@@ -68,14 +68,14 @@
     return fields
 
 
-@test("the catalogue of events and the code hold the same numbers and words, none twice")
+@test("the event catalogue and the code have the same numbers and texts, without duplicates")
 def _() -> None:
     rows = catalogue()
     assert max(Counter(event.number for event, _ in rows).values()) == 1
     assert sorted(event for event, _ in rows) == sorted(constants().values())
 
 
-@test("each event of the catalogue is logged, with the fields that stand there")
+@test("each event of the catalogue is logged with the fields listed there")
 def _() -> None:
     events = constants()
     fields = {events[name].number: logged for name, logged in logged_fields(set(events)).items()}
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,6 +1,6 @@
-"""The log: what is buffered in the first seconds, and that nothing of it is lost or out of order.
+"""The event log: early events are buffered, and none is lost or written out of order.
 
-Each case runs in a process of its own, as a process has one log.
+Each case runs in a separate process, because the log is global.
 """
 
 import subprocess
@@ -22,12 +22,12 @@
 
 
 def run(code: str) -> tuple[list[str], list[str]]:
-    """The words on standard output and the lines on standard error of a process."""
+    """Run a process; return the words on its standard output and the lines on its standard error."""
     done = subprocess.run([sys.executable, "-c", PROLOGUE + code], capture_output=True, text=True, timeout=60)
     return done.stdout.split(), done.stderr.splitlines()
 
 
-@test("an early event waits for the end, an error, or many others, and then comes first ({code})")
+@test("early events are buffered until the process exits, an error is logged or the buffer is full ({code})")
 def _(
     code: str = each(
         IS_LOADED + "events.log_event(last)",
@@ -43,13 +43,13 @@
     assert lines == sorted(lines)
 
 
-@test("the levels are logbook's own")
+@test("the event levels equal those of logbook")
 def _() -> None:
     for name in ("INFO", "WARNING", "ERROR", "CRITICAL"):
         assert getattr(events, name) == getattr(logbook, name)
 
 
-@test("a full disk under standard error refuses each line, and ends nothing")
+@test("a process goes on when its standard error is on a full disk")
 def _() -> None:
     program = (
         "import sys\n"
--- a/tests/test_import_rules.py
+++ b/tests/test_import_rules.py
@@ -1,4 +1,4 @@
-"""Who imports whom among the system's packages: never upwards, never round, programs never each other."""
+"""The allowed imports between the packages: no cycles, and no imports between programs."""
 
 import ast
 from collections.abc import Iterator
@@ -54,7 +54,7 @@
     },
     "cli": {"config", "errors", "rpc"},
 }
-NOT_OF_THE_PRODUCT = {"tests", "benchmarks"}
+DEVELOPMENT_PACKAGES = {"tests", "benchmarks"}
 
 
 def sources(package: str) -> list[Path]:
@@ -63,7 +63,7 @@
 
 
 def imported_names(path: Path) -> Iterator[str]:
-    """Full names of what a module imports: `a.b.c` for `from a.b import c`."""
+    """Yield the full names of a module's imports: `a.b.c` for `from a.b import c`."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (name.name for name in node.names)
@@ -72,11 +72,11 @@
             yield from (f"{node.module}.{name.name}" for name in node.names)
 
 
-def is_below(name: str, packages: set[str]) -> bool:
+def is_in(name: str, packages: set[str]) -> bool:
     return any(f"{name}.".startswith(f"ashlift.{package}.") for package in packages)
 
 
-@test("{package} imports no package of ours but those below it")
+@test("{package} imports only the packages of this project that it is allowed to")
 def _(package: str = each(*ALLOWED)) -> None:
     files = sources(package)
     assert files
@@ -84,6 +84,6 @@
     for path in files:
         for name in imported_names(path):
             top = name.partition(".")[0]
-            assert top not in NOT_OF_THE_PRODUCT, f"{path}: {name}"
-            ours = top == "ashlift" and name != "ashlift.__version__"
-            assert not ours or is_below(name, allowed), f"{path}: {name}"
+            assert top not in DEVELOPMENT_PACKAGES, f"{path}: {name}"
+            is_internal = top == "ashlift" and name != "ashlift.__version__"
+            assert not is_internal or is_in(name, allowed), f"{path}: {name}"
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of the running code: each fires, is counted and shown, and refuses what would break it."""
+"""Run-time invariants: a violation is counted and shown in the metrics, and the operation is rejected."""
 
 import subprocess
 import sys
@@ -32,7 +32,7 @@
 
 
 @contextmanager
-def as_in_service() -> Iterator[None]:
+def as_in_production() -> Iterator[None]:
     """Violations are counted, and do not raise."""
     before = dict(monitor.violations)
     monitor.action = ViolationAction.CONTINUE
@@ -66,26 +66,26 @@
     assert monitor.action is ViolationAction.RAISE
 
 
-@test("a directory that leads out of the home regions raises here; in service it answers 503 and counts")
+@test("a lookup answer outside the home regions raises in tests; in production it fails and is counted")
 def _() -> None:
     scenario = directory_that_ignores_home_regions()
     registry = scenario.registries["a"]
     with raises(InvariantViolationError) as raised:
         registry.lookup("home.x", Place("za", "ra"), scenario.now)
     assert "host=home.x client_region=ra named=rc" in str(raised.raised)
-    with as_in_service():
+    with as_in_production():
         count = monitor.violations[Invariant.DIRECTORY_REGION]
         assert isinstance(registry.lookup("home.x", Place("za", "ra"), scenario.now), Failure)
         line = f'ashlift_invariant_violations_total{{invariant="directory_region"}} {count + 1}'
         assert line in registry_metrics(registry).render().splitlines()
 
 
-@test("a balancer that leaves the home regions raises here; in service nothing is sent there")
+@test("a worker outside the home regions raises in tests; in production it is not used")
 def _() -> None:
     scenario, request = balancer_that_ignores_home_regions()
     with raises(InvariantViolationError):
         scenario.router.choose_worker(scenario.now, request, retry=False)
-    with as_in_service():
+    with as_in_production():
         count = monitor.violations[Invariant.ATTEMPT_REGION]
         assert isinstance(scenario.router.choose_worker(scenario.now, request, retry=False), Rejection)
         worker = scenario.router.load_balancer.workers["w3"]
@@ -94,7 +94,7 @@
         assert line in proxy_metrics(RequestHandler(scenario.router)).render().splitlines()
 
 
-@test("a process that was started with fatal invariants ends by the first violation, and has logged it")
+@test("a process with fatal invariants logs the first violation and exits")
 def _() -> None:
     program = (
         "from ashlift.invariants import Invariant, monitor\n"
@@ -117,8 +117,8 @@
         assert "107 invariant does not hold invariant=attempt_region details=worker=w1" in done.stderr
 
 
-@test("what holds is not counted, and every invariant is shown from the start")
+@test("satisfied invariants are not counted, and each invariant is in the metrics from the start")
 def _() -> None:
-    quiet = InvariantMonitor(ViolationAction.RAISE)
-    assert quiet.check(True, Invariant.DIRECTORY_REGION)
-    assert quiet.violations == {invariant.value: 0 for invariant in Invariant}
+    unused_monitor = InvariantMonitor(ViolationAction.RAISE)
+    assert unused_monitor.check(True, Invariant.DIRECTORY_REGION)
+    assert unused_monitor.violations == {invariant.value: 0 for invariant in Invariant}
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -1,4 +1,4 @@
-"""What CI passes over: the mechanism of KNOWN-RED.txt itself, on real runs of ward and pytest in a folder."""
+"""The check of KNOWN-RED.txt, which lists the test failures that CI tolerates."""
 
 import os
 import subprocess
@@ -18,55 +18,55 @@
 TWO = "tests/test_a.py: two [2] | it is slow | 39"
 
 
-@test("known red: {why}")
+@test("known failures: {case}")
 def _(
-    why: str = each(
-        "named",
-        "named by its title",
-        "nothing is named",
-        "too many",
-        "no such test",
-        "no cause",
-        "twice",
-        "another fails",
-        "passes after all",
+    case: str = each(
+        "listed",
+        "listed by its title",
+        "unlisted failure",
+        "too many lines",
+        "unknown test",
+        "missing cause",
+        "duplicate line",
+        "unlisted failure of another test",
+        "passing test",
     ),
 ) -> None:
     results, listed = dict(RESULTS), ["# tests", "", TWO]
-    wanted, good = "known to fail: tests/test_a.py: two [2]: it is slow (39)", False
-    match why:
-        case "named":
-            good = True
-        case "named by its title":
-            good, listed = True, [TWO.replace(" [2]", "")]
-        case "nothing is named":
-            listed, wanted = [], "failed: tests/test_a.py: two [2]"
-        case "too many":
+    expected, passes = "known to fail: tests/test_a.py: two [2]: it is slow (39)", False
+    match case:
+        case "listed":
+            passes = True
+        case "listed by its title":
+            passes, listed = True, [TWO.replace(" [2]", "")]
+        case "unlisted failure":
+            listed, expected = [], "failed: tests/test_a.py: two [2]"
+        case "too many lines":
             more = {f"tests/test_a.py: n{number}": False for number in range(3)}
             results |= more
             listed += [f"{name} | a cause | 1" for name in more]
-            wanted = "4 tests are named, 3 at most may be"
-        case "no such test":
+            expected = "4 tests are named, 3 at most may be"
+        case "unknown test":
             listed += ["tests/test_a.py: two [3] | a cause | 1"]
-            wanted = "there is no such test: tests/test_a.py: two [3]"
-        case "no cause":
+            expected = "there is no such test: tests/test_a.py: two [3]"
+        case "missing cause":
             listed += ["tests/test_a.py: one | 39"]
-            wanted = "no line of TEST | CAUSE | ISSUE: tests/test_a.py: one | 39"
-        case "twice":
+            expected = "no line of TEST | CAUSE | ISSUE: tests/test_a.py: one | 39"
+        case "duplicate line":
             listed += [TWO]
-            wanted = "named twice: tests/test_a.py: two [2]"
-        case "another fails":
+            expected = "named twice: tests/test_a.py: two [2]"
+        case "unlisted failure of another test":
             results["tests/gatekeeper/test_b.py: test_c[x]"] = False
-            wanted = "failed: tests/gatekeeper/test_b.py: test_c[x]"
+            expected = "failed: tests/gatekeeper/test_b.py: test_c[x]"
         case _:
-            results["tests/test_a.py: two [2]"], good = True, True
-            wanted = "passes after all, to be taken off the list: tests/test_a.py: two [2] (39)"
+            results["tests/test_a.py: two [2]"], passes = True, True
+            expected = "passes after all, to be taken off the list: tests/test_a.py: two [2] (39)"
     passed, messages = judged(listed, results)
-    assert passed == good, messages
-    assert wanted in messages, messages
+    assert passed == passes, messages
+    assert expected in messages, messages
 
 
-@test("known red: a file that breaks off, or tells of no test, is no pass")
+@test("known failures: a test file that aborts or reports no test does not pass")
 def _() -> None:
     exits = "1\ttests/test_a.py\n0\ttests/gatekeeper/\n1\ttests/gatekeeper/test_b.py\n0\ttests/test_gone.py\n"
     messages = broken_off(exits, RESULTS)
@@ -100,7 +100,7 @@
 """
 
 
-@test("known red: what ward and pytest tell of their tests")
+@test("known failures: the results that ward and pytest report")
 def _() -> None:
     root = Path(__file__).parent.parent
     with tempfile.TemporaryDirectory() as folder:
@@ -120,7 +120,7 @@
             "passed\tsystem/test_w.py: well",
         ]
         found = from_pytest(xml.read_text())
-        assert {name.partition(": ")[2]: good for name, good in found.items()} == {
+        assert {name.partition(": ")[2]: passed for name, passed in found.items()} == {
             "test_sum[1]": True,
             "test_sum[2]": False,
             "test_in": False,
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The programs' own figures: their text, the port that shows them, and the deploy file that names it."""
+"""Metrics: exposition format, the metrics endpoint, and its port in the deploy file."""
 
 import tomllib
 from pathlib import Path
@@ -23,7 +23,7 @@
         return received
 
 
-@test("each scrape shows what is counted then, escaped as the format wants it")
+@test("a scrape returns the current values, with escaped labels")
 def _() -> None:
     counts = {'say "x"\\\n': 2}
     metrics = MetricsRegistry()
@@ -34,12 +34,12 @@
     assert port is not None
     try:
         counts["y"] = 1
-        answer = fetch(port, b"GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n")
+        response = fetch(port, b"GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n")
         missing = fetch(port, b"GET /other HTTP/1.1\r\n\r\n")
-        taken = serve_metrics(("127.0.0.1", port), metrics)
+        port_in_use = serve_metrics(("127.0.0.1", port), metrics)
     finally:
         server.stop()
-    head, _, body = answer.partition(b"\r\n\r\n")
+    head, _, body = response.partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 200 ")
     assert f"Content-Length: {len(body)}".encode() in head
     assert body.decode().splitlines() == [
@@ -49,17 +49,17 @@
         'ashlift_answers_total{kind="y"} 1',
     ]
     assert missing.startswith(b"HTTP/1.1 404 ")
-    assert taken is None
+    assert port_in_use is None
 
 
-@test("a command line with the port {text!r} is refused, by the option's name")
+@test("a command line with the port {text!r} is rejected with the option's name")
 def _(text: str = each("", "x", "0", "65536", "-1")) -> None:
     found = metrics_port(["program", METRICS_OPTION, text])
     assert isinstance(found, Failure)
     assert METRICS_OPTION in found.detail
 
 
-@test("the deploy file names the port and the path that its programs listen at, another one for each role")
+@test("the deploy file has the port and path of each program's endpoint, with distinct ports")
 def _() -> None:
     roles = tomllib.loads(DEPLOY_FILE.read_text())["roles"]
     ports = []
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""What the programs' entry points share, in processes of their own."""
+"""Functions shared by the programs' entry points, run in separate processes."""
 
 import subprocess
 import sys
@@ -18,7 +18,7 @@
 """
 
 
-@test("an error that leaves a greenlet ends the process, one that ends only the greenlet does not: {error}")
+@test("an unhandled error in a greenlet ends the process, GreenletExit does not: {error}")
 def _(error: str = each("ValueError('broken')", "gevent.GreenletExit()")) -> None:
     done = subprocess.run(
         [sys.executable, "-c", SCRIPT.format(error=error)], capture_output=True, text=True, timeout=30
@@ -31,7 +31,7 @@
         assert done.stderr == ""
 
 
-@test("exit statuses and the settings' path are those of the deploy file")
+@test("exit statuses and the settings path match the deploy file")
 def _() -> None:
     assert process.EXIT_INVALID_SETTINGS == 78
     assert process.SETTINGS_PATH_VARIABLE == "ASHLIFT_SETTINGS"
