--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -283,7 +283,9 @@
         "True",
         EIGHT_OPERATORS,
     ),
-    "no base is compared": Mutant(operator_config, "apply_change", "base != current_number", "False", EIGHT_OPERATORS),
+    "no base is compared": Mutant(
+        operator_config, "apply_change", "base != current_number", "False", EIGHT_OPERATORS
+    ),
     "a refusal is forgotten before its base comes": Mutant(
         commands,
         "_refuse_stale",
