--- a/ashlift/rpc/fragmentation.py
+++ b/ashlift/rpc/fragmentation.py
@@ -162,10 +162,10 @@
         data = decompressor.decompress(message["pack"], MAX_DECOMPRESSED_BYTES)
         if not decompressor.eof:
             raise ValueError(f"compressed update is truncated or exceeds {MAX_DECOMPRESSED_BYTES} bytes")
-        values, gone = cbor2.loads(data)
+        entries, removed_keys = cbor2.loads(data)
     except (zlib.error, cbor2.CBORDecodeError, TypeError) as error:
         raise ValueError(f"malformed compressed update: {error}") from None
-    return {"version": message["version"], "full": message["full"], "set": values, "gone": gone}
+    return {"version": message["version"], "full": message["full"], "set": entries, "gone": removed_keys}
 
 
 def decompress_sources(sources: dict[str, Json]) -> dict[str, Json]:
--- a/tests/route_reconciliation/test_merging.py
+++ b/tests/route_reconciliation/test_merging.py
@@ -176,9 +176,9 @@
     assert after["Routes/hold"] == edit.specification
     log_entry = after["Edited/hold"]["log"][-1]
     assert log_entry | {"by": "boss", "who": "clerk", "version": "00000002"} == log_entry
-    again = execute(after, "confirm", body, "00000001")
-    assert again[0] == after
-    assert again[1]["outcome"] == "in force"
+    repeated = execute(after, "confirm", body, "00000001")
+    assert repeated[0] == after
+    assert repeated[1]["outcome"] == "in force"
     moved = entries_of(configuration_of(2, {**FIRST_ROUTES, "hold": route("a", "/hold/", "non_idempotent")}))
     same, response = execute(moved, "confirm", body, "00000002")
     assert same == moved
@@ -187,10 +187,10 @@
     assert (
         execute(moved, "confirm", body | {"over": True}, "00000002")[0]["Routes/hold"] == edit.specification
     )
-    gone, response = execute(moved, "reject", body, "00000002")
-    assert routes_in(gone) == routes_in(moved)
-    assert gone["Version"] == moved["Version"]
-    assert execute(gone, "confirm", body, "00000002")[1]["outcome"] == "rejected"
+    after_rejection, response = execute(moved, "reject", body, "00000002")
+    assert routes_in(after_rejection) == routes_in(moved)
+    assert after_rejection["Version"] == moved["Version"]
+    assert execute(after_rejection, "confirm", body, "00000002")[1]["outcome"] == "rejected"
 
 
 @test("outcomes and histories are bounded, and an edit older than dropped histories needs an operator")
