--- a/ashlift/registry/api/lookup.py
+++ b/ashlift/registry/api/lookup.py
@@ -8,7 +8,7 @@
 from ashlift.registry.api.messages import HttpRequest, HttpResponse, error_response
 from ashlift.registry.api.resource import RETRY_AFTER_SECONDS, Resource
 from ashlift.registry.events import READY_PROXIES_SHORT
-from ashlift.registry.locality import Place
+from ashlift.registry.locality import Locality
 from ashlift.registry.peer_registries import MIN_UPTIME_SECONDS
 from ashlift.registry.registry import Registry
 
@@ -20,29 +20,31 @@
 
     def __init__(self, registry: Registry) -> None:
         self._registry = registry
-        self._short_places: set[Place] = set()  # of clients whose region has too few ready proxies
+        self._localities_with_shortage: set[Locality] = (
+            set()
+        )  # of clients whose region has too few ready proxies
 
     def get(self, request: HttpRequest) -> HttpResponse:
         """Addresses of proxies, near ones first; 503 where they are not known for sure."""
         zone = request.query.get("Zone", "")
-        place = Place(zone, request.query.get("Region") or self._registry.zones.get(zone, ""))
+        locality = Locality(zone, request.query.get("Region") or self._registry.zones.get(zone, ""))
         now = time.monotonic()
-        answer = self._registry.lookup(request.query.get("Name", ""), place, now)
+        answer = self._registry.lookup(request.query.get("Name", ""), locality, now)
         if zone in self._registry.zones and self._registry.uptime(now) >= MIN_UPTIME_SECONDS:
-            self._log_shortage(place)
+            self._log_shortage(locality)
         if isinstance(answer, Failure):
             return error_response(503, answer.detail, RETRY_AFTER_SECONDS)
         return HttpResponse(200, {"Addresses": answer.addresses, "Ttl": LOOKUP_TTL})
 
-    def _log_shortage(self, place: Place) -> None:
+    def _log_shortage(self, locality: Locality) -> None:
         """Log where a region comes to have too few ready proxies, or enough again."""
         directory = self._registry.directory
-        if directory.is_short(place) == (place in self._short_places):
+        if directory.is_short(locality) == (locality in self._localities_with_shortage):
             return
-        self._short_places ^= {place}
+        self._localities_with_shortage ^= {locality}
         log_event(
             READY_PROXIES_SHORT,
-            zone=place.zone,
-            region=place.region,
-            ready=directory.ready_in_region.get(place),
+            zone=locality.zone,
+            region=locality.region,
+            ready=directory.ready_in_region.get(locality),
         )
--- a/ashlift/registry/endpoint_directory.py
+++ b/ashlift/registry/endpoint_directory.py
@@ -14,7 +14,7 @@
 import attrs
 
 from ashlift.registry.home_regions import OWN_REGION_ONLY, RegionPolicy
-from ashlift.registry.locality import Place
+from ashlift.registry.locality import Locality
 from ashlift.registry.records import SessionRecord
 
 MAX_ADDRESSES: Final = 64  # in one answer
@@ -23,7 +23,7 @@
 )
 CACHE_SECONDS: Final = 0.1
 MAX_CACHED_LOOKUPS: Final = 100  # places as asked for, with the policies of hosts
-MAX_KNOWN_PLACES: Final = 100
+MAX_KNOWN_LOCALITIES: Final = 100
 
 
 class LookupReach(StrEnum):
@@ -57,15 +57,17 @@
     answer: DirectoryAnswer
 
 
-def choose_proxies(sessions: Iterable[SessionRecord], place: Place, policy: RegionPolicy) -> DirectoryAnswer:
+def choose_proxies(
+    sessions: Iterable[SessionRecord], locality: Locality, policy: RegionPolicy
+) -> DirectoryAnswer:
     """The ready proxies of the zone; if they are few, the region's too; if still few, all allowed ones."""
     ready = [session for session in sessions if session.ready]
     ready.sort(
-        key=lambda session: zlib.crc32(f"{place.zone} {session.front}".encode())
+        key=lambda session: zlib.crc32(f"{locality.zone} {session.front}".encode())
     )  # another order for each zone
-    in_zone = [session for session in ready if session.zone == place.zone]
+    in_zone = [session for session in ready if session.zone == locality.zone]
     rest_of_region = [
-        session for session in ready if session.zone != place.zone and session.region == place.region
+        session for session in ready if session.zone != locality.zone and session.region == locality.region
     ]
     ready_in_region = len(in_zone) + len(rest_of_region)
     chosen = in_zone
@@ -77,9 +79,9 @@
         elsewhere = [
             session
             for session in ready
-            if session.zone != place.zone
-            and session.region != place.region
-            and policy.allows(session.region, place.region)
+            if session.zone != locality.zone
+            and session.region != locality.region
+            and policy.allows(session.region, locality.region)
         ]
         chosen = chosen + elsewhere
         if elsewhere:
@@ -89,7 +91,7 @@
         [session.front for session in chosen],
         reach,
         ready_in_region,
-        tuple(session.region for session in chosen if session.region != place.region),
+        tuple(session.region for session in chosen if session.region != locality.region),
     )
 
 
@@ -99,34 +101,36 @@
     def __init__(self, live_sessions: Callable[[float], Mapping[str, SessionRecord]]) -> None:
         """`live_sessions`: proxies whose leases stand at a time."""
         self._live_sessions = live_sessions
-        self.cache: dict[tuple[Place, RegionPolicy], CachedAnswer] = {}
+        self.cache: dict[tuple[Locality, RegionPolicy], CachedAnswer] = {}
         self.answers_by_reach: Counter[str] = Counter()
-        self.ready_in_region: dict[Place, int] = {}  # by place, as of the last look-up there
+        self.ready_in_region: dict[Locality, int] = {}  # by place, as of the last look-up there
 
-    def is_short(self, place: Place) -> bool:
+    def is_short(self, locality: Locality) -> bool:
         """Whether the region of a place had too few ready proxies at the last look-up."""
-        return self.ready_in_region.get(place, MIN_NEAR_PROXIES) < MIN_NEAR_PROXIES
+        return self.ready_in_region.get(locality, MIN_NEAR_PROXIES) < MIN_NEAR_PROXIES
 
-    def answer(self, place: Place, region_policy: Callable[[], RegionPolicy], now: float) -> DirectoryAnswer:
+    def answer(
+        self, locality: Locality, region_policy: Callable[[], RegionPolicy], now: float
+    ) -> DirectoryAnswer:
         """Where clients of that place are sent.
 
         `region_policy`: of the host that they ask for; called only where their region has too few proxies.
         """
-        answer = self._cached_answer(place, OWN_REGION_ONLY, now)
+        answer = self._cached_answer(locality, OWN_REGION_ONLY, now)
         if len(answer.addresses) < MIN_NEAR_PROXIES:
-            answer = self._cached_answer(place, region_policy(), now)
+            answer = self._cached_answer(locality, region_policy(), now)
         self.answers_by_reach[answer.reach] += 1
-        if len(self.ready_in_region) >= MAX_KNOWN_PLACES:
+        if len(self.ready_in_region) >= MAX_KNOWN_LOCALITIES:
             self.ready_in_region.clear()
-        self.ready_in_region[place] = answer.ready_in_region
+        self.ready_in_region[locality] = answer.ready_in_region
         return answer
 
-    def _cached_answer(self, place: Place, policy: RegionPolicy, now: float) -> DirectoryAnswer:
-        cached = self.cache.get((place, policy))
+    def _cached_answer(self, locality: Locality, policy: RegionPolicy, now: float) -> DirectoryAnswer:
+        cached = self.cache.get((locality, policy))
         if cached is None or cached.chosen_at < now - CACHE_SECONDS:
-            answer = choose_proxies(self._live_sessions(now).values(), place, policy)
+            answer = choose_proxies(self._live_sessions(now).values(), locality, policy)
             cached = CachedAnswer(now, answer)
             if len(self.cache) >= MAX_CACHED_LOOKUPS:
                 self.cache.clear()
-            self.cache[place, policy] = cached
+            self.cache[locality, policy] = cached
         return cached.answer
--- a/ashlift/registry/locality.py
+++ b/ashlift/registry/locality.py
@@ -11,7 +11,7 @@
 UNKNOWN_DISTANCE: Final = 3
 
 
-class Place(NamedTuple):
+class Locality(NamedTuple):
     """A zone and the region that it lies in."""
 
     zone: str
--- a/ashlift/registry/peer_registries.py
+++ b/ashlift/registry/peer_registries.py
@@ -6,7 +6,7 @@
 from ashlift.registry.delta import Delta
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.lease_clock import LeaseClock
-from ashlift.registry.locality import Place
+from ashlift.registry.locality import Locality
 from ashlift.registry.messages import SwapOrigin, SwapRequest, SwapResponse
 from ashlift.registry.own_records import ChangeCounter
 from ashlift.registry.replicated_source import ReplicatedSource
@@ -23,9 +23,9 @@
     `started_at`: when it started. `last_contact_at`: when the last request was sent that it answered.
     """
 
-    def __init__(self, ip: str, place: Place, started_at: float, last_contact_at: float) -> None:
+    def __init__(self, ip: str, locality: Locality, started_at: float, last_contact_at: float) -> None:
         self.ip = ip
-        self.place = place
+        self.locality = locality
         self.started_at = started_at
         self.last_contact_at = last_contact_at
         self.source = ReplicatedSource()
@@ -164,7 +164,7 @@
 
 
 def _new_replica(ip: str, origin: SwapOrigin, sent_at: float) -> PeerReplica:
-    return PeerReplica(ip, Place(origin.zone, origin.region), origin.started_at, sent_at)
+    return PeerReplica(ip, Locality(origin.zone, origin.region), origin.started_at, sent_at)
 
 
 def _apply(delta: Delta, source: ReplicatedSource) -> bool:
--- a/ashlift/registry/registry.py
+++ b/ashlift/registry/registry.py
@@ -16,7 +16,7 @@
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.lease_clock import STANDSTILL_SECONDS, LeaseClock
 from ashlift.registry.load_reports import LoadReports
-from ashlift.registry.locality import UNKNOWN_DISTANCE, Place
+from ashlift.registry.locality import UNKNOWN_DISTANCE, Locality
 from ashlift.registry.messages import (
     Json,
     PullRequest,
@@ -59,7 +59,7 @@
         self.identity = identity
         self.seeds = seeds
         self.zones = zones
-        self._place = Place(identity.zone, identity.region)
+        self._locality = Locality(identity.zone, identity.region)
         self._changes = ChangeCounter()
         self._clock = LeaseClock(now)
         self._own = OwnRecords(self._changes)
@@ -148,13 +148,13 @@
 
     # ---- clients and workers
 
-    def lookup(self, host: str, place: Place, now: float) -> DirectoryAnswer | Failure:
+    def lookup(self, host: str, locality: Locality, now: float) -> DirectoryAnswer | Failure:
         """Proxies for a client of that place which asks for `host`, near ones first.
 
         UNAVAILABLE: they are not known for sure, or none is ready where the host's home regions allow it.
         """
-        answer = self.directory.answer(place, lambda: self._region_policy(host, now), now)
-        if not self._is_allowed(host, place, answer):
+        answer = self.directory.answer(locality, lambda: self._region_policy(host, now), now)
+        if not self._is_allowed(host, locality, answer):
             return Failure(FailureReason.UNAVAILABLE, "the gatekeepers found are outside the home regions")
         members = self.core_members()
         if not answer.addresses or self.is_isolated(now) or not self.peers.has_complete_view(members, now):
@@ -168,7 +168,7 @@
             return OWN_REGION_ONLY
         return self.home_regions.policy(host)
 
-    def _is_allowed(self, host: str, place: Place, answer: DirectoryAnswer) -> bool:
+    def _is_allowed(self, host: str, locality: Locality, answer: DirectoryAnswer) -> bool:
         """The invariant: outside the client's region, an answer names home regions of the host alone."""
         if not answer.other_regions:
             return True
@@ -177,23 +177,25 @@
             homes is None or homes.issuperset(answer.other_regions),
             Invariant.DIRECTORY_REGION,
             host=host,
-            client_region=place.region,
+            client_region=locality.region,
             named=",".join(sorted(set(answer.other_regions))),
         )
 
     def heartbeat_target(self, zone: str, now: float) -> str:
         """Address of the registry to which a worker of `zone` should send heartbeats: running, and near."""
-        places = [(self.identity.ip, self._place)]
+        localities = [(self.identity.ip, self._locality)]
         for peer in self.peers.replicas.values():
             if now - peer.last_contact_at < STANDSTILL_SECONDS and now - peer.started_at > MIN_UPTIME_SECONDS:
-                places.append((peer.ip, peer.place))
-        region = next((place.region for _, place in places if place.zone == zone), self.zones.get(zone))
+                localities.append((peer.ip, peer.locality))
+        region = next(
+            (locality.region for _, locality in localities if locality.zone == zone), self.zones.get(zone)
+        )
 
-        def preference(candidate: tuple[str, Place]) -> tuple[int, bool, str]:
-            ip, place = candidate
-            return place.distance_from(zone, region), ip != self.identity.ip, ip
+        def preference(candidate: tuple[str, Locality]) -> tuple[int, bool, str]:
+            ip, locality = candidate
+            return locality.distance_from(zone, region), ip != self.identity.ip, ip
 
-        nearest_ip, _ = min(places, key=preference)
+        nearest_ip, _ = min(localities, key=preference)
         return f"{nearest_ip}:{self.identity.http_port}"
 
     def is_leave_confirmed(self, recorded_at: float) -> bool:
@@ -219,16 +221,16 @@
 
     def registries_by_distance(self, zone: str, region: str, now: float) -> list[str]:
         """IPs of the registries for a proxy of that place: those in reach first, near ones first."""
-        places = {self.identity.ip: self._place}
+        localities = {self.identity.ip: self._locality}
         for name in self.peers.contacted_within(PEER_IN_REACH_SECONDS, now):
             peer = self.peers.replicas[name]
-            places[peer.ip] = peer.place
+            localities[peer.ip] = peer.locality
 
         def preference(ip: str) -> tuple[int, str]:
-            place = places.get(ip)
-            return UNKNOWN_DISTANCE if place is None else place.distance_from(zone, region), ip
+            locality = localities.get(ip)
+            return UNKNOWN_DISTANCE if locality is None else locality.distance_from(zone, region), ip
 
-        return sorted(set(self.core_members()) | set(places), key=preference)
+        return sorted(set(self.core_members()) | set(localities), key=preference)
 
     def receive_swap_request(self, request: SwapRequest, now: float) -> None:
         """Another registry has asked for this one's records."""
--- a/ashlift/simulation/registry_process.py
+++ b/ashlift/simulation/registry_process.py
@@ -8,7 +8,7 @@
 from ashlift.registry import codec
 from ashlift.registry.api.evacuation import MAX_REQUEST_AGE_SECONDS
 from ashlift.registry.identity import RegistryIdentity
-from ashlift.registry.locality import Place
+from ashlift.registry.locality import Locality
 from ashlift.registry.pacing import (
     BATCHING_DELAY_SECONDS,
     INITIAL_BACKOFF_SECONDS,
@@ -224,8 +224,8 @@
             yield LEAVE_CONFIRMATION_POLL_SECONDS
         return 200, target
 
-    def _handle_lookup(self, place: tuple[str, str]) -> Any:
-        answer = self.registry.lookup(HOST, Place(*place), self.clock())
+    def _handle_lookup(self, locality: tuple[str, str]) -> Any:
+        answer = self.registry.lookup(HOST, Locality(*locality), self.clock())
         return (503, None) if isinstance(answer, Failure) else (200, answer.addresses)
 
     def _handle_command(self, command: dict[str, Any]) -> Task:
--- a/benchmarks/scale/registry_figures.py
+++ b/benchmarks/scale/registry_figures.py
@@ -10,7 +10,7 @@
 from ashlift.registry import codec
 from ashlift.registry.api.heartbeat_body import parse_heartbeat
 from ashlift.registry.api.messages import HttpResponse
-from ashlift.registry.locality import Place
+from ashlift.registry.locality import Locality
 from ashlift.registry.messages import SwapRequest
 from ashlift.registry.registry import Registry
 from ashlift.rpc.framing import MAX_FRAME_BYTES
@@ -199,7 +199,7 @@
     def _measure_lookup(self) -> None:
         def look_up_without_cache() -> Any:
             self.registry.directory.cache.clear()
-            return self.registry.lookup("h00.example", Place("z05", "r05"), NOW)
+            return self.registry.lookup("h00.example", Locality("z05", "r05"), NOW)
 
         answer = self.recorder.record_cpu_ms(
             "registry: look-ups of a zone, worked out, ms", look_up_without_cache
--- a/tests/registry/test_endpoint_directory.py
+++ b/tests/registry/test_endpoint_directory.py
@@ -12,12 +12,12 @@
 from ashlift.registry.endpoint_directory import MAX_CACHED_LOOKUPS, DirectoryAnswer
 from ashlift.registry.events import READY_PROXIES_SHORT
 from ashlift.registry.identity import RegistryIdentity
-from ashlift.registry.locality import Place
+from ashlift.registry.locality import Locality
 from ashlift.registry.registry import Registry
 from tests.support.patching import replaced
 from tests.support.registry_wire import begin_pull
 
-HERE = Place("z", "r")
+HERE = Locality("z", "r")
 IDENTITY = RegistryIdentity("core-1", "0", "10.0.0.1", "z", "r", 80, 1.5)
 PULL: dict[str, Any] = {"incarnation": "0", "zone": "z", "region": "r", "ready": True, "have": {}}
 
@@ -36,7 +36,7 @@
     assert isinstance(later, DirectoryAnswer)
     assert sorted(later.addresses) == ["10.1.0.0:80", "10.1.0.2:80"]
     for number in range(1000):
-        registry.lookup("app", Place(f"z{number}", "r"), 5.11)
+        registry.lookup("app", Locality(f"z{number}", "r"), 5.11)
     assert len(registry.directory.cache) <= MAX_CACHED_LOOKUPS
 
 
--- a/tests/support/registry_scenarios.py
+++ b/tests/support/registry_scenarios.py
@@ -27,7 +27,7 @@
 from ashlift.proxy.pull_messages import PullResponse
 from ashlift.registry import codec
 from ashlift.registry.identity import RegistryIdentity
-from ashlift.registry.locality import Place
+from ashlift.registry.locality import Locality
 from ashlift.registry.records import WorkerRecord, WorkerState
 from ashlift.registry.registry import Registry
 from ashlift.rpc.sources import OPERATOR_SOURCE
@@ -207,7 +207,7 @@
         assert sums == [int(count) for count in expected], str(counts)
 
     def _check_lookup(self, name: str, host: str, zone: str, region: str, *expected: str) -> None:
-        answer = self.registries[name].lookup(host, Place(zone, region), self.now)
+        answer = self.registries[name].lookup(host, Locality(zone, region), self.now)
         found = ["unavailable"] if isinstance(answer, Failure) else sorted(answer.addresses)
         assert found == sorted(expected), str(answer)
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -23,7 +23,7 @@
 from ashlift.proxy.rejections import Rejection
 from ashlift.proxy.request_handler import RequestHandler
 from ashlift.registry.endpoint_directory import DirectoryAnswer, LookupReach
-from ashlift.registry.locality import Place
+from ashlift.registry.locality import Locality
 from ashlift.registry.metrics import registry_metrics
 from tests.support.registry_scenarios import RegistryScenario
 from tests.support.request_router_scenarios import RequestRouterScenario
@@ -71,11 +71,11 @@
     scenario = directory_that_ignores_home_regions()
     registry = scenario.registries["a"]
     with raises(InvariantViolationError) as raised:
-        registry.lookup("home.x", Place("za", "ra"), scenario.now)
+        registry.lookup("home.x", Locality("za", "ra"), scenario.now)
     assert "host=home.x client_region=ra named=rc" in str(raised.raised)
     with as_in_service():
         count = monitor.violations[Invariant.DIRECTORY_REGION]
-        assert isinstance(registry.lookup("home.x", Place("za", "ra"), scenario.now), Failure)
+        assert isinstance(registry.lookup("home.x", Locality("za", "ra"), scenario.now), Failure)
         line = f'ashlift_invariant_violations_total{{invariant="directory_region"}} {count + 1}'
         assert line in registry_metrics(registry).render().splitlines()
 
