--- a/ashlift/registry/api/connection.py
+++ b/ashlift/registry/api/connection.py
@@ -29,7 +29,7 @@
     def max_body_bytes(self, path: str) -> int:
         """How large the body of a request for that path may be."""
 
-    def earliest_connect(self, now: float) -> float:
+    def earliest_send_time(self, now: float) -> float:
         """Steady time before which no request of a connection that is accepted `now` was written."""
 
 
@@ -69,7 +69,7 @@
         A request was not written before the connection was there, nor before the answer to the one before it.
         """
         parser = self._parser
-        not_written_before = self._server.earliest_connect(time.monotonic())
+        not_written_before = self._server.earliest_send_time(time.monotonic())
         while data := self._receive():
             if not parser.is_receiving:
                 self._request_began_at = time.monotonic()
--- a/ashlift/registry/api/server.py
+++ b/ashlift/registry/api/server.py
@@ -11,7 +11,7 @@
 from ashlift.registry.api.connection import ApiConnection
 from ashlift.registry.api.messages import HttpRequest, HttpResponse, error_response
 from ashlift.registry.api.resource import DEFAULT_MAX_BODY_BYTES, Resource
-from ashlift.registry.api.stall_detector import CHECK_INTERVAL_SECONDS, StallDetector
+from ashlift.registry.api.pause_detector import CHECK_INTERVAL_SECONDS, PauseDetector
 from ashlift.rpc.addresses import Address
 from ashlift.rpc.sockets import stop_listening
 
@@ -26,14 +26,14 @@
         self._resources = resources
         self._connections: set[ApiConnection] = set()
         self.is_shutting_down = False
-        self._stall_detector = StallDetector(time.monotonic())
+        self._pause_detector = PauseDetector(time.monotonic())
         self._server = StreamServer(address, self._serve_connection, backlog=LISTEN_BACKLOG)
         self._server.reuse_addr = 1  # type: ignore[misc]
 
     def start(self) -> None:
         """Listen. Raises OSError where the address is not to be had."""
         self._server.start()
-        gevent.spawn(self._watch_for_stalls)
+        gevent.spawn(self._check_for_pauses)
 
     def shut_down(self) -> None:
         """Accept no more connections; what has been accepted is answered."""
@@ -64,13 +64,13 @@
         resource = self._resource_at(path)
         return resource.max_body_bytes if resource else DEFAULT_MAX_BODY_BYTES
 
-    def earliest_connect(self, now: float) -> float:
+    def earliest_send_time(self, now: float) -> float:
         """Steady time before which no request of a connection that is accepted `now` was written."""
-        return self._stall_detector.earliest_connect(now)
+        return self._pause_detector.earliest_send_time(now)
 
-    def _watch_for_stalls(self) -> None:
+    def _check_for_pauses(self) -> None:
         while not self.is_shutting_down:
-            self._stall_detector.check(time.monotonic())
+            self._pause_detector.check(time.monotonic())
             gevent.sleep(CHECK_INTERVAL_SECONDS)
 
     def _resource_at(self, path: str) -> Resource | None:
--- a/ashlift/registry/events.py
+++ b/ashlift/registry/events.py
@@ -7,7 +7,7 @@
 PEER_FOUND: Final = EventType(301, "peer registry found")
 PEER_LOST: Final = EventType(302, "peer registry lost: its records are dropped")
 WORKER_DEREGISTERED: Final = EventType(303, "worker deregistered")
-STOOD_STILL: Final = EventType(304, "resumed after a standstill: leases are renewed")
+RESUMED_AFTER_PAUSE: Final = EventType(304, "resumed after a standstill: leases are renewed")
 COMMAND_ANSWERED: Final = EventType(305, "operator command answered")
 STORE_UNREACHABLE: Final = EventType(306, "own configuration store unreachable")
 EDIT_ANSWERED: Final = EventType(307, "route edit answered")
--- a/ashlift/registry/lease_clock.py
+++ b/ashlift/registry/lease_clock.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-STANDSTILL_SECONDS: Final = 1.0  # without a tick: it was this process that paused, not the others
+PAUSE_THRESHOLD_SECONDS: Final = 1.0  # without a tick: it was this process that paused, not the others
 
 
 class LeaseClock:
@@ -15,11 +15,11 @@
 
     def tick(self, now: float) -> bool:
         """Call this several times a second. True: the process was paused since the last call."""
-        stood_still = now - self._last_tick_at > STANDSTILL_SECONDS
+        was_paused = now - self._last_tick_at > PAUSE_THRESHOLD_SECONDS
         self._last_tick_at = now
-        if stood_still:
+        if was_paused:
             self.resumed_at = now
-        return stood_still
+        return was_paused
 
     def has_expired(self, renewed_at: float, lease_seconds: float, now: float) -> bool:
         """Whether a lease of that length has run out that was renewed at that time."""
--- a/ashlift/registry/registry.py
+++ b/ashlift/registry/registry.py
@@ -14,7 +14,7 @@
 from ashlift.registry.endpoint_directory import DirectoryAnswer, EndpointDirectory
 from ashlift.registry.home_regions import OWN_REGION_ONLY, HomeRegions, RegionPolicy
 from ashlift.registry.identity import RegistryIdentity
-from ashlift.registry.lease_clock import STANDSTILL_SECONDS, LeaseClock
+from ashlift.registry.lease_clock import PAUSE_THRESHOLD_SECONDS, LeaseClock
 from ashlift.registry.load_reports import LoadReports
 from ashlift.registry.locality import UNKNOWN_DISTANCE, Locality
 from ashlift.registry.messages import (
@@ -44,7 +44,7 @@
 class TickResult(NamedTuple):
     """What a tick found: whether this process was paused, and the sources of peers that were dropped."""
 
-    stood_still: bool
+    was_paused: bool
     dropped_peers: list[str]
 
 
@@ -90,10 +90,10 @@
 
     def tick(self, now: float) -> TickResult:
         """Expire leases; to be called several times a second."""
-        stood_still = self._clock.tick(now)
+        was_paused = self._clock.tick(now)
         self.instances.expire(now)
         self.sessions.expire(now)
-        return TickResult(stood_still, self.peers.expire(now))
+        return TickResult(was_paused, self.peers.expire(now))
 
     # ---- proxies
 
@@ -185,7 +185,10 @@
         """Address of the registry to which a worker of `zone` should send heartbeats: running, and near."""
         localities = [(self.identity.ip, self._locality)]
         for peer in self.peers.replicas.values():
-            if now - peer.last_contact_at < STANDSTILL_SECONDS and now - peer.started_at > MIN_UPTIME_SECONDS:
+            if (
+                now - peer.last_contact_at < PAUSE_THRESHOLD_SECONDS
+                and now - peer.started_at > MIN_UPTIME_SECONDS
+            ):
                 localities.append((peer.ip, peer.locality))
         region = next(
             (locality.region for _, locality in localities if locality.zone == zone), self.zones.get(zone)
--- a/ashlift/registry/replication_loops.py
+++ b/ashlift/registry/replication_loops.py
@@ -68,8 +68,8 @@
     def _tick_loop(self) -> None:
         while True:
             result = self._registry.tick(time.monotonic())
-            if result.stood_still:
-                log_event(events.STOOD_STILL)
+            if result.was_paused:
+                log_event(events.RESUMED_AFTER_PAUSE)
             for source in result.dropped_peers:
                 log_event(events.PEER_LOST, source=source)
             self._notifier.notify_if_changed()
