--- a/ashlift/registry/api/server.py
+++ b/ashlift/registry/api/server.py
@@ -10,8 +10,8 @@
 
 from ashlift.registry.api.connection import ApiConnection
 from ashlift.registry.api.messages import HttpRequest, HttpResponse, error_response
-from ashlift.registry.api.resource import DEFAULT_MAX_BODY_BYTES, Resource
 from ashlift.registry.api.pause_detector import CHECK_INTERVAL_SECONDS, PauseDetector
+from ashlift.registry.api.resource import DEFAULT_MAX_BODY_BYTES, Resource
 from ashlift.rpc.addresses import Address
 from ashlift.rpc.sockets import stop_listening
 
--- a/ashlift/registry/endpoint_directory.py
+++ b/ashlift/registry/endpoint_directory.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from ashlift.registry.home_regions import OWN_REGION_ONLY, RegionPolicy
+from ashlift.registry.home_regions import CLIENT_REGION_ONLY, RegionPolicy
 from ashlift.registry.locality import Locality
 from ashlift.registry.records import SessionRecord
 
@@ -75,7 +75,7 @@
     if len(chosen) < MIN_NEAR_PROXIES and rest_of_region:
         chosen = chosen + rest_of_region
         reach = LookupReach.REGION
-    if len(chosen) < MIN_NEAR_PROXIES and not (policy.only_from_empty_region and ready_in_region):
+    if len(chosen) < MIN_NEAR_PROXIES and not (policy.only_if_client_region_empty and ready_in_region):
         elsewhere = [
             session
             for session in ready
@@ -116,7 +116,7 @@
 
         `region_policy`: of the host that they ask for; called only where their region has too few proxies.
         """
-        answer = self._cached_answer(locality, OWN_REGION_ONLY, now)
+        answer = self._cached_answer(locality, CLIENT_REGION_ONLY, now)
         if len(answer.addresses) < MIN_NEAR_PROXIES:
             answer = self._cached_answer(locality, region_policy(), now)
         self.answers_by_reach[answer.reach] += 1
--- a/ashlift/registry/home_regions.py
+++ b/ashlift/registry/home_regions.py
@@ -25,15 +25,15 @@
     """
 
     allowed_regions: frozenset[str] | None
-    only_from_empty_region: bool
+    only_if_client_region_empty: bool
 
-    def allows(self, region: str, own_region: str) -> bool:
+    def allows(self, region: str, client_region: str) -> bool:
         """Whether a client of `own_region` may be sent to a proxy of `region`."""
-        return region == own_region or self.allowed_regions is None or region in self.allowed_regions
+        return region == client_region or self.allowed_regions is None or region in self.allowed_regions
 
 
 # Of a host that the configuration does not hold, or while it is not known: its routes may have any homes.
-OWN_REGION_ONLY: Final = RegionPolicy(frozenset(), only_from_empty_region=True)
+CLIENT_REGION_ONLY: Final = RegionPolicy(frozenset(), only_if_client_region_empty=True)
 
 
 @attrs.frozen
@@ -68,7 +68,7 @@
     def policy(self, host: str) -> RegionPolicy:
         """The policy of a host, as a `Host` header names it."""
         self._read_if_changed()
-        return self._policies.get(normalize_host(host), OWN_REGION_ONLY)
+        return self._policies.get(normalize_host(host), CLIENT_REGION_ONLY)
 
     def _read_if_changed(self) -> None:
         if self._read_version != self._version():
@@ -115,6 +115,6 @@
     """
     stays = tenants_have_homes and routes.needs_api_key
     if not routes.home_regions:
-        return RegionPolicy(None, only_from_empty_region=stays)
+        return RegionPolicy(None, only_if_client_region_empty=stays)
     shared = frozenset.intersection(*routes.home_regions)
-    return RegionPolicy(shared, only_from_empty_region=stays)
+    return RegionPolicy(shared, only_if_client_region_empty=stays)
--- a/ashlift/registry/load_reports.py
+++ b/ashlift/registry/load_reports.py
@@ -21,9 +21,9 @@
 class LoadReports:
     """The newest report of each proxy, and the sums of all."""
 
-    def __init__(self, own_source: ReplicatedSource, capacity: Callable[[str], int | None]) -> None:
+    def __init__(self, local_source: ReplicatedSource, capacity: Callable[[str], int | None]) -> None:
         """`capacity` of a worker by its ID; None: it is not known."""
-        self._own_source = own_source
+        self._local_source = local_source
         self._capacity = capacity
         self._reports: dict[str, LoadReport] = {}
 
@@ -46,12 +46,12 @@
     def _publish_in_flight(self, worker_id: str) -> None:
         key = IN_FLIGHT_PREFIX + worker_id
         total = sum(report.in_flight.get(worker_id, 0) for report in self._reports.values())
-        published = self._own_source.values.get(key, 0)
+        published = self._local_source.values.get(key, 0)
         capacity = self._capacity(worker_id)
         if not total or capacity is None:
-            self._own_source.drop(key)
+            self._local_source.drop(key)
         elif abs(total - published) >= max(MIN_IN_FLIGHT_SHIFT, IN_FLIGHT_SHIFT_PER_SLOT * capacity):
-            self._own_source.put(key, total)
+            self._local_source.put(key, total)
 
     def _publish_failures(self, worker_id: str) -> None:
         """As `[failures, requests, proxies that have seen failures]`, the first two in tenths."""
@@ -64,9 +64,9 @@
         witnesses = sum(failures >= MIN_SEEN_FAILURE_TENTHS for failures, _ in reported)
         sums = [failed, ran, witnesses]
         if not ran or self._capacity(worker_id) is None:
-            self._own_source.drop(key)
-        elif _has_moved(self._own_source.values.get(key), sums):
-            self._own_source.put(key, sums)
+            self._local_source.drop(key)
+        elif _has_moved(self._local_source.values.get(key), sums):
+            self._local_source.put(key, sums)
 
 
 def _has_moved(published: list[int] | None, sums: list[int]) -> bool:
--- a/ashlift/registry/own_records.py
+++ b/ashlift/registry/local_records.py
@@ -16,7 +16,7 @@
         self.count += 1
 
 
-class OwnRecords:
+class LocalRecords:
     """What has been reported to this registry; each significant change is counted."""
 
     def __init__(self, changes: ChangeCounter) -> None:
--- a/ashlift/registry/operator_config.py
+++ b/ashlift/registry/operator_config.py
@@ -6,8 +6,8 @@
 from typing import Any, Final
 
 from ashlift.registry.codec import CORE_MEMBER_PREFIX, decode_watch_response
+from ashlift.registry.local_records import ChangeCounter
 from ashlift.registry.messages import Json, WatchResponse
-from ashlift.registry.own_records import ChangeCounter
 from ashlift.registry.replicated_source import ReplicatedSource
 from ashlift.rpc.fragmentation import Reassembler
 
--- a/ashlift/registry/peer_registries.py
+++ b/ashlift/registry/peer_registries.py
@@ -6,9 +6,9 @@
 from ashlift.registry.delta import Delta
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.lease_clock import LeaseClock
+from ashlift.registry.local_records import ChangeCounter
 from ashlift.registry.locality import Locality
 from ashlift.registry.messages import SwapOrigin, SwapRequest, SwapResponse
-from ashlift.registry.own_records import ChangeCounter
 from ashlift.registry.replicated_source import ReplicatedSource
 
 PEER_TIMEOUT_SECONDS: Final = 5.0  # without a response for so long, a peer's records are dropped
--- a/ashlift/registry/proxy_sessions.py
+++ b/ashlift/registry/proxy_sessions.py
@@ -15,8 +15,8 @@
 from ashlift.registry.codec import PREFIX_LENGTH, SESSION_KIND, SESSION_PREFIX
 from ashlift.registry.lease_clock import LeaseClock
 from ashlift.registry.load_reports import LoadReports
+from ashlift.registry.local_records import ChangeCounter, LocalRecords
 from ashlift.registry.messages import PullRequest
-from ashlift.registry.own_records import ChangeCounter, OwnRecords
 from ashlift.registry.peer_registries import PeerRegistries
 from ashlift.registry.records import SessionRecord
 from ashlift.registry.usage_counters import UsageCounters
@@ -47,18 +47,18 @@
 
     def __init__(
         self,
-        own: OwnRecords,
+        local_records: LocalRecords,
         peers: PeerRegistries,
         clock: LeaseClock,
         changes: ChangeCounter,
         load_reports: LoadReports,
     ) -> None:
-        self._own = own
+        self._local_records = local_records
         self._peers = peers
         self._clock = clock
         self._changes = changes
         self._load_reports = load_reports
-        self._usage = UsageCounters(own.source)
+        self._usage = UsageCounters(local_records.source)
         self._sessions: dict[str, ProxySession] = {}
         self._recorded_count = 0
         self._recorded_count_at = -1  # change count at which it was counted
@@ -74,8 +74,8 @@
         session.pulls_in_progress += 1
         session.config_index = request.config_index
         record = SessionRecord(request.front, request.zone, request.region, request.ready, now)
-        if self._own.get(SESSION_PREFIX + request.node) != record:
-            self._own.put(SESSION_PREFIX + request.node, record)
+        if self._local_records.get(SESSION_PREFIX + request.node) != record:
+            self._local_records.put(SESSION_PREFIX + request.node, record)
         self._load_reports.update(request.node, request.load)
         if request.usage.number > session.last_usage_report.get(request.incarnation, -1):
             session.last_usage_report[request.incarnation] = request.usage.number
@@ -95,7 +95,7 @@
                         key not in newest or record.renewed_at > newest[key].renewed_at
                     ):
                         newest[key] = record
-        for key, record in self._own.source.values.items():
+        for key, record in self._local_records.source.values.items():
             if key[0] == SESSION_KIND:
                 last_pull_at = self._sessions[key[PREFIX_LENGTH:]].last_pull_at
                 if not self._clock.has_expired(last_pull_at, SESSION_LEASE_SECONDS, now):
@@ -105,7 +105,7 @@
     def recorded_count(self) -> int:
         """Proxies with a record at any registry, counted again only after a change."""
         if self._recorded_count_at != self._changes.count:
-            sources = [self._own.source, *self._peers.sources()]
+            sources = [self._local_records.source, *self._peers.sources()]
             keys = {key for source in sources for key in source.values if key[0] == SESSION_KIND}
             self._recorded_count_at = self._changes.count
             self._recorded_count = len(keys)
@@ -139,5 +139,5 @@
                     del self._sessions[node]
 
     def _release(self, node: str) -> None:
-        self._own.drop(SESSION_PREFIX + node)
+        self._local_records.drop(SESSION_PREFIX + node)
         self._load_reports.remove(node)
--- a/ashlift/registry/registry.py
+++ b/ashlift/registry/registry.py
@@ -12,10 +12,11 @@
 from ashlift.invariants import Invariant, monitor
 from ashlift.registry.codec import encode_delta, is_partial_config_update
 from ashlift.registry.endpoint_directory import DirectoryAnswer, EndpointDirectory
-from ashlift.registry.home_regions import OWN_REGION_ONLY, HomeRegions, RegionPolicy
+from ashlift.registry.home_regions import CLIENT_REGION_ONLY, HomeRegions, RegionPolicy
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.lease_clock import PAUSE_THRESHOLD_SECONDS, LeaseClock
 from ashlift.registry.load_reports import LoadReports
+from ashlift.registry.local_records import ChangeCounter, LocalRecords
 from ashlift.registry.locality import UNKNOWN_DISTANCE, Locality
 from ashlift.registry.messages import (
     Json,
@@ -27,7 +28,6 @@
     SwapResponse,
 )
 from ashlift.registry.operator_config import OperatorConfigReplica
-from ashlift.registry.own_records import ChangeCounter, OwnRecords
 from ashlift.registry.peer_registries import ALIVE_SECONDS, MIN_UPTIME_SECONDS, PeerRegistries
 from ashlift.registry.proxy_sessions import ProxySessions
 from ashlift.registry.replicated_source import ReplicatedSource
@@ -62,12 +62,16 @@
         self._locality = Locality(identity.zone, identity.region)
         self._changes = ChangeCounter()
         self._clock = LeaseClock(now)
-        self._own = OwnRecords(self._changes)
+        self._local_records = LocalRecords(self._changes)
         self.operator_config = OperatorConfigReplica(self._changes)
         self.peers = PeerRegistries(identity, self._clock, self._changes)
-        self.instances = WorkerInstances(self._own, self.peers, self._clock, identity.heartbeat_seconds)
-        load_reports = LoadReports(self._own.source, self.instances.capacity)
-        self.sessions = ProxySessions(self._own, self.peers, self._clock, self._changes, load_reports)
+        self.instances = WorkerInstances(
+            self._local_records, self.peers, self._clock, identity.heartbeat_seconds
+        )
+        load_reports = LoadReports(self._local_records.source, self.instances.capacity)
+        self.sessions = ProxySessions(
+            self._local_records, self.peers, self._clock, self._changes, load_reports
+        )
         self.directory = EndpointDirectory(self.sessions.live)
         config = self.operator_config
         self.home_regions = HomeRegions(lambda: config.values, lambda: config.version)
@@ -79,14 +83,14 @@
         return self._changes.count
 
     @property
-    def own_source(self) -> ReplicatedSource:
+    def local_source(self) -> ReplicatedSource:
         """The records of this registry itself."""
-        return self._own.source
+        return self._local_records.source
 
     def sources(self) -> list[tuple[str, ReplicatedSource]]:
         """The records of each registry by the name of their source, this one's first."""
         replicas = self.peers.replicas.items()
-        return [(self.identity.source, self.own_source), *((name, peer.source) for name, peer in replicas)]
+        return [(self.identity.source, self.local_source), *((name, peer.source) for name, peer in replicas)]
 
     def tick(self, now: float) -> TickResult:
         """Expire leases; to be called several times a second."""
@@ -165,7 +169,7 @@
         """Where clients of the host may be sent; an old configuration does not tell."""
         age = self.operator_config.lease_age(now)
         if age is None or age > MAX_PLACEMENT_AGE_SECONDS:
-            return OWN_REGION_ONLY
+            return CLIENT_REGION_ONLY
         return self.home_regions.policy(host)
 
     def _is_allowed(self, host: str, locality: Locality, answer: DirectoryAnswer) -> bool:
@@ -243,19 +247,19 @@
     def has_updates_for_peer(self, request: SwapRequest) -> bool:
         """Whether a swap with this version is answered without waiting."""
         is_current = request.incarnation == self.identity.incarnation
-        return not is_current or self.own_source.has_significant_change_since(request.version)
+        return not is_current or self.local_source.has_significant_change_since(request.version)
 
     def swap_response(self, request: SwapRequest) -> SwapResponse:
         """What the registry lacks that sent this request."""
         is_current = request.incarnation == self.identity.incarnation
-        delta = self.own_source.delta_since(request.version if is_current else None)
+        delta = self.local_source.delta_since(request.version if is_current else None)
         identity = self.identity
         origin = None
         if delta is not None and delta.full:
             origin = SwapOrigin(
                 identity.node, identity.incarnation, identity.zone, identity.region, self._clock.started_at
             )
-        return SwapResponse(self.own_source.version, delta, origin)
+        return SwapResponse(self.local_source.version, delta, origin)
 
     def receive_swap_response(self, ip: str, response: SwapResponse, sent_at: float) -> None:
         """The registry at `ip` has answered a request sent at `sent_at`."""
--- a/ashlift/registry/replication_loops.py
+++ b/ashlift/registry/replication_loops.py
@@ -28,7 +28,7 @@
 from ashlift.rpc.client import ClientPool
 
 RESPONSE_TIMEOUT_SECONDS: Final = 0.6  # for a response beyond the time for which the call may be held
-OWN_STORE_WATCH_SECONDS: Final = 0.1  # between two answers of the own store; the lease's age grows by this
+LOCAL_STORE_WATCH_SECONDS: Final = 0.1  # between two answers of the own store; the lease's age grows by this
 TICK_INTERVAL_SECONDS: Final = 0.25
 
 
@@ -128,26 +128,26 @@
 
     def _watch_loop(self) -> None:
         """Watch the own store; after each answer of it that proves nothing, another one."""
-        ask_own = True
-        own_is_unreachable = False
+        use_local_store = True
+        local_store_is_unreachable = False
         while True:
             sent_at = time.monotonic()
-            answer = self._watch(ask_own)
+            answer = self._watch(use_local_store)
             received_at = time.monotonic()
             has_proof = False
             if isinstance(answer, Failure):
-                if ask_own and not own_is_unreachable:
+                if use_local_store and not local_store_is_unreachable:
                     log_event(events.STORE_UNREACHABLE, error=answer)
-                own_is_unreachable = own_is_unreachable or ask_own
+                local_store_is_unreachable = local_store_is_unreachable or use_local_store
             else:
                 has_proof = self._registry.operator_config.receive_watch_response(answer, sent_at)
-                own_is_unreachable = own_is_unreachable and not ask_own
+                local_store_is_unreachable = local_store_is_unreachable and not use_local_store
                 self._notifier.notify_if_changed()
-            ask_own = has_proof or not ask_own
+            use_local_store = has_proof or not use_local_store
             if not has_proof:
                 gevent.sleep(max(0.0, sent_at + INITIAL_BACKOFF_SECONDS - received_at))
 
-    def _watch(self, ask_own: bool) -> Json | Failure:
+    def _watch(self, use_local_store: bool) -> Json | Failure:
         config = self._registry.operator_config
-        wait_seconds = OWN_STORE_WATCH_SECONDS if ask_own else LONG_POLL_SECONDS
-        return self._store.watch(config.version, wait_seconds, ask_own, config.wanted_fragment())
+        wait_seconds = LOCAL_STORE_WATCH_SECONDS if use_local_store else LONG_POLL_SECONDS
+        return self._store.watch(config.version, wait_seconds, use_local_store, config.wanted_fragment())
--- a/ashlift/registry/store_client.py
+++ b/ashlift/registry/store_client.py
@@ -23,15 +23,17 @@
 class StoreClient:
     """Sends commands to one store after the other until one answers clearly; watches the configuration."""
 
-    def __init__(self, own_ip: str, port: int, members: Callable[[], list[str]], clients: ClientPool) -> None:
+    def __init__(
+        self, local_ip: str, port: int, members: Callable[[], list[str]], clients: ClientPool
+    ) -> None:
         """`port`: of the stores' RPC calls. `members`: IPs of all stores, near ones first."""
-        self._own_ip = own_ip
+        self._local_ip = local_ip
         self._port = port
         self._members = members
         self._clients = clients
         self._watch_clients = ClientPool()  # separate: closed after a time-out, which must not lose commands
         self._watch_turn = 0
-        self._own_is_unresponsive = (
+        self._local_store_is_unresponsive = (
             False  # it accepts calls and does not respond: its disk hangs, or it is paused
         )
         self._position = StorePosition()
@@ -72,13 +74,13 @@
         )
 
     def watch(
-        self, known_index: int, wait_seconds: float, ask_own: bool, fragment: list[Any] | None = None
+        self, known_index: int, wait_seconds: float, use_local_store: bool, fragment: list[Any] | None = None
     ) -> Json | Failure:
         """What is new of the operator's configuration, from the own store or from the next other one.
 
         `fragment`: which one of a large configuration is wanted.
         """
-        ip = self._own_ip if ask_own else self._next_other_store()
+        ip = self._local_ip if use_local_store else self._next_other_store()
         if ip is None:
             return Failure(FailureReason.UNREACHABLE, "there is no other store")
         client = self._watch_clients.client((ip, self._port))
@@ -87,8 +89,8 @@
         is_unresponsive = isinstance(answer, Failure) and answer.reason == FailureReason.OUTCOME_UNKNOWN
         if is_unresponsive:
             client.close()
-        if ask_own:
-            self._own_is_unresponsive = is_unresponsive
+        if use_local_store:
+            self._local_store_is_unresponsive = is_unresponsive
         self._position.observe(answer)
         return answer
 
@@ -99,7 +101,7 @@
             ip: gevent.spawn(
                 self._clients.client((ip, self._port)).call, "drafts", body, PENDING_EDITS_TIMEOUT_SECONDS
             )
-            for ip in dict.fromkeys([self._own_ip, *self._members()])
+            for ip in dict.fromkeys([self._local_ip, *self._members()])
         }
         answers = {ip: call.get() for ip, call in calls.items()}
         return {
@@ -108,7 +110,7 @@
         }
 
     def _next_other_store(self) -> str | None:
-        other_stores = [ip for ip in self._members() if ip != self._own_ip]
+        other_stores = [ip for ip in self._members() if ip != self._local_ip]
         if not other_stores:
             return None
         self._watch_turn += 1
@@ -116,7 +118,7 @@
 
     def _call_any(self, method: str, body: Callable[[], Json], deadline: float) -> Any:
         """The first clear answer of a store; else the least clear Failure."""
-        stores = stores_to_try(self._own_ip, self._members(), self._own_is_unresponsive)
+        stores = stores_to_try(self._local_ip, self._members(), self._local_store_is_unresponsive)
         request = OperatorRequest(stores, time.monotonic(), deadline)
         responses = Queue[tuple[str, Any]]()
 
--- a/ashlift/registry/store_position.py
+++ b/ashlift/registry/store_position.py
@@ -33,7 +33,7 @@
         return encode_fenced_command(command, self._round, index_at_receipt, seconds_left)
 
 
-def stores_to_try(own_ip: str, members: list[str], own_is_unresponsive: bool) -> list[str]:
+def stores_to_try(local_ip: str, members: list[str], local_store_is_unresponsive: bool) -> list[str]:
     """The own store first, or last while it accepts calls and does not respond; the others in their order."""
-    other_stores = [ip for ip in members if ip != own_ip]
-    return [*other_stores, own_ip] if own_is_unresponsive else [own_ip, *other_stores]
+    other_stores = [ip for ip in members if ip != local_ip]
+    return [*other_stores, local_ip] if local_store_is_unresponsive else [local_ip, *other_stores]
--- a/ashlift/registry/usage_counters.py
+++ b/ashlift/registry/usage_counters.py
@@ -8,13 +8,13 @@
 class UsageCounters:
     """Cumulative totals in this registry's own records; their changes wake no waiting call."""
 
-    def __init__(self, own_source: ReplicatedSource) -> None:
-        self._own_source = own_source
+    def __init__(self, local_source: ReplicatedSource) -> None:
+        self._local_source = local_source
 
     def add(self, report: UsageReport) -> None:
         """Count a proxy's report; the caller makes sure that each is counted once."""
         for tenant, requests, declined in report.increments:
             if requests or declined:
                 key = USAGE_PREFIX + tenant
-                total_requests, total_declined = self._own_source.values.get(key, (0, 0))
-                self._own_source.put(key, [total_requests + requests, total_declined + declined])
+                total_requests, total_declined = self._local_source.values.get(key, (0, 0))
+                self._local_source.put(key, [total_requests + requests, total_declined + declined])
--- a/ashlift/registry/worker_instances.py
+++ b/ashlift/registry/worker_instances.py
@@ -9,7 +9,7 @@
 
 from ashlift.registry.codec import PREFIX_LENGTH, WORKER_KIND, WORKER_PREFIX
 from ashlift.registry.lease_clock import LeaseClock
-from ashlift.registry.own_records import OwnRecords
+from ashlift.registry.local_records import LocalRecords
 from ashlift.registry.peer_registries import PeerRegistries
 from ashlift.registry.records import UNKNOWN_WORKER, WorkerRecord, WorkerState
 from ashlift.registry.replicated_source import ReplicatedSource
@@ -56,9 +56,9 @@
     """Heartbeats, leases and tombstones of the workers of this registry."""
 
     def __init__(
-        self, own: OwnRecords, peers: PeerRegistries, clock: LeaseClock, heartbeat_seconds: float
+        self, local_records: LocalRecords, peers: PeerRegistries, clock: LeaseClock, heartbeat_seconds: float
     ) -> None:
-        self._own = own
+        self._local_records = local_records
         self._peers = peers
         self._clock = clock
         self._lease_seconds = LEASE_HEARTBEATS * heartbeat_seconds
@@ -70,14 +70,14 @@
         """Renew the worker's lease; False: the heartbeat is late, and is ignored."""
         key = WORKER_PREFIX + worker_id
         newest = self._newest(worker_id)
-        own_record: WorkerRecord | None = self._own.get(key)
+        local_record: WorkerRecord | None = self._local_records.get(key)
         heartbeat = self._heartbeats.get(worker_id)
         last_seq = max(newest.call_seq if newest else 0, heartbeat.call_seq if heartbeat else 0)
         if record.call_seq < last_seq or self._expired.is_late(worker_id, record):
             return False
         self._heartbeats[worker_id] = LastHeartbeat(now, record.call_seq)
-        if not self._is_published(own_record, newest, record, now):
-            self._own.put(key, record)
+        if not self._is_published(local_record, newest, record, now):
+            self._local_records.put(key, record)
         return True
 
     def deregister(self, worker_id: str, now: float) -> None:
@@ -86,8 +86,8 @@
         tombstone = (self._newest(worker_id) or UNKNOWN_WORKER).as_tombstone()
         self._heartbeats.pop(worker_id, None)
         self._tombstones[worker_id] = now
-        if self._own.get(key) != tombstone:
-            self._own.put(key, tombstone)
+        if self._local_records.get(key) != tombstone:
+            self._local_records.put(key, tombstone)
 
     def capacity(self, worker_id: str) -> int | None:
         """Requests that the worker takes at a time; None: no such worker is known."""
@@ -116,10 +116,10 @@
         ]
         for worker_id in expired:
             heartbeat = self._heartbeats.pop(worker_id)
-            record: WorkerRecord | None = self._own.get(WORKER_PREFIX + worker_id)
+            record: WorkerRecord | None = self._local_records.get(WORKER_PREFIX + worker_id)
             if record is not None:
                 self._expired.add(worker_id, record, heartbeat.call_seq, now)
-            self._own.drop(WORKER_PREFIX + worker_id)
+            self._local_records.drop(WORKER_PREFIX + worker_id)
         self._expired.forget_old(now)
         old_tombstones = [
             worker_id
@@ -128,23 +128,23 @@
         ]
         for worker_id in old_tombstones:
             del self._tombstones[worker_id]
-            self._own.drop(WORKER_PREFIX + worker_id)
+            self._local_records.drop(WORKER_PREFIX + worker_id)
 
     @staticmethod
     def _is_published(
-        own_record: WorkerRecord | None, newest: WorkerRecord | None, record: WorkerRecord, now: float
+        local_record: WorkerRecord | None, newest: WorkerRecord | None, record: WorkerRecord, now: float
     ) -> bool:
         """Whether both this registry's record and the newest of all are equivalent to this one."""
-        if own_record is None or newest is None or not own_record.is_equivalent(record, now):
+        if local_record is None or newest is None or not local_record.is_equivalent(record, now):
             return False
-        return newest is own_record or newest.is_equivalent(record, now)
+        return newest is local_record or newest.is_equivalent(record, now)
 
     def _sources(self) -> Iterable[ReplicatedSource]:
-        return [self._own.source, *self._peers.sources()]
+        return [self._local_records.source, *self._peers.sources()]
 
     def _newest(self, worker_id: str) -> WorkerRecord | None:
         key = WORKER_PREFIX + worker_id
-        newest: WorkerRecord | None = self._own.get(key)
+        newest: WorkerRecord | None = self._local_records.get(key)
         for replica in self._peers.replicas.values():
             record: WorkerRecord | None = replica.source.values.get(key)
             if record is not None and (newest is None or record.call_seq > newest.call_seq):
--- a/ashlift/simulation/registry_process.py
+++ b/ashlift/simulation/registry_process.py
@@ -22,7 +22,7 @@
 from ashlift.registry.records import WorkerState
 from ashlift.registry.registry import Registry
 from ashlift.registry.replication_loops import (
-    OWN_STORE_WATCH_SECONDS,
+    LOCAL_STORE_WATCH_SECONDS,
     RESPONSE_TIMEOUT_SECONDS,
     TICK_INTERVAL_SECONDS,
 )
@@ -175,7 +175,7 @@
         watches_own = True
         while True:
             sent = self.clock()
-            wait = OWN_STORE_WATCH_SECONDS if watches_own else LONG_POLL_SECONDS
+            wait = LOCAL_STORE_WATCH_SECONDS if watches_own else LONG_POLL_SECONDS
             ip = self.name if watches_own else self._store_client.next_other_store()
             body = codec.encode_watch_request(config.version, wait, config.wanted_fragment())
             answer: Any = Failure(FailureReason.UNREACHABLE, "there is no other store")
--- a/benchmarks/scale/registry_figures.py
+++ b/benchmarks/scale/registry_figures.py
@@ -148,7 +148,7 @@
         """The part of a full response that holds all workers and sessions, without the configuration."""
         versions_before = known_versions(self.registry)
         replicas = self.registry.peers.replicas.values()
-        for source in [self.registry.own_source, *(replica.source for replica in replicas)]:
+        for source in [self.registry.local_source, *(replica.source for replica in replicas)]:
             records = {key: value for key, value in source.values.items() if key[0] in "wg"}
             source.merge(source.version + 1, records, ())
         response = self.recorder.record_cpu_ms(
--- a/benchmarks/scale/sample_registry.py
+++ b/benchmarks/scale/sample_registry.py
@@ -46,8 +46,8 @@
         assert registry.instances.record_heartbeat(worker_id(number), heartbeat, NOW)
     for number in range(0, size.proxies, CORE_MACHINES):
         receive_pull(registry, pull_body(number, {}, {}))
-    registry.own_source.merge(
-        registry.own_source.version + 1,
+    registry.local_source.merge(
+        registry.local_source.version + 1,
         {key: value for key, value in records_by_registry[0].items() if key.startswith("c/")},
         (),
     )
--- a/tests/proxy/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -174,14 +174,14 @@
         assert not isinstance(request, Failure), request
         registry.sessions.begin_pull(request, now)
         registry.sessions.end_pull(node)
-        return registry.own_source.values.get("o/w")
+        return registry.local_source.values.get("o/w")
 
     assert [pull("e1", 1), pull("e2", 3), pull("e1", 2), pull("e1", 6), pull("e1", 0)] == [None, 4, 4, 9, 3]
     registry.tick(now + 0.5)
     for step in range(1, 20):
         now = 100.0 + 0.5 * step
         registry.tick(now)
-    assert "o/w" not in registry.own_source.values
+    assert "o/w" not in registry.local_source.values
 
 
 @test("load balancer: responses in no time leave a usual latency above 0, and workers can be chosen")
--- a/tests/registry/test_instances.py
+++ b/tests/registry/test_instances.py
@@ -85,7 +85,7 @@
         assert response.status == status
         assert len(response.encode(close=False)) < 4096
     assert response == HttpResponse(400, {"error": "NodeInfo is missing"})
-    assert cast(WorkerRecord, registry.own_source.values["w/i-1"]).call_seq == 4
+    assert cast(WorkerRecord, registry.local_source.values["w/i-1"]).call_seq == 4
     assert notifications
     response = resource.handle(http_request("PUT", "/instances/i-2", HEARTBEAT))
     assert response.body == {"HeartbeatTarget": "10.0.0.1:8200"}
