--- a/ashlift/registry/api/lookup.py
+++ b/ashlift/registry/api/lookup.py
@@ -29,17 +29,17 @@
         zone = request.query.get("Zone", "")
         locality = Locality(zone, request.query.get("Region") or self._registry.zones.get(zone, ""))
         now = time.monotonic()
-        answer = self._registry.lookup(request.query.get("Name", ""), locality, now)
+        result = self._registry.lookup(request.query.get("Name", ""), locality, now)
         if zone in self._registry.zones and self._registry.uptime(now) >= MIN_UPTIME_SECONDS:
             self._log_shortage(locality)
-        if isinstance(answer, Failure):
-            return error_response(503, answer.detail, RETRY_AFTER_SECONDS)
-        return HttpResponse(200, {"Addresses": answer.addresses, "Ttl": LOOKUP_TTL})
+        if isinstance(result, Failure):
+            return error_response(503, result.detail, RETRY_AFTER_SECONDS)
+        return HttpResponse(200, {"Addresses": result.addresses, "Ttl": LOOKUP_TTL})
 
     def _log_shortage(self, locality: Locality) -> None:
         """Log where a region comes to have too few ready proxies, or enough again."""
         directory = self._registry.directory
-        if directory.is_short(locality) == (locality in self._localities_with_shortage):
+        if directory.has_proxy_shortage(locality) == (locality in self._localities_with_shortage):
             return
         self._localities_with_shortage ^= {locality}
         log_event(
--- a/ashlift/registry/endpoint_directory.py
+++ b/ashlift/registry/endpoint_directory.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class DirectoryAnswer:
+class LookupResult:
     """The proxies that a client is sent to.
 
     `ready_in_region`: how many proxies of the client's region were ready. `other_regions`: those of the
@@ -50,16 +50,16 @@
     other_regions: tuple[str, ...]
 
 
-class CachedAnswer(NamedTuple):
+class CachedResult(NamedTuple):
     """An answer, and the steady time at which it was worked out."""
 
-    chosen_at: float
-    answer: DirectoryAnswer
+    computed_at: float
+    result: LookupResult
 
 
 def choose_proxies(
     sessions: Iterable[SessionRecord], locality: Locality, policy: RegionPolicy
-) -> DirectoryAnswer:
+) -> LookupResult:
     """The ready proxies of the zone; if they are few, the region's too; if still few, all allowed ones."""
     ready = [session for session in sessions if session.ready]
     ready.sort(
@@ -87,7 +87,7 @@
         if elsewhere:
             reach = LookupReach.OTHER_REGIONS if policy.allowed_regions is None else LookupReach.HOME_REGIONS
     chosen = chosen[:MAX_ADDRESSES]
-    return DirectoryAnswer(
+    return LookupResult(
         [session.front for session in chosen],
         reach,
         ready_in_region,
@@ -101,36 +101,36 @@
     def __init__(self, live_sessions: Callable[[float], Mapping[str, SessionRecord]]) -> None:
         """`live_sessions`: proxies whose leases stand at a time."""
         self._live_sessions = live_sessions
-        self.cache: dict[tuple[Locality, RegionPolicy], CachedAnswer] = {}
-        self.answers_by_reach: Counter[str] = Counter()
+        self.cache: dict[tuple[Locality, RegionPolicy], CachedResult] = {}
+        self.results_by_reach: Counter[str] = Counter()
         self.ready_in_region: dict[Locality, int] = {}  # by place, as of the last look-up there
 
-    def is_short(self, locality: Locality) -> bool:
+    def has_proxy_shortage(self, locality: Locality) -> bool:
         """Whether the region of a place had too few ready proxies at the last look-up."""
         return self.ready_in_region.get(locality, MIN_NEAR_PROXIES) < MIN_NEAR_PROXIES
 
-    def answer(
+    def lookup(
         self, locality: Locality, region_policy: Callable[[], RegionPolicy], now: float
-    ) -> DirectoryAnswer:
+    ) -> LookupResult:
         """Where clients of that place are sent.
 
         `region_policy`: of the host that they ask for; called only where their region has too few proxies.
         """
-        answer = self._cached_answer(locality, CLIENT_REGION_ONLY, now)
-        if len(answer.addresses) < MIN_NEAR_PROXIES:
-            answer = self._cached_answer(locality, region_policy(), now)
-        self.answers_by_reach[answer.reach] += 1
+        result = self._cached_result(locality, CLIENT_REGION_ONLY, now)
+        if len(result.addresses) < MIN_NEAR_PROXIES:
+            result = self._cached_result(locality, region_policy(), now)
+        self.results_by_reach[result.reach] += 1
         if len(self.ready_in_region) >= MAX_KNOWN_LOCALITIES:
             self.ready_in_region.clear()
-        self.ready_in_region[locality] = answer.ready_in_region
-        return answer
+        self.ready_in_region[locality] = result.ready_in_region
+        return result
 
-    def _cached_answer(self, locality: Locality, policy: RegionPolicy, now: float) -> DirectoryAnswer:
+    def _cached_result(self, locality: Locality, policy: RegionPolicy, now: float) -> LookupResult:
         cached = self.cache.get((locality, policy))
-        if cached is None or cached.chosen_at < now - CACHE_SECONDS:
-            answer = choose_proxies(self._live_sessions(now).values(), locality, policy)
-            cached = CachedAnswer(now, answer)
+        if cached is None or cached.computed_at < now - CACHE_SECONDS:
+            result = choose_proxies(self._live_sessions(now).values(), locality, policy)
+            cached = CachedResult(now, result)
             if len(self.cache) >= MAX_CACHED_LOOKUPS:
                 self.cache.clear()
             self.cache[locality, policy] = cached
-        return cached.answer
+        return cached.result
--- a/ashlift/registry/metrics.py
+++ b/ashlift/registry/metrics.py
@@ -21,7 +21,7 @@
         return Counter(session.region for session in sessions if session.ready)
 
     metrics = MetricsRegistry()
-    metrics.add(LOOKUP_ANSWERS, lambda: registry.directory.answers_by_reach)
+    metrics.add(LOOKUP_ANSWERS, lambda: registry.directory.results_by_reach)
     metrics.add(READY_PROXIES, ready_proxies)
     metrics.add(INVARIANT_VIOLATIONS, lambda: monitor.violations)
     return metrics
--- a/ashlift/registry/registry.py
+++ b/ashlift/registry/registry.py
@@ -11,7 +11,7 @@
 from ashlift.errors import Failure, FailureReason
 from ashlift.invariants import Invariant, monitor
 from ashlift.registry.codec import encode_delta, is_partial_config_update
-from ashlift.registry.endpoint_directory import DirectoryAnswer, EndpointDirectory
+from ashlift.registry.endpoint_directory import EndpointDirectory, LookupResult
 from ashlift.registry.home_regions import CLIENT_REGION_ONLY, HomeRegions, RegionPolicy
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.lease_clock import PAUSE_THRESHOLD_SECONDS, LeaseClock
@@ -35,10 +35,10 @@
 from ashlift.rpc.fragmentation import Fragmenter
 from ashlift.rpc.sources import OPERATOR_SOURCE
 
-PEER_IN_REACH_SECONDS: Final = 2.0  # peers that responded within this are recommended to proxies first
+PEER_REACHABLE_SECONDS: Final = 2.0  # peers that responded within this are recommended to proxies first
 # With a configuration confirmed longer ago, clients are sent to other regions no more: home regions may have
 # been set since. An election takes about one second.
-MAX_PLACEMENT_AGE_SECONDS: Final = 3.0
+MAX_REGION_POLICY_AGE_SECONDS: Final = 3.0
 
 
 class TickResult(NamedTuple):
@@ -152,37 +152,37 @@
 
     # ---- clients and workers
 
-    def lookup(self, host: str, locality: Locality, now: float) -> DirectoryAnswer | Failure:
+    def lookup(self, host: str, locality: Locality, now: float) -> LookupResult | Failure:
         """Proxies for a client of that place which asks for `host`, near ones first.
 
         UNAVAILABLE: they are not known for sure, or none is ready where the host's home regions allow it.
         """
-        answer = self.directory.answer(locality, lambda: self._region_policy(host, now), now)
-        if not self._is_allowed(host, locality, answer):
+        result = self.directory.lookup(locality, lambda: self._region_policy(host, now), now)
+        if not self._is_allowed(host, locality, result):
             return Failure(FailureReason.UNAVAILABLE, "the gatekeepers found are outside the home regions")
         members = self.core_members()
-        if not answer.addresses or self.is_isolated(now) or not self.peers.has_complete_view(members, now):
+        if not result.addresses or self.is_isolated(now) or not self.peers.has_complete_view(members, now):
             return Failure(FailureReason.UNAVAILABLE, "the gatekeepers are not known for sure")
-        return answer
+        return result
 
     def _region_policy(self, host: str, now: float) -> RegionPolicy:
         """Where clients of the host may be sent; an old configuration does not tell."""
         age = self.operator_config.lease_age(now)
-        if age is None or age > MAX_PLACEMENT_AGE_SECONDS:
+        if age is None or age > MAX_REGION_POLICY_AGE_SECONDS:
             return CLIENT_REGION_ONLY
         return self.home_regions.policy(host)
 
-    def _is_allowed(self, host: str, locality: Locality, answer: DirectoryAnswer) -> bool:
+    def _is_allowed(self, host: str, locality: Locality, result: LookupResult) -> bool:
         """The invariant: outside the client's region, an answer names home regions of the host alone."""
-        if not answer.other_regions:
+        if not result.other_regions:
             return True
         homes = self.home_regions.shared_home_regions(host)
         return monitor.holds(
-            homes is None or homes.issuperset(answer.other_regions),
+            homes is None or homes.issuperset(result.other_regions),
             Invariant.DIRECTORY_REGION,
             host=host,
             client_region=locality.region,
-            named=",".join(sorted(set(answer.other_regions))),
+            named=",".join(sorted(set(result.other_regions))),
         )
 
     def heartbeat_target(self, zone: str, now: float) -> str:
@@ -229,7 +229,7 @@
     def registries_by_distance(self, zone: str, region: str, now: float) -> list[str]:
         """IPs of the registries for a proxy of that place: those in reach first, near ones first."""
         localities = {self.identity.ip: self._locality}
-        for name in self.peers.contacted_within(PEER_IN_REACH_SECONDS, now):
+        for name in self.peers.contacted_within(PEER_REACHABLE_SECONDS, now):
             peer = self.peers.replicas[name]
             localities[peer.ip] = peer.locality
 
--- a/tests/registry/test_endpoint_directory.py
+++ b/tests/registry/test_endpoint_directory.py
@@ -9,7 +9,7 @@
 from ashlift.registry.api import lookup
 from ashlift.registry.api.lookup import LookupResource
 from ashlift.registry.api.messages import HttpRequest
-from ashlift.registry.endpoint_directory import MAX_CACHED_LOOKUPS, DirectoryAnswer
+from ashlift.registry.endpoint_directory import MAX_CACHED_LOOKUPS, LookupResult
 from ashlift.registry.events import READY_PROXIES_SHORT
 from ashlift.registry.identity import RegistryIdentity
 from ashlift.registry.locality import Locality
@@ -28,12 +28,12 @@
     for number in range(3):
         begin_pull(registry, {**PULL, "node": f"edge-{number}", "front": f"10.1.0.{number}:80"}, 5.0)
     first = registry.lookup("app", HERE, 5.0)
-    assert isinstance(first, DirectoryAnswer)
+    assert isinstance(first, LookupResult)
     assert len(first.addresses) == 3
     begin_pull(registry, {**PULL, "node": "edge-1", "front": "10.1.0.1:80", "leaving": True}, 5.05)
     assert registry.lookup("app", HERE, 5.05) is first
     later = registry.lookup("app", HERE, 5.11)
-    assert isinstance(later, DirectoryAnswer)
+    assert isinstance(later, LookupResult)
     assert sorted(later.addresses) == ["10.1.0.0:80", "10.1.0.2:80"]
     for number in range(1000):
         registry.lookup("app", Locality(f"z{number}", "r"), 5.11)
--- a/tests/registry/test_outages.py
+++ b/tests/registry/test_outages.py
@@ -7,7 +7,7 @@
 from ward import each, test
 
 from ashlift.proxy.registry_client import MAX_CONFIGURATION_AGE_SECONDS
-from ashlift.registry.endpoint_directory import DirectoryAnswer
+from ashlift.registry.endpoint_directory import LookupResult
 from ashlift.registry.locality import Locality
 from ashlift.simulation.history import HOST
 from ashlift.simulation.scenario import parse_scenarios
@@ -130,7 +130,7 @@
         now = process.clock()
         age = process.registry.operator_config.lease_age(now)
         status, _ = process._handle_heartbeat(probe_heartbeat(world.loop.now))
-        has_answer = isinstance(process.registry.lookup(HOST, Locality("z4", "r1"), now), DirectoryAnswer)
+        has_answer = isinstance(process.registry.lookup(HOST, Locality("z4", "r1"), now), LookupResult)
         return status, has_answer, age is not None and age <= MAX_CONFIGURATION_AGE_SECONDS
 
     def expect(at: float, *expected: Any) -> None:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -22,7 +22,7 @@
 from ashlift.proxy.metrics import proxy_metrics
 from ashlift.proxy.rejections import Rejection
 from ashlift.proxy.request_handler import RequestHandler
-from ashlift.registry.endpoint_directory import DirectoryAnswer, LookupReach
+from ashlift.registry.endpoint_directory import LookupReach, LookupResult
 from ashlift.registry.locality import Locality
 from ashlift.registry.metrics import registry_metrics
 from tests.support.registry_scenarios import RegistryScenario
@@ -47,8 +47,8 @@
     scenario = RegistryScenario()
     for line in ("start a za ra", "start b zb rb", "homes a 1 0 home.x=ra", "run 2"):
         scenario.play(line)
-    answer = DirectoryAnswer(["10.0.0.1:80"], LookupReach.OTHER_REGIONS, 0, ("rc",))
-    scenario.registries["a"].directory.answer = lambda *_: answer  # type: ignore[method-assign]
+    answer = LookupResult(["10.0.0.1:80"], LookupReach.OTHER_REGIONS, 0, ("rc",))
+    scenario.registries["a"].directory.lookup = lambda *_: answer  # type: ignore[method-assign]
     return scenario
 
 
