--- a/ashlift/registry/__main__.py
+++ b/ashlift/registry/__main__.py
@@ -50,7 +50,7 @@
         self._settings = settings
         self._metrics_port = metrics_port
         self._settings_checksum = self._checksum()
-        self._end_requested = Event()
+        self._shutdown_requested = Event()
         identity = _identity(settings)
         store_port = settings.internal_ports[0]
         self._rpc_address = settings.ip, store_port + 1
@@ -65,7 +65,7 @@
 
     def run(self) -> int:
         """Serve until SIGTERM or SIGINT, or until a loop has failed; returns the exit status."""
-        process.on_termination(self._end_requested.set)
+        process.on_termination(self._shutdown_requested.set)
         process.on_reload(self._reload_settings)
         rpc_server = serve(self._rpc_address, RegistryRpcService(self._registry, self._notifier).handlers)
         for http_server in self._http_servers:
@@ -73,9 +73,9 @@
         self._loops.start()
         if self._metrics_port is not None:
             serve_metrics((self._settings.ip, self._metrics_port), registry_metrics(self._registry))
-        self._loops.failed.rawlink(lambda _: self._end_requested.set())
+        self._loops.failed.rawlink(lambda _: self._shutdown_requested.set())
         log_event(STARTED, source=self._registry.identity.source, seeds=",".join(self._registry.seeds))
-        while not self._end_requested.wait(SETTINGS_CHECK_SECONDS):
+        while not self._shutdown_requested.wait(SETTINGS_CHECK_SECONDS):
             if self._checksum() != self._settings_checksum:
                 self._reload_settings()
         log_event(STOPPING)
--- a/ashlift/registry/api/command_responses.py
+++ b/ashlift/registry/api/command_responses.py
@@ -8,7 +8,7 @@
 from ashlift.registry.messages import CommandResult
 
 
-def no_clear_answer(failure: Failure) -> HttpResponse:
+def outcome_unknown_response(failure: Failure) -> HttpResponse:
     """The operator is to ask again: the command may have been executed or not."""
     return error_response(503, f"no clear answer: {failure.reason}", RETRY_AFTER_SECONDS)
 
@@ -30,7 +30,7 @@
         log_event(events.COMMAND_ANSWERED, kind=kind, error=result)
         if result.reason == FailureReason.INVALID:
             return error_response(413, result.detail)  # too large for an RPC frame: it was not sent
-        return no_clear_answer(result)
+        return outcome_unknown_response(result)
     log_command(kind, result)
     if result.status == 200:
         return HttpResponse(200, {})
--- a/ashlift/registry/api/config.py
+++ b/ashlift/registry/api/config.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from ashlift.errors import Failure
-from ashlift.registry.api.command_responses import command_response, no_clear_answer
+from ashlift.registry.api.command_responses import command_response, outcome_unknown_response
 from ashlift.registry.api.messages import HttpRequest, HttpResponse, error_response
 from ashlift.registry.api.resource import Resource, parse_json
 from ashlift.registry.store_client import StoreClient
@@ -23,7 +23,7 @@
         """The configuration as committed; 404 before there is one."""
         entries = self._store.read()
         if isinstance(entries, Failure):
-            return no_clear_answer(entries)
+            return outcome_unknown_response(entries)
         if not entries.get("Version"):
             return error_response(404, "there is no configuration yet")
         from ashlift.config.operator_config import export_configuration  # 6 ms of a start, and seldom needed
--- a/ashlift/registry/api/connection.py
+++ b/ashlift/registry/api/connection.py
@@ -42,9 +42,9 @@
         self._parser = RequestParser(server.max_body_bytes)
         self._accepted_at = time.monotonic()
         self._request_began_at = 0.0
-        self._is_answering = False
-        self._has_answered = False
-        self._is_ending = False  # its last answer is written
+        self._is_responding = False
+        self._has_responded = False
+        self._is_closing = False  # its last answer is written
 
     def run(self) -> None:
         """Answer requests one after the other, and close the connection."""
@@ -57,9 +57,9 @@
 
     def close_if_idle(self, now: float) -> None:
         """End the connection if nothing of a request has arrived and nothing is owed. `now`: steady time."""
-        if self._is_answering or self._is_ending or self._parser.is_receiving:
+        if self._is_responding or self._is_closing or self._parser.is_receiving:
             return
-        may_be_about_to_send = not self._has_answered and now < self._accepted_at + FIRST_REQUEST_SECONDS
+        may_be_about_to_send = not self._has_responded and now < self._accepted_at + FIRST_REQUEST_SECONDS
         if not may_be_about_to_send and not has_unread_input(self._sock):
             self._sock.close()
 
@@ -74,10 +74,10 @@
             if not parser.is_receiving:
                 self._request_began_at = time.monotonic()
             parser.feed(data)
-            last_answer_at = self._answer_requests(not_written_before)
-            if last_answer_at is None:
+            last_response_at = self._respond_to_requests(not_written_before)
+            if last_response_at is None:
                 return
-            not_written_before = max(not_written_before, last_answer_at)
+            not_written_before = max(not_written_before, last_response_at)
             if parser.error:
                 self._send_last_response(parser.error.encode(close=True))
                 return
@@ -101,29 +101,29 @@
                 self._send_last_response(response.encode(close=True))
             return b""
 
-    def _answer_requests(self, not_written_before: float) -> float | None:
+    def _respond_to_requests(self, not_written_before: float) -> float | None:
         """Answer all that is complete; when the last answer was ready (0: nothing was complete).
 
         None: the connection ends with the last answer.
         """
-        answered_at = 0.0
+        responded_at = 0.0
         requests = self._parser.requests
         while requests:
             request, keep_alive = requests.pop(0)
-            self._is_answering = True
+            self._is_responding = True
             response = self._server.respond(request._replace(not_written_before=not_written_before))
-            keep_alive = keep_alive and not self._ends_with_next_answer()
-            answered_at = time.monotonic()
+            keep_alive = keep_alive and not self._closes_after_next_response()
+            responded_at = time.monotonic()
             if not keep_alive:
                 self._send_last_response(response.encode(close=True))
                 return None
             self._sock.settimeout(REQUEST_TIMEOUT_SECONDS)
             self._sock.sendall(response.encode(close=False))
-            self._is_answering = False
-            self._has_answered = True
-        return answered_at
+            self._is_responding = False
+            self._has_responded = True
+        return responded_at
 
-    def _ends_with_next_answer(self) -> bool:
+    def _closes_after_next_response(self) -> bool:
         """Whether the server shuts down and nothing more has been sent by the client."""
         if not self._server.is_shutting_down:
             return False
@@ -132,7 +132,7 @@
 
     def _send_last_response(self, response: bytes) -> None:
         """Send it and close; what still arrives is read first, or closing would reset the connection."""
-        self._is_ending = True
+        self._is_closing = True
         self._sock.settimeout(REQUEST_TIMEOUT_SECONDS)
         self._sock.sendall(response)
         close_after_last_response(self._sock, LINGER_SECONDS)
--- a/ashlift/registry/api/evacuation.py
+++ b/ashlift/registry/api/evacuation.py
@@ -37,16 +37,16 @@
         if zone not in self._settings().zones:
             return error_response(404, f"no zone {zone[:100]}")
         if time.monotonic() - request.not_written_before > MAX_REQUEST_AGE_SECONDS:
-            return _send_again(kind, request)
+            return _retry_redirect(kind, request)
         result = self._store.submit(
             kind, None, zone, body_bytes=0, not_written_before=request.not_written_before
         )
         if isinstance(result, Failure) and result.reason == FailureReason.EXPIRED:
-            return _send_again(kind, request)
+            return _retry_redirect(kind, request)
         return command_response(kind, result)
 
 
-def _send_again(kind: str, request: HttpRequest) -> HttpResponse:
+def _retry_redirect(kind: str, request: HttpRequest) -> HttpResponse:
     """Redirect to the same URL: a client that still waits sends the request again.
 
     It may have lain in a buffer or been held up by a partition, or another's was taken meanwhile: its sender
--- a/ashlift/registry/api/heartbeat_body.py
+++ b/ashlift/registry/api/heartbeat_body.py
@@ -37,7 +37,7 @@
     state = status["State"]
     call_seq = status["CallSeq"]
     config_version = node.get("ConfigVersion", "")
-    _check_texts(service, address, zone, config_version)
+    _check_strings(service, address, zone, config_version)
     if any(type(number) is not int or number < 0 for number in (capacity, call_seq)):
         raise ValueError("Capacity and CallSeq are whole numbers")
     if call_seq >= TOMBSTONE_SEQ:
@@ -49,7 +49,7 @@
     )
 
 
-def _check_texts(service: Any, address: Any, zone: Any, config_version: Any) -> None:
+def _check_strings(service: Any, address: Any, zone: Any, config_version: Any) -> None:
     """Raises ValueError, or AttributeError where the address is no text."""
     host, _, port = address.rpartition(":")
     required = (service, host, zone)
--- a/ashlift/registry/api/members.py
+++ b/ashlift/registry/api/members.py
@@ -3,7 +3,7 @@
 from typing import Any, Final
 
 from ashlift.errors import Failure
-from ashlift.registry.api.command_responses import log_command, no_clear_answer
+from ashlift.registry.api.command_responses import log_command, outcome_unknown_response
 from ashlift.registry.api.messages import HttpRequest, HttpResponse, error_response
 from ashlift.registry.api.resource import Resource, parse_json
 from ashlift.registry.store_client import StoreClient
@@ -36,7 +36,7 @@
     def _call_store(self, action: Any, ip: str) -> HttpResponse:
         result = self._store.members(action, ip)
         if isinstance(result, Failure):
-            return no_clear_answer(result)
+            return outcome_unknown_response(result)
         if action != SHOW:
             log_command(f"members {action}", result)
         if result.status != 200:
--- a/ashlift/registry/api/routes.py
+++ b/ashlift/registry/api/routes.py
@@ -55,8 +55,8 @@
         from ashlift.route_reconciliation.proposals import prepare_pending
 
         pending, _ = self._service.pending()
-        is_in_doubt = failure.reason not in NOT_EXECUTED_REASONS
-        pending_edit = prepare_pending(self._service.entries, pending, edit, is_in_doubt)
+        outcome_is_unknown = failure.reason not in NOT_EXECUTED_REASONS
+        pending_edit = prepare_pending(self._service.entries, pending, edit, outcome_is_unknown)
         if isinstance(pending_edit, RouteChanged):
             conflict = {"reason": "the route has changed since", **pending_edit.encode()}
             return edit_response(409, conflict, edit.id, name)
--- a/ashlift/registry/codec.py
+++ b/ashlift/registry/codec.py
@@ -43,7 +43,7 @@
 WARM_DECIMALS: Final = 2
 UPTIME_DECIMALS: Final = 2
 AGE_DECIMALS: Final = 4
-PAST_ALL_INDEXES: Final = 1 << 62
+MAX_INDEX: Final = 1 << 62
 
 
 # ---- records
@@ -81,7 +81,12 @@
 
 def encode_session(record: SessionRecord) -> Json:
     """Without the time of renewal: who receives it counts from its own receipt."""
-    return {"front": record.front, "zone": record.zone, "region": record.region, "ready": record.ready}
+    return {
+        "front": record.client_address,
+        "zone": record.zone,
+        "region": record.region,
+        "ready": record.ready,
+    }
 
 
 def decode_session(wire: Mapping[str, Any], now: float) -> SessionRecord:
@@ -127,7 +132,7 @@
             node=node,
             config_index=config_index,
             ready=ready,
-            front=wire["front"],
+            client_address=wire["front"],
             zone=wire["zone"],
             region=wire["region"],
             incarnation=wire["incarnation"],
@@ -135,7 +140,7 @@
             load=_decode_load_report(wire),
             usage=_decode_usage_report(usage),
             wait_seconds=float(wire.get("wait", 0.0)),
-            eager=bool(wire.get("eager")),
+            urgent=bool(wire.get("eager")),
             accepts_packed=bool(wire.get("packs")),
             accepts_fragments="part" in wire,
             fragment=wire.get("part"),
@@ -247,7 +252,7 @@
 
 def encode_position_request() -> Json:
     """A `watch` that is answered immediately, with the store's position and no entries."""
-    return {"have": PAST_ALL_INDEXES, "wait": 0.0}
+    return {"have": MAX_INDEX, "wait": 0.0}
 
 
 def decode_watch_response(wire: Mapping[str, Any], assembled: Mapping[str, Any]) -> WatchResponse:
--- a/ashlift/registry/endpoint_directory.py
+++ b/ashlift/registry/endpoint_directory.py
@@ -63,7 +63,7 @@
     """The ready proxies of the zone; if they are few, the region's too; if still few, all allowed ones."""
     ready = [session for session in sessions if session.ready]
     ready.sort(
-        key=lambda session: zlib.crc32(f"{locality.zone} {session.front}".encode())
+        key=lambda session: zlib.crc32(f"{locality.zone} {session.client_address}".encode())
     )  # another order for each zone
     in_zone = [session for session in ready if session.zone == locality.zone]
     rest_of_region = [
@@ -88,7 +88,7 @@
             reach = LookupReach.OTHER_REGIONS if policy.allowed_regions is None else LookupReach.HOME_REGIONS
     chosen = chosen[:MAX_ADDRESSES]
     return LookupResult(
-        [session.front for session in chosen],
+        [session.client_address for session in chosen],
         reach,
         ready_in_region,
         tuple(session.region for session in chosen if session.region != locality.region),
--- a/ashlift/registry/home_regions.py
+++ b/ashlift/registry/home_regions.py
@@ -55,7 +55,7 @@
         self._version = version
         self._read_version = 0  # of a configuration that is not there yet
         self._policies: dict[str, RegionPolicy] = {}  # by host
-        self._shared_homes: dict[str, frozenset[str]] = {}  # by host, of those that have homed routes
+        self._shared_home_regions: dict[str, frozenset[str]] = {}  # by host, of those that have homed routes
 
     def shared_home_regions(self, host: str) -> frozenset[str] | None:
         """The regions that are home of all routes of a host that have homes; None: it has no such route.
@@ -63,7 +63,7 @@
         For the check of what `policy` led to: worked out from the entries, and not from the policies.
         """
         self._read_if_changed()
-        return self._shared_homes.get(normalize_host(host))
+        return self._shared_home_regions.get(normalize_host(host))
 
     def policy(self, host: str) -> RegionPolicy:
         """The policy of a host, as a `Host` header names it."""
@@ -74,21 +74,21 @@
         if self._read_version != self._version():
             self._read_version = self._version()
             self._policies = _read_policies(self._entries())
-            self._shared_homes = _read_shared_homes(self._entries())
+            self._shared_home_regions = _read_shared_home_regions(self._entries())
 
 
-def _read_shared_homes(entries: Mapping[str, Any]) -> dict[str, frozenset[str]]:
+def _read_shared_home_regions(entries: Mapping[str, Any]) -> dict[str, frozenset[str]]:
     shared: dict[str, frozenset[str]] = {}
     for key, specification in entries.items():
         if key.startswith(ROUTE_PREFIX) and specification.get("HomeRegions"):
             host = normalize_host(specification["Host"])
-            homes = frozenset(specification["HomeRegions"])
-            shared[host] = shared.get(host, homes) & homes
+            home_regions = frozenset(specification["HomeRegions"])
+            shared[host] = shared.get(host, home_regions) & home_regions
     return shared
 
 
 def _read_policies(entries: Mapping[str, Any]) -> dict[str, RegionPolicy]:
-    tenants_have_homes = any(
+    tenants_have_home_regions = any(
         specification.get("HomeRegions")
         for key, specification in entries.items()
         if key.startswith(TENANT_PREFIX)
@@ -97,23 +97,25 @@
     for key, specification in entries.items():
         if key.startswith(ROUTE_PREFIX):
             by_host.setdefault(normalize_host(specification["Host"]), []).append(specification)
-    return {host: _policy(_host_routes(routes), tenants_have_homes) for host, routes in by_host.items()}
+    return {
+        host: _policy(_host_routes(routes), tenants_have_home_regions) for host, routes in by_host.items()
+    }
 
 
 def _host_routes(specifications: Iterable[Mapping[str, Any]]) -> _HostRoutes:
     specifications = list(specifications)
-    homes = [frozenset(specification.get("HomeRegions") or ()) for specification in specifications]
+    home_regions = [frozenset(specification.get("HomeRegions") or ()) for specification in specifications]
     needs_api_key = any(not specification.get("Anonymous") for specification in specifications)
-    return _HostRoutes(tuple(regions for regions in homes if regions), needs_api_key)
+    return _HostRoutes(tuple(regions for regions in home_regions if regions), needs_api_key)
 
 
-def _policy(routes: _HostRoutes, tenants_have_homes: bool) -> RegionPolicy:
+def _policy(routes: _HostRoutes, tenants_have_home_regions: bool) -> RegionPolicy:
     """A look-up names a host and no path: what it answers has to suit all routes of the host.
 
     It names no tenant either. Where tenants have home regions, a client may belong to one of them, so it is
     kept in its own region while that has a proxy.
     """
-    stays = tenants_have_homes and routes.needs_api_key
+    stays = tenants_have_home_regions and routes.needs_api_key
     if not routes.home_regions:
         return RegionPolicy(None, only_if_client_region_empty=stays)
     shared = frozenset.intersection(*routes.home_regions)
--- a/ashlift/registry/load_reports.py
+++ b/ashlift/registry/load_reports.py
@@ -10,12 +10,12 @@
 from ashlift.registry.messages import NO_LOAD, LoadReport
 from ashlift.registry.replicated_source import ReplicatedSource
 
-MIN_IN_FLIGHT_SHIFT: Final = 2.0  # requests by which the published sum may be off
-IN_FLIGHT_SHIFT_PER_SLOT: Final = 0.3  # or as much as this times the worker's capacity
-MIN_SEEN_FAILURE_TENTHS: Final = 3  # from here on a proxy counts as one that has seen failures
-MIN_FAILURE_SHIFT_TENTHS: Final = 7  # by which published failures may be off
-MIN_REQUEST_SHIFT_TENTHS: Final = 20  # by which published requests may be off
-REQUEST_SHIFT_RATIO: Final = 0.3  # or as much as this times what is published
+MIN_IN_FLIGHT_CHANGE: Final = 2.0  # requests by which the published sum may be off
+IN_FLIGHT_CHANGE_PER_SLOT: Final = 0.3  # or as much as this times the worker's capacity
+MIN_OBSERVED_FAILURE_TENTHS: Final = 3  # from here on a proxy counts as one that has seen failures
+MIN_FAILURE_CHANGE_TENTHS: Final = 7  # by which published failures may be off
+MIN_REQUEST_CHANGE_TENTHS: Final = 20  # by which published requests may be off
+REQUEST_CHANGE_RATIO: Final = 0.3  # or as much as this times what is published
 
 
 class LoadReports:
@@ -50,7 +50,7 @@
         capacity = self._capacity(worker_id)
         if not total or capacity is None:
             self._local_source.drop(key)
-        elif abs(total - published) >= max(MIN_IN_FLIGHT_SHIFT, IN_FLIGHT_SHIFT_PER_SLOT * capacity):
+        elif abs(total - published) >= max(MIN_IN_FLIGHT_CHANGE, IN_FLIGHT_CHANGE_PER_SLOT * capacity):
             self._local_source.put(key, total)
 
     def _publish_failures(self, worker_id: str) -> None:
@@ -61,22 +61,22 @@
         ]
         failed = sum(failures for failures, _ in reported)
         ran = sum(requests for _, requests in reported)
-        witnesses = sum(failures >= MIN_SEEN_FAILURE_TENTHS for failures, _ in reported)
-        sums = [failed, ran, witnesses]
+        proxies_with_failures = sum(failures >= MIN_OBSERVED_FAILURE_TENTHS for failures, _ in reported)
+        sums = [failed, ran, proxies_with_failures]
         if not ran or self._capacity(worker_id) is None:
             self._local_source.drop(key)
-        elif _has_moved(self._local_source.values.get(key), sums):
+        elif _has_changed_enough(self._local_source.values.get(key), sums):
             self._local_source.put(key, sums)
 
 
-def _has_moved(published: list[int] | None, sums: list[int]) -> bool:
+def _has_changed_enough(published: list[int] | None, sums: list[int]) -> bool:
     """Whether the sums of failures are far enough from those published last."""
     if published is None:
         return True
-    published_failed, published_ran, published_witnesses = published
-    failed, ran, witnesses = sums
+    published_failed, published_ran, published_proxies_with_failures = published
+    failed, ran, proxies_with_failures = sums
     return (
-        abs(failed - published_failed) >= MIN_FAILURE_SHIFT_TENTHS
-        or abs(ran - published_ran) >= max(MIN_REQUEST_SHIFT_TENTHS, REQUEST_SHIFT_RATIO * published_ran)
-        or (witnesses == 0) != (published_witnesses == 0)
+        abs(failed - published_failed) >= MIN_FAILURE_CHANGE_TENTHS
+        or abs(ran - published_ran) >= max(MIN_REQUEST_CHANGE_TENTHS, REQUEST_CHANGE_RATIO * published_ran)
+        or (proxies_with_failures == 0) != (published_proxies_with_failures == 0)
     )
--- a/ashlift/registry/messages.py
+++ b/ashlift/registry/messages.py
@@ -41,12 +41,12 @@
     incarnation: str
     zone: str
     region: str
-    front: str
+    client_address: str
     ready: bool
     versions: Mapping[str, int]
     config_index: int
     wait_seconds: float
-    eager: bool
+    urgent: bool
     usage: UsageReport
     load: LoadReport
     accepts_packed: bool
--- a/ashlift/registry/operator_config.py
+++ b/ashlift/registry/operator_config.py
@@ -86,7 +86,7 @@
         if delta.full:
             self.replace(delta.version, delta.values)
         else:
-            self.note_skipped_versions(delta.version)
+            self.record_skipped_versions(delta.version)
             self.merge(delta.version, delta.values, delta.removed)
         self._changes.increment()
 
--- a/ashlift/registry/peer_registries.py
+++ b/ashlift/registry/peer_registries.py
@@ -65,18 +65,20 @@
             if now - max(replica.last_contact_at, resumed_at) <= seconds
         ]
 
-    def note_call(self, ip: str, now: float) -> None:
+    def record_call(self, ip: str, now: float) -> None:
         """A registry at this IP has called."""
         self._called_at[ip] = now
 
-    def swap_request(self, ip: str, introduce: bool) -> SwapRequest:
+    def swap_request(self, ip: str, include_caller_ip: bool) -> SwapRequest:
         """What to ask the registry at `ip` for; `introduce`: it may not know of this one."""
         name = self._source_by_ip.get(ip)
         replica = self.replicas.get(name) if name else None
         if name is None or replica is None:
             return SwapRequest("", 0, self._identity.ip)
         incarnation = name.rpartition("#")[2]
-        return SwapRequest(incarnation, replica.source.version, self._identity.ip if introduce else None)
+        return SwapRequest(
+            incarnation, replica.source.version, self._identity.ip if include_caller_ip else None
+        )
 
     def receive_swap_response(self, ip: str, response: SwapResponse, sent_at: float) -> Collection[str]:
         """Apply the response to a request sent at `sent_at`; returns the keys of its records if it contains a
@@ -115,9 +117,9 @@
     def is_isolated(self, core_members: Collection[str], now: float) -> bool:
         """Whether this registry, counting itself, has long been in contact with no more than half of the core
         members: the others work without it, and clients should use one of them."""
-        has_run_long_enough = now - self._clock.resumed_at > ISOLATION_SECONDS
+        is_past_startup = now - self._clock.resumed_at > ISOLATION_SECONDS
         recent = self.contacted_within(ISOLATION_SECONDS, now)
-        return has_run_long_enough and not self._is_majority(core_members, recent)
+        return is_past_startup and not self._is_majority(core_members, recent)
 
     def has_reached_majority_since(self, core_members: Collection[str], since: float) -> bool:
         """Whether most core members, this one included, have answered a request sent at `since` or later.
@@ -140,8 +142,8 @@
         contacted = [
             replica for replica in self.replicas.values() if replica.last_contact_at >= self._clock.started_at
         ]
-        any_is_old_enough = any(now - replica.started_at >= MIN_UPTIME_SECONDS for replica in contacted)
-        return any_is_old_enough and self.ips(core_members, now) <= {replica.ip for replica in contacted}
+        any_is_past_startup = any(now - replica.started_at >= MIN_UPTIME_SECONDS for replica in contacted)
+        return any_is_past_startup and self.ips(core_members, now) <= {replica.ip for replica in contacted}
 
     def expire(self, now: float) -> list[str]:
         """Drop the records of peers that have not responded; returns their sources."""
--- a/ashlift/registry/proxy_sessions.py
+++ b/ashlift/registry/proxy_sessions.py
@@ -22,7 +22,9 @@
 from ashlift.registry.usage_counters import UsageCounters
 
 SESSION_LEASE_SECONDS: Final = 2.0  # from the last pull
-USAGE_MEMORY_SECONDS: Final = 30.0  # how long the numbers of usage reports are remembered after the last pull
+USAGE_RETENTION_SECONDS: Final = (
+    30.0  # how long the numbers of usage reports are remembered after the last pull
+)
 
 
 class ProxySession:
@@ -35,7 +37,7 @@
         self.last_usage_report: dict[str, int] = {}
 
 
-class SessionProgress(NamedTuple):
+class SessionStatus(NamedTuple):
     """Which configuration a proxy holds, and how many seconds ago it last pulled."""
 
     config_index: int
@@ -73,7 +75,7 @@
         session.last_pull_at = now
         session.pulls_in_progress += 1
         session.config_index = request.config_index
-        record = SessionRecord(request.front, request.zone, request.region, request.ready, now)
+        record = SessionRecord(request.client_address, request.zone, request.region, request.ready, now)
         if self._local_records.get(SESSION_PREFIX + request.node) != record:
             self._local_records.put(SESSION_PREFIX + request.node, record)
         self._load_reports.update(request.node, request.load)
@@ -120,24 +122,24 @@
             node = key[PREFIX_LENGTH:]
             session = self._sessions.get(node)
             if session is not None and not session.pulls_in_progress:
-                self._release(node)
+                self._drop_record(node)
 
-    def progress(self, node: str, now: float) -> SessionProgress | None:
+    def status(self, node: str, now: float) -> SessionStatus | None:
         """Of a proxy that pulls here; None: it does not."""
         session = self._sessions.get(node)
         if session is None or self._clock.has_expired(session.last_pull_at, SESSION_LEASE_SECONDS, now):
             return None
-        return SessionProgress(session.config_index, now - session.last_pull_at)
+        return SessionStatus(session.config_index, now - session.last_pull_at)
 
     def expire(self, now: float) -> None:
         """Drop the records of proxies whose leases have expired, and later what was kept of their reports."""
         for node, session in list(self._sessions.items()):
             if self._clock.has_expired(session.last_pull_at, SESSION_LEASE_SECONDS, now):
-                self._release(node)
-                is_forgotten = now - session.last_pull_at > USAGE_MEMORY_SECONDS
-                if is_forgotten and not session.pulls_in_progress:
+                self._drop_record(node)
+                is_past_retention = now - session.last_pull_at > USAGE_RETENTION_SECONDS
+                if is_past_retention and not session.pulls_in_progress:
                     del self._sessions[node]
 
-    def _release(self, node: str) -> None:
+    def _drop_record(self, node: str) -> None:
         self._local_records.drop(SESSION_PREFIX + node)
         self._load_reports.remove(node)
--- a/ashlift/registry/records.py
+++ b/ashlift/registry/records.py
@@ -41,8 +41,8 @@
         """Whether both describe the same worker alike, apart from the sequence number and small delays."""
         own_fields = self._replace(call_seq=0, warm_at=0.0)
         other_fields = other._replace(call_seq=0, warm_at=0.0)
-        warm_at_shift = abs(max(self.warm_at, now) - max(other.warm_at, now))
-        return own_fields == other_fields and warm_at_shift <= WARM_AT_TOLERANCE_SECONDS
+        warm_at_difference = abs(max(self.warm_at, now) - max(other.warm_at, now))
+        return own_fields == other_fields and warm_at_difference <= WARM_AT_TOLERANCE_SECONDS
 
     def as_tombstone(self) -> "WorkerRecord":
         """The record that replaces this one when the worker deregisters."""
@@ -56,7 +56,7 @@
 class SessionRecord:
     """A proxy as it describes itself; `renewed_at`: steady time at which this registry received this."""
 
-    front: str
+    client_address: str
     zone: str
     region: str
     ready: bool
--- a/ashlift/registry/registry.py
+++ b/ashlift/registry/registry.py
@@ -176,9 +176,9 @@
         """The invariant: outside the client's region, an answer names home regions of the host alone."""
         if not result.other_regions:
             return True
-        homes = self.home_regions.shared_home_regions(host)
+        home_regions = self.home_regions.shared_home_regions(host)
         return monitor.holds(
-            homes is None or homes.issuperset(result.other_regions),
+            home_regions is None or home_regions.issuperset(result.other_regions),
             Invariant.DIRECTORY_REGION,
             host=host,
             client_region=locality.region,
@@ -242,7 +242,7 @@
     def receive_swap_request(self, request: SwapRequest, now: float) -> None:
         """Another registry has asked for this one's records."""
         if request.caller_ip is not None:
-            self.peers.note_call(request.caller_ip, now)
+            self.peers.record_call(request.caller_ip, now)
 
     def has_updates_for_peer(self, request: SwapRequest) -> bool:
         """Whether a swap with this version is answered without waiting."""
--- a/ashlift/registry/replicated_source.py
+++ b/ashlift/registry/replicated_source.py
@@ -51,11 +51,11 @@
 
     def replace(self, version: int, values: Mapping[str, Any]) -> None:
         """Advance to `version` by a snapshot: its complete content is `values`."""
-        self.note_skipped_versions(version)
+        self.record_skipped_versions(version)
         changed = {key: value for key, value in values.items() if self.values.get(key) != value}
         self.merge(version, changed, [key for key in self.values if key not in values])
 
-    def note_skipped_versions(self, version: int) -> None:
+    def record_skipped_versions(self, version: int) -> None:
         """The next change leads from the version held to `version`, and comes from a replica that may have
         skipped versions between: a key that changed there and changed back is named by no delta."""
         if not self.version:
--- a/ashlift/registry/replication_loops.py
+++ b/ashlift/registry/replication_loops.py
@@ -85,13 +85,13 @@
             self._clients.client((ip, self._port)).close()
 
     def _swap_loop(self, ip: str) -> None:
-        introduce = True
+        include_caller_ip = True
         backoff = INITIAL_BACKOFF_SECONDS
-        announced: set[str] = set()
+        logged: set[str] = set()
         while True:
             sent_at = time.monotonic()
-            failure = self._swap(ip, introduce, sent_at)
-            introduce = failure is not None
+            failure = self._swap(ip, include_caller_ip, sent_at)
+            include_caller_ip = failure is not None
             if failure is not None:
                 if failure.reason == FailureReason.OUTCOME_UNKNOWN:
                     self._clients.client((ip, self._port)).close()  # do not wait on the same connection again
@@ -101,13 +101,13 @@
             received_at = time.monotonic()
             backoff = INITIAL_BACKOFF_SECONDS
             self._notifier.notify_if_changed()
-            self._announce_peer(ip, announced)
+            self._log_new_incarnations(ip, logged)
             interval = call_interval(len(self._swap_loops), UNTHROTTLED_PEERS)
             gevent.sleep(max(BATCHING_DELAY_SECONDS, sent_at + interval - received_at))
 
-    def _swap(self, ip: str, introduce: bool, sent_at: float) -> Failure | None:
+    def _swap(self, ip: str, include_caller_ip: bool, sent_at: float) -> Failure | None:
         """Ask a peer once for its records."""
-        body = codec.encode_swap_request(self._registry.peers.swap_request(ip, introduce))
+        body = codec.encode_swap_request(self._registry.peers.swap_request(ip, include_caller_ip))
         client = self._clients.client((ip, self._port))
         answer = client.call("swap", body, LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS)
         if isinstance(answer, Failure):
@@ -118,13 +118,13 @@
         self._registry.receive_swap_response(ip, response, sent_at)
         return None
 
-    def _announce_peer(self, ip: str, announced: set[str]) -> None:
+    def _log_new_incarnations(self, ip: str, logged: set[str]) -> None:
         """Log each incarnation of the peer at `ip` once."""
         replicas = self._registry.peers.replicas
-        for source in set(replicas) - announced:
+        for source in set(replicas) - logged:
             if replicas[source].ip == ip:
                 log_event(events.PEER_FOUND, source=source, ip=ip)
-                announced.add(source)
+                logged.add(source)
 
     def _watch_loop(self) -> None:
         """Watch the own store; after each answer of it that proves nothing, another one."""
--- a/ashlift/registry/rpc_service.py
+++ b/ashlift/registry/rpc_service.py
@@ -48,7 +48,7 @@
         interval = self._pull_interval()  # at a start, all proxies are in a hurry
         min_wait = max(MIN_LONG_POLL_SECONDS, interval)
         deadline = pull_deadline(received_at, request.wait_seconds, min_wait)
-        while not self._is_answered_at_once(request):
+        while not self._can_respond_now(request):
             if not self._notifier.wait_for_change(deadline):
                 break
         has_updates = bool(request.versions) and self._registry.has_updates_for(request.versions)
@@ -56,10 +56,10 @@
             earliest = received_at + self._pull_interval()
             gevent.sleep(max(BATCHING_DELAY_SECONDS, earliest - time.monotonic()))
 
-    def _is_answered_at_once(self, request: PullRequest) -> bool:
+    def _can_respond_now(self, request: PullRequest) -> bool:
         if self._registry.has_updates_for(request.versions):
             return True
-        return request.eager and self._registry.operator_config.has_fresh_lease(time.monotonic())
+        return request.urgent and self._registry.operator_config.has_fresh_lease(time.monotonic())
 
     def _pull_interval(self) -> float:
         return call_interval(len(self._registry.sessions), UNTHROTTLED_SESSIONS)
--- a/ashlift/registry/status_report.py
+++ b/ashlift/registry/status_report.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from ashlift.registry.codec import encode_session, encode_worker
-from ashlift.registry.proxy_sessions import SessionProgress
+from ashlift.registry.proxy_sessions import SessionStatus
 from ashlift.registry.registry import Registry
 
 
@@ -25,7 +25,7 @@
             for name, peer in sorted(registry.peers.replicas.items())
         },
         "gatekeepers": [
-            {"node": node, **encode_session(session), **_progress(registry.sessions.progress(node, now))}
+            {"node": node, **encode_session(session), **_session_status(registry.sessions.status(node, now))}
             for node, session in sorted(registry.sessions.live(now).items())
         ],
         "workers": [
@@ -35,7 +35,7 @@
     }
 
 
-def _progress(progress: SessionProgress | None) -> dict[str, Any]:
-    if progress is None:
+def _session_status(status: SessionStatus | None) -> dict[str, Any]:
+    if status is None:
         return {}
-    return {"index": progress.config_index, "heard": round(progress.seconds_since_pull, 3)}
+    return {"index": status.config_index, "heard": round(status.seconds_since_pull, 3)}
--- a/ashlift/registry/store_client.py
+++ b/ashlift/registry/store_client.py
@@ -32,7 +32,7 @@
         self._members = members
         self._clients = clients
         self._watch_clients = ClientPool()  # separate: closed after a time-out, which must not lose commands
-        self._watch_turn = 0
+        self._watch_count = 0
         self._local_store_is_unresponsive = (
             False  # it accepts calls and does not respond: its disk hangs, or it is paused
         )
@@ -56,21 +56,21 @@
         command = codec.encode_command(kind, if_match, body)
         index_at_receipt = self._position.index
 
-        def fenced_now() -> Json:
-            return self._position.fenced(command, index_at_receipt, deadline - time.monotonic())
+        def command_with_token() -> Json:
+            return self._position.with_fencing_token(command, index_at_receipt, deadline - time.monotonic())
 
-        return _command_result(self._call_any("submit", fenced_now, deadline))
+        return _command_result(self._call_until_conclusive("submit", command_with_token, deadline))
 
     def read(self) -> Json | Failure:
         """The operator's entries as committed, by key."""
-        answer = self._call_any("read", dict, time.monotonic() + COMMAND_TIMEOUT_SECONDS)
+        answer = self._call_until_conclusive("read", dict, time.monotonic() + COMMAND_TIMEOUT_SECONDS)
         return answer if isinstance(answer, Failure) else codec.decode_configuration(answer)
 
     def members(self, action: str, ip: str) -> CommandResult | Failure:
         """Who votes and learns (`show`), or a change of that (`remove`, `replace`, `add`)."""
         body = codec.encode_membership_command(action, ip)
         return _command_result(
-            self._call_any("members", lambda: body, time.monotonic() + COMMAND_TIMEOUT_SECONDS)
+            self._call_until_conclusive("members", lambda: body, time.monotonic() + COMMAND_TIMEOUT_SECONDS)
         )
 
     def watch(
@@ -113,10 +113,10 @@
         other_stores = [ip for ip in self._members() if ip != self._local_ip]
         if not other_stores:
             return None
-        self._watch_turn += 1
-        return other_stores[self._watch_turn % len(other_stores)]
+        self._watch_count += 1
+        return other_stores[self._watch_count % len(other_stores)]
 
-    def _call_any(self, method: str, body: Callable[[], Json], deadline: float) -> Any:
+    def _call_until_conclusive(self, method: str, body: Callable[[], Json], deadline: float) -> Any:
         """The first clear answer of a store; else the least clear Failure."""
         stores = stores_to_try(self._local_ip, self._members(), self._local_store_is_unresponsive)
         request = OperatorRequest(stores, time.monotonic(), deadline)
--- a/ashlift/registry/store_position.py
+++ b/ashlift/registry/store_position.py
@@ -14,23 +14,23 @@
 
     def __init__(self) -> None:
         self.index = 0
-        self._round = [0, 0]  # term, heartbeat round
+        self._term_and_round = [0, 0]  # term, heartbeat round
 
     def observe(self, answer: Any) -> None:
         """Take a store's answer to `watch`; a Failure changes nothing."""
         if isinstance(answer, Failure):
             return
         heartbeat_round, index = decode_store_position(answer)
-        self._round = max(self._round, heartbeat_round)
+        self._term_and_round = max(self._term_and_round, heartbeat_round)
         self.index = max(self.index, index)
 
-    def fenced(self, command: Json, index_at_receipt: int, seconds_left: float) -> Json:
+    def with_fencing_token(self, command: Json, index_at_receipt: int, seconds_left: float) -> Json:
         """The command with a fencing token of this moment.
 
         `index_at_receipt`: the index known when the operator's request came. `seconds_left`: how long its
         sender is still waiting.
         """
-        return encode_fenced_command(command, self._round, index_at_receipt, seconds_left)
+        return encode_fenced_command(command, self._term_and_round, index_at_receipt, seconds_left)
 
 
 def stores_to_try(local_ip: str, members: list[str], local_store_is_unresponsive: bool) -> list[str]:
--- a/ashlift/registry/worker_instances.py
+++ b/ashlift/registry/worker_instances.py
@@ -15,8 +15,8 @@
 from ashlift.registry.replicated_source import ReplicatedSource
 
 LEASE_HEARTBEATS: Final = 3
-TOMBSTONE_SECONDS: Final = 30.0  # how long a deregistration is remembered
-EXPIRED_MEMORY_SECONDS: Final = 60.0  # how long a worker whose lease has expired is remembered
+TOMBSTONE_RETENTION_SECONDS: Final = 30.0  # how long a deregistration is remembered
+EXPIRED_RETENTION_SECONDS: Final = 60.0  # how long a worker whose lease has expired is remembered
 
 
 class LastHeartbeat(NamedTuple):
@@ -43,12 +43,12 @@
         _, last = self._last.get(worker_id, (0.0, record))
         return record.call_seq < last.call_seq and record.address == last.address
 
-    def forget_old(self, now: float) -> None:
+    def prune(self, now: float) -> None:
         """Drop those whose late heartbeats can no longer arrive."""
         self._last = {
             worker_id: (expired_at, record)
             for worker_id, (expired_at, record) in self._last.items()
-            if now - expired_at <= EXPIRED_MEMORY_SECONDS
+            if now - expired_at <= EXPIRED_RETENTION_SECONDS
         }
 
 
@@ -120,11 +120,11 @@
             if record is not None:
                 self._expired.add(worker_id, record, heartbeat.call_seq, now)
             self._local_records.drop(WORKER_PREFIX + worker_id)
-        self._expired.forget_old(now)
+        self._expired.prune(now)
         old_tombstones = [
             worker_id
             for worker_id, deregistered_at in self._tombstones.items()
-            if now - deregistered_at > TOMBSTONE_SECONDS
+            if now - deregistered_at > TOMBSTONE_RETENTION_SECONDS
         ]
         for worker_id in old_tombstones:
             del self._tombstones[worker_id]
--- a/ashlift/simulation/simulated_store_client.py
+++ b/ashlift/simulation/simulated_store_client.py
@@ -48,7 +48,7 @@
         deadline = started + COMMAND_TIMEOUT_SECONDS
 
         def body() -> dict[str, Any]:
-            return self._position.fenced(command, known_index, deadline - self._process.clock())
+            return self._position.with_fencing_token(command, known_index, deadline - self._process.clock())
 
         response = yield from self.ask("submit", body, deadline)
         return response
--- a/tests/registry/test_replicated_source.py
+++ b/tests/registry/test_replicated_source.py
@@ -75,7 +75,7 @@
     if changes["full"]:
         config.replace(changes["index"], changes["set"])
     else:
-        config.note_skipped_versions(changes["index"])
+        config.record_skipped_versions(changes["index"])
         config.merge(changes["index"], changes["set"], changes["gone"])
 
 
--- a/tests/support/registry_scenarios.py
+++ b/tests/support/registry_scenarios.py
@@ -172,7 +172,7 @@
         registry = self.registries[name]
         for ip in registry.peer_ips(self.now):
             if ip in running and frozenset((name, ip)) not in self.partitions:
-                request = codec.encode_swap_request(registry.peers.swap_request(ip, introduce=True))
+                request = codec.encode_swap_request(registry.peers.swap_request(ip, include_caller_ip=True))
                 response = swap_response(self.registries[ip], request, self.now)
                 receive_swap_response(registry, ip, response, self.now, self.now)
 
