--- a/ashlift/registry/endpoint_directory.py
+++ b/ashlift/registry/endpoint_directory.py
@@ -1,8 +1,7 @@
-"""Which proxies a client is sent to by a look-up. Pure; times in seconds.
+"""Selects the proxies that a lookup returns to a client. Does no I/O; times in seconds.
 
-`ashlift.registry.home_regions` says which regions are allowed for a host. The minimum of near proxies is
-sought among these alone: it never adds a proxy of another region. Where none of them is ready, the answer
-names nobody.
+`ashlift.registry.home_regions` determines which regions are allowed for a host. Proxies of other regions are
+never returned, even if fewer than `MIN_NEAR_PROXIES` are ready in the allowed ones.
 """
 
 import zlib
@@ -17,31 +16,31 @@
 from ashlift.registry.locality import Locality
 from ashlift.registry.records import SessionRecord
 
-MAX_ADDRESSES: Final = 64  # in one answer
+MAX_ADDRESSES: Final = 64  # in one response
 MIN_NEAR_PROXIES: Final = (
-    2  # a single proxy must neither carry all of a zone's load nor be its only entry point
+    2  # with fewer, one proxy would carry all of a zone's load and be a single point of failure
 )
 CACHE_SECONDS: Final = 0.1
-MAX_CACHED_LOOKUPS: Final = 100  # places as asked for, with the policies of hosts
+MAX_CACHED_LOOKUPS: Final = 100  # combinations of locality and region policy
 MAX_KNOWN_LOCALITIES: Final = 100
 
 
 class LookupReach(StrEnum):
-    """How far from the client the farthest proxy of an answer may be. The values stand in metrics."""
+    """The area from which the proxies of a result were selected. The values are metric labels."""
 
     ZONE = "zone"
     REGION = "region"
-    HOME_REGIONS = "home_regions"  # other regions, where the host's routes are at home
+    HOME_REGIONS = "home_regions"  # other regions, limited to the home regions of the host's routes
     OTHER_REGIONS = "other_regions"
     NOTHING = "nothing"  # no proxy is ready
 
 
 @attrs.frozen
 class LookupResult:
-    """The proxies that a client is sent to.
+    """The proxies returned to a client.
 
-    `ready_in_region`: how many proxies of the client's region were ready. `other_regions`: those of the
-    addresses that are not in the client's region, one entry for each.
+    `ready_in_region`: number of ready proxies in the client's region. `other_regions`: the region of each
+    returned proxy outside the client's region.
     """
 
     addresses: list[str]
@@ -51,7 +50,7 @@
 
 
 class CachedResult(NamedTuple):
-    """An answer, and the steady time at which it was worked out."""
+    """A result, and the monotonic time at which it was computed."""
 
     computed_at: float
     result: LookupResult
@@ -60,11 +59,11 @@
 def choose_proxies(
     sessions: Iterable[SessionRecord], locality: Locality, policy: RegionPolicy
 ) -> LookupResult:
-    """The ready proxies of the zone; if they are few, the region's too; if still few, all allowed ones."""
+    """The ready proxies of the zone; if they are too few, also those of the region, then all allowed ones."""
     ready = [session for session in sessions if session.ready]
     ready.sort(
         key=lambda session: zlib.crc32(f"{locality.zone} {session.client_address}".encode())
-    )  # another order for each zone
+    )  # a different order in each zone spreads the load
     in_zone = [session for session in ready if session.zone == locality.zone]
     rest_of_region = [
         session for session in ready if session.zone != locality.zone and session.region == locality.region
@@ -96,25 +95,26 @@
 
 
 class EndpointDirectory:
-    """Answers to look-ups, cached briefly: hundreds of clients send the same request every second."""
+    """Performs lookups. Results are cached briefly, as many clients send the same lookup every second."""
 
     def __init__(self, live_sessions: Callable[[float], Mapping[str, SessionRecord]]) -> None:
-        """`live_sessions`: proxies whose leases stand at a time."""
+        """`live_sessions`: returns the proxies whose leases are valid at a given time."""
         self._live_sessions = live_sessions
         self.cache: dict[tuple[Locality, RegionPolicy], CachedResult] = {}
         self.results_by_reach: Counter[str] = Counter()
-        self.ready_in_region: dict[Locality, int] = {}  # by place, as of the last look-up there
+        self.ready_in_region: dict[Locality, int] = {}  # as of the last lookup from each locality
 
     def has_proxy_shortage(self, locality: Locality) -> bool:
-        """Whether the region of a place had too few ready proxies at the last look-up."""
+        """Whether the locality's region had too few ready proxies at the last lookup."""
         return self.ready_in_region.get(locality, MIN_NEAR_PROXIES) < MIN_NEAR_PROXIES
 
     def lookup(
         self, locality: Locality, region_policy: Callable[[], RegionPolicy], now: float
     ) -> LookupResult:
-        """Where clients of that place are sent.
+        """The proxies for clients in that locality.
 
-        `region_policy`: of the host that they ask for; called only where their region has too few proxies.
+        `region_policy`: returns the policy of the requested host; called only if the client's region has too
+        few proxies.
         """
         result = self._cached_result(locality, CLIENT_REGION_ONLY, now)
         if len(result.addresses) < MIN_NEAR_PROXIES:
--- a/ashlift/registry/home_regions.py
+++ b/ashlift/registry/home_regions.py
@@ -1,7 +1,6 @@
-"""Where the operator's configuration allows clients of a host to be sent. Pure.
+"""The regions in which the operator's configuration allows clients of a host to use proxies. Does no I/O.
 
-A route's home regions are a bound, and the directory's wish for more than one proxy is not: whoever chooses
-proxies asks here first which regions are allowed at all.
+Home regions are a strict limit: proxies outside them are not used even if too few are ready inside.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -18,55 +17,55 @@
 
 @attrs.frozen
 class RegionPolicy:
-    """Which regions besides their own the clients of a host may be sent to.
+    """The regions whose proxies the clients of a host may use; their own region is always allowed.
 
-    `allowed_regions`: None stands for all. `only_from_empty_region`: not while any proxy of the client's own
-    region is ready. The client's own region is always allowed.
+    `allowed_regions`: None means all regions. `only_if_client_region_empty`: other regions are allowed only
+    while no proxy in the client's region is ready.
     """
 
     allowed_regions: frozenset[str] | None
     only_if_client_region_empty: bool
 
     def allows(self, region: str, client_region: str) -> bool:
-        """Whether a client of `own_region` may be sent to a proxy of `region`."""
+        """Whether a client in `client_region` may use a proxy in `region`."""
         return region == client_region or self.allowed_regions is None or region in self.allowed_regions
 
 
-# Of a host that the configuration does not hold, or while it is not known: its routes may have any homes.
+# For hosts missing from the configuration held here, whose routes may have any home regions.
 CLIENT_REGION_ONLY: Final = RegionPolicy(frozenset(), only_if_client_region_empty=True)
 
 
 @attrs.frozen
 class _HostRoutes:
-    """What the routes of one host say. `home_regions`: of each route that has some."""
+    """Settings of all routes of one host. `home_regions`: those of each route that has any."""
 
     home_regions: tuple[frozenset[str], ...]
     needs_api_key: bool
 
 
 class HomeRegions:
-    """The policy of each host, worked out again after a change of the configuration.
+    """The policy of each host, recomputed when the configuration changes.
 
-    `entries`: the stored map as it is now; `version`: rises with each change of it.
+    `entries`: returns the current configuration entries; `version`: increases with each change of them.
     """
 
     def __init__(self, entries: Callable[[], Mapping[str, Any]], version: Callable[[], int]) -> None:
         self._entries = entries
         self._version = version
-        self._read_version = 0  # of a configuration that is not there yet
+        self._read_version = 0  # no configuration has been read
         self._policies: dict[str, RegionPolicy] = {}  # by host
-        self._shared_home_regions: dict[str, frozenset[str]] = {}  # by host, of those that have homed routes
+        self._shared_home_regions: dict[str, frozenset[str]] = {}  # by host, of routes with home regions
 
     def shared_home_regions(self, host: str) -> frozenset[str] | None:
-        """The regions that are home of all routes of a host that have homes; None: it has no such route.
+        """The intersection of the home regions of a host's routes; None if no route has home regions.
 
-        For the check of what `policy` led to: worked out from the entries, and not from the policies.
+        Used to check lookup results, so it is computed from the entries independently of `policy`.
         """
         self._read_if_changed()
         return self._shared_home_regions.get(normalize_host(host))
 
     def policy(self, host: str) -> RegionPolicy:
-        """The policy of a host, as a `Host` header names it."""
+        """The policy of the host named by a `Host` header."""
         self._read_if_changed()
         return self._policies.get(normalize_host(host), CLIENT_REGION_ONLY)
 
@@ -110,10 +109,10 @@
 
 
 def _policy(routes: _HostRoutes, tenants_have_home_regions: bool) -> RegionPolicy:
-    """A look-up names a host and no path: what it answers has to suit all routes of the host.
+    """A lookup names only the host, so its result must be allowed by all routes of the host.
 
-    It names no tenant either. Where tenants have home regions, a client may belong to one of them, so it is
-    kept in its own region while that has a proxy.
+    The tenant is not known either. If tenants have home regions, the client may belong to one of them, so it
+    stays in its region while a proxy there is ready.
     """
     stays = tenants_have_home_regions and routes.needs_api_key
     if not routes.home_regions:
--- a/ashlift/registry/peer_registries.py
+++ b/ashlift/registry/peer_registries.py
@@ -1,4 +1,4 @@
-"""The other registries: replicas of their records, who is in reach, and how long they have run. Pure."""
+"""The other registries: replicas of their records, reachability and uptime. Does no I/O; times in seconds."""
 
 from collections.abc import Collection, Iterable, Iterator
 from typing import Final
@@ -11,16 +11,16 @@
 from ashlift.registry.messages import SwapOrigin, SwapRequest, SwapResponse
 from ashlift.registry.replicated_source import ReplicatedSource
 
-PEER_TIMEOUT_SECONDS: Final = 5.0  # without a response for so long, a peer's records are dropped
-ALIVE_SECONDS: Final = 1.0  # a peer that responded within this is named as alive to proxies
-ISOLATION_SECONDS: Final = 1.5  # peers without a response for so long are out of reach
-MIN_UPTIME_SECONDS: Final = 1.5  # a registry that has run for less may know few of those there are
+PEER_TIMEOUT_SECONDS: Final = 5.0  # without a response, after which a peer's records are dropped
+ALIVE_SECONDS: Final = 1.0  # a peer that responded within this time is reported to proxies as alive
+ISOLATION_SECONDS: Final = 1.5  # without a response, after which a peer counts as unreachable
+MIN_UPTIME_SECONDS: Final = 1.5  # a registry that started later may not know all workers and proxies yet
 
 
 class PeerReplica:
-    """Another registry's records as last received.
+    """Replica of another registry's records.
 
-    `started_at`: when it started. `last_contact_at`: when the last request was sent that it answered.
+    `started_at`: start time of that registry. `last_contact_at`: send time of the last answered request.
     """
 
     def __init__(self, ip: str, locality: Locality, started_at: float, last_contact_at: float) -> None:
@@ -32,22 +32,22 @@
 
 
 class PeerRegistries:
-    """Replicas by the name of their source, kept up to date by `swap` calls."""
+    """Replicas by the name of their source, updated by `swap` calls."""
 
     def __init__(self, identity: RegistryIdentity, clock: LeaseClock, changes: ChangeCounter) -> None:
         self._identity = identity
         self._clock = clock
         self._changes = changes
         self.replicas: dict[str, PeerReplica] = {}
-        self._source_by_ip: dict[str, str] = {}  # the newest incarnation at each IP
-        self._called_at: dict[str, float] = {}  # IPs of registries that have called here
+        self._source_by_ip: dict[str, str] = {}  # source of the newest incarnation at each IP
+        self._called_at: dict[str, float] = {}  # by IP: last call from the registry there
 
     def sources(self) -> Iterator[ReplicatedSource]:
-        """The records of each peer."""
+        """The replica of each peer's records."""
         return (replica.source for replica in self.replicas.values())
 
     def ips(self, core_members: Collection[str], now: float) -> set[str]:
-        """Registries to pull from: core members, and who has called or answered of late."""
+        """IPs of the peers to replicate from: core members, recent callers and peers with a replica here."""
         recent_callers = {
             ip for ip, called_at in self._called_at.items() if now - called_at <= PEER_TIMEOUT_SECONDS
         }
@@ -55,10 +55,10 @@
         return (set(core_members) | recent_callers | known) - {self._identity.ip}
 
     def contacted_within(self, seconds: float, now: float) -> list[str]:
-        """Sources of the peers that have answered within that time, not counting standstills."""
+        """Sources of the peers that have responded within that time, not counting pauses of this process."""
         resumed_at = (
             self._clock.resumed_at
-        )  # as `has_expired`, without a call for each peer: used for every pull
+        )  # as in `LeaseClock.has_expired`, inlined because it runs for every pull
         return [
             name
             for name, replica in self.replicas.items()
@@ -66,11 +66,11 @@
         ]
 
     def record_call(self, ip: str, now: float) -> None:
-        """A registry at this IP has called."""
+        """Record that the registry at this IP has called."""
         self._called_at[ip] = now
 
     def swap_request(self, ip: str, include_caller_ip: bool) -> SwapRequest:
-        """What to ask the registry at `ip` for; `introduce`: it may not know of this one."""
+        """The request to the registry at `ip`; `include_caller_ip`: this one may be unknown there."""
         name = self._source_by_ip.get(ip)
         replica = self.replicas.get(name) if name else None
         if name is None or replica is None:
@@ -81,8 +81,10 @@
         )
 
     def receive_swap_response(self, ip: str, response: SwapResponse, sent_at: float) -> Collection[str]:
-        """Apply the response to a request sent at `sent_at`; returns the keys of its records if it contains a
-        significant change."""
+        """Apply the response to a request sent at `sent_at`.
+
+        Returns the keys of the changed records if the response contains a significant change, else nothing.
+        """
         name = self._source_by_ip.get(ip, "")
         replica = self.replicas.get(name)
         delta = response.delta
@@ -105,26 +107,28 @@
         return delta.values.keys()
 
     def latest_start(self, alive: Iterable[str]) -> float:
-        """When the youngest of this registry and these peers started, or this one's standstill ended."""
+        """The latest start time of this registry and these peers, or the end of the last pause if later."""
         started = [self.replicas[name].started_at for name in alive]
         return max(self._clock.started_at, self._clock.resumed_at, *started)
 
     def started_at(self, source: str) -> float:
-        """When the registry started whose records these are; this one, if it is no peer's source."""
+        """Start time of the registry with that source; of this registry if it is not a peer's."""
         replica = self.replicas.get(source)
         return self._clock.started_at if replica is None else replica.started_at
 
     def is_isolated(self, core_members: Collection[str], now: float) -> bool:
-        """Whether this registry, counting itself, has long been in contact with no more than half of the core
-        members: the others work without it, and clients should use one of them."""
+        """Whether this registry is not in contact with a majority of the core members, itself included.
+
+        The majority works without it, so clients should use another registry.
+        """
         is_past_startup = now - self._clock.resumed_at > ISOLATION_SECONDS
         recent = self.contacted_within(ISOLATION_SECONDS, now)
         return is_past_startup and not self._is_majority(core_members, recent)
 
     def has_reached_majority_since(self, core_members: Collection[str], since: float) -> bool:
-        """Whether most core members, this one included, have answered a request sent at `since` or later.
+        """Whether a majority of core members, itself included, has answered a request sent since then.
 
-        They keep requests of their own open here, so they have been sent what was recorded here before.
+        Peers in contact hold a long poll open here, so they have been sent what was recorded before `since`.
         """
         answered = [name for name, replica in self.replicas.items() if replica.last_contact_at >= since]
         return self._is_majority(core_members, answered)
@@ -135,8 +139,11 @@
         return 2 * len(members & in_reach) > len(members)
 
     def has_complete_view(self, core_members: Collection[str], now: float) -> bool:
-        """Whether the records here are complete: this registry has run for a while, or is in contact with all
-        others, one of which has."""
+        """Whether this registry knows all records.
+
+        That holds once it has run for `MIN_UPTIME_SECONDS`, or if it is in contact with all peers and one of
+        them has run that long.
+        """
         if now - self._clock.started_at >= MIN_UPTIME_SECONDS:
             return True
         contacted = [
@@ -146,7 +153,7 @@
         return any_is_past_startup and self.ips(core_members, now) <= {replica.ip for replica in contacted}
 
     def expire(self, now: float) -> list[str]:
-        """Drop the records of peers that have not responded; returns their sources."""
+        """Drop the replicas of peers that have timed out; returns their sources."""
         expired = [
             name
             for name, replica in self.replicas.items()
@@ -170,7 +177,7 @@
 
 
 def _apply(delta: Delta, source: ReplicatedSource) -> bool:
-    """Whether there was a significant change; a snapshot counts as one."""
+    """Apply the delta; returns whether it has a significant change. A snapshot counts as significant."""
     if delta.full:
         source.replace(delta.version, delta.values)
         return True
--- a/ashlift/registry/proxy_sessions.py
+++ b/ashlift/registry/proxy_sessions.py
@@ -1,12 +1,11 @@
-"""Sessions of the proxies that pull from this registry, and what all registries know of proxies. Pure.
+"""Sessions of the proxies that pull from this registry, and the known proxies of all registries. Does no I/O.
 
-A session is a lease of two seconds, renewed by each pull. With its pulls a proxy reports usage and load.
+A session is a lease of two seconds, renewed whenever a pull is received. Pulls also report usage and load.
 
-The lease counts from when a pull was received, however long the pull is held then. Its record is dropped here
-by `ProxySessions.expire` (`ReplicationLoops` calls `Registry.tick` every 0.25 s), or at once by
-`release_moved` when another registry has it and no pull is in progress here. Other registries and the proxies
-learn of that as of any change; if this registry is silent, `live` at the others leaves its proxies out after
-the same two seconds. A proxy that shuts down says `ready=False` and lets its session lapse.
+`ProxySessions.expire` drops the record of an expired session. `release_moved` drops it earlier if the proxy
+has moved to another registry and has no pull in progress here. The removal is replicated like any change. If
+this registry stops responding, `live` at the others omits its proxies after the same two seconds. A proxy that
+shuts down reports `ready=False` and lets its session expire.
 """
 
 from collections.abc import Iterable
@@ -23,29 +22,29 @@
 
 SESSION_LEASE_SECONDS: Final = 2.0  # from the last pull
 USAGE_RETENTION_SECONDS: Final = (
-    30.0  # how long the numbers of usage reports are remembered after the last pull
+    30.0  # after the last pull, for which usage report numbers are kept to recognize repeated reports
 )
 
 
 class ProxySession:
-    """A proxy's pulls: the last, those in progress, and the last usage report of each of its incarnations."""
+    """A proxy's pulls, and the number of the last usage report of each of its incarnations."""
 
     def __init__(self, last_pull_at: float) -> None:
         self.last_pull_at = last_pull_at
         self.pulls_in_progress = 0
-        self.config_index = 0  # of the operator's configuration that the proxy holds
+        self.config_index = 0  # index of the operator's configuration held by the proxy
         self.last_usage_report: dict[str, int] = {}
 
 
 class SessionStatus(NamedTuple):
-    """Which configuration a proxy holds, and how many seconds ago it last pulled."""
+    """Index of the configuration held by a proxy, and seconds since its last pull."""
 
     config_index: int
     seconds_since_pull: float
 
 
 class ProxySessions:
-    """Renewal, expiry and hand-over of the sessions of this registry."""
+    """Renews, expires and hands over the sessions of this registry."""
 
     def __init__(
         self,
@@ -63,14 +62,14 @@
         self._usage = UsageCounters(local_records.source)
         self._sessions: dict[str, ProxySession] = {}
         self._recorded_count = 0
-        self._recorded_count_at = -1  # change count at which it was counted
+        self._recorded_count_at = -1  # change count when `_recorded_count` was computed
 
     def __len__(self) -> int:
-        """How many proxies have pulled of late."""
+        """Number of proxies whose pulls are remembered, including recently expired sessions."""
         return len(self._sessions)
 
     def begin_pull(self, request: PullRequest, now: float) -> None:
-        """Renew the session, and take the reports that come with the pull."""
+        """Renew the session, and record the usage and load reported with the pull."""
         session = self._sessions.setdefault(request.node, ProxySession(now))
         session.last_pull_at = now
         session.pulls_in_progress += 1
@@ -84,11 +83,11 @@
             self._usage.add(request.usage)
 
     def end_pull(self, node: str) -> None:
-        """A pull has been answered, or its connection is lost."""
+        """Record that a pull got its response or lost its connection."""
         self._sessions[node].pulls_in_progress -= 1
 
     def live(self, now: float) -> dict[str, SessionRecord]:
-        """Proxies whose leases stand at a registry in reach, each by its newest record."""
+        """The newest record of each proxy with a valid lease at this or a reachable registry, by node."""
         newest: dict[str, SessionRecord] = {}
         for replica in self._peers.replicas.values():
             if not self._clock.has_expired(replica.last_contact_at, SESSION_LEASE_SECONDS, now):
@@ -105,7 +104,7 @@
         return {key[PREFIX_LENGTH:]: record for key, record in newest.items()}
 
     def recorded_count(self) -> int:
-        """Proxies with a record at any registry, counted again only after a change."""
+        """Number of proxies with a record at any registry, recounted only after a change."""
         if self._recorded_count_at != self._changes.count:
             sources = [self._local_records.source, *self._peers.sources()]
             keys = {key for source in sources for key in source.values if key[0] == SESSION_KIND}
@@ -114,8 +113,11 @@
         return self._recorded_count
 
     def release_moved(self, keys: Iterable[str]) -> None:
-        """Another registry has just changed these records: proxies among them without a pull in progress here
-        have moved there."""
+        """Drop sessions that have moved to another registry.
+
+        `keys`: records that another registry has changed. A proxy among them without a pull in progress here
+        has moved there.
+        """
         for key in keys:
             if key[0] != SESSION_KIND:
                 continue
@@ -125,14 +127,14 @@
                 self._drop_record(node)
 
     def status(self, node: str, now: float) -> SessionStatus | None:
-        """Of a proxy that pulls here; None: it does not."""
+        """The status of a session; None if the proxy has no valid session here."""
         session = self._sessions.get(node)
         if session is None or self._clock.has_expired(session.last_pull_at, SESSION_LEASE_SECONDS, now):
             return None
         return SessionStatus(session.config_index, now - session.last_pull_at)
 
     def expire(self, now: float) -> None:
-        """Drop the records of proxies whose leases have expired, and later what was kept of their reports."""
+        """Drop records with expired leases, and usage report numbers past their retention."""
         for node, session in list(self._sessions.items()):
             if self._clock.has_expired(session.last_pull_at, SESSION_LEASE_SECONDS, now):
                 self._drop_record(node)
--- a/ashlift/registry/registry.py
+++ b/ashlift/registry/registry.py
@@ -1,8 +1,7 @@
-"""What one registry knows, and what it answers: its own records, replicas of its peers', the operator's
-configuration. Pure.
+"""The state of one registry: local records, replicas of peers' records, and the operator's configuration.
 
-Requests come in with the steady clock (`now`, in seconds); responses go out. `change_count` rises whenever
-something other than usage or load has changed: whoever holds a call open looks again.
+Does no I/O. Callers pass the time of the monotonic clock in seconds (`now`). `change_count` increases with
+every change other than usage or load; handlers of long polls then check again whether they can respond.
 """
 
 from collections.abc import Mapping
@@ -35,27 +34,29 @@
 from ashlift.rpc.fragmentation import Fragmenter
 from ashlift.rpc.sources import OPERATOR_SOURCE
 
-PEER_REACHABLE_SECONDS: Final = 2.0  # peers that responded within this are recommended to proxies first
-# With a configuration confirmed longer ago, clients are sent to other regions no more: home regions may have
-# been set since. An election takes about one second.
+PEER_REACHABLE_SECONDS: Final = 2.0  # proxies are told of peers that responded within this time first
+# If the configuration was confirmed longer ago, clients are kept in their region, because home regions may
+# have changed since. An election takes about one second.
 MAX_REGION_POLICY_AGE_SECONDS: Final = 3.0
 
 
 class TickResult(NamedTuple):
-    """What a tick found: whether this process was paused, and the sources of peers that were dropped."""
+    """Whether this process was paused before the tick, and the sources of the peers that the tick dropped."""
 
     was_paused: bool
     dropped_peers: list[str]
 
 
 class Registry:
-    """The state of one registry, composed of a part for each kind of record."""
+    """Combines the records of workers, proxies, peer registries and the operator's configuration."""
 
     def __init__(
         self, identity: RegistryIdentity, seeds: list[str], zones: Mapping[str, str], now: float
     ) -> None:
-        """`seeds`: IPs of the core members until the operator's configuration is known; `zones`: zone ->
-        region."""
+        """`seeds`: IPs of the core members until the operator's configuration has been received.
+
+        `zones`: region of each zone.
+        """
         self.identity = identity
         self.seeds = seeds
         self.zones = zones
@@ -79,21 +80,21 @@
 
     @property
     def change_count(self) -> int:
-        """Rises with every change that somebody may wait for."""
+        """Increases with every change that a long poll waits for."""
         return self._changes.count
 
     @property
     def local_source(self) -> ReplicatedSource:
-        """The records of this registry itself."""
+        """The records that were reported to this registry."""
         return self._local_records.source
 
     def sources(self) -> list[tuple[str, ReplicatedSource]]:
-        """The records of each registry by the name of their source, this one's first."""
+        """The records of each registry with the name of their source, the local ones first."""
         replicas = self.peers.replicas.items()
         return [(self.identity.source, self.local_source), *((name, peer.source) for name, peer in replicas)]
 
     def tick(self, now: float) -> TickResult:
-        """Expire leases; to be called several times a second."""
+        """Expire leases. Must be called several times a second."""
         was_paused = self._clock.tick(now)
         self.instances.expire(now)
         self.sessions.expire(now)
@@ -102,14 +103,14 @@
     # ---- proxies
 
     def has_updates_for(self, versions: Mapping[str, int]) -> bool:
-        """Whether a pull with this version vector is answered without waiting."""
+        """Whether a pull with this version vector gets its response without waiting."""
         config = self.operator_config
         if config.version and config.has_significant_change_since(versions.get(OPERATOR_SOURCE)):
             return True
         return any(source.has_significant_change_since(versions.get(name)) for name, source in self.sources())
 
     def pull_response(self, request: PullRequest, received_at: float, now: float) -> PullResponse:
-        """What the proxy lacks that sent this request."""
+        """The response to a proxy's pull: the updates that it lacks."""
         updates = {}
         for name, source in self.sources():
             delta = source.delta_since(request.versions.get(name))
@@ -132,7 +133,7 @@
         )
 
     def _config_update(self, request: PullRequest, now: float) -> Json | None:
-        """What the proxy lacks of the operator's configuration: complete, packed, or a fragment."""
+        """The update of the operator's configuration that the proxy lacks: plain, packed, or a fragment."""
         if not self.operator_config.version:
             return None
         known_version = request.versions.get(OPERATOR_SOURCE)
@@ -147,15 +148,16 @@
         )
 
     def uptime(self, now: float) -> float:
-        """Seconds that this registry and all in contact have run: a young one may not know all proxies."""
+        """Shortest uptime of this registry and its live peers; a registry just started may lack proxies."""
         return now - self.peers.latest_start(self.peers.contacted_within(ALIVE_SECONDS, now))
 
     # ---- clients and workers
 
     def lookup(self, host: str, locality: Locality, now: float) -> LookupResult | Failure:
-        """Proxies for a client of that place which asks for `host`, near ones first.
+        """Proxies for a client in `locality` that looks up `host`, nearest first.
 
-        UNAVAILABLE: they are not known for sure, or none is ready where the host's home regions allow it.
+        Returns UNAVAILABLE if the proxies known here may be incomplete or out of date, or if none is ready
+        in the regions allowed for the host.
         """
         result = self.directory.lookup(locality, lambda: self._region_policy(host, now), now)
         if not self._is_allowed(host, locality, result):
@@ -166,14 +168,14 @@
         return result
 
     def _region_policy(self, host: str, now: float) -> RegionPolicy:
-        """Where clients of the host may be sent; an old configuration does not tell."""
+        """The regions allowed for the host; only the client's if the configuration may be out of date."""
         age = self.operator_config.lease_age(now)
         if age is None or age > MAX_REGION_POLICY_AGE_SECONDS:
             return CLIENT_REGION_ONLY
         return self.home_regions.policy(host)
 
     def _is_allowed(self, host: str, locality: Locality, result: LookupResult) -> bool:
-        """The invariant: outside the client's region, an answer names home regions of the host alone."""
+        """Check the invariant that proxies outside the client's region are in home regions of the host."""
         if not result.other_regions:
             return True
         home_regions = self.home_regions.shared_home_regions(host)
@@ -186,7 +188,7 @@
         )
 
     def heartbeat_target(self, zone: str, now: float) -> str:
-        """Address of the registry to which a worker of `zone` should send heartbeats: running, and near."""
+        """Address of the nearest available registry, to which a worker in `zone` should send heartbeats."""
         localities = [(self.identity.ip, self._locality)]
         for peer in self.peers.replicas.values():
             if (
@@ -206,28 +208,28 @@
         return f"{nearest_ip}:{self.identity.http_port}"
 
     def is_leave_confirmed(self, recorded_at: float) -> bool:
-        """Whether what a leaving worker said here at `recorded_at` has gone to most core members.
+        """Whether a drain or deregistration recorded at that time has reached a majority of core members.
 
-        Its acknowledgement binds all proxies, also if this registry is cut off from the others right now.
+        It must not be acknowledged earlier: if this registry is partitioned, the others would not know of it.
         """
         return self.peers.has_reached_majority_since(self.core_members(), recorded_at)
 
     # ---- other registries
 
     def core_members(self) -> dict[str, Any]:
-        """The operator's entry of each core member, by IP; the seeds before the configuration is known."""
+        """The configuration entry of each core member by IP; the seeds until a configuration is received."""
         return self.operator_config.core_members() or dict.fromkeys(self.seeds)
 
     def peer_ips(self, now: float) -> set[str]:
-        """Registries to pull from."""
+        """IPs of the registries whose records are replicated here."""
         return self.peers.ips(self.core_members(), now)
 
     def is_isolated(self, now: float) -> bool:
-        """Whether most core members are out of reach."""
+        """Whether this registry has lost contact with a majority of core members."""
         return self.peers.is_isolated(self.core_members(), now)
 
     def registries_by_distance(self, zone: str, region: str, now: float) -> list[str]:
-        """IPs of the registries for a proxy of that place: those in reach first, near ones first."""
+        """IPs of the registries for a proxy in that zone: reachable ones first, nearest first."""
         localities = {self.identity.ip: self._locality}
         for name in self.peers.contacted_within(PEER_REACHABLE_SECONDS, now):
             peer = self.peers.replicas[name]
@@ -240,17 +242,17 @@
         return sorted(set(self.core_members()) | set(localities), key=preference)
 
     def receive_swap_request(self, request: SwapRequest, now: float) -> None:
-        """Another registry has asked for this one's records."""
+        """Record that another registry has requested the local records."""
         if request.caller_ip is not None:
             self.peers.record_call(request.caller_ip, now)
 
     def has_updates_for_peer(self, request: SwapRequest) -> bool:
-        """Whether a swap with this version is answered without waiting."""
+        """Whether a swap request with this version gets its response without waiting."""
         is_current = request.incarnation == self.identity.incarnation
         return not is_current or self.local_source.has_significant_change_since(request.version)
 
     def swap_response(self, request: SwapRequest) -> SwapResponse:
-        """What the registry lacks that sent this request."""
+        """The response to another registry's swap request: the local records that it lacks."""
         is_current = request.incarnation == self.identity.incarnation
         delta = self.local_source.delta_since(request.version if is_current else None)
         identity = self.identity
@@ -262,5 +264,5 @@
         return SwapResponse(self.local_source.version, delta, origin)
 
     def receive_swap_response(self, ip: str, response: SwapResponse, sent_at: float) -> None:
-        """The registry at `ip` has answered a request sent at `sent_at`."""
+        """Apply the response of the registry at `ip` to a swap request sent at `sent_at`."""
         self.sessions.release_moved(self.peers.receive_swap_response(ip, response, sent_at))
--- a/ashlift/registry/replicated_source.py
+++ b/ashlift/registry/replicated_source.py
@@ -1,7 +1,7 @@
-"""The records of one origin under a version that rises with every change, replicated by deltas. Pure.
+"""A versioned set of records of one origin, replicated by deltas. Does no I/O.
 
-Records of usage and load change all the time: their changes get versions, but are not significant and wake no
-waiting call.
+Every change increments the version. Usage and load records change constantly, so their changes are not
+significant: they do not end long polls.
 """
 
 from collections.abc import Iterable, Mapping
@@ -10,11 +10,11 @@
 from ashlift.registry.codec import INSIGNIFICANT_PREFIXES
 from ashlift.registry.delta import Delta, SnapshotHorizon
 
-MAX_TOMBSTONES: Final = 1000  # removed keys that are remembered, so that deltas can name them
+MAX_TOMBSTONES: Final = 1000  # removed keys kept for deltas
 
 
 class ReplicatedSource:
-    """The records of one origin: this registry's own, or a replica of another origin's."""
+    """The records of one origin: the local ones, or a replica of another origin's."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -22,8 +22,8 @@
         self.values: dict[str, Any] = {}
         self._changed_at: dict[
             str, int
-        ] = {}  # key -> version of its last change, oldest first; removed keys too
-        self._removed_at: dict[str, int] = {}  # removed key -> version, oldest first
+        ] = {}  # version of each key's last change, oldest first, including removed keys
+        self._removed_at: dict[str, int] = {}  # version of each key's removal, oldest first
         self._horizon = SnapshotHorizon()
 
     def put(self, key: str, value: Any) -> None:
@@ -31,12 +31,12 @@
         self.merge(self.version + 1, {key: value}, ())
 
     def drop(self, key: str) -> None:
-        """Remove one record under the next version; nothing where there is none."""
+        """Remove one record under the next version; does nothing if it does not exist."""
         if key in self.values:
             self.merge(self.version + 1, {}, (key,))
 
     def merge(self, version: int, values: Mapping[str, Any], removed: Iterable[str]) -> None:
-        """Advance to `version` by a delta from the version held, or from an older one."""
+        """Apply a delta to `version` from the current version or an older one."""
         self.version = version
         for key, value in values.items():
             self._removed_at.pop(key, None)
@@ -50,21 +50,24 @@
         self._forget_oldest_tombstones()
 
     def replace(self, version: int, values: Mapping[str, Any]) -> None:
-        """Advance to `version` by a snapshot: its complete content is `values`."""
+        """Replace all records by a snapshot of `version`."""
         self.record_skipped_versions(version)
         changed = {key: value for key, value in values.items() if self.values.get(key) != value}
         self.merge(version, changed, [key for key in self.values if key not in values])
 
     def record_skipped_versions(self, version: int) -> None:
-        """The next change leads from the version held to `version`, and comes from a replica that may have
-        skipped versions between: a key that changed there and changed back is named by no delta."""
+        """Record that the next change, from the current version to `version`, may skip versions between.
+
+        A key that changed in a skipped version and changed back is missing from the delta, so holders of
+        skipped versions need a snapshot.
+        """
         if not self.version:
             self._horizon.raise_floor(version)
         elif version > self.version + 1:
             self._horizon.add_gap(self.version, version)
 
     def delta_since(self, known_version: int | None) -> Delta | None:
-        """What a holder of that version lacks (None: it holds nothing), or None if it is up to date."""
+        """The changes since `known_version` (None: holds no version); None if it is up to date."""
         if known_version is not None and known_version >= self.version:
             return None
         if known_version is None or self._horizon.needs_snapshot(known_version):
@@ -81,11 +84,11 @@
         return Delta(self.version, False, values, removed)
 
     def has_significant_change_since(self, known_version: int | None) -> bool:
-        """Whether a holder of that version lacks something other than usage and load."""
+        """Whether something other than usage and load has changed since that version."""
         return known_version is None or known_version < self.last_significant_version
 
     def _record_change(self, key: str, version: int) -> None:
-        self._changed_at.pop(key, None)  # to the end of the order
+        self._changed_at.pop(key, None)  # to move the key to the end
         self._changed_at[key] = version
         if not key.startswith(INSIGNIFICANT_PREFIXES):
             self.last_significant_version = version
--- a/ashlift/registry/store_client.py
+++ b/ashlift/registry/store_client.py
@@ -1,4 +1,4 @@
-"""Calls to the configuration store: of the own machine, or of another core member where that is not there."""
+"""Calls to the configuration store: the local one, or that of another core member if it is unavailable."""
 
 import time
 from collections.abc import Callable
@@ -14,27 +14,27 @@
 from ashlift.registry.store_position import POSITION_REQUEST, StorePosition, stores_to_try
 from ashlift.rpc.client import ClientPool
 
-COMMAND_TIMEOUT_SECONDS: Final = 0.9  # operators' clients try the next registry after a second
-EXTRA_TIMEOUT_SECONDS_PER_BYTE: Final = 1e-5  # of a body: clients wait longer for large ones
-WATCH_GRACE_SECONDS: Final = 0.6  # for a response beyond the time for which the call may be held
-PENDING_EDITS_TIMEOUT_SECONDS: Final = 0.6  # for the responses of all stores
+COMMAND_TIMEOUT_SECONDS: Final = 0.9  # operators' clients try the next registry after 1 s
+EXTRA_TIMEOUT_SECONDS_PER_BYTE: Final = 1e-5  # of the request body; clients allow more time for large bodies
+WATCH_GRACE_SECONDS: Final = 0.6  # for the response, in addition to the long poll
+PENDING_EDITS_TIMEOUT_SECONDS: Final = 0.6  # for the responses of all stores, called in parallel
 
 
 class StoreClient:
-    """Sends commands to one store after the other until one answers clearly; watches the configuration."""
+    """Sends commands to the stores until one gives a conclusive response; watches the configuration."""
 
     def __init__(
         self, local_ip: str, port: int, members: Callable[[], list[str]], clients: ClientPool
     ) -> None:
-        """`port`: of the stores' RPC calls. `members`: IPs of all stores, near ones first."""
+        """`port`: RPC port of the stores. `members`: returns the IPs of all stores, nearest first."""
         self._local_ip = local_ip
         self._port = port
         self._members = members
         self._clients = clients
-        self._watch_clients = ClientPool()  # separate: closed after a time-out, which must not lose commands
+        self._watch_clients = ClientPool()  # separate, since a timeout closes its connection
         self._watch_count = 0
         self._local_store_is_unresponsive = (
-            False  # it accepts calls and does not respond: its disk hangs, or it is paused
+            False  # accepts calls without responding: its disk hangs or the process is paused
         )
         self._position = StorePosition()
 
@@ -46,10 +46,11 @@
         body_bytes: int = 0,
         not_written_before: float | None = None,
     ) -> CommandResult | Failure:
-        """Have an operator's command executed; a Failure: there is no clear answer.
+        """Execute an operator's command; returns a Failure if no store gave a conclusive response.
 
-        `if_match`: the version that the operator has seen. `body_bytes`: size of the request's body.
-        `not_written_before`: steady time before which the request was not written; None: now.
+        `if_match`: the configuration version that the operator expects. `body_bytes`: size of the request
+        body. `not_written_before`: earliest monotonic time at which the client can have written the request;
+        None: now.
         """
         written_at = time.monotonic() if not_written_before is None else not_written_before
         deadline = written_at + COMMAND_TIMEOUT_SECONDS + body_bytes * EXTRA_TIMEOUT_SECONDS_PER_BYTE
@@ -62,12 +63,12 @@
         return _command_result(self._call_until_conclusive("submit", command_with_token, deadline))
 
     def read(self) -> Json | Failure:
-        """The operator's entries as committed, by key."""
+        """The committed configuration entries by key."""
         answer = self._call_until_conclusive("read", dict, time.monotonic() + COMMAND_TIMEOUT_SECONDS)
         return answer if isinstance(answer, Failure) else codec.decode_configuration(answer)
 
     def members(self, action: str, ip: str) -> CommandResult | Failure:
-        """Who votes and learns (`show`), or a change of that (`remove`, `replace`, `add`)."""
+        """List the voters and learners (`show`), or change them (`remove`, `replace`, `add`)."""
         body = codec.encode_membership_command(action, ip)
         return _command_result(
             self._call_until_conclusive("members", lambda: body, time.monotonic() + COMMAND_TIMEOUT_SECONDS)
@@ -76,9 +77,9 @@
     def watch(
         self, known_index: int, wait_seconds: float, use_local_store: bool, fragment: list[Any] | None = None
     ) -> Json | Failure:
-        """What is new of the operator's configuration, from the own store or from the next other one.
+        """Fetch changes of the operator's configuration from the local store or from the next remote one.
 
-        `fragment`: which one of a large configuration is wanted.
+        `fragment`: the fragment of a large configuration to fetch.
         """
         ip = self._local_ip if use_local_store else self._next_other_store()
         if ip is None:
@@ -95,7 +96,7 @@
         return answer
 
     def exchange_pending_edits(self, edits: list[Json]) -> dict[str, list[Json] | Failure]:
-        """Give all stores these edits to keep; what each of them holds then, by IP."""
+        """Send pending edits to all stores; returns by IP all pending edits that each store then holds."""
         body = codec.encode_pending_edits_request(edits)
         calls = {
             ip: gevent.spawn(
@@ -117,7 +118,10 @@
         return other_stores[self._watch_count % len(other_stores)]
 
     def _call_until_conclusive(self, method: str, body: Callable[[], Json], deadline: float) -> Any:
-        """The first clear answer of a store; else the least clear Failure."""
+        """Call stores until one gives a conclusive response; otherwise returns a Failure.
+
+        OUTCOME_UNKNOWN takes precedence over failures of calls that were not executed.
+        """
         stores = stores_to_try(self._local_ip, self._members(), self._local_store_is_unresponsive)
         request = OperatorRequest(stores, time.monotonic(), deadline)
         responses = Queue[tuple[str, Any]]()
@@ -140,7 +144,7 @@
         return request.outcome
 
     def _call(self, ip: str, method: str, body: Callable[[], Json], deadline: float) -> Any:
-        """Call one store; if the fencing token was too old, again with the position that the store gives."""
+        """Call one store; if the fencing token has expired, retry with the store's current position."""
         client = self._clients.client((ip, self._port))
         answer = client.call(method, body(), deadline - time.monotonic())
         if isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
--- a/ashlift/registry/worker_instances.py
+++ b/ashlift/registry/worker_instances.py
@@ -1,7 +1,8 @@
-"""Workers that send their heartbeats to this registry, and what all registries know of workers. Pure.
+"""Leases of the workers that send heartbeats to this registry, and the known workers of all registries.
 
-A worker's record is the one with the highest sequence number over all sources. Its lease is three heartbeats;
-one that deregisters leaves a tombstone, so that no late heartbeat revives it.
+Does no I/O. Of several records of a worker, the one with the highest sequence number is valid. A lease lasts
+three heartbeat intervals. Deregistration leaves a tombstone, so that a delayed heartbeat does not register
+the worker again.
 """
 
 from collections.abc import Iterable
@@ -15,36 +16,34 @@
 from ashlift.registry.replicated_source import ReplicatedSource
 
 LEASE_HEARTBEATS: Final = 3
-TOMBSTONE_RETENTION_SECONDS: Final = 30.0  # how long a deregistration is remembered
-EXPIRED_RETENTION_SECONDS: Final = 60.0  # how long a worker whose lease has expired is remembered
+TOMBSTONE_RETENTION_SECONDS: Final = 30.0  # for which a tombstone is kept
+EXPIRED_RETENTION_SECONDS: Final = 60.0  # for which the last record of an expired worker is kept
 
 
 class LastHeartbeat(NamedTuple):
-    """When a worker's last heartbeat came here, and its sequence number."""
+    """When this registry received a worker's last heartbeat, and its sequence number."""
 
     received_at: float
     call_seq: int
 
 
 class ExpiredWorkers:
-    """Workers with expired leases, each as last recorded, to distinguish late heartbeats from new ones."""
+    """The last records of workers with expired leases, to tell delayed heartbeats from new ones."""
 
     def __init__(self) -> None:
-        self._last: dict[
-            str, tuple[float, WorkerRecord]
-        ] = {}  # by ID: when the lease expired, the last record
+        self._last: dict[str, tuple[float, WorkerRecord]] = {}  # by ID: expiry time and last record
 
     def add(self, worker_id: str, record: WorkerRecord, call_seq: int, now: float) -> None:
-        """Its lease has expired; `call_seq`: of its last heartbeat, which the record need not hold."""
+        """Keep the record of a worker whose lease has expired; `call_seq` is that of its last heartbeat."""
         self._last[worker_id] = now, record._replace(call_seq=call_seq)
 
     def is_late(self, worker_id: str, record: WorkerRecord) -> bool:
-        """Whether it was sent before that incarnation's last heartbeat; a new one has another address."""
+        """Whether the heartbeat is older than the last one of the same incarnation (the same address)."""
         _, last = self._last.get(worker_id, (0.0, record))
         return record.call_seq < last.call_seq and record.address == last.address
 
     def prune(self, now: float) -> None:
-        """Drop those whose late heartbeats can no longer arrive."""
+        """Drop records whose delayed heartbeats can no longer arrive."""
         self._last = {
             worker_id: (expired_at, record)
             for worker_id, (expired_at, record) in self._last.items()
@@ -53,7 +52,7 @@
 
 
 class WorkerInstances:
-    """Heartbeats, leases and tombstones of the workers of this registry."""
+    """Heartbeats, leases and tombstones of the workers that report to this registry."""
 
     def __init__(
         self, local_records: LocalRecords, peers: PeerRegistries, clock: LeaseClock, heartbeat_seconds: float
@@ -63,11 +62,11 @@
         self._clock = clock
         self._lease_seconds = LEASE_HEARTBEATS * heartbeat_seconds
         self._heartbeats: dict[str, LastHeartbeat] = {}
-        self._tombstones: dict[str, float] = {}  # ID -> when it deregistered
+        self._tombstones: dict[str, float] = {}  # by ID: time of deregistration
         self._expired = ExpiredWorkers()
 
     def record_heartbeat(self, worker_id: str, record: WorkerRecord, now: float) -> bool:
-        """Renew the worker's lease; False: the heartbeat is late, and is ignored."""
+        """Renew the worker's lease; returns False if the heartbeat is outdated and was ignored."""
         key = WORKER_PREFIX + worker_id
         newest = self._newest(worker_id)
         local_record: WorkerRecord | None = self._local_records.get(key)
@@ -81,7 +80,7 @@
         return True
 
     def deregister(self, worker_id: str, now: float) -> None:
-        """The worker has shut down for good: its ID is never used again."""
+        """Replace the worker's record by a tombstone; its ID must not be used again."""
         key = WORKER_PREFIX + worker_id
         tombstone = (self._newest(worker_id) or UNKNOWN_WORKER).as_tombstone()
         self._heartbeats.pop(worker_id, None)
@@ -90,12 +89,12 @@
             self._local_records.put(key, tombstone)
 
     def capacity(self, worker_id: str) -> int | None:
-        """Requests that the worker takes at a time; None: no such worker is known."""
+        """Maximum concurrent requests of the worker; None if it is unknown."""
         newest = self._newest(worker_id)
         return newest.capacity if newest is not None else None
 
     def all_known(self) -> dict[str, WorkerRecord]:
-        """All workers by ID, each by its newest record."""
+        """The newest record of each worker by ID, without tombstones."""
         newest: dict[str, WorkerRecord] = {}
         for source in self._sources():
             for key, record in source.values.items():
@@ -108,7 +107,7 @@
         }
 
     def expire(self, now: float) -> None:
-        """Drop the records of workers whose leases have expired, and old tombstones."""
+        """Drop records with expired leases, and tombstones past their retention."""
         expired = [
             worker_id
             for worker_id, heartbeat in self._heartbeats.items()
@@ -134,7 +133,7 @@
     def _is_published(
         local_record: WorkerRecord | None, newest: WorkerRecord | None, record: WorkerRecord, now: float
     ) -> bool:
-        """Whether both this registry's record and the newest of all are equivalent to this one."""
+        """Whether the local record and the newest record of any registry are both equivalent to `record`."""
         if local_record is None or newest is None or not local_record.is_equivalent(record, now):
             return False
         return newest is local_record or newest.is_equivalent(record, now)
