--- a/ashlift/registry/__main__.py
+++ b/ashlift/registry/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m ashlift.registry`: the registry of one core machine, as its settings file says."""
+"""`python3 -m ashlift.registry`: runs the registry of one core machine from its settings file."""
 
 import os
 import sys
@@ -36,14 +36,14 @@
 from ashlift.rpc.server import RpcServer, serve
 
 EXIT_INVALID_SETTINGS: Final = 2
-SETTINGS_CHECK_SECONDS: Final = 1.0  # between two checks whether the settings file has changed
-SHUTDOWN_FRACTION: Final = 0.9  # of `Grace`, within which what was accepted is answered at the end
+SETTINGS_CHECK_SECONDS: Final = 1.0  # between checks for a changed settings file
+SHUTDOWN_FRACTION: Final = 0.9  # of `Grace`, in which accepted requests may finish
 SHUTDOWN_CHECK_SECONDS: Final = 0.01
 INCARNATION_BYTES: Final = 4
 
 
 class RegistryProgram:
-    """Builds the parts from the settings, and runs them until the process is to end."""
+    """Builds the components from the settings, and runs them until shutdown."""
 
     def __init__(self, settings_path: str, settings: Settings, metrics_port: int | None) -> None:
         self._settings_path = settings_path
@@ -97,14 +97,14 @@
         }
 
     def _shut_down(self, rpc_server: RpcServer) -> None:
-        """Answer the calls in progress, and end the loops."""
+        """Finish the calls in progress, and end the loops."""
         deadline = time.monotonic() + SHUTDOWN_FRACTION * self._settings.bounds.grace
         self._notifier.shut_down()
         rpc_calls = gevent.spawn(rpc_server.shut_down, deadline - time.monotonic())
         for http_server in self._http_servers:
             http_server.shut_down()
         while time.monotonic() < deadline:
-            gevent.sleep(SHUTDOWN_CHECK_SECONDS)  # first, as connections just accepted have not begun yet
+            gevent.sleep(SHUTDOWN_CHECK_SECONDS)  # first, so that connections just accepted can start
             for http_server in self._http_servers:
                 http_server.close_idle_connections()
             if not any(http_server.has_connections for http_server in self._http_servers):
@@ -113,18 +113,18 @@
         self._loops.stop()
 
     def _seeds(self) -> list[str]:
-        """IPs of the seeds, each once."""
+        """IPs of the seeds without duplicates."""
         return list(dict.fromkeys(host for host, _ in self._settings.seeds))
 
     def _stores_by_distance(self) -> list[str]:
-        """IPs of the stores, those whose registries are in reach and near first."""
+        """IPs of the stores: those with reachable registries first, nearest first."""
         identity = self._registry.identity
         members = self._registry.core_members()
         registries = self._registry.registries_by_distance(identity.zone, identity.region, time.monotonic())
         return [ip for ip in registries if ip in members]
 
     def _checksum(self) -> int:
-        """A number that changes with the settings file."""
+        """Checksum of the settings file; 0 if it cannot be read."""
         try:
             with open(self._settings_path, "rb") as file:
                 return zlib.crc32(file.read())
@@ -149,7 +149,7 @@
     _, http_port = http_address
     return RegistryIdentity(
         node=settings.node_name,
-        incarnation=os.urandom(INCARNATION_BYTES).hex(),  # `secrets` would load OpenSSL at each start
+        incarnation=os.urandom(INCARNATION_BYTES).hex(),  # importing `secrets` would load OpenSSL
         ip=settings.ip,
         zone=settings.zone,
         region=settings.region,
@@ -159,7 +159,7 @@
 
 
 def main() -> int:
-    """Run the program; returns the exit status."""
+    """Run the registry; returns the exit status."""
     path = process.settings_path()
     settings = read_settings(path)
     if isinstance(settings, list):
--- a/ashlift/registry/api/__init__.py
+++ b/ashlift/registry/api/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP API of a registry: for workers, clients and operators; a resource a module."""
+"""The HTTP API of a registry for workers, clients and operators, one resource per module."""
--- a/ashlift/registry/api/command_responses.py
+++ b/ashlift/registry/api/command_responses.py
@@ -1,4 +1,4 @@
-"""From a store's result of an operator's command to the HTTP response, and its line in the log."""
+"""HTTP responses and log events for the results of operators' commands."""
 
 from ashlift.errors import Failure, FailureReason
 from ashlift.events import log_event
@@ -9,12 +9,12 @@
 
 
 def outcome_unknown_response(failure: Failure) -> HttpResponse:
-    """The operator is to ask again: the command may have been executed or not."""
+    """503: the command may or may not have been executed, and the operator should retry."""
     return error_response(503, f"no clear answer: {failure.reason}", RETRY_AFTER_SECONDS)
 
 
 def log_command(kind: str, result: CommandResult) -> None:
-    """Log one line a command, with what the operator receives."""
+    """Log the result that the operator receives."""
     log_event(
         events.COMMAND_ANSWERED,
         kind=kind,
@@ -25,7 +25,7 @@
 
 
 def command_response(kind: str, result: CommandResult | Failure) -> HttpResponse:
-    """The response to a change of the configuration, which is logged."""
+    """Log the result of a configuration change, and convert it to the response."""
     if isinstance(result, Failure):
         log_event(events.COMMAND_ANSWERED, kind=kind, error=result)
         if result.reason == FailureReason.INVALID:
--- a/ashlift/registry/api/config.py
+++ b/ashlift/registry/api/config.py
@@ -1,4 +1,4 @@
-"""`/config`: all of the operator's configuration."""
+"""`/config`: the operator's complete configuration."""
 
 from typing import Final
 
@@ -12,7 +12,7 @@
 
 
 class ConfigResource(Resource):
-    """Read and changed at the store; `If-Match` names the version that the operator has seen."""
+    """Reads and changes the configuration at the store; `If-Match` is the expected version."""
 
     max_body_bytes = MAX_CONFIG_BYTES
 
@@ -20,22 +20,22 @@
         self._store = store
 
     def get(self, _request: HttpRequest) -> HttpResponse:
-        """The configuration as committed; 404 before there is one."""
+        """The committed configuration; 404 if there is none yet."""
         entries = self._store.read()
         if isinstance(entries, Failure):
             return outcome_unknown_response(entries)
         if not entries.get("Version"):
             return error_response(404, "there is no configuration yet")
-        from ashlift.config.operator_config import export_configuration  # 6 ms of a start, and seldom needed
+        from ashlift.config.operator_config import export_configuration  # slow to import, rarely needed
 
         return HttpResponse(200, export_configuration(entries))
 
     def put(self, request: HttpRequest) -> HttpResponse:
-        """Replace it."""
+        """Replace the configuration."""
         return self._change("put", request)
 
     def patch(self, request: HttpRequest) -> HttpResponse:
-        """Change a part of it."""
+        """Change a part of the configuration."""
         return self._change("patch", request)
 
     def _change(self, kind: str, request: HttpRequest) -> HttpResponse:
--- a/ashlift/registry/api/connection.py
+++ b/ashlift/registry/api/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection to the API: requests read within bounds, answered one after the other."""
+"""One client connection to the API: reads requests within size and time limits, and responds in order."""
 
 import contextlib
 import time
@@ -11,30 +11,30 @@
 from ashlift.rpc.sockets import RECEIVE_BYTES, close_after_last_response, configure_socket, has_unread_input
 
 REQUEST_TIMEOUT_SECONDS: Final = 10.0  # from a request's first byte to its last
-IDLE_TIMEOUT_SECONDS: Final = 30.0  # for which a connection may wait for its next request
-FIRST_REQUEST_SECONDS: Final = 0.3  # for which one that was just accepted may wait while the process ends
-LINGER_SECONDS: Final = 0.5  # for which is read what still comes after a last response
+IDLE_TIMEOUT_SECONDS: Final = 30.0  # without a request
+FIRST_REQUEST_SECONDS: Final = 0.3  # after accepting, for a first request during shutdown
+LINGER_SECONDS: Final = 0.5  # for which remaining input is read after the last response
 MIN_RECEIVE_TIMEOUT_SECONDS: Final = 0.01
 CONTINUE: Final = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class RequestServer(Protocol):
-    """What a connection needs of the server. `is_shutting_down`: it ends with its next answer."""
+    """The server as used by a connection; `is_shutting_down`: connections close after the next response."""
 
     is_shutting_down: bool
 
     def respond(self, request: HttpRequest) -> HttpResponse:
-        """Answer a request; may wait."""
+        """The response to a request; may block."""
 
     def max_body_bytes(self, path: str) -> int:
-        """How large the body of a request for that path may be."""
+        """Maximum body size of requests for that path."""
 
     def earliest_send_time(self, now: float) -> float:
-        """Steady time before which no request of a connection that is accepted `now` was written."""
+        """Monotonic time before which no request on a connection accepted at `now` was sent."""
 
 
 class ApiConnection:
-    """Serves one connection until its client leaves or the server shuts down."""
+    """Serves one connection until the client closes it or the server shuts down."""
 
     def __init__(self, sock: socket.socket, server: RequestServer) -> None:
         self._sock = sock
@@ -44,10 +44,10 @@
         self._request_began_at = 0.0
         self._is_responding = False
         self._has_responded = False
-        self._is_closing = False  # its last answer is written
+        self._is_closing = False  # the last response is being sent
 
     def run(self) -> None:
-        """Answer requests one after the other, and close the connection."""
+        """Serve the connection, and close it."""
         try:
             with contextlib.suppress(OSError):
                 configure_socket(self._sock)
@@ -56,7 +56,7 @@
             self._sock.close()
 
     def close_if_idle(self, now: float) -> None:
-        """End the connection if nothing of a request has arrived and nothing is owed. `now`: steady time."""
+        """Close the connection if no request is being received or processed; `now`: monotonic time."""
         if self._is_responding or self._is_closing or self._parser.is_receiving:
             return
         may_be_about_to_send = not self._has_responded and now < self._accepted_at + FIRST_REQUEST_SECONDS
@@ -64,9 +64,9 @@
             self._sock.close()
 
     def _serve(self) -> None:
-        """Answer the requests of the connection until it ends.
+        """Respond to requests until the connection ends.
 
-        A request was not written before the connection was there, nor before the answer to the one before it.
+        A request cannot have been sent before the connection existed, nor before the previous response.
         """
         parser = self._parser
         not_written_before = self._server.earliest_send_time(time.monotonic())
@@ -86,7 +86,7 @@
                 self._sock.sendall(CONTINUE)
 
     def _receive(self) -> bytes:
-        """The next bytes; none: the connection has ended, or its client was too slow."""
+        """The next bytes; empty if the connection has ended or timed out."""
         timeout = IDLE_TIMEOUT_SECONDS
         if self._parser.is_receiving:
             timeout = self._request_began_at + REQUEST_TIMEOUT_SECONDS - time.monotonic()
@@ -94,7 +94,7 @@
         try:
             return self._sock.recv(RECEIVE_BYTES)
         except TimeoutError:
-            if has_unread_input(self._sock):  # found in the same turn of the event loop as the time-out
+            if has_unread_input(self._sock):  # arrived together with the timeout
                 return self._sock.recv(RECEIVE_BYTES)
             if self._parser.is_receiving:
                 response = error_response(408, f"not whole within {REQUEST_TIMEOUT_SECONDS:g} s")
@@ -102,9 +102,9 @@
             return b""
 
     def _respond_to_requests(self, not_written_before: float) -> float | None:
-        """Answer all that is complete; when the last answer was ready (0: nothing was complete).
+        """Respond to all complete requests; returns when the last response was ready (0: none was complete).
 
-        None: the connection ends with the last answer.
+        Returns None if the connection was closed after the last response.
         """
         responded_at = 0.0
         requests = self._parser.requests
@@ -124,14 +124,14 @@
         return responded_at
 
     def _closes_after_next_response(self) -> bool:
-        """Whether the server shuts down and nothing more has been sent by the client."""
+        """Whether the server is shutting down and no further input has arrived."""
         if not self._server.is_shutting_down:
             return False
         parser = self._parser
         return not (parser.requests or parser.is_receiving or has_unread_input(self._sock))
 
     def _send_last_response(self, response: bytes) -> None:
-        """Send it and close; what still arrives is read first, or closing would reset the connection."""
+        """Send a response and close, after reading remaining input that would cause a connection reset."""
         self._is_closing = True
         self._sock.settimeout(REQUEST_TIMEOUT_SECONDS)
         self._sock.sendall(response)
--- a/ashlift/registry/api/evacuation.py
+++ b/ashlift/registry/api/evacuation.py
@@ -1,4 +1,4 @@
-"""`/evacuation/ZONE`: no traffic to a zone, until it is taken back."""
+"""`/evacuation/ZONE`: stops traffic to a zone until the evacuation is ended."""
 
 import time
 from collections.abc import Callable
@@ -13,14 +13,18 @@
 from ashlift.registry.api.resource import RETRY_AFTER_SECONDS, Resource
 from ashlift.registry.store_client import StoreClient
 
-MAX_REQUEST_AGE_SECONDS: Final = 0.4  # a request that names no version, and may be older, is to be sent again
+MAX_REQUEST_AGE_SECONDS: Final = 0.4  # a request that may be older must be sent again
 
 
 class EvacuationResource(Resource):
-    """No version guards these commands: only what was certainly written just now is executed."""
+    """Starts and ends evacuations.
+
+    These commands have no `If-Match` version that would reject a delayed one, so only requests that were
+    certainly sent within `MAX_REQUEST_AGE_SECONDS` are executed.
+    """
 
     def __init__(self, store: StoreClient, settings: Callable[[], Settings]) -> None:
-        """`settings`: the current ones, which name the zones."""
+        """`settings`: returns the current settings, which list the zones."""
         self._store = store
         self._settings = settings
 
@@ -47,10 +51,10 @@
 
 
 def _retry_redirect(kind: str, request: HttpRequest) -> HttpResponse:
-    """Redirect to the same URL: a client that still waits sends the request again.
+    """Redirect to the same URL, so that a client that still waits sends the request again.
 
-    It may have lain in a buffer or been held up by a partition, or another's was taken meanwhile: its sender
-    may have given up, and may have revoked what it asks for.
+    The request may have been delayed in a buffer or by a partition, and its sender may have timed out and
+    revoked it since.
     """
     log_event(events.COMMAND_ANSWERED, kind=kind, status=307)
     host = request.headers.get("host")
--- a/ashlift/registry/api/heartbeat_body.py
+++ b/ashlift/registry/api/heartbeat_body.py
@@ -1,4 +1,4 @@
-"""The body of a worker's heartbeat, `PUT /instances/ID`. Pure; times in seconds of the steady clock."""
+"""Parses the body of a worker's heartbeat, `PUT /instances/ID`. Monotonic times in seconds."""
 
 from typing import Any, Final
 
@@ -12,7 +12,7 @@
 
 
 def parse_heartbeat(body: bytes, now: float) -> WorkerRecord | Failure:
-    """The worker that the body describes, or an INVALID failure that says what is wrong with it."""
+    """The worker record described by the body, or an INVALID failure that says what is wrong."""
     value = parse_json(body)
     if isinstance(value, Failure):
         return value
@@ -50,7 +50,7 @@
 
 
 def _check_strings(service: Any, address: Any, zone: Any, config_version: Any) -> None:
-    """Raises ValueError, or AttributeError where the address is no text."""
+    """Raises ValueError for invalid fields, or AttributeError if the address is not a string."""
     host, _, port = address.rpartition(":")
     required = (service, host, zone)
     if not all(required) or not all(isinstance(text, str) for text in (*required, config_version)):
--- a/ashlift/registry/api/instances.py
+++ b/ashlift/registry/api/instances.py
@@ -1,4 +1,7 @@
-"""`/instances/ID`: heartbeats of workers. What a leaving worker says is acknowledged once others know it."""
+"""`/instances/ID`: heartbeats and deregistrations of workers.
+
+Drains and deregistrations are acknowledged after a majority of the registries has received them.
+"""
 
 import time
 from collections.abc import Callable
@@ -20,15 +23,15 @@
 
 
 class InstancesResource(Resource):
-    """A late heartbeat is not acknowledged: its sender would rely on a record that is not there."""
+    """Handles heartbeats; outdated ones are not acknowledged, because no record is kept of them."""
 
     def __init__(self, registry: Registry, notify_if_changed: Callable[[], None]) -> None:
-        """`notify_if_changed`: wakes whoever holds a call open."""
+        """`notify_if_changed`: wakes long polls after a change."""
         self._registry = registry
         self._notify_if_changed = notify_if_changed
 
     def put(self, request: HttpRequest) -> HttpResponse:
-        """A heartbeat; the response names the registry to send the next one to."""
+        """Record a heartbeat; the response has the registry to which to send the next one."""
         now = time.monotonic()
         worker_id = _worker_id(request)
         if worker_id is None:
@@ -40,14 +43,16 @@
         self._notify_if_changed()
         if not is_accepted:
             return error_response(503, "a call with a higher CallSeq has come", RETRY_AFTER_SECONDS)
-        if self._registry.is_isolated(now):  # the heartbeat counts here, and the worker goes elsewhere
+        if self._registry.is_isolated(
+            now
+        ):  # the heartbeat is recorded, but the worker should use another registry
             return error_response(503, "out of reach of the other registries", RETRY_AFTER_SECONDS)
         if record.state is WorkerState.DRAINING and not self._await_confirmation(now):
             return error_response(503, "not confirmed by the other registries", RETRY_AFTER_SECONDS)
         return HttpResponse(200, {"HeartbeatTarget": self._registry.heartbeat_target(record.zone, now)})
 
     def delete(self, request: HttpRequest) -> HttpResponse:
-        """The worker shuts down for good."""
+        """Deregister the worker."""
         worker_id = _worker_id(request)
         if worker_id is None:
             return error_response(400, "DELETE /instances/ID")
@@ -60,7 +65,7 @@
         return HttpResponse(200, {})
 
     def _await_confirmation(self, recorded_at: float) -> bool:
-        """Wait until what was recorded then has gone to most registries; False: it takes too long."""
+        """Wait until records of that time have reached a majority; returns False on timeout."""
         deadline = recorded_at + LEAVE_CONFIRMATION_SECONDS
         while not self._registry.is_leave_confirmed(recorded_at):
             if time.monotonic() >= deadline:
--- a/ashlift/registry/api/lookup.py
+++ b/ashlift/registry/api/lookup.py
@@ -1,4 +1,4 @@
-"""`/lookup?Name=&Region=&Zone=`: which proxies a client goes to."""
+"""`/lookup?Name=&Region=&Zone=`: the proxies that a client should use."""
 
 import time
 from typing import Final
@@ -16,16 +16,14 @@
 
 
 class LookupResource(Resource):
-    """Answered from what this registry knows."""
+    """Responds from the records of this registry."""
 
     def __init__(self, registry: Registry) -> None:
         self._registry = registry
-        self._localities_with_shortage: set[Locality] = (
-            set()
-        )  # of clients whose region has too few ready proxies
+        self._localities_with_shortage: set[Locality] = set()  # whose region has too few ready proxies
 
     def get(self, request: HttpRequest) -> HttpResponse:
-        """Addresses of proxies, near ones first; 503 where they are not known for sure."""
+        """Addresses of proxies, nearest first; 503 if they are not known reliably or none is ready."""
         zone = request.query.get("Zone", "")
         locality = Locality(zone, request.query.get("Region") or self._registry.zones.get(zone, ""))
         now = time.monotonic()
@@ -37,7 +35,7 @@
         return HttpResponse(200, {"Addresses": result.addresses, "Ttl": LOOKUP_TTL})
 
     def _log_shortage(self, locality: Locality) -> None:
-        """Log where a region comes to have too few ready proxies, or enough again."""
+        """Log when a region has too few ready proxies, and when it has enough again."""
         directory = self._registry.directory
         if directory.has_proxy_shortage(locality) == (locality in self._localities_with_shortage):
             return
--- a/ashlift/registry/api/members.py
+++ b/ashlift/registry/api/members.py
@@ -1,4 +1,4 @@
-"""`/members`: who votes and learns in the configuration store, and the operator's changes of that."""
+"""`/members`: voters and learners of the configuration store, and changes of them by operators."""
 
 from typing import Any, Final
 
@@ -14,17 +14,17 @@
 
 
 class MembersResource(Resource):
-    """Answered by the store."""
+    """Forwards requests to the store."""
 
     def __init__(self, store: StoreClient) -> None:
         self._store = store
 
     def get(self, _request: HttpRequest) -> HttpResponse:
-        """The leader's table of members."""
+        """The members as known by the leader."""
         return self._call_store(SHOW, "")
 
     def post(self, request: HttpRequest) -> HttpResponse:
-        """A change: `{"Do": "remove", "Ip": "10.0.0.4"}`."""
+        """Change the members: `{"Do": "remove", "Ip": "10.0.0.4"}`."""
         value = parse_json(request.body)
         if isinstance(value, Failure):
             return error_response(400, value.detail)
--- a/ashlift/registry/api/messages.py
+++ b/ashlift/registry/api/messages.py
@@ -21,23 +21,23 @@
 
 
 class HttpRequest(NamedTuple):
-    """A complete request; header names are in lower case."""
+    """A complete request; header names are lower case."""
 
     method: str
     path: str
     query: dict[str, str]
     headers: dict[str, str]
     body: bytes
-    not_written_before: float = 0.0  # steady time: its client wrote it later
+    not_written_before: float = 0.0  # earliest monotonic time at which the client can have sent it
 
     @property
     def segments(self) -> list[str]:
-        """Segments of the path after the one that names the resource."""
+        """Path segments after the resource name."""
         return self.path.split("/")[2:]
 
 
 class HttpResponse(NamedTuple):
-    """A status and a JSON value; `location`: where to send the request again."""
+    """A status and a JSON body; `location`: target of a redirect."""
 
     status: int
     body: Any
@@ -45,7 +45,7 @@
     location: str = ""
 
     def encode(self, close: bool) -> bytes:
-        """The bytes to send; `close`: the connection ends after them."""
+        """The encoded response; `close`: the connection closes after it."""
         body = json.dumps(self.body, separators=(",", ":")).encode()
         reason_phrase = REASON_PHRASES.get(self.status, "Status")
         head = [f"HTTP/1.1 {self.status} {reason_phrase}", "Content-Type: application/json"]
@@ -60,5 +60,5 @@
 
 
 def error_response(status: int, error: str, retry_after_seconds: float | None = None) -> HttpResponse:
-    """A response that says what is wrong."""
+    """A response with an error message."""
     return HttpResponse(status, {"error": error}, retry_after_seconds)
--- a/ashlift/registry/api/proposals.py
+++ b/ashlift/registry/api/proposals.py
@@ -1,4 +1,4 @@
-"""`/proposals`: edits of routes that are pending, and what operators decide about them."""
+"""`/proposals`: pending route edits, and the operators' decisions on them."""
 
 from typing import Final
 
@@ -11,7 +11,7 @@
 
 
 class ProposalsResource(Resource):
-    """Decisions are executed by the store."""
+    """Lists pending edits, and has decisions executed by the store."""
 
     def __init__(self, service: RouteEditService) -> None:
         self._service = service
@@ -25,9 +25,10 @@
         return HttpResponse(200, {**self._service.config_state(), "proposals": proposals, "reached": reached})
 
     def post(self, request: HttpRequest) -> HttpResponse:
-        """A decision about one edit, `{word, who, version, over}`.
+        """Decide on one edit, `{word, who, version, over}`.
 
-        200: settled, and how; 404: no such edit is pending in reach; 409, 412: look again; 503: ask again.
+        200: resolved, with the outcome; 404: the edit is not pending at any reachable store; 409, 412: the
+        decision is based on an outdated state; 503: retry.
         """
         from ashlift.route_reconciliation.edit_codec import encode_edit
         from ashlift.route_reconciliation.stored_records import outcome_of
--- a/ashlift/registry/api/request_parser.py
+++ b/ashlift/registry/api/request_parser.py
@@ -1,4 +1,4 @@
-"""Cuts complete requests out of the bytes of one connection, with httptools; bounded in size."""
+"""Parses the requests of one connection with httptools, within size limits."""
 
 from collections.abc import Callable
 from typing import Final
@@ -8,19 +8,19 @@
 
 from ashlift.registry.api.messages import HttpRequest, HttpResponse, error_response
 
-MAX_HEAD_BYTES: Final = 32 << 10  # of target and headers
-HEADER_OVERHEAD_BYTES: Final = 4  # `: ` and the end of the line
+MAX_HEAD_BYTES: Final = 32 << 10  # request target and headers
+HEADER_OVERHEAD_BYTES: Final = 4  # `: ` and CRLF
 
 
 class RequestParser:
-    """Feed it bytes; complete requests stand in `requests`, each with whether the connection is kept alive.
+    """Incremental parser; `requests` has the complete requests, each with whether to keep the connection.
 
-    `error`: the response to a request that cannot be taken, after which the connection ends.
-    `is_receiving`: a request has begun and is not complete. `expects_continue`: its client waits for a 100.
+    `error`: the response to an invalid request, after which the connection must be closed. `is_receiving`: a
+    request is incomplete. `expects_continue`: the client waits for a 100 Continue.
     """
 
     def __init__(self, max_body_bytes: Callable[[str], int]) -> None:
-        """`max_body_bytes`: by path."""
+        """`max_body_bytes`: returns the maximum body size for a path."""
         self.requests: list[tuple[HttpRequest, bool]] = []
         self.error: HttpResponse | None = None
         self.is_receiving = False
@@ -29,7 +29,7 @@
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Take what was received."""
+        """Parse received bytes."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -38,7 +38,7 @@
     # ---- called by httptools
 
     def on_message_begin(self) -> None:
-        """A request has begun."""
+        """Start a request."""
         self.is_receiving = True
         self.expects_continue = False
         self._url = b""
@@ -48,17 +48,17 @@
         self._max_body_bytes = 0
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target."""
+        """Append to the request target."""
         self._url += url
         self._count_head(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
+        """Add a header."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
         self._count_head(name + value)
 
     def on_headers_complete(self) -> None:
-        """The body follows, if there is one."""
+        """Check the headers before the body arrives."""
         self._path, _, self._query = self._url.decode("latin-1").partition("?")
         self._max_body_bytes = self._max_body_bytes_of(self._path)
         length = self._headers.get("content-length", "0")
@@ -67,7 +67,7 @@
         self.expects_continue = self._headers.get("expect", "").lower() == "100-continue"
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """Append to the body."""
         self.expects_continue = False
         if len(self._body) + len(data) > self._max_body_bytes:
             self._reject_body()
@@ -75,7 +75,7 @@
             self._body += data
 
     def on_message_complete(self) -> None:
-        """The request is complete."""
+        """Add the complete request to `requests`."""
         self.is_receiving = False
         self.expects_continue = False
         query = {name: values[-1] for name, values in parse_qs(self._query).items()}
--- a/ashlift/registry/api/resource.py
+++ b/ashlift/registry/api/resource.py
@@ -1,4 +1,4 @@
-"""What all resources of the HTTP API share: dispatch by method, and JSON bodies."""
+"""Base class of the HTTP API's resources, and JSON parsing."""
 
 import json
 from typing import Any, Final
@@ -7,17 +7,17 @@
 from ashlift.registry.api.messages import HttpRequest, HttpResponse, error_response
 
 DEFAULT_MAX_BODY_BYTES: Final = 64 << 10
-RETRY_AFTER_SECONDS: Final = 0.3  # where there was no clear answer
+RETRY_AFTER_SECONDS: Final = 0.3  # after an inconclusive result
 METHODS: Final = frozenset(("GET", "PUT", "PATCH", "POST", "DELETE"))
 
 
 class Resource:
-    """Handles the requests of one resource by its methods `get`, `put`, `patch`, `post` and `delete`."""
+    """One resource; subclasses handle requests in `get`, `put`, `patch`, `post` and `delete`."""
 
     max_body_bytes = DEFAULT_MAX_BODY_BYTES
 
     def handle(self, request: HttpRequest) -> HttpResponse:
-        """The response; 405 where the resource has no such method."""
+        """Dispatch by method; 405 if the resource does not support it."""
         handler = getattr(self, request.method.lower(), None) if request.method in METHODS else None
         if handler is None:
             return error_response(405, f"no {request.method} here")
@@ -26,7 +26,7 @@
 
 
 def parse_json(body: bytes) -> Any:
-    """The JSON value, or an INVALID failure. NaN and infinities are no JSON."""
+    """The JSON value, or an INVALID failure, also for NaN and infinities."""
     try:
         return json.loads(body, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
--- a/ashlift/registry/api/route_edits.py
+++ b/ashlift/registry/api/route_edits.py
@@ -1,6 +1,6 @@
-"""What the resources of single routes share: pending edits at the stores, time stamps, answers.
+"""Shared by the resources of route edits: pending edits at the stores, timestamps and responses.
 
-Modules of `ashlift.route_reconciliation` are loaded when an operator first needs them, not at the start.
+Modules of `ashlift.route_reconciliation` are imported on first use, to keep the start fast.
 """
 
 import time
@@ -22,7 +22,7 @@
 
 
 class RouteEditService:
-    """Reads and keeps pending edits, and stamps new ones."""
+    """Reads and stores pending edits, and assigns timestamps to new ones."""
 
     def __init__(self, registry: Registry, store: StoreClient) -> None:
         self.store = store
@@ -36,12 +36,14 @@
 
     @property
     def entries(self) -> Json:
-        """The operator's entries by key, as known here."""
+        """The configuration entries by key, as known by this registry."""
         return self._registry.operator_config.values
 
     def pending(self, new_edits: tuple[Json, ...] = ()) -> "tuple[dict[str, RouteEdit], list[str]]":
-        """All edits that are pending at stores in reach, by ID, and the IPs of these stores, which keep
-        `new_edits` first."""
+        """All pending edits at reachable stores by ID, and the IPs of these stores.
+
+        The stores first add `new_edits` to their pending edits.
+        """
         from ashlift.route_reconciliation.edit_sets import decode_edits, join_edits
 
         answers = self.store.exchange_pending_edits(list(new_edits))
@@ -49,7 +51,7 @@
         return join_edits(*(decode_edits(edits) for edits in answered.values())), sorted(answered)
 
     def next_timestamp(self, route: str, pending: "dict[str, RouteEdit]") -> "HybridTimestamp":
-        """A new timestamp, later than all that are known of the route."""
+        """A timestamp later than all known ones of the route."""
         from ashlift.route_reconciliation.hybrid_clock import HybridLogicalClock
         from ashlift.route_reconciliation.proposals import latest_timestamp
 
@@ -61,17 +63,17 @@
         return self._clock.next_timestamp(latest, wall_time, now)
 
     def config_state(self) -> Json:
-        """Which configuration this registry holds, and how long ago that was proven the newest."""
+        """Version of the configuration held by this registry, and the age of its freshness lease."""
         age = self._registry.operator_config.lease_age(time.monotonic())
         return {"version": self.entries.get("Version"), "age": age}
 
 
 def edit_response(status: int, body: Json, edit_id: str, route: str) -> HttpResponse:
-    """The response to an edit, or to what an operator decides about one, which is logged."""
+    """Log the result of an edit or of a decision on one, and return the response."""
     log_event(events.EDIT_ANSWERED, id=edit_id, route=route, status=status, outcome=body.get("outcome", "-"))
     return HttpResponse(status, body, RETRY_AFTER_SECONDS if status == 503 else None)
 
 
 def name_in_path(request: HttpRequest) -> str:
-    """What the path names, after the resource."""
+    """The decoded path after the resource name."""
     return unquote("/".join(request.segments))
--- a/ashlift/registry/api/routes.py
+++ b/ashlift/registry/api/routes.py
@@ -1,4 +1,4 @@
-"""`/routes/NAME`: one route with its history, and edits of it. Called by operators, never by the platform."""
+"""`/routes/NAME`: one route with its history, and edits of it, for operators."""
 
 from typing import Any
 
@@ -10,13 +10,13 @@
 
 
 class RoutesResource(Resource):
-    """An edit is executed by the store, or kept as a pending one where the store cannot."""
+    """Has edits executed by the store; those that it cannot execute are kept as pending."""
 
     def __init__(self, service: RouteEditService) -> None:
         self._service = service
 
     def get(self, request: HttpRequest) -> HttpResponse:
-        """The route as known here, and its history."""
+        """The route as known by this registry, and its history."""
         from ashlift.route_reconciliation.proposals import route_history
 
         name = name_in_path(request)
@@ -30,9 +30,9 @@
         return HttpResponse(200, {**self._service.config_state(), **route, "reached": reached})
 
     def post(self, request: HttpRequest) -> HttpResponse:
-        """An edit, `{id, who, text, base}`.
+        """Edit the route, `{id, who, text, base}`.
 
-        200: in force; 202: pending, not in force; 409: the route is not what the edit was made on.
+        200: in force; 202: pending, not in force; 409: the route has changed since the version edited.
         """
         from ashlift.route_reconciliation.edit_codec import encode_edit
         from ashlift.route_reconciliation.proposals import decode_request
@@ -49,7 +49,7 @@
         return edit_response(result.status, result.details, edit.id, name)
 
     def _keep_pending(self, edit: Any, name: str, failure: Failure) -> HttpResponse:
-        """Have the stores in reach keep an edit whose execution failed or is in doubt."""
+        """Have the reachable stores keep an edit that was not executed or whose outcome is unknown."""
         from ashlift.route_reconciliation.edit_codec import encode_edit
         from ashlift.route_reconciliation.edits import RouteChanged
         from ashlift.route_reconciliation.proposals import prepare_pending
--- a/ashlift/registry/api/server.py
+++ b/ashlift/registry/api/server.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 server of the API: a greenlet a connection, bounded in size and time. It owns the sockets."""
+"""The HTTP/1.1 server of the API, with one greenlet per connection. Owns the sockets."""
 
 import time
 from collections.abc import Mapping
@@ -19,7 +19,7 @@
 
 
 class HttpServer:
-    """Listens at one address."""
+    """Listens on one address."""
 
     def __init__(self, address: Address, resources: Mapping[str, Resource]) -> None:
         """`resources`: by the first segment of the path."""
@@ -31,18 +31,18 @@
         self._server.reuse_addr = 1  # type: ignore[misc]
 
     def start(self) -> None:
-        """Listen. Raises OSError where the address is not to be had."""
+        """Listen. Raises OSError if the address is not available."""
         self._server.start()
         gevent.spawn(self._check_for_pauses)
 
     def shut_down(self) -> None:
-        """Accept no more connections; what has been accepted is answered."""
+        """Stop accepting connections; accepted ones are still served."""
         self.is_shutting_down = True
         stop_listening(self._server)
         self.close_idle_connections()
 
     def close_idle_connections(self) -> None:
-        """End the connections on which nothing has arrived and nothing is owed."""
+        """Close the connections on which no request is being received or processed."""
         now = time.monotonic()
         for connection in list(self._connections):
             connection.close_if_idle(now)
@@ -53,19 +53,19 @@
         return bool(self._connections)
 
     def respond(self, request: HttpRequest) -> HttpResponse:
-        """Answer a request; may wait."""
+        """The response to a request; may block."""
         resource = self._resource_at(request.path)
         if resource is None:
             return error_response(404, f"nothing at {request.path[:100]}")
         return resource.handle(request)
 
     def max_body_bytes(self, path: str) -> int:
-        """How large the body of a request for that path may be."""
+        """Maximum body size of requests for that path."""
         resource = self._resource_at(path)
         return resource.max_body_bytes if resource else DEFAULT_MAX_BODY_BYTES
 
     def earliest_send_time(self, now: float) -> float:
-        """Steady time before which no request of a connection that is accepted `now` was written."""
+        """Monotonic time before which no request on a connection accepted at `now` was sent."""
         return self._pause_detector.earliest_send_time(now)
 
     def _check_for_pauses(self) -> None:
--- a/ashlift/registry/api/status.py
+++ b/ashlift/registry/api/status.py
@@ -1,4 +1,4 @@
-"""`/status`: what this registry knows, for the command line."""
+"""`/status`: the state of this registry, for the command line."""
 
 import time
 
@@ -8,13 +8,13 @@
 
 
 class StatusResource(Resource):
-    """Answered from what this registry knows."""
+    """Responds from the records of this registry."""
 
     def __init__(self, registry: Registry) -> None:
         self._registry = registry
 
     def get(self, _request: HttpRequest) -> HttpResponse:
-        """The report as of now."""
-        from ashlift.registry.status_report import status_report  # seldom needed: not loaded at a start
+        """The current status report."""
+        from ashlift.registry.status_report import status_report  # rarely needed, imported on first use
 
         return HttpResponse(200, status_report(self._registry, time.monotonic()))
--- a/ashlift/registry/change_notifier.py
+++ b/ashlift/registry/change_notifier.py
@@ -1,4 +1,4 @@
-"""Wakes the greenlets that hold calls open until something changes."""
+"""Wakes the greenlets of long polls when something changes."""
 
 import time
 from collections.abc import Callable
@@ -7,17 +7,17 @@
 
 
 class ChangeNotifier:
-    """`is_shutting_down`: all waits end."""
+    """`is_shutting_down`: waits return immediately."""
 
     def __init__(self, change_count: Callable[[], int]) -> None:
-        """`change_count`: rises with every change."""
+        """`change_count`: returns a number that increases with every change."""
         self._change_count = change_count
         self._notified_count = change_count()
         self._event = Event()
         self.is_shutting_down = False
 
     def notify_if_changed(self) -> None:
-        """Wake all waiting greenlets, if there was a change since the last notification."""
+        """Wake all waiting greenlets if there was a change since the last notification."""
         if self._notified_count != self._change_count() or self.is_shutting_down:
             self._notified_count = self._change_count()
             event, self._event = self._event, Event()
@@ -29,7 +29,7 @@
         self.notify_if_changed()
 
     def wait_for_change(self, deadline: float) -> bool:
-        """Wait until something changes; False: the deadline (steady time) came first, or the process ends."""
+        """Wait for a change; returns False at the deadline (monotonic time) or at shutdown."""
         timeout = deadline - time.monotonic()
         if self.is_shutting_down or timeout <= 0:
             return False
--- a/ashlift/registry/codec.py
+++ b/ashlift/registry/codec.py
@@ -1,6 +1,6 @@
-"""How records and RPC bodies of the registry stand on the wire: the one place that knows keys and positions.
+"""Encodes and decodes the registry's records and RPC bodies; all wire keys and positions are defined here.
 
-Decoding raises KeyError, TypeError or ValueError for what cannot be read, unless it returns a `Failure`.
+Functions that do not return a `Failure` raise KeyError, TypeError or ValueError for invalid input.
 """
 
 from collections.abc import Mapping
@@ -24,7 +24,7 @@
 from ashlift.registry.records import SessionRecord, WorkerRecord, WorkerState
 from ashlift.rpc.sources import OPERATOR_SOURCE
 
-# Kinds of records, by the prefixes of their keys.
+# Key prefixes of the kinds of records.
 WORKER_PREFIX: Final = "w/"
 SESSION_PREFIX: Final = "g/"
 USAGE_PREFIX: Final = "c/"
@@ -32,11 +32,12 @@
 FAILURES_PREFIX: Final = "f/"
 INSIGNIFICANT_PREFIXES: Final = (USAGE_PREFIX, IN_FLIGHT_PREFIX, FAILURES_PREFIX)
 PREFIX_LENGTH: Final = 2
-WORKER_KIND: Final = WORKER_PREFIX[0]  # compared with `key[0]` in loops over all records: half of the time of
-SESSION_KIND: Final = SESSION_PREFIX[0]  # `startswith`
-# Keys of the operator's configuration.
+# Loops over all records compare these with `key[0]`, which is faster than `startswith`.
+WORKER_KIND: Final = WORKER_PREFIX[0]
+SESSION_KIND: Final = SESSION_PREFIX[0]
+# Key prefixes of the operator's configuration.
 CORE_MEMBER_PREFIX: Final = "Members/"
-STORE_INTERNAL_PREFIXES: Final = ("Taken", "Refused/")  # by which stores recognize resent commands
+STORE_INTERNAL_PREFIXES: Final = ("Taken", "Refused/")  # used by stores to recognize repeated commands
 
 WORKER_KEYS: Final = frozenset(("service", "address", "zone", "capacity", "state", "seq", "warm", "version"))
 SESSION_KEYS: Final = frozenset(("front", "zone", "region", "ready"))
@@ -50,7 +51,7 @@
 
 
 def encode_worker(record: WorkerRecord, now: float) -> Json:
-    """`warm`: seconds from `now` until its slow start ends."""
+    """`warm`: seconds from `now` until the slow start ends."""
     return {
         "service": record.service,
         "address": record.address,
@@ -64,9 +65,9 @@
 
 
 def decode_worker(wire: Mapping[str, Any], now: float) -> WorkerRecord:
-    """A worker's record as received from another registry at `now`."""
+    """A worker record received from another registry at `now`."""
     if wire.keys() != WORKER_KEYS:
-        raise ValueError(f"not the fields of a worker: {sorted(wire)}")
+        raise ValueError(f"unexpected fields of a worker record: {sorted(wire)}")
     return WorkerRecord(
         service=wire["service"],
         address=wire["address"],
@@ -80,7 +81,7 @@
 
 
 def encode_session(record: SessionRecord) -> Json:
-    """Without the time of renewal: who receives it counts from its own receipt."""
+    """Encode without `renewed_at`, which the receiver sets to the time of receipt."""
     return {
         "front": record.client_address,
         "zone": record.zone,
@@ -90,14 +91,14 @@
 
 
 def decode_session(wire: Mapping[str, Any], now: float) -> SessionRecord:
-    """A proxy's record as received from another registry at `now`."""
+    """A session record received from another registry at `now`."""
     if wire.keys() != SESSION_KEYS:
-        raise ValueError(f"not the fields of a session: {sorted(wire)}")
+        raise ValueError(f"unexpected fields of a session record: {sorted(wire)}")
     return SessionRecord(wire["front"], wire["zone"], wire["region"], wire["ready"], renewed_at=now)
 
 
 def decode_record(key: str, wire: Any, now: float) -> Any:
-    """A record of any kind; usage, load and the operator's entries stand as they are."""
+    """A record of any kind; usage, load and configuration entries are not converted."""
     if key.startswith(WORKER_PREFIX):
         return decode_worker(wire, now)
     if key.startswith(SESSION_PREFIX):
@@ -106,7 +107,7 @@
 
 
 def encode_delta(delta: Delta, now: float) -> Json:
-    """A delta of a registry's records or of the operator's configuration."""
+    """Encode a delta of a registry's records or of the operator's configuration."""
     values = {}
     for key, value in delta.values.items():
         if isinstance(value, WorkerRecord):
@@ -165,7 +166,7 @@
 
 
 def encode_pull_response(response: PullResponse, now: float) -> Json:
-    """Times rounded, to keep what is sent to every proxy all the time short."""
+    """Encode with rounded times, which keeps the frequent messages short."""
     sources = {name: _encode_source_update(update, now) for name, update in response.updates.items()}
     if response.config_update is not None:
         sources[OPERATOR_SOURCE] = response.config_update
@@ -194,11 +195,11 @@
     return wire["version"] < newest_version or "part" in wire
 
 
-# ---- swap: lists without keys, as these calls go between regions all day
+# ---- swap: lists without keys, to save traffic between regions
 
 
 def encode_swap_request(request: SwapRequest) -> list[Any]:
-    """`[incarnation, version]`, and the caller's IP where it is given."""
+    """`[incarnation, version]`, followed by the caller's IP if it is set."""
     wire: list[Any] = [request.incarnation, request.version]
     return wire if request.caller_ip is None else [*wire, request.caller_ip]
 
@@ -213,8 +214,10 @@
 
 
 def encode_swap_response(response: SwapResponse, now: float) -> Any:
-    """The version alone if nothing changed, else `[version, set, gone]`; a snapshot also has its origin:
-    `[version, set, [], node, incarnation, zone, region, uptime]`."""
+    """Encode as the version alone if nothing has changed, or as `[version, set, gone]`.
+
+    A snapshot has its origin appended: `[version, set, [], node, incarnation, zone, region, uptime]`.
+    """
     if response.delta is None:
         return response.version
     delta = encode_delta(response.delta, now)
@@ -227,7 +230,7 @@
 
 
 def decode_swap_response(wire: Any, now: float) -> SwapResponse | Failure:
-    """The response as received at `now`, or an INVALID failure that says what is wrong."""
+    """The response received at `now`, or an INVALID failure that says what is wrong."""
     if isinstance(wire, int):
         return SwapResponse(wire, None)
     try:
@@ -246,19 +249,19 @@
 
 
 def encode_watch_request(known_index: int, wait_seconds: float, fragment: list[Any] | None) -> Json:
-    """`fragment`: which one of a large configuration is asked for."""
+    """`fragment`: the requested fragment of a large configuration."""
     return {"have": known_index, "wait": wait_seconds, "part": fragment}
 
 
 def encode_position_request() -> Json:
-    """A `watch` that is answered immediately, with the store's position and no entries."""
+    """A `watch` request for the store's position: its response is immediate and has no entries."""
     return {"have": MAX_INDEX, "wait": 0.0}
 
 
 def decode_watch_response(wire: Mapping[str, Any], assembled: Mapping[str, Any]) -> WatchResponse:
-    """`assembled`: the same answer, with the configuration put together again where it came in fragments.
+    """`assembled`: the same response with the configuration reassembled from its fragments.
 
-    What only stores need, to recognize resent commands, is left out.
+    Entries that only stores use, to recognize repeated commands, are omitted.
     """
     answer = {**wire, **assembled}
     full = bool(answer.get("full"))
@@ -283,17 +286,17 @@
 
 
 def encode_command(kind: str, if_match: str | None, body: Any) -> Json:
-    """An operator's command without its fencing token."""
+    """Encode an operator's command without its fencing token."""
     return {"kind": kind, "if_match": if_match, "body": body}
 
 
 def encode_fenced_command(command: Json, round_seen: list[int], index: int, seconds_left: float) -> Json:
-    """With the fencing token `[term, round, index, seconds left]`."""
+    """Add the fencing token `[term, round, index, seconds left]`."""
     return {**command, "fence": [*round_seen, index, seconds_left]}
 
 
 def decode_command_result(wire: Mapping[str, Any]) -> CommandResult:
-    """A store's clear answer to `submit` or `members`."""
+    """A store's response to `submit` or `members`."""
     return CommandResult(wire["status"], {key: value for key, value in wire.items() if key != "status"})
 
 
@@ -303,17 +306,17 @@
 
 
 def decode_configuration(wire: Mapping[str, Any]) -> Json:
-    """The operator's entries by key, from the response to `read`."""
+    """The configuration entries by key, from the response to `read`."""
     entries: Json = wire["objects"]
     return entries
 
 
 def encode_pending_edits_request(edits: list[Json]) -> Json:
-    """Edits that each store is to keep; it answers with all that it holds."""
+    """Pending edits for a store to keep; its response has all that it holds."""
     return {"add": edits}
 
 
 def decode_pending_edits(wire: Mapping[str, Any]) -> list[Json]:
-    """Edits that a store holds, each as encoded by `ashlift.route_reconciliation.edits`."""
+    """The pending edits of a store, each as encoded by `ashlift.route_reconciliation.edit_codec`."""
     edits: list[Json] = wire["edits"]
     return edits
--- a/ashlift/registry/delta.py
+++ b/ashlift/registry/delta.py
@@ -1,14 +1,14 @@
-"""Differences between two versions of a record source, and which versions a delta can start from. Pure."""
+"""Deltas between versions of a replicated source, and the versions that need a snapshot instead."""
 
 from typing import Any, Final, NamedTuple
 
-MAX_VERSION_GAPS: Final = 64  # ranges of skipped versions that are remembered
+MAX_VERSION_GAPS: Final = 64  # ranges of skipped versions that are kept
 
 
 class Delta(NamedTuple):
-    """What changed up to `version`: records set, keys removed.
+    """The changes up to `version`.
 
-    `full`: `values` is everything there is (a snapshot), and `removed` is empty.
+    `full`: `values` are all records (a snapshot), and `removed` is empty.
     """
 
     version: int
@@ -18,24 +18,24 @@
 
 
 class SnapshotHorizon:
-    """Which versions are too old, or lie in a gap of the history, so that their holders need a snapshot."""
+    """The versions that need a snapshot, as they are too old or lie in a gap of the history."""
 
     def __init__(self) -> None:
-        self._floor = 0  # holders of older versions need a snapshot
-        self._gaps: list[tuple[int, int]] = []  # likewise holders of versions between (both ends excluded)
+        self._floor = 0  # older versions need a snapshot
+        self._gaps: list[tuple[int, int]] = []  # versions between the ends, exclusive, need one too
 
     def needs_snapshot(self, known_version: int) -> bool:
-        """Whether a holder of this version may miss changes that a delta would not name."""
+        """Whether a delta from this version might miss changes."""
         if known_version < self._floor:
             return True
         return bool(self._gaps) and any(low < known_version < high for low, high in self._gaps)
 
     def raise_floor(self, version: int) -> None:
-        """Holders of versions below this one need a snapshot from now on."""
+        """Require a snapshot for versions below this one."""
         self._floor = max(self._floor, version)
 
     def add_gap(self, low: int, high: int) -> None:
-        """The history between these versions is unknown; of too many gaps, the oldest is forgotten."""
+        """Require a snapshot for versions between these; with too many gaps, the oldest moves the floor."""
         self._gaps.append((low, high))
         if len(self._gaps) > MAX_VERSION_GAPS:
             _, forgotten_high = self._gaps.pop(0)
--- a/ashlift/registry/events.py
+++ b/ashlift/registry/events.py
@@ -1,4 +1,4 @@
-"""The registry's numbered events (3xx); the words are in docs/events.md."""
+"""Log events of the registry (3xx), documented in docs/events.md."""
 
 from typing import Final
 
--- a/ashlift/registry/identity.py
+++ b/ashlift/registry/identity.py
@@ -1,13 +1,13 @@
-"""Who a registry is, as its settings and its start determine it."""
+"""The identity of a registry process, from its settings and its start."""
 
 from typing import NamedTuple
 
 
 class RegistryIdentity(NamedTuple):
-    """Name, place and addresses of one registry process.
+    """Name, locality and addresses of a registry process.
 
-    `incarnation` is random and new at each start. `http_port` is the port of the HTTP API, the same on
-    all core machines. `heartbeat_seconds` is the interval at which workers send heartbeats.
+    `incarnation`: random, new at each start. `http_port`: port of the HTTP API, the same on all core
+    machines. `heartbeat_seconds`: interval at which workers send heartbeats.
     """
 
     node: str
@@ -20,5 +20,5 @@
 
     @property
     def source(self) -> str:
-        """The name of this registry's own records in version vectors."""
+        """The name of this registry's source in version vectors."""
         return f"{self.node}#{self.incarnation}"
--- a/ashlift/registry/load_reports.py
+++ b/ashlift/registry/load_reports.py
@@ -1,6 +1,6 @@
-"""What proxies report of workers with their pulls, summed into this registry's own records. Pure.
+"""Sums of the proxies' load reports per worker, published as local records. Does no I/O.
 
-A sum is published only when it has moved enough: each change is pulled by all proxies.
+A sum is published only when it has changed enough, because all proxies pull each change.
 """
 
 from collections.abc import Callable
@@ -10,25 +10,25 @@
 from ashlift.registry.messages import NO_LOAD, LoadReport
 from ashlift.registry.replicated_source import ReplicatedSource
 
-MIN_IN_FLIGHT_CHANGE: Final = 2.0  # requests by which the published sum may be off
-IN_FLIGHT_CHANGE_PER_SLOT: Final = 0.3  # or as much as this times the worker's capacity
-MIN_OBSERVED_FAILURE_TENTHS: Final = 3  # from here on a proxy counts as one that has seen failures
-MIN_FAILURE_CHANGE_TENTHS: Final = 7  # by which published failures may be off
-MIN_REQUEST_CHANGE_TENTHS: Final = 20  # by which published requests may be off
-REQUEST_CHANGE_RATIO: Final = 0.3  # or as much as this times what is published
+MIN_IN_FLIGHT_CHANGE: Final = 2.0  # requests
+IN_FLIGHT_CHANGE_PER_SLOT: Final = 0.3  # of the worker's capacity; the larger of both applies
+MIN_OBSERVED_FAILURE_TENTHS: Final = 3  # from which a proxy counts as having observed failures
+MIN_FAILURE_CHANGE_TENTHS: Final = 7
+MIN_REQUEST_CHANGE_TENTHS: Final = 20
+REQUEST_CHANGE_RATIO: Final = 0.3  # of the published sum; the larger of both applies
 
 
 class LoadReports:
-    """The newest report of each proxy, and the sums of all."""
+    """Keeps the newest report of each proxy and publishes the sums."""
 
     def __init__(self, local_source: ReplicatedSource, capacity: Callable[[str], int | None]) -> None:
-        """`capacity` of a worker by its ID; None: it is not known."""
+        """`capacity`: returns the capacity of a worker by its ID, or None if it is unknown."""
         self._local_source = local_source
         self._capacity = capacity
         self._reports: dict[str, LoadReport] = {}
 
     def update(self, node: str, report: LoadReport) -> None:
-        """A proxy's newest report."""
+        """Replace the report of a proxy."""
         previous = self._reports.pop(node, NO_LOAD)
         if report.in_flight or report.failures:
             self._reports[node] = report
@@ -40,7 +40,7 @@
                 self._publish_failures(worker_id)
 
     def remove(self, node: str) -> None:
-        """Forget the report of a proxy that has stopped, or reports to another registry."""
+        """Remove the report of a proxy that has stopped or now reports to another registry."""
         self.update(node, NO_LOAD)
 
     def _publish_in_flight(self, worker_id: str) -> None:
@@ -54,7 +54,7 @@
             self._local_source.put(key, total)
 
     def _publish_failures(self, worker_id: str) -> None:
-        """As `[failures, requests, proxies that have seen failures]`, the first two in tenths."""
+        """Publish `[failures, requests, proxies that observed failures]`, the first two in tenths."""
         key = FAILURES_PREFIX + worker_id
         reported = [
             report.failures[worker_id] for report in self._reports.values() if worker_id in report.failures
@@ -70,7 +70,7 @@
 
 
 def _has_changed_enough(published: list[int] | None, sums: list[int]) -> bool:
-    """Whether the sums of failures are far enough from those published last."""
+    """Whether the sums differ enough from the published ones."""
     if published is None:
         return True
     published_failed, published_ran, published_proxies_with_failures = published
--- a/ashlift/registry/local_records.py
+++ b/ashlift/registry/local_records.py
@@ -1,4 +1,4 @@
-"""The records of this registry itself, and a count of changes for those who wait for one. Pure."""
+"""The records reported to this registry, and the counter of changes for long polls. Does no I/O."""
 
 from typing import Any
 
@@ -6,18 +6,18 @@
 
 
 class ChangeCounter:
-    """Rises with every change that somebody may wait for: any but that of usage or load."""
+    """Counts the changes that end long polls: all except those of usage and load."""
 
     def __init__(self) -> None:
         self.count = 0
 
     def increment(self) -> None:
-        """Something has changed."""
+        """Count one change."""
         self.count += 1
 
 
 class LocalRecords:
-    """What has been reported to this registry; each significant change is counted."""
+    """The records reported to this registry; `put` and `drop` count a change."""
 
     def __init__(self, changes: ChangeCounter) -> None:
         self.source = ReplicatedSource()
@@ -28,12 +28,12 @@
         return self.source.values.get(key)
 
     def put(self, key: str, record: Any) -> None:
-        """Set a record that somebody may wait for."""
+        """Set a record, and count the change."""
         self.source.put(key, record)
         self._changes.increment()
 
     def drop(self, key: str) -> None:
-        """Remove such a record; nothing where there is none."""
+        """Remove a record, and count the change; does nothing if it does not exist."""
         if key in self.source.values:
             self.source.drop(key)
             self._changes.increment()
--- a/ashlift/registry/locality.py
+++ b/ashlift/registry/locality.py
@@ -1,6 +1,6 @@
-"""How near one place is to another: same zone, same region, or neither. Pure.
+"""Localities and the distance between them: same zone, same region, or neither.
 
-Distances are plain numbers, the nearer the lower: they are compared for every pull and every heartbeat.
+Distances are plain integers because they are compared for every pull and every heartbeat.
 """
 
 from typing import Final, NamedTuple
@@ -12,13 +12,13 @@
 
 
 class Locality(NamedTuple):
-    """A zone and the region that it lies in."""
+    """A zone and its region."""
 
     zone: str
     region: str
 
     def distance_from(self, zone: str, region: str | None) -> int:
-        """`region` of the other place; None: not known."""
+        """Distance from the other locality; `region` is None if unknown."""
         if self.zone == zone:
             return SAME_ZONE
         return SAME_REGION if self.region == region else OTHER_REGION
--- a/ashlift/registry/messages.py
+++ b/ashlift/registry/messages.py
@@ -1,6 +1,6 @@
-"""The bodies of the RPC calls that a registry serves and makes. Keys and positions: `ashlift.registry.codec`.
+"""The bodies of the RPC calls that a registry serves and makes; `ashlift.registry.codec` encodes them.
 
-Times are in seconds. A *version vector* names the version held of each source.
+Times are in seconds. A *version vector* has the version held of each source.
 """
 
 from collections.abc import Mapping
@@ -12,9 +12,9 @@
 
 
 class LoadReport(NamedTuple):
-    """What one proxy reports of the workers that it calls, by worker ID.
+    """A proxy's load report on the workers that it calls, by worker ID.
 
-    `failures`: recent failures and requests, both in tenths.
+    `in_flight`: requests in flight. `failures`: recent failures and requests, both in tenths.
     """
 
     in_flight: dict[str, int]
@@ -25,16 +25,17 @@
 
 
 class UsageReport(NamedTuple):
-    """`(tenant, requests, declined)` since a proxy's last report; `number` rises: none counts twice."""
+    """`(tenant, requests, declined)` since a proxy's last report; `number` identifies repeated reports."""
 
     number: int
     increments: list[tuple[str, int, int]]
 
 
 class PullRequest(NamedTuple):
-    """`pull`: a proxy renews its session, reports usage and load, and asks for what it lacks.
+    """Request of `pull`: a proxy renews its session, reports usage and load, and requests updates.
 
-    `fragment`: which fragment of a large configuration it asks for, as `[id, offset]`.
+    `urgent`: the proxy needs a confirmed configuration at once. `fragment`: the requested fragment of a large
+    configuration, as `[id, offset]`.
     """
 
     node: str
@@ -55,19 +56,19 @@
 
 
 class SourceUpdate(NamedTuple):
-    """A delta of one registry's records; `uptime`, in a snapshot: how long that registry has run."""
+    """A delta of one registry's records; `uptime`: of that registry, in snapshots only."""
 
     delta: Delta
     uptime: float | None
 
 
 class PullResponse(NamedTuple):
-    """The answer to `pull`.
+    """Response of `pull`.
 
     `config_update`: the operator's configuration, already encoded, as it may be a fragment or packed.
-    `config_is_behind`: this response does not bring the proxy up to the newest configuration held here.
-    `lease_age`: seconds since that was proven newest. `uptime`: of the youngest registry in contact.
-    `registries`: IPs in the order in which to go to them. `proxy_count`: proxies with a session.
+    `config_is_behind`: the update does not reach the newest configuration held by this registry.
+    `lease_age`: age of the freshness lease of that configuration. `uptime`: of the youngest live registry.
+    `registries`: IPs in order of preference. `proxy_count`: number of proxies with a session.
     """
 
     updates: dict[str, SourceUpdate]
@@ -82,7 +83,7 @@
 
 
 class SwapRequest(NamedTuple):
-    """`swap`: another registry asks for this one's records; `caller_ip`: where it may not be known yet."""
+    """Request of `swap` for a registry's local records; `caller_ip`: set if the caller may be unknown."""
 
     incarnation: str
     version: int
@@ -90,7 +91,7 @@
 
 
 class SwapOrigin(NamedTuple):
-    """Whose snapshot a `swap` response holds, and at which steady time that registry started."""
+    """The registry behind the snapshot in a `swap` response; `started_at`: monotonic start time."""
 
     node: str
     incarnation: str
@@ -100,12 +101,12 @@
 
     @property
     def source(self) -> str:
-        """The name of its records in version vectors."""
+        """The name of its source in version vectors."""
         return f"{self.node}#{self.incarnation}"
 
 
 class SwapResponse(NamedTuple):
-    """The answer to `swap`: nothing new (`delta` is None), a delta, or a snapshot with its `origin`."""
+    """Response of `swap`: no change (`delta` is None), a delta, or a snapshot with its `origin`."""
 
     version: int
     delta: Delta | None
@@ -113,10 +114,10 @@
 
 
 class WatchResponse(NamedTuple):
-    """A store's answer to `watch`: what changed of the operator's configuration, and when it was the newest.
+    """A store's response to `watch`: changes of the operator's configuration, and the freshness lease.
 
-    `is_behind`: the store holds a newer one, and proves nothing. `response_delay_seconds`: for how long the
-    call was open there.
+    `is_behind`: the store holds a newer configuration than the response, so the lease is not renewed.
+    `response_delay_seconds`: how long the store held the call open.
     """
 
     delta: Delta
@@ -128,17 +129,17 @@
 
 
 class CommandResult(NamedTuple):
-    """A store's clear answer to an operator's command; `details` are the fields besides the status."""
+    """A store's response to an operator's command; `details`: the fields other than the status."""
 
     status: int
     details: Json
 
     @property
     def reason(self) -> str:
-        """Why it was rejected, in words for people; empty if it was not."""
+        """Why the command was rejected; empty if it was not."""
         return self.details.get("reason") or ""
 
     @property
     def config_index(self) -> int | None:
-        """The index of the configuration as of this command, if the store gave one."""
+        """The commit index after this command, if the store returned one."""
         return self.details.get("index")
--- a/ashlift/registry/metrics.py
+++ b/ashlift/registry/metrics.py
@@ -1,4 +1,4 @@
-"""The registry's own figures. The words are explained in docs/operations/system.md."""
+"""Metrics of the registry. Their labels are explained in docs/operations/system.md."""
 
 import time
 from collections import Counter
@@ -14,7 +14,7 @@
 
 
 def registry_metrics(registry: Registry) -> MetricsRegistry:
-    """The figures of a registry, read at each scrape."""
+    """The metrics of a registry, read at each scrape."""
 
     def ready_proxies() -> Counter[str]:
         sessions = registry.sessions.live(time.monotonic()).values()
--- a/ashlift/registry/operator_config.py
+++ b/ashlift/registry/operator_config.py
@@ -1,6 +1,6 @@
-"""The operator's configuration as this registry holds it, and how long ago it was proven the newest. Pure.
+"""Replica of the operator's configuration and its freshness lease. Does no I/O; times in seconds.
 
-It is a replica of what the configuration store has committed, kept up to date by `watch` calls.
+`watch` calls to the configuration store keep it up to date with the committed configuration.
 """
 
 from typing import Any, Final
@@ -11,15 +11,15 @@
 from ashlift.registry.replicated_source import ReplicatedSource
 from ashlift.rpc.fragmentation import Reassembler
 
-FRESH_LEASE_SECONDS: Final = 1.0  # a lease not older than this ends the wait of a proxy that has none
-MAX_LEASE_AGE_SECONDS: Final = 10.0  # an older lease does not count
-MAX_WATCH_LEASE_AGE_SECONDS: Final = 1.0  # a store whose lease is older is out of touch: another one is asked
+FRESH_LEASE_SECONDS: Final = 1.0  # maximum age of a lease that ends the wait of a proxy without one
+MAX_LEASE_AGE_SECONDS: Final = 10.0  # an older lease has expired
+MAX_WATCH_LEASE_AGE_SECONDS: Final = 1.0  # a store with an older lease may have lost its leader
 
 
 class OperatorConfigReplica(ReplicatedSource):
-    """The operator's entries by key; the version is the index under which they are committed.
+    """The configuration entries by key; the version is the commit index.
 
-    `confirmed_at` is the freshness lease: the entries held were the newest at this steady time, or later.
+    `confirmed_at`: the freshness lease. The entries were the newest committed ones at this monotonic time.
     """
 
     def __init__(self, changes: ChangeCounter) -> None:
@@ -33,13 +33,13 @@
         self._core_members_version = -1
 
     def wanted_fragment(self) -> list[Any] | None:
-        """The fragment of a large configuration that the next `watch` call is to ask for."""
+        """The fragment of a large configuration that the next `watch` call should request."""
         return self._reassembler.wanted_fragment()
 
     def receive_watch_response(self, answer: Json, sent_at: float) -> bool:
-        """Take a store's answer to a `watch` call sent at `sent_at`.
+        """Apply a store's response to a `watch` call sent at `sent_at`.
 
-        Returns whether to ask the same store again: it is in contact with its leader, or has more to send.
+        Returns whether to call the same store again: it is in contact with its leader, or has more to send.
         """
         try:
             assembled = self._reassembler.add(answer)
@@ -58,18 +58,18 @@
         return response.is_behind or (age is not None and age <= MAX_WATCH_LEASE_AGE_SECONDS)
 
     def lease_age(self, now: float) -> float | None:
-        """Seconds since the entries held were proven to be the newest; None: too long ago, or never."""
+        """Age of the freshness lease; None if it has expired or never existed."""
         if self.confirmed_at is None or now - self.confirmed_at > MAX_LEASE_AGE_SECONDS:
             return None
         return now - self.confirmed_at
 
     def has_fresh_lease(self, now: float) -> bool:
-        """Whether they were proven newest of late."""
+        """Whether the lease is young enough for a proxy that waits for one."""
         age = self.lease_age(now)
         return age is not None and age <= FRESH_LEASE_SECONDS
 
     def core_members(self) -> dict[str, Any]:
-        """The operator's entry of each core member, by IP; empty before the entries are known."""
+        """The configuration entry of each core member by IP; empty until a configuration is received."""
         if self._core_members_version != self.version:
             self._core_members_version = self.version
             self._core_members = {
@@ -91,9 +91,9 @@
         self._changes.increment()
 
     def _renew_lease(self, sent_at: float, response_delay_seconds: float, age: float) -> None:
-        """The store answered `response_delay_seconds` after `sent_at` or later, with a proof of that age."""
+        """Renew the lease from a response sent at least `response_delay_seconds` after `sent_at`."""
         confirmed_at = sent_at + response_delay_seconds - age
         previous = self.confirmed_at
         if self.lease_age(sent_at) is None or sent_at - (previous or 0.0) > FRESH_LEASE_SECONDS:
-            self._changes.increment()  # proxies may wait for a lease
+            self._changes.increment()  # wakes proxies that wait for a lease
         self.confirmed_at = confirmed_at if previous is None else max(previous, confirmed_at)
--- a/ashlift/registry/operator_request.py
+++ b/ashlift/registry/operator_request.py
@@ -1,7 +1,7 @@
-"""Which stores are sent one request of an operator, and when. Pure; times are of the steady clock, seconds.
+"""Retries and hedging of an operator's request over the stores. Does no I/O; monotonic times in seconds.
 
-A request may be sent to several stores: a command that was taken is acknowledged again, and none is begun
-once its caller may have gone (the fencing token, `ashlift.registry.store_position`).
+Sending a command to several stores is safe: an accepted command is only acknowledged again, and the fencing
+token (`ashlift.registry.store_position`) prevents execution after its caller may have timed out.
 """
 
 from collections import deque
@@ -11,19 +11,19 @@
 
 RETRYABLE_REASONS: Final = frozenset(
     (FailureReason.UNREACHABLE, FailureReason.UNAVAILABLE, FailureReason.NOT_FOUND)
-)  # not executed, and may be sent again
+)  # not executed, safe to retry
 NOT_EXECUTED_REASONS: Final = RETRYABLE_REASONS | {FailureReason.EXPIRED}
-HEDGE_DELAY_SECONDS: Final = 0.3  # without a response for so long, another store is tried as well
-RETRY_ROUND_DELAY_SECONDS: Final = 0.2  # after all stores have answered that they cannot
-MIN_ATTEMPT_SECONDS: Final = 0.1  # no store is asked with less time left than this
+HEDGE_DELAY_SECONDS: Final = 0.3  # without a response, before another store is called as well
+RETRY_ROUND_DELAY_SECONDS: Final = 0.2  # after all stores have returned a retryable failure
+MIN_ATTEMPT_SECONDS: Final = 0.1  # remaining time below which no store is called
 MIN_WAIT_SECONDS: Final = 0.001
 
 
 class OperatorRequest:
-    """One request on its way: attempts in progress, stores to try next, and the outcome so far."""
+    """Attempts in progress, stores to try next, and the outcome so far of one request."""
 
     def __init__(self, stores: list[str], now: float, deadline: float) -> None:
-        """`stores`: IPs in the order in which to try them; `deadline`: when there must be an outcome."""
+        """`stores`: IPs in the order in which to try them; `deadline`: latest time of the outcome."""
         self.deadline = deadline
         self.is_finished = not stores
         self._outcome: Any = Failure(FailureReason.UNREACHABLE, "there is no store")
@@ -34,7 +34,7 @@
 
     @property
     def outcome(self) -> Any:
-        """The clear answer; else a Failure: what is not known to be not executed is of unknown outcome."""
+        """The conclusive response, or a Failure: OUTCOME_UNKNOWN if the request may have been executed."""
         outcome = self._outcome
         is_not_executed = isinstance(outcome, Failure) and outcome.reason in NOT_EXECUTED_REASONS
         if self._in_progress and is_not_executed:
@@ -42,7 +42,7 @@
         return outcome
 
     def next_store(self, now: float) -> str | None:
-        """The store to send it to now, if any."""
+        """The store to call now, if any."""
         if now < self._next_attempt_at or self.deadline - now < MIN_ATTEMPT_SECONDS:
             return None
         if not self._untried:
@@ -56,7 +56,7 @@
         return ip
 
     def wait_seconds(self, now: float) -> float:
-        """How long to wait for a response before `next_store` is to be asked again; 0: it is over."""
+        """How long to wait for a response before calling `next_store` again; 0 if the request has ended."""
         if self.is_finished or now >= self.deadline:
             return 0.0
         may_try_another = bool(self._untried or self._retryable) and now < self.deadline - MIN_ATTEMPT_SECONDS
@@ -64,7 +64,7 @@
         return max(MIN_WAIT_SECONDS, wake_at - now)
 
     def record_response(self, ip: str, response: Any, now: float) -> None:
-        """What that store has answered, or the Failure of the attempt."""
+        """Record the response of a store, or the Failure of the attempt."""
         self._in_progress.discard(ip)
         if self.is_finished:
             return
@@ -72,7 +72,7 @@
         if not is_retryable and not _is_outcome_unknown(response):
             self._finish(response)
             return
-        if not _is_outcome_unknown(self._outcome):  # unknown goes before not executed
+        if not _is_outcome_unknown(self._outcome):  # takes precedence over not executed
             self._outcome = response
         if is_retryable:
             self._retryable.append(ip)
@@ -84,7 +84,7 @@
     def _finish(self, response: Any) -> None:
         is_expired = isinstance(response, Failure) and response.reason == FailureReason.EXPIRED
         if not (is_expired and _is_outcome_unknown(self._outcome)):
-            self._outcome = response  # else another attempt may have executed it
+            self._outcome = response  # otherwise another attempt may have executed the request
         self.is_finished = True
 
 
--- a/ashlift/registry/pacing.py
+++ b/ashlift/registry/pacing.py
@@ -1,37 +1,37 @@
-"""How often registries and proxies call each other, and how long calls are held open. Pure; seconds.
+"""Intervals and long-poll times of the calls between registries and proxies. Does no I/O; times in seconds.
 
-A call waits for changes (long poll), so that they arrive without delay. Each change would wake all callers:
-the more there are, the further apart their calls are.
+A call waits for changes (long poll), so that they arrive without delay. Every change ends all waiting calls,
+so the interval between the calls of one caller grows with the number of callers.
 """
 
 from typing import Final
 
-LONG_POLL_SECONDS: Final = 0.25  # a call is held open for so long at most
-MIN_LONG_POLL_SECONDS: Final = 0.05  # and so long at least if nothing changed, so that no caller spins
-BATCHING_DELAY_SECONDS: Final = 0.02  # changes within it are sent together
-UNTHROTTLED_SESSIONS: Final = 2  # up to so many proxies receive every change without delay
-UNTHROTTLED_PEERS: Final = 3  # up to so many registries are asked again without delay
+LONG_POLL_SECONDS: Final = 0.25  # maximum
+MIN_LONG_POLL_SECONDS: Final = 0.05  # minimum without a change, so that callers do not busy-loop
+BATCHING_DELAY_SECONDS: Final = 0.02  # changes within this time are sent together
+UNTHROTTLED_SESSIONS: Final = 2  # up to this number, proxies receive every change without delay
+UNTHROTTLED_PEERS: Final = 3  # up to this number, peers are called again without delay
 INTERVAL_PER_CALLER_SECONDS: Final = 0.02
 MAX_CALL_INTERVAL_SECONDS: Final = 0.25
 INITIAL_BACKOFF_SECONDS: Final = 0.1  # after a call that failed
 MAX_BACKOFF_SECONDS: Final = 1.0
 
-# A worker that leaves waits so long for its acknowledgement: two calls to the others, each held open, an
-# interval between them, and the way. It gives a call up after 1 s.
+# How long the acknowledgement of a leaving worker may wait: two long polls of the peers with an interval
+# between them, and network latency. The worker's call times out after 1 s.
 LEAVE_CONFIRMATION_SECONDS: Final = 0.8
 LEAVE_CONFIRMATION_POLL_SECONDS: Final = 0.02
 
 
 def call_interval(callers: int, unthrottled: int) -> float:
-    """How far apart the calls of one caller are at least while there are many changes."""
+    """Minimum interval between the calls of one caller."""
     return min(MAX_CALL_INTERVAL_SECONDS, INTERVAL_PER_CALLER_SECONDS * max(0, callers - unthrottled))
 
 
 def pull_deadline(received_at: float, wait_seconds: float, min_wait_seconds: float) -> float:
-    """When a pull is answered at the latest, whose proxy would wait for so long."""
+    """Latest response time of a pull whose proxy asked to wait for `wait_seconds`."""
     return received_at + min(LONG_POLL_SECONDS, max(min_wait_seconds, wait_seconds))
 
 
 def next_backoff(backoff_seconds: float) -> float:
-    """The delay after a further failure."""
+    """The backoff after another failure."""
     return min(2 * backoff_seconds, MAX_BACKOFF_SECONDS)
--- a/ashlift/registry/proxy_sessions.py
+++ b/ashlift/registry/proxy_sessions.py
@@ -4,8 +4,8 @@
 
 `ProxySessions.expire` drops the record of an expired session. `release_moved` drops it earlier if the proxy
 has moved to another registry and has no pull in progress here. The removal is replicated like any change. If
-this registry stops responding, `live` at the others omits its proxies after the same two seconds. A proxy that
-shuts down reports `ready=False` and lets its session expire.
+this registry stops responding, `live` at the others omits its proxies after the same two seconds. A proxy
+that shuts down reports `ready=False` and lets its session expire.
 """
 
 from collections.abc import Iterable
--- a/ashlift/registry/records.py
+++ b/ashlift/registry/records.py
@@ -1,6 +1,6 @@
-"""What the registry records about workers and proxies. Pure; times are of the steady clock, in seconds.
+"""Records of workers and proxies. Times are of the monotonic clock, in seconds.
 
-How a record is encoded for other processes is decided by `ashlift.registry.codec` alone.
+`ashlift.registry.codec` encodes them for other processes.
 """
 
 from enum import StrEnum
@@ -8,14 +8,12 @@
 
 import attrs
 
-TOMBSTONE_SEQ: Final = (
-    1 << 40
-)  # above every call sequence number: nothing later revives a deregistered worker
-WARM_AT_TOLERANCE_SECONDS: Final = 0.3  # heartbeats arrive late by up to this: a smaller shift is no change
+TOMBSTONE_SEQ: Final = 1 << 40  # above every sequence number, so that no heartbeat replaces a tombstone
+WARM_AT_TOLERANCE_SECONDS: Final = 0.3  # smaller differences are jitter of heartbeat arrival
 
 
 class WorkerState(StrEnum):
-    """What a worker reports; `TOMBSTONE` marks one that has deregistered, which is final."""
+    """The state that a worker reports; `TOMBSTONE` marks a deregistered worker, which is final."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -23,9 +21,10 @@
 
 
 class WorkerRecord(NamedTuple):
-    """A worker as its newest heartbeat describes it.
+    """A worker as described by its newest heartbeat.
 
-    `call_seq` is that heartbeat's sequence number, `warm_at` the steady time at which its slow start ends.
+    `call_seq`: sequence number of that heartbeat. `warm_at`: time at which the worker's slow start ends.
+    `config_version`: version of the worker's own configuration.
     """
 
     service: str
@@ -38,14 +37,14 @@
     config_version: str
 
     def is_equivalent(self, other: "WorkerRecord", now: float) -> bool:
-        """Whether both describe the same worker alike, apart from the sequence number and small delays."""
+        """Whether both are equal except for the sequence number and small differences of `warm_at`."""
         own_fields = self._replace(call_seq=0, warm_at=0.0)
         other_fields = other._replace(call_seq=0, warm_at=0.0)
         warm_at_difference = abs(max(self.warm_at, now) - max(other.warm_at, now))
         return own_fields == other_fields and warm_at_difference <= WARM_AT_TOLERANCE_SECONDS
 
     def as_tombstone(self) -> "WorkerRecord":
-        """The record that replaces this one when the worker deregisters."""
+        """The tombstone that replaces this record when the worker deregisters."""
         return self._replace(state=WorkerState.TOMBSTONE, call_seq=TOMBSTONE_SEQ, warm_at=0.0)
 
 
@@ -54,7 +53,11 @@
 
 @attrs.frozen
 class SessionRecord:
-    """A proxy as it describes itself; `renewed_at`: steady time at which this registry received this."""
+    """A proxy's description of itself.
+
+    `client_address`: where clients connect. `renewed_at`: when this registry received the record; it does not
+    count in comparisons.
+    """
 
     client_address: str
     zone: str
--- a/ashlift/registry/replication_loops.py
+++ b/ashlift/registry/replication_loops.py
@@ -1,6 +1,6 @@
-"""Greenlets that pull from the other registries and from the store, and expire leases.
+"""Greenlets that replicate from the other registries and the configuration store, and expire leases.
 
-The wanted state is a set of peers: a swap loop runs for each of them, started and ended once a tick.
+One swap loop runs for each peer; each tick starts and ends loops as peers appear and disappear.
 """
 
 import time
@@ -27,24 +27,24 @@
 from ashlift.registry.store_client import StoreClient
 from ashlift.rpc.client import ClientPool
 
-RESPONSE_TIMEOUT_SECONDS: Final = 0.6  # for a response beyond the time for which the call may be held
-LOCAL_STORE_WATCH_SECONDS: Final = 0.1  # between two answers of the own store; the lease's age grows by this
+RESPONSE_TIMEOUT_SECONDS: Final = 0.6  # for the response, in addition to the long poll
+LOCAL_STORE_WATCH_SECONDS: Final = 0.1  # long poll at the local store; it adds to the age of the lease
 TICK_INTERVAL_SECONDS: Final = 0.25
 
 
 class ReplicationLoops:
-    """`failed` is set once a loop has raised an exception: the process must end, or records go stale."""
+    """`failed` is set when a loop raises an exception; the process must then end, as records go stale."""
 
     def __init__(
         self, registry: Registry, store: StoreClient, notifier: ChangeNotifier, clients: ClientPool, port: int
     ) -> None:
-        """`port`: of the RPC calls, the same on all core machines."""
+        """`port`: RPC port of the registries, the same on all core machines."""
         self._registry = registry
         self._store = store
         self._notifier = notifier
         self._clients = clients
         self._port = port
-        self._swap_loops: dict[str, gevent.Greenlet[..., None]] = {}  # by the peer's IP
+        self._swap_loops: dict[str, gevent.Greenlet[..., None]] = {}  # by IP of the peer
         self._other_loops: list[gevent.Greenlet[..., None]] = []
         self.failed = Event()
 
@@ -94,7 +94,7 @@
             include_caller_ip = failure is not None
             if failure is not None:
                 if failure.reason == FailureReason.OUTCOME_UNKNOWN:
-                    self._clients.client((ip, self._port)).close()  # do not wait on the same connection again
+                    self._clients.client((ip, self._port)).close()  # the connection may be dead
                 gevent.sleep(backoff)
                 backoff = next_backoff(backoff)
                 continue
@@ -106,7 +106,7 @@
             gevent.sleep(max(BATCHING_DELAY_SECONDS, sent_at + interval - received_at))
 
     def _swap(self, ip: str, include_caller_ip: bool, sent_at: float) -> Failure | None:
-        """Ask a peer once for its records."""
+        """Request the records of a peer once."""
         body = codec.encode_swap_request(self._registry.peers.swap_request(ip, include_caller_ip))
         client = self._clients.client((ip, self._port))
         answer = client.call("swap", body, LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS)
@@ -119,7 +119,7 @@
         return None
 
     def _log_new_incarnations(self, ip: str, logged: set[str]) -> None:
-        """Log each incarnation of the peer at `ip` once."""
+        """Log each incarnation of the peer at `ip` once; `logged`: the sources logged before."""
         replicas = self._registry.peers.replicas
         for source in set(replicas) - logged:
             if replicas[source].ip == ip:
@@ -127,7 +127,7 @@
                 logged.add(source)
 
     def _watch_loop(self) -> None:
-        """Watch the own store; after each answer of it that proves nothing, another one."""
+        """Watch the local store, and a remote one after each response that does not renew the lease."""
         use_local_store = True
         local_store_is_unreachable = False
         while True:
--- a/ashlift/registry/rpc_service.py
+++ b/ashlift/registry/rpc_service.py
@@ -1,4 +1,4 @@
-"""The RPC methods of a registry: `pull` for proxies, `swap` for other registries. Both are long polls."""
+"""RPC methods of a registry: `pull` for proxies and `swap` for other registries. Both are long polls."""
 
 import time
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 class RegistryRpcService:
-    """`handlers`: by method, as `ashlift.rpc.server.serve` takes them."""
+    """`handlers`: by method name, for `ashlift.rpc.server.serve`."""
 
     def __init__(self, registry: Registry, notifier: ChangeNotifier) -> None:
         self._registry = registry
@@ -44,9 +44,9 @@
             self._registry.sessions.end_pull(request.node)
 
     def _wait_for_updates(self, request: PullRequest, received_at: float) -> None:
-        """Wait until there is something for this proxy; then briefly, so that changes are sent together."""
-        interval = self._pull_interval()  # at a start, all proxies are in a hurry
-        min_wait = max(MIN_LONG_POLL_SECONDS, interval)
+        """Wait for updates for this proxy, and then for `BATCHING_DELAY_SECONDS` to send changes together."""
+        interval = self._pull_interval()
+        min_wait = max(MIN_LONG_POLL_SECONDS, interval)  # proxies without a configuration ask not to wait
         deadline = pull_deadline(received_at, request.wait_seconds, min_wait)
         while not self._can_respond_now(request):
             if not self._notifier.wait_for_change(deadline):
--- a/ashlift/registry/status_report.py
+++ b/ashlift/registry/status_report.py
@@ -1,4 +1,4 @@
-"""What one registry knows, for people: the answer to `GET /status`. Pure."""
+"""The response body of `GET /status`. Does no I/O."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 def status_report(registry: Registry, now: float) -> dict[str, Any]:
-    """Of proxies that pull here, also the `index` of the operator's configuration that they hold."""
+    """The state of the registry; for proxies that pull here also the `index` of their configuration."""
     config = registry.operator_config
     age = config.lease_age(now)
     return {
--- a/ashlift/registry/store_position.py
+++ b/ashlift/registry/store_position.py
@@ -1,4 +1,4 @@
-"""The position of the configuration store as far as known here: the fencing token of commands. Pure."""
+"""The last known position of the configuration store, used as fencing token of commands. Does no I/O."""
 
 from typing import Any, Final
 
@@ -10,14 +10,14 @@
 
 
 class StorePosition:
-    """The newest term, heartbeat round and committed index received from any store."""
+    """The highest term, heartbeat round and committed index received from any store."""
 
     def __init__(self) -> None:
         self.index = 0
         self._term_and_round = [0, 0]  # term, heartbeat round
 
     def observe(self, answer: Any) -> None:
-        """Take a store's answer to `watch`; a Failure changes nothing."""
+        """Update the position from a store's `watch` response; a Failure is ignored."""
         if isinstance(answer, Failure):
             return
         heartbeat_round, index = decode_store_position(answer)
@@ -25,15 +25,15 @@
         self.index = max(self.index, index)
 
     def with_fencing_token(self, command: Json, index_at_receipt: int, seconds_left: float) -> Json:
-        """The command with a fencing token of this moment.
+        """The command with a fencing token of the current position.
 
-        `index_at_receipt`: the index known when the operator's request came. `seconds_left`: how long its
-        sender is still waiting.
+        `index_at_receipt`: the index known when the operator's request arrived. `seconds_left`: time until
+        the operator's request times out.
         """
         return encode_fenced_command(command, self._term_and_round, index_at_receipt, seconds_left)
 
 
 def stores_to_try(local_ip: str, members: list[str], local_store_is_unresponsive: bool) -> list[str]:
-    """The own store first, or last while it accepts calls and does not respond; the others in their order."""
+    """The call order of the stores: the local one first, or last while it is unresponsive."""
     other_stores = [ip for ip in members if ip != local_ip]
     return [*other_stores, local_ip] if local_store_is_unresponsive else [local_ip, *other_stores]
--- a/ashlift/registry/usage_counters.py
+++ b/ashlift/registry/usage_counters.py
@@ -1,4 +1,4 @@
-"""Requests and how many of them were declined, by tenant, summed over the proxies that report here. Pure."""
+"""Total and declined requests by tenant, summed over the proxies that report to this registry."""
 
 from ashlift.registry.codec import USAGE_PREFIX
 from ashlift.registry.messages import UsageReport
@@ -6,13 +6,13 @@
 
 
 class UsageCounters:
-    """Cumulative totals in this registry's own records; their changes wake no waiting call."""
+    """Cumulative totals in the local records; their changes do not end long polls."""
 
     def __init__(self, local_source: ReplicatedSource) -> None:
         self._local_source = local_source
 
     def add(self, report: UsageReport) -> None:
-        """Count a proxy's report; the caller makes sure that each is counted once."""
+        """Add a proxy's report; the caller must not pass the same report twice."""
         for tenant, requests, declined in report.increments:
             if requests or declined:
                 key = USAGE_PREFIX + tenant
