--- a/ashlift/registry/endpoint_directory.py
+++ b/ashlift/registry/endpoint_directory.py
@@ -17,9 +17,8 @@
 from ashlift.registry.records import SessionRecord
 
 MAX_ADDRESSES: Final = 64  # in one response
-MIN_NEAR_PROXIES: Final = (
-    2  # with fewer, one proxy would carry all of a zone's load and be a single point of failure
-)
+# With fewer, one proxy would carry all of a zone's load and be a single point of failure.
+MIN_NEAR_PROXIES: Final = 2
 CACHE_SECONDS: Final = 0.1
 MAX_CACHED_LOOKUPS: Final = 100  # combinations of locality and region policy
 MAX_KNOWN_LOCALITIES: Final = 100
@@ -61,9 +60,8 @@
 ) -> LookupResult:
     """The ready proxies of the zone; if they are too few, also those of the region, then all allowed ones."""
     ready = [session for session in sessions if session.ready]
-    ready.sort(
-        key=lambda session: zlib.crc32(f"{locality.zone} {session.client_address}".encode())
-    )  # a different order in each zone spreads the load
+    # A different order in each zone spreads the load.
+    ready.sort(key=lambda session: zlib.crc32(f"{locality.zone} {session.client_address}".encode()))
     in_zone = [session for session in ready if session.zone == locality.zone]
     rest_of_region = [
         session for session in ready if session.zone != locality.zone and session.region == locality.region
--- a/ashlift/registry/peer_registries.py
+++ b/ashlift/registry/peer_registries.py
@@ -56,9 +56,8 @@
 
     def contacted_within(self, seconds: float, now: float) -> list[str]:
         """Sources of the peers that have responded within that time, not counting pauses of this process."""
-        resumed_at = (
-            self._clock.resumed_at
-        )  # as in `LeaseClock.has_expired`, inlined because it runs for every pull
+        # As in `LeaseClock.has_expired`, inlined because it runs for every pull.
+        resumed_at = self._clock.resumed_at
         return [
             name
             for name, replica in self.replicas.items()
--- a/ashlift/registry/proxy_sessions.py
+++ b/ashlift/registry/proxy_sessions.py
@@ -21,9 +21,8 @@
 from ashlift.registry.usage_counters import UsageCounters
 
 SESSION_LEASE_SECONDS: Final = 2.0  # from the last pull
-USAGE_RETENTION_SECONDS: Final = (
-    30.0  # after the last pull, for which usage report numbers are kept to recognize repeated reports
-)
+# After the last pull; report numbers are kept that long to recognize repeated reports.
+USAGE_RETENTION_SECONDS: Final = 30.0
 
 
 class ProxySession:
--- a/ashlift/registry/replicated_source.py
+++ b/ashlift/registry/replicated_source.py
@@ -20,9 +20,8 @@
         self.version = 0
         self.last_significant_version = 0
         self.values: dict[str, Any] = {}
-        self._changed_at: dict[
-            str, int
-        ] = {}  # version of each key's last change, oldest first, including removed keys
+        # Version of each key's last change, oldest first, including removed keys.
+        self._changed_at: dict[str, int] = {}
         self._removed_at: dict[str, int] = {}  # version of each key's removal, oldest first
         self._horizon = SnapshotHorizon()
 
--- a/ashlift/registry/replication_loops.py
+++ b/ashlift/registry/replication_loops.py
@@ -94,7 +94,7 @@
             include_caller_ip = failure is not None
             if failure is not None:
                 if failure.reason == FailureReason.OUTCOME_UNKNOWN:
-                    self._clients.client((ip, self._port)).close()  # the connection may be dead
+                    self._clients.client((ip, self._port)).close()  # do not reuse an unresponsive connection
                 gevent.sleep(backoff)
                 backoff = next_backoff(backoff)
                 continue
--- a/ashlift/registry/store_client.py
+++ b/ashlift/registry/store_client.py
@@ -33,9 +33,8 @@
         self._clients = clients
         self._watch_clients = ClientPool()  # separate, since a timeout closes its connection
         self._watch_count = 0
-        self._local_store_is_unresponsive = (
-            False  # accepts calls without responding: its disk hangs or the process is paused
-        )
+        # It accepts calls without responding: its disk hangs, or the process is paused.
+        self._local_store_is_unresponsive = False
         self._position = StorePosition()
 
     def submit(
