--- a/tests/registry/test_codec.py
+++ b/tests/registry/test_codec.py
@@ -1,4 +1,4 @@
-"""Records and RPC bodies on the wire: what is encoded is decoded again; what is not valid is a Failure."""
+"""Wire format of records and RPC bodies: round trips, and rejection of invalid input."""
 
 from typing import Any
 
@@ -24,7 +24,7 @@
 }
 
 
-@test("a worker and a session are on the wire as ever, and come back as they were")
+@test("worker and session records keep their wire format and survive a round trip")
 def _() -> None:
     worker = codec.encode_worker(WORKER, NOW)
     assert worker == {
@@ -44,7 +44,7 @@
     assert codec.decode_session(session, NOW) == SESSION
 
 
-@test("a record with other fields than ours is not valid")
+@test("a record with missing or unknown fields is rejected")
 def _() -> None:
     with raises(ValueError):
         codec.decode_worker({**codec.encode_worker(WORKER, NOW), "more": 1}, NOW)
@@ -52,7 +52,7 @@
         codec.decode_session({"front": "10.1.0.1:80"}, NOW)
 
 
-@test("swap: lists without keys, of each kind of request and response")
+@test("swap: requests and responses of each kind are lists and survive a round trip")
 def _() -> None:
     request = SwapRequest("ab", 7, None)
     assert codec.encode_swap_request(request) == ["ab", 7]
@@ -74,7 +74,7 @@
     assert codec.decode_swap_response(encoded, NOW) == snapshot
 
 
-@test("pull: what a proxy leaves out has its default, and what it reports is read")
+@test("pull: missing fields get their defaults, and reports are decoded")
 def _() -> None:
     request = codec.decode_pull_request(PULL)
     assert not isinstance(request, Failure)
@@ -95,7 +95,7 @@
     assert request.accepts_fragments
 
 
-@test("pull: a body that is not valid is a Failure: {change}")
+@test("pull: an invalid body is a Failure: {change}")
 def _(
     change: dict[str, Any] = each(
         {"have": 3}, {"adds": {"counts": {"t": 3}}}, {"outs": {"w": "x"}}, {"faults": {"w": 1}}, {"adds": 1}
@@ -106,7 +106,7 @@
     assert request.reason == FailureReason.INVALID
 
 
-@test("swap: a body that is not valid is a Failure: {body}")
+@test("swap: an invalid body is a Failure: {body}")
 def _(body: Any = each([], ["ab"], ["ab", "x"], [8, {"w/1": {}}, []], [8, {}, [], "core-1"], None)) -> None:
     assert isinstance(codec.decode_swap_response(body, NOW), Failure)
     if body is None or len(body) < 3:
--- a/tests/registry/test_command_answers.py
+++ b/tests/registry/test_command_answers.py
@@ -1,4 +1,4 @@
-"""Commands from operators' sockets to stores, faults in between: each response is its own command's."""
+"""Commands with faults between registry and stores: each response belongs to its command."""
 
 import itertools
 import json
@@ -18,8 +18,8 @@
 from tests.support.fault_proxy import FAULT_KINDS, HOST, TO_CLIENT, TO_SERVER, FaultProxy
 from tests.support.stub_client import ENOUGH_SECONDS, TIMED_OUT
 
-FAULT_STEP_BYTES = 11  # between two positions of a fault: tests/rpc/test_client.py tries each
-MAX_FAULT_POSITION = 150  # some bytes more than a request and its response have
+FAULT_STEP_BYTES = 11  # between fault positions; tests/rpc/test_client.py tries every one
+MAX_FAULT_POSITION = 150  # beyond the end of a request and its response
 OPERATORS = 3
 COMMANDS_PER_OPERATOR = 2
 RECEIVE_BYTES = 65536
@@ -41,7 +41,7 @@
     def _submit(self, body: Any) -> Any:
         name = body["body"]["name"]
         self.executed[name] += 1
-        for _ in range(next(self._turn) % 3):  # responses do not keep the order of their requests
+        for _ in range(next(self._turn) % 3):  # responses are not in the order of their requests
             gevent.idle()
         return {"status": 412, "reason": f"it was {name}"}
 
@@ -52,7 +52,7 @@
 
 
 class ClientsThroughFaults(ClientPool):
-    """Reaches each store through its fault proxy."""
+    """Connects to each store through its fault proxy."""
 
     def __init__(self, stores: Stores) -> None:
         super().__init__()
@@ -64,7 +64,7 @@
 
 
 def send_commands(address: tuple[str, int], names: list[str]) -> list[tuple[int, str]]:
-    """Commands, one behind the other on a connection: status and error of each response, as many as come."""
+    """Send pipelined commands; returns status and error of each response received."""
     sock = socket.create_connection(address)
     bodies = [json.dumps({"name": name}).encode() for name in names]
     head = b"PUT /config HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b"
@@ -74,15 +74,15 @@
     with gevent.Timeout(ENOUGH_SECONDS, TIMED_OUT):
         while len(responses) < len(names) and (data := sock.recv(RECEIVE_BYTES)):
             received += data
-            while (complete := cut_response(received)) is not None:
+            while (complete := split_response(received)) is not None:
                 response, received = complete
                 responses.append(response)
     sock.close()
     return responses
 
 
-def cut_response(received: bytes) -> tuple[tuple[int, str], bytes] | None:
-    """The first response as status and error, and the bytes after it; None: it is not complete."""
+def split_response(received: bytes) -> tuple[tuple[int, str], bytes] | None:
+    """Status and error of the first response, and the remaining bytes; None if it is incomplete."""
     head, end, rest = received.partition(b"\r\n\r\n")
     if not end:
         return None
@@ -92,7 +92,7 @@
     return (int(head.split()[1]), json.loads(rest[:size])["error"]), rest[size:]
 
 
-def play_fault(kind: str, direction: str, store_number: int, position: int) -> None:
+def run_fault(kind: str, direction: str, store_number: int, position: int) -> None:
     """A fault between the registry and one store while three operators send two commands each."""
     stores = Stores()
     clients = ClientsThroughFaults(stores)
@@ -124,7 +124,7 @@
     direction: str = each(*[TO_SERVER] * 5, *[TO_CLIENT] * 5),
 ) -> None:
     pool = [
-        gevent.spawn(play_fault, kind, direction, store_number, position)
+        gevent.spawn(run_fault, kind, direction, store_number, position)
         for store_number in (0, 1)
         for position in range(0, MAX_FAULT_POSITION, FAULT_STEP_BYTES)
     ]
--- a/tests/registry/test_config_reads.py
+++ b/tests/registry/test_config_reads.py
@@ -1,4 +1,4 @@
-"""`GET /config` again and again: each answer is the newest configuration, whole, or says 503."""
+"""Repeated `GET /config`: each response is the complete newest configuration, or a 503."""
 
 import json
 from typing import Any
@@ -22,7 +22,7 @@
 
 
 class ChangingStore:
-    """The leader: its configuration is a version newer after each read."""
+    """A leading store whose configuration changes with each read."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -39,7 +39,7 @@
 
 
 class OneStore(ClientPool):
-    """Reaches the store wherever it is."""
+    """Connects every client to this store."""
 
     def __init__(self, store: ChangingStore) -> None:
         super().__init__()
@@ -61,7 +61,7 @@
     return int(head.split()[1]), body
 
 
-@test("the configuration is read again and again: each answer is whole and the newest, and none is kept")
+@test("repeated GET /config returns the complete, newest configuration, never a cached one")
 def _() -> None:
     store = ChangingStore()
     client = StoreClient("a", 1, lambda: ["a"], OneStore(store))
@@ -81,7 +81,7 @@
             assert status == 200
             assert int(configuration["ConfigVersion"], 16) > before
             paths = {item["Specification"]["PathPrefix"] for item in configuration["Objects"]}
-            assert paths == {f"/{configuration['ConfigVersion']}/"}  # of one version, all of it
+            assert paths == {f"/{configuration['ConfigVersion']}/"}  # all entries are of that version
             assert len(configuration["Objects"]) == ROUTES
     assert 0 < refused < READS / 2
     server.shut_down()
--- a/tests/registry/test_endpoint_directory.py
+++ b/tests/registry/test_endpoint_directory.py
@@ -1,4 +1,4 @@
-"""Look-ups: cached for a moment, and never older than that."""
+"""Lookups: caching, and logging of shortages."""
 
 import time
 from typing import Any
@@ -17,22 +17,22 @@
 from tests.support.patching import replaced
 from tests.support.registry_wire import begin_pull
 
-HERE = Locality("z", "r")
+LOCALITY = Locality("z", "r")
 IDENTITY = RegistryIdentity("core-1", "0", "10.0.0.1", "z", "r", 80, 1.5)
 PULL: dict[str, Any] = {"incarnation": "0", "zone": "z", "region": "r", "ready": True, "have": {}}
 
 
-@test("what a zone's clients are told is worked out once in 0.1 s, and is never older")
+@test("lookup results are cached per locality for at most 0.1 s")
 def _() -> None:
     registry = Registry(IDENTITY, ["10.0.0.1"], {"z": "r"}, 0.0)
     for number in range(3):
         begin_pull(registry, {**PULL, "node": f"edge-{number}", "front": f"10.1.0.{number}:80"}, 5.0)
-    first = registry.lookup("app", HERE, 5.0)
+    first = registry.lookup("app", LOCALITY, 5.0)
     assert isinstance(first, LookupResult)
     assert len(first.addresses) == 3
     begin_pull(registry, {**PULL, "node": "edge-1", "front": "10.1.0.1:80", "leaving": True}, 5.05)
-    assert registry.lookup("app", HERE, 5.05) is first
-    later = registry.lookup("app", HERE, 5.11)
+    assert registry.lookup("app", LOCALITY, 5.05) is first
+    later = registry.lookup("app", LOCALITY, 5.11)
     assert isinstance(later, LookupResult)
     assert sorted(later.addresses) == ["10.1.0.0:80", "10.1.0.2:80"]
     for number in range(1000):
@@ -40,7 +40,7 @@
     assert len(registry.directory.cache) <= MAX_CACHED_LOOKUPS
 
 
-@test("a region short of ready proxies is logged once, and once when it no longer is; unknown zones never")
+@test("a shortage of ready proxies is logged once at its start and end, and never for unknown zones")
 def _() -> None:
     now = time.monotonic()
     registry = Registry(IDENTITY, ["10.0.0.1"], {"z": "r"}, now - 60)
--- a/tests/registry/test_evacuation.py
+++ b/tests/registry/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Evacuations: executed only where the request was certainly written just now."""
+"""Evacuations are executed only if the request was certainly sent recently."""
 
 from typing import Any
 from unittest.mock import patch
@@ -18,7 +18,7 @@
 
 
 class Clock:
-    """The steady clock, set by hand."""
+    """A monotonic clock set by the test."""
 
     def __init__(self, now: float) -> None:
         self.now = now
@@ -28,7 +28,7 @@
 
 
 class FakeSocket:
-    """A connection on which bytes arrive at given times; `sent` is what was answered."""
+    """A connection on which bytes arrive at given times; `sent`: the responses."""
 
     def __init__(self, clock: Clock, *arrivals: tuple[float, bytes]) -> None:
         self.clock = clock
@@ -48,7 +48,7 @@
 
 
 class AcceptingStore(StoreClient):
-    """Executes every command; `written_after` is what each was said to have been written after."""
+    """Executes every command; `written_after`: `not_written_before` of each."""
 
     def __init__(self) -> None:
         super().__init__("own", 7600, list, ClientPool())
@@ -59,21 +59,21 @@
         return CommandResult(200, {"index": 2})
 
 
-def arrivals_of(story: str) -> list[tuple[float, bytes]]:
-    """When what arrives; the connection is there since 10.0, or since 30.0 where the process stood still."""
-    match story:
+def arrivals_of(scenario: str) -> list[tuple[float, bytes]]:
+    """Arrival times and data; the connection is accepted at 10.0, or at 30.0 after a process pause."""
+    match scenario:
         case "fresh":
             return [(10.1, POST)]
-        case "held up":
+        case "delayed":
             return [(30.0, POST)]
-        case "after an answer":
+        case "after a response":
             return [(10.1, POST), (29.0, POST), (29.1, POST), (29.2, POST + POST)]
         case _:
             return [(30.01, POST)]
 
 
-@test("an evacuation is executed only if the request cannot be old; who still waits sends it again: {story}")
-def _(story: str = each("fresh", "held up", "after an answer", "the process stood still")) -> None:
+@test("an evacuation is executed only if its request is certainly recent, else redirected: {scenario}")
+def _(scenario: str = each("fresh", "delayed", "after a response", "the process was paused")) -> None:
     clock = Clock(10.0)
     store = AcceptingStore()
     with (
@@ -82,15 +82,15 @@
         patch("ashlift.registry.api.evacuation.time", clock),
     ):
         server = HttpServer(("127.0.0.1", 0), {"evacuation": EvacuationResource(store, lambda: SETTINGS)})
-        sock = FakeSocket(clock, *arrivals_of(story))
-        if story == "the process stood still":
-            clock.now = 30.0  # it is accepted now, and came at any time before
+        sock = FakeSocket(clock, *arrivals_of(scenario))
+        if scenario == "the process was paused":
+            clock.now = 30.0  # it is accepted now, and may have been opened at any time before
         ApiConnection(sock, server)._serve()  # type: ignore[arg-type]
     statuses = [int(response.split(b"\r\n")[0].split()[1]) for response in sock.sent]
-    expected_statuses = {"fresh": [200], "after an answer": [200, 307, 200, 200, 200]}
-    assert statuses == expected_statuses.get(story, [307])
-    expected_times = {"fresh": [10.0], "after an answer": [10.0, 29.0, 29.1, 29.1]}
-    assert store.written_after == expected_times.get(story, [])
+    expected_statuses = {"fresh": [200], "after a response": [200, 307, 200, 200, 200]}
+    assert statuses == expected_statuses.get(scenario, [307])
+    expected_times = {"fresh": [10.0], "after a response": [10.0, 29.0, 29.1, 29.1]}
+    assert store.written_after == expected_times.get(scenario, [])
     if 307 in statuses:
         response = sock.sent[statuses.index(307)]
         assert b"\r\nLocation: http://10.0.0.4:8200/evacuation/za\r\n" in response
--- a/tests/registry/test_instances.py
+++ b/tests/registry/test_instances.py
@@ -1,4 +1,4 @@
-"""Heartbeats of workers: their bodies, leases and tombstones, and what the resource answers."""
+"""Heartbeats of workers: bodies, leases, tombstones, and responses."""
 
 import time
 from typing import cast
@@ -22,7 +22,7 @@
 IDENTITY = RegistryIdentity("a", "1", "10.0.0.1", "za", "ra", 8200, 1.5)
 
 
-@test("a heartbeat is read, or rejected with what is wrong: {wrong}")
+@test("a heartbeat is parsed, or rejected with the reason: {wrong}")
 def _(
     old: str = each("", "8080", '"z"', "4,", "ready", "1500ms", '"NodeInfo"', "}}", '"s"', ":2}"),
     new: str = each("", "0", "5", "-4,", "idle", "soon", '"Node"', "}", "NaN", ":true}"),
@@ -48,7 +48,9 @@
         assert record == WorkerRecord("s", "10.128.0.9:8080", "z", 2, WorkerState.READY, 4, 11.5, "v1")
 
 
-@test("a worker that starts again with its ID: not acknowledged before it is known, incarnations not mixed")
+@test(
+    "a worker restarted with its ID is acknowledged only after the lease of the old incarnation has expired"
+)
 def _() -> None:
     now = time.monotonic()
     registry = Registry(IDENTITY, [], {}, now - 60)
@@ -69,11 +71,11 @@
     assert instances.all_known()["i-1"].address == new.address
     assert instances.record_heartbeat("i-1", new, now + 4.7)  # received twice
     instances.deregister("i-1", now + 5.0)
-    assert not instances.record_heartbeat("i-1", new, now + 5.1)  # late, after the end
+    assert not instances.record_heartbeat("i-1", new, now + 5.1)  # delayed, after the deregistration
     assert not instances.all_known()
 
 
-@test("heartbeats are answered at once, late ones are not acknowledged, and they name the registry to go to")
+@test("heartbeats are acknowledged with the next registry to use, and outdated ones are rejected")
 def _() -> None:
     now = time.monotonic()
     registry = Registry(IDENTITY, [], {}, now)
@@ -93,7 +95,7 @@
     assert list(registry.instances.all_known()) == ["i-1"]
 
 
-@test("an isolated registry takes a heartbeat, and sends the worker on to another registry")
+@test("an isolated registry records a heartbeat, but sends the worker to another registry")
 def _() -> None:
     isolated = Registry(IDENTITY, ["10.0.0.1", "10.0.0.2"], {}, time.monotonic() - 5)
     resource = InstancesResource(isolated, lambda: None)
@@ -102,7 +104,7 @@
     assert resource.handle(http_request("DELETE", "/instances/i-1")).status == 503
 
 
-@test("what a leaving worker says is not acknowledged where the others may not have it yet")
+@test("a drain or deregistration is not acknowledged before the other registries have received it")
 def _() -> None:
     young = Registry(IDENTITY, ["10.0.0.1", "10.0.0.2"], {}, time.monotonic())
     resource = InstancesResource(young, lambda: None)
@@ -112,7 +114,7 @@
     assert resource.handle(http_request("DELETE", "/instances/i-1")).status == 503
 
 
-@test("a leave is confirmed by answers of most registries that were asked after it, and not after a cut")
+@test("a leave is confirmed once a majority has answered a later request, and not during a partition")
 def _() -> None:
     scenario = RegistryScenario()
     for line in ("start a za ra", "start b zb rb", "run 2"):
--- a/tests/registry/test_members_resource.py
+++ b/tests/registry/test_members_resource.py
@@ -1,4 +1,4 @@
-"""The registry's `/members`: what goes to the store, and what each answer becomes."""
+"""The `/members` resource: calls of the store, and responses."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 class RecordingStore(StoreClient):
-    """A store that records what it is asked."""
+    """A store that records its calls."""
 
     def __init__(self, answer: Any) -> None:
         self.answer = answer
@@ -23,7 +23,7 @@
         return self.answer
 
 
-@test("GET and POST /members: what is passed on, and what each answer becomes")
+@test("/members: valid requests are forwarded, and each result of the store becomes a response")
 def _() -> None:
     for body, status in (
         (b'{"Do": "remove", "Ip": "10.0.0.4"}', 200),
--- a/tests/registry/test_operator_request.py
+++ b/tests/registry/test_operator_request.py
@@ -1,4 +1,4 @@
-"""The order in which a registry tries the stores."""
+"""Retries and hedging over the stores."""
 
 from ward import each, test
 
@@ -13,7 +13,7 @@
 EXPIRED = Failure(FailureReason.EXPIRED)
 
 
-def begun(*stores: str) -> OperatorRequest:
+def started_request(*stores: str) -> OperatorRequest:
     """A request that has been sent to the first store."""
     request = OperatorRequest(list(stores), NOW, DEADLINE)
     assert request.next_store(NOW) == stores[0]
@@ -21,33 +21,37 @@
     return request
 
 
-@test("stores are tried in turn: at once after a refusal, beside a silent one, until one answers: {story}")
+@test("stores are tried in turn and hedged until one gives a conclusive response: {scenario}")
 def _(
-    story: str = each(
-        "a refuses, b answers", "a silent, b answers", "a silent, alone", "none can", "expired"
+    scenario: str = each(
+        "a rejects, b responds", "a unresponsive, b responds", "a unresponsive, alone", "both fail", "expired"
     ),
 ) -> None:
-    request = begun("a") if story in ("a silent, alone", "expired") else begun("a", "b")
-    match story:
-        case "a refuses, b answers":
+    request = (
+        started_request("a")
+        if scenario in ("a unresponsive, alone", "expired")
+        else started_request("a", "b")
+    )
+    match scenario:
+        case "a rejects, b responds":
             request.record_response("a", UNAVAILABLE, NOW + 0.1)
             assert request.next_store(NOW + 0.1) == "b"
             request.record_response("b", {"status": 412}, NOW + 0.2)
             assert request.is_finished
             assert request.outcome == {"status": 412}
-        case "a silent, b answers":
+        case "a unresponsive, b responds":
             assert request.next_store(NOW + HEDGE_DELAY_SECONDS - 0.01) is None
             assert request.next_store(NOW + HEDGE_DELAY_SECONDS) == "b"
             request.record_response("b", {"status": 200}, NOW + 0.4)
             request.record_response("a", {"status": 503}, NOW + 0.5)
             assert request.outcome == {"status": 200}
             assert request.wait_seconds(NOW + 0.5) == 0.0
-        case "a silent, alone":
+        case "a unresponsive, alone":
             assert request.next_store(NOW + 0.5) is None
             assert request.wait_seconds(NOW + 0.5) > 0.3
             assert request.wait_seconds(DEADLINE) == 0.0
             assert request.outcome.reason == FailureReason.OUTCOME_UNKNOWN
-        case "none can":
+        case "both fail":
             request.record_response("a", UNAVAILABLE, NOW)
             assert request.next_store(NOW) == "b"
             request.record_response("b", UNREACHABLE, NOW)
@@ -56,11 +60,13 @@
             assert request.next_store(NOW + RETRY_ROUND_DELAY_SECONDS) == "a"
             request.record_response("a", UNKNOWN, NOW + 0.5)
             request.record_response("b", UNAVAILABLE, NOW + 0.6)
-            assert request.outcome.reason == FailureReason.OUTCOME_UNKNOWN, "goes before not executed"
+            assert request.outcome.reason == FailureReason.OUTCOME_UNKNOWN, (
+                "takes precedence over not executed"
+            )
             request.record_response("a", EXPIRED, NOW + 0.7)
             assert request.is_finished
             assert request.outcome.reason == FailureReason.OUTCOME_UNKNOWN
         case _:
             request.record_response("a", EXPIRED, NOW + 0.1)
             assert request.is_finished
-            assert request.outcome.reason == FailureReason.EXPIRED, "its caller may send it again"
+            assert request.outcome.reason == FailureReason.EXPIRED, "its caller may retry"
--- a/tests/registry/test_outages.py
+++ b/tests/registry/test_outages.py
@@ -1,4 +1,4 @@
-"""All registries lose what they know, while proxies run (docs/design/worst-days.md, 1): simulated systems."""
+"""Registries lose their state while proxies run (docs/design/worst-days.md, 1), in simulated systems."""
 
 from itertools import permutations
 from typing import Any
@@ -14,7 +14,7 @@
 from ashlift.simulation.scenario_player import ScenarioPlayer
 
 CORE = ("core-1", "core-2", "core-3")
-SYSTEM = ["core 3", "edge 8", "rate 66", "quota 24", "until 17"]  # every tenant asks for 0.69 of its quota
+SYSTEM = ["core 3", "edge 8", "rate 66", "quota 24", "until 17"]  # every tenant requests 0.69 of its quota
 PROXIES = 8
 WORKERS = 18
 LOOK_INTERVAL_SECONDS = 0.05
@@ -22,7 +22,7 @@
 
 @define
 class Observed:
-    """Over a while: the least proxies and workers that a proxy knew, and the shares of requests."""
+    """The fewest proxies and workers known by any proxy in an interval, and shares of request statuses."""
 
     proxies: int = 99
     workers: int = 99
@@ -31,7 +31,7 @@
 
 
 def observe(lines: list[str], since: float, until: float, seed: int = 1) -> Observed:
-    """Plays the scenario, which violates no rule."""
+    """Run the scenario, which must not violate a rule, and observe it from `since` to `until`."""
     player = ScenarioPlayer(parse_scenarios("\n".join(["# outage", *SYSTEM, *lines]))[0], seed)
     world = player.world
     observed = Observed()
@@ -52,7 +52,7 @@
     return observed
 
 
-@test("all registries restart, {order}, a second between two: proxies go on as before")
+@test("all registries restart one after the other, {order}: proxies keep their view and serve requests")
 def _(order: tuple[str, ...] = each(*permutations(CORE))) -> None:  # noqa: B008
     lines = [f"at 10 kill registry {name} for {0.2 + 1.2 * number}" for number, name in enumerate(order)]
     observed = observe(["quota 28", *lines], 10.0, 17.0)
@@ -88,14 +88,14 @@
     assert observed.rejected < 0.05
 
 
-@test("all registries are down for {seconds} s and know nothing then: proxies and workers stay known")
+@test("all registries restart empty after {seconds} s: proxies keep their view of proxies and workers")
 def _(seconds: float = each(3.0, 5.5)) -> None:
     observed = observe(["quota 40", f"at 7 kill registry * for {seconds}"], 7 + seconds, 17.0)
     assert (observed.proxies, observed.workers) == (PROXIES, WORKERS)
     assert observed.rejected < 0.03
 
 
-@test("rules hold while all registries are down and workers start, warm up, or lose answers ({what})")
+@test("rules hold while all registries are down and workers start, warm up, or lose responses ({what})")
 def _(what: str = each("add fleet z{} cold 8", "chill fleet-{} 8", "sick fleet-{} 0.5")) -> None:
     lines = ["rate 200", "quota 120", "workers 6", "at 7 kill registry * for 5.5"]
     changes = [f"at 11.5 {what.format(number)}" for number in range(1, 7)]
@@ -119,14 +119,14 @@
     return "probe", fields
 
 
-@test("a registry that is partitioned off says so within two seconds, for as long as it is, and not after")
+@test("a partitioned registry rejects requests from 2 s after the partition until it is healed")
 def _() -> None:
     world = ScenarioPlayer(parse_scenarios("# x\ncore 5\nedge 5\nrate 15\nuntil 50")[0]).world
     process = world.registry("core-4")
     others = [name for name in world.core if name != "core-4"] + world.edge + ["workers", "clients"]
 
     def answers() -> tuple[Any, bool, bool]:
-        """Status of a heartbeat, whether look-ups are answered, whether proxies stay for its lease age."""
+        """Status of a heartbeat, whether lookups succeed, and whether proxies accept the lease age."""
         now = process.clock()
         age = process.registry.operator_config.lease_age(now)
         status, _ = process._handle_heartbeat(probe_heartbeat(world.loop.now))
@@ -138,7 +138,8 @@
         assert answers() == expected, f"at {at}"
 
     expect(8.0, 200, True, True)
-    for partition_at, until in ((8.0, 28.0), (29.5, 34.0)):  # and again 1.5 s after the rejoin
+    # The second partition begins 1.5 s after the first has healed.
+    for partition_at, until in ((8.0, 28.0), (29.5, 34.0)):
         world.run(partition_at)
         world.block_links(["core-4"], others)
         expect(partition_at + 0.8, 200, True, True)
@@ -151,7 +152,7 @@
     world.registry("core-4").freeze()
     world.run(48.0)
     process.thaw()
-    # The lease that it held when it was frozen is old by its own clock.
+    # The lease from before the freeze is old by the monotonic clock.
     assert answers()[2] is False
     expect(48.8, 200, True, True)
     assert process.registry.uptime(process.clock()) < 1.0
--- a/tests/registry/test_pacing.py
+++ b/tests/registry/test_pacing.py
@@ -1,4 +1,4 @@
-"""How far apart the calls of registries and proxies are."""
+"""Intervals between the calls of registries and proxies."""
 
 from ward import test
 
@@ -13,7 +13,7 @@
 MAX_CALLS_PER_SECOND = 150
 
 
-@test("calls are as often as ever with few callers, and a registry's load is bounded with many")
+@test("few callers call without extra delay, and the call rate of many callers is bounded")
 def _() -> None:
     assert call_interval(2, UNTHROTTLED_SESSIONS) <= BATCHING_DELAY_SECONDS
     assert call_interval(4, UNTHROTTLED_PEERS) <= BATCHING_DELAY_SECONDS
--- a/tests/registry/test_replicated_source.py
+++ b/tests/registry/test_replicated_source.py
@@ -1,4 +1,4 @@
-"""Replicated sources: whoever moves between an origin and its replicas ends with what the origin holds."""
+"""Replicated sources: readers converge to the origin, whichever replicas they read from."""
 
 import random
 from typing import Any
@@ -14,13 +14,13 @@
 
 @define
 class Reader:
-    """Holds what a version of a source held, and brings itself up to date by deltas."""
+    """A copy of a source's records, updated by deltas."""
 
     version: int = 0
     records: dict[str, Any] = field(factory=dict)
 
     def update_from(self, source: ReplicatedSource) -> None:
-        """Ask the source, or a replica of it, for what is missing."""
+        """Fetch the missing changes from the source or a replica of it."""
         delta = source.delta_since(self.version or None)
         if delta is None:
             return
@@ -32,7 +32,7 @@
 
 
 def replicate(origin: ReplicatedSource, replica: ReplicatedSource) -> None:
-    """Bring a replica up to date by a delta, or a snapshot where there is none."""
+    """Update a replica by a delta or snapshot."""
     delta = origin.delta_since(replica.version or None)
     if delta is None:
         return
@@ -42,7 +42,7 @@
         replica.merge(delta.version, delta.values, delta.removed)
 
 
-@test("a reader that moves between a source and its replicas ends with what the source holds ({seed})")
+@test("a reader that switches between a source and its replicas converges to the source ({seed})")
 def _(seed: int = each(*range(30))) -> None:
     random_source = random.Random(seed)
     origin = ReplicatedSource()
@@ -71,7 +71,7 @@
 
 
 def take_changes(config: ReplicatedSource, changes: dict[str, Any]) -> None:
-    """As `OperatorConfigReplica` does with a store's answer."""
+    """Apply changes as `OperatorConfigReplica` does with a store's response."""
     if changes["full"]:
         config.replace(changes["index"], changes["set"])
     else:
@@ -79,9 +79,7 @@
         config.merge(changes["index"], changes["set"], changes["gone"])
 
 
-@test(
-    "whoever moves between registries holds the configuration, though stores skip what changed back ({seed})"
-)
+@test("a reader that switches registries holds the exact configuration though stores skip versions ({seed})")
 def _(seed: int = each(*range(20))) -> None:
     random_source = random.Random(seed)
     entries = RangedMap()
@@ -95,7 +93,7 @@
         entries = entries.with_changes({} if removed else {key: random_source.randrange(2)}, removed)
         snapshots.append(Snapshot((1, index), entries))
         for store, config in zip(stores, configs, strict=True):
-            if random_source.random() < 0.5:  # else it is away, and skips this one
+            if random_source.random() < 0.5:  # otherwise the store misses this version
                 store.advance(snapshots[-1])
             watched = random_source.choice([store, *stores])
             if random_source.random() < 0.4 and watched.index > config.version:
@@ -108,7 +106,7 @@
             assert not reader.version or reader.records == expected, f"at index {reader.version}"
 
 
-@test("the oldest tombstones are forgotten, and who has not received them gets a snapshot")
+@test("the oldest tombstones are dropped, and readers behind them get a snapshot")
 def _() -> None:
     source = ReplicatedSource()
     for number in range(MAX_TOMBSTONES + 2):
@@ -126,7 +124,7 @@
     assert len(delta.removed) == MAX_TOMBSTONES
 
 
-@test("usage counters are replicated, and wake nobody")
+@test("usage counters are replicated without ending long polls")
 def _() -> None:
     source = ReplicatedSource()
     source.put("w/1", 1)
--- a/tests/registry/test_request_parser.py
+++ b/tests/registry/test_request_parser.py
@@ -1,4 +1,4 @@
-"""HTTP requests cut out of the bytes of a connection."""
+"""Parsing of HTTP requests."""
 
 from ward import each, test
 
@@ -7,7 +7,7 @@
 
 
 def parse(data: bytes, chunk_bytes: int) -> RequestParser:
-    """Feeds the bytes in chunks of that size, until there is an error."""
+    """Feed the bytes in chunks of that size, until there is an error."""
     parser = RequestParser(lambda path: 8 if path == "/small" else 100)
     for start in range(0, len(data), chunk_bytes):
         parser.feed(data[start : start + chunk_bytes])
@@ -16,7 +16,7 @@
     return parser
 
 
-@test("requests are cut out of bytes, however they come ({size})")
+@test("requests are parsed from chunks of any size ({size})")
 def _(size: int = each(1, 7, 1000)) -> None:
     parser = parse(
         b"PUT /a?Zone=x&Name=y HTTP/1.1\r\nIf-Match: 5\r\nContent-Length: 2\r\n\r\n{}"
@@ -33,7 +33,7 @@
     assert not parser.error
 
 
-@test("a request that is too large or no HTTP gets its status and reaches nobody: {status}")
+@test("an oversized or malformed request is rejected with its status: {status}")
 def _(
     data: bytes = each(
         b"PUT /small HTTP/1.1\r\nContent-Length: 9\r\n\r\n123456789",
--- a/tests/registry/test_routes.py
+++ b/tests/registry/test_routes.py
@@ -1,4 +1,4 @@
-"""Edits of single routes from the command line to the disk: real commands, requests, storages, decisions."""
+"""Edits of single routes with real commands, requests, storages and decisions."""
 
 import json
 import tempfile
@@ -35,7 +35,7 @@
 
 
 class Core:
-    """Two core machines of one side of a partition; `failure`: why there is no leader in reach."""
+    """Two core machines on one side of a partition; `failure`: why no leader is reachable."""
 
     def __init__(self, folder: str) -> None:
         self.entries = dict(BASE)
@@ -77,13 +77,13 @@
         }
 
     def merge(self) -> None:
-        """What every store does once a second."""
+        """Merge pending edits, as every store does once a second."""
         for storage in self.storages.values():
             command = storage.merge_request()
             storage.finish_merge(command and self.execute(command["kind"], None, command["body"]))
 
     def run(self, line: str) -> tuple[int, str]:
-        """Exit code and all output of a command, its calls taken by this core."""
+        """Exit code and output of a command whose calls go to this core."""
 
         def call(
             target: Any, method: str, path: str, label: str, body: bytes = b"", **_: Any
@@ -110,13 +110,13 @@
         yield Core(folder)
 
 
-@test("with a majority, an edit is in force; made on another text it is a conflict that shows both")
+@test("with a majority, an edit comes into force; an edit of an outdated text is a conflict that shows both")
 def _(core: Core = core) -> None:
     code, output = core.edit("hold", CHANGED_HOLD, "e1")
     assert code == 0
     assert "in force, version 00000002" in output
     assert core.entries["Routes/hold"] == CHANGED_HOLD
-    core.registry.operator_config.replace(9, BASE)  # this registry lags behind
+    core.registry.operator_config.replace(9, BASE)  # this registry holds an outdated configuration
     code, output = core.edit("hold", FIRST_ROUTES["hold"], "e2")
     assert code == 3
     assert "conflict" in output
@@ -126,9 +126,7 @@
     assert core.entries["Version"] == "00000002", "executed once"
 
 
-@test(
-    "partitioned: a proposal is kept at every store in reach, never in force, and confirmed after the rejoin"
-)
+@test("partitioned: an edit is pending at every reachable store until it is confirmed after the partition")
 def _(core: Core = core) -> None:
     core.failure = Failure(FailureReason.UNAVAILABLE, "no leader")
     code, output = core.edit("hold", CHANGED_HOLD, "p1")
@@ -142,15 +140,15 @@
     assert core.entries == BASE
     core.failure = None
     core.merge()
-    assert core.entries["Routes/hold"] == FIRST_ROUTES["hold"], "it does not merge by itself"
-    assert Path(core.folder, "10.0.0.1", "edits-b.dat").exists(), "what a daemon looks for at its start"
+    assert core.entries["Routes/hold"] == FIRST_ROUTES["hold"], "it does not merge automatically"
+    assert Path(core.folder, "10.0.0.1", "edits-b.dat").exists(), "the file that a store reads at its start"
     core.storages["10.0.0.1"] = core.open_storage("10.0.0.1")  # it restarts
-    del core.storages["10.0.0.2"]  # and the other is gone
+    del core.storages["10.0.0.2"]  # and the other is lost
     code, output = core.run("proposals c:1")
     assert code == 0
     assert "p1  hold  by ann at core-1" in output
     assert "kind" in output
-    assert core.run("confirm c:1 p1")[0] == 2, "it must say on which version"
+    assert core.run("confirm c:1 p1")[0] == 2, "the version is required"
     assert core.run("confirm c:1 p1 --on 00000009")[0] == 3
     assert core.entries == BASE
     assert core.run("confirm c:1 p1 --on 00000001 --who bob") == (0, "in force 00000002\n")
@@ -164,7 +162,7 @@
     assert all(word in output for word in ("p1", "ann", "bob", "core-1", "00000001", "00000002"))
 
 
-@test("an edit in doubt that came into force is not done again; a conflict waits until it is rejected")
+@test("an edit of unknown outcome is not executed twice; a conflict stays pending until it is rejected")
 def _(core: Core = core) -> None:
     core.failure = Failure(FailureReason.OUTCOME_UNKNOWN, "lost the lead")
     code, output = core.edit("hold", CHANGED_HOLD, "d1")
@@ -188,7 +186,7 @@
     assert core.run("confirm c:1 c1 --on 00000003 --over") == (0, "rejected\n")
 
 
-@test("look-ups' edits of a partitioned side merge by themselves, and what each lost to is shown")
+@test("edits of idempotent routes made in a partition merge automatically; the history shows overridden ones")
 def _(core: Core = core) -> None:
     core.failure = Failure(FailureReason.UNAVAILABLE, "no leader")
     assert "merges by itself" in core.edit("x", route("b"), "x1")[1]
@@ -201,7 +199,9 @@
     }
     core.storages["10.0.0.2"].pending.edits = ahead  # of another machine, whose clock is ahead
     assert "merges by itself" in core.edit("x", None, "x2")[1]
-    assert "confirm" in core.edit("y", route("a", "/hold/new/"), "y1")[1], "it takes an order's paths"
+    assert "confirm" in core.edit("y", route("a", "/hold/new/"), "y1")[1], (
+        "it covers paths of a non-idempotent route"
+    )
     core.merge()
     assert core.entries == BASE
     core.failure = None
@@ -213,11 +213,11 @@
     assert "x2" in output
     assert "no such route" in output
     assert core.storages["10.0.0.1"].merge_request() is None, (
-        "what waits for an operator is not sent again and again"
+        "edits that wait for an operator are not sent repeatedly"
     )
 
 
-@test("a storage that is full refuses, and what is no edit is no request")
+@test("a full storage rejects edits, and malformed requests are rejected")
 def _(core: Core = core) -> None:
     core.failure = Failure(FailureReason.UNAVAILABLE, "no leader")
     with patch("ashlift.configstore.pending_edits.MAX_PENDING_EDITS", 1):
--- a/tests/registry/test_scenarios.py
+++ b/tests/registry/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Registries and proxies through partitions, restarts and standstills: scripted, and by chance."""
+"""Registries and proxies in scripted and random partitions, restarts and pauses."""
 
 import random
 from pathlib import Path
@@ -22,7 +22,7 @@
 
 
 class RandomRun:
-    """Faults and heartbeats by chance; `workers` is what workers last said: sequence number and state."""
+    """Random faults and heartbeats; `workers`: sequence number and state of each worker's last heartbeat."""
 
     def __init__(self, seed: int) -> None:
         self.random_source = random.Random(seed)
@@ -33,20 +33,22 @@
         for number in range(4):
             self.scenario.proxy(f"e{number}", "za", "r", self.random_source.choice(NAMES))
 
-    def step(self, number: int, calm: bool) -> None:
-        """Half a second; `calm`: without faults."""
-        if calm:
+    def step(self, number: int, without_faults: bool) -> None:
+        """Simulate half a second; `without_faults`: without faults."""
+        if without_faults:
             self.scenario.partitions = set()
             self.scenario.frozen = set()
         elif self.random_source.random() < 0.4:
             self._fault()
         for proxy in self.scenario.proxies.values():
-            if proxy.registry in self.scenario.frozen or (not calm and self.random_source.random() < 0.1):
+            if proxy.registry in self.scenario.frozen or (
+                not without_faults and self.random_source.random() < 0.1
+            ):
                 proxy.registry = self.random_source.choice(NAMES)
-        if not calm and self.random_source.random() < 0.3:
+        if not without_faults and self.random_source.random() < 0.3:
             self.workers[f"w{number}"] = 0, "ready"
         for worker_id in list(self.workers):
-            self._send_heartbeat(worker_id, calm)
+            self._send_heartbeat(worker_id, without_faults)
         self.scenario.run("0.5")
 
     def _fault(self) -> None:
@@ -57,13 +59,13 @@
         if name not in scenario.frozen and self.random_source.random() < 0.5:
             scenario.start(name, f"z{name}", "r")
 
-    def _send_heartbeat(self, worker_id: str, calm: bool) -> None:
+    def _send_heartbeat(self, worker_id: str, without_faults: bool) -> None:
         call_seq, state = self.workers[worker_id]
         running = [name for name in NAMES if name not in self.scenario.frozen]
         registry = self.random_source.choice(running or [""])
         if not registry or self.random_source.random() < 0.3:
             return
-        if not calm and self.random_source.random() < 0.1:
+        if not without_faults and self.random_source.random() < 0.1:
             if state == "draining":
                 self.scenario.deregister(registry, worker_id)
                 del self.workers[worker_id]
@@ -73,11 +75,11 @@
         self.scenario.heartbeat(registry, worker_id, f"seq={call_seq + 1}", f"state={state}")
 
 
-@test("registries: after partitions, restarts and standstills all hold the same records ({seed})")
+@test("registries: after partitions, restarts and pauses all hold the same records ({seed})")
 def _(seed: int = each(*range(6))) -> None:
     run = RandomRun(seed)
     for number in range(60):
-        run.step(number, calm=number >= 45)
+        run.step(number, without_faults=number >= 45)
     ready = {worker_id for worker_id, (_, state) in run.workers.items() if state == "ready"}
     proxies = run.scenario.proxies
     for proxy in proxies.values():
--- a/tests/registry/test_shutdown.py
+++ b/tests/registry/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Requests to the API that meet the end of a registry: who was accepted is answered."""
+"""Shutdown of the HTTP API: all accepted requests get their responses."""
 
 import time as blocking_time
 from collections.abc import Iterator
@@ -22,7 +22,7 @@
 
 
 class HeldResource(Resource):
-    """Answers when `may_answer` is set."""
+    """Responds when `may_answer` is set."""
 
     def __init__(self) -> None:
         self.may_answer = Event()
@@ -65,7 +65,7 @@
         running.server.shut_down()
 
 
-@test("a request that is being answered when the registry ends is answered")
+@test("registry shutdown: a request in progress gets its response")
 def _() -> None:
     with running_server() as running:
         sock = running.connect()
@@ -81,7 +81,7 @@
         assert b"Connection: close" in answer
 
 
-@test("a request that has arrived, but is not read, when the registry ends is answered")
+@test("registry shutdown: a request still unread in the socket gets its response")
 def _() -> None:
     with running_server() as running:
         running.resource.may_answer.set()
@@ -93,7 +93,7 @@
         assert running.resource.paths == ["/held/1", "/held/2"]
 
 
-@test("a request of which a part has arrived when the registry ends is answered")
+@test("registry shutdown: a partially received request gets its response")
 def _() -> None:
     with running_server() as running:
         running.resource.may_answer.set()
@@ -106,7 +106,7 @@
         assert read_to_end(sock).startswith(b"HTTP/1.1 200 ")
 
 
-@test("requests sent one behind the other are all answered when the registry ends")
+@test("registry shutdown: all pipelined requests get their responses")
 def _() -> None:
     with running_server() as running:
         sock = running.connect()
@@ -120,7 +120,7 @@
         assert answers.count(b"Connection: close") == 1
 
 
-@test("a connection that the kernel has accepted when the registry ends is served")
+@test("registry shutdown: a connection in the listen backlog is served")
 def _() -> None:
     with running_server() as running:
         running.resource.may_answer.set()
@@ -130,7 +130,7 @@
         assert read_to_end(sock).startswith(b"HTTP/1.1 200 ")
 
 
-@test("idle connections end with the registry, and new ones after a moment")
+@test("registry shutdown: idle connections are closed at once, new ones after a grace period")
 def _() -> None:
     with running_server() as running:
         running.resource.may_answer.set()
@@ -156,6 +156,6 @@
         sock = running.connect()
         assert running.ask(sock, 1).startswith(b"HTTP/1.1 200 ")
         gevent.sleep(0.0)
-        blocking_time.sleep(idle_seconds + 0.05)  # the timer is due for certain
+        blocking_time.sleep(idle_seconds + 0.05)  # the idle timer is certainly due
         send_unread(sock, REQUEST % 2)
         assert sock.recv(65536).startswith(b"HTTP/1.1 200 ")
--- a/tests/registry/test_store_client.py
+++ b/tests/registry/test_store_client.py
@@ -1,4 +1,4 @@
-"""Operators' commands on their way to the stores, and what the operator is answered."""
+"""Operators' commands: which stores are called, and the response to the operator."""
 
 import json
 from typing import Any
@@ -24,7 +24,7 @@
 
 
 class FakeStores(ClientPool):
-    """Each store, by IP, has one answer to all calls; `calls` are those made."""
+    """Stores by IP, each with one response to all calls; `calls`: the calls made."""
 
     def __init__(self, answers: dict[str, Any]) -> None:
         super().__init__()
@@ -49,24 +49,24 @@
 
 
 def store_client(**answers: Any) -> tuple[StoreClient, FakeStores]:
-    """A client of the own store and others, and these."""
+    """A client of the local store and others, and the fake stores."""
     stores = FakeStores(answers)
     return StoreClient("own", 7600, lambda: list(answers), stores), stores
 
 
 def without_fence(command: Any) -> Any:
-    """A command without its fencing token, which every command has."""
+    """The command without its fencing token, which must be there."""
     assert len(command["fence"]) == 4
     return {key: value for key, value in command.items() if key != "fence"}
 
 
-@test("a command is answered as a store says, once one does")
+@test("a command gets the first conclusive response of a store")
 def _() -> None:
     for own, other, status, called in (
         (ACCEPTED, ACCEPTED, 200, ["own"]),
         (UNREACHABLE, ACCEPTED, 200, ["own", "other"]),
         (UNAVAILABLE, STALE, 412, ["own", "other"]),
-        # It may have been executed: it is sent again, unchanged, as the operator would.
+        # It may have been executed; sending it again unchanged is safe.
         (UNKNOWN, ACCEPTED, 200, ["own", "other"]),
         (UNKNOWN, UNKNOWN, 503, ["own", "other"]),
         (UNKNOWN, STALE, 412, ["own", "other"]),
@@ -78,14 +78,14 @@
         response = ConfigResource(client).handle(request)
         assert (response.status, stores.called_ips()[: len(called)]) == (status, called)
         all_unreachable = own is other is UNREACHABLE
-        assert len(stores.calls) == len(called) or all_unreachable, "called again though it was answered"
+        assert len(stores.calls) == len(called) or all_unreachable, "called again after a conclusive response"
         expected = {"kind": "put", "if_match": "5", "body": {"ConfigVersion": "00000001"}}
         assert all(without_fence(command) == expected for _, command in stores.calls)
         assert (response.retry_after_seconds is not None) == (status == 503)
         json.loads(response.encode(close=False).partition(b"\r\n\r\n")[2])
 
 
-@test("a command goes to other stores first while the own one accepts calls and does not respond")
+@test("commands go to remote stores first while the local store is unresponsive")
 def _() -> None:
     client, stores = store_client(own=UNKNOWN, other=ACCEPTED)
     client._watch_clients = stores
@@ -108,7 +108,7 @@
 ]
 
 
-@test("what cannot be a command does not reach a store: {request.method} {request.path}")
+@test("invalid requests are not forwarded to a store: {request.method} {request.path}")
 def _(
     request: HttpRequest = each(*(request for request, _ in INVALID_REQUESTS)),  # noqa: B008
     status: int = each(*(status for _, status in INVALID_REQUESTS)),
