--- a/ashlift/registry/__main__.py
+++ b/ashlift/registry/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m ashlift.registry`: the registry of one core machine, as its settings file says."""
+"""`python3 -m ashlift.registry`: runs the registry of one core machine from its settings file."""
 
 import os
 import sys
@@ -36,21 +36,21 @@
 from ashlift.rpc.server import RpcServer, serve
 
 EXIT_INVALID_SETTINGS: Final = 2
-SETTINGS_CHECK_SECONDS: Final = 1.0  # between two checks whether the settings file has changed
-SHUTDOWN_FRACTION: Final = 0.9  # of `Grace`, within which what was accepted is answered at the end
+SETTINGS_CHECK_SECONDS: Final = 1.0  # between checks for a changed settings file
+SHUTDOWN_FRACTION: Final = 0.9  # of `Grace`, in which accepted requests may finish
 SHUTDOWN_CHECK_SECONDS: Final = 0.01
 INCARNATION_BYTES: Final = 4
 
 
 class RegistryProgram:
-    """Builds the parts from the settings, and runs them until the process is to end."""
+    """Builds the components from the settings, and runs them until shutdown."""
 
     def __init__(self, settings_path: str, settings: Settings, metrics_port: int | None) -> None:
         self._settings_path = settings_path
         self._settings = settings
         self._metrics_port = metrics_port
         self._settings_checksum = self._checksum()
-        self._end_requested = Event()
+        self._shutdown_requested = Event()
         identity = _identity(settings)
         store_port = settings.internal_ports[0]
         self._rpc_address = settings.ip, store_port + 1
@@ -65,7 +65,7 @@
 
     def run(self) -> int:
         """Serve until SIGTERM or SIGINT, or until a loop has failed; returns the exit status."""
-        process.on_termination(self._end_requested.set)
+        process.on_termination(self._shutdown_requested.set)
         process.on_reload(self._reload_settings)
         rpc_server = serve(self._rpc_address, RegistryRpcService(self._registry, self._notifier).handlers)
         for http_server in self._http_servers:
@@ -73,9 +73,9 @@
         self._loops.start()
         if self._metrics_port is not None:
             serve_metrics((self._settings.ip, self._metrics_port), registry_metrics(self._registry))
-        self._loops.failed.rawlink(lambda _: self._end_requested.set())
+        self._loops.failed.rawlink(lambda _: self._shutdown_requested.set())
         log_event(STARTED, source=self._registry.identity.source, seeds=",".join(self._registry.seeds))
-        while not self._end_requested.wait(SETTINGS_CHECK_SECONDS):
+        while not self._shutdown_requested.wait(SETTINGS_CHECK_SECONDS):
             if self._checksum() != self._settings_checksum:
                 self._reload_settings()
         log_event(STOPPING)
@@ -97,14 +97,14 @@
         }
 
     def _shut_down(self, rpc_server: RpcServer) -> None:
-        """Answer the calls in progress, and end the loops."""
+        """Finish the calls in progress, and end the loops."""
         deadline = time.monotonic() + SHUTDOWN_FRACTION * self._settings.bounds.grace
         self._notifier.shut_down()
         rpc_calls = gevent.spawn(rpc_server.shut_down, deadline - time.monotonic())
         for http_server in self._http_servers:
             http_server.shut_down()
         while time.monotonic() < deadline:
-            gevent.sleep(SHUTDOWN_CHECK_SECONDS)  # first, as connections just accepted have not begun yet
+            gevent.sleep(SHUTDOWN_CHECK_SECONDS)  # first, so that connections just accepted can start
             for http_server in self._http_servers:
                 http_server.close_idle_connections()
             if not any(http_server.has_connections for http_server in self._http_servers):
@@ -113,18 +113,18 @@
         self._loops.stop()
 
     def _seeds(self) -> list[str]:
-        """IPs of the seeds, each once."""
+        """IPs of the seeds without duplicates."""
         return list(dict.fromkeys(host for host, _ in self._settings.seeds))
 
     def _stores_by_distance(self) -> list[str]:
-        """IPs of the stores, those whose registries are in reach and near first."""
+        """IPs of the stores: those with reachable registries first, nearest first."""
         identity = self._registry.identity
         members = self._registry.core_members()
         registries = self._registry.registries_by_distance(identity.zone, identity.region, time.monotonic())
         return [ip for ip in registries if ip in members]
 
     def _checksum(self) -> int:
-        """A number that changes with the settings file."""
+        """Checksum of the settings file; 0 if it cannot be read."""
         try:
             with open(self._settings_path, "rb") as file:
                 return zlib.crc32(file.read())
@@ -149,7 +149,7 @@
     _, http_port = http_address
     return RegistryIdentity(
         node=settings.node_name,
-        incarnation=os.urandom(INCARNATION_BYTES).hex(),  # `secrets` would load OpenSSL at each start
+        incarnation=os.urandom(INCARNATION_BYTES).hex(),  # importing `secrets` would load OpenSSL
         ip=settings.ip,
         zone=settings.zone,
         region=settings.region,
@@ -159,7 +159,7 @@
 
 
 def main() -> int:
-    """Run the program; returns the exit status."""
+    """Run the registry; returns the exit status."""
     path = process.settings_path()
     settings = read_settings(path)
     if isinstance(settings, list):
--- a/ashlift/registry/api/members.py
+++ b/ashlift/registry/api/members.py
@@ -1,9 +1,9 @@
-"""`/members`: who votes and learns in the configuration store, and the operator's changes of that."""
+"""`/members`: voters and learners of the configuration store, and changes of them by operators."""
 
 from typing import Any, Final
 
 from ashlift.errors import Failure
-from ashlift.registry.api.command_responses import log_command, no_clear_answer
+from ashlift.registry.api.command_responses import log_command, outcome_unknown_response
 from ashlift.registry.api.messages import HttpRequest, HttpResponse, error_response
 from ashlift.registry.api.resource import Resource, parse_json
 from ashlift.registry.store_client import StoreClient
@@ -14,17 +14,17 @@
 
 
 class MembersResource(Resource):
-    """Answered by the store."""
+    """Forwards requests to the store."""
 
     def __init__(self, store: StoreClient) -> None:
         self._store = store
 
     def get(self, _request: HttpRequest) -> HttpResponse:
-        """The leader's table of members."""
+        """The members as known by the leader."""
         return self._call_store(SHOW, "")
 
     def post(self, request: HttpRequest) -> HttpResponse:
-        """A change: `{"Do": "remove", "Ip": "10.0.0.4"}`."""
+        """Change the members: `{"Do": "remove", "Ip": "10.0.0.4"}`."""
         value = parse_json(request.body)
         if isinstance(value, Failure):
             return error_response(400, value.detail)
@@ -36,7 +36,7 @@
     def _call_store(self, action: Any, ip: str) -> HttpResponse:
         result = self._store.members(action, ip)
         if isinstance(result, Failure):
-            return no_clear_answer(result)
+            return outcome_unknown_response(result)
         if action != SHOW:
             log_command(f"members {action}", result)
         if result.status != 200:
--- a/ashlift/registry/endpoint_directory.py
+++ b/ashlift/registry/endpoint_directory.py
@@ -1,8 +1,7 @@
-"""Which proxies a client is sent to by a look-up. Pure; times in seconds.
+"""Selects the proxies that a lookup returns to a client. Does no I/O; times in seconds.
 
-`ashlift.registry.home_regions` says which regions are allowed for a host. The minimum of near proxies is
-sought among these alone: it never adds a proxy of another region. Where none of them is ready, the answer
-names nobody.
+`ashlift.registry.home_regions` determines which regions are allowed for a host. Proxies of other regions are
+never returned, even if fewer than `MIN_NEAR_PROXIES` are ready in the allowed ones.
 """
 
 import zlib
@@ -13,35 +12,34 @@
 
 import attrs
 
-from ashlift.registry.home_regions import OWN_REGION_ONLY, RegionPolicy
-from ashlift.registry.locality import Place
+from ashlift.registry.home_regions import CLIENT_REGION_ONLY, RegionPolicy
+from ashlift.registry.locality import Locality
 from ashlift.registry.records import SessionRecord
 
-MAX_ADDRESSES: Final = 64  # in one answer
-MIN_NEAR_PROXIES: Final = (
-    2  # a single proxy must neither carry all of a zone's load nor be its only entry point
-)
+MAX_ADDRESSES: Final = 64  # in one response
+# With fewer, one proxy would carry all of a zone's load and be a single point of failure.
+MIN_NEAR_PROXIES: Final = 2
 CACHE_SECONDS: Final = 0.1
-MAX_CACHED_LOOKUPS: Final = 100  # places as asked for, with the policies of hosts
-MAX_KNOWN_PLACES: Final = 100
+MAX_CACHED_LOOKUPS: Final = 100  # combinations of locality and region policy
+MAX_KNOWN_LOCALITIES: Final = 100
 
 
 class LookupReach(StrEnum):
-    """How far from the client the farthest proxy of an answer may be. The values stand in metrics."""
+    """The area from which the proxies of a result were selected. The values are metric labels."""
 
     ZONE = "zone"
     REGION = "region"
-    HOME_REGIONS = "home_regions"  # other regions, where the host's routes are at home
+    HOME_REGIONS = "home_regions"  # other regions, limited to the home regions of the host's routes
     OTHER_REGIONS = "other_regions"
     NOTHING = "nothing"  # no proxy is ready
 
 
 @attrs.frozen
-class DirectoryAnswer:
-    """The proxies that a client is sent to.
+class LookupResult:
+    """The proxies returned to a client.
 
-    `ready_in_region`: how many proxies of the client's region were ready. `other_regions`: those of the
-    addresses that are not in the client's region, one entry for each.
+    `ready_in_region`: number of ready proxies in the client's region. `other_regions`: the region of each
+    returned proxy outside the client's region.
     """
 
     addresses: list[str]
@@ -50,22 +48,23 @@
     other_regions: tuple[str, ...]
 
 
-class CachedAnswer(NamedTuple):
-    """An answer, and the steady time at which it was worked out."""
+class CachedResult(NamedTuple):
+    """A result, and the monotonic time at which it was computed."""
 
-    chosen_at: float
-    answer: DirectoryAnswer
+    computed_at: float
+    result: LookupResult
 
 
-def choose_proxies(sessions: Iterable[SessionRecord], place: Place, policy: RegionPolicy) -> DirectoryAnswer:
-    """The ready proxies of the zone; if they are few, the region's too; if still few, all allowed ones."""
+def choose_proxies(
+    sessions: Iterable[SessionRecord], locality: Locality, policy: RegionPolicy
+) -> LookupResult:
+    """The ready proxies of the zone; if they are too few, also those of the region, then all allowed ones."""
     ready = [session for session in sessions if session.ready]
-    ready.sort(
-        key=lambda session: zlib.crc32(f"{place.zone} {session.front}".encode())
-    )  # another order for each zone
-    in_zone = [session for session in ready if session.zone == place.zone]
+    # A different order in each zone spreads the load.
+    ready.sort(key=lambda session: zlib.crc32(f"{locality.zone} {session.client_address}".encode()))
+    in_zone = [session for session in ready if session.zone == locality.zone]
     rest_of_region = [
-        session for session in ready if session.zone != place.zone and session.region == place.region
+        session for session in ready if session.zone != locality.zone and session.region == locality.region
     ]
     ready_in_region = len(in_zone) + len(rest_of_region)
     chosen = in_zone
@@ -73,60 +72,63 @@
     if len(chosen) < MIN_NEAR_PROXIES and rest_of_region:
         chosen = chosen + rest_of_region
         reach = LookupReach.REGION
-    if len(chosen) < MIN_NEAR_PROXIES and not (policy.only_from_empty_region and ready_in_region):
+    if len(chosen) < MIN_NEAR_PROXIES and not (policy.only_if_client_region_empty and ready_in_region):
         elsewhere = [
             session
             for session in ready
-            if session.zone != place.zone
-            and session.region != place.region
-            and policy.allows(session.region, place.region)
+            if session.zone != locality.zone
+            and session.region != locality.region
+            and policy.allows(session.region, locality.region)
         ]
         chosen = chosen + elsewhere
         if elsewhere:
             reach = LookupReach.OTHER_REGIONS if policy.allowed_regions is None else LookupReach.HOME_REGIONS
     chosen = chosen[:MAX_ADDRESSES]
-    return DirectoryAnswer(
-        [session.front for session in chosen],
+    return LookupResult(
+        [session.client_address for session in chosen],
         reach,
         ready_in_region,
-        tuple(session.region for session in chosen if session.region != place.region),
+        tuple(session.region for session in chosen if session.region != locality.region),
     )
 
 
 class EndpointDirectory:
-    """Answers to look-ups, cached briefly: hundreds of clients send the same request every second."""
+    """Performs lookups. Results are cached briefly, as many clients send the same lookup every second."""
 
     def __init__(self, live_sessions: Callable[[float], Mapping[str, SessionRecord]]) -> None:
-        """`live_sessions`: proxies whose leases stand at a time."""
+        """`live_sessions`: returns the proxies whose leases are valid at a given time."""
         self._live_sessions = live_sessions
-        self.cache: dict[tuple[Place, RegionPolicy], CachedAnswer] = {}
-        self.answers_by_reach: Counter[str] = Counter()
-        self.ready_in_region: dict[Place, int] = {}  # by place, as of the last look-up there
+        self.cache: dict[tuple[Locality, RegionPolicy], CachedResult] = {}
+        self.results_by_reach: Counter[str] = Counter()
+        self.ready_in_region: dict[Locality, int] = {}  # as of the last lookup from each locality
 
-    def is_short(self, place: Place) -> bool:
-        """Whether the region of a place had too few ready proxies at the last look-up."""
-        return self.ready_in_region.get(place, MIN_NEAR_PROXIES) < MIN_NEAR_PROXIES
+    def has_proxy_shortage(self, locality: Locality) -> bool:
+        """Whether the locality's region had too few ready proxies at the last lookup."""
+        return self.ready_in_region.get(locality, MIN_NEAR_PROXIES) < MIN_NEAR_PROXIES
 
-    def answer(self, place: Place, region_policy: Callable[[], RegionPolicy], now: float) -> DirectoryAnswer:
-        """Where clients of that place are sent.
+    def lookup(
+        self, locality: Locality, region_policy: Callable[[], RegionPolicy], now: float
+    ) -> LookupResult:
+        """The proxies for clients in that locality.
 
-        `region_policy`: of the host that they ask for; called only where their region has too few proxies.
+        `region_policy`: returns the policy of the requested host; called only if the client's region has too
+        few proxies.
         """
-        answer = self._cached_answer(place, OWN_REGION_ONLY, now)
-        if len(answer.addresses) < MIN_NEAR_PROXIES:
-            answer = self._cached_answer(place, region_policy(), now)
-        self.answers_by_reach[answer.reach] += 1
-        if len(self.ready_in_region) >= MAX_KNOWN_PLACES:
+        result = self._cached_result(locality, CLIENT_REGION_ONLY, now)
+        if len(result.addresses) < MIN_NEAR_PROXIES:
+            result = self._cached_result(locality, region_policy(), now)
+        self.results_by_reach[result.reach] += 1
+        if len(self.ready_in_region) >= MAX_KNOWN_LOCALITIES:
             self.ready_in_region.clear()
-        self.ready_in_region[place] = answer.ready_in_region
-        return answer
-
-    def _cached_answer(self, place: Place, policy: RegionPolicy, now: float) -> DirectoryAnswer:
-        cached = self.cache.get((place, policy))
-        if cached is None or cached.chosen_at < now - CACHE_SECONDS:
-            answer = choose_proxies(self._live_sessions(now).values(), place, policy)
-            cached = CachedAnswer(now, answer)
+        self.ready_in_region[locality] = result.ready_in_region
+        return result
+
+    def _cached_result(self, locality: Locality, policy: RegionPolicy, now: float) -> LookupResult:
+        cached = self.cache.get((locality, policy))
+        if cached is None or cached.computed_at < now - CACHE_SECONDS:
+            result = choose_proxies(self._live_sessions(now).values(), locality, policy)
+            cached = CachedResult(now, result)
             if len(self.cache) >= MAX_CACHED_LOOKUPS:
                 self.cache.clear()
-            self.cache[place, policy] = cached
-        return cached.answer
+            self.cache[locality, policy] = cached
+        return cached.result
--- a/ashlift/registry/load_reports.py
+++ b/ashlift/registry/load_reports.py
@@ -1,6 +1,6 @@
-"""What proxies report of workers with their pulls, summed into this registry's own records. Pure.
+"""Sums of the proxies' load reports per worker, published as local records. Does no I/O.
 
-A sum is published only when it has moved enough: each change is pulled by all proxies.
+A sum is published only when it has changed enough, because all proxies pull each change.
 """
 
 from collections.abc import Callable
@@ -10,25 +10,25 @@
 from ashlift.registry.messages import NO_LOAD, LoadReport
 from ashlift.registry.replicated_source import ReplicatedSource
 
-MIN_IN_FLIGHT_SHIFT: Final = 2.0  # requests by which the published sum may be off
-IN_FLIGHT_SHIFT_PER_SLOT: Final = 0.3  # or as much as this times the worker's capacity
-MIN_SEEN_FAILURE_TENTHS: Final = 3  # from here on a proxy counts as one that has seen failures
-MIN_FAILURE_SHIFT_TENTHS: Final = 7  # by which published failures may be off
-MIN_REQUEST_SHIFT_TENTHS: Final = 20  # by which published requests may be off
-REQUEST_SHIFT_RATIO: Final = 0.3  # or as much as this times what is published
+MIN_IN_FLIGHT_CHANGE: Final = 2.0  # requests
+IN_FLIGHT_CHANGE_PER_SLOT: Final = 0.3  # of the worker's capacity; the larger of both applies
+MIN_OBSERVED_FAILURE_TENTHS: Final = 3  # from which a proxy counts as having observed failures
+MIN_FAILURE_CHANGE_TENTHS: Final = 7
+MIN_REQUEST_CHANGE_TENTHS: Final = 20
+REQUEST_CHANGE_RATIO: Final = 0.3  # of the published sum; the larger of both applies
 
 
 class LoadReports:
-    """The newest report of each proxy, and the sums of all."""
+    """Keeps the newest report of each proxy and publishes the sums."""
 
-    def __init__(self, own_source: ReplicatedSource, capacity: Callable[[str], int | None]) -> None:
-        """`capacity` of a worker by its ID; None: it is not known."""
-        self._own_source = own_source
+    def __init__(self, local_source: ReplicatedSource, capacity: Callable[[str], int | None]) -> None:
+        """`capacity`: returns the capacity of a worker by its ID, or None if it is unknown."""
+        self._local_source = local_source
         self._capacity = capacity
         self._reports: dict[str, LoadReport] = {}
 
     def update(self, node: str, report: LoadReport) -> None:
-        """A proxy's newest report."""
+        """Replace the report of a proxy."""
         previous = self._reports.pop(node, NO_LOAD)
         if report.in_flight or report.failures:
             self._reports[node] = report
@@ -40,43 +40,43 @@
                 self._publish_failures(worker_id)
 
     def remove(self, node: str) -> None:
-        """Forget the report of a proxy that has stopped, or reports to another registry."""
+        """Remove the report of a proxy that has stopped or now reports to another registry."""
         self.update(node, NO_LOAD)
 
     def _publish_in_flight(self, worker_id: str) -> None:
         key = IN_FLIGHT_PREFIX + worker_id
         total = sum(report.in_flight.get(worker_id, 0) for report in self._reports.values())
-        published = self._own_source.values.get(key, 0)
+        published = self._local_source.values.get(key, 0)
         capacity = self._capacity(worker_id)
         if not total or capacity is None:
-            self._own_source.drop(key)
-        elif abs(total - published) >= max(MIN_IN_FLIGHT_SHIFT, IN_FLIGHT_SHIFT_PER_SLOT * capacity):
-            self._own_source.put(key, total)
+            self._local_source.drop(key)
+        elif abs(total - published) >= max(MIN_IN_FLIGHT_CHANGE, IN_FLIGHT_CHANGE_PER_SLOT * capacity):
+            self._local_source.put(key, total)
 
     def _publish_failures(self, worker_id: str) -> None:
-        """As `[failures, requests, proxies that have seen failures]`, the first two in tenths."""
+        """Publish `[failures, requests, proxies that observed failures]`, the first two in tenths."""
         key = FAILURES_PREFIX + worker_id
         reported = [
             report.failures[worker_id] for report in self._reports.values() if worker_id in report.failures
         ]
         failed = sum(failures for failures, _ in reported)
         ran = sum(requests for _, requests in reported)
-        witnesses = sum(failures >= MIN_SEEN_FAILURE_TENTHS for failures, _ in reported)
-        sums = [failed, ran, witnesses]
+        proxies_with_failures = sum(failures >= MIN_OBSERVED_FAILURE_TENTHS for failures, _ in reported)
+        sums = [failed, ran, proxies_with_failures]
         if not ran or self._capacity(worker_id) is None:
-            self._own_source.drop(key)
-        elif _has_moved(self._own_source.values.get(key), sums):
-            self._own_source.put(key, sums)
+            self._local_source.drop(key)
+        elif _has_changed_enough(self._local_source.values.get(key), sums):
+            self._local_source.put(key, sums)
 
 
-def _has_moved(published: list[int] | None, sums: list[int]) -> bool:
-    """Whether the sums of failures are far enough from those published last."""
+def _has_changed_enough(published: list[int] | None, sums: list[int]) -> bool:
+    """Whether the sums differ enough from the published ones."""
     if published is None:
         return True
-    published_failed, published_ran, published_witnesses = published
-    failed, ran, witnesses = sums
+    published_failed, published_ran, published_proxies_with_failures = published
+    failed, ran, proxies_with_failures = sums
     return (
-        abs(failed - published_failed) >= MIN_FAILURE_SHIFT_TENTHS
-        or abs(ran - published_ran) >= max(MIN_REQUEST_SHIFT_TENTHS, REQUEST_SHIFT_RATIO * published_ran)
-        or (witnesses == 0) != (published_witnesses == 0)
+        abs(failed - published_failed) >= MIN_FAILURE_CHANGE_TENTHS
+        or abs(ran - published_ran) >= max(MIN_REQUEST_CHANGE_TENTHS, REQUEST_CHANGE_RATIO * published_ran)
+        or (proxies_with_failures == 0) != (published_proxies_with_failures == 0)
     )
--- a/ashlift/registry/metrics.py
+++ b/ashlift/registry/metrics.py
@@ -1,4 +1,4 @@
-"""The registry's own figures. The words are explained in docs/operations/system.md."""
+"""Metrics of the registry. Their labels are explained in docs/operations/system.md."""
 
 import time
 from collections import Counter
@@ -14,14 +14,14 @@
 
 
 def registry_metrics(registry: Registry) -> MetricsRegistry:
-    """The figures of a registry, read at each scrape."""
+    """The metrics of a registry, read at each scrape."""
 
     def ready_proxies() -> Counter[str]:
         sessions = registry.sessions.live(time.monotonic()).values()
         return Counter(session.region for session in sessions if session.ready)
 
     metrics = MetricsRegistry()
-    metrics.add(LOOKUP_ANSWERS, lambda: registry.directory.answers_by_reach)
+    metrics.add(LOOKUP_ANSWERS, lambda: registry.directory.results_by_reach)
     metrics.add(READY_PROXIES, ready_proxies)
     metrics.add(INVARIANT_VIOLATIONS, lambda: monitor.violations)
     return metrics
--- a/ashlift/registry/replication_loops.py
+++ b/ashlift/registry/replication_loops.py
@@ -1,6 +1,6 @@
-"""Greenlets that pull from the other registries and from the store, and expire leases.
+"""Greenlets that replicate from the other registries and the configuration store, and expire leases.
 
-The wanted state is a set of peers: a swap loop runs for each of them, started and ended once a tick.
+One swap loop runs for each peer; each tick starts and ends loops as peers appear and disappear.
 """
 
 import time
@@ -27,24 +27,24 @@
 from ashlift.registry.store_client import StoreClient
 from ashlift.rpc.client import ClientPool
 
-RESPONSE_TIMEOUT_SECONDS: Final = 0.6  # for a response beyond the time for which the call may be held
-OWN_STORE_WATCH_SECONDS: Final = 0.1  # between two answers of the own store; the lease's age grows by this
+RESPONSE_TIMEOUT_SECONDS: Final = 0.6  # for the response, in addition to the long poll
+LOCAL_STORE_WATCH_SECONDS: Final = 0.1  # long poll at the local store; it adds to the age of the lease
 TICK_INTERVAL_SECONDS: Final = 0.25
 
 
 class ReplicationLoops:
-    """`failed` is set once a loop has raised an exception: the process must end, or records go stale."""
+    """`failed` is set when a loop raises an exception; the process must then end, as records go stale."""
 
     def __init__(
         self, registry: Registry, store: StoreClient, notifier: ChangeNotifier, clients: ClientPool, port: int
     ) -> None:
-        """`port`: of the RPC calls, the same on all core machines."""
+        """`port`: RPC port of the registries, the same on all core machines."""
         self._registry = registry
         self._store = store
         self._notifier = notifier
         self._clients = clients
         self._port = port
-        self._swap_loops: dict[str, gevent.Greenlet[..., None]] = {}  # by the peer's IP
+        self._swap_loops: dict[str, gevent.Greenlet[..., None]] = {}  # by IP of the peer
         self._other_loops: list[gevent.Greenlet[..., None]] = []
         self.failed = Event()
 
@@ -68,8 +68,8 @@
     def _tick_loop(self) -> None:
         while True:
             result = self._registry.tick(time.monotonic())
-            if result.stood_still:
-                log_event(events.STOOD_STILL)
+            if result.was_paused:
+                log_event(events.RESUMED_AFTER_PAUSE)
             for source in result.dropped_peers:
                 log_event(events.PEER_LOST, source=source)
             self._notifier.notify_if_changed()
@@ -85,29 +85,29 @@
             self._clients.client((ip, self._port)).close()
 
     def _swap_loop(self, ip: str) -> None:
-        introduce = True
+        include_caller_ip = True
         backoff = INITIAL_BACKOFF_SECONDS
-        announced: set[str] = set()
+        logged: set[str] = set()
         while True:
             sent_at = time.monotonic()
-            failure = self._swap(ip, introduce, sent_at)
-            introduce = failure is not None
+            failure = self._swap(ip, include_caller_ip, sent_at)
+            include_caller_ip = failure is not None
             if failure is not None:
                 if failure.reason == FailureReason.OUTCOME_UNKNOWN:
-                    self._clients.client((ip, self._port)).close()  # do not wait on the same connection again
+                    self._clients.client((ip, self._port)).close()  # do not reuse an unresponsive connection
                 gevent.sleep(backoff)
                 backoff = next_backoff(backoff)
                 continue
             received_at = time.monotonic()
             backoff = INITIAL_BACKOFF_SECONDS
             self._notifier.notify_if_changed()
-            self._announce_peer(ip, announced)
+            self._log_new_incarnations(ip, logged)
             interval = call_interval(len(self._swap_loops), UNTHROTTLED_PEERS)
             gevent.sleep(max(BATCHING_DELAY_SECONDS, sent_at + interval - received_at))
 
-    def _swap(self, ip: str, introduce: bool, sent_at: float) -> Failure | None:
-        """Ask a peer once for its records."""
-        body = codec.encode_swap_request(self._registry.peers.swap_request(ip, introduce))
+    def _swap(self, ip: str, include_caller_ip: bool, sent_at: float) -> Failure | None:
+        """Request the records of a peer once."""
+        body = codec.encode_swap_request(self._registry.peers.swap_request(ip, include_caller_ip))
         client = self._clients.client((ip, self._port))
         answer = client.call("swap", body, LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS)
         if isinstance(answer, Failure):
@@ -118,36 +118,36 @@
         self._registry.receive_swap_response(ip, response, sent_at)
         return None
 
-    def _announce_peer(self, ip: str, announced: set[str]) -> None:
-        """Log each incarnation of the peer at `ip` once."""
+    def _log_new_incarnations(self, ip: str, logged: set[str]) -> None:
+        """Log each incarnation of the peer at `ip` once; `logged`: the sources logged before."""
         replicas = self._registry.peers.replicas
-        for source in set(replicas) - announced:
+        for source in set(replicas) - logged:
             if replicas[source].ip == ip:
                 log_event(events.PEER_FOUND, source=source, ip=ip)
-                announced.add(source)
+                logged.add(source)
 
     def _watch_loop(self) -> None:
-        """Watch the own store; after each answer of it that proves nothing, another one."""
-        ask_own = True
-        own_is_unreachable = False
+        """Watch the local store, and a remote one after each response that does not renew the lease."""
+        use_local_store = True
+        local_store_is_unreachable = False
         while True:
             sent_at = time.monotonic()
-            answer = self._watch(ask_own)
+            answer = self._watch(use_local_store)
             received_at = time.monotonic()
             has_proof = False
             if isinstance(answer, Failure):
-                if ask_own and not own_is_unreachable:
+                if use_local_store and not local_store_is_unreachable:
                     log_event(events.STORE_UNREACHABLE, error=answer)
-                own_is_unreachable = own_is_unreachable or ask_own
+                local_store_is_unreachable = local_store_is_unreachable or use_local_store
             else:
                 has_proof = self._registry.operator_config.receive_watch_response(answer, sent_at)
-                own_is_unreachable = own_is_unreachable and not ask_own
+                local_store_is_unreachable = local_store_is_unreachable and not use_local_store
                 self._notifier.notify_if_changed()
-            ask_own = has_proof or not ask_own
+            use_local_store = has_proof or not use_local_store
             if not has_proof:
                 gevent.sleep(max(0.0, sent_at + INITIAL_BACKOFF_SECONDS - received_at))
 
-    def _watch(self, ask_own: bool) -> Json | Failure:
+    def _watch(self, use_local_store: bool) -> Json | Failure:
         config = self._registry.operator_config
-        wait_seconds = OWN_STORE_WATCH_SECONDS if ask_own else LONG_POLL_SECONDS
-        return self._store.watch(config.version, wait_seconds, ask_own, config.wanted_fragment())
+        wait_seconds = LOCAL_STORE_WATCH_SECONDS if use_local_store else LONG_POLL_SECONDS
+        return self._store.watch(config.version, wait_seconds, use_local_store, config.wanted_fragment())
--- a/ashlift/registry/rpc_service.py
+++ b/ashlift/registry/rpc_service.py
@@ -1,4 +1,4 @@
-"""The RPC methods of a registry: `pull` for proxies, `swap` for other registries. Both are long polls."""
+"""RPC methods of a registry: `pull` for proxies and `swap` for other registries. Both are long polls."""
 
 import time
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 class RegistryRpcService:
-    """`handlers`: by method, as `ashlift.rpc.server.serve` takes them."""
+    """`handlers`: by method name, for `ashlift.rpc.server.serve`."""
 
     def __init__(self, registry: Registry, notifier: ChangeNotifier) -> None:
         self._registry = registry
@@ -44,11 +44,11 @@
             self._registry.sessions.end_pull(request.node)
 
     def _wait_for_updates(self, request: PullRequest, received_at: float) -> None:
-        """Wait until there is something for this proxy; then briefly, so that changes are sent together."""
-        interval = self._pull_interval()  # at a start, all proxies are in a hurry
-        min_wait = max(MIN_LONG_POLL_SECONDS, interval)
+        """Wait for updates for this proxy, and then for `BATCHING_DELAY_SECONDS` to send changes together."""
+        interval = self._pull_interval()
+        min_wait = max(MIN_LONG_POLL_SECONDS, interval)  # proxies without a configuration ask not to wait
         deadline = pull_deadline(received_at, request.wait_seconds, min_wait)
-        while not self._is_answered_at_once(request):
+        while not self._can_respond_now(request):
             if not self._notifier.wait_for_change(deadline):
                 break
         has_updates = bool(request.versions) and self._registry.has_updates_for(request.versions)
@@ -56,10 +56,10 @@
             earliest = received_at + self._pull_interval()
             gevent.sleep(max(BATCHING_DELAY_SECONDS, earliest - time.monotonic()))
 
-    def _is_answered_at_once(self, request: PullRequest) -> bool:
+    def _can_respond_now(self, request: PullRequest) -> bool:
         if self._registry.has_updates_for(request.versions):
             return True
-        return request.eager and self._registry.operator_config.has_fresh_lease(time.monotonic())
+        return request.urgent and self._registry.operator_config.has_fresh_lease(time.monotonic())
 
     def _pull_interval(self) -> float:
         return call_interval(len(self._registry.sessions), UNTHROTTLED_SESSIONS)
--- a/benchmarks/scale/registry_figures.py
+++ b/benchmarks/scale/registry_figures.py
@@ -10,7 +10,7 @@
 from ashlift.registry import codec
 from ashlift.registry.api.heartbeat_body import parse_heartbeat
 from ashlift.registry.api.messages import HttpResponse
-from ashlift.registry.locality import Place
+from ashlift.registry.locality import Locality
 from ashlift.registry.messages import SwapRequest
 from ashlift.registry.registry import Registry
 from ashlift.rpc.framing import MAX_FRAME_BYTES
@@ -148,7 +148,7 @@
         """The part of a full response that holds all workers and sessions, without the configuration."""
         versions_before = known_versions(self.registry)
         replicas = self.registry.peers.replicas.values()
-        for source in [self.registry.own_source, *(replica.source for replica in replicas)]:
+        for source in [self.registry.local_source, *(replica.source for replica in replicas)]:
             records = {key: value for key, value in source.values.items() if key[0] in "wg"}
             source.merge(source.version + 1, records, ())
         response = self.recorder.record_cpu_ms(
@@ -199,7 +199,7 @@
     def _measure_lookup(self) -> None:
         def look_up_without_cache() -> Any:
             self.registry.directory.cache.clear()
-            return self.registry.lookup("h00.example", Place("z05", "r05"), NOW)
+            return self.registry.lookup("h00.example", Locality("z05", "r05"), NOW)
 
         answer = self.recorder.record_cpu_ms(
             "registry: look-ups of a zone, worked out, ms", look_up_without_cache
--- a/tests/support/registry_scenarios.py
+++ b/tests/support/registry_scenarios.py
@@ -27,7 +27,7 @@
 from ashlift.proxy.pull_messages import PullResponse
 from ashlift.registry import codec
 from ashlift.registry.identity import RegistryIdentity
-from ashlift.registry.locality import Place
+from ashlift.registry.locality import Locality
 from ashlift.registry.records import WorkerRecord, WorkerState
 from ashlift.registry.registry import Registry
 from ashlift.rpc.sources import OPERATOR_SOURCE
@@ -172,7 +172,7 @@
         registry = self.registries[name]
         for ip in registry.peer_ips(self.now):
             if ip in running and frozenset((name, ip)) not in self.partitions:
-                request = codec.encode_swap_request(registry.peers.swap_request(ip, introduce=True))
+                request = codec.encode_swap_request(registry.peers.swap_request(ip, include_caller_ip=True))
                 response = swap_response(self.registries[ip], request, self.now)
                 receive_swap_response(registry, ip, response, self.now, self.now)
 
@@ -207,7 +207,7 @@
         assert sums == [int(count) for count in expected], str(counts)
 
     def _check_lookup(self, name: str, host: str, zone: str, region: str, *expected: str) -> None:
-        answer = self.registries[name].lookup(host, Place(zone, region), self.now)
+        answer = self.registries[name].lookup(host, Locality(zone, region), self.now)
         found = ["unavailable"] if isinstance(answer, Failure) else sorted(answer.addresses)
         assert found == sorted(expected), str(answer)
 
