--- a/ashlift/proxy/registry_client.py
+++ b/ashlift/proxy/registry_client.py
@@ -1,6 +1,6 @@
 """A proxy's side of the RPC `pull`: what it reports to a registry, and what it makes of the response. Pure.
 
-`ashlift.proxy.configuration_updates` makes the calls.
+`ashlift.proxy.registry_poller` makes the calls.
 """
 
 import random
--- a/ashlift/simulation/proxy_process.py
+++ b/ashlift/simulation/proxy_process.py
@@ -1,7 +1,7 @@
 """The proxy as a simulated process: its real cores, in the way that `ashlift.proxy` runs them.
 
 A `ProxyRequest` does what `ashlift.proxy.request_handler` does, and a `ProxyProcess` what
-`ashlift.proxy.configuration_updates` and `ashlift.proxy.upstream` do with sockets.
+`ashlift.proxy.registry_poller` and `ashlift.proxy.upstream` do with sockets.
 """
 
 import random
@@ -11,7 +11,7 @@
 from ashlift.config.settings import Settings
 from ashlift.proxy.admission import AdmittedRequest
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
-from ashlift.proxy.configuration_updates import RETRY_PAUSE_SECONDS
+from ashlift.proxy.registry_poller import RETRY_PAUSE_SECONDS
 from ashlift.proxy.idle_connections import IdleConnectionAges
 from ashlift.proxy.load_balancer import WorkerState
 from ashlift.proxy.registry_client import LONG_POLL_SECONDS, RESPONSE_TIMEOUT_SECONDS, RegistryClient
