--- a/ashlift/proxy/attempts.py
+++ b/ashlift/proxy/attempts.py
@@ -24,7 +24,7 @@
     CONNECT_FAILED = auto()  # no connection could be established
     CONNECTION_LOST = auto()  # the connection broke, or its response was malformed: the request may have run
     TIMED_OUT = auto()  # the deadline passed: the request may still be running
-    NO_CONNECTION_FREE = auto()  # the limit of connections to the worker is reached: nothing was sent
+    CONNECTION_LIMIT_REACHED = auto()  # the limit of connections to the worker is reached: nothing was sent
 
 
 class AttemptRule(NamedTuple):
@@ -51,7 +51,7 @@
     AttemptResult.CONNECT_FAILED: AttemptRule(False, True, True),
     AttemptResult.CONNECTION_LOST: AttemptRule(True, True, False),
     AttemptResult.TIMED_OUT: AttemptRule(True, True, False),
-    AttemptResult.NO_CONNECTION_FREE: AttemptRule(False, True, True),
+    AttemptResult.CONNECTION_LIMIT_REACHED: AttemptRule(False, True, True),
 }
 
 
--- a/ashlift/proxy/request_router.py
+++ b/ashlift/proxy/request_router.py
@@ -207,7 +207,7 @@
                 self.load_balancer.record_failure(now, worker)
             case AttemptResult.CONNECTION_LOST | AttemptResult.TIMED_OUT:
                 self._record_no_response(now, request, worker, outcome, cancelled)
-            case AttemptResult.NO_CONNECTION_FREE:
+            case AttemptResult.CONNECTION_LIMIT_REACHED:
                 request.attempted_workers.remove(worker.record.id)
                 self.load_balancer.record_overload(now, worker)
         return False
--- a/ashlift/proxy/upstream.py
+++ b/ashlift/proxy/upstream.py
@@ -89,7 +89,7 @@
         try:
             connection = self._acquire(request, started_at)
             if connection is None:
-                return AttemptOutcome(AttemptResult.NO_CONNECTION_FREE)
+                return AttemptOutcome(AttemptResult.CONNECTION_LIMIT_REACHED)
             return self._send(attempt, request, connection, started_at)
         except gevent.Timeout as timeout:
             if timeout is not timer:
--- a/ashlift/simulation/proxy_process.py
+++ b/ashlift/simulation/proxy_process.py
@@ -231,7 +231,7 @@
         self._open_connections[worker_id] = open_count + 1  # released with the outcome
         if open_count >= self.router.max_connections(attempt.worker):
             attempt.proxy_request.request.pool_exhausted_count += 1
-            outcome = AttemptOutcome(AttemptResult.NO_CONNECTION_FREE)
+            outcome = AttemptOutcome(AttemptResult.CONNECTION_LIMIT_REACHED)
             self.call_later(SCHEDULING_DELAY_SECONDS, attempt.finish, outcome)
             return
         self.call_later(max(0.0, attempt.remaining), self._time_out, attempt)
