--- a/ashlift/proxy/shutdown.py
+++ b/ashlift/proxy/shutdown.py
@@ -12,7 +12,7 @@
 MAX_ACCEPT_SECONDS: Final = 2.8
 # A connection that was accepted in the last moment has so long for its first request.
 FIRST_REQUEST_SECONDS: Final = 1.0
-EXIT_FRACTION: Final = 0.93  # of `Grace`, after which what is open gets the proxy's own response
+SERVE_FRACTION: Final = 0.93  # of `Grace`, after which what is open gets the proxy's own response
 LAST_RESPONSE_FRACTION: Final = 0.03  # of `Grace`, for these responses to leave
 
 
@@ -35,7 +35,7 @@
 
 def shutdown_schedule(started_at: float, grace: float) -> ShutdownSchedule:
     """The times of a shutdown that began at `started_at`; `grace`: `Grace`, in seconds."""
-    answer_until = started_at + EXIT_FRACTION * grace
+    answer_until = started_at + SERVE_FRACTION * grace
     return ShutdownSchedule(
         accept_until=started_at + accept_seconds(grace),
         answer_until=answer_until,
--- a/ashlift/simulation/proxy_process.py
+++ b/ashlift/simulation/proxy_process.py
@@ -19,7 +19,7 @@
 from ashlift.proxy.request_progress import RequestProgress, Step
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.responses import WorkerResponse
-from ashlift.proxy.shutdown import EXIT_FRACTION, accept_seconds
+from ashlift.proxy.shutdown import SERVE_FRACTION, accept_seconds
 from ashlift.proxy.upstream import MAX_IDLE_PER_WORKER, MAX_IDLE_SECONDS
 from ashlift.simulation import registry_process
 from ashlift.simulation.event_loop import EventLoop
@@ -208,7 +208,7 @@
         started = self.clock()
         grace = self.router.bounds.grace
         yield accept_seconds(grace)
-        while self.requests and self.clock() < started + EXIT_FRACTION * grace:
+        while self.requests and self.clock() < started + SERVE_FRACTION * grace:
             yield DRAIN_POLL_SECONDS
         self.kill()
 
--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -4,7 +4,7 @@
 
 from ashlift.config.settings import Settings, parse_settings
 from ashlift.proxy.program import Program
-from ashlift.proxy.shutdown import EXIT_FRACTION, accept_seconds
+from ashlift.proxy.shutdown import SERVE_FRACTION, accept_seconds
 from tests.proxy.test_registry_client import TEXT
 
 
@@ -29,4 +29,4 @@
 def _(grace: float = each(0.5, 3.0, 6.0, 10.0, 30.0)) -> None:
     accepting = accept_seconds(grace)
     assert accepting < 3.0  # what is sent later than 3 s after SIGTERM may not be broken off
-    assert accepting < 5 / 6 * grace < EXIT_FRACTION * grace < grace  # broken off in the last sixth alone
+    assert accepting < 5 / 6 * grace < SERVE_FRACTION * grace < grace  # broken off in the last sixth alone
