--- a/ashlift/proxy/idle_connections.py
+++ b/ashlift/proxy/idle_timeout_estimator.py
@@ -15,7 +15,7 @@
 DOUBT_SECONDS: Final = 16.0  # and so long for others
 
 
-class IdleConnectionAges:
+class IdleTimeoutEstimator:
     """What resets say of idle connections, over all workers: of each worker there are too few."""
 
     def __init__(self) -> None:
--- a/ashlift/proxy/upstream.py
+++ b/ashlift/proxy/upstream.py
@@ -14,7 +14,7 @@
 
 from ashlift.gatekeeper.net.replies import SpoiltAnswerError as MalformedResponseError
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
-from ashlift.proxy.idle_connections import IdleConnectionAges
+from ashlift.proxy.idle_timeout_estimator import IdleTimeoutEstimator
 from ashlift.proxy.responses import ATTEMPT_ID_HEADER, KEEP_ALIVE_HEADER, WorkerResponse
 from ashlift.rpc.addresses import Address
 from ashlift.rpc.sockets import has_unread_input
@@ -78,7 +78,7 @@
     def __init__(self) -> None:
         self._idle: dict[str, deque[WorkerConnection]] = {}
         self._open_count: dict[str, int] = {}
-        self._idle_ages = IdleConnectionAges()
+        self._idle_ages = IdleTimeoutEstimator()
 
     def exchange(self, attempt: Attempt, request: WorkerRequest) -> AttemptOutcome:
         """Send a request and read its response. Every failure is an outcome."""
--- a/ashlift/simulation/proxy_process.py
+++ b/ashlift/simulation/proxy_process.py
@@ -12,7 +12,7 @@
 from ashlift.proxy.admission import AdmittedRequest
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
 from ashlift.proxy.registry_poller import RETRY_PAUSE_SECONDS
-from ashlift.proxy.idle_connections import IdleConnectionAges
+from ashlift.proxy.idle_timeout_estimator import IdleTimeoutEstimator
 from ashlift.proxy.load_balancer import WorkerState
 from ashlift.proxy.registry_client import LONG_POLL_SECONDS, RESPONSE_TIMEOUT_SECONDS, RegistryClient
 from ashlift.proxy.rejections import Rejection
@@ -168,7 +168,7 @@
         self.requests = {}
         self.waiting_for_configuration: list[ProxyRequest] = []
         self._idle_since: dict[str, list[float]] = {}  # by worker, of each kept connection
-        self._idle_ages = IdleConnectionAges()
+        self._idle_ages = IdleTimeoutEstimator()
         self._open_connections: dict[str, int] = {}  # by worker
         self.spawn(self._watch_registry())
 
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -17,7 +17,7 @@
 from ward import each, test
 
 from ashlift.proxy import client_connection
-from ashlift.proxy.idle_connections import IdleConnectionAges
+from ashlift.proxy.idle_timeout_estimator import IdleTimeoutEstimator
 from ashlift.proxy.request_reader import RequestReader
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.responses import WorkerResponse
@@ -362,7 +362,7 @@
     age_connections(site)
     # On a busy machine a reset takes longer.
     with mutated_function(
-        IdleConnectionAges.record_reset, "elapsed > MAX_RESET_DELAY_SECONDS", "elapsed > 5"
+        IdleTimeoutEstimator.record_reset, "elapsed > MAX_RESET_DELAY_SECONDS", "elapsed > 5"
     ):
         site.send(idempotent=True)
     assert site.send().status == 200
@@ -393,7 +393,7 @@
 
 MUTATIONS: dict[str, tuple[Callable[..., Any], str, str, Callable[[], None]]] = {
     "an idle connection after a reset, for a POST": (
-        IdleConnectionAges.max_idle,
+        IdleTimeoutEstimator.max_idle,
         "if idempotent else DOUBT_SECONDS",
         "if idempotent else 0.0",
         check_dropped_connections,
