--- a/ashlift/proxy/idle_timeout_estimator.py
+++ b/ashlift/proxy/idle_timeout_estimator.py
@@ -36,7 +36,7 @@
         self._last_reset_at = now
         return True
 
-    def max_idle(self, now: float, idempotent: bool) -> float:
+    def max_idle_seconds(self, now: float, idempotent: bool) -> float:
         """Seconds that a connection may have been idle to be used now."""
         doubt_seconds = IDEMPOTENT_DOUBT_SECONDS if idempotent else DOUBT_SECONDS
         return self._safe_age if now - self._last_reset_at < doubt_seconds else math.inf
--- a/ashlift/proxy/upstream.py
+++ b/ashlift/proxy/upstream.py
@@ -162,7 +162,7 @@
 
     def _acquire(self, request: WorkerRequest, now: float) -> WorkerConnection | None:
         """An idle connection, or a new one; None: there are as many as there may be. Raises OSError."""
-        max_idle = self._idle_ages.max_idle(now, request.idempotent)
+        max_idle = self._idle_ages.max_idle_seconds(now, request.idempotent)
         connection = self._take_idle(request.worker_id, request.address, max_idle)
         if connection is not None:
             connection.idle_seconds = now - connection.idle_since
--- a/ashlift/simulation/proxy_process.py
+++ b/ashlift/simulation/proxy_process.py
@@ -244,7 +244,7 @@
         now = self.clock()
         admitted = attempt.proxy_request.admitted
         is_idempotent = admitted is not None and admitted.route.idempotent
-        max_idle = min(MAX_IDLE_SECONDS, self._idle_ages.max_idle(now, is_idempotent))
+        max_idle = min(MAX_IDLE_SECONDS, self._idle_ages.max_idle_seconds(now, is_idempotent))
         idle_since = self._idle_since.get(worker_id)
         while idle_since:
             attempt.idle_seconds = now - idle_since.pop()
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -393,7 +393,7 @@
 
 MUTATIONS: dict[str, tuple[Callable[..., Any], str, str, Callable[[], None]]] = {
     "an idle connection after a reset, for a POST": (
-        IdleTimeoutEstimator.max_idle,
+        IdleTimeoutEstimator.max_idle_seconds,
         "if idempotent else DOUBT_SECONDS",
         "if idempotent else 0.0",
         check_dropped_connections,
