--- a/ashlift/proxy/load_balancer.py
+++ b/ashlift/proxy/load_balancer.py
@@ -247,21 +247,21 @@
         backoff = FAILURE_BACKOFF_SECONDS * 2**worker.consecutive_failures
         worker.backoff_until = now + min(MAX_FAILURE_BACKOFF_SECONDS, backoff)
         worker.consecutive_failures += 1
-        self.record_fault(now, worker)
+        self.record_outlier_failure(now, worker)
 
-    def record_fault(self, now: float, worker: WorkerState, weight: float = 1.0) -> None:
+    def record_outlier_failure(self, now: float, worker: WorkerState, weight: float = 1.0) -> None:
         """The worker responded with a failure, or (a smaller `weight`) seems to fail."""
         self.outlier_detector.record_result(now, worker.record.id, weight)
 
     def record_silence(self, now: float, worker: WorkerState) -> None:
         """Another worker responded to a request that this one had been sent long before."""
         if self._has_capacity(worker):
-            self.record_fault(now, worker, SILENCE_FAULT)
+            self.record_outlier_failure(now, worker, SILENCE_FAULT)
 
     def record_refusal(self, now: float, worker: WorkerState) -> None:
         """The worker says that it has not run a request: a failure if it has capacity, as far as known."""
         if self._has_capacity(worker):
-            self.record_fault(now, worker)
+            self.record_outlier_failure(now, worker)
 
     def record_overload(self, now: float, worker: WorkerState) -> None:
         """The worker takes no more requests for now."""
--- a/ashlift/proxy/request_router.py
+++ b/ashlift/proxy/request_router.py
@@ -223,7 +223,7 @@
             self.load_balancer.record_response(now, worker, request.route, outcome.elapsed, size_bytes)
             return True
         if response.status != DEADLINE_EXCEEDED_STATUS:
-            self.load_balancer.record_fault(now, worker)
+            self.load_balancer.record_outlier_failure(now, worker)
         return not self._may_retry(request)
 
     def _record_no_response(
--- a/tests/traffic/test_outlier_detection.py
+++ b/tests/traffic/test_outlier_detection.py
@@ -72,7 +72,7 @@
         worker_id = worker.record.id
         self.sent.append((now, worker_id))
         if number in self.faulty_proxies or self.rng.random() < self.failure_rates.get(worker_id, 0.0):
-            balancer.record_fault(now, worker)
+            balancer.record_outlier_failure(now, worker)
         else:
             balancer.record_response(now, worker, HOLD, 0.1, 500)
 
