--- a/ashlift/proxy/client_connection.py
+++ b/ashlift/proxy/client_connection.py
@@ -14,7 +14,7 @@
 from ashlift.invariants import Invariant, monitor
 from ashlift.proxy import events
 from ashlift.proxy.request_handler import RequestContext, RequestHandler
-from ashlift.proxy.request_ledger import RequestEnd
+from ashlift.proxy.request_counters import RequestEnd
 from ashlift.proxy.request_reader import ClientRequest, RequestReader
 from ashlift.proxy.responses import ClientResponse, render
 from ashlift.proxy.shutdown import FIRST_REQUEST_SECONDS
@@ -52,7 +52,7 @@
         self._has_served = False  # a request, so that the next one may come at any time or never
         self._in_request = False
         self._is_ending = False  # its last response has been written, or is being written
-        self._is_closed_here = False
+        self._closed_by_proxy = False
         self._client_gone = False
         self._last_attempt_id = b""
 
@@ -78,7 +78,7 @@
         may_be_about_to_send = not self._has_served and now < self._accepted_at + FIRST_REQUEST_SECONDS
         if may_be_about_to_send or has_unread_input(self._sock):
             return
-        self._is_closed_here = True
+        self._closed_by_proxy = True
         self._sock.close()
 
     def refuse_partial_request(self) -> None:
@@ -99,7 +99,7 @@
         if request is None or self._is_ending:
             return False
         self._in_request = self._has_served = True
-        self._request_handler.ledger.request_received()
+        self._request_handler.request_counters.record_received()
         end = RequestEnd.WRITE_FAILED
         try:
             response = self._handle(request)
@@ -124,22 +124,22 @@
 
     def _unanswered_end(self) -> RequestEnd:
         """Why there is no response to the request that was processed last."""
-        if self._is_closed_here:
-            return RequestEnd.CLOSED_HERE
-        return RequestEnd.CLIENT_GONE if self._client_gone else RequestEnd.REPEATED
+        if self._closed_by_proxy:
+            return RequestEnd.CLOSED_BY_PROXY
+        return RequestEnd.CLIENT_GONE if self._client_gone else RequestEnd.DUPLICATE_ID
 
     def _record_end(self, end: RequestEnd) -> None:
-        self._request_handler.ledger.request_ended(end)
+        self._request_handler.request_counters.record_end(end)
         if end is RequestEnd.ANSWERED:
             return
         if self._is_draining():
             log_event(events.REQUEST_UNANSWERED, level=WARNING, reason=end.value)
-        monitor.holds(end is not RequestEnd.CLOSED_HERE, Invariant.REQUEST_ANSWERED, end=end.value)
+        monitor.holds(end is not RequestEnd.CLOSED_BY_PROXY, Invariant.REQUEST_ANSWERED, end=end.value)
 
     def _drop_pipelined_requests(self) -> None:
         """Count requests that were read behind one that ended the connection."""
         for _ in self._reader.complete:
-            self._request_handler.ledger.request_received()
+            self._request_handler.request_counters.record_received()
             self._record_end(RequestEnd.PIPELINED)
 
     # ---- reading
--- a/ashlift/proxy/metrics.py
+++ b/ashlift/proxy/metrics.py
@@ -21,6 +21,6 @@
     metrics = MetricsRegistry()
     metrics.add(RESPONSES, lambda: handler.responses)
     metrics.add(REQUESTS_OUTSIDE_HOME, lambda: handler.received_outside_home)
-    metrics.add(REQUEST_ENDS, lambda: handler.ledger.ends)
+    metrics.add(REQUEST_ENDS, lambda: handler.request_counters.ends)
     metrics.add(INVARIANT_VIOLATIONS, lambda: monitor.violations)
     return metrics
--- a/ashlift/proxy/program.py
+++ b/ashlift/proxy/program.py
@@ -110,7 +110,7 @@
                 return
 
     def _log_stopped(self, started_at: float, is_grace_over: bool) -> None:
-        open_requests = self.request_handler.ledger.open_requests
+        open_requests = self.request_handler.request_counters.open_requests
         log_event(
             events.STOPPED,
             seconds=round(time.monotonic() - started_at, 3),
--- a/ashlift/proxy/request_ledger.py
+++ b/ashlift/proxy/request_counters.py
@@ -14,23 +14,23 @@
     ANSWERED = "answered"  # a complete response was handed to the kernel
     CLIENT_GONE = "client_gone"  # the client closed the connection, or its side of it, before the answer
     WRITE_FAILED = "write_failed"  # the client closed the connection, or took no bytes, during the answer
-    REPEATED = "repeated"  # it bears the id of the request before it on the connection
+    DUPLICATE_ID = "repeated"  # it bears the id of the request before it on the connection
     PIPELINED = "pipelined"  # it was sent behind a request that ended the connection
-    CLOSED_HERE = "closed_here"  # this process had closed the connection: a bug
+    CLOSED_BY_PROXY = "closed_here"  # this process had closed the connection: a bug
 
 
-class RequestLedger:
+class RequestCounters:
     """Counts the requests that were read whole, and their ends."""
 
     def __init__(self) -> None:
         self.received = 0
         self.ends: Counter[str] = Counter({end.value: 0 for end in RequestEnd})
 
-    def request_received(self) -> None:
+    def record_received(self) -> None:
         """A request has been read whole."""
         self.received += 1
 
-    def request_ended(self, end: RequestEnd) -> None:
+    def record_end(self, end: RequestEnd) -> None:
         """It has ended."""
         self.ends[end.value] += 1
 
--- a/ashlift/proxy/request_handler.py
+++ b/ashlift/proxy/request_handler.py
@@ -17,7 +17,7 @@
 from ashlift.proxy.forwarding import RoutingHeaders, forwarded_head, forwarded_request, routing_headers
 from ashlift.proxy.load_balancer import WorkerState
 from ashlift.proxy.rejections import STOPPING, Rejection, RejectionReason
-from ashlift.proxy.request_ledger import RequestLedger
+from ashlift.proxy.request_counters import RequestCounters
 from ashlift.proxy.request_progress import RequestProgress
 from ashlift.proxy.request_reader import BadRequestError, ClientRequest
 from ashlift.proxy.request_router import RequestRouter
@@ -50,7 +50,7 @@
         self.router = router
         self.connection_pool = ConnectionPool()
         self.in_flight = 0
-        self.ledger = RequestLedger()
+        self.request_counters = RequestCounters()
         self.responses: dict[str, int] = {}  # counts by reason, or by status of a worker's response
         self.received_outside_home: Counter[str] = Counter()  # by route: this region is no home of it
         self.answer_until = math.inf  # steady time; what is received now must be able to end by then
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -18,7 +18,7 @@
 from ashlift.proxy import client_connection, shutdown
 from ashlift.proxy.program import Program
 from ashlift.proxy.rejections import RejectionReason
-from ashlift.proxy.request_ledger import RequestEnd
+from ashlift.proxy.request_counters import RequestEnd
 from ashlift.proxy.shutdown import shutdown_schedule
 from tests.proxy.test_registry_client import TEXT
 from tests.support.patching import replaced
@@ -64,7 +64,7 @@
         send_unread(client.sock, request.to_bytes())
         close_in_the_same_turn(site)
         client.read_response(request)
-        ends = site.proxy.request_handler.ledger.ends
+        ends = site.proxy.request_handler.request_counters.ends
         assert request.status == 200, f"{ends}, runs: {site.history.runs}"
 
 
@@ -119,7 +119,7 @@
         site.proxy.server.stop_accepting()
         assert client.sock.recv(1) == b""
         wait_for_connections(site, 0)
-        assert site.proxy.request_handler.ledger.open_requests == 0
+        assert site.proxy.request_handler.request_counters.open_requests == 0
 
 
 @test("requests sent one behind the other are all answered when the proxy closes; the last one says so")
@@ -142,7 +142,7 @@
         request = new_request(site)
         request.extra_head = b"Connection: close\r\n"
         client.sock.sendall(request.to_bytes())
-        while not site.proxy.request_handler.ledger.ends[RequestEnd.ANSWERED]:
+        while not site.proxy.request_handler.request_counters.ends[RequestEnd.ANSWERED]:
             gevent.sleep(TIMER_SECONDS)
         for _ in range(3):
             client.sock.sendall(b"more of what nobody asked for")  # a reset connection refuses the second
@@ -238,7 +238,7 @@
         connection = client_connection.ClientConnection(
             socket.socket(), site.proxy.request_handler, ClientLimits, lambda: True
         )
-        connection._is_closed_here = True
+        connection._closed_by_proxy = True
         with raises(InvariantViolationError):
             connection._record_end(connection._unanswered_end())
         monitor.violations["request_answered"] = 0
