--- a/ashlift/proxy/client_connection.py
+++ b/ashlift/proxy/client_connection.py
@@ -13,8 +13,8 @@
 from ashlift.gatekeeper.net.links import hung_up
 from ashlift.invariants import Invariant, monitor
 from ashlift.proxy import events
-from ashlift.proxy.request_handler import RequestContext, RequestHandler
 from ashlift.proxy.request_counters import RequestEnd
+from ashlift.proxy.request_handler import RequestContext, RequestHandler
 from ashlift.proxy.request_reader import ClientRequest, RequestReader
 from ashlift.proxy.responses import ClientResponse, render
 from ashlift.proxy.shutdown import FIRST_REQUEST_SECONDS
--- a/ashlift/proxy/program.py
+++ b/ashlift/proxy/program.py
@@ -26,9 +26,9 @@
 from ashlift.invariants import Invariant, monitor
 from ashlift.metrics_server import serve_metrics
 from ashlift.proxy import events
-from ashlift.proxy.registry_poller import RegistryPoller
 from ashlift.proxy.metrics import proxy_metrics
 from ashlift.proxy.readiness import serve_readiness
+from ashlift.proxy.registry_poller import RegistryPoller
 from ashlift.proxy.request_handler import RequestHandler
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.server import ProxyServer
--- a/ashlift/simulation/proxy_process.py
+++ b/ashlift/simulation/proxy_process.py
@@ -11,10 +11,10 @@
 from ashlift.config.settings import Settings
 from ashlift.proxy.admission import AdmittedRequest
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
-from ashlift.proxy.registry_poller import RETRY_PAUSE_SECONDS
 from ashlift.proxy.idle_timeout_estimator import IdleTimeoutEstimator
 from ashlift.proxy.load_balancer import WorkerState
 from ashlift.proxy.registry_client import LONG_POLL_SECONDS, RESPONSE_TIMEOUT_SECONDS, RegistryClient
+from ashlift.proxy.registry_poller import RETRY_PAUSE_SECONDS
 from ashlift.proxy.rejections import Rejection
 from ashlift.proxy.request_progress import RequestProgress, Step
 from ashlift.proxy.request_router import RequestRouter
--- a/benchmarks/scale/simulated_proxies.py
+++ b/benchmarks/scale/simulated_proxies.py
@@ -17,9 +17,9 @@
 from ashlift.errors import Failure
 from ashlift.proxy.cluster_view import ClusterView
 from ashlift.proxy.configuration_state import CORE_MACHINES, VERSION, ConfigurationState
-from ashlift.proxy.registry_poller import RegistryPoller
 from ashlift.proxy.pull_messages import SourceUpdate
 from ashlift.proxy.registry_client import PullRequest, RegistryClient
+from ashlift.proxy.registry_poller import RegistryPoller
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.source_state import ClusterChange
 from ashlift.rpc import fragmentation
