--- a/ashlift/proxy/load_balancer.py
+++ b/ashlift/proxy/load_balancer.py
@@ -116,9 +116,9 @@
         capacity = max(1, worker.record.capacity)
         return max(0.0, worker.in_flight + worker.peers_in_flight + 1 - capacity) / capacity
 
-    def usual_latency(self, route: Route) -> float:
+    def baseline_latency(self, route: Route) -> float:
         """The usual latency of a route's responses, in seconds."""
-        return self.locality.usual_latency(route)
+        return self.locality.baseline_latency(route)
 
     def eligible(
         self, service: str, allowed_regions: Collection[str], attempted: Collection[str]
@@ -142,7 +142,7 @@
         for worker in workers:
             by_region.setdefault(self.region_of(worker), []).append(worker)
         region_costs = self._region_costs(now, service, by_region, route)
-        usual_latency = self.usual_latency(route)
+        baseline_latency = self.baseline_latency(route)
         ejected = self._ejected_workers(now, service)
         candidates = self._draw_candidates(by_region, list(region_costs), ejected)
 
@@ -150,7 +150,7 @@
             worker_id = worker.record.id
             return (
                 region_costs[self.region_of(worker)]
-                + self._worker_cost(now, worker, usual_latency)
+                + self._worker_cost(now, worker, baseline_latency)
                 + NOT_A_CANDIDATE_COST * (worker_id not in candidates and worker_id not in ejected)
                 + LAST_RESORT_COST * (worker_id in ejected)
             )
@@ -181,7 +181,7 @@
             candidates.update(healthy[:CANDIDATES_PER_REGION])
         return candidates
 
-    def _worker_cost(self, now: float, worker: WorkerState, usual_latency: float) -> float:
+    def _worker_cost(self, now: float, worker: WorkerState, baseline_latency: float) -> float:
         """The expected latency of a request at a worker, in usual latencies, and small preferences."""
         capacity = max(1, worker.record.capacity)
         decay = math.exp(-(now - worker.latency_updated_at) / LATENCY_RATIO_DECAY_SECONDS)
@@ -190,7 +190,7 @@
         cost = ratio * (1.0 + self.expected_wait(worker) + UTILIZATION_COST * in_flight / capacity)
         # With little traffic nothing is in flight anywhere: the worker that was sent to last goes last.
         since_sent = now - worker.last_sent_at
-        cost += RECENTLY_SENT_COST * math.exp(-since_sent / (usual_latency or DEFAULT_LATENCY_SECONDS))
+        cost += RECENTLY_SENT_COST * math.exp(-since_sent / (baseline_latency or DEFAULT_LATENCY_SECONDS))
         cost += COST_JITTER * self._rng.random()
         if worker.record.zone != self._zone:
             cost += OTHER_ZONE_COST
@@ -233,7 +233,7 @@
         self, now: float, worker: WorkerState, route: Route, elapsed: float, size_bytes: int
     ) -> None:
         """Learn from a response that took `elapsed` seconds, and `size_bytes` with its request."""
-        ratio = elapsed / max(MIN_LATENCY_SECONDS, self.usual_latency(route))
+        ratio = elapsed / max(MIN_LATENCY_SECONDS, self.baseline_latency(route))
         worker.latency_ratio += LATENCY_RATIO_GAIN * (min(MAX_LATENCY_RATIO, ratio) - worker.latency_ratio)
         worker.latency_updated_at = now
         worker.consecutive_failures = 0
--- a/ashlift/proxy/request_router.py
+++ b/ashlift/proxy/request_router.py
@@ -164,11 +164,11 @@
         attempts_used = len(request.attempted_workers) >= route.max_attempts
         if not route.idempotent or request.no_further_hedge or attempts_used:
             return None
-        usual_latency = self.load_balancer.usual_latency(route)
-        before_target = route.latency_target - HEDGE_BEFORE_TARGET_LATENCIES * usual_latency
-        delay = max(HEDGE_AFTER_LATENCIES * usual_latency, before_target)
+        baseline_latency = self.load_balancer.baseline_latency(route)
+        before_target = route.latency_target - HEDGE_BEFORE_TARGET_LATENCIES * baseline_latency
+        delay = max(HEDGE_AFTER_LATENCIES * baseline_latency, before_target)
         hedge_at = request.admitted_at + delay
-        return hedge_at if hedge_at + usual_latency < request.deadline else None
+        return hedge_at if hedge_at + baseline_latency < request.deadline else None
 
     def hedge_is_due(self, now: float, request: AdmittedRequest) -> bool:
         """Whether the time for a hedged request has come."""
@@ -235,8 +235,8 @@
         cancelled: bool,
     ) -> None:
         if cancelled:
-            usual_latency = self.load_balancer.usual_latency(request.route)
-            if outcome.elapsed > HEDGE_AFTER_LATENCIES * usual_latency:
+            baseline_latency = self.load_balancer.baseline_latency(request.route)
+            if outcome.elapsed > HEDGE_AFTER_LATENCIES * baseline_latency:
                 self.load_balancer.record_silence(now, worker)
         elif not outcome.idle_reset:
             self.load_balancer.record_failure(now, worker)
--- a/ashlift/proxy/worker_selection.py
+++ b/ashlift/proxy/worker_selection.py
@@ -72,8 +72,8 @@
             - TENANT_PRIORITY_STEP * min(LOWEST_TENANT_PRIORITY, tenant_priority)
             - ROUTE_PRIORITY_STEP * min(LOWEST_ROUTE_PRIORITY, request.route.priority)
         )
-        usual_latency = self._load_balancer.usual_latency(request.route)
-        expected_latency = usual_latency * (1.0 + self._load_balancer.expected_wait(worker))
+        baseline_latency = self._load_balancer.baseline_latency(request.route)
+        expected_latency = baseline_latency * (1.0 + self._load_balancer.expected_wait(worker))
         return expected_latency > wait_fraction * (request.deadline - now)
 
     def max_connections(self, worker: WorkerState) -> int:
--- a/tests/proxy/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -190,5 +190,5 @@
     for at in range(2000):
         balancer.record_response(6.0 + at / 1000, balancer.workers["a1"], LOOK, 0.0002, 500)
     balancer.attempt_started(8.0, balancer.workers["a1"])
-    assert 0 < balancer.usual_latency(LOOK) < 0.002
+    assert 0 < balancer.baseline_latency(LOOK) < 0.002
     assert len(balancer.rank(12.0, balancer.eligible("board", (), ()), LOOK)) == 4
