--- a/ashlift/proxy/load_balancer.py
+++ b/ashlift/proxy/load_balancer.py
@@ -1,6 +1,6 @@
-"""The workers as this proxy sees them, and their ranking for a request. Pure.
+"""Per-worker state and the ranking of workers for a request. No I/O.
 
-Whether a worker may be used at all is decided in `ashlift.proxy.worker_selection`.
+`ashlift.proxy.worker_selection` decides whether a ranked worker may be used.
 """
 
 import math
@@ -14,29 +14,29 @@
 from ashlift.proxy.source_state import Worker
 from ashlift.traffic.outlier_detection import OutlierDetector, WorkerLoad
 
-LATENCY_RATIO_GAIN: Final = 0.2  # weight of one response in a worker's latency ratio
+LATENCY_RATIO_GAIN: Final = 0.2  # weight of one sample in the moving average
 LATENCY_RATIO_DECAY_SECONDS: Final = 8.0
 MIN_LATENCY_RATIO: Final = 0.5
 MAX_LATENCY_RATIO: Final = 5.0
 MIN_LATENCY_SECONDS: Final = 0.001
-FAILURE_BACKOFF_SECONDS: Final = 0.7  # without attempts after a failure, doubled with each one in a row
+FAILURE_BACKOFF_SECONDS: Final = 0.7  # after the first failure, doubled with each consecutive one
 MAX_FAILURE_BACKOFF_SECONDS: Final = 5.0
-PEER_LOAD_GAIN: Final = 0.5  # weight of one report in the load from other proxies
-SPARE_CAPACITY_FRACTION: Final = 0.5  # a worker with fewer requests in flight has capacity, as far as known
-SILENCE_FAULT: Final = 0.5  # weight of a silence until another worker has responded, a failure being 1
+PEER_LOAD_GAIN: Final = 0.5  # weight of one report in the moving average of other proxies' load
+SPARE_CAPACITY_FRACTION: Final = 0.5  # of the capacity: with less load, a worker should accept requests
+SLOW_ATTEMPT_FAILURE_WEIGHT: Final = 0.5  # of a cancelled attempt without a response; a failure weighs 1
 EJECTIONS_CACHE_SECONDS: Final = 0.1
-# Workers of a region drawn for a request, however many there are: loads are known late, and were all workers
-# compared, all proxies would turn to the same one.
+# Random choices per region. Load reports are delayed, so comparing all workers would make all proxies pick
+# the same one.
 CANDIDATES_PER_REGION: Final = 2
 
-# Costs of a worker, in usual latencies.
+# Costs of a worker, in baseline latencies.
 UTILIZATION_COST: Final = 0.5
-RECENTLY_SENT_COST: Final = 0.3  # decays within a usual latency
+RECENTLY_SENT_COST: Final = 0.3  # decays exponentially, with the baseline latency as time constant
 DEFAULT_LATENCY_SECONDS: Final = 0.1
 COST_JITTER: Final = 0.1
 OTHER_ZONE_COST: Final = 0.15
-# Costs that only rank: a worker that is no candidate goes after its region's candidates, a region after those
-# that cost less, and a worker that fails after all others.
+# Costs that only determine the order: candidates before other workers of their region, cheaper regions first,
+# ejected workers and those in backoff last.
 NOT_A_CANDIDATE_COST: Final = 1e2
 NEXT_REGION_COST: Final = 1e3
 LAST_RESORT_COST: Final = 1e6
@@ -44,21 +44,21 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerState:
-    """What this proxy knows of one worker. Times are steady, in seconds."""
+    """The state of one worker as this proxy knows it. Times are monotonic, in seconds."""
 
     record: Worker
-    in_flight: int = 0  # requests of this proxy
-    peers_in_flight: float = 0.0  # requests of other proxies, as last reported
-    latency_ratio: float = 1.0  # of its latency to the usual one
+    in_flight: int = 0  # requests from this proxy
+    peers_in_flight: float = 0.0  # requests from other proxies, moving average of the reports
+    latency_ratio: float = 1.0  # response time relative to the baseline, moving average
     latency_updated_at: float = 0.0
     consecutive_failures: int = 0
     backoff_until: float = -math.inf
-    warming_until: float = -math.inf  # slow start after an evacuation, whatever its heartbeats say
+    warming_until: float = -math.inf  # end of the slow start after an evacuation of its zone
     last_sent_at: float = -math.inf
 
 
 class LoadBalancer:
-    """All workers, with what this proxy has learnt of them. `regions`: region by zone."""
+    """Tracks the state of all workers and ranks them. `regions`: region by zone."""
 
     def __init__(self, zone: str, regions: dict[str, str], rng: random.Random) -> None:
         self._zone = zone
@@ -75,7 +75,7 @@
     # ---- the cluster's state
 
     def set_workers(self, records: Iterable[Worker]) -> None:
-        """Replace the list of workers; what is known of those that stay is kept."""
+        """Replace the list of workers; the state of workers in both lists is kept."""
         workers: dict[str, WorkerState] = {}
         self.by_service = {}
         for record in records:
@@ -89,41 +89,41 @@
         self.outlier_detector.retain_workers(workers)
 
     def evacuate(self, now: float, zones: frozenset[str], warming_seconds: float) -> None:
-        """Send nothing to `zones` from now on; workers of zones taken back are in slow start for a while."""
+        """Stop sending to `zones`; workers of zones no longer evacuated get a slow start."""
         for worker in self.workers.values():
             if worker.record.zone in self.evacuated_zones - zones:
                 worker.warming_until = now + warming_seconds
         self.evacuated_zones = zones
 
     def in_flight(self) -> dict[str, int]:
-        """Requests of this proxy in flight, by worker."""
+        """This proxy's requests in flight, by worker."""
         return {worker_id: worker.in_flight for worker_id, worker in self.workers.items() if worker.in_flight}
 
     def update_peer_load(self, total: Mapping[str, int], own: Mapping[str, int]) -> None:
-        """Learn the load of other proxies from the requests of all in flight, and this proxy's among them."""
+        """Update the load from other proxies: the `total` requests in flight less this proxy's `own`."""
         for worker_id, worker in self.workers.items():
             reported = max(0, total.get(worker_id, 0) - own.get(worker_id, 0))
             worker.peers_in_flight += PEER_LOAD_GAIN * (reported - worker.peers_in_flight)
 
     def region_of(self, worker: WorkerState) -> str:
-        """The region of a worker, empty if its zone is not known."""
+        """The region of a worker, empty if its zone is unknown."""
         return self._regions.get(worker.record.zone, "")
 
-    # ---- the choice of a worker
+    # ---- ranking
 
     def expected_wait(self, worker: WorkerState) -> float:
-        """How long one more request waits there until its work begins, in units of one request's work."""
+        """The queueing delay of one more request at the worker, in units of one request's service time."""
         capacity = max(1, worker.record.capacity)
         return max(0.0, worker.in_flight + worker.peers_in_flight + 1 - capacity) / capacity
 
     def baseline_latency(self, route: Route) -> float:
-        """The usual latency of a route's responses, in seconds."""
+        """The baseline latency of a route, in seconds."""
         return self.locality.baseline_latency(route)
 
     def eligible(
         self, service: str, allowed_regions: Collection[str], attempted: Collection[str]
     ) -> list[WorkerState]:
-        """Workers of a service that a request may be sent to. `attempted`: ids that it was sent to before."""
+        """Workers of a service that a request may be sent to. `attempted`: ids of workers already tried."""
         return [
             worker
             for worker in self.by_service.get(service, ())
@@ -134,7 +134,7 @@
         ]
 
     def rank(self, now: float, workers: list[WorkerState], route: Route) -> list[WorkerState]:
-        """Workers of one service, best first: by the cost of their region, then by their expected latency."""
+        """Sort workers of one service, best first: by the cost of their region, then by their own cost."""
         if not workers:
             return []
         service = workers[0].record.service
@@ -160,7 +160,7 @@
     def _region_costs(
         self, now: float, service: str, by_region: Mapping[str, list[WorkerState]], route: Route
     ) -> dict[str, float]:
-        """The cost that ranks each region, in that order."""
+        """A cost for each region by its rank; the keys are in ranking order."""
         costs: dict[str, float] = {}
         for region, workers in by_region.items():
             mean_wait = sum([self.expected_wait(worker) for worker in workers]) / len(workers)
@@ -171,7 +171,7 @@
     def _draw_candidates(
         self, by_region: Mapping[str, list[WorkerState]], regions: list[str], ejected: set[str]
     ) -> set[str]:
-        """A few workers of each region, by chance."""
+        """Draw up to `CANDIDATES_PER_REGION` random workers of each region that are not ejected."""
         draw = self._rng.random
         candidates: set[str] = set()
         for region in regions:
@@ -182,13 +182,13 @@
         return candidates
 
     def _worker_cost(self, now: float, worker: WorkerState, baseline_latency: float) -> float:
-        """The expected latency of a request at a worker, in usual latencies, and small preferences."""
+        """The expected latency of a request at a worker, in baseline latencies, plus tie-breaking costs."""
         capacity = max(1, worker.record.capacity)
         decay = math.exp(-(now - worker.latency_updated_at) / LATENCY_RATIO_DECAY_SECONDS)
         ratio = max(MIN_LATENCY_RATIO, 1.0 + (worker.latency_ratio - 1.0) * decay)
         in_flight = worker.in_flight + worker.peers_in_flight
         cost = ratio * (1.0 + self.expected_wait(worker) + UTILIZATION_COST * in_flight / capacity)
-        # With little traffic nothing is in flight anywhere: the worker that was sent to last goes last.
+        # With little traffic no worker has requests in flight; this spreads requests over the workers.
         since_sent = now - worker.last_sent_at
         cost += RECENTLY_SENT_COST * math.exp(-since_sent / (baseline_latency or DEFAULT_LATENCY_SECONDS))
         cost += COST_JITTER * self._rng.random()
@@ -197,7 +197,7 @@
         return cost + LAST_RESORT_COST * (now < worker.backoff_until)
 
     def _ejected_workers(self, now: float, service: str) -> set[str]:
-        """The workers of a service that fail too often; computed a few times a second."""
+        """The workers of a service that outlier detection ejects; cached for `EJECTIONS_CACHE_SECONDS`."""
         computed_at, ejected = self._ejected.get(service, (-math.inf, set[str]()))
         if now - computed_at < EJECTIONS_CACHE_SECONDS:
             return ejected
@@ -218,21 +218,21 @@
                 groups.setdefault(self.region_of(worker), {})[record.id] = load
         return groups.values()
 
-    # ---- what attempts say of workers
+    # ---- results of attempts
 
     def attempt_started(self, now: float, worker: WorkerState) -> None:
-        """An attempt at the worker is in flight."""
+        """Count an attempt in flight at the worker."""
         worker.in_flight += 1
         worker.last_sent_at = now
 
     def attempt_ended(self, worker: WorkerState) -> None:
-        """An attempt at the worker is no longer in flight."""
+        """Remove an attempt from those in flight at the worker."""
         worker.in_flight -= 1
 
     def record_response(
         self, now: float, worker: WorkerState, route: Route, elapsed: float, size_bytes: int
     ) -> None:
-        """Learn from a response that took `elapsed` seconds, and `size_bytes` with its request."""
+        """Record a response that took `elapsed` seconds; `size_bytes`: of request plus response."""
         ratio = elapsed / max(MIN_LATENCY_SECONDS, self.baseline_latency(route))
         worker.latency_ratio += LATENCY_RATIO_GAIN * (min(MAX_LATENCY_RATIO, ratio) - worker.latency_ratio)
         worker.latency_updated_at = now
@@ -242,29 +242,29 @@
         region = self.region_of(worker)
         self.locality.record_response(now, worker.record.service, region, route, elapsed, size_bytes)
 
-    def record_failure(self, now: float, worker: WorkerState) -> None:
-        """No connection was established, or it broke, or timed out: the worker is avoided for a while."""
+    def record_connection_failure(self, now: float, worker: WorkerState) -> None:
+        """Start or extend the backoff: a connection could not be established, broke, or timed out."""
         backoff = FAILURE_BACKOFF_SECONDS * 2**worker.consecutive_failures
         worker.backoff_until = now + min(MAX_FAILURE_BACKOFF_SECONDS, backoff)
         worker.consecutive_failures += 1
         self.record_outlier_failure(now, worker)
 
     def record_outlier_failure(self, now: float, worker: WorkerState, weight: float = 1.0) -> None:
-        """The worker responded with a failure, or (a smaller `weight`) seems to fail."""
+        """Report a failure of the worker to outlier detection; `weight` is below 1 if it is uncertain."""
         self.outlier_detector.record_result(now, worker.record.id, weight)
 
-    def record_silence(self, now: float, worker: WorkerState) -> None:
-        """Another worker responded to a request that this one had been sent long before."""
+    def record_slow_attempt(self, now: float, worker: WorkerState) -> None:
+        """An attempt was cancelled after it had been without a response for longer than the hedge delay."""
         if self._has_capacity(worker):
-            self.record_outlier_failure(now, worker, SILENCE_FAULT)
+            self.record_outlier_failure(now, worker, SLOW_ATTEMPT_FAILURE_WEIGHT)
 
     def record_refusal(self, now: float, worker: WorkerState) -> None:
-        """The worker says that it has not run a request: a failure if it has capacity, as far as known."""
+        """The worker refused a request without running it: a failure if it should have capacity."""
         if self._has_capacity(worker):
             self.record_outlier_failure(now, worker)
 
     def record_overload(self, now: float, worker: WorkerState) -> None:
-        """The worker takes no more requests for now."""
+        """The worker is at its limit: raise its latency ratio, so that it ranks lower."""
         worker.latency_ratio = min(MAX_LATENCY_RATIO, worker.latency_ratio + 1.0)
         worker.latency_updated_at = now
 
--- a/ashlift/proxy/request_router.py
+++ b/ashlift/proxy/request_router.py
@@ -1,8 +1,8 @@
-"""The way of a request as decisions: admit, choose a worker, learn from the attempt, retry, give up. Pure.
+"""Decisions about a request: admission, worker selection, retries and hedging, final rejection. No I/O.
 
 `ashlift.proxy.request_handler` carries the decisions out and owns sockets and greenlets. Admission is in
-`ashlift.proxy.admission`, the ranking of workers in `ashlift.proxy.load_balancer`, limits of single workers
-in `ashlift.proxy.worker_selection`, and the rules for further attempts in `ashlift.proxy.attempts`.
+`ashlift.proxy.admission`, the ranking of workers in `ashlift.proxy.load_balancer`, per-worker limits in
+`ashlift.proxy.worker_selection`, and the retry rules in `ashlift.proxy.attempts`.
 """
 
 import random
@@ -22,16 +22,16 @@
 from ashlift.traffic.retry_budget import RetryBudget
 
 WORKER_LEASE_HEARTBEATS: Final = 3
-MAX_HEARTBEAT_AGE: Final = 1.2  # heartbeats: so old may be what a worker last reported of its slow start
+MAX_HEARTBEAT_AGE: Final = 1.2  # in heartbeat intervals: how old a worker's last report may be
 MIN_FAILURE_STATUS: Final = 500
-DEADLINE_EXCEEDED_STATUS: Final = 504  # from a worker: the time was up, which says nothing about the worker
-# A hedged request is sent after a silence of so many usual latencies, and so many before the latency target.
+DEADLINE_EXCEEDED_STATUS: Final = 504  # from a worker: says nothing about the worker's health
+# Hedge delay, in baseline latencies: after admission, or before the latency target, whichever is later.
 HEDGE_AFTER_LATENCIES: Final = 1.8
 HEDGE_BEFORE_TARGET_LATENCIES: Final = 1.6
 
 
 class RequestRouter:
-    """Decides about requests by the cluster's state as this proxy knows it. Times are steady, in seconds."""
+    """Decides about requests, based on this proxy's view of the cluster. Times are monotonic, in seconds."""
 
     def __init__(self, settings: Settings, rng: random.Random, now: float) -> None:
         self.settings = settings
@@ -50,7 +50,7 @@
     # ---- the cluster's state
 
     def apply_change(self, now: float, change: ClusterChange) -> None:
-        """Bring the policies in line with the cluster view after `change`."""
+        """Update load balancer, rate limiter and slow start from the cluster view after `change`."""
         if change.config:
             self._apply_configuration(now)
         if change.workers:
@@ -77,12 +77,12 @@
             self.load_balancer.evacuate(now, self.cluster.configuration.evacuated_zones, warming)
 
     def is_ready(self, now: float) -> bool:
-        """Whether clients may be sent to this proxy."""
+        """Whether this proxy may receive client traffic."""
         if self.draining or self.cluster.configuration.routing_table is None:
             return False
         return configuration_is_current(self.cluster, self.bounds, now)
 
-    # ---- a request, step by step
+    # ---- one request
 
     def admit(
         self,
@@ -93,37 +93,37 @@
         remaining: float,
         received_at: float | None = None,
     ) -> AdmittedRequest | Rejection:
-        """Admit or reject a request that was received completely at `received_at`, by default now."""
+        """Admit or reject a request that was received completely at `received_at` (default: now)."""
         received_at = now if received_at is None else received_at
         return self._admission.admit(now, host, path, key, remaining, received_at)
 
     def refund_admission(self, now: float, request: AdmittedRequest) -> None:
-        """Give the tenant's unit of quota back for a request that no worker has run."""
+        """Return the request's unit of quota to its tenant, unless a worker may have run the request."""
         self._admission.refund(now, request)
 
     def choose_worker(self, now: float, request: AdmittedRequest, retry: bool) -> WorkerState | Rejection:
-        """The worker for the next attempt, which counts as started.
+        """Choose the worker for the next attempt and record the attempt as started.
 
-        `retry`: beside or after another attempt. It takes a unit of the retry budget if a worker has been
-        reached, or may have been.
+        `retry`: the attempt is a retry or a hedged request. It consumes retry budget if an earlier attempt
+        reached a worker or is still in flight.
         """
         if request.deadline <= now or (retry and not self._may_retry(request)):
             return self.final_rejection(request)
         if retry:
-            # If this attempt does not start, there is no later one beside what is in flight.
+            # No hedged request follows this attempt, whether or not it starts.
             request.no_further_hedge = True
             if not self._admission.refresh_allowed_regions(request):
                 return self.final_rejection(request)
-        takes_budget = request.reached_worker or request.attempts_in_flight > 0
+        needs_retry_budget = request.reached_worker or request.attempts_in_flight > 0
         proxy_count = max(1, len(self.cluster.proxies))
-        if takes_budget and not self.retry_budget.can_retry(now, request.service, proxy_count):
+        if needs_retry_budget and not self.retry_budget.can_retry(now, request.service, proxy_count):
             return self.final_rejection(request)
         worker = self._first_available(now, request)
         if worker is None:
             return self.final_rejection(request)
         if not retry and self.selection.is_overloaded(now, request, worker):
             return rejections.OVERLOADED
-        if takes_budget:
+        if needs_retry_budget:
             self.retry_budget.record_retry(now, request.service)
         self.load_balancer.attempt_started(now, worker)
         request.attempted_workers.append(worker.record.id)
@@ -140,9 +140,9 @@
         return None
 
     def may_send(self, request: AdmittedRequest, worker: WorkerState) -> bool:
-        """The invariant of an attempt: its worker is in a region that the home regions allow.
+        """Check the invariant that a request is only sent to workers in its allowed regions.
 
-        Checked when a worker is chosen, and again right before anything of the request leaves for it.
+        Checked when a worker is chosen, and again right before the request is sent.
         """
         region = self.load_balancer.region_of(worker)
         return monitor.holds(
@@ -159,7 +159,7 @@
         return attempts_left and not request.retry_forbidden
 
     def hedge_time(self, request: AdmittedRequest) -> float | None:
-        """When an attempt without a response gets another one beside it; None: never."""
+        """When to send a hedged request if there is no response yet; None: never."""
         route = request.route
         attempts_used = len(request.attempted_workers) >= route.max_attempts
         if not route.idempotent or request.no_further_hedge or attempts_used:
@@ -171,7 +171,7 @@
         return hedge_at if hedge_at + baseline_latency < request.deadline else None
 
     def hedge_is_due(self, now: float, request: AdmittedRequest) -> bool:
-        """Whether the time for a hedged request has come."""
+        """Whether a hedged request is to be sent now."""
         hedge_at = self.hedge_time(request)
         return hedge_at is not None and now >= hedge_at
 
@@ -183,9 +183,10 @@
         outcome: AttemptOutcome,
         cancelled: bool,
     ) -> bool:
-        """Learn from an attempt that ended; whether its response is the request's response.
+        """Record the end of an attempt; returns whether its response is the final one for the request.
 
-        `cancelled`: this proxy ended the attempt, since another one had a response or the client had gone.
+        `cancelled`: the proxy cancelled the attempt, because another attempt got a response or the client
+        disconnected.
         """
         request.attempts_in_flight -= 1
         self.load_balancer.attempt_ended(worker)
@@ -204,7 +205,7 @@
                     request.reached_worker = True
                     self.load_balancer.record_refusal(now, worker)
             case AttemptResult.CONNECT_FAILED:
-                self.load_balancer.record_failure(now, worker)
+                self.load_balancer.record_connection_failure(now, worker)
             case AttemptResult.CONNECTION_LOST | AttemptResult.TIMED_OUT:
                 self._record_no_response(now, request, worker, outcome, cancelled)
             case AttemptResult.CONNECTION_LIMIT_REACHED:
@@ -215,7 +216,7 @@
     def _record_response(
         self, now: float, request: AdmittedRequest, worker: WorkerState, outcome: AttemptOutcome
     ) -> bool:
-        """Whether the response is final: a success, or a failure after which nothing more may be tried."""
+        """Record a worker's response; returns whether it is final: a success, or no retry is allowed."""
         response = outcome.response
         assert response is not None
         if response.status < MIN_FAILURE_STATUS:
@@ -237,23 +238,23 @@
         if cancelled:
             baseline_latency = self.load_balancer.baseline_latency(request.route)
             if outcome.elapsed > HEDGE_AFTER_LATENCIES * baseline_latency:
-                self.load_balancer.record_silence(now, worker)
+                self.load_balancer.record_slow_attempt(now, worker)
         elif not outcome.idle_reset:
-            self.load_balancer.record_failure(now, worker)
+            self.load_balancer.record_connection_failure(now, worker)
 
     @staticmethod
     def final_rejection(request: AdmittedRequest) -> Rejection:
-        """The response when no attempt follows: a promise that it has not run only where that is certain."""
+        """The rejection when no attempt follows: a 503 only if the request has certainly not run."""
         if request.may_have_run or request.attempts_in_flight:
             return rejections.OUTCOME_UNKNOWN
         return rejections.NO_WORKER
 
-    # ---- limits of single workers
+    # ---- limits per worker
 
     def max_connections(self, worker: WorkerState) -> int:
-        """How many connections this proxy may have to a worker."""
+        """The maximum number of connections from this proxy to a worker."""
         return self.selection.max_connections(worker)
 
     def connect_timeout(self, worker: WorkerState) -> float:
-        """Seconds that a connection to a worker may take to be established."""
+        """The timeout for connecting to a worker, in seconds."""
         return self.selection.connect_timeout(worker)
--- a/ashlift/proxy/worker_selection.py
+++ b/ashlift/proxy/worker_selection.py
@@ -1,6 +1,6 @@
-"""Whether a worker may be sent an attempt now: connections, slow start, backlog. Pure.
+"""Decides whether a worker may be sent a request now: connection limit, slow start, backlog. No I/O.
 
-`ashlift.proxy.load_balancer` ranks the workers; this module says which of the ranked may be used at all.
+`ashlift.proxy.load_balancer` ranks the workers; the limits here apply to each worker in that order.
 """
 
 from typing import Final
@@ -12,9 +12,9 @@
 from ashlift.proxy.load_balancer import LoadBalancer, WorkerState
 from ashlift.traffic.slow_start import SlowStartPacer, assigned_proxies
 
-SLOW_START_OWNERS: Final = 2  # proxies that send to a worker in slow start
-# A request waits at a worker for at most this fraction of its remaining time, less a step for each rank of
-# priority below the highest: the tenant's before the route's.
+SLOW_START_PROXIES: Final = 2  # how many proxies send to a worker in slow start
+# The expected latency may use at most this fraction of the time left until the deadline, less one step for
+# each priority level below the highest. A level of the tenant weighs more than a level of the route.
 MAX_WAIT_FRACTION: Final = 0.95
 TENANT_PRIORITY_STEP: Final = 0.12
 ROUTE_PRIORITY_STEP: Final = 0.02
@@ -22,15 +22,16 @@
 LOWEST_ROUTE_PRIORITY: Final = 5
 DEFAULT_MAX_CONNECTIONS: Final = 64  # of a worker whose service names no limit
 MIN_CONNECTIONS: Final = 2
-CONNECTIONS_FRACTION: Final = 0.9  # of a worker's limit, shared by all proxies
-BACKLOG_CAPACITIES: Final = 2  # a worker takes so many times its capacity from one proxy, and
-BACKLOG_EXTRA: Final = 2  # so many more
+CONNECTIONS_FRACTION: Final = 0.9  # of a worker's limit, divided evenly among the proxies
+# Requests in flight from one proxy to one worker: at most FACTOR * capacity + EXTRA.
+IN_FLIGHT_CAPACITY_FACTOR: Final = 2
+IN_FLIGHT_EXTRA: Final = 2
 CONNECT_TIMEOUT_SAME_REGION_SECONDS: Final = 0.25
 CONNECT_TIMEOUT_OTHER_REGION_SECONDS: Final = 0.4
 
 
 class WorkerSelection:
-    """Applies the limits of single workers. Its only own state is that of the slow start pacer."""
+    """Applies the limits per worker. Its only own state is that of the slow start pacer."""
 
     def __init__(self, settings: Settings, cluster: ClusterView, load_balancer: LoadBalancer) -> None:
         self._node_name = settings.node_name
@@ -40,30 +41,30 @@
         self.slow_start = SlowStartPacer()
 
     def reserve(self, now: float, worker: WorkerState) -> bool:
-        """Whether an attempt may be sent to the worker; in slow start this takes a unit of its rate."""
+        """Whether a request may be sent to the worker; in slow start this uses up some of its rate."""
         service = self._service_of(worker)
         if worker.in_flight >= self.max_connections(worker):
-            return False  # each attempt needs a connection, and asking the pool again would not end
+            return False  # the connection pool would refuse, and the router would choose this worker again
         warm_at = max(worker.warming_until, worker.record.warm_at)
         if now >= warm_at or service is None or service.warmup_rate <= 0:
             capacity = max(1, worker.record.capacity)
-            return worker.in_flight < BACKLOG_CAPACITIES * capacity + BACKLOG_EXTRA
+            return worker.in_flight < IN_FLIGHT_CAPACITY_FACTOR * capacity + IN_FLIGHT_EXTRA
         return self._reserve_slow_start(now, worker, service)
 
     def _reserve_slow_start(self, now: float, worker: WorkerState, service: Service) -> bool:
-        """A worker in slow start gets few requests, from few proxies, and none from a proxy with old data."""
+        """Apply the slow start rate. Only the assigned proxies with a fresh configuration may send."""
         worker_id = worker.record.id
-        if self._node_name not in assigned_proxies(worker_id, self._cluster.proxies, SLOW_START_OWNERS):
+        if self._node_name not in assigned_proxies(worker_id, self._cluster.proxies, SLOW_START_PROXIES):
             return False
         if self._cluster.configuration.age(now) > FRESH_CONFIGURATION_SECONDS:
             return False
-        if not self.slow_start.can_send(now, worker_id, service.warmup_rate, 1 / SLOW_START_OWNERS):
+        if not self.slow_start.can_send(now, worker_id, service.warmup_rate, 1 / SLOW_START_PROXIES):
             return False
         self.slow_start.record_sent(now, worker_id)
         return True
 
     def is_overloaded(self, now: float, request: AdmittedRequest, worker: WorkerState) -> bool:
-        """Whether the request would wait there for too much of its time; low priorities give way first."""
+        """Whether the expected latency is too close to the deadline; low priorities are shed first."""
         tenant_priority = 0
         if request.tenant is not None and request.tenant.priority is not None:
             tenant_priority = request.tenant.priority
@@ -77,7 +78,7 @@
         return expected_latency > wait_fraction * (request.deadline - now)
 
     def max_connections(self, worker: WorkerState) -> int:
-        """How many connections this proxy may have to a worker: its share of the worker's limit."""
+        """The maximum number of connections to a worker: this proxy's share of the worker's limit."""
         service = self._service_of(worker)
         limit = DEFAULT_MAX_CONNECTIONS
         if service is not None and service.max_connections:
@@ -86,7 +87,7 @@
         return max(MIN_CONNECTIONS, int(CONNECTIONS_FRACTION * limit / proxy_count))
 
     def connect_timeout(self, worker: WorkerState) -> float:
-        """Seconds that a connection to a worker may take to be established."""
+        """The timeout for connecting to a worker, in seconds."""
         if self._load_balancer.region_of(worker) == self._region:
             return CONNECT_TIMEOUT_SAME_REGION_SECONDS
         return CONNECT_TIMEOUT_OTHER_REGION_SECONDS
