--- a/ashlift/proxy/admission.py
+++ b/ashlift/proxy/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests: matches the route, checks the API key, takes a unit of the tenant's quota. Pure."""
+"""Admission of requests: matches the route, checks the API key, applies the tenant's quota. No I/O."""
 
 import random
 from dataclasses import dataclass, field
@@ -12,21 +12,20 @@
 from ashlift.traffic.rate_limiter import RateLimiter
 from ashlift.traffic.retry_budget import RetryBudget
 
-# With a configuration confirmed within this time, the next confirmation arrives soon.
+# A configuration confirmed within this time counts as fresh: registries confirm it several times a second.
 FRESH_CONFIGURATION_SECONDS: Final = 1.0
-# A request that matches nothing waits so long for a confirmed configuration, and for at most a fraction of
-# the time that its client waits.
+# Bounds of the time that a request without a matching route or API key waits for a confirmed configuration.
 MAX_CONFIGURATION_WAIT_SECONDS: Final = 0.8
-CONFIGURATION_WAIT_FRACTION: Final = 0.25
-REVOCATION_MARGIN_SECONDS: Final = 0.3  # of the bound `Revoke`, for the way of the request to the worker
-START_UP_SECONDS: Final = 1.2  # after which a proxy usually has a configuration
-RESPONSE_MARGIN_SECONDS: Final = 0.02  # before the deadline, for the response's way to the client
+CONFIGURATION_WAIT_FRACTION: Final = 0.25  # of the time that the client will wait
+REVOCATION_MARGIN_SECONDS: Final = 0.3  # part of the bound `Revoke` that is left for reaching the worker
+START_UP_SECONDS: Final = 1.2  # expected time until the first configuration, for `Retry-After`
+RESPONSE_MARGIN_SECONDS: Final = 0.02  # part of the client's timeout that is left for sending the response
 INITIAL_SIZE_BYTES: Final = 500
 
 
 @dataclass(slots=True, eq=False)
 class AdmittedRequest:
-    """A request on its way to workers, and what its attempts have come to. Times are steady, in seconds."""
+    """An admitted request and the state of its attempts. Times are monotonic, in seconds."""
 
     route: Route
     tenant: Tenant | None
@@ -36,24 +35,24 @@
     deadline: float
     attempted_workers: list[str] = field(default_factory=list)  # ids
     attempts_in_flight: int = 0
-    may_have_run: bool = False  # neither a 503 nor a refund any more
-    retry_forbidden: bool = False  # by the result of an attempt, for good
-    reached_worker: bool = False  # even if it was not run there: a further attempt takes retry budget
+    may_have_run: bool = False  # rules out a 503 and a refund
+    retry_forbidden: bool = False  # by the result of an earlier attempt
+    reached_worker: bool = False  # whether or not it was run there; further attempts need retry budget
     size_bytes: int = INITIAL_SIZE_BYTES  # head and body
-    no_further_hedge: bool = False  # no attempt beside the one in flight
+    no_further_hedge: bool = False
 
 
 def configuration_is_current(cluster: ClusterView, bounds: Bounds, now: float) -> bool:
-    """Whether revoked API keys can be told by the configuration: it was the newest less than `Revoke` ago.
+    """Whether the configuration is recent enough to accept API keys: confirmed within the bound `Revoke`.
 
-    This is what ends the service of a proxy that is cut off; until then `ashlift.traffic.quota_sharing` says
-    how much of a quota it may use.
+    A proxy that has lost all registries stops serving once this is false. Until then
+    `ashlift.traffic.quota_sharing` limits how much of a quota it may use.
     """
     return cluster.configuration.age(now) <= bounds.revoke - REVOCATION_MARGIN_SECONDS
 
 
 def allowed_regions(route: Route, tenant: Tenant | None) -> frozenset[str] | None:
-    """The regions whose workers may get a request; empty: any. None: route and tenant exclude each other."""
+    """The regions whose workers may get a request; empty: any. None: route and tenant have none in common."""
     regions = route.home_regions
     if tenant is None or not tenant.home_regions:
         return regions
@@ -63,7 +62,7 @@
 
 
 class Admission:
-    """Decides whether a request is forwarded at all. Owns no state but that of the policies given to it."""
+    """Decides whether a request is forwarded. Has no state beyond that of the policies passed to it."""
 
     def __init__(
         self,
@@ -104,9 +103,9 @@
         return self._admit_matched(now, route, tenant, remaining)
 
     def refresh_allowed_regions(self, request: AdmittedRequest) -> bool:
-        """Apply home regions that have changed since the request was admitted.
+        """Apply changes of home regions since the request was admitted; returns whether any region is left.
 
-        Returns whether any region is left for it. A route or tenant that is gone counts as it was.
+        For a route or tenant that has been removed, the state at admission applies.
         """
         table = self._cluster.configuration.routing_table
         assert table is not None, "no request is admitted without a configuration"
@@ -119,7 +118,7 @@
         return regions is not None
 
     def refund(self, now: float, request: AdmittedRequest) -> None:
-        """Give the unit of quota back: the request was admitted, and no worker has run it."""
+        """Return the request's unit of quota to its tenant, unless a worker may have run the request."""
         if request.tenant is not None and not request.may_have_run:
             self._rate_limiter.refund(now, request.tenant.name)
 
@@ -139,7 +138,7 @@
         return AdmittedRequest(route, tenant, service, regions, now, deadline)
 
     def _choose_service(self, route: Route) -> str:
-        """One service of the route's traffic split, by weight."""
+        """Draw a service from the route's traffic split, by weight."""
         if len(route.traffic_split) == 1:
             return route.traffic_split[0][0]
         names = [name for name, weight in route.traffic_split if weight > 0]
@@ -147,22 +146,23 @@
         return self._rng.choices(names, weights)[0]
 
     def _starting(self, now: float) -> Rejection:
-        """There is no configuration yet."""
+        """The rejection while there is no configuration yet."""
         ready_in = self._started_at + START_UP_SECONDS - now
         retry_after = max(rejections.UNAVAILABLE_RETRY_AFTER_SECONDS, ready_in)
         return Rejection(503, RejectionReason.NOT_READY, retry_after)
 
     def _unmatched(self, rejection: Rejection, now: float, remaining: float, received_at: float) -> Rejection:
-        """Reject what the configuration does not hold.
+        """Reject a request whose route or API key is not in the configuration.
 
-        `rejection` is certain only if the configuration was the newest after the request was received: an
-        older one may lack a change whose acknowledgement its client has already seen.
+        `rejection` is returned only if the configuration was confirmed to be the newest after the request was
+        received. An older one may lack a change that was acknowledged to the client before it sent the
+        request.
         """
         if self._cluster.configuration.confirmed_at >= received_at:
             return rejection
         if self._cluster.configuration.age(now) > FRESH_CONFIGURATION_SECONDS:
             return rejections.NOT_READY
-        patience = CONFIGURATION_WAIT_FRACTION * (remaining + now - received_at)
-        reconsider_until = received_at + min(MAX_CONFIGURATION_WAIT_SECONDS, patience)
+        max_wait = CONFIGURATION_WAIT_FRACTION * (remaining + now - received_at)
+        reconsider_until = received_at + min(MAX_CONFIGURATION_WAIT_SECONDS, max_wait)
         retry_after = rejections.UNAVAILABLE_RETRY_AFTER_SECONDS
         return Rejection(503, RejectionReason.UNCONFIRMED, retry_after, reconsider_until)
--- a/ashlift/proxy/attempts.py
+++ b/ashlift/proxy/attempts.py
@@ -1,12 +1,11 @@
-"""Outcomes of attempts, and whether another attempt may follow. Pure.
+"""Outcomes of attempts, and the rules for retrying after each of them. No I/O.
 
-An attempt is one exchange with one worker. A request that is not idempotent must never run twice, so the only
-attempts that another one may follow there are those of which it is certain that the worker has not run them.
+An attempt is one exchange with one worker. A non-idempotent request must never run twice, so it is retried
+only if the worker has certainly not run it.
 
-The rules here are necessary, not sufficient: `RequestRouter.choose_worker` also asks for time before the
-deadline, an attempt of the route's `max_attempts` left, a worker not attempted yet, and a unit of the retry
-budget if a worker was reached or another attempt is in flight. `RequestRouter.hedge_time` says when one may
-begin beside another.
+These rules are necessary, not sufficient: `RequestRouter.choose_worker` also requires time before the
+deadline, an attempt left of the route's `max_attempts`, a worker that was not tried yet, and retry budget.
+`RequestRouter.hedge_time` decides when a hedged request is sent.
 """
 
 from collections.abc import Mapping
@@ -19,19 +18,19 @@
 class AttemptResult(Enum):
     """How an attempt at a worker ended."""
 
-    RESPONSE = auto()  # a valid response of the worker
-    NOT_RUN = auto()  # the worker says that it has not run it, or it was never sent
+    RESPONSE = auto()  # the worker sent a valid response
+    NOT_RUN = auto()  # the worker reported that it has not run the request, or it was never sent
     CONNECT_FAILED = auto()  # no connection could be established
-    CONNECTION_LOST = auto()  # the connection broke, or its response was malformed: the request may have run
-    TIMED_OUT = auto()  # the deadline passed: the request may still be running
-    CONNECTION_LIMIT_REACHED = auto()  # the limit of connections to the worker is reached: nothing was sent
+    CONNECTION_LOST = auto()  # the connection broke or the response was malformed: it may have run
+    TIMED_OUT = auto()  # the deadline passed: it may still be running
+    CONNECTION_LIMIT_REACHED = auto()  # all connections to the worker are in use: nothing was sent
 
 
 class AttemptRule(NamedTuple):
-    """What an attempt's result says about its request.
+    """What follows for a request from an attempt's result.
 
-    `may_have_run`: the worker may have executed it. `retry_idempotent`, `retry_non_idempotent`: whether
-    another attempt is allowed on a route of that kind.
+    `may_have_run`: the worker may have run it. `retry_idempotent`, `retry_non_idempotent`: whether a retry is
+    allowed on idempotent and on other routes.
     """
 
     may_have_run: bool
@@ -39,12 +38,12 @@
     retry_non_idempotent: bool
 
     def allows_retry(self, idempotent: bool) -> bool:
-        """Whether another attempt may follow on a route of that kind."""
+        """Whether a retry is allowed on a route that is `idempotent` or not."""
         return self.retry_idempotent if idempotent else self.retry_non_idempotent
 
 
-# A response below 500 is final on every route; the row RESPONSE is for failures that a worker reported.
-# In each row: may_have_run, retry_idempotent, retry_non_idempotent.
+# The row RESPONSE applies to status 500 and above; responses below 500 are always final.
+# Columns: may_have_run, retry_idempotent, retry_non_idempotent.
 ATTEMPT_RULES: Final[Mapping[AttemptResult, AttemptRule]] = {
     AttemptResult.RESPONSE: AttemptRule(True, True, False),
     AttemptResult.NOT_RUN: AttemptRule(False, True, True),
@@ -56,10 +55,10 @@
 
 
 class AttemptOutcome(NamedTuple):
-    """The end of an attempt.
+    """How an attempt ended.
 
-    `elapsed`: seconds since it began. `idle_reset`: the connection was lost because it had been idle for too
-    long, which says nothing about the worker.
+    `elapsed`: seconds since it began. `idle_reset`: the worker had probably closed the idle connection, which
+    does not count as a failure of the worker.
     """
 
     result: AttemptResult
--- a/ashlift/proxy/client_connection.py
+++ b/ashlift/proxy/client_connection.py
@@ -53,7 +53,7 @@
         self._in_request = False
         self._is_ending = False  # its last response has been written, or is being written
         self._closed_by_proxy = False
-        self._client_gone = False
+        self._client_disconnected = False
         self._last_attempt_id = b""
 
     def run(self) -> None:
@@ -126,7 +126,7 @@
         """Why there is no response to the request that was processed last."""
         if self._closed_by_proxy:
             return RequestEnd.CLOSED_BY_PROXY
-        return RequestEnd.CLIENT_GONE if self._client_gone else RequestEnd.DUPLICATE_ID
+        return RequestEnd.CLIENT_GONE if self._client_disconnected else RequestEnd.DUPLICATE_ID
 
     def _record_end(self, end: RequestEnd) -> None:
         self._request_handler.request_counters.record_end(end)
@@ -207,7 +207,7 @@
             return self._request_handler.handle(request, context)
         finally:
             self._last_attempt_id = context.attempt_id
-            self._client_gone = context.client_gone
+            self._client_disconnected = context.client_disconnected
             watcher.close()
 
     def _reject(self, status: int) -> None:
@@ -245,7 +245,7 @@
     def _check(self) -> None:
         self._readable.stop()
         if hung_up(self._sock):
-            self._context.client_gone = True
+            self._context.client_disconnected = True
             self._context.wake.set()
         elif self._timer is None:
             self._timer = self._loop.timer(HANG_UP_CHECK_SECONDS, HANG_UP_CHECK_SECONDS)
--- a/ashlift/proxy/metrics.py
+++ b/ashlift/proxy/metrics.py
@@ -20,7 +20,7 @@
     """The figures of a proxy, read at each scrape."""
     metrics = MetricsRegistry()
     metrics.add(RESPONSES, lambda: handler.responses)
-    metrics.add(REQUESTS_OUTSIDE_HOME, lambda: handler.received_outside_home)
+    metrics.add(REQUESTS_OUTSIDE_HOME, lambda: handler.requests_outside_home)
     metrics.add(REQUEST_ENDS, lambda: handler.request_counters.ends)
     metrics.add(INVARIANT_VIOLATIONS, lambda: monitor.violations)
     return metrics
--- a/ashlift/proxy/program.py
+++ b/ashlift/proxy/program.py
@@ -92,13 +92,13 @@
         self.proxy_server.draining = True
         log_event(STOPPING, in_flight=self.request_handler.in_flight)
         gevent.sleep(schedule.accept_until - started_at)
-        self.request_handler.answer_until = schedule.answer_until
+        self.request_handler.serve_until = schedule.serve_until
         self.proxy_server.stop_accepting()
-        self._serve_until(schedule.answer_until)
-        self.request_handler.answer_open_requests()
+        self._serve_until(schedule.serve_until)
+        self.request_handler.end_open_requests()
         self.proxy_server.refuse_partial_requests()
-        self._serve_until(schedule.end_at)
-        self._log_stopped(started_at, time.monotonic() >= schedule.answer_until)
+        self._serve_until(schedule.exit_at)
+        self._log_stopped(started_at, time.monotonic() >= schedule.serve_until)
         return EXIT_INVARIANT_VIOLATED if self.invariant_violated else EXIT_OK
 
     def _serve_until(self, deadline: float) -> None:
--- a/ashlift/proxy/readiness.py
+++ b/ashlift/proxy/readiness.py
@@ -1,4 +1,4 @@
-"""The readiness endpoint: `GET /readiness`, 200 while clients may be sent to this proxy, else 503."""
+"""The readiness endpoint: `GET /readiness` returns 200 while this proxy accepts client traffic, else 503."""
 
 import contextlib
 from collections.abc import Callable
--- a/ashlift/proxy/request_handler.py
+++ b/ashlift/proxy/request_handler.py
@@ -1,7 +1,7 @@
-"""The way of a request: read its headers, admit it, attempt it at workers, relay the response.
+"""Processes a request: reads its headers, admits it, forwards it to workers, relays the response.
 
-Owns the greenlets of the attempts and the place where a request waits for them. What is decided on the way is
-in `ashlift.proxy.request_router` (admission, choice of a worker) and in `ashlift.proxy.request_progress`.
+Owns the greenlets of the attempts. The decisions are made by `ashlift.proxy.request_router` (admission,
+worker selection) and `ashlift.proxy.request_progress` (when to retry, to hedge or to respond).
 """
 
 import math
@@ -24,41 +24,40 @@
 from ashlift.proxy.responses import ClientResponse, WorkerResponse, relay
 from ashlift.proxy.upstream import Attempt, ConnectionPool, WorkerRequest
 
-# Requests that wait for a newer configuration at a time; more are rejected at once.
-MAX_AWAITING_CONFIGURATION: Final = 64
+MAX_AWAITING_CONFIGURATION: Final = 64  # requests; further ones are rejected without waiting
 
 
 class RequestContext:
-    """One request on a client's connection, shared with the greenlet that watches the client.
+    """State of one request, shared between its handler and the connection that received it.
 
-    `previous_attempt_id`: of the request before it on the connection. `wake` is set when an attempt ends,
-    when the configuration changes, with `client_gone` and with `process_ends`.
+    `previous_attempt_id`: of the preceding request on the connection. `wake` is set when an attempt ends or
+    the configuration changes, and together with `client_disconnected` and `process_exiting`.
     """
 
     def __init__(self, previous_attempt_id: bytes = b"") -> None:
         self.previous_attempt_id = previous_attempt_id
         self.attempt_id = b""
         self.wake = Event()
-        self.client_gone = False
-        self.process_ends = False
+        self.client_disconnected = False
+        self.process_exiting = False
 
 
 class RequestHandler:
-    """Carries requests from a client's connection to workers and back."""
+    """Forwards clients' requests to workers, and counts the responses."""
 
     def __init__(self, router: RequestRouter) -> None:
         self.router = router
         self.connection_pool = ConnectionPool()
         self.in_flight = 0
         self.request_counters = RequestCounters()
-        self.responses: dict[str, int] = {}  # counts by reason, or by status of a worker's response
-        self.received_outside_home: Counter[str] = Counter()  # by route: this region is no home of it
-        self.answer_until = math.inf  # steady time; what is received now must be able to end by then
+        self.responses: dict[str, int] = {}  # counts by rejection reason, or by status if relayed
+        self.requests_outside_home: Counter[str] = Counter()  # by route, outside its home regions
+        self.serve_until = math.inf  # monotonic time; requests with a later deadline are rejected
         self._open_contexts: set[RequestContext] = set()
         self._awaiting_configuration: set[RequestContext] = set()
 
     def handle(self, request: ClientRequest, context: RequestContext) -> ClientResponse | None:
-        """The response; None: there is none to give, and the connection is to end."""
+        """Process a request; returns None if it gets no response, and the connection is to be closed."""
         self.in_flight += 1
         self._open_contexts.add(context)
         try:
@@ -74,36 +73,36 @@
         return response
 
     def configuration_changed(self) -> None:
-        """Requests that wait for a newer configuration are to be looked at again."""
+        """Wake the requests that wait for a newer configuration."""
         for context in self._awaiting_configuration:
             context.wake.set()
 
-    def answer_open_requests(self) -> None:
-        """The process is about to end: each request that has no response yet gets one of the proxy's own."""
+    def end_open_requests(self) -> None:
+        """End all open requests with a rejection, because the process is about to exit."""
         for context in self._open_contexts:
-            context.process_ends = True
+            context.process_exiting = True
             context.wake.set()
 
     def _handle(self, request: ClientRequest, context: RequestContext) -> ClientResponse | None:
         headers = routing_headers(request)
         if headers.attempt_id == context.previous_attempt_id:
-            return None  # each request has its own id: these are bytes of the last one, sent twice
+            return None  # ids are unique, so this is a duplicate of the preceding request
         context.attempt_id = headers.attempt_id
         admitted = self._admit(headers, context)
         if admitted is None:
             return None
         if isinstance(admitted, Rejection):
             return _rejection_response(admitted)
-        if admitted.deadline > self.answer_until:
+        if admitted.deadline > self.serve_until:
             self.router.refund_admission(time.monotonic(), admitted)
             return _rejection_response(STOPPING)
         admitted.size_bytes = request.head_bytes + request.body_bytes
         if not admitted.route.allows_region(self.router.settings.region):
-            self.received_outside_home[admitted.route.name] += 1
-        return _Forwarding(self, request, headers.attempt_id, admitted, context).run()
+            self.requests_outside_home[admitted.route.name] += 1
+        return _RequestForwarder(self, request, headers.attempt_id, admitted, context).run()
 
     def _admit(self, headers: RoutingHeaders, context: RequestContext) -> AdmittedRequest | Rejection | None:
-        """The router's decision, which may need a newer configuration first; None: the client has gone."""
+        """Admit or reject, after waiting for a newer configuration if needed; None: client disconnected."""
         received_at = time.monotonic()
         now = received_at
         while True:
@@ -116,9 +115,9 @@
             if len(self._awaiting_configuration) >= MAX_AWAITING_CONFIGURATION:
                 return admitted
             self._await_configuration(context, admitted.reconsider_until - now)
-            if context.client_gone:
+            if context.client_disconnected:
                 return None
-            if context.process_ends:
+            if context.process_exiting:
                 return STOPPING
             now = time.monotonic()
 
@@ -126,12 +125,12 @@
         self._awaiting_configuration.add(context)
         context.wake.wait(seconds)
         self._awaiting_configuration.discard(context)
-        if not context.client_gone and not context.process_ends:
+        if not context.client_disconnected and not context.process_exiting:
             context.wake.clear()
 
 
-class _Forwarding:
-    """The attempts of one admitted request, each in a greenlet."""
+class _RequestForwarder:
+    """Runs the attempts of one admitted request, each in a greenlet."""
 
     def __init__(
         self,
@@ -151,7 +150,7 @@
         self._progress: RequestProgress[Attempt] = RequestProgress(handler.router, admitted)
 
     def run(self) -> ClientResponse | None:
-        """Make attempts until there is a response; None: the client has gone."""
+        """Make attempts until there is a response; None: the client disconnected."""
         try:
             return self._run()
         finally:
@@ -168,10 +167,10 @@
                 return relay(step)
             elif isinstance(step, Rejection):
                 return _rejection_response(step)
-            if self._context.process_ends and not progress.has_completed:
+            if self._context.process_exiting and not progress.has_completed:
                 return _rejection_response(self._router.final_rejection(self._admitted))
             self._wait()
-            if self._context.client_gone:
+            if self._context.client_disconnected:
                 return None
             step = progress.next_step(time.monotonic())
 
@@ -187,7 +186,7 @@
         gevent.spawn(self._attempt, attempt, worker)
 
     def _attempt(self, attempt: Attempt, worker: WorkerState) -> None:
-        """One attempt, in a greenlet of its own."""
+        """Run one attempt; the body of its greenlet."""
         outcome = self._exchange(attempt, worker)
         self._progress.attempt_ended(time.monotonic(), attempt, outcome)
         if not self._progress.closed:
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -155,7 +155,7 @@
 def _() -> None:
     with proxy_site() as site:
         client = connected_client(site)
-        site.proxy.request_handler.answer_until = blocking_time.monotonic() + 1.0
+        site.proxy.request_handler.serve_until = blocking_time.monotonic() + 1.0
         site.proxy.server.stop_accepting()
         request = site.history.new_request("/hold/0/x", False, b"a body", remaining_ms=3000)
         client.send(request)
@@ -168,7 +168,7 @@
 def _() -> None:
     with proxy_site() as site:
         client = connected_client(site)
-        site.proxy.request_handler.answer_until = blocking_time.monotonic() + 5.0
+        site.proxy.request_handler.serve_until = blocking_time.monotonic() + 5.0
         site.proxy.server.stop_accepting()
         request = site.history.new_request("/hold/0/x", False, b"a body", remaining_ms=3000)
         client.send(request)
@@ -186,7 +186,7 @@
         while not site.history.runs:
             gevent.sleep(TIMER_SECONDS)
         site.proxy.server.stop_accepting()
-        site.proxy.request_handler.answer_open_requests()
+        site.proxy.request_handler.end_open_requests()
         client.read_response(request)
         assert request.status == 504
 
@@ -249,8 +249,8 @@
 )
 def _(grace: float = each(0.5, 3.0, 6.0, 30.0)) -> None:
     schedule = shutdown_schedule(100.0, grace)
-    assert 100.0 < schedule.accept_until < schedule.answer_until < schedule.end_at < 100.0 + grace
-    assert schedule.answer_until > 100.0 + 5 / 6 * grace
+    assert 100.0 < schedule.accept_until < schedule.serve_until < schedule.exit_at < 100.0 + grace
+    assert schedule.serve_until > 100.0 + 5 / 6 * grace
     assert schedule.accept_until < 103.0
     assert shutdown.FIRST_REQUEST_SECONDS <= 1.0
 
