--- a/ashlift/proxy/cluster_view.py
+++ b/ashlift/proxy/cluster_view.py
@@ -1,9 +1,9 @@
-"""The cluster as this proxy knows it: merged from all sources that the registries report. Pure.
+"""The cluster state as known to this proxy, merged from all sources. No I/O.
 
-A source is what one registry has heard; the same worker or proxy may stand in several. This module merges
-them; `ashlift.proxy.source_state` holds the records of one, `ashlift.proxy.configuration_state` the
-operator's configuration, and `ashlift.proxy.retention` keeps who is missing only because registries have just
-restarted.
+A source holds what was reported to one registry; a worker or proxy may be in several sources. The records of
+one source are in `ashlift.proxy.source_state`, the operator's configuration in
+`ashlift.proxy.configuration_state`. `ashlift.proxy.retention` keeps workers and proxies that are missing only
+because registries have restarted.
 """
 
 import math
@@ -19,23 +19,22 @@
 from ashlift.traffic.outlier_detection import FailureTotals
 from ashlift.traffic.unreported_usage import SourceCoverage
 
-SOURCE_TIMEOUT_SECONDS: Final = 5.0  # a source that no registry has named for so long is dropped
-LISTED_SOURCE_SECONDS: Final = 1.5  # load and failures count of sources that were named so recently
-# A proxy's session, and the way to another registry: within this time a proxy that runs has called one.
-PROXY_LEASE_SECONDS: Final = 3.0
+SOURCE_TIMEOUT_SECONDS: Final = 5.0  # a source not listed by any registry for this time is dropped
+SOURCE_FRESHNESS_SECONDS: Final = 1.5  # load and failures of sources not listed for longer are ignored
+PROXY_LEASE_SECONDS: Final = 3.0  # covers a proxy's session plus the switch to another registry
 DEFAULT_WORKER_LEASE_SECONDS: Final = 4.5
 
 
 class ClusterView:
-    """Workers, proxies, load and configuration. Changed by `apply` alone. Times are steady, in seconds."""
+    """Workers, proxies, load and configuration. Only `apply` changes it. Times are monotonic, in seconds."""
 
     def __init__(self, worker_lease: float = DEFAULT_WORKER_LEASE_SECONDS) -> None:
         self.configuration = ConfigurationState()
         self.sources: dict[str, SourceState] = {}
         self.workers: dict[str, Worker] = {}
         self.by_service: dict[str, list[Worker]] = {}
-        self.proxies: tuple[str, ...] = ()  # with a session, by name
-        self.departed_since: float | None = None  # since when the proxies last let go had been missing
+        self.proxies: tuple[str, ...] = ()  # names of those with a session, sorted
+        self.departed_since: float | None = None  # when the proxies removed last were first missing
         self._retained_workers = Retention(worker_lease)
         self._retained_proxies = Retention(PROXY_LEASE_SECONDS)
         self._registries_uptime = math.inf
@@ -49,7 +48,7 @@
         return versions
 
     def apply(self, sent_at: float, now: float, response: PullResponse) -> ClusterChange:
-        """Apply the response to a pull that was sent at `sent_at`; says what it changed."""
+        """Apply the response to a pull that was sent at `sent_at`; returns what it changed."""
         change = ClusterChange()
         if response.operator_update is not None:
             change.config = self.configuration.apply(response.operator_update)
@@ -62,8 +61,8 @@
                 self.sources[name].last_listed_at = now
         self._drop_expired_sources(now, change)
         if response.configuration_age is not None and self.configuration.routing_table is not None:
-            # It was true when the registry answered: not before the call was sent and held there.
-            self.configuration.confirm(sent_at + response.held - response.configuration_age)
+            # The age is as of the response, which left at `sent_at` plus the hold time, or later.
+            self.configuration.confirm(sent_at + response.hold_seconds - response.configuration_age)
         self._merge(now, change)
         return change
 
@@ -87,7 +86,7 @@
             change.proxies = True
 
     def _merge(self, now: float, change: ClusterChange) -> None:
-        """Merge what changed; what is retained is decided anew each time, since registries grow older."""
+        """Merge what changed. Retained records are checked each time, since the uptime has increased."""
         if change.workers or self._retained_workers.missing_since:
             self._merge_workers(now)
             change.workers = True
@@ -104,7 +103,7 @@
         missing = [worker_id for worker_id in self.workers if worker_id not in newest]
         self._retained_workers.update(now, missing, self._registries_uptime)
         for worker_id in self._retained_workers.missing_since:
-            # It may have restarted meanwhile: until it is named again it counts as in slow start.
+            # It may have restarted in the meantime, so it is in slow start until a registry lists it again.
             newest[worker_id] = replace(self.workers[worker_id], warm_at=math.inf)
         self.workers = newest
         self.by_service = {}
@@ -112,7 +111,7 @@
             self.by_service.setdefault(worker.service, []).append(worker)
 
     def _merge_proxies(self, now: float) -> bool:
-        """Whether the proxies with a session are others than before."""
+        """Merge the proxies with a session; returns whether they have changed."""
         named = {name for source in self.sources.values() for name in source.proxies}
         missing = [name for name in self.proxies if name not in named]
         released = self._retained_proxies.update(now, missing, self._registries_uptime)
@@ -122,37 +121,37 @@
         self.proxies = proxies
         return changed
 
-    # ---- sums over the sources
+    # ---- totals over the sources
 
-    def _listed_sources(self) -> dict[str, SourceState]:
-        """Sources that were named lately: what a dead registry was told is reported to another one again."""
+    def _fresh_sources(self) -> dict[str, SourceState]:
+        """Recently listed sources. Reports to a registry that is lost are sent to another registry again."""
         return {
             name: source
             for name, source in self.sources.items()
-            if self._applied_at - source.last_listed_at < LISTED_SOURCE_SECONDS
+            if self._applied_at - source.last_listed_at < SOURCE_FRESHNESS_SECONDS
         }
 
     def in_flight(self) -> dict[str, int]:
-        """Requests of all proxies in flight, by worker, about half a second old."""
+        """Requests in flight from all proxies, by worker; the reports are about half a second old."""
         totals: dict[str, int] = {}
-        for source in self._listed_sources().values():
+        for source in self._fresh_sources().values():
             for worker_id, count in source.in_flight.items():
                 totals[worker_id] = totals.get(worker_id, 0) + count
         return totals
 
     def failure_totals(self, only_source: str | None = None) -> dict[str, FailureTotals]:
-        """Recent failures by worker, of all sources or of one."""
+        """Recent failures by worker, from all fresh sources or from one."""
         totals: dict[str, FailureTotals] = {}
-        for name, source in self._listed_sources().items():
+        for name, source in self._fresh_sources().items():
             if only_source not in (None, name):
                 continue
             for worker_id, failures in source.failures.items():
                 known = totals.get(worker_id)
-                totals[worker_id] = failures if known is None else _sum(known, failures)
+                totals[worker_id] = failures if known is None else _add_failure_totals(known, failures)
         return totals
 
     def source_coverage(self) -> dict[str, SourceCoverage]:
-        """By source, how many proxies it names, and how many of them no other source names."""
+        """For each source, how many proxies it lists, and how many of these no other source lists."""
         sources_naming = Counter(name for source in self.sources.values() for name in source.proxies)
         return {
             name: SourceCoverage(
@@ -162,13 +161,13 @@
         }
 
     def registries_started_at(self) -> dict[str, float]:
-        """By source, when its registry started; minus infinity: it has not said."""
+        """When the registry of each source started; minus infinity if not reported."""
         return {name: source.started_at for name, source in self.sources.items()}
 
     def usage_totals(self) -> dict[str, dict[str, tuple[int, int]]]:
-        """Cumulative requests, all and rejected, by source and tenant."""
+        """All requests and rejected requests, cumulative, by source and tenant."""
         return {name: dict(source.usage) for name, source in self.sources.items()}
 
 
-def _sum(first: FailureTotals, second: FailureTotals) -> FailureTotals:
+def _add_failure_totals(first: FailureTotals, second: FailureTotals) -> FailureTotals:
     return FailureTotals(first[0] + second[0], first[1] + second[1], first[2] + second[2])
--- a/ashlift/proxy/configuration_state.py
+++ b/ashlift/proxy/configuration_state.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as a proxy holds it, and how fresh it is known to be. Pure."""
+"""The operator's configuration held by a proxy, and when it was last confirmed. No I/O."""
 
 import math
 from typing import Any, Final
@@ -6,32 +6,33 @@
 from ashlift.config.routing_table import RoutingTable
 from ashlift.proxy.pull_messages import SourceUpdate
 
-EVACUATIONS: Final = "Evacuations/"  # kinds of entries: the operator's words
+# Keys of entries in the operator's configuration; those with a slash are prefixes.
+EVACUATIONS: Final = "Evacuations/"
 CORE_MACHINES: Final = "Members/"
-VERSION: Final = "Version"  # the entry that every complete configuration has
+VERSION: Final = "Version"  # present in every complete configuration
 
 
 class ConfigurationState:
-    """The newest configuration received. It never goes back to an older one within a process's life."""
+    """The newest configuration received. It is never replaced by an older one."""
 
     def __init__(self) -> None:
         self.entries: dict[str, Any] = {}
-        self.version = 0  # the store's index of the last change applied
+        self.version = 0  # index of the last applied change in the configuration store
         self.routing_table: RoutingTable | None = None
         self.evacuated_zones: frozenset[str] = frozenset()
         self.core_machines: dict[str, Any] = {}  # zone and region, by IP
-        self.confirmed_at = -math.inf  # steady time at which this was the newest configuration, or later
+        self.confirmed_at = -math.inf  # monotonic time at which this was last known to be the newest
 
     def age(self, now: float) -> float:
         """Seconds since this configuration was confirmed to be the newest."""
         return now - self.confirmed_at
 
     def confirm(self, confirmed_at: float) -> None:
-        """A registry says that what is held was the newest at `confirmed_at`, or later."""
+        """Record that this configuration was still the newest at `confirmed_at`."""
         self.confirmed_at = max(self.confirmed_at, confirmed_at)
 
     def apply(self, update: SourceUpdate) -> bool:
-        """Apply an update; whether it was newer than what is held."""
+        """Apply an update if it is newer than `version`; returns whether it was."""
         if update.version <= self.version:
             return False
         removed = update.removed
@@ -51,5 +52,5 @@
         return True
 
     def _entries_of_kind(self, kind: str) -> dict[str, Any]:
-        """The entries of a kind, by name."""
+        """The entries whose keys begin with `kind`, by the rest of the key."""
         return {key[len(kind) :]: value for key, value in self.entries.items() if key.startswith(kind)}
--- a/ashlift/proxy/pull_messages.py
+++ b/ashlift/proxy/pull_messages.py
@@ -1,7 +1,7 @@
-"""Messages of the RPC `pull`: a proxy's report, and what a registry knows. The wire's keys stand here alone.
+"""Messages of the RPC `pull`: the proxy's report and the registry's response. No I/O.
 
-Records travel under keys of one letter, a slash and a name; `RecordKind` lists them. No input or output. The
-classes are named tuples, since those cost a start of the program least.
+The wire's keys are defined only here. The key of a record is one letter (`RecordKind`), a slash and a name.
+The classes are named tuples, which are the fastest to define at start-up.
 """
 
 from collections.abc import Mapping, Sequence
@@ -12,33 +12,33 @@
 
 PULL_METHOD: Final = "pull"
 KIND_LENGTH: Final = 2  # the letter and the slash before a record's name
-NEVER: Final = float("inf")  # s: a registry that does not report how long it has run
+UNKNOWN_UPTIME: Final = float("inf")  # seconds; of a registry that does not report its uptime
 Json = dict[str, Any]
 
 
 class RecordKind(StrEnum):
-    """What a record of a source is about: the first letter of its key."""
+    """The kind of a source's record: the first letter of its key."""
 
     WORKER = "w"
     PROXY = "g"
     IN_FLIGHT = "o"  # requests in flight at a worker
-    FAILURES = "f"  # failed and all recent requests of a worker, and proxies that saw failures
-    USAGE = "c"  # cumulative requests of a tenant, all and rejected
+    FAILURES = "f"  # of a worker: recent failures, recent requests, number of proxies that saw failures
+    USAGE = "c"  # of a tenant: all requests and rejected requests, cumulative
 
 
 class UsageReport(NamedTuple):
-    """Requests counted by tenant since the last report. `number` rises, so that none is added twice."""
+    """Requests by tenant since the last report. `number` increases, so that no report is added twice."""
 
     number: int
     counts: Mapping[str, tuple[int, int]]
 
 
 class PullReport(NamedTuple):
-    """What a proxy reports, and what it asks for. Times are seconds.
+    """A proxy's report and its request for updates. Times are in seconds.
 
-    `versions`: of the sources that it holds. `wait`: how long the registry may wait for changes.
-    `requested_fragment`: of a large update, `[id, offset]`. `urgent`: it needs a confirmed configuration at
-    once.
+    `versions`: the version held of each source. `wait`: how long the registry may hold the call until there
+    are changes. `requested_fragment`: of a large update, `[id, offset]`. `urgent`: the proxy needs a
+    confirmed configuration immediately.
     """
 
     node: str
@@ -76,41 +76,41 @@
 
 
 class SourceUpdate(NamedTuple):
-    """A change of one source, or (`full`) its complete state.
+    """Changes of one source, or its complete state if `full` is set.
 
-    `registry_uptime`: seconds that the registry behind the source has run, infinite if it does not say.
+    `registry_uptime`: of the source's registry, in seconds; infinite if not reported.
     """
 
     version: int
     full: bool
     entries: Mapping[str, Any]
     removed: Sequence[str]
-    registry_uptime: float = NEVER
+    registry_uptime: float = UNKNOWN_UPTIME
 
     @classmethod
     def from_wire(cls, body: Mapping[str, Any]) -> "SourceUpdate":
-        """Decode one value of the response's `sources`."""
-        return cls(body["version"], body["full"], body["set"], body["gone"], body.get("run", NEVER))
+        """Decode one value of `sources` in the response."""
+        return cls(body["version"], body["full"], body["set"], body["gone"], body.get("run", UNKNOWN_UPTIME))
 
 
 class PullResponse(NamedTuple):
-    """What a registry answered.
+    """A registry's response. Times are in seconds.
 
     `operator_update`: of the operator's configuration, or None. `sources`: updates by source. `alive`: the
-    sources that the registry hears, itself first. `configuration_age`: s since its configuration was
-    confirmed to be the newest, None if it is not. `held`: s that it kept the call waiting after that.
-    `registries_uptime`: s that all registries in reach have run. `registries`: IPs, nearest first. `late`: a
-    newer configuration is on its way.
+    sources of live registries, its own first. `configuration_age`: time since its configuration was confirmed
+    to be the newest, None if it is unconfirmed. `hold_seconds`: how long it held the call before responding.
+    `registries_uptime`: the shortest uptime of the registries that it can reach. `registries`: IPs, nearest
+    first. `newer_version_pending`: a newer configuration is about to follow.
     """
 
     operator_update: SourceUpdate | None
     sources: Mapping[str, SourceUpdate]
     alive: Sequence[str]
     configuration_age: float | None
-    held: float
+    hold_seconds: float
     registries_uptime: float
     registries: Sequence[str]
-    late: bool
+    newer_version_pending: bool
 
     @classmethod
     def from_wire(cls, body: Mapping[str, Any]) -> "PullResponse":
@@ -121,8 +121,8 @@
             sources=updates,
             alive=body["alive"],
             configuration_age=body.get("age"),
-            held=body.get("held", 0.0),
-            registries_uptime=body.get("ran", NEVER),
+            hold_seconds=body.get("held", 0.0),
+            registries_uptime=body.get("ran", UNKNOWN_UPTIME),
             registries=body.get("controls", ()),
-            late=bool(body.get("late")),
+            newer_version_pending=bool(body.get("late")),
         )
--- a/ashlift/proxy/registry_client.py
+++ b/ashlift/proxy/registry_client.py
@@ -1,4 +1,4 @@
-"""A proxy's side of the RPC `pull`: what it reports to a registry, and what it makes of the response. Pure.
+"""The proxy's side of the RPC `pull`: builds the reports to a registry and applies the responses. No I/O.
 
 `ashlift.proxy.registry_poller` makes the calls.
 """
@@ -15,19 +15,18 @@
 from ashlift.rpc.fragmentation import Reassembler
 from ashlift.rpc.sources import OPERATOR_SOURCE
 
-LONG_POLL_SECONDS: Final = 0.25  # a registry without news waits so long for some
-RESPONSE_TIMEOUT_SECONDS: Final = 0.6  # beyond that; then another registry is called
-# A response may take so long in all while bytes of it arrive: a complete configuration over a slow link.
+LONG_POLL_SECONDS: Final = 0.25  # how long a registry may hold a call while it has no changes
+RESPONSE_TIMEOUT_SECONDS: Final = 0.6  # in addition to the long poll; then another registry is called
+# Limit for a response of which bytes keep arriving, such as a complete configuration over a slow link.
 MAX_RESPONSE_SECONDS: Final = 3.0
-MAX_CONFIGURATION_AGE_SECONDS: Final = 1.5  # a registry whose configuration is older is left for another
-# A connection may take so long to be established, and twice as long after each that was not: a seed that does
-# not answer must not delay the start.
+MAX_CONFIGURATION_AGE_SECONDS: Final = 1.5  # above this, another registry is called
+# Short, so that an unreachable seed does not delay the start; doubled after each failed connection.
 FIRST_CONNECT_TIMEOUT_SECONDS: Final = 0.15
-URGENT_PULL_AGE_SECONDS: Final = 1.0  # with an older configuration, the registry is to answer at once
+URGENT_PULL_AGE_SECONDS: Final = 1.0  # configuration age above which the registry must respond immediately
 
 
 class PullRequest(NamedTuple):
-    """One call to be made: the registry's IP, when it is sent, its content, and its connect time-out in s."""
+    """One call to a registry. `sent_at`: monotonic time. `connect_timeout`: seconds."""
 
     registry_ip: str
     sent_at: float
@@ -36,12 +35,12 @@
 
     @property
     def body(self) -> Json:
-        """The body on the wire."""
+        """The body of the call."""
         return self.report.to_wire()
 
 
 class RegistryClient:
-    """Produces the calls one after the other, and applies each response to the request router."""
+    """Builds the calls to registries, and applies each response to the request router."""
 
     def __init__(
         self, settings: Settings, router: RequestRouter, incarnation: str, rng: random.Random
@@ -56,7 +55,7 @@
 
     @property
     def seeds(self) -> list[str]:
-        """IPs of the registries that the settings file names."""
+        """IPs of the registries in the settings file."""
         return self._selection.seeds
 
     @seeds.setter
@@ -64,7 +63,7 @@
         self._selection.seeds = seeds
 
     def next_request(self, now: float) -> PullRequest | None:
-        """The next call, to be made at once; None: no registry is known."""
+        """The next call, to be made immediately; None: no registry is known."""
         registry_ip = self._selection.choose(now, self._router.cluster.configuration.core_machines)
         if registry_ip is None:
             return None
@@ -93,8 +92,8 @@
         )
 
     def handle_response(self, request: PullRequest, now: float, answer: Json | Failure) -> bool:
-        """Apply the answer to `request`; False: there is none, and the next call is to wait a little."""
-        body = answer if isinstance(answer, Failure) else self._reassembled(answer)
+        """Apply the answer to `request`; returns False if the call failed and a pause must follow."""
+        body = answer if isinstance(answer, Failure) else self._with_reassembled_update(answer)
         if isinstance(body, Failure):
             self._handle_failure(request, now, body)
             return False
@@ -104,8 +103,8 @@
         self._selection.record_response(request.registry_ip, response.registries)
         change = self._router.cluster.apply(request.sent_at, now, response)
         self._router.apply_change(now, change)
-        self._share_load(request, now, response)
-        if not response.late and self._is_stale(response):
+        self._update_policies(request, now, response)
+        if not response.newer_version_pending and self._is_stale(response):
             self._selection.record_stale(request.registry_ip, now)
         return True
 
@@ -115,17 +114,17 @@
             self._router.rate_limiter.restore_counts(counts)
             self._connect_timeout = min(CONNECT_TIMEOUT_SECONDS, 2 * self._connect_timeout)
         else:
-            # The registry may have added them, and they must not be added twice.
+            # The registry may have added these counts; reporting them again would add them twice.
             self._router.rate_limiter.confirm_counts(counts)
         self._selection.record_failure(request.registry_ip, now)
 
-    def _share_load(self, request: PullRequest, now: float, response: PullResponse) -> None:
-        """Hand what all proxies report of load, failures and usage to the policies."""
+    def _update_policies(self, request: PullRequest, now: float, response: PullResponse) -> None:
+        """Update load balancing, outlier detection and rate limiting with the reports of all proxies."""
         cluster = self._router.cluster
         load_balancer = self._router.load_balancer
         report = request.report
         load_balancer.update_peer_load(cluster.in_flight(), report.in_flight)
-        own_source = next(iter(response.alive), None)  # a registry names itself first
+        own_source = next(iter(response.alive), None)  # a registry lists itself first
         from_own_source = cluster.failure_totals(own_source) if own_source else {}
         load_balancer.outlier_detector.record_failure_totals(
             now, cluster.failure_totals(), from_own_source, report.failures
@@ -139,10 +138,10 @@
         age = response.configuration_age
         return age is None or age > MAX_CONFIGURATION_AGE_SECONDS
 
-    def _reassembled(self, body: Json) -> Json | Failure:
-        """The body with the operator's update complete, or without it while fragments of it are missing.
+    def _with_reassembled_update(self, body: Json) -> Json | Failure:
+        """The body with the operator's update reassembled, or without it while fragments are missing.
 
-        Then, and if there is a newer one already (`late`), its age does not speak for what is held here.
+        If `late` is set, a newer update exists, so the age does not apply to the configuration held here.
         """
         try:
             sources: dict[str, Any] = dict(body["sources"])
--- a/ashlift/proxy/registry_poller.py
+++ b/ashlift/proxy/registry_poller.py
@@ -1,6 +1,6 @@
 """Polls a registry for configuration and cluster state, and reports this proxy's load and usage to it.
 
-What is called, and what is made of the response, is decided in `ashlift.proxy.registry_client`.
+`ashlift.proxy.registry_client` builds the calls and applies the responses.
 """
 
 import random
@@ -26,7 +26,7 @@
 
 
 class RegistryPoller:
-    """The polling loop. `on_change` is called after each response that has been applied."""
+    """The polling loop. Calls `on_change` after each applied response."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
 
     @property
     def seeds(self) -> list[str]:
-        """IPs of the registries that the settings file names."""
+        """IPs of the registries in the settings file."""
         return self._registry_client.seeds
 
     @seeds.setter
@@ -58,11 +58,11 @@
                 self._stopped.wait(RETRY_PAUSE_SECONDS)
 
     def stop(self) -> None:
-        """End the loop after the call that is under way."""
+        """End the loop after the current call."""
         self._stopped.set()
 
     def _pull(self) -> bool:
-        """One call; whether there was a response."""
+        """Make one call; returns whether there was a valid response."""
         request = self._registry_client.next_request(time.monotonic())
         if request is None:
             return False
--- a/ashlift/proxy/registry_selection.py
+++ b/ashlift/proxy/registry_selection.py
@@ -1,29 +1,28 @@
-"""Which registry a proxy calls next: the nearest that answered lately with a fresh configuration. Pure."""
+"""Selects the registry to call: the nearest one that responds with a fresh configuration. No I/O."""
 
 import random
 from collections.abc import Collection, Sequence
 from typing import Final
 
-AVOID_SECONDS: Final = 2.0  # a registry that failed, or whose configuration is old, is avoided for so long
-_USABLE, _STALE, _FAILED = range(
-    3
-)  # ranks: those that are avoided come last, those that answer before others
+AVOID_SECONDS: Final = 2.0  # after a failed call, or a response with a stale configuration
+# Health ranks, best first.
+_USABLE, _STALE, _FAILED = range(3)
 
 
 class RegistrySelection:
-    """Remembers which registries to avoid, and in which order the last response named them.
+    """Tracks the health of registries, and their order by distance as the last response listed them.
 
-    `seeds`: IPs of the settings file, for a proxy that has no configuration yet or reaches none of the core
-    machines that it names.
+    `seeds`: IPs from the settings file. They are used while there is no configuration, or while none of the
+    core machines in it responds.
     """
 
     def __init__(self, seeds: list[str], rng: random.Random) -> None:
         self.seeds = seeds
         self._rng = rng
-        self._avoided_until: dict[str, float] = {}  # steady time, by IP
-        self._stale: set[str] = set()  # those avoided that do answer, but with an old configuration
+        self._avoided_until: dict[str, float] = {}  # monotonic time, by IP
+        self._stale: set[str] = set()  # avoided only because of a stale configuration
         self._current: str | None = None
-        self._by_distance: Sequence[str] = []  # IPs, nearest first; unheard ones come last
+        self._by_distance: Sequence[str] = []  # IPs, nearest first, unreachable ones last
 
     def choose(self, now: float, core_machines: Collection[str]) -> str | None:
         """The IP to call, or None if none is known."""
@@ -35,7 +34,7 @@
 
         def rank(ip: str) -> tuple[int, int, bool, float]:
             return (
-                self._health(ip, now),
+                self._health_rank(ip, now),
                 distance.get(ip, len(distance)),
                 ip != self._current,
                 self._rng.random(),
@@ -44,22 +43,22 @@
         return min(candidates, key=rank, default=None)
 
     def record_response(self, ip: str, by_distance: Sequence[str]) -> None:
-        """It answered, and names all registries, nearest first."""
+        """Record a response, which lists all registries, nearest first."""
         self._current = ip
         self._by_distance = by_distance
 
     def record_failure(self, ip: str, now: float) -> None:
-        """It did not answer."""
+        """Record a failed call."""
         self._avoided_until[ip] = now + AVOID_SECONDS
         self._stale.discard(ip)
         self._current = None
 
     def record_stale(self, ip: str, now: float) -> None:
-        """It answered with a configuration that is too old."""
+        """Record a response with a stale configuration."""
         self._avoided_until[ip] = now + AVOID_SECONDS
         self._stale.add(ip)
 
-    def _health(self, ip: str, now: float) -> int:
+    def _health_rank(self, ip: str, now: float) -> int:
         if self._avoided_until.get(ip, 0.0) <= now:
             return _USABLE
         return _STALE if ip in self._stale else _FAILED
--- a/ashlift/proxy/retention.py
+++ b/ashlift/proxy/retention.py
@@ -1,25 +1,27 @@
-"""Keeps names that no registry lists, while registries are too young to vouch for their absence. Pure.
+"""Retains workers and proxies that no registry lists because the registries have just restarted. No I/O.
 
-A registry that has just started has not heard from everybody yet. Registries say how long all of them in
-reach have run; once that is longer than a lease, whoever is alive has renewed it with one of them.
+A registry that has just started has not received a report from every worker and proxy yet. Once all reachable
+registries have run for longer than a lease, every live one has renewed its lease with one of them.
 """
 
 from collections.abc import Iterable
 from typing import Final
 
-# So long a record that is not named is kept while registries restart again and again.
-MAX_RETENTION_SECONDS: Final = 10.0
+MAX_RETENTION_SECONDS: Final = 10.0  # even if registries restart repeatedly
 
 
 class Retention:
-    """Names that are kept, each with the steady time since when no registry names it."""
+    """The retained names, each with the monotonic time since which no registry lists it."""
 
     def __init__(self, lease_seconds: float) -> None:
         self._lease_seconds = lease_seconds
         self.missing_since: dict[str, float] = {}
 
     def update(self, now: float, missing: Iterable[str], registries_uptime: float) -> list[float]:
-        """Decide who of the `missing` is kept; since when those were missing that are let go."""
+        """Decide which of the `missing` names to retain.
+
+        Returns for each of the others the time since which it has been missing.
+        """
         before = self.missing_since
         self.missing_since = {}
         released: list[float] = []
--- a/ashlift/proxy/source_state.py
+++ b/ashlift/proxy/source_state.py
@@ -1,4 +1,4 @@
-"""The records of one source: what one registry has heard from workers and proxies. Pure."""
+"""The records of one source: what workers and proxies have reported to one registry. No I/O."""
 
 import math
 from dataclasses import dataclass
@@ -9,10 +9,10 @@
 from ashlift.traffic.outlier_detection import FailureTotals
 
 
-# Read for every candidate of every request: slots are quicker to read than fields of a named tuple.
+# Read for every candidate of every request; slots are faster to read than fields of a named tuple.
 @dataclass(frozen=True, slots=True)
 class Worker:
-    """One incarnation of a worker, as its newest heartbeat describes it."""
+    """One incarnation of a worker, as described by its newest heartbeat."""
 
     id: str
     service: str
@@ -21,11 +21,11 @@
     capacity: int
     ready: bool
     sequence: int  # of the heartbeat
-    warm_at: float  # steady time at which its slow start ends
+    warm_at: float  # monotonic time at which its slow start ends
 
 
 class ClusterChange:
-    """Which parts of the cluster's state a response changed."""
+    """Which parts of the cluster state a response changed."""
 
     def __init__(self, config: bool = False, workers: bool = False, proxies: bool = False) -> None:
         self.config = config
@@ -34,10 +34,10 @@
 
 
 class SourceState:
-    """All records of a source at `version`. Times are steady, in seconds.
+    """All records of a source at `version`. Times are monotonic, in seconds.
 
-    `last_listed_at`: when a registry last named the source as alive. `started_at`: when its registry started,
-    minus infinity if it has not said.
+    `last_listed_at`: when a registry last listed the source as alive. `started_at`: when the source's registry
+    started, minus infinity if not reported.
     """
 
     def __init__(self, last_listed_at: float = 0.0, started_at: float = -math.inf) -> None:
@@ -51,7 +51,7 @@
         self.usage: dict[str, tuple[int, int]] = {}
 
     def apply(self, update: SourceUpdate, now: float, change: ClusterChange) -> None:
-        """Apply an update that is not older than what is held; notes in `change` what it touches."""
+        """Apply an update that is not older than `version`; marks in `change` what it changes."""
         if update.full:
             change.workers |= bool(self.workers)
             change.proxies |= bool(self.proxies)
