--- a/ashlift/proxy/__init__.py
+++ b/ashlift/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy, the data plane on edge machines: client connections, routing, load balancing, retries."""
+"""The proxy, the data plane on edge machines: client connections, routing, load balancing and retries."""
--- a/ashlift/proxy/__main__.py
+++ b/ashlift/proxy/__main__.py
@@ -15,7 +15,7 @@
 
 
 def main() -> int:
-    """Read the settings and run the proxy; the process's exit status."""
+    """Read the settings and run the proxy; returns the exit status."""
     path = os.environ.get("ASHLIFT_SETTINGS", DEFAULT_SETTINGS_PATH)
     settings = read_settings(path)
     if isinstance(settings, list):
--- a/ashlift/proxy/client_connection.py
+++ b/ashlift/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: requests read within the limits, responses written in order."""
+"""Serves one client connection: reads requests within the limits, and writes the responses in order."""
 
 import contextlib
 import time
@@ -20,11 +20,11 @@
 from ashlift.proxy.shutdown import FIRST_REQUEST_SECONDS
 from ashlift.rpc.sockets import close_after_last_response, has_unread_input, send_all
 
-WRITE_TIMEOUT_SECONDS: Final = 5.0  # a client that accepts no bytes for so long is gone
+WRITE_TIMEOUT_SECONDS: Final = 5.0  # without progress
 BODY_TIMEOUT_SECONDS: Final = 10.0  # between two parts of a body
 MIN_TIMEOUT_SECONDS: Final = 0.001
-LINGER_SECONDS: Final = 1.0  # for a client to read its last response and to close, too
-HANG_UP_CHECK_SECONDS: Final = 0.05  # while the client's next request is already waiting to be read
+LINGER_SECONDS: Final = 1.0  # for the client to read its last response and close the connection
+DISCONNECT_CHECK_SECONDS: Final = 0.05  # interval of the checks while there is unread input
 RECEIVE_BYTES: Final = 65536
 REQUEST_TIMEOUT_STATUS: Final = 408
 UNAVAILABLE_STATUS: Final = 503
@@ -34,7 +34,7 @@
 
 
 class ClientConnection:
-    """Serves one connection until the client leaves or the proxy drains."""
+    """Serves one connection until the client closes it or the proxy drains."""
 
     def __init__(
         self,
@@ -49,56 +49,58 @@
         self._is_draining = is_draining
         self._reader = RequestReader()
         self._accepted_at = time.monotonic()
-        self._has_served = False  # a request, so that the next one may come at any time or never
+        self._has_received_request = False
         self._in_request = False
-        self._is_ending = False  # its last response has been written, or is being written
+        self._is_last_response = False  # the last response has been written, or is being written
         self._closed_by_proxy = False
         self._client_disconnected = False
         self._last_attempt_id = b""
 
     def run(self) -> None:
-        """Serve requests one after the other, and close the connection."""
+        """Serve requests in order, then close the connection."""
         try:
             with contextlib.suppress(OSError, gevent.Timeout):
                 while self._serve_request():
                     pass
-                if self._is_ending:
+                if self._is_last_response:
                     close_after_last_response(self._sock, LINGER_SECONDS)
         finally:
             self._sock.close()
             self._drop_pipelined_requests()
 
     def close_if_idle(self, now: float) -> None:
-        """End the connection if nothing of a request has arrived and nothing is owed. `now`: steady time.
+        """Close the connection if no request is being received or processed. `now`: monotonic time.
 
-        A connection without a request yet has some time for it: its client has just been accepted.
+        A new connection is kept open for `FIRST_REQUEST_SECONDS`, so that its first request can arrive.
         """
-        if self._in_request or self._is_ending or self._reader.current is not None:
+        if self._in_request or self._is_last_response or self._reader.current is not None:
             return
-        may_be_about_to_send = not self._has_served and now < self._accepted_at + FIRST_REQUEST_SECONDS
-        if may_be_about_to_send or has_unread_input(self._sock):
+        awaits_first_request = (
+            not self._has_received_request and now < self._accepted_at + FIRST_REQUEST_SECONDS
+        )
+        if awaits_first_request or has_unread_input(self._sock):
             return
         self._closed_by_proxy = True
         self._sock.close()
 
     def refuse_partial_request(self) -> None:
-        """The process is about to end: tell a client that is still sending that its request has not run."""
-        if self._in_request or self._is_ending or self._reader.current is None:
+        """Respond with 503 to a client that is still sending its request, as the process is about to exit."""
+        if self._in_request or self._is_last_response or self._reader.current is None:
             return
-        self._is_ending = True
+        self._is_last_response = True
         response = render(ClientResponse(UNAVAILABLE_STATUS), keep_alive=False)
         with contextlib.suppress(OSError):
-            self._sock._sock.send(response)  # type: ignore[attr-defined]  # the plain socket does not wait
+            self._sock._sock.send(response)  # type: ignore[attr-defined]  # non-blocking
             self._sock.shutdown(socket.SHUT_WR)
 
     def _serve_request(self) -> bool:
-        """One request; whether the connection goes on."""
+        """Serve one request; returns whether the connection stays open."""
         limits = self._limits()
         self._reader.limits = limits
         request = self._read_request(limits)
-        if request is None or self._is_ending:
+        if request is None or self._is_last_response:
             return False
-        self._in_request = self._has_served = True
+        self._in_request = self._has_received_request = True
         self._request_handler.request_counters.record_received()
         end = RequestEnd.WRITE_FAILED
         try:
@@ -107,7 +109,7 @@
                 end = self._unanswered_end()
                 return False
             keep_alive = request.keep_alive and not self._ends_with_next_response()
-            self._is_ending = not keep_alive
+            self._is_last_response = not keep_alive
             self._write(render(response, keep_alive, request.method == HEAD_METHOD))
             end = RequestEnd.ANSWERED
             return keep_alive
@@ -116,14 +118,14 @@
             self._record_end(end)
 
     def _ends_with_next_response(self) -> bool:
-        """Whether the proxy drains and the client has sent nothing behind the request being answered."""
+        """Whether the proxy is draining and the client has not sent a further request."""
         if not self._is_draining():
             return False
         reader = self._reader
         return not (reader.complete or reader.current or has_unread_input(self._sock))
 
     def _unanswered_end(self) -> RequestEnd:
-        """Why there is no response to the request that was processed last."""
+        """Why the last request got no response."""
         if self._closed_by_proxy:
             return RequestEnd.CLOSED_BY_PROXY
         return RequestEnd.CLIENT_GONE if self._client_disconnected else RequestEnd.DUPLICATE_ID
@@ -137,7 +139,7 @@
         monitor.holds(end is not RequestEnd.CLOSED_BY_PROXY, Invariant.REQUEST_ANSWERED, end=end.value)
 
     def _drop_pipelined_requests(self) -> None:
-        """Count requests that were read behind one that ended the connection."""
+        """Count requests that were read after the last one served on the connection."""
         for _ in self._reader.complete:
             self._request_handler.request_counters.record_received()
             self._record_end(RequestEnd.PIPELINED)
@@ -145,10 +147,10 @@
     # ---- reading
 
     def _read_request(self, limits: ClientLimits) -> ClientRequest | None:
-        """The next request; None: there is none, and the connection ends."""
+        """The next request, or None if the connection is to be closed."""
         reader = self._reader
         if reader.complete and hung_up(self._sock):
-            return None  # it was sent together with the one before, and nobody waits for it any more
+            return None  # the client no longer waits for its pipelined requests
         waiting_since = time.monotonic()
         continue_sent = False
         while not reader.complete:
@@ -173,7 +175,7 @@
         return request.expects_continue
 
     def _receive_timeout(self, limits: ClientLimits, waiting_since: float) -> float:
-        """Seconds that the next bytes may take."""
+        """The timeout for the next bytes, in seconds."""
         request = self._reader.current
         if request is not None and request.head_complete:
             return BODY_TIMEOUT_SECONDS
@@ -181,7 +183,7 @@
         return max(MIN_TIMEOUT_SECONDS, timeout - (time.monotonic() - waiting_since))
 
     def _receive(self, timeout_seconds: float) -> bytes:
-        """The next bytes; none at the end, or when they took too long."""
+        """The next bytes; empty at the end of the stream or after a timeout."""
         timer = gevent.Timeout(timeout_seconds)
         timer.start()
         try:
@@ -191,7 +193,7 @@
                 raise
         finally:
             timer.close()
-        if has_unread_input(self._sock):  # found in the same turn of the event loop as the timer
+        if has_unread_input(self._sock):  # arrived in the same event loop iteration as the timer
             return self._sock.recv(RECEIVE_BYTES)
         if self._reader.current is not None:
             self._reject(REQUEST_TIMEOUT_STATUS)
@@ -200,9 +202,9 @@
     # ---- processing and writing
 
     def _handle(self, request: ClientRequest) -> ClientResponse | None:
-        """The response, or None if there is none to give: as a rule since the client has gone."""
+        """The response, or None if there is none, usually because the client disconnected."""
         context = RequestContext(self._last_attempt_id)
-        watcher = _HangUpWatcher(self._sock, context)
+        watcher = _DisconnectWatcher(self._sock, context)
         try:
             return self._request_handler.handle(request, context)
         finally:
@@ -211,19 +213,19 @@
             watcher.close()
 
     def _reject(self, status: int) -> None:
-        """Respond to what cannot be read, and end the connection."""
-        self._is_ending = True
+        """Respond to a malformed or incomplete request, and close the connection."""
+        self._is_last_response = True
         self._write(render(ClientResponse(status), keep_alive=False))
 
     def _write(self, data: bytes) -> None:
         send_all(self._sock, data, WRITE_TIMEOUT_SECONDS)
 
 
-class _HangUpWatcher:
-    """Tells a request's context when its client closes the connection.
+class _DisconnectWatcher:
+    """Sets `client_disconnected` in a request's context when the client closes the connection.
 
-    Bytes that arrive may be the client's next request, which is not read now. Whether the client is still
-    there is then checked at intervals.
+    If the socket becomes readable because of a pipelined request, which is not read yet, the connection is
+    checked at intervals instead.
     """
 
     def __init__(self, sock: socket.socket, context: RequestContext) -> None:
@@ -235,7 +237,7 @@
         self._readable.start(self._check)
 
     def close(self) -> None:
-        """Watch no longer."""
+        """Stop watching."""
         self._readable.stop()
         self._readable.close()
         if self._timer is not None:
@@ -248,5 +250,5 @@
             self._context.client_disconnected = True
             self._context.wake.set()
         elif self._timer is None:
-            self._timer = self._loop.timer(HANG_UP_CHECK_SECONDS, HANG_UP_CHECK_SECONDS)
+            self._timer = self._loop.timer(DISCONNECT_CHECK_SECONDS, DISCONNECT_CHECK_SECONDS)
             self._timer.start(self._check)
--- a/ashlift/proxy/events.py
+++ b/ashlift/proxy/events.py
@@ -1,4 +1,4 @@
-"""The proxy's numbered events (4xx); the words are in docs/events.md."""
+"""The proxy's log events, numbered 4xx; docs/events.md describes them."""
 
 from typing import Final
 
--- a/ashlift/proxy/forwarding.py
+++ b/ashlift/proxy/forwarding.py
@@ -1,4 +1,4 @@
-"""A client's request as it is forwarded to a worker: which headers are read, dropped and added. Pure."""
+"""Builds the forwarded request: which client headers are read, dropped and added. No I/O."""
 
 from typing import Final, NamedTuple
 
@@ -26,7 +26,7 @@
 
 
 class RoutingHeaders(NamedTuple):
-    """What the proxy needs to know of a request. `remaining`: seconds that its client will wait."""
+    """The values from a request's head that admission needs. `remaining`: the client's timeout in seconds."""
 
     attempt_id: bytes
     host: str
@@ -36,7 +36,7 @@
 
 
 def routing_headers(request: ClientRequest) -> RoutingHeaders:
-    """Read the headers that decide about a request. Raises BadRequestError where they are malformed."""
+    """Parse the headers that admission needs. Raises BadRequestError if they are malformed."""
     attempt_id = request.header(ATTEMPT_ID_HEADER)
     remaining_ms = request.header(TIME_REMAINING_HEADER)
     try:
@@ -53,7 +53,7 @@
 
 
 def forwarded_head(client_request: ClientRequest, admitted: AdmittedRequest) -> bytes:
-    """The part of the head that is the same for all attempts."""
+    """The part of the head that is common to all attempts."""
     connection_options = client_request.header_list(CONNECTION_HEADER).split(b",")
     hop_by_hop = {option.strip().lower() for option in connection_options}
     lines = [b"%b %b HTTP/1.1" % (client_request.method, client_request.target)]
--- a/ashlift/proxy/idle_timeout_estimator.py
+++ b/ashlift/proxy/idle_timeout_estimator.py
@@ -1,42 +1,43 @@
-"""For how long a connection to a worker may have been idle when it is used again. Pure.
+"""Estimates for how long idle connections to workers can safely be reused. No I/O.
 
-Workers drop idle connections, some of them silently and earlier than they announce: the next request there
-is reset, and may have run for all that is known. One such reset is taken as a sign of others: a request that
-is not idempotent then uses a younger connection or a new one, until idempotent requests have tried old ones.
+Workers may close idle connections silently and earlier than announced. The next request on such a connection
+is reset, and may have run. After one reset, only connections that were idle for a shorter time are reused.
+The restriction ends earlier for idempotent requests, so that they probe longer idle times first.
 """
 
 import math
 from typing import Final
 
-MIN_DOUBTED_AGE_SECONDS: Final = 0.05  # younger connections are never in doubt
-SAFE_AGE_FRACTION: Final = 0.5  # of the age at which a connection was reset
-MAX_RESET_DELAY_SECONDS: Final = 0.1  # a worker that has dropped the connection resets within one round trip
-IDEMPOTENT_DOUBT_SECONDS: Final = 8.0  # so long old connections are avoided for idempotent requests,
-DOUBT_SECONDS: Final = 16.0  # and so long for others
+MIN_SUSPECT_IDLE_SECONDS: Final = 0.05  # resets after a shorter idle time have another cause
+SAFE_IDLE_FRACTION: Final = 0.5  # of the idle time before a reset
+MAX_RESET_DELAY_SECONDS: Final = 0.1  # a reset of a closed connection arrives within one round trip
+IDEMPOTENT_ESTIMATE_LIFETIME_SECONDS: Final = 8.0  # after the last reset, for idempotent requests
+ESTIMATE_LIFETIME_SECONDS: Final = 16.0  # after the last reset, for other requests
 
 
 class IdleTimeoutEstimator:
-    """What resets say of idle connections, over all workers: of each worker there are too few."""
+    """Estimates the safe idle time from resets, over all workers, as resets of one worker are too rare."""
 
     def __init__(self) -> None:
-        self._safe_age = math.inf
+        self._safe_idle_seconds = math.inf
         self._last_reset_at = -math.inf
 
     def record_reset(self, now: float, idle_seconds: float, elapsed: float) -> bool:
-        """A connection was reset or closed without a byte of a response; whether its age was the cause.
+        """Record a connection that was reset or closed before any byte of a response.
 
-        `idle_seconds`: how long it had been idle. `elapsed`: seconds since the request was sent.
+        `idle_seconds`: how long it had been idle. `elapsed`: seconds since the request was sent. Returns
+        whether the worker had probably closed it while it was idle.
         """
-        if idle_seconds <= MIN_DOUBTED_AGE_SECONDS or elapsed > MAX_RESET_DELAY_SECONDS:
+        if idle_seconds <= MIN_SUSPECT_IDLE_SECONDS or elapsed > MAX_RESET_DELAY_SECONDS:
             return False
-        safe_age = max(MIN_DOUBTED_AGE_SECONDS, SAFE_AGE_FRACTION * idle_seconds)
-        if now - self._last_reset_at < DOUBT_SECONDS:
-            safe_age = min(self._safe_age, safe_age)
-        self._safe_age = safe_age
+        safe_idle_seconds = max(MIN_SUSPECT_IDLE_SECONDS, SAFE_IDLE_FRACTION * idle_seconds)
+        if now - self._last_reset_at < ESTIMATE_LIFETIME_SECONDS:
+            safe_idle_seconds = min(self._safe_idle_seconds, safe_idle_seconds)
+        self._safe_idle_seconds = safe_idle_seconds
         self._last_reset_at = now
         return True
 
     def max_idle_seconds(self, now: float, idempotent: bool) -> float:
-        """Seconds that a connection may have been idle to be used now."""
-        doubt_seconds = IDEMPOTENT_DOUBT_SECONDS if idempotent else DOUBT_SECONDS
-        return self._safe_age if now - self._last_reset_at < doubt_seconds else math.inf
+        """The maximum idle time of a connection to be reused now, in seconds."""
+        lifetime_seconds = IDEMPOTENT_ESTIMATE_LIFETIME_SECONDS if idempotent else ESTIMATE_LIFETIME_SECONDS
+        return self._safe_idle_seconds if now - self._last_reset_at < lifetime_seconds else math.inf
--- a/ashlift/proxy/metrics.py
+++ b/ashlift/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""The proxy's own figures. The words are explained in docs/operations/system.md."""
+"""The proxy's metrics. docs/operations/system.md describes them."""
 
 from ashlift.invariants import monitor
 from ashlift.metrics import INVARIANT_VIOLATIONS, Metric, MetricsRegistry
@@ -17,7 +17,7 @@
 
 
 def proxy_metrics(handler: RequestHandler) -> MetricsRegistry:
-    """The figures of a proxy, read at each scrape."""
+    """The metrics of a proxy, read at each scrape."""
     metrics = MetricsRegistry()
     metrics.add(RESPONSES, lambda: handler.responses)
     metrics.add(REQUESTS_OUTSIDE_HOME, lambda: handler.requests_outside_home)
--- a/ashlift/proxy/program.py
+++ b/ashlift/proxy/program.py
@@ -1,4 +1,4 @@
-"""The proxy's process: its parts, its loops, its signals, and its graceful shutdown."""
+"""The proxy process: wires its components, runs its loops, handles signals and shuts down gracefully."""
 
 import os
 import random
@@ -45,7 +45,7 @@
 
 
 class Program:
-    """All parts of a proxy. `path`: of the settings file, which is read again when it changes."""
+    """A proxy process. `path`: of the settings file, which is read again when it changes."""
 
     def __init__(self, path: str, settings: Settings, metrics_port: int | None = None) -> None:
         rng = random.Random(os.urandom(8))
@@ -85,7 +85,10 @@
         return self._shut_down()
 
     def _shut_down(self) -> int:
-        """Leave /lookup, then accept nobody, then end once all is answered or `Grace` is over."""
+        """Shut down gracefully: report as not ready, stop accepting, exit when all requests have ended.
+
+        Exits near the end of `Grace` even if requests are still open.
+        """
         started_at = time.monotonic()
         schedule = shutdown_schedule(started_at, self.settings.bounds.grace)
         self.router.draining = True
@@ -102,9 +105,9 @@
         return EXIT_INVARIANT_VIOLATED if self.invariant_violated else EXIT_OK
 
     def _serve_until(self, deadline: float) -> None:
-        """Serve the connections that are open; return early when there are none."""
+        """Serve open connections until `deadline`, or until there are none left."""
         while time.monotonic() < deadline:
-            gevent.sleep(DRAIN_CHECK_SECONDS)  # first, as connections just accepted have not begun yet
+            gevent.sleep(DRAIN_CHECK_SECONDS)  # first, so that connections just accepted are registered
             self.proxy_server.close_idle_connections()
             if not self.proxy_server.connections:
                 return
@@ -128,7 +131,7 @@
         return table.limits if table is not None else ClientLimits()
 
     def _configuration_changed(self) -> None:
-        """A response of a registry has been applied."""
+        """Called after each applied response of a registry."""
         self.request_handler.configuration_changed()
         self._log_tenant_changes()
         ready = self.router.is_ready(time.monotonic())
@@ -138,7 +141,7 @@
             log_event(events.READY if ready else events.NOT_READY, index=index)
 
     def _log_tenant_changes(self) -> None:
-        """Log tenants that are new, changed or removed: all settings of a tenant change together."""
+        """Log the names of tenants that were added, changed or removed."""
         configuration = self.router.cluster.configuration
         table = configuration.routing_table
         before = self._known_tenants
@@ -160,7 +163,7 @@
     # ---- loops
 
     def _spawn(self, loop: Callable[[], None]) -> "gevent.Greenlet[[], None]":
-        """Run a loop in a greenlet. If it fails, the process ends: its state would go stale unnoticed."""
+        """Run a loop in a greenlet. If it fails, the process exits, as its state would become stale."""
 
         def failed(greenlet: "gevent.Greenlet[[], None]") -> None:
             log_event(INVARIANT_VIOLATED, level=CRITICAL, error=repr(greenlet.exception))
@@ -177,16 +180,16 @@
             self.request_handler.connection_pool.close_expired(set(self.router.load_balancer.workers))
 
     def _watch_settings(self) -> None:
-        """Read the settings again after SIGHUP, or when the file has changed without one."""
-        last_stamp = _file_stamp(self.path)
+        """Read the settings again after SIGHUP or a change of the file."""
+        last_signature = _file_signature(self.path)
         while True:
-            if self._reload.wait(SETTINGS_CHECK_SECONDS) or _file_stamp(self.path) != last_stamp:
+            if self._reload.wait(SETTINGS_CHECK_SECONDS) or _file_signature(self.path) != last_signature:
                 self._reload.clear()
-                last_stamp = _file_stamp(self.path)
+                last_signature = _file_signature(self.path)
                 self._read_settings()
 
     def _read_settings(self) -> None:
-        """Apply what may change while the process runs: the seeds."""
+        """Read the settings again. Only the seeds can change while the process runs."""
         settings = read_settings(self.path)
         if isinstance(settings, list):
             for failure in settings:
@@ -202,8 +205,8 @@
     return f"{listed},and {more} more" if more > 0 else listed
 
 
-def _file_stamp(path: str) -> tuple[int, int]:
-    """What changes with a file: modification time in ns, and size; zeros if there is none."""
+def _file_signature(path: str) -> tuple[int, int]:
+    """Modification time in ns and size of a file, for detecting changes; zeros if it does not exist."""
     try:
         status = os.stat(path)
     except OSError:
--- a/ashlift/proxy/request_progress.py
+++ b/ashlift/proxy/request_progress.py
@@ -1,7 +1,7 @@
-"""The attempts of one admitted request, from the first to its response. Pure.
+"""State machine for the attempts of one admitted request. No I/O.
 
-Driven by whoever makes the attempts: `ashlift.proxy.request_handler` with greenlets, and the simulation on
-simulated time. The driver asks for the next step, carries it out, and reports attempts that ended.
+The driver asks for the next step, carries it out, and reports attempts that ended. Drivers are
+`ashlift.proxy.request_handler`, which uses greenlets, and the simulation, which uses simulated time.
 """
 
 from enum import Enum, auto
@@ -16,7 +16,7 @@
 
 
 class Cancellable(Protocol):
-    """An attempt as its driver keeps it."""
+    """The driver's handle for an attempt."""
 
     cancelled: bool
 
@@ -31,12 +31,12 @@
 
 
 WAIT: Final = Wait.WAIT
-# Start an attempt at this worker, wait, or end with this response.
+# Start an attempt at a worker, wait, or respond.
 Step = WorkerState | Wait | WorkerResponse | Rejection
 
 
 class RequestProgress(Generic[AttemptT]):
-    """Decides after each event whether to start an attempt, to wait, or what the response is."""
+    """Decides after each event whether to start an attempt, to wait or to respond."""
 
     def __init__(self, router: RequestRouter, request: AdmittedRequest) -> None:
         self.request = request
@@ -44,19 +44,21 @@
         self.closed = False
         self._router = router
         self._completed: list[tuple[AttemptT, WorkerState, AttemptOutcome]] = []
-        self._failure: WorkerResponse | None = None  # a worker's, kept while a better one may still come
+        self._failure: WorkerResponse | None = (
+            None  # the last failure from a worker, used if no other attempt succeeds
+        )
 
     @property
     def has_completed(self) -> bool:
-        """Whether attempts have ended since the last step."""
+        """Whether any attempt has ended since the last step."""
         return bool(self._completed)
 
     def first_step(self, now: float) -> Step:
-        """What to do once the request is admitted."""
+        """The step after admission."""
         return self._step(self._router.choose_worker(now, self.request, retry=False))
 
     def next_step(self, now: float) -> Step:
-        """What to do after attempts ended, or at `wake_at`."""
+        """The step after attempts ended, or at `wake_at`."""
         while self._completed:
             attempt, worker, outcome = self._completed.pop()
             is_final = self._router.record_outcome(now, self.request, worker, outcome, attempt.cancelled)
@@ -78,18 +80,18 @@
         return self._failure or choice
 
     def wake_at(self) -> float:
-        """Until when to wait for an attempt to end: the deadline, or the time of a hedged request."""
+        """When to ask for the next step if no attempt ends: the deadline, or the time of a hedged request."""
         hedge_at = self._router.hedge_time(self.request) if len(self.in_flight) == 1 else None
         if hedge_at is None:
             return self.request.deadline
         return min(self.request.deadline, hedge_at)
 
     def attempt_started(self, attempt: AttemptT, worker: WorkerState) -> None:
-        """The driver has started the attempt that a step named."""
+        """Record that the driver has started an attempt."""
         self.in_flight[attempt] = worker
 
     def attempt_ended(self, now: float, attempt: AttemptT, outcome: AttemptOutcome) -> None:
-        """An attempt has ended; after `close` it is only learnt from."""
+        """Record the end of an attempt; after `close` it only updates the statistics of the worker."""
         worker = self.in_flight.pop(attempt)
         if self.closed:
             self._router.record_outcome(now, self.request, worker, outcome, cancelled=True)
@@ -97,7 +99,7 @@
             self._completed.append((attempt, worker, outcome))
 
     def close(self, now: float) -> list[AttemptT]:
-        """The request has its response, or its client has gone; the attempts to be cancelled."""
+        """End the request, after its response or a disconnect; returns the attempts to be cancelled."""
         self.closed = True
         for _, worker, outcome in self._completed:
             self._router.record_outcome(now, self.request, worker, outcome, cancelled=True)
--- a/ashlift/proxy/request_reader.py
+++ b/ashlift/proxy/request_reader.py
@@ -1,4 +1,4 @@
-"""Turns the bytes of one client connection into requests, within the operator's limits. No sockets."""
+"""Parses the requests of one client connection, within the configured limits. No I/O."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -29,9 +29,9 @@
 
 
 class BadRequestError(Exception):
-    """A client's request cannot be processed; `status` is its response's.
+    """A client's request is malformed or too large; `status` is the status of the response.
 
-    An exception, since it has to pass through the parser that calls back.
+    It is an exception because it must propagate through the parser's callbacks.
     """
 
     def __init__(self, status: int) -> None:
@@ -41,10 +41,10 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """One request of a client; the names of its headers are as they were sent.
+    """One request from a client, with header names as sent.
 
-    `body_bytes`, `head_bytes`: so far. `has_body`: a length or chunks are announced. `expects_continue`: the
-    client sends the body after `100 Continue`.
+    `body_bytes`, `head_bytes`: received so far. `has_body`: the head has Content-Length or Transfer-Encoding.
+    `expects_continue`: the client waits for `100 Continue` before it sends the body.
     """
 
     method: bytes = b""
@@ -66,7 +66,7 @@
         return values.pop() if values else b""
 
     def header_list(self, name: bytes) -> bytes:
-        """The value of a header that is a list, which may stand in several lines (RFC 9110, section 5.3)."""
+        """The combined value of a list header, which may have several lines (RFC 9110, section 5.3)."""
         return b",".join(value for key, value in self.headers if key.lower() == name)
 
     @property
@@ -78,8 +78,8 @@
 class RequestReader:
     """A parser for one connection.
 
-    `complete` holds the requests received completely, in order; `current` is the one being received;
-    `error_status` is the status for what cannot be read behind them, 0 if there is no error.
+    `complete` holds the completely received requests, in order; `current` is the one being received;
+    `error_status` is the status of the response to a malformed request after them, 0 if there is no error.
     """
 
     def __init__(self) -> None:
@@ -90,14 +90,14 @@
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Parse more bytes. After an error nothing is parsed: the parser might go on in the middle of it."""
+        """Parse more bytes. After an error all further bytes are ignored."""
         if self.error_status:
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             if self.complete:
-                self.complete[-1].keep_alive = False  # processed as if it had not asked for an upgrade
+                self.complete[-1].keep_alive = False  # the upgrade is ignored
             else:
                 self.error_status = BAD_REQUEST_STATUS
         except httptools.HttpParserError as error:
--- a/ashlift/proxy/responses.py
+++ b/ashlift/proxy/responses.py
@@ -1,4 +1,4 @@
-"""Responses: a worker's, read and checked; and what a client gets. No sockets."""
+"""Validates workers' responses, and renders the responses to clients. No I/O."""
 
 from dataclasses import dataclass, field
 from http import HTTPStatus
@@ -13,37 +13,37 @@
 NOT_EXECUTED_HEADER: Final = b"x-not-executed"
 KEEP_ALIVE_HEADER: Final = b"keep-alive"
 CONTENT_ENCODING_HEADER: Final = b"content-encoding"
-MISDIRECTED_STATUS: Final = 421  # the worker is not the one that the request names
-# To a client these promise that the request has not run and never will, and so does 421.
+MISDIRECTED_STATUS: Final = 421  # the request names another worker
+# To a client these guarantee that the request has not run and never will, as 421 does.
 NOT_RUN_STATUSES: Final = (408, 429, 503)
 BODILESS_STATUSES: Final = (204, 304)
 
 
 class WorkerResponse(Reply):
-    """One response of a worker, received completely."""
+    """One response of a worker."""
 
     @property
     def long(self) -> bool:
-        """Whether the body is passed on in parts, as the base class asks: never here."""
+        """Whether the body is streamed, as the base class asks; never for the proxy."""
         return False
 
     def header(self, name: bytes) -> bytes | None:
-        """The value of a header, None if it is missing or stands more than once."""
+        """The value of a header, None if it is missing or present more than once."""
         values = [value for key, value in self.headers if key == name]
         return values[0] if len(values) == 1 else None
 
     @property
     def not_run(self) -> bool:
-        """Whether the worker says that it has not run the request, and never will."""
+        """Whether the worker guarantees that it has not run the request and never will."""
         if self.status == MISDIRECTED_STATUS:
             return True
         return any(key == NOT_EXECUTED_HEADER for key, _ in self.headers)
 
     def is_valid(self) -> bool:
-        """Whether it may be relayed: complete, and a success only with its seal.
+        """Whether the response may be relayed: it must be complete, and a success must have X-Server-Seal.
 
-        A status that promises more than the worker has said is none: only X-Not-Executed says that a request
-        has not run.
+        Statuses that tell a client that the request has not run are invalid, since from a worker only
+        X-Not-Executed guarantees that.
         """
         if not self.done or self.to_close or not 200 <= self.status <= 599 or self.status in NOT_RUN_STATUSES:
             return False
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class ClientResponse:
-    """What a client gets. `retry_after`: seconds. `reason`: of the proxy's own responses, None if relayed."""
+    """A response to a client. `retry_after`: seconds. `reason`: of a rejection, None if relayed."""
 
     status: int
     headers: Headers = field(default_factory=list)
@@ -64,13 +64,13 @@
 
 
 def relay(response: WorkerResponse) -> ClientResponse:
-    """A worker's response as it is passed on: without the headers of its connection."""
+    """The response to the client for a worker's response, without hop-by-hop headers."""
     headers = [(name, value) for name, value in response.headers if name not in HOP_BY_HOP_HEADERS]
     return ClientResponse(response.status, headers, b"".join(response.parts))
 
 
 def render(response: ClientResponse, keep_alive: bool, is_head: bool = False) -> bytes:
-    """The bytes of a response. `is_head`: to a HEAD request, which gets no body."""
+    """Serialize a response. `is_head`: to a HEAD request, so without the body."""
     lines = [b"HTTP/1.1 %d %b" % (response.status, _reason_phrase(response.status))]
     lines += [b"%b: %b" % header for header in response.headers]
     has_body = response.status not in BODILESS_STATUSES
--- a/ashlift/proxy/server.py
+++ b/ashlift/proxy/server.py
@@ -1,4 +1,4 @@
-"""The proxy's listener for clients. Knows every open connection, and ends the idle ones when it drains."""
+"""The proxy's listener for clients. Tracks open connections, and closes idle ones while draining."""
 
 import time
 from collections.abc import Callable
@@ -17,9 +17,9 @@
 
 
 class ProxyServer:
-    """Accepts clients, a greenlet each. `limits`: those of the configuration in force.
+    """Accepts connections and serves each in a greenlet. `limits`: those of the current configuration.
 
-    `draining`: a connection ends with its next response, unless its client has sent more by then.
+    `draining`: connections are closed after the next response, unless the client has sent a further request.
     """
 
     def __init__(self, request_handler: RequestHandler, limits: Callable[[], ClientLimits]) -> None:
@@ -30,25 +30,25 @@
         self._server: StreamServer | None = None
 
     def listen(self, address: Address) -> None:
-        """Accept clients from now on. Raises OSError if the address cannot be bound."""
+        """Start accepting connections. Raises OSError if the address cannot be bound."""
         self._server = StreamServer(address, self._serve, backlog=LISTEN_BACKLOG)
         self._server.start()
 
     def stop_accepting(self) -> None:
-        """Serve what the kernel has accepted, accept no more connections, and end the idle ones."""
+        """Accept what is in the kernel's backlog, stop listening, and close idle connections."""
         self.draining = True
         if self._server is not None:
             stop_listening(self._server)
         self.close_idle_connections()
 
     def close_idle_connections(self) -> None:
-        """End the connections on which nothing has arrived and nothing is owed."""
+        """Close the connections on which no request is being received or processed."""
         now = time.monotonic()
         for connection in list(self.connections):
             connection.close_if_idle(now)
 
     def refuse_partial_requests(self) -> None:
-        """Answer requests of which only a part has arrived, and end their connections."""
+        """Reject the requests that have been received only in part, and close their connections."""
         for connection in list(self.connections):
             connection.refuse_partial_request()
 
--- a/ashlift/proxy/source_state.py
+++ b/ashlift/proxy/source_state.py
@@ -36,8 +36,8 @@
 class SourceState:
     """All records of a source at `version`. Times are monotonic, in seconds.
 
-    `last_listed_at`: when a registry last listed the source as alive. `started_at`: when the source's registry
-    started, minus infinity if not reported.
+    `last_listed_at`: when a registry last listed the source as alive. `started_at`: when the registry of the
+    source started, minus infinity if not reported.
     """
 
     def __init__(self, last_listed_at: float = 0.0, started_at: float = -math.inf) -> None:
--- a/ashlift/proxy/upstream.py
+++ b/ashlift/proxy/upstream.py
@@ -1,7 +1,6 @@
-"""Connections to workers: kept, checked before each use, and closed when anything on them is in doubt.
+"""The pool of connections to workers, and the exchange of a request and its response on one of them.
 
-One exchange with a worker is one attempt; what its outcome means is decided in `ashlift.proxy.attempts` and
-`ashlift.proxy.request_router`.
+One exchange is one attempt; `ashlift.proxy.attempts` and `ashlift.proxy.request_router` evaluate its outcome.
 """
 
 import time
@@ -19,17 +18,16 @@
 from ashlift.rpc.addresses import Address
 from ashlift.rpc.sockets import has_unread_input
 
-# An idle connection is used again for so long, or for what `Keep-Alive` says less a margin.
 MAX_IDLE_SECONDS: Final = 4.0
-KEEP_ALIVE_MARGIN_SECONDS: Final = 1.0
+KEEP_ALIVE_MARGIN_SECONDS: Final = 1.0  # subtracted from the timeout in the worker's `Keep-Alive` header
 MAX_IDLE_PER_WORKER: Final = 16
-# A request of so many bytes may be answered before all of it has been read.
+# A worker may respond to a request of this size or more before it has read all of it.
 MIN_EARLY_RESPONSE_REQUEST_BYTES: Final = 16 << 10
 RECEIVE_BYTES: Final = 65536
 
 
 class WorkerRequest(NamedTuple):
-    """One exchange to be made. `time_left`, `connect_timeout`: seconds. `max_connections`: to this worker."""
+    """A request to a worker. `time_left`, `connect_timeout`: seconds. `max_connections`: to this worker."""
 
     worker_id: str
     address: Address
@@ -43,10 +41,10 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerConnection:
-    """A connection to a worker. Times are steady, in seconds.
+    """A connection to a worker. Times are monotonic, in seconds.
 
-    `idle_seconds`: how long it had been idle when it was taken for the current exchange. `reusable_for`: for
-    how long it may be used again after it; 0: it is closed.
+    `idle_seconds`: how long it had been idle before the current exchange. `reusable_seconds`: how long it may
+    stay idle after this exchange; with 0 it is closed.
     """
 
     sock: socket.socket
@@ -54,7 +52,7 @@
     usable_until: float = 0.0
     idle_since: float = 0.0
     idle_seconds: float = 0.0
-    reusable_for: float = 0.0
+    reusable_seconds: float = 0.0
 
 
 class Attempt:
@@ -66,22 +64,22 @@
         self.sent = False
 
     def cancel(self) -> None:
-        """Close its connection; the exchange ends at once."""
+        """Close the connection, which ends the exchange immediately."""
         self.cancelled = True
         if self.sock is not None:
             self.sock.close()
 
 
 class ConnectionPool:
-    """All connections to workers of this process, by the worker's id: its address may pass to another."""
+    """All connections to workers, by worker id, since a worker's address may be reused by another."""
 
     def __init__(self) -> None:
         self._idle: dict[str, deque[WorkerConnection]] = {}
         self._open_count: dict[str, int] = {}
-        self._idle_ages = IdleTimeoutEstimator()
+        self._idle_timeout_estimator = IdleTimeoutEstimator()
 
     def exchange(self, attempt: Attempt, request: WorkerRequest) -> AttemptOutcome:
-        """Send a request and read its response. Every failure is an outcome."""
+        """Send a request and read its response. Failures are returned as outcomes, not raised."""
         started_at = time.monotonic()
         connection: WorkerConnection | None = None
         timer = gevent.Timeout(request.time_left)
@@ -111,7 +109,7 @@
         self, attempt: Attempt, request: WorkerRequest, connection: WorkerConnection, started_at: float
     ) -> AttemptOutcome:
         if attempt.cancelled:  # while it was connecting
-            connection.reusable_for = MAX_IDLE_SECONDS
+            connection.reusable_seconds = MAX_IDLE_SECONDS
             return AttemptOutcome(AttemptResult.NOT_RUN)
         attempt.sock = connection.sock
         attempt.sent = True
@@ -120,7 +118,7 @@
         responded_early = is_large and has_unread_input(connection.sock)
         response = self._read_response(connection, request.attempt_id)
         if responded_early:
-            connection.reusable_for = 0.0  # the worker may take the rest of the request for another one
+            connection.reusable_seconds = 0.0  # the worker may parse the rest of the request as a new one
         elapsed = time.monotonic() - started_at
         if response is None:
             return AttemptOutcome(AttemptResult.CONNECTION_LOST, None, elapsed)
@@ -129,10 +127,10 @@
 
     @staticmethod
     def _read_response(connection: WorkerConnection, attempt_id: bytes) -> WorkerResponse | None:
-        """The valid response with this attempt's id, or None. Says how long the connection may be reused.
+        """The response to this attempt, or None if there is no valid one. Sets `reusable_seconds`.
 
-        A response with another id is a second one of an earlier request: ours may follow it, but then the
-        connection is not used again.
+        A response with another id is a duplicate response to an earlier request. It is skipped once, and the
+        connection is not reused.
         """
         stray_response = False
         while True:
@@ -150,23 +148,23 @@
         if not (response.is_valid() or response.not_run):
             return None
         if not stray_response and response.keep and not response.to_close:
-            connection.reusable_for = _keep_alive_seconds(response)
+            connection.reusable_seconds = _keep_alive_seconds(response)
         return response
 
     def _was_idle_reset(self, connection: WorkerConnection | None, now: float, elapsed: float) -> bool:
         if connection is None:
             return False
-        return self._idle_ages.record_reset(now, connection.idle_seconds, elapsed)
+        return self._idle_timeout_estimator.record_reset(now, connection.idle_seconds, elapsed)
 
     # ---- connections
 
     def _acquire(self, request: WorkerRequest, now: float) -> WorkerConnection | None:
-        """An idle connection, or a new one; None: there are as many as there may be. Raises OSError."""
-        max_idle = self._idle_ages.max_idle_seconds(now, request.idempotent)
-        connection = self._take_idle(request.worker_id, request.address, max_idle)
+        """An idle or new connection; None if the connection limit is reached. Raises OSError."""
+        max_idle_seconds = self._idle_timeout_estimator.max_idle_seconds(now, request.idempotent)
+        connection = self._take_idle(request.worker_id, request.address, max_idle_seconds)
         if connection is not None:
             connection.idle_seconds = now - connection.idle_since
-            connection.reusable_for = 0.0
+            connection.reusable_seconds = 0.0
             return connection
         if self._open_count.get(request.worker_id, 0) >= request.max_connections:
             return None
@@ -174,24 +172,26 @@
             request.worker_id, request.address, min(request.connect_timeout, request.time_left)
         )
 
-    def _take_idle(self, worker_id: str, address: Address, max_idle: float) -> WorkerConnection | None:
-        """The connection used last that may still be used.
+    def _take_idle(
+        self, worker_id: str, address: Address, max_idle_seconds: float
+    ) -> WorkerConnection | None:
+        """The most recently used idle connection that can be reused; connections that cannot are closed.
 
-        It leads to `address`, which a worker that restarts under its id may have changed; nothing unread is
-        on it; and it has been idle for at most `max_idle` seconds.
+        It must lead to `address`, since a worker may have restarted elsewhere, must have no unread input, and
+        must not have been idle for longer than `max_idle_seconds`.
         """
         connections = self._idle.get(worker_id)
         now = time.monotonic()
         while connections:
             connection = connections.pop()
-            usable = now < connection.usable_until and now - connection.idle_since <= max_idle
+            usable = now < connection.usable_until and now - connection.idle_since <= max_idle_seconds
             if usable and connection.address == address and not has_unread_input(connection.sock):
                 return connection
             self._close(worker_id, connection)
         return None
 
     def _connect(self, worker_id: str, address: Address, timeout: float) -> WorkerConnection:
-        """A new connection. Raises OSError if it is not established in time."""
+        """Open a connection. Raises OSError if it fails or takes longer than `timeout` seconds."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._open_count[worker_id] = self._open_count.get(worker_id, 0) + 1
         connection = WorkerConnection(sock, address)
@@ -205,12 +205,12 @@
         return connection
 
     def _release(self, worker_id: str, connection: WorkerConnection, attempt: Attempt) -> None:
-        """Keep a connection for the next exchange, or close it."""
-        if connection.reusable_for <= 0 or (attempt.cancelled and attempt.sent):
+        """Return a connection to the pool, or close it."""
+        if connection.reusable_seconds <= 0 or (attempt.cancelled and attempt.sent):
             self._close(worker_id, connection)
             return
         connection.idle_since = time.monotonic()
-        connection.usable_until = connection.idle_since + connection.reusable_for
+        connection.usable_until = connection.idle_since + connection.reusable_seconds
         connections = self._idle.setdefault(worker_id, deque())
         connections.append(connection)
         if len(connections) > MAX_IDLE_PER_WORKER:
@@ -225,7 +225,7 @@
             self._open_count.pop(worker_id, None)
 
     def close_expired(self, worker_ids: set[str]) -> None:
-        """Close connections that have been idle for too long, or whose worker is none of `worker_ids`."""
+        """Close connections that have been idle for too long, or whose worker is not in `worker_ids`."""
         now = time.monotonic()
         for worker_id, connections in list(self._idle.items()):
             while connections and (connections[0].usable_until <= now or worker_id not in worker_ids):
@@ -237,14 +237,14 @@
 def _failed(
     attempt: Attempt, result: AttemptResult, elapsed: float, idle_reset: bool = False
 ) -> AttemptOutcome:
-    """The outcome of an exchange that broke off: before anything was sent, no connection was established."""
+    """The outcome of a failed exchange: `result`, or CONNECT_FAILED if nothing was sent."""
     if not attempt.sent:
         result = AttemptResult.CONNECT_FAILED
     return AttemptOutcome(result, None, elapsed, idle_reset)
 
 
 def _keep_alive_seconds(response: WorkerResponse) -> float:
-    """For how long the connection may be used again, by the response's `Keep-Alive` header if it has one."""
+    """How long the connection may stay idle, from the response's `Keep-Alive` header if there is one."""
     keep_alive = response.header(KEEP_ALIVE_HEADER) or b""
     timeout = keep_alive.partition(b"timeout=")[2].split(b",")[0].strip()
     if not timeout.isdigit():
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -394,7 +394,7 @@
 MUTATIONS: dict[str, tuple[Callable[..., Any], str, str, Callable[[], None]]] = {
     "an idle connection after a reset, for a POST": (
         IdleTimeoutEstimator.max_idle_seconds,
-        "if idempotent else DOUBT_SECONDS",
+        "if idempotent else ESTIMATE_LIFETIME_SECONDS",
         "if idempotent else 0.0",
         check_dropped_connections,
     ),
@@ -437,7 +437,7 @@
     ),
     "kept after an answer that came early": (
         ConnectionPool._send,
-        "connection.reusable_for = 0.0  # the worker",
+        "connection.reusable_seconds = 0.0  # the worker",
         "pass  # the worker",
         check_hasty_worker,
     ),
