--- a/ashlift/proxy/locality.py
+++ b/ashlift/proxy/locality.py
@@ -98,8 +98,8 @@
 
     def excess_latency(self, now: float, service: str, region: str) -> float:
         """The excess latency of a service in a region, in seconds, at least 0."""
-        excess = self._excess_latencies.get((service, region))
-        return max(0.0, excess.decayed(now)) if excess is not None else 0.0
+        excess_latency = self._excess_latencies.get((service, region))
+        return max(0.0, excess_latency.decayed(now)) if excess_latency is not None else 0.0
 
     def record_response(
         self, now: float, service: str, region: str, route: Route, elapsed: float, size_bytes: int
