--- a/tests/proxy/test_answer_bytes.py
+++ b/tests/proxy/test_byte_faults.py
@@ -1,4 +1,4 @@
-"""A fault at every byte between a proxy and its workers, and its clients (the rest: test_answers.py)."""
+"""Network faults at every byte offset between a proxy and its workers or clients."""
 
 from collections.abc import Callable
 
@@ -11,15 +11,16 @@
 from tests.support.proxy_site import BODY, FAULTS, ProxySite
 from tests.support.stub_client import StubClient
 
-STALLING = (STALL, STALL_AND_RESET)  # faults that leave somebody waiting
-MAX_REQUEST_BYTES = 210  # some more than there are
+STALLING = (STALL, STALL_AND_RESET)
+# Slightly more bytes than a request and a response have.
+MAX_REQUEST_BYTES = 210
 MAX_RESPONSE_BYTES = 135
-# What a client receives twice is not the proxy's fault.
+# Repeating bytes to a client is a fault that the proxy cannot prevent.
 CLIENT_FAULTS = [(fault, direction) for fault, direction in FAULTS if fault != REPEAT]
 
 
 def run_concurrently(count: int, run: Callable[[int], None]) -> None:
-    """For each number below `count`, some at a time."""
+    """Call `run` with each number below `count`, up to 40 at a time."""
     pool = Pool(40)
     runs = [pool.spawn(run, number) for number in range(count)]
     gevent.joinall(runs, raise_error=True)
@@ -28,22 +29,22 @@
 def send_with_fault(
     fault_proxy: FaultProxy, offset: int, fault: str, direction: str, client: StubClient, *requests: Request
 ) -> None:
-    """Send requests with a fault after `offset` bytes; a client that it leaves waiting then hangs up."""
+    """Send requests with a fault after `offset` bytes; after a stall the client disconnects."""
 
-    def leave() -> None:
+    def hang_up_when_stalled() -> None:
         fault_proxy.fault_struck.wait()
         if fault in STALLING:
             client.hang_up()
 
     fault_proxy.inject(direction, offset, fault)
-    leaving = gevent.spawn(leave)
+    hang_up = gevent.spawn(hang_up_when_stalled)
     client.send(*requests)
     client.close()
-    leaving.kill()
+    hang_up.kill()
 
 
 def check_worker_faults(fault: str, direction: str) -> None:
-    """A fault at every byte between the proxy and a worker, on a connection that was used before."""
+    """Inject a fault at every byte between the proxy and a worker, on a reused connection."""
     count = MAX_REQUEST_BYTES if direction == TO_SERVER else MAX_RESPONSE_BYTES
     site = ProxySite(count)
 
@@ -74,7 +75,7 @@
 
 
 def check_client_faults(fault: str, direction: str) -> None:
-    """The same between a client and the proxy, in the first of two requests that come together."""
+    """Inject a fault at every byte between a client and the proxy, in the first of two pipelined requests."""
     count = MAX_REQUEST_BYTES if direction == TO_SERVER else MAX_RESPONSE_BYTES
     site = ProxySite()
 
--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -1,4 +1,4 @@
-"""The proxy's figures: what counts them up."""
+"""The proxy's metrics: which requests they count."""
 
 from ward import test
 
@@ -9,24 +9,24 @@
 ANSWERED = 'ashlift_request_ends_total{end="answered"}'
 
 
-def figures(site: ProxySite) -> dict[str, str]:
+def metric_values(site: ProxySite) -> dict[str, str]:
     """The values of the proxy's metrics by name and label."""
     lines = proxy_metrics(site.proxy.request_handler).render().splitlines()
     return dict(line.rsplit(" ", 1) for line in lines if not line.startswith("#"))
 
 
-@test("a request for a route whose home regions are elsewhere is counted by its route, others are not")
+@test("requests received outside the home regions of their route are counted by route, others are not")
 def _() -> None:
     site = ProxySite()
     site.send(idempotent=True)
-    assert OUTSIDE_HOME not in figures(site)
+    assert OUTSIDE_HOME not in metric_values(site)
     site.proxy.set_home_regions("look-0", ["r1"])  # the proxy's own region
     site.send(idempotent=True)
-    assert OUTSIDE_HOME not in figures(site)
+    assert OUTSIDE_HOME not in metric_values(site)
     site.proxy.set_home_regions("look-0", ["r2"])
     for _ in range(3):
         assert site.send(idempotent=True).status == 503  # no worker is there
     site.send(idempotent=False)  # a route without home regions
-    assert figures(site)[OUTSIDE_HOME] == "3"
-    assert figures(site)[ANSWERED] == "6"
+    assert metric_values(site)[OUTSIDE_HOME] == "3"
+    assert metric_values(site)[ANSWERED] == "6"
     site.close()
--- a/tests/proxy/test_overload.py
+++ b/tests/proxy/test_overload.py
@@ -1,4 +1,4 @@
-"""Load reported between proxies, and requests that leave a region whose workers are full. No sockets."""
+"""Load reports between proxies, and the shift of requests away from an overloaded region. No sockets."""
 
 import random
 from dataclasses import dataclass
@@ -11,11 +11,11 @@
 from ashlift.proxy.source_state import Worker
 from ashlift.registry import codec
 from ashlift.registry.identity import RegistryIdentity
-from ashlift.registry.records import WorkerRecord as Told
+from ashlift.registry.records import WorkerRecord as RegistryRecord
 from ashlift.registry.records import WorkerState
 from ashlift.registry.registry import Registry
 
-LOOK = Route(
+ROUTE = Route(
     name="look",
     host="h",
     path_prefix="/",
@@ -37,45 +37,45 @@
         for name, zone in (("a1", "z1"), ("a2", "z1"), ("b1", "z2"), ("b2", "z2"))
     )
     for at in range(60):
-        balancer.record_response(0.1 * at, balancer.workers["a1"], LOOK, 0.2, 500)
+        balancer.record_response(0.1 * at, balancer.workers["a1"], ROUTE, 0.2, 500)
     return balancer
 
 
-def share_far(balancer: LoadBalancer, now: float, for_s: float = 1.0) -> float:
-    """Of 200 requests within `for_s`."""
+def share_outside_region(balancer: LoadBalancer, now: float, seconds: float = 1.0) -> float:
+    """The share of 200 requests within `seconds` that leave the region of the proxy."""
     firsts = [
-        balancer.rank(now + for_s * at / 200, balancer.eligible("board", (), ()), LOOK)[0].record.zone
+        balancer.rank(now + seconds * at / 200, balancer.eligible("board", (), ()), ROUTE)[0].record.zone
         for at in range(200)
     ]
     return firsts.count("z2") / len(firsts)
 
 
-@test("load balancer: {in_flight} in flight at each near worker, as reported: {least} to {most} go far")
+@test("load balancer: {in_flight} in flight per local worker: {least} to {most} of requests leave the region")
 def _(in_flight: int = each(0, 6, 14, 24), least: float = each(0, 0, 0.2, 1), most: float = each(0, 0, 1, 1)):
     balancer = new_balancer()
     for _ in range(8):
         balancer.update_peer_load({"a1": in_flight, "a2": in_flight}, {})
-    share_far(balancer, 6.0, 8.0)
-    assert least * 0.95 <= share_far(balancer, 14.0) <= most
+    share_outside_region(balancer, 6.0, 8.0)
+    assert least * 0.95 <= share_outside_region(balancer, 14.0) <= most
 
 
-@test("load balancer: a region whose responses are slow is left, and tried again when its lag has decayed")
+@test("load balancer: requests leave a slow region, and return when its excess latency has decayed")
 def _():
     balancer = new_balancer()
-    share_far(balancer, 6.0)
+    share_outside_region(balancer, 6.0)
     shares = []
     for at in range(80):
-        balancer.record_response(7.0 + 0.05 * at, balancer.workers["a1"], LOOK, 1.0, 500)
-        shares.append(share_far(balancer, 7.0 + 0.05 * at, 0.05))
+        balancer.record_response(7.0 + 0.05 * at, balancer.workers["a1"], ROUTE, 1.0, 500)
+        shares.append(share_outside_region(balancer, 7.0 + 0.05 * at, 0.05))
     assert shares[20] < 0.5
     assert sum(shares[-5:]) / 5 > 0.75
-    share_far(balancer, 18.0, 16.0)
-    assert share_far(balancer, 34.0) < 0.15
+    share_outside_region(balancer, 18.0, 16.0)
+    assert share_outside_region(balancer, 34.0) < 0.15
 
 
 @dataclass
 class QueuedRequest:
-    """A request at a worker. `proxy`: whose number; `work`: seconds left."""
+    """A request at a worker. `proxy`: index of the sending proxy; `work`: seconds of service time left."""
 
     proxy: int
     sent_at: float
@@ -83,9 +83,9 @@
 
 
 class SharedRegions:
-    """Three regions of 16 workers with 2 slots and 0.1 s of work a request, half of it used by 480 a second.
+    """Simulates three regions at half load: 480 requests/s of 0.1 s each, on 48 workers with 2 slots each.
 
-    From 4 to 6 s one in two workers of the first region stands still. Loads are reported 0.6 s late.
+    From 4 to 6 s every second worker of the first region is stalled. Load reports are delayed by 0.6 s.
     """
 
     STEP_SECONDS = 0.01
@@ -103,17 +103,17 @@
                 for worker_id in worker_ids
             )
         self.queues: dict[str, list[QueuedRequest]] = {worker_id: [] for worker_id in worker_ids}
-        self.reports: list[dict[str, int]] = []  # requests in flight by worker, each 0.1 s
+        self.reports: list[dict[str, int]] = []  # requests in flight by worker, every 0.1 s
 
     def run(self, until: float) -> list[int]:
-        """Requests in flight, each 0.1 s."""
+        """Run until the given time; returns the requests in flight, every 0.1 s."""
         for step in range(round(until / self.STEP_SECONDS)):
             now = self.STEP_SECONDS * step
             for _ in range(5 if self.rng.random() < 0.8 else 4):
                 self.send(now)
             for worker_id, queue in self.queues.items():
-                stands_still = 4 <= now < 6 and worker_id[:2] == "z0" and worker_id[-1] in "02468"
-                if not stands_still:
+                is_stalled = 4 <= now < 6 and worker_id[:2] == "z0" and worker_id[-1] in "02468"
+                if not is_stalled:
                     self.work(now, worker_id, queue)
             if step % 10 == 0:
                 self.reports.append({worker_id: len(queue) for worker_id, queue in self.queues.items()})
@@ -125,12 +125,12 @@
     def send(self, now: float) -> None:
         number = self.rng.randrange(len(self.balancers))
         balancer = self.balancers[number]
-        worker = balancer.rank(now, balancer.eligible("board", (), ()), LOOK)[0]
+        worker = balancer.rank(now, balancer.eligible("board", (), ()), ROUTE)[0]
         balancer.attempt_started(now, worker)
         self.queues[worker.record.id].append(QueuedRequest(number, now, self.rng.uniform(0.05, 0.15)))
 
     def work(self, now: float, worker_id: str, queue: list[QueuedRequest]) -> None:
-        """One step of the two requests in the slots; a request that goes on is first in the queue again."""
+        """Process the two requests in the slots for one step; unfinished ones go back to the front."""
         for request in queue[:2]:
             queue.remove(request)
             if request.work > self.STEP_SECONDS:
@@ -140,17 +140,17 @@
             balancer = self.balancers[request.proxy]
             worker = balancer.workers[worker_id]
             balancer.attempt_ended(worker)
-            balancer.record_response(now, worker, LOOK, now - request.sent_at, 1500)
+            balancer.record_response(now, worker, ROUTE, now - request.sent_at, 1500)
 
 
-@test("a region that stood still for 2 s does not set off a herd that goes round ({proxies} proxies)")
+@test("load balancer: a 2 s stall of one region causes no oscillation between regions ({proxies} proxies)")
 def _(proxies: int = each(10, 77)):
     totals = SharedRegions(proxies).run(16.0)
-    assert max(totals[40:70]) > 2 * max(totals[20:40])  # it was a blow
+    assert max(totals[40:70]) > 2 * max(totals[20:40])  # the stall had an effect
     assert sum(totals[-40:]) / 40 < 1.3 * sum(totals[:40]) / 40
 
 
-@test("load balancer: this proxy's part of the reported load is not counted twice")
+@test("load balancer: this proxy's own share of the reported load is not counted twice")
 def _():
     balancer = new_balancer()
     for _ in range(5):
@@ -160,12 +160,12 @@
     assert balancer.workers["a1"].peers_in_flight == 0
 
 
-@test("registry: requests in flight are summed over proxies, published coarsely, and gone with their session")
+@test("registry: requests in flight are summed over proxies, published in steps, and end with the session")
 def _():
     now = 100.0
     registry = Registry(RegistryIdentity("c", "1", "1.1.1.1", "z1", "r1", 80, 1.5), [], {"z1": "r1"}, now)
     registry.instances.record_heartbeat(
-        "w", Told("board", "1.1.1.2:9", "z1", 6, WorkerState.READY, 1, 0.0, ""), now
+        "w", RegistryRecord("board", "1.1.1.2:9", "z1", 6, WorkerState.READY, 1, 0.0, ""), now
     )
 
     def pull(node: str, out: int) -> object:
@@ -184,11 +184,11 @@
     assert "o/w" not in registry.own_source.values
 
 
-@test("load balancer: responses in no time leave a usual latency above 0, and workers can be chosen")
+@test("load balancer: near-zero response times leave the baseline latency positive, and workers are ranked")
 def _() -> None:
     balancer = new_balancer()
     for at in range(2000):
-        balancer.record_response(6.0 + at / 1000, balancer.workers["a1"], LOOK, 0.0002, 500)
+        balancer.record_response(6.0 + at / 1000, balancer.workers["a1"], ROUTE, 0.0002, 500)
     balancer.attempt_started(8.0, balancer.workers["a1"])
-    assert 0 < balancer.baseline_latency(LOOK) < 0.002
-    assert len(balancer.rank(12.0, balancer.eligible("board", (), ()), LOOK)) == 4
+    assert 0 < balancer.baseline_latency(ROUTE) < 0.002
+    assert len(balancer.rank(12.0, balancer.eligible("board", (), ()), ROUTE)) == 4
--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -1,4 +1,4 @@
-"""The proxy's process: what ends it."""
+"""The proxy process: its exit after an internal error, and the times of its shutdown."""
 
 from ward import each, test
 
@@ -8,14 +8,14 @@
 from tests.proxy.test_registry_client import TEXT
 
 
-@test("a loop of the proxy that ends by an error ends the process: it does not go stale unseen")
+@test("an exception in a loop of the proxy ends the process")
 def _() -> None:
     settings = parse_settings(TEXT)
     assert isinstance(settings, Settings)
     program = Program("none", settings)
 
     def loop() -> None:
-        raise LookupError("what nobody has thought of")
+        raise LookupError("unexpected")
 
     program._spawn(loop).join(1.0)
     program._stop.wait(1.0)
@@ -24,9 +24,9 @@
 
 
 @test(
-    "after SIGTERM, with Grace {grace} s: connections are accepted for under 3 s, and ended in the last sixth"
+    "after SIGTERM, with Grace {grace} s: connections are accepted for under 3 s, aborted in the last sixth"
 )
 def _(grace: float = each(0.5, 3.0, 6.0, 10.0, 30.0)) -> None:
     accepting = accept_seconds(grace)
-    assert accepting < 3.0  # what is sent later than 3 s after SIGTERM may not be broken off
-    assert accepting < 5 / 6 * grace < SERVE_FRACTION * grace < grace  # broken off in the last sixth alone
+    assert accepting < 3.0  # requests sent later than 3 s after SIGTERM must not be aborted
+    assert accepting < 5 / 6 * grace < SERVE_FRACTION * grace < grace  # aborted only in the last sixth
--- a/tests/proxy/test_registry_client.py
+++ b/tests/proxy/test_registry_client.py
@@ -1,4 +1,4 @@
-"""Which registry a gatekeeper pulls from: the nearest, as their own answers order them."""
+"""The proxy's registry client: selection of the registry, timeouts, and compressed or malformed responses."""
 
 import random
 from typing import Any
@@ -28,91 +28,95 @@
 """
 
 
-def _pulling(seed: int) -> RegistryClient:
+def _new_client(seed: int) -> RegistryClient:
     settings = parse_settings(TEXT)
     assert isinstance(settings, Settings)
     rng = random.Random(seed)
     return RegistryClient(settings, RequestRouter(settings, rng, 0.0), "0", rng)
 
 
-def _answer(*controls: str) -> dict[str, Any]:
+def _response(*controls: str) -> dict[str, Any]:
     return {"sources": {}, "alive": [], "age": 0.1, "held": 0.0, "controls": [*controls], "members": 1}
 
 
-def _play(pulling: RegistryClient, now: float, answer: dict[str, Any] | Failure) -> str:
-    pull = pulling.next_request(now)
+def _poll(client: RegistryClient, now: float, answer: dict[str, Any] | Failure) -> str:
+    pull = client.next_request(now)
     assert pull is not None
-    pulling.handle_response(pull, now, answer)
+    client.handle_response(pull, now, answer)
     return pull.registry_ip
 
 
-@test("the nearest is pulled from; without it the next one, until that one names the nearest first again")
+@test("the nearest registry is polled; after a failure the next one, until it lists the nearest first again")
 def _() -> None:
     for seed in range(8):
-        pulling, near = _pulling(seed), _answer(NEAR, NEXT, FAR)
-        _play(pulling, 0.0, near)
-        assert _play(pulling, 0.1, near) == NEAR
-        assert _play(pulling, 0.2, Failure(FailureReason.OUTCOME_UNKNOWN)) == NEAR
-        assert _play(pulling, 0.3, near) == NEXT
-        lost = _answer(NEXT, FAR, NEAR)  # the others do not hear it either
-        assert _play(pulling, 0.4, lost) == NEXT
-        assert _play(pulling, 0.3 + 2 * AVOID_SECONDS, lost) == NEXT
-        assert _play(pulling, 0.4 + 2 * AVOID_SECONDS, near) == NEXT
-        assert _play(pulling, 0.5 + 2 * AVOID_SECONDS, near) == NEAR
-
-
-@test("one whose proof is old is left for the next")
+        client, near = _new_client(seed), _response(NEAR, NEXT, FAR)
+        _poll(client, 0.0, near)
+        assert _poll(client, 0.1, near) == NEAR
+        assert _poll(client, 0.2, Failure(FailureReason.OUTCOME_UNKNOWN)) == NEAR
+        assert _poll(client, 0.3, near) == NEXT
+        lost = _response(NEXT, FAR, NEAR)  # the other registries cannot reach the nearest either
+        assert _poll(client, 0.4, lost) == NEXT
+        assert _poll(client, 0.3 + 2 * AVOID_SECONDS, lost) == NEXT
+        assert _poll(client, 0.4 + 2 * AVOID_SECONDS, near) == NEXT
+        assert _poll(client, 0.5 + 2 * AVOID_SECONDS, near) == NEAR
+
+
+@test("a registry with a stale configuration is left for the next one")
 def _() -> None:
-    pulling, old = _pulling(1), _answer(NEAR, NEXT, FAR)
-    _play(pulling, 0.0, old)
+    client, old = _new_client(1), _response(NEAR, NEXT, FAR)
+    _poll(client, 0.0, old)
     old["age"] = 2.0
-    assert _play(pulling, 0.1, old) == NEAR
-    assert _play(pulling, 0.2, _answer(NEAR, NEXT, FAR)) == NEXT
+    assert _poll(client, 0.1, old) == NEAR
+    assert _poll(client, 0.2, _response(NEAR, NEXT, FAR)) == NEXT
 
 
-@test("seeds that are silent cost little at a start; where all links are slow, each is given longer")
+@test("unreachable seeds time out quickly at start; the connect timeout grows while calls fail")
 def _() -> None:
-    pulling, seen, dials = _pulling(3), set[str](), []
+    client, seen, connect_timeouts = _new_client(3), set[str](), []
     for step in range(5):
-        pull = pulling.next_request(0.4 * step)
+        pull = client.next_request(0.4 * step)
         assert pull is not None
-        pulling.handle_response(pull, 0.4 * step, Failure(FailureReason.UNREACHABLE))
+        client.handle_response(pull, 0.4 * step, Failure(FailureReason.UNREACHABLE))
         seen.add(pull.registry_ip)
-        dials.append(pull.connect_timeout)
+        connect_timeouts.append(pull.connect_timeout)
     assert seen == {NEAR, NEXT, FAR}
-    assert dials[0] < 0.2
-    assert dials[2:] == [CONNECT_TIMEOUT_SECONDS] * 3
-    _play(pulling, 2.0, _answer(NEAR, NEXT, FAR))
-    again = pulling.next_request(2.1)
+    assert connect_timeouts[0] < 0.2
+    assert connect_timeouts[2:] == [CONNECT_TIMEOUT_SECONDS] * 3
+    _poll(client, 2.0, _response(NEAR, NEXT, FAR))
+    again = client.next_request(2.1)
     assert again is not None
-    assert again.connect_timeout == dials[0]
+    assert again.connect_timeout == connect_timeouts[0]
 
 
-@test("what comes compressed is taken as if it came plain; one that is cut is compressed")
+@test("a compressed update decodes to the plain one; a truncated one is an error")
 def _() -> None:
     entries: dict[str, Any] = {f"Routes/r-{number}": {"Host": "h", "Timeout": "2s"} for number in range(1200)}
     entries["Version"] = "0000000c"
-    packer = Registry(RegistryIdentity("core-1", "0", NEAR, "a", "r", 80, 1.5), [NEAR], {"a": "r"}, 0.0)
-    packer.operator_config.receive_watch_response(
+    registry = Registry(RegistryIdentity("core-1", "0", NEAR, "a", "r", 80, 1.5), [NEAR], {"a": "r"}, 0.0)
+    registry.operator_config.receive_watch_response(
         {"index": 7, "full": True, "set": entries, "gone": [], "age": 0.0}, 0.0
     )
     body = {"have": {}, "zone": "a", "region": "r"}
-    plain, packed = (
-        pull_response(packer, body, 0.0, 0.0),
-        pull_response(packer, {**body, "packs": True}, 0.0, 0.0),
+    plain_body, compressed_body = (
+        pull_response(registry, body, 0.0, 0.0),
+        pull_response(registry, {**body, "packs": True}, 0.0, 0.0),
     )
-    packed["sources"][OPERATOR_SOURCE] = unpack_update(compressed := packed["sources"][OPERATOR_SOURCE])
-    assert packed["sources"] == plain["sources"]
-    packed["sources"][OPERATOR_SOURCE] = compressed
-    assert 8 * len(encode_response(1, packed)) < len(encode_response(1, plain))
-    packed["sources"][OPERATOR_SOURCE]["pack"] = packed["sources"][OPERATOR_SOURCE]["pack"][:-9]
+    compressed_body["sources"][OPERATOR_SOURCE] = unpack_update(
+        compressed := compressed_body["sources"][OPERATOR_SOURCE]
+    )
+    assert compressed_body["sources"] == plain_body["sources"]
+    compressed_body["sources"][OPERATOR_SOURCE] = compressed
+    assert 8 * len(encode_response(1, compressed_body)) < len(encode_response(1, plain_body))
+    compressed_body["sources"][OPERATOR_SOURCE]["pack"] = compressed_body["sources"][OPERATOR_SOURCE]["pack"][
+        :-9
+    ]
     with raises(ValueError):
-        unpack_update(packed["sources"][OPERATOR_SOURCE])
+        unpack_update(compressed_body["sources"][OPERATOR_SOURCE])
 
 
-@test("an answer that cannot be read is as none: the next registry is asked")
+@test("a malformed response counts as a failed call")
 def _() -> None:
-    client = _pulling(1)
+    client = _new_client(1)
     good = {"sources": {}, "alive": [], "age": 0.1, "held": 0.0, "controls": ["10.1.0.1"], "members": 1}
     for sources in (
         {OPERATOR_SOURCE: {"version": 1, "full": True, "pack": b"none"}},
--- a/tests/proxy/test_registry_outages.py
+++ b/tests/proxy/test_registry_outages.py
@@ -1,4 +1,4 @@
-"""What a proxy keeps of its cluster view, and counts as usage, while registries are lost and restart."""
+"""Cluster view and usage totals of a proxy while registries fail and restart."""
 
 import random
 from typing import Any
@@ -24,7 +24,7 @@
 
 
 def response(uptime: float, *named: str, alive: str = "p#2", **counters: Any) -> PullResponse:
-    """Of a registry that has run for so long, and names these proxies and workers."""
+    """The response of a registry with this uptime that lists the `named` proxies and workers."""
     records = {key: WORKER if key[0] == "w" else {"ready": True} for key in named}
     version = int(1000 * uptime)
     source = {"version": version, "full": True, "set": records | counters, "gone": [], "run": uptime}
@@ -37,13 +37,11 @@
     return " ".join(cluster.proxies)
 
 
-@test(
-    "cluster view: who is not named yet stays known until registries have run for a lease, or a bounded time"
-)
+@test("cluster view: unlisted names are kept until registries have run for a lease, or a bounded time")
 def _() -> None:
     cluster = ClusterView(worker_lease=4.5)
     cluster.apply(0.0, 0.0, response(60.0, "g/a", "g/b", "g/c", "w/1", "w/2", alive="p#1"))
-    # p#1 is lost, and is dropped after five seconds; p#2 knows one proxy so far.
+    # The source p#1 is dropped after five seconds without a report; p#2 lists only one proxy so far.
     cluster.apply(6.0, 6.0, response(0.5, "g/a", "w/1"))
     assert proxy_names(cluster) == "a b c"
     assert set(cluster.workers) == {"1", "2"}
@@ -54,11 +52,11 @@
     assert proxy_names(cluster) == "a b"
     assert change.proxies
     assert cluster.departed_since == 6.0
-    assert set(cluster.workers) == {"1", "2"}, "its lease is longer"
+    assert set(cluster.workers) == {"1", "2"}, "the lease of workers is longer"
     change = cluster.apply(10.1, 10.1, response(4.6, "g/a", "g/b", "w/1"))
     assert set(cluster.workers) == {"1"}
     assert change.workers
-    # Whose registry has long run leaves immediately; if registries restart repeatedly, after a bounded time.
+    # With an uptime above the lease, removal is immediate; with repeated restarts, after a bounded time.
     cluster.apply(11.0, 11.0, response(5.5, "g/a", "w/1"))
     assert proxy_names(cluster) == "a"
     for second in range(18):
@@ -80,7 +78,7 @@
     assert cluster.failure_totals() == {"1": (6, 8, 1)}
 
 
-@test("rate limiter: a source without proxies hides no usage by its silence: {how}")
+@test("rate limiter: no unreported usage is assumed for a source whose proxies report elsewhere: {how}")
 def _(how: str = each("its own report", "others name them", "silent")) -> None:
     limiter = RateLimiter(random.Random(5), Bounds())
     limiter.set_quota("t", 100.0, 100.0)
@@ -111,7 +109,7 @@
     assert rejected / requests > 0.5 if how == "silent" else rejected == 0, rejected / requests
 
 
-@test("rate limiter: usage of a source that started while others were received counts; else it is old")
+@test("rate limiter: the first totals of a source count as new usage only if its registry has just started")
 def _() -> None:
     for started_at, counts in ((9.7, True), (-100.0, False)):
         limiter = RateLimiter(random.Random(5), Bounds())
--- a/tests/proxy/test_request_router.py
+++ b/tests/proxy/test_request_router.py
@@ -1,4 +1,4 @@
-"""The request router by text scenarios, which responses of workers are relayed, and what may be retried."""
+"""The request router in text scenarios, validation of worker responses, and the retry rules."""
 
 from pathlib import Path
 
@@ -42,7 +42,7 @@
     assert wanted == ("not run" if response.not_run else "relayed" if response.is_valid() else "invalid")
 
 
-@test("attempts: {result.name} has a rule, and what may have run is tried again on idempotent routes alone")
+@test("attempts: {result.name} has a rule, and only idempotent routes retry what may have run")
 def _(result: AttemptResult = each(*AttemptResult)):
     rule = ATTEMPT_RULES[result]
     assert rule.allows_retry(idempotent=True)
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_responses.py
@@ -1,7 +1,7 @@
-"""Real sockets from clients through a proxy to workers, with faults in between.
+"""End-to-end tests with real sockets: clients, a proxy and workers, with faults on the connections.
 
-Whatever happens, every response is that of its request, and nothing that is not idempotent runs twice or
-after a rejection that promises it has not run.
+Every response must belong to its request. A non-idempotent request must not run twice, nor after a rejection
+that guarantees that it has not run.
 """
 
 from collections.abc import Callable
@@ -43,18 +43,18 @@
 @test("worker: {behaviour}")
 def _(behaviour: str = each(*BEHAVIOURS)) -> None:
     site = ProxySite(workers_per_route=2)
-    for where in site.routes["0"]:
-        site.workers.behaviours[where] = behaviour
-    within = 150 if behaviour in ("mute", "not: another's id") else 3000  # those let the time run out
-    once = [site.send(remaining_ms=within) for _ in range(2)]
-    more = [site.send(idempotent=True, remaining_ms=within) for _ in range(2)]
+    for worker_id in site.routes["0"]:
+        site.workers.behaviours[worker_id] = behaviour
+    remaining_ms = 150 if behaviour in ("mute", "not: another's id") else 3000  # these two time out
+    non_idempotent = [site.send(remaining_ms=remaining_ms) for _ in range(2)]
+    idempotent = [site.send(idempotent=True, remaining_ms=remaining_ms) for _ in range(2)]
     site.close()
-    statuses = {one.status for one in once + more}
+    statuses = {one.status for one in non_idempotent + idempotent}
     if behaviour in ("well", "a second answer at once", "continue first", "closing", "noise behind"):
         assert statuses == {200}
     elif behaviour == "a second answer later":
-        assert {one.status for one in more} == {200}
-        assert {one.status for one in once} <= {200, 504}
+        assert {one.status for one in idempotent} == {200}
+        assert {one.status for one in non_idempotent} <= {200, 504}
     elif behaviour == "not: full":
         assert statuses == {503}
         assert not site.history.runs
@@ -67,11 +67,12 @@
 
 
 def age_connections(site: ProxySite) -> None:
-    """As if every connection to a worker had been idle for a second."""
+    """Make every idle connection to a worker one second older."""
     for connection in site.proxy.idle_connections():
         connection.idle_since -= 1.0
 
 
+# The source of this class seeds the derandomized test: changing any name in it changes the sequences tried.
 class ProxyStateMachine(RuleBasedStateMachine):
     """Requests of three clients to two workers, faults on each connection, behaviours of each worker."""
 
@@ -143,19 +144,19 @@
         self.site.close()
 
 
-def play_state_machine() -> None:
+def run_state_machine() -> None:
     run_state_machine_as_test(ProxyStateMachine, settings=STATE_MACHINE_SETTINGS)
 
 
-@test("clients, workers and faults in any order")
+@test("random sequences of requests, worker behaviours and network faults")
 def _() -> None:
-    play_state_machine()
+    run_state_machine()
 
 
 # ---- clients
 
 
-@test("client: a body in chunks, cut at every byte")
+@test("client: a chunked body, split at every byte")
 def _() -> None:
     site = ProxySite()
     client = StubClient(site.history, site.proxy.address)
@@ -173,13 +174,13 @@
     site.close()
 
 
-@test("client: pipelined requests are answered in order; when their client leaves, none more runs")
+@test("client: pipelined requests are answered in order; after a disconnect no further one runs")
 def _() -> None:
     site = ProxySite()
     client = StubClient(site.history, site.proxy.address)
-    asked = [site.history.new_request("/hold/0/x", False, BODY) for _ in range(6)]
-    client.send(*asked)
-    assert [one.status for one in asked] == [200] * 6
+    requests = [site.history.new_request("/hold/0/x", False, BODY) for _ in range(6)]
+    client.send(*requests)
+    assert [one.status for one in requests] == [200] * 6
     site.workers.behaviours = dict.fromkeys(site.routes["0"], "mute")
     late = [site.history.new_request("/hold/0/x", False, BODY) for _ in range(4)]
     site.workers.on_request = lambda _: client.hang_up()
@@ -188,7 +189,7 @@
     assert [site.history.runs[one.id] for one in late] == [1, 0, 0, 0]
 
 
-@test("client: one that closes its half is gone")
+@test("client: a half-closed connection counts as disconnected")
 def _() -> None:
     site = ProxySite()
     client = StubClient(site.history, site.proxy.address)
@@ -203,11 +204,11 @@
     site.close()
 
 
-@test("client: one that leaves while its request waits for a configuration is not served")
+@test("client: after a disconnect while its request waits for a configuration, the request does not run")
 def _() -> None:
     site = ProxySite()
     client = StubClient(site.history, site.proxy.address)
-    one = site.history.new_request("/hold/1/x", False, BODY)  # no such route, as far as known
+    one = site.history.new_request("/hold/1/x", False, BODY)  # not in the proxy's configuration
     site.proxy.set_workers(site.routes)
     client.sock.sendall(one.to_bytes())
     handler = site.proxy.request_handler
@@ -222,32 +223,32 @@
     site.close()
 
 
-@test("client: a response that it does not read ends the connection, and looks cut")
+@test("client: a response that is not read closes the connection, and is truncated")
 def _() -> None:
     site = ProxySite()
     client = StubClient(site.history, site.proxy.address)
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
     site.workers.behaviours = dict.fromkeys(site.routes["0"], "large")
-    asked = [site.history.new_request("/look/0/x", True, BODY) for _ in range(2)]
+    requests = [site.history.new_request("/look/0/x", True, BODY) for _ in range(2)]
     write_timeout = client_connection.WRITE_TIMEOUT_SECONDS
     client_connection.WRITE_TIMEOUT_SECONDS = 0.1  # type: ignore[misc]
     try:
-        client.sock.sendall(b"".join(one.to_bytes() for one in asked))
+        client.sock.sendall(b"".join(one.to_bytes() for one in requests))
         with gevent.Timeout(ENOUGH_SECONDS, TIMED_OUT):
             while not site.history.runs or site.proxy.server.connections:
                 gevent.idle()
     finally:
         client_connection.WRITE_TIMEOUT_SECONDS = write_timeout  # type: ignore[misc]
     client.expected_responses = 2
-    client.read_response(asked[0])
-    client.read_response(asked[1])
+    client.read_response(requests[0])
+    client.read_response(requests[1])
     client.close()
     site.close()
-    assert [one.status for one in asked] == [0, 0]
-    assert site.history.runs[asked[1].id] == 0
+    assert [one.status for one in requests] == [0, 0]
+    assert site.history.runs[requests[1].id] == 0
 
 
-@test("client: an id that comes again on its connection is not run again, nor answered")
+@test("client: a request that repeats the id of the preceding one is neither run nor answered")
 def _() -> None:
     site = ProxySite()
     client = StubClient(site.history, site.proxy.address)
@@ -259,12 +260,12 @@
     assert client.ended
 
 
-@test("client: hop-by-hop headers in two lines are not forwarded, and hold nothing up")
+@test("client: hop-by-hop headers in two lines are not forwarded, and the request succeeds")
 def _() -> None:
     site = ProxySite()
     head = b"Connection: keep-alive\r\nConnection: x-own\r\nX-Own: 1\r\n"
     seen: list[Any] = []
-    site.workers.on_request = lambda asked: seen.append([name.lower() for name, _ in asked.headers])
+    site.workers.on_request = lambda request: seen.append([name.lower() for name, _ in request.headers])
     assert site.send(extra_head=head).status == 200
     assert b"x-own" not in seen[0]
     assert b"connection" not in seen[0]
@@ -273,7 +274,7 @@
     site.close()
 
 
-@test("client: an upgrade gets a response, the end, and nothing behind it")
+@test("client: an upgrade request gets a response, and the connection is closed")
 def _() -> None:
     site = ProxySite()
     client = StubClient(site.history, site.proxy.address)
@@ -287,49 +288,49 @@
 # ---- workers
 
 
-class HastyWorker:
-    """A worker that answers as soon as it has read a head."""
+class EarlyRespondingWorker:
+    """A worker that responds as soon as it has read the head of a request."""
 
     def __init__(self) -> None:
-        self.opened = 0
+        self.connection_count = 0
         self._server = StreamServer((HOST, 0), self._connection)
         self._server.start()
         self.address = HOST, self._server.server_port or 0
 
     def _connection(self, sock: socket.socket, _: Any) -> None:
-        self.opened += 1
+        self.connection_count += 1
         with suppress(OSError):
             while data := sock.recv(65536):
                 if b"X-Attempt-Id: " in data:
                     attempt_id = data.partition(b"X-Attempt-Id: ")[2][:8].decode()
-                    body = expected_body(attempt_id, b"hasty")
+                    body = expected_body(attempt_id, b"early")
                     sock.sendall(worker_response(200, attempt_id, body))
 
     def close(self) -> None:
         self._server.close()
 
 
-def check_hasty_worker() -> None:
-    worker = HastyWorker()
+def check_early_response() -> None:
+    worker = EarlyRespondingWorker()
     history = History()
-    proxy = ProxyUnderTest({"0": {"i-hasty": worker.address}})
+    proxy = ProxyUnderTest({"0": {"i-early": worker.address}})
     for _ in range(2):
         one = history.new_request("/hold/0/x", False, bytes(12 << 20))
         client = StubClient(history, proxy.address)
         client.send(one)
         client.close()
         assert one.status in (200, 504)
-    assert worker.opened == 2
+    assert worker.connection_count == 2
     proxy.close()
     worker.close()
 
 
-@test("worker: one that responds before it has read a request gets the next one on another connection")
+@test("worker: after a response to a request that was read only in part, the connection is not reused")
 def _() -> None:
-    check_hasty_worker()
+    check_early_response()
 
 
-@test("worker: one that restarts with its id elsewhere gets nothing on its old connections")
+@test("worker: after a restart at another address, connections to the old address are not reused")
 def _() -> None:
     site = ProxySite()
     assert site.send().status == 200
@@ -342,7 +343,7 @@
     site.close()
 
 
-@test("worker: an address that has passed to another worker runs nothing that was not meant for it")
+@test("worker: requests sent to an address that now belongs to another worker are not run")
 def _() -> None:
     site, other = ProxySite(), ProxySite()
     site.proxy.set_workers({"0": {worker_id: other.workers.address for worker_id in site.routes["0"]}})
@@ -355,12 +356,12 @@
 
 
 def check_dropped_connections() -> None:
-    """Workers drop idle connections: after one reset, requests that are not idempotent use none."""
+    """Workers reset idle connections: after one reset, non-idempotent requests do not reuse any."""
     site = ProxySite()
     site.workers.behaviours = dict.fromkeys(site.routes["0"], "not: resets when kept")
     assert site.send().status == 200
     age_connections(site)
-    # On a busy machine a reset takes longer.
+    # On a busy machine a reset takes longer than the limit.
     with mutated_function(
         IdleTimeoutEstimator.record_reset, "elapsed > MAX_RESET_DELAY_SECONDS", "elapsed > 5"
     ):
@@ -372,12 +373,12 @@
     assert last.status == 200, "an old connection was used again after a reset"
 
 
-@test("worker: after a reset, no idle connection is used for a request that is not idempotent")
+@test("worker: after a reset, no idle connection is reused for a non-idempotent request")
 def _() -> None:
     check_dropped_connections()
 
 
-# ---- planted
+# ---- mutations
 
 
 def check_behaviour(behaviour: str) -> Callable[[], None]:
@@ -392,60 +393,60 @@
 
 
 MUTATIONS: dict[str, tuple[Callable[..., Any], str, str, Callable[[], None]]] = {
-    "an idle connection after a reset, for a POST": (
+    "idle connection reused after a reset for a non-idempotent request": (
         IdleTimeoutEstimator.max_idle_seconds,
         "if idempotent else ESTIMATE_LIFETIME_SECONDS",
         "if idempotent else 0.0",
         check_dropped_connections,
     ),
-    "a resend after silence": (
+    "non-idempotent request retried although it may have run": (
         RequestRouter._may_retry,
         "not request.retry_forbidden",
         "True",
         check_behaviour("ran and resets"),
     ),
-    "the id is not compared": (
+    "attempt id of a response not compared": (
         ConnectionPool._read_response,
         "response.header(ATTEMPT_ID_HEADER) == attempt_id",
         "True",
         check_behaviour("a second answer later"),
     ),
-    "refused, though it may have run": (
+    "503 although the request may have run": (
         RequestRouter.final_rejection,
         "request.may_have_run or request.attempts_in_flight",
         "False",
         check_behaviour("ran and resets"),
     ),
-    "a worker's own 503 is passed on": (
+    "worker's own 503 relayed": (
         WorkerResponse.is_valid,
         "or self.status in NOT_RUN_STATUSES",
         "",
         check_behaviour("a false promise"),
     ),
-    "an answer without the worker's seal is passed on": (
+    "response without X-Server-Seal relayed": (
         WorkerResponse.is_valid,
         "bool(self.header(SERVER_SEAL_HEADER)) and ",
         "",
         check_behaviour("no seal"),
     ),
-    "an answer that was cut is passed on": (
+    "truncated response relayed": (
         ConnectionPool._read_response,
         "    return None\n            response.feed",
         "    response.status, response.done = response.code, True\n"
         "                break\n            response.feed",
         check_behaviour("short"),
     ),
-    "kept after an answer that came early": (
+    "connection reused after an early response": (
         ConnectionPool._send,
         "connection.reusable_seconds = 0.0  # the worker",
         "pass  # the worker",
-        check_hasty_worker,
+        check_early_response,
     ),
 }
 
 
 @test("mutation: {name}: detected")
 def _(name: str = each(*MUTATIONS)) -> None:
-    where, old, new, finds = MUTATIONS[name]
-    with mutated_function(where, old, new):
-        assert is_detected(finds)
+    function, old, new, check = MUTATIONS[name]
+    with mutated_function(function, old, new):
+        assert is_detected(check)
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Requests that meet the end of a proxy: who was accepted is answered."""
+"""Graceful shutdown of a proxy: requests on accepted connections are answered."""
 
 import socket as blocking_socket
 import time as blocking_time
@@ -29,8 +29,8 @@
 from tests.support.unread_input import send_unread
 
 TIMER_SECONDS = 0.002
-PAST_DUE_SECONDS = 0.05  # so that a timer is due for certain
-PARTIAL_BYTES = 3  # of a request, that are sent later
+PAST_DUE_SECONDS = 0.05  # long enough for a timer to be due
+PARTIAL_BYTES = 3  # the part of a request that is sent later
 
 
 @contextmanager
@@ -46,39 +46,39 @@
     return site.history.new_request("/look/0/x", True, b"a body")
 
 
-def close_in_the_same_turn(site: ProxySite) -> None:
-    """Have the proxy close in the turn of the event loop in which it finds what has been sent.
+def stop_in_same_iteration(site: ProxySite) -> None:
+    """Stop accepting in the event loop iteration in which the proxy detects the sent bytes.
 
-    Nobody may switch between the sending and this call. The loop finds the bytes and the due timer at once,
-    and calls the timer first.
+    No greenlet may run between sending and this call. The loop finds the bytes and the due timer in one
+    iteration, and calls the timer first.
     """
     timer = gevent.get_hub().loop.timer(TIMER_SECONDS)
     timer.start(site.proxy.server.stop_accepting)
     blocking_time.sleep(2 * TIMER_SECONDS)
 
 
-@test("a request that is found in the same turn of the event loop as the end of the proxy is answered")
+@test("a request that arrives in the event loop iteration in which the proxy stops accepting is answered")
 def _() -> None:
     with proxy_site() as site:
-        client, request = kept_client(site)
+        client, request = keep_alive_client(site)
         send_unread(client.sock, request.to_bytes())
-        close_in_the_same_turn(site)
+        stop_in_same_iteration(site)
         client.read_response(request)
         ends = site.proxy.request_handler.request_counters.ends
         assert request.status == 200, f"{ends}, runs: {site.history.runs}"
 
 
-@test("a request on a kept connection that has arrived, but is not read, when the proxy closes is answered")
+@test("an unread request on a keep-alive connection is answered when the proxy stops accepting")
 def _() -> None:
     with proxy_site() as site:
-        client, request = kept_client(site)
+        client, request = keep_alive_client(site)
         send_unread(client.sock, request.to_bytes())
         site.proxy.server.stop_accepting()
         client.read_response(request)
         assert request.status == 200
 
 
-@test("a connection that the kernel has accepted when the proxy closes is served")
+@test("a connection in the kernel's backlog is served when the proxy stops accepting")
 def _() -> None:
     with proxy_site() as site:
         client = StubClient(site.history, site.proxy.address)
@@ -89,7 +89,7 @@
         assert request.status == 200
 
 
-@test("a connection that was accepted just before the proxy closes has a moment for its first request")
+@test("a connection accepted just before the proxy stops accepting can still send its first request")
 def _() -> None:
     with proxy_site() as site:
         client = connected_client(site)
@@ -103,7 +103,7 @@
         wait_for_connections(site, 0)
 
 
-@test("a connection that never asks is closed a moment after the proxy has stopped accepting")
+@test("a connection without a request is closed after the time for its first request")
 def _() -> None:
     with proxy_site() as site, replaced(client_connection, FIRST_REQUEST_SECONDS=0.0):
         client = connected_client(site)
@@ -111,7 +111,7 @@
         assert client.sock.recv(1) == b""
 
 
-@test("idle connections end with the proxy, and no request is lost by it")
+@test("idle connections are closed when the proxy stops accepting, and no request is lost")
 def _() -> None:
     with proxy_site() as site:
         client = StubClient(site.history, site.proxy.address)
@@ -122,7 +122,7 @@
         assert site.proxy.request_handler.request_counters.open_requests == 0
 
 
-@test("requests sent one behind the other are all answered when the proxy closes; the last one says so")
+@test("pipelined requests are all answered while draining; only the last response closes the connection")
 def _() -> None:
     with proxy_site() as site:
         client = StubClient(site.history, site.proxy.address)
@@ -134,7 +134,7 @@
         assert closing == [None, None, "close"]
 
 
-@test("what is sent behind a last response does not reset the connection under it")
+@test("bytes received after the last request do not reset the connection before its response is read")
 def _() -> None:
     with proxy_site() as site:
         client = StubClient(site.history, site.proxy.address)
@@ -145,13 +145,15 @@
         while not site.proxy.request_handler.request_counters.ends[RequestEnd.ANSWERED]:
             gevent.sleep(TIMER_SECONDS)
         for _ in range(3):
-            client.sock.sendall(b"more of what nobody asked for")  # a reset connection refuses the second
+            client.sock.sendall(
+                b"more of what nobody asked for"
+            )  # the second fails if the connection is reset
             gevent.sleep(TIMER_SECONDS)
         client.read_response(request)
         assert request.status == 200
 
 
-@test("a request that comes too late to end in time is refused at once, as not run")
+@test("a request with a deadline after the end of the shutdown is rejected with 503")
 def _() -> None:
     with proxy_site() as site:
         client = connected_client(site)
@@ -164,7 +166,7 @@
         assert not site.history.runs
 
 
-@test("one that can end in time is served")
+@test("a request with a deadline before the end of the shutdown is served")
 def _() -> None:
     with proxy_site() as site:
         client = connected_client(site)
@@ -175,7 +177,7 @@
         assert request.status == 200
 
 
-@test("at the end of Grace a request at a worker gets a response of the proxy's own: the outcome is unknown")
+@test("at the end of Grace a request in flight at a worker gets 504")
 def _() -> None:
     with proxy_site() as site:
         worker_id = next(iter(site.routes["0"]))
@@ -191,7 +193,7 @@
         assert request.status == 504
 
 
-@test("at the end of Grace a client that still sends is told that its request has not run")
+@test("at the end of Grace a partly received request gets 503")
 def _() -> None:
     with proxy_site() as site:
         client, request = partial_client(site)
@@ -207,7 +209,7 @@
     idle_seconds = 0.3
     with proxy_site() as site:
         site.proxy.server.limits = lambda: ClientLimits(idle_timeout=idle_seconds)
-        client, request = kept_client(site)
+        client, request = keep_alive_client(site)
         gevent.sleep(0.0)
         blocking_time.sleep(idle_seconds + PAST_DUE_SECONDS)
         send_unread(client.sock, request.to_bytes())
@@ -215,24 +217,24 @@
         assert request.status == 200
 
 
-@test("a client that reads slowly gets its whole response, as long as it reads at all")
+@test("a client that reads slowly gets its complete response")
 def _() -> None:
     with proxy_site() as site, replaced(client_connection, WRITE_TIMEOUT_SECONDS=0.2):
         worker_id = next(iter(site.routes["0"]))
         site.workers.behaviours[worker_id] = "large"
         client = StubClient(site.history, site.proxy.address)
         client.sock.sendall(new_request(site).to_bytes())
-        received, began = 0, blocking_time.monotonic()
+        received, started_at = 0, blocking_time.monotonic()
         while data := client.sock.recv(1 << 20):
             received += len(data)
             if received > LARGE_BYTES:
                 break
             gevent.sleep(0.05)
         assert received > LARGE_BYTES
-        assert blocking_time.monotonic() - began > 0.2
+        assert blocking_time.monotonic() - started_at > 0.2
 
 
-@test("the invariant fires where the proxy takes its own close for the client's")
+@test("closing a connection during a request violates the invariant request_answered")
 def _() -> None:
     with proxy_site() as site:
         connection = client_connection.ClientConnection(
@@ -244,9 +246,7 @@
         monitor.violations["request_answered"] = 0
 
 
-@test(
-    "the times of a shutdown with Grace {grace} s: it answers until the last sixth, and ends before SIGKILL"
-)
+@test("shutdown with Grace {grace} s: requests are served until the last sixth, exit is before SIGKILL")
 def _(grace: float = each(0.5, 3.0, 6.0, 30.0)) -> None:
     schedule = shutdown_schedule(100.0, grace)
     assert 100.0 < schedule.accept_until < schedule.serve_until < schedule.exit_at < 100.0 + grace
@@ -255,32 +255,32 @@
     assert shutdown.FIRST_REQUEST_SECONDS <= 1.0
 
 
-@test("a stopping program waits for the last connection, and ends early without any")
+@test("shutdown waits for the last connection, and ends early without any")
 def _() -> None:
-    program = stopping_program(grace=1.0)
-    began = blocking_time.monotonic()
+    program = short_grace_program(grace=1.0)
+    started_at = blocking_time.monotonic()
     assert program._shut_down() == 0
-    assert blocking_time.monotonic() - began < 0.9  # accepting ends at 0.55
+    assert blocking_time.monotonic() - started_at < 0.9  # accepting ends at 0.55
     connection = FakeConnection()
-    program = stopping_program(grace=1.0)
+    program = short_grace_program(grace=1.0)
     program.proxy_server.connections.add(connection)  # type: ignore[arg-type]
     gevent.spawn_later(0.7, program.proxy_server.connections.clear)
-    began = blocking_time.monotonic()
+    started_at = blocking_time.monotonic()
     assert program._shut_down() == 0
-    assert 0.7 <= blocking_time.monotonic() - began < 0.9
-    assert connection.asked_to_end.is_set()
+    assert 0.7 <= blocking_time.monotonic() - started_at < 0.9
+    assert connection.close_requested.is_set()
 
 
-@test("a connection that is accepted in the last moment of a stopping program is answered before it ends")
+@test("a connection accepted just before the end of accepting is answered before the process exits")
 def _() -> None:
-    program = stopping_program(grace=3.0)
+    program = short_grace_program(grace=3.0)
     server = program.proxy_server
     server.listen(("127.0.0.1", 0))
     stop_accepting = server.stop_accepting
     clients: list[blocking_socket.socket] = []
 
     def connect_and_stop() -> None:
-        """No greenlet runs between the request and the end of the listener."""
+        """Connect and send a request; no other greenlet runs before the listener is closed."""
         assert server._server is not None
         client = blocking_socket.create_connection(("127.0.0.1", server._server.server_port or 0))
         client.sendall(b"GET / HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: 1\r\nX-Time-Remaining: 500\r\n\r\n")
@@ -293,13 +293,13 @@
     clients[0].close()
 
 
-@test("what completes a request after it was refused does not run it")
+@test("the rest of a partial request that arrives after its rejection does not run it")
 def _() -> None:
     with proxy_site() as site:
         client, request = partial_client(site)
         site.proxy.server.refuse_partial_requests()
         client.sock.sendall(request.to_bytes()[-PARTIAL_BYTES:])
-        gevent.sleep(PAST_DUE_SECONDS)  # it would reach the worker by now
+        gevent.sleep(PAST_DUE_SECONDS)  # long enough for the request to reach the worker
         client.read_response(request)
         wait_for_connections(site, 0)
         assert request.status == 503
@@ -307,19 +307,19 @@
 
 
 class FakeConnection:
-    """An open connection that a request keeps busy."""
+    """An open connection with a request in progress."""
 
     def __init__(self) -> None:
-        self.asked_to_end = Event()
+        self.close_requested = Event()
 
     def close_if_idle(self, now: float) -> None:
-        self.asked_to_end.set()
+        self.close_requested.set()
 
     def refuse_partial_request(self) -> None:
-        raise AssertionError("Grace is not over")
+        raise AssertionError("partial request rejected before the end of Grace")
 
 
-def stopping_program(grace: float) -> Program:
+def short_grace_program(grace: float) -> Program:
     settings: Any = parse_settings(TEXT)
     settings = evolve(settings, bounds=evolve(settings.bounds, grace=grace))
     return Program("none", settings)
@@ -338,15 +338,15 @@
     return client
 
 
-def kept_client(site: ProxySite) -> tuple[StubClient, Request]:
-    """A client with an answer on its connection, and its next request."""
+def keep_alive_client(site: ProxySite) -> tuple[StubClient, Request]:
+    """A client that has received a response on its connection, and its next request."""
     client = StubClient(site.history, site.proxy.address)
     client.send(new_request(site))
     return client, new_request(site)
 
 
 def partial_client(site: ProxySite) -> tuple[StubClient, Request]:
-    """A client and its request, of which the proxy has read a part."""
+    """A client and its request, of which the proxy has read only a part."""
     client, request = StubClient(site.history, site.proxy.address), new_request(site)
     client.sock.sendall(request.to_bytes()[:-PARTIAL_BYTES])
     with gevent.Timeout(ENOUGH_SECONDS):
