--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -145,9 +145,7 @@
         while not site.proxy.request_handler.request_counters.ends[RequestEnd.ANSWERED]:
             gevent.sleep(TIMER_SECONDS)
         for _ in range(3):
-            client.sock.sendall(
-                b"more of what nobody asked for"
-            )  # the second fails if the connection is reset
+            client.sock.sendall(b"more of what nobody asked for")  # fails after a reset
             gevent.sleep(TIMER_SECONDS)
         client.read_response(request)
         assert request.status == 200
