--- a/ashlift/proxy/program.py
+++ b/ashlift/proxy/program.py
@@ -1,4 +1,4 @@
-"""The proxy's process: its parts, its loops, its signals, and its graceful shutdown."""
+"""The proxy process: wires its components, runs its loops, handles signals and shuts down gracefully."""
 
 import os
 import random
@@ -26,9 +26,9 @@
 from ashlift.invariants import Invariant, monitor
 from ashlift.metrics_server import serve_metrics
 from ashlift.proxy import events
-from ashlift.proxy.configuration_updates import RegistryPoller
 from ashlift.proxy.metrics import proxy_metrics
 from ashlift.proxy.readiness import serve_readiness
+from ashlift.proxy.registry_poller import RegistryPoller
 from ashlift.proxy.request_handler import RequestHandler
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.server import ProxyServer
@@ -45,7 +45,7 @@
 
 
 class Program:
-    """All parts of a proxy. `path`: of the settings file, which is read again when it changes."""
+    """A proxy process. `path`: of the settings file, which is read again when it changes."""
 
     def __init__(self, path: str, settings: Settings, metrics_port: int | None = None) -> None:
         rng = random.Random(os.urandom(8))
@@ -85,32 +85,35 @@
         return self._shut_down()
 
     def _shut_down(self) -> int:
-        """Leave /lookup, then accept nobody, then end once all is answered or `Grace` is over."""
+        """Shut down gracefully: report as not ready, stop accepting, exit when all requests have ended.
+
+        Exits near the end of `Grace` even if requests are still open.
+        """
         started_at = time.monotonic()
         schedule = shutdown_schedule(started_at, self.settings.bounds.grace)
         self.router.draining = True
         self.proxy_server.draining = True
         log_event(STOPPING, in_flight=self.request_handler.in_flight)
         gevent.sleep(schedule.accept_until - started_at)
-        self.request_handler.answer_until = schedule.answer_until
+        self.request_handler.serve_until = schedule.serve_until
         self.proxy_server.stop_accepting()
-        self._serve_until(schedule.answer_until)
-        self.request_handler.answer_open_requests()
+        self._serve_until(schedule.serve_until)
+        self.request_handler.end_open_requests()
         self.proxy_server.refuse_partial_requests()
-        self._serve_until(schedule.end_at)
-        self._log_stopped(started_at, time.monotonic() >= schedule.answer_until)
+        self._serve_until(schedule.exit_at)
+        self._log_stopped(started_at, time.monotonic() >= schedule.serve_until)
         return EXIT_INVARIANT_VIOLATED if self.invariant_violated else EXIT_OK
 
     def _serve_until(self, deadline: float) -> None:
-        """Serve the connections that are open; return early when there are none."""
+        """Serve open connections until `deadline`, or until there are none left."""
         while time.monotonic() < deadline:
-            gevent.sleep(DRAIN_CHECK_SECONDS)  # first, as connections just accepted have not begun yet
+            gevent.sleep(DRAIN_CHECK_SECONDS)  # first, so that connections just accepted are registered
             self.proxy_server.close_idle_connections()
             if not self.proxy_server.connections:
                 return
 
     def _log_stopped(self, started_at: float, is_grace_over: bool) -> None:
-        open_requests = self.request_handler.ledger.open_requests
+        open_requests = self.request_handler.request_counters.open_requests
         log_event(
             events.STOPPED,
             seconds=round(time.monotonic() - started_at, 3),
@@ -128,7 +131,7 @@
         return table.limits if table is not None else ClientLimits()
 
     def _configuration_changed(self) -> None:
-        """A response of a registry has been applied."""
+        """Called after each applied response of a registry."""
         self.request_handler.configuration_changed()
         self._log_tenant_changes()
         ready = self.router.is_ready(time.monotonic())
@@ -138,7 +141,7 @@
             log_event(events.READY if ready else events.NOT_READY, index=index)
 
     def _log_tenant_changes(self) -> None:
-        """Log tenants that are new, changed or removed: all settings of a tenant change together."""
+        """Log the names of tenants that were added, changed or removed."""
         configuration = self.router.cluster.configuration
         table = configuration.routing_table
         before = self._known_tenants
@@ -160,7 +163,7 @@
     # ---- loops
 
     def _spawn(self, loop: Callable[[], None]) -> "gevent.Greenlet[[], None]":
-        """Run a loop in a greenlet. If it fails, the process ends: its state would go stale unnoticed."""
+        """Run a loop in a greenlet. If it fails, the process exits, as its state would become stale."""
 
         def failed(greenlet: "gevent.Greenlet[[], None]") -> None:
             log_event(UNHANDLED_ERROR, level=CRITICAL, error=repr(greenlet.exception))
@@ -177,16 +180,16 @@
             self.request_handler.connection_pool.close_expired(set(self.router.load_balancer.workers))
 
     def _watch_settings(self) -> None:
-        """Read the settings again after SIGHUP, or when the file has changed without one."""
-        last_stamp = _file_stamp(self.path)
+        """Read the settings again after SIGHUP or a change of the file."""
+        last_signature = _file_signature(self.path)
         while True:
-            if self._reload.wait(SETTINGS_CHECK_SECONDS) or _file_stamp(self.path) != last_stamp:
+            if self._reload.wait(SETTINGS_CHECK_SECONDS) or _file_signature(self.path) != last_signature:
                 self._reload.clear()
-                last_stamp = _file_stamp(self.path)
+                last_signature = _file_signature(self.path)
                 self._read_settings()
 
     def _read_settings(self) -> None:
-        """Apply what may change while the process runs: the seeds."""
+        """Read the settings again. Only the seeds can change while the process runs."""
         settings = read_settings(self.path)
         if isinstance(settings, list):
             for failure in settings:
@@ -202,8 +205,8 @@
     return f"{listed},and {more} more" if more > 0 else listed
 
 
-def _file_stamp(path: str) -> tuple[int, int]:
-    """What changes with a file: modification time in ns, and size; zeros if there is none."""
+def _file_signature(path: str) -> tuple[int, int]:
+    """Modification time in ns and size of a file, for detecting changes; zeros if it does not exist."""
     try:
         status = os.stat(path)
     except OSError:
--- a/ashlift/simulation/proxy_process.py
+++ b/ashlift/simulation/proxy_process.py
@@ -1,7 +1,7 @@
 """The proxy as a simulated process: its real cores, in the way that `ashlift.proxy` runs them.
 
 A `ProxyRequest` does what `ashlift.proxy.request_handler` does, and a `ProxyProcess` what
-`ashlift.proxy.configuration_updates` and `ashlift.proxy.upstream` do with sockets.
+`ashlift.proxy.registry_poller` and `ashlift.proxy.upstream` do with sockets.
 """
 
 import random
@@ -11,15 +11,15 @@
 from ashlift.config.settings import Settings
 from ashlift.proxy.admission import AdmittedRequest
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
-from ashlift.proxy.configuration_updates import RETRY_PAUSE_SECONDS
-from ashlift.proxy.idle_connections import IdleConnectionAges
+from ashlift.proxy.idle_timeout_estimator import IdleTimeoutEstimator
 from ashlift.proxy.load_balancer import WorkerState
 from ashlift.proxy.registry_client import LONG_POLL_SECONDS, RESPONSE_TIMEOUT_SECONDS, RegistryClient
+from ashlift.proxy.registry_poller import RETRY_PAUSE_SECONDS
 from ashlift.proxy.rejections import Rejection
 from ashlift.proxy.request_progress import RequestProgress, Step
 from ashlift.proxy.request_router import RequestRouter
 from ashlift.proxy.responses import WorkerResponse
-from ashlift.proxy.shutdown import EXIT_FRACTION, accept_seconds
+from ashlift.proxy.shutdown import SERVE_FRACTION, accept_seconds
 from ashlift.proxy.upstream import MAX_IDLE_PER_WORKER, MAX_IDLE_SECONDS
 from ashlift.simulation import registry_process
 from ashlift.simulation.event_loop import EventLoop
@@ -168,7 +168,7 @@
         self.requests = {}
         self.waiting_for_configuration: list[ProxyRequest] = []
         self._idle_since: dict[str, list[float]] = {}  # by worker, of each kept connection
-        self._idle_ages = IdleConnectionAges()
+        self._idle_ages = IdleTimeoutEstimator()
         self._open_connections: dict[str, int] = {}  # by worker
         self.spawn(self._watch_registry())
 
@@ -208,7 +208,7 @@
         started = self.clock()
         grace = self.router.bounds.grace
         yield accept_seconds(grace)
-        while self.requests and self.clock() < started + EXIT_FRACTION * grace:
+        while self.requests and self.clock() < started + SERVE_FRACTION * grace:
             yield DRAIN_POLL_SECONDS
         self.kill()
 
@@ -231,7 +231,7 @@
         self._open_connections[worker_id] = open_count + 1  # released with the outcome
         if open_count >= self.router.max_connections(attempt.worker):
             attempt.proxy_request.request.pool_exhausted_count += 1
-            outcome = AttemptOutcome(AttemptResult.NO_CONNECTION_FREE)
+            outcome = AttemptOutcome(AttemptResult.CONNECTION_LIMIT_REACHED)
             self.call_later(SCHEDULING_DELAY_SECONDS, attempt.finish, outcome)
             return
         self.call_later(max(0.0, attempt.remaining), self._time_out, attempt)
@@ -244,7 +244,7 @@
         now = self.clock()
         admitted = attempt.proxy_request.admitted
         is_idempotent = admitted is not None and admitted.route.idempotent
-        max_idle = min(MAX_IDLE_SECONDS, self._idle_ages.max_idle(now, is_idempotent))
+        max_idle = min(MAX_IDLE_SECONDS, self._idle_ages.max_idle_seconds(now, is_idempotent))
         idle_since = self._idle_since.get(worker_id)
         while idle_since:
             attempt.idle_seconds = now - idle_since.pop()
