--- a/ashlift/gatekeeper/__main__.py
+++ b/ashlift/gatekeeper/__main__.py
@@ -13,7 +13,7 @@
 
 from ashlift.gatekeeper import logs
 from ashlift.gatekeeper.admission.control import Gateway
-from ashlift.gatekeeper.admission.interface import Sharing
+from ashlift.gatekeeper.admission.interface import ProcessCountChanged
 from ashlift.gatekeeper.clock import UnixClock
 from ashlift.gatekeeper.config import Config, ConfigError, OwnSettingsError, load, load_anew
 from ashlift.gatekeeper.jobs import Clock, Counter, HandsWritten
@@ -73,7 +73,7 @@
             self.ratelimit = server.RateLimitFront(
                 serving.domain, config.names, bridge, self.clock, inbox, self.metrics
             )
-        if asking.address and config.settings.counter:
+        if asking.address and config.settings.counter_enabled:
             from ashlift.gatekeeper.ratelimit.client import GrpcCounter
 
             port = GrpcCounter(
@@ -155,7 +155,9 @@
         self._running.append(gevent.spawn(self.front.run, self._listener))
         if self.marks is not None:
             share = self.owner.inbox.put
-            self._running.append(gevent.spawn(self.marks.run, lambda parts: share(Sharing(parts))))
+            self._running.append(
+                gevent.spawn(self.marks.run, lambda parts: share(ProcessCountChanged(parts)))
+            )
         if self.door is not None and self._door is not None:
             self._running.append(gevent.spawn(self.door.run, self._door))
             told = self.owner.inbox.put
--- a/ashlift/gatekeeper/admission/__init__.py
+++ b/ashlift/gatekeeper/admission/__init__.py
@@ -1,6 +1,6 @@
-"""mintfront: decisions of gateways that hold customers to their quotas before a shared back end.
+"""Admission control: a gateway that enforces customers' quotas and selects servers for their requests.
 
-Whoever needs only the windows (`ashlift.gatekeeper.admission.window`) does not load the gateway with them.
+`Gateway` is imported on first use: users of `window` alone do not load it.
 """
 
 from dataclasses import dataclass
@@ -14,12 +14,12 @@
 
 @dataclass(slots=True)
 class Bucket:
-    """Units seen in a short stretch of time, here and (as the counter told) elsewhere."""
+    """Units counted in a short interval: here, and by others as far as they reported them (remote)."""
 
     total: float = 0.0
     accepted: float = 0.0
-    far_total: float = 0.0
-    far_accepted: float = 0.0
+    remote_total: float = 0.0
+    remote_accepted: float = 0.0
 
 
 def __getattr__(name: str) -> Any:
--- a/ashlift/gatekeeper/admission/interface.py
+++ b/ashlift/gatekeeper/admission/interface.py
@@ -1,6 +1,6 @@
-"""The types that go into and come out of the decision module: settings, events and actions.
+"""The interface of the admission gateway: settings, events that it takes, actions that it returns.
 
-Times are milliseconds of one clock. Nothing here decides anything; `control.py` and what it stands on do.
+Times are milliseconds of one clock.
 """
 
 from dataclasses import dataclass, field
@@ -8,15 +8,15 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request would do."""
+    """Whether a request can be repeated safely."""
 
-    PURE = "pure"  # nothing: safe to repeat
-    KEYED = "keyed"  # a group of servers drops repeats for a while
-    UNSAFE = "unsafe"  # it would happen twice
+    PURE = "pure"  # no side effects
+    KEYED = "keyed"  # it has an idempotency key, by which servers drop repeats for a limited time
+    UNSAFE = "unsafe"  # its side effects would happen twice
 
 
 class KeyScope(Enum):
-    """Which servers drop repeats of a keyed request."""
+    """Which servers share the idempotency keys of keyed requests."""
 
     ALL = "all"
     ZONE = "zone"
@@ -24,20 +24,20 @@
 
 
 class Result(Enum):
-    """How an attempt, a probe or a count ended."""
+    """How an attempt, a probe or a counter call ended."""
 
     OK = "ok"
     ERROR = "error"  # answered with an error; may have run
-    FULL = "full"  # turned away unseen
+    OVERLOADED = "full"  # rejected without being run
     TIMEOUT = "timeout"  # no answer in time; may have run
-    CONNECT_FAILED = "connect failed"  # never reached the server
+    CONNECT_FAILED = "connect failed"  # did not reach the server
     RESET = "reset"  # connection broke; may have run
-    CANCELLED = "cancelled"  # withdrawn by us; may have run
-    MOOT = "moot"  # never sent
+    CANCELLED = "cancelled"  # by this gateway; may have run
+    NOT_SENT = "moot"  # never sent
 
 
 class ServerState(Enum):
-    """What the server list says of a process."""
+    """State of a server according to the server list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -46,61 +46,64 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests. `aim_ms` earns full worth, `late_share` of it is left until the deadline."""
+    """One class of requests."""
 
     effect: Effect
-    aim_ms: float
-    give_up_ms: float
-    worth: float = 1.0
-    late_share: float = 0.0
+    target_latency_ms: float  # answers up to then have the full value
+    client_timeout_ms: float  # after which clients stop waiting
+    value: float = 1.0
+    late_value_ratio: float = 0.0  # part of the value that answers after the target latency have
     key_scope: KeyScope = KeyScope.ALL
-    key_ttl_ms: float = 0.0
+    key_ttl_ms: float = 0.0  # for which servers remember an idempotency key
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Quota of a plan, for each customer, over all gateways together. A rate or limit of 0 means none."""
+    """Limits of each customer on a plan, over all gateways together; a rate or cap of 0 is no limit.
+
+    Requests beyond the quota (`rate`, `burst`) may be admitted at a charge; those beyond the ceiling are not.
+    """
 
     rate: float = 0.0  # units a second
     burst: float = 0.0  # units
-    max_out: int = 0  # attempts out at once
-    price: float = 1.0
-    over_worth: float = 0.0  # share of the worth that is earned beyond the quota
-    over_cost: float = 0.0  # share of the worth that is charged beyond the quota
+    max_in_flight: int = 0  # attempts
+    price: float = 1.0  # factor on the value of requests
+    over_quota_value_ratio: float = 0.0  # part of the value that a request beyond the quota has
+    over_quota_cost_ratio: float = 0.0  # part of the value that a request beyond the quota is charged
     ceiling_rate: float = 0.0  # units a second
     ceiling_burst: float = 0.0  # units
-    ceiling_slack: float = 0.0  # units
+    ceiling_slack: float = 0.0  # units by which the ceiling may be passed; not used
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gateway is told at its start."""
+    """Configuration of a gateway. Fields marked as not used are read from the settings and ignored."""
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    me: int = 0
-    group_size: int = 1
-    zone: int = 0
-    tick_ms: float = 1.0
-    counter: bool = False
+    gateway_index: int = 0  # of this gateway, from 0
+    gateway_count: int = 1
+    zone: int = 0  # not used
+    tick_ms: float = 1.0  # resolution of the clock
+    counter_enabled: bool = False
     counter_timeout_ms: float = 50.0
-    count_fee: float = 0.0
-    meter_ms: float = 0.0
-    max_units: float = 1.0
-    cost_after: bool = False
-    cancel: bool = False
-    probing: bool = False
-    retry_after: bool = False
+    counter_call_fee: float = 0.0  # not used
+    usage_meter_ms: float = 0.0  # not used
+    max_request_units: float = 1.0
+    units_known_after: bool = False  # not used
+    cancel_enabled: bool = False
+    probes_enabled: bool = False
+    retry_after_enabled: bool = False
     max_retry_after_ms: float = 0.0
-    second_copies: bool = False
-    max_attempts: int = 1
-    report_fields: tuple[str, ...] = ()
-    subscribe: bool = False
-    must_ask_ms: float = 0.0
-    cold_from: float = 1.0
-    cold_ms: float = 0.0
-    fall_multiple: float = 1.0
-    fall_ms: float = 0.0
+    hedging_enabled: bool = False  # not used
+    max_attempts: int = 1  # of a request
+    report_fields: tuple[str, ...] = ()  # names of the values in load reports
+    subscribe_enabled: bool = False  # the server list is sent on request only
+    max_poll_interval_ms: float = 0.0  # not used
+    cold_capacity_ratio: float = 1.0  # part of its capacity that a server has when it starts
+    warm_up_ms: float = 0.0  # until a started server has its full capacity
+    cold_load_factor: float = 1.0  # permitted load of a cold server over its part of the capacity
+    cold_load_window_ms: float = 0.0  # over which that load is measured; not used
 
 
 # ---- events
@@ -108,19 +111,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One line of the server list."""
+    """An entry of the server list."""
 
     name: str
     state: ServerState = ServerState.READY
     cell: int = 0
     zone: int = 0
-    size: float = 1.0
-    ready_at_ms: float = 0.0  # start of the process; 0: long ago
+    capacity: float = 1.0
+    ready_at_ms: float = 0.0  # start of the process; 0: warm
 
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """News of the server list; `complete` lists replace, others change. None: a call for it failed."""
+    """A complete server list, or changed entries of it; None: the call for the list failed."""
 
     servers: tuple[Server, ...] | None
     complete: bool = False
@@ -128,107 +131,106 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's try has arrived; it is owed exactly one final answer."""
+    """A request has arrived. It gets one final answer: Refuse, Fail, Admit, or that of an attempt."""
 
-    request: int
+    request_id: int
     request_class: int
     plan: int
     customer: str
-    patience_ms: float
-    units: float = 1.0
-    set_size: int = 1
-    retry: bool = False
-    admit_only: bool = False  # may it pass? No server is picked
-    streamed: bool = False  # its bodies pass as they arrive: a failed attempt is told as one
+    time_left_ms: float  # until its client stops waiting
+    units: float = 1.0  # of the quota
+    gateway_count: int = 1  # gateways that the customer's requests are spread over
+    retry: bool = False  # by the client; not used
+    admit_only: bool = False  # asks only whether it is admitted: no server is picked
+    streamed: bool = False  # its bodies are forwarded as they arrive
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """An attempt has ended. `final`: the request has ended with it or before."""
+class AttemptEnded:
+    """An attempt has ended; `final` if the request has ended too."""
 
-    request: int
+    request_id: int
     attempt: int
     server: str
     result: Result
-    waited_ms: float
+    elapsed_ms: float
     final: bool = False
-    use_percent: float | None = None  # the customer's metered use, percent of its quota
-    units: float | None = None  # true units, where they are told afterwards
-    load: tuple[float, ...] = ()
+    quota_use_percent: float | None = None  # metered use of the customer's quota; not used
+    units: float | None = None  # actual units, if known only now; not used
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A body has begun to flow: no time-out runs any longer. `spent`: it is the request's, which is not at
-    hand any more for a further attempt; else the answer's."""
+    """The transfer of a body has begun: the attempt has no time-out any longer."""
 
-    request: int
+    request_id: int
     attempt: int
-    spent: bool = False
+    request_body_sent: bool = False  # it is the request's body, which cannot be sent again; else the answer's
 
 
 @dataclass(frozen=True, slots=True)
-class ClientLeft:
-    """The client is gone; no answer is owed."""
+class ClientDisconnected:
+    """The client has disconnected: no answer is needed."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """A timer that this gateway set is due."""
+    """A timer has expired (see SetTimer)."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeEnded:
     """A probe has ended."""
 
     server: str
     result: Result
-    waited_ms: float
-    load: tuple[float, ...] = ()
+    elapsed_ms: float
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
-    """A call to the counter has ended; `total` counts only where it is OK and not over."""
+class CounterCallEnded:
+    """A call of the counter has ended; `total` is valid if the result is OK and no limit is exceeded."""
 
-    name: int
+    key: int
     result: Result
-    waited_ms: float
+    elapsed_ms: float
     total: float = 0.0
-    over: bool = False  # a service with a limit of its own says that there is no room
+    limit_exceeded: bool = False  # the counter service has a limit of its own, which was reached
 
 
 @dataclass(frozen=True, slots=True)
-class PeerNote:
-    """A message of another gateway."""
+class PeerMessage:
+    """A message of another gateway; it is ignored."""
 
     sender: int
     data: bytes = field(repr=False)
 
 
 @dataclass(frozen=True, slots=True)
-class Sharing:
-    """This gateway runs as so many processes side by side for a while (an upgrade): its shares of ceilings
-    and open attempts are split between them."""
+class ProcessCountChanged:
+    """Number of processes that run as this gateway, more than one during an upgrade; they split its shares of
+    the ceilings and the caps on attempts in flight."""
 
-    parts: int
+    process_count: int
 
 
 Event = (
     ServerList
     | Request
-    | Outcome
+    | AttemptEnded
     | StreamStarted
-    | ClientLeft
+    | ClientDisconnected
     | Timer
-    | Probed
-    | Counted
-    | PeerNote
-    | Sharing
+    | ProbeEnded
+    | CounterCallEnded
+    | PeerMessage
+    | ProcessCountChanged
 )
 
 
@@ -237,78 +239,78 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt; 0 waits until the client gives up."""
+    """Start an attempt; a time-out of 0 is none."""
 
-    request: int
+    request_id: int
     server: str
     timeout_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: not served, and trying again is harmless."""
+    """Final answer: not served, and safe to repeat."""
 
-    request: int
+    request_id: int
     retry_after_ms: float = 0.0
-    cause: str = field(default="", compare=False)  # for counts; see `_enter` and `_answer`
+    reason: str = field(default="", compare=False)  # for statistics: the limit that refused it
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: not served, and nothing is promised."""
+    """Final answer: not served, but the request may have run."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Admit:
-    """Final answer to a request that only asked whether it may pass: it may."""
+    """Final answer to an `admit_only` request: it is admitted."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
-    request: int
+    request_id: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a Timer event."""
+    """Request a Timer event."""
 
     token: int
-    in_ms: float
+    delay_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
-    """Add to a named number of the counter; the total comes back as Counted."""
+class AddToCounter:
+    """Add to a key of the shared counter; CounterCallEnded brings the total."""
 
-    name: int
+    key: int
     amount: float
-    expire_ms: float
+    ttl_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a server for a sign of life."""
+    """Send a health probe to a server."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for changes of the server list."""
+    """Request the server list and its changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for whoever is on call."""
+    """Log a line for the operators."""
 
     text: str
 
 
-Action = Send | Admit | Refuse | Fail | Cancel | SetTimer | Count | Probe | Subscribe | Log
+Action = Send | Admit | Refuse | Fail | Cancel | SetTimer | AddToCounter | Probe | Subscribe | Log
--- a/ashlift/gatekeeper/admission/overload.py
+++ b/ashlift/gatekeeper/admission/overload.py
@@ -1,46 +1,46 @@
-"""Overload: how much work may be out at once, found out from how late the answers come."""
+"""Overload control: a limit on attempts in flight, which falls while answers are late."""
 
 import math
 
 from ashlift.gatekeeper.admission.interface import Plan, Request
-from ashlift.gatekeeper.admission.state import Desk
+from ashlift.gatekeeper.admission.state import GatewayState
 
-PRESSED = 0.4  # mean latency over aim: above this, many of the answers come too late
-START_EACH = 4.0  # attempts a server, all gateways together, at the start: more is found out step by step
-FLOOR_EACH = 3.0  # attempts a server, all gateways together, that stay allowed: less would idle its cores
-LIMIT_CUT = 0.97  # x, each step under pressure: halves in about a second
-LIMIT_RISE = 0.02  # attempts a server, each step without pressure: added, so that gateways even out
-POOL = 10.0  # attempts out: a limit below it is held on average only, for a few requests come in bunches
-SCATTER = 1.0  # x the root of a mean: all but a few of a hundred moments lie below
-VALUE_GAIN = 0.02  # weight of one request in the mean value
+HIGH_PRESSURE = 0.4  # mean of latency over target latency, above which the fleet is overloaded
+INITIAL_LIMIT_PER_SERVER = 4.0  # attempts in flight from all gateways together
+MIN_LIMIT_PER_SERVER = 3.0  # attempts in flight from all gateways together: fewer would leave cores idle
+LIMIT_CUT_FACTOR = 0.97  # of the limit, in each step under high pressure
+LIMIT_RISE_PER_SERVER = 0.02  # attempts in each step; additive, so that the gateways' limits converge
+SMALL_LIMIT = 10.0  # attempts, below which the limit holds for the mean in flight only
+SCATTER_DEVIATIONS = 1.0  # standard deviations of the number in flight that are allowed above the limit
+MEAN_VALUE_GAIN = 0.02  # weight of one request in the mean value
 
 
-class Overload(Desk):
-    """The limit on attempts out, and the pressure that moves it."""
+class OverloadControl(GatewayState):
+    """Adapts the limit on attempts in flight and applies it to requests."""
 
-    def _pressed(self, ask: Request, plan: Plan) -> bool:
-        """Whether attempts out fill the limit that answers in time; more worth for its work may fill more."""
-        cls = self.settings.classes[ask.request_class]
-        value = cls.worth * plan.price * ask.units / max(1.0, self.usual[ask.request_class])
-        self.mean_value += VALUE_GAIN * (value - self.mean_value)
+    def _is_overloaded(self, request: Request, plan: Plan) -> bool:
+        """Whether the attempts in flight fill the limit, which is higher for requests of more value."""
+        cls, usual_ms = self.settings.classes[request.request_class], self.usual_ms[request.request_class]
+        value = cls.value * plan.price * request.units / max(1.0, usual_ms)
+        self.mean_value += MEAN_VALUE_GAIN * (value - self.mean_value)
         rank = value / (value + self.mean_value) if value > 0 else 0.0
-        # A small share of the fleet is a limit of less than one: the mean over arrivals stands for it then.
-        self.mean_out += min(1.0, self.limit / POOL) * (self.out - self.mean_out)
-        # And its share is a mean: what is out of it at a moment scatters by the root. Only under pressure is
-        # the scatter held down too, or forty gateways would turn away work that the fleet has room for.
-        calm = max(0.0, 1 - self.pressure / PRESSED)
-        scatter = SCATTER * calm * self.unseen * math.sqrt(max(0.0, self.limit))
-        return self.limit > 0 and self.mean_out >= self.limit * (0.75 + 0.5 * rank) + scatter
+        gain = min(1.0, self.in_flight_limit / SMALL_LIMIT)
+        self.mean_in_flight += gain * (self.in_flight - self.mean_in_flight)
+        # Without pressure, the scatter of a small number in flight (the root of its mean) may pass the limit.
+        calm = max(0.0, 1 - self.pressure / HIGH_PRESSURE)
+        scatter = SCATTER_DEVIATIONS * calm * self.sparsity * math.sqrt(max(0.0, self.in_flight_limit))
+        ranked_limit = self.in_flight_limit * (0.75 + 0.5 * rank)
+        return self.in_flight_limit > 0 and self.mean_in_flight >= ranked_limit + scatter
 
-    def _adapt(self) -> None:
-        """Move the limit by one step."""
-        each = len(self.servers) / self.settings.group_size
-        if self.limit <= 0:
-            self.limit = START_EACH * each
-        elif self.pressure > PRESSED:
-            # Paced by answers: with few out, news is rare, and cuts on old news would go far too deep.
-            cut = LIMIT_CUT if self.answers else 1.0
-            self.limit = max(FLOOR_EACH * each, min(self.limit, self.mean_out) * cut)
-        elif self.mean_out > 0.7 * self.limit:
-            self.limit += LIMIT_RISE * each
-        self.answers = 0
+    def _adapt_limit(self) -> None:
+        servers_each = len(self.servers) / self.settings.gateway_count
+        if self.in_flight_limit <= 0:
+            self.in_flight_limit = INITIAL_LIMIT_PER_SERVER * servers_each
+        elif self.pressure > HIGH_PRESSURE:
+            # Cut only on new answers: repeated cuts on the same ones would go too deep.
+            cut = LIMIT_CUT_FACTOR if self.recent_answers else 1.0
+            lowered = min(self.in_flight_limit, self.mean_in_flight) * cut
+            self.in_flight_limit = max(MIN_LIMIT_PER_SERVER * servers_each, lowered)
+        elif self.mean_in_flight > 0.7 * self.in_flight_limit:
+            self.in_flight_limit += LIMIT_RISE_PER_SERVER * servers_each
+        self.recent_answers = 0
--- a/ashlift/gatekeeper/admission/quota.py
+++ b/ashlift/gatekeeper/admission/quota.py
@@ -1,95 +1,94 @@
-"""Quotas: whether a customer's window, its store under the ceiling and its cap let a request in."""
+"""Quotas: whether a customer's quota, ceiling and in-flight cap have room for a request."""
 
 import math
 
 from ashlift.gatekeeper.admission import window
-from ashlift.gatekeeper.admission.state import Customer, Desk, Live, Tally
+from ashlift.gatekeeper.admission.state import Customer, DecayingRatio, GatewayState, PendingRequest
 
-HARD_FACTOR = 3.0  # x soft limit: up to it a spike goes on at the quota's rate by chance, beyond it in bursts
-FADE_WINDOWS = 2.0  # windows after which a reading says nothing: most customers are calm most of the time
-FADE_GAPS = 6.0  # gaps between requests here, if longer: a customer seen seldom is read seldom
-HEARD_KEPT = 0.98  # of what the heard have shown, each heard one: some fifty of them weigh
-HEARD_FIRST = 3.0  # heard ones of its own kind that weigh as much as all those of a wider one
-FEW = 3  # requests of a customer here from which on more of them tell nothing new
-OPEN_STALE_MS = 1_500.0  # ms after which a count of open attempts is no longer believed
+HARD_LIMIT_FACTOR = 3.0  # times the soft limit; between the two, requests are refused with a probability
+TOTAL_FADE_WINDOWS = 2.0  # quota windows in which a counter total loses its meaning,
+TOTAL_FADE_GAPS = 6.0  # or so many gaps between the customer's requests here, if that is longer
+ADHERENCE_DECAY = 0.98  # of the adherence ratios, with each counted request
+ADHERENCE_PRIOR_WEIGHT = 3.0  # requests' weight of the wider group's ratio as prior of a narrower one
+MAX_COUNTED_REQUESTS = 3  # of a customer: those with more form one group
+IN_FLIGHT_STALE_MS = 1_500.0  # after which a total of attempts in flight is ignored
 
 
-class Quota(Desk):
-    """What each customer has used, here and as the counter told."""
+class CustomerQuotas(GatewayState):
+    """Estimates each customer's usage over all gateways and holds it against the plan's limits."""
 
-    def _seen(self, now: float, customer: Customer) -> tuple[float, float, float]:
-        """Units in the window (total, accepted) and in the last second, all gateways together.
+    def _estimate_usage(self, now: float, customer: Customer) -> tuple[float, float, float]:
+        """Units in the window (total, accepted) and in the last second (total) at all gateways. The others'
+        rates of the last counter total fade; without a total, an even use of the quota is assumed."""
+        buckets, window_ms = customer.buckets, customer.window_ms
+        window.discard_before(buckets, now - max(window_ms, 1000.0))
+        total, accepted, recent = window.usage(buckets, now, window_ms)
+        if customer.gateway_share < 1:
+            age_ms = now - customer.total_read_at
+            # Each gateway may admit one request: its share of a small quota could be less than that.
+            one = self.settings.max_request_units * 1000 / window_ms
+            even = max(0.0, customer.plan.rate - max(one, customer.plan.rate * customer.gateway_share))
+            enabled_since = now if self.settings.counter_enabled else -1e9
+            blind_ms = now - min(self.counter_failing_since, customer.call_overdue_since, enabled_since)
+            blind = 1.0 if age_ms == math.inf else min(1.0, blind_ms / window_ms)
+            fade_ms = max(TOTAL_FADE_WINDOWS * window_ms, TOTAL_FADE_GAPS * customer.request_gap_ms)
+            fresh = max(0.0, 1 - age_ms / fade_ms)
+            # The others may be asked for as much as this gateway, as far as enough requests came to tell.
+            here = total * (min(1 / customer.gateway_share, max(1.0, total)) - 1) * 1000 / window_ms
+            total_rate = max(customer.remote_total_rate * fresh, blind * max(even, here))
+            accepted_rate = max(customer.remote_accepted_rate * fresh, blind * even)
+            total += total_rate * min(age_ms, window_ms) / 1000
+            accepted += accepted_rate * min(age_ms, window_ms) / 1000
+            recent += total_rate * min(age_ms, 1000.0) / 1000
+        return total, accepted, recent
 
-        Since the last reading the others are taken to go on as they did, ever less so; once the counter
-        fails, has no call to spare or has not told yet, to use an even share of the quota.
-        """
-        buckets, span = customer.buckets, customer.window
-        window.trim(buckets, now - max(span, 1000.0))
-        total, accepted, last = window.seen(buckets, now, span)
-        if customer.share < 1:
-            stale = now - customer.read_at
-            # One request passes unheard: a small share of the quota would otherwise be less than one.
-            one = self.settings.max_units * 1000 / span
-            even = max(0.0, customer.plan.rate - max(one, customer.plan.rate * customer.share))
-            # Crowded out is as blinding as a dead counter: unheard, every gateway would grant all.
-            failing = now - min(self.failing_at, customer.starved_at, now if self.settings.counter else -1e9)
-            blind = 1.0 if stale == math.inf else min(1.0, failing / span)
-            fades = max(0.0, 1 - stale / max(FADE_WINDOWS * span, FADE_GAPS * customer.gap))
-            # Unheard, what is asked elsewhere may be as much as here, or all would grant the same chance;
-            # but few requests speak for few others.
-            here = total * (min(1 / customer.share, max(1.0, total)) - 1) * 1000 / span
-            asked = max(customer.far_asked * fades, blind * max(even, here))
-            rate = max(customer.far_rate * fades, blind * even)
-            total += asked * min(stale, span) / 1000
-            accepted += rate * min(stale, span) / 1000
-            last += asked * min(stale, 1000.0) / 1000
-        return total, accepted, last
-
-    def _admit(self, now: float, live: Live) -> bool:
-        customer, plan, units = live.customer, live.customer.plan, live.ask.units
+    def _fits_quota(self, now: float, pending: PendingRequest) -> bool:
+        customer, plan, units = pending.customer, pending.customer.plan, pending.request.units
         if plan.rate <= 0:
             return True
-        total, accepted, last = self._seen(now, customer)
-        customer.near = (accepted + units) / plan.burst
-        if now < customer.over_until or units > plan.burst:
+        total, accepted, recent = self._estimate_usage(now, customer)
+        customer.quota_use = (accepted + units) / plan.burst
+        if now < customer.limit_exceeded_until or units > plan.burst:
             return False
-        if customer.near <= 1:
+        if customer.quota_use <= 1:
             return True
-        if total >= plan.burst * HARD_FACTOR:
+        if total >= plan.burst * HARD_LIMIT_FACTOR:
             return False
-        return live.chance >= window.suppression(plan.rate, customer.window, total, last)
+        return pending.quota_draw >= window.suppression_factor(plan.rate, customer.window_ms, total, recent)
 
-    def _likes(self, customer: Customer) -> list[Tally]:
-        """What the heard have shown: all, those who came as often here, and those of them of its plan."""
-        often = min(customer.tries, FEW)
-        return [self.within.setdefault(key, Tally()) for key in (None, often, (customer.plan, often))]
+    def _adherence_ratios(self, customer: Customer) -> list[DecayingRatio]:
+        """Ratios of counted requests within quota: all, of as frequent customers, and those of its plan."""
+        requests = min(customer.request_count, MAX_COUNTED_REQUESTS)
+        groups = (None, requests, (customer.plan, requests))
+        return [self.quota_adherence.setdefault(group, DecayingRatio()) for group in groups]
 
-    def _worth_a_guess(self, customer: Customer) -> bool:
-        """Whether a request that no call can ask for earns more, by what the heard ones like it showed, than
-        it is charged beyond the quota. Where more is asked than the quota holds, it earns nothing: the room
-        goes to the heard. Who comes often to one gateway of many mostly asks too much at all of them."""
-        plan, share = customer.plan, 1.0
-        for tally in self._likes(customer):
-            share = tally.share(share, HEARD_FIRST)
-        return share >= (1 - share) * (plan.over_cost - plan.over_worth)
+    def _is_guess_profitable(self, customer: Customer) -> bool:
+        """Whether admitting without a counter call is expected to earn more than it is charged."""
+        plan, within = customer.plan, 1.0
+        for ratio in self._adherence_ratios(customer):
+            within = ratio.estimate(within, ADHERENCE_PRIOR_WEIGHT)
+        return within >= (1 - within) * (plan.over_quota_cost_ratio - plan.over_quota_value_ratio)
 
-    def _record(self, now: float, customer: Customer, asked: float, accepted: float) -> None:
-        window.record(customer.buckets, now, asked, accepted)
-        customer.fresh_total += asked
-        customer.fresh_accepted += accepted
-        if customer.plan.rate > 0 and self.settings.counter and customer.share < 1 and (asked or accepted):
-            self.dirty[customer.name] = customer
+    def _record(self, now: float, customer: Customer, total: float, accepted: float) -> None:
+        window.record(customer.buckets, now, total, accepted)
+        customer.unsent_total += total
+        customer.unsent_accepted += accepted
+        shared = self.settings.counter_enabled and customer.gateway_share < 1
+        if customer.plan.rate > 0 and shared and (total or accepted):
+            self.unsent[customer.name] = customer
 
-    def _take_ceiling(self, now: float, customer: Customer, units: float) -> bool:
-        plan, share = customer.plan, customer.share / self.parts
-        grown = customer.ceiling + plan.ceiling_rate * share * (now - customer.ceiling_at) / 1000
-        customer.ceiling, customer.ceiling_at = min(plan.ceiling_burst * share, grown), now
-        taken = units if plan.ceiling_rate > 0 and customer.ceiling >= units else 0.0
-        customer.ceiling -= taken
+    def _take_ceiling_tokens(self, now: float, customer: Customer, units: float) -> bool:
+        plan, share = customer.plan, customer.gateway_share / self.process_count
+        rate, elapsed_ms = plan.ceiling_rate * share, now - customer.ceiling_updated_at
+        refilled = customer.ceiling_tokens + rate * elapsed_ms / 1000
+        customer.ceiling_tokens, customer.ceiling_updated_at = min(plan.ceiling_burst * share, refilled), now
+        taken = units if plan.ceiling_rate > 0 and customer.ceiling_tokens >= units else 0.0
+        customer.ceiling_tokens -= taken
         return plan.ceiling_rate <= 0 or taken > 0
 
-    def _open_room(self, now: float, customer: Customer) -> bool:
-        most = customer.plan.max_out
-        if now - customer.open_read_at > OPEN_STALE_MS or not self.settings.counter:
-            return not most or customer.open + 1 <= max(1.0, most * customer.share / self.parts)
-        return not most or customer.open + customer.open_far < most
+    def _has_in_flight_room(self, now: float, customer: Customer) -> bool:
+        cap = customer.plan.max_in_flight
+        if now - customer.in_flight_read_at > IN_FLIGHT_STALE_MS or not self.settings.counter_enabled:
+            own_cap = max(1.0, cap * customer.gateway_share / self.process_count)
+            return not cap or customer.in_flight + 1 <= own_cap
+        return not cap or customer.in_flight + customer.remote_in_flight < cap
--- a/ashlift/gatekeeper/admission/state.py
+++ b/ashlift/gatekeeper/admission/state.py
@@ -1,4 +1,4 @@
-"""What a gateway keeps between events: plain state, and the bookkeeping of it. No decisions."""
+"""The state that a gateway keeps between events, and its bookkeeping. Decisions are made elsewhere."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ashlift.gatekeeper.admission import Bucket
 from ashlift.gatekeeper.admission.interface import (
     Action,
-    Count,
+    AddToCounter,
     Plan,
     Request,
     Server,
@@ -21,234 +21,252 @@
 
 
 @dataclass(slots=True, eq=False)
-class ServerView:
-    """What this gateway knows of one server."""
+class ServerStats:
+    """Statistics of one server as this gateway sees it."""
 
     entry: Server
-    backoff: float  # ms it is left out next
-    out: int = 0  # attempts out there
-    work: float = 0.0  # ms of work out there
-    ratio: float = 1.0  # its latency x the usual
-    fails: int = 0  # failures in a row
-    out_until: float = -math.inf  # left out until then
-    heard: float = -math.inf  # last sign of life
-    judged: float = -math.inf  # when its ratio last changed
-    mute: dict[int, float] = field(default_factory=dict)  # marks by class left unanswered
-    load: float = 0.0  # requests of others there, as it reported
-    turn: float | None = None  # its place in the round, ms of work; None: it has yet to be given one
+    ejection_ms: float  # duration of the next ejection
+    in_flight: int = 0  # attempts of this gateway
+    in_flight_ms: float = 0.0  # their expected work
+    latency_ratio: float = 1.0  # mean latency over the usual latency
+    failures_in_row: int = 0
+    ejected_until: float = -math.inf
+    last_answer_at: float = -math.inf  # or when the first attempt in flight was started, if that is later
+    ratio_updated_at: float = -math.inf
+    unanswered_scores: dict[int, float] = field(default_factory=dict)  # by request class
+    other_load: float = 0.0  # requests of other gateways, by its last load report
+    virtual_time: float | None = None  # for fair queueing, ms of work; None: not scheduled yet
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt that is out."""
+    """One attempt in flight."""
 
-    server: ServerView
-    at: float
-    work: float
+    server: ServerStats
+    started_at: float
+    expected_ms: float  # usual latency of its class
     customer: Customer
-    kind: int  # class of its request
-    passed: int = 0  # attempts begun later that its server has answered since
-    withdrawn: bool = False
-    flows: bool = False  # its bodies move: it waits for no core
+    request_class: int
+    later_answers: int = 0  # answers of its server to attempts that were started later
+    cancelled: bool = False
+    streaming: bool = False  # its bodies are being transferred: it occupies none of the server's cores
 
 
 class Customer:
-    """What this gateway knows of one customer: its window, its counts on the way, its ceiling store."""
+    """Usage of one customer: its quota window, counts exchanged with the counter, ceiling and caps."""
 
     def __init__(
-        self, name: str, plan: Plan, set_size: int, now: float, booted: float, quantum: float
+        self,
+        name: str,
+        plan: Plan,
+        gateway_count: int,
+        now: float,
+        gateway_started_at: float,
+        units_per_count: float,
     ) -> None:
-        self.name, self.plan, self.share, self.seen = name, plan, 1.0 / set_size, now
-        self.window = 1000.0 * plan.burst / plan.rate if plan.rate > 0 else 1000.0
-        self.buckets: dict[int, Bucket] = {}  # by number since the clock's start
-        self.fresh_total = self.fresh_accepted = 0.0
-        self.calling: tuple[int, int, int] | None = None
-        self.epoch = self.open_epoch = -1
-        self.mine_total = self.mine_accepted = self.far_total = self.far_accepted = 0.0
-        self.doubt_total = self.doubt_accepted = 0.0  # of mine: sent, and perhaps never added
-        self.read_at = -math.inf
-        self.starved_at = math.inf  # since when a call is due that the budget does not allow
-        self.far_rate = self.far_asked = 0.0  # units a second elsewhere, let in and asked, as last read
-        self.gap, self.near = 0.0, 1.0  # ms between requests here; use x soft limit when last looked at
-        self.held: list[Live] = []  # requests that wait for a first count
-        self.call_at = now
-        # Each gateway has its share of the ceiling. One that has just started may have spent it in the life
-        # before, and would be granted even a share of the slack anew at each restart: it begins with nothing.
-        self.ceiling, self.ceiling_at = 0.0, booted
-        self.over_until = -math.inf  # the counter's service said that there is no room
-        self.open = self.open_sent = 0
-        self.open_far, self.open_read_at = 0.0, -math.inf
-        self.phase = zlib.crc32(name.encode())
-        self.quantum = quantum  # units in one count
-        self.tries = 0  # requests here
-
-    def begin(self, epoch: int) -> None:
-        """Go on under a new counter name, which holds nothing yet."""
-        self.epoch = epoch
-        self.mine_total = self.mine_accepted = self.far_total = self.far_accepted = 0.0
-        self.doubt_total = self.doubt_accepted = 0.0
-
-    def take(self, untold: tuple[float, float], most: float) -> tuple[int, int]:
-        """Counts to tell (total, accepted): all that is fresh here, and the units `untold` of others."""
-        self.fresh_total += untold[0]
-        self.fresh_accepted += untold[1]
-        total, accepted = int(self.fresh_total / self.quantum), int(self.fresh_accepted / self.quantum)
-        # Accepted may be below 0: a held request was refused after all.
-        total = max(0, min(total, int(most - self.mine_total) - 1))
-        self.fresh_total -= total * self.quantum
-        self.fresh_accepted -= accepted * self.quantum
+        self.name, self.plan, self.gateway_share, self.last_request_at = name, plan, 1.0 / gateway_count, now
+        self.window_ms = 1000.0 * plan.burst / plan.rate if plan.rate > 0 else 1000.0
+        self.buckets: dict[int, Bucket] = {}  # by start, in widths of a bucket
+        self.unsent_total = self.unsent_accepted = 0.0  # units
+        self.pending_call: tuple[int, int, int] | None = None  # counter key, and the two counts sent
+        self.key_epoch = self.in_flight_epoch = -1
+        # Counts under the current key: added by this gateway, and by others as last read.
+        self.own_total = self.own_accepted = self.remote_total = self.remote_accepted = 0.0
+        # Part of the own counts whose call timed out: they may not have been added.
+        self.unconfirmed_total = self.unconfirmed_accepted = 0.0
+        self.total_read_at = -math.inf
+        self.call_overdue_since = math.inf  # a call is due, but the call rate does not allow it
+        self.remote_accepted_rate = self.remote_total_rate = 0.0  # units a second, as last read
+        self.request_gap_ms, self.quota_use = 0.0, 1.0  # mean gap; accepted units over the soft limit
+        self.held_requests: list[PendingRequest] = []  # waiting for a counter call
+        self.next_call_at = now
+        # Empty at the start of the gateway: the process before it may have used up the burst.
+        self.ceiling_tokens, self.ceiling_updated_at = 0.0, gateway_started_at
+        self.limit_exceeded_until = -math.inf  # by a limit of the counter service
+        self.in_flight = self.in_flight_sent = 0  # attempts here, and those of them that the counter knows
+        self.remote_in_flight, self.in_flight_read_at = 0.0, -math.inf
+        self.name_hash = zlib.crc32(name.encode())
+        self.units_per_count = units_per_count
+        self.request_count = 0  # requests here
+
+    def start_epoch(self, epoch: int) -> None:
+        """Use a new counter key, whose counts are 0."""
+        self.key_epoch = epoch
+        self.own_total = self.own_accepted = self.remote_total = self.remote_accepted = 0.0
+        self.unconfirmed_total = self.unconfirmed_accepted = 0.0
+
+    def take_unsent(self, deferred: tuple[float, float], max_total: float) -> tuple[int, int]:
+        """Take the counts to send (total, accepted), which include the deferred units of other customers."""
+        self.unsent_total += deferred[0]
+        self.unsent_accepted += deferred[1]
+        total = int(self.unsent_total / self.units_per_count)
+        accepted = int(self.unsent_accepted / self.units_per_count)
+        # `accepted` may be below 0: a held request was counted as accepted and then refused.
+        total = max(0, min(total, int(max_total - self.own_total) - 1))
+        self.unsent_total -= total * self.units_per_count
+        self.unsent_accepted -= accepted * self.units_per_count
         return total, accepted
 
-    def settle(self, total: int, accepted: int, added: bool, doubtful: bool) -> None:
-        """Book counts whose call has ended: added, perhaps added (`doubtful`), or still to be told."""
+    def finish_call(self, total: int, accepted: int, added: bool, timed_out: bool) -> None:
+        """Count what a call has added, or may have added (`timed_out`); else keep it for the next call."""
         if not added:
-            self.fresh_total += total * self.quantum
-            self.fresh_accepted += accepted * self.quantum
+            self.unsent_total += total * self.units_per_count
+            self.unsent_accepted += accepted * self.units_per_count
             return
-        self.mine_total += total
-        self.mine_accepted += accepted
-        self.doubt_total += total * doubtful
-        self.doubt_accepted += accepted * doubtful
-
-    def measure_far(self) -> None:
-        """Units a second of the others, as what was told of them lies in the window."""
-        per_s = 1000 / max(self.window, 1000.0)
-        self.far_rate = sum(bucket.far_accepted for bucket in self.buckets.values()) * per_s
-        self.far_asked = sum(bucket.far_total for bucket in self.buckets.values()) * per_s
-
-    def emptied(self, added: tuple[float, float]) -> None:
-        """Go on with a name that holds no more than these counts: the counter came back empty."""
-        self.begin(self.epoch)
-        self.mine_total, self.mine_accepted = added
-
-    def never_added(self, short: float) -> None:
-        """Take so many of the counts in doubt back: they are to be added anew."""
-        lost = round(short / self.doubt_total * self.doubt_accepted)
-        self.mine_total -= short
-        self.mine_accepted -= lost
-        self.doubt_total -= short
-        self.doubt_accepted -= lost
-        self.fresh_total += short * self.quantum
-        self.fresh_accepted += lost * self.quantum
-
-
-class Tally:
-    """How often something was so, of late: the older the less it weighs."""
+        self.own_total += total
+        self.own_accepted += accepted
+        self.unconfirmed_total += total * timed_out
+        self.unconfirmed_accepted += accepted * timed_out
+
+    def update_remote_rates(self) -> None:
+        """Compute the units a second of other gateways from their units in the window."""
+        per_s = 1000 / max(self.window_ms, 1000.0)
+        self.remote_accepted_rate = sum(bucket.remote_accepted for bucket in self.buckets.values()) * per_s
+        self.remote_total_rate = sum(bucket.remote_total for bucket in self.buckets.values()) * per_s
+
+    def handle_counter_reset(self, added: tuple[float, float]) -> None:
+        """The counter has lost its counts: the key holds no more than what was just added."""
+        self.start_epoch(self.key_epoch)
+        self.own_total, self.own_accepted = added
+
+    def requeue_unconfirmed(self, missing: float) -> None:
+        """Send unconfirmed counts again that are missing from a total."""
+        missing_accepted = round(missing / self.unconfirmed_total * self.unconfirmed_accepted)
+        self.own_total -= missing
+        self.own_accepted -= missing_accepted
+        self.unconfirmed_total -= missing
+        self.unconfirmed_accepted -= missing_accepted
+        self.unsent_total += missing * self.units_per_count
+        self.unsent_accepted += missing_accepted * self.units_per_count
+
+
+class DecayingRatio:
+    """How often something was true, with weights that decay with each observation."""
 
     def __init__(self) -> None:
-        self.so = self.all = 0.0
+        self.true_weight = self.total_weight = 0.0
 
-    def add(self, so: bool, keep: float) -> None:
-        self.so, self.all = self.so * keep + so, self.all * keep + 1
+    def add(self, observed: bool, decay: float) -> None:
+        """Add an observation; `decay` is the factor on the weight of the earlier ones."""
+        self.true_weight = self.true_weight * decay + observed
+        self.total_weight = self.total_weight * decay + 1
 
-    def share(self, before: float, weight: float) -> float:
-        """The share that was so; `before` is held to be it until much more than `weight` was seen."""
-        return (self.so + before * weight) / (self.all + weight)
+    def estimate(self, prior: float, prior_weight: float) -> float:
+        """Return the ratio, with a prior that counts as `prior_weight` observations."""
+        return (self.true_weight + prior * prior_weight) / (self.total_weight + prior_weight)
 
 
 @dataclass(slots=True, eq=False)
-class Live:
-    """A request that is owed a final answer, or about to be."""
+class PendingRequest:
+    """A request without a final answer."""
 
-    ask: Request
+    request: Request
     customer: Customer
     deadline: float
-    luck: float  # draw for cold servers
-    chance: float  # draw for the quota
-    inside: bool = False  # let in by the quota, as far as known
-    reserved: int = 0  # open attempts counted for it in advance
-    tries: int = 0
+    cold_server_draw: float  # random; below the cold load it may go to a cold server
+    quota_draw: float  # random; below the suppression factor it is refused
+    within_quota: bool = False
+    reserved_in_flight: int = 0  # attempts counted for it in advance, while it is held
+    attempt_count: int = 0
     streaming: bool = False
-    spent: bool = False  # its body is gone
-    out: list[int] = field(default_factory=list)  # attempts out
-    may_run: tuple[Server, float] | None = None  # where and when the first one that may have run was sent
-    tried: list[str] = field(default_factory=list)  # servers
+    request_body_sent: bool = False  # it cannot be sent again
+    in_flight: list[int] = field(default_factory=list)  # numbers of its attempts
+    first_may_have_run: tuple[Server, float] | None = None  # server and start of the first such attempt
+    tried_servers: list[str] = field(default_factory=list)
 
 
-class Desk:
-    """All that one gateway keeps, for each concern to work on."""
+class GatewayState:
+    """All state of one gateway; its subclasses handle one concern each."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.random = settings, random.Random(seed)
-        self.booted: float | None = None
+        self.started_at: float | None = None
         self.customers: dict[str, Customer] = {}
-        self.dirty: dict[str, Customer] = {}
-        self.names: dict[int, tuple[Customer, bool]] = {}
-        self.servers: dict[str, ServerView] = {}
-        self.live: dict[int, Live] = {}
-        self.attempts: dict[tuple[int, int], Attempt] = {}
-        self.timers: dict[int, int] = {}
-        self.usual = [cls.aim_ms / 4 for cls in settings.classes]  # ms, until answers tell
-        self.slowest = [*self.usual]
-        self.calls_most = self.call_rate = self.calls = 0.0  # calls to the counter a second, and saved up
-        self.cut_at = -math.inf
-        self.retries, self.next_token = 0.0, 1
-        self.out, self.mean_out, self.limit, self.pressure, self.mean_value = 0, 0.0, 0.0, 0.0, 0.0
-        self.sound_ratio, self.fleet, self.answers = 1.0, 0.0, 0
-        self.cared, self.list_pause, self.ask_at = 0.0, 0.0, math.inf
-        self.subset: list[ServerView] = []
-        self.round = 0.0  # where the servers' round stands, ms of work
-        # How much wider the load of one gateway scatters than its share of all: none where there is no other.
-        self.unseen = 1 - 1 / math.sqrt(settings.group_size)
-        self.suspects: dict[str, ServerView] = {}  # left out until a probe (or else a request) is answered
-        self.failed = 0  # calls to the counter in a row
-        self.within: dict[tuple[Plan, int] | int | None, Tally] = {}  # of the heard: who keeps to the quota
-        self.untold: dict[Plan, tuple[float, float]] = {}  # units that no call could tell of
-        self.failing_at = math.inf  # when the counter last began to fail
-        self.parts = 1  # processes that this gateway runs as, side by side
+        self.unsent: dict[str, Customer] = {}  # customers with counts to send
+        self.calls_by_key: dict[int, tuple[Customer, bool]] = {}  # bool: call for attempts in flight
+        self.servers: dict[str, ServerStats] = {}
+        self.pending: dict[int, PendingRequest] = {}
+        self.attempts: dict[tuple[int, int], Attempt] = {}  # by request and number
+        self.timers: dict[int, int] = {}  # request by timer token
+        # By request class: usual and slowest recent latency.
+        self.usual_ms = [cls.target_latency_ms / 4 for cls in settings.classes]
+        self.slowest_ms = [*self.usual_ms]
+        self.max_call_rate = self.call_rate = self.call_tokens = (
+            0.0  # counter calls a second; calls allowed now
+        )
+        self.call_rate_cut_at = -math.inf
+        self.retry_tokens, self.next_timer_token = 0.0, 1
+        self.in_flight, self.mean_in_flight, self.in_flight_limit = 0, 0.0, 0.0  # attempts
+        self.pressure, self.mean_value = 0.0, 0.0  # mean of latency over target; mean value of a request
+        self.healthy_ratio, self.fleet_capacity, self.recent_answers = 1.0, 0.0, 0
+        self.maintained_at, self.list_retry_ms, self.subscribe_at = 0.0, 0.0, math.inf
+        self.subset: list[ServerStats] = []  # the servers that this gateway uses
+        self.virtual_time = 0.0  # of all servers, ms of work
+        # From 0 for a single gateway to 1: how small this gateway's part of the traffic is.
+        self.sparsity = 1 - 1 / math.sqrt(settings.gateway_count)
+        self.ejected: dict[str, ServerStats] = {}  # until a probe or, without probes, the expiry
+        self.failed_calls_in_row = 0
+        # Ratio of counted requests within quota: of all, by requests of the customer, and by plan and those.
+        self.quota_adherence: dict[tuple[Plan, int] | int | None, DecayingRatio] = {}
+        self.deferred_units: dict[Plan, tuple[float, float]] = {}  # for which no counter call was allowed
+        self.counter_failing_since = math.inf
+        self.process_count = 1  # processes that run as this gateway
         self.actions: list[Action] = []
 
-    def _enter_core(self, attempt: Attempt) -> None:
-        view = attempt.server
-        view.out += 1
-        view.work += attempt.work
-        if view.out == 1:
-            view.heard = max(view.heard, attempt.at)
-        self.out += 1
-
-    def _leave_core(self, attempt: Attempt) -> None:
-        if not attempt.flows:
-            attempt.flows = True
-            attempt.server.out -= 1
-            attempt.server.work -= attempt.work
-            self.out -= 1
-
-    def _flowing(self, live: Live, event: StreamStarted) -> None:
-        """Bodies that move are timed where they do; they take no core that a request could wait for."""
-        live.streaming, live.spent = True, live.spent or event.spent
-        attempt = self.attempts.get((event.request, event.attempt))
+    def _add_in_flight(self, attempt: Attempt) -> None:
+        stats = attempt.server
+        stats.in_flight += 1
+        stats.in_flight_ms += attempt.expected_ms
+        if stats.in_flight == 1:
+            stats.last_answer_at = max(stats.last_answer_at, attempt.started_at)
+        self.in_flight += 1
+
+    def _remove_in_flight(self, attempt: Attempt) -> None:
+        if not attempt.streaming:
+            attempt.streaming = True
+            attempt.server.in_flight -= 1
+            attempt.server.in_flight_ms -= attempt.expected_ms
+            self.in_flight -= 1
+
+    def _on_stream_started(self, pending: PendingRequest, event: StreamStarted) -> None:
+        """Take the attempt out of the load: a transfer occupies no core that a request could wait for."""
+        pending.streaming = True
+        pending.request_body_sent = pending.request_body_sent or event.request_body_sent
+        attempt = self.attempts.get((event.request_id, event.attempt))
         if attempt is not None:
-            self._leave_core(attempt)
-
-    def _pass_on(self, customer: Customer) -> None:
-        """Leave what no call can tell of to the next call of the plan. No more than a burst: it is told under
-        one customer's name, and must not shut that one out after a time without calls."""
-        most, (total, accepted) = customer.plan.burst, self.untold.get(customer.plan, (0.0, 0.0))
-        total, accepted = total + customer.fresh_total, accepted + customer.fresh_accepted
-        self.untold[customer.plan] = min(most, total), min(most, accepted)
-        customer.fresh_total = customer.fresh_accepted = 0.0
-        self.dirty.pop(customer.name, None)
-
-    def _opened(self, customer: Customer, by: int) -> None:
-        customer.open += by
-        self._open_changed(customer)
-
-    def _open_changed(self, customer: Customer) -> None:
-        if customer.plan.max_out and customer.open != customer.open_sent:
-            self.dirty[customer.name] = customer
-
-    def _keep(self, live: Live, after: float) -> None:
-        """Keep a request until its answer, with a timer for when it must be given."""
-        self.live[live.ask.request] = live
-        token, self.next_token = self.next_token, self.next_token + 1
-        self.timers[token] = live.ask.request
-        self.actions.append(SetTimer(token, after))
-
-    def _count(
-        self, customer: Customer, kind: str, epoch: int, parts: tuple[int, int], amount: int, life: float
+            self._remove_in_flight(attempt)
+
+    def _defer_counts(self, customer: Customer) -> None:
+        """Leave unsent counts to the next call for any customer of the plan.
+
+        They are counted for that customer, so that they are kept below one burst.
+        """
+        burst, (total, accepted) = customer.plan.burst, self.deferred_units.get(customer.plan, (0.0, 0.0))
+        total, accepted = total + customer.unsent_total, accepted + customer.unsent_accepted
+        self.deferred_units[customer.plan] = min(burst, total), min(burst, accepted)
+        customer.unsent_total = customer.unsent_accepted = 0.0
+        self.unsent.pop(customer.name, None)
+
+    def _change_in_flight(self, customer: Customer, change: int) -> None:
+        customer.in_flight += change
+        self._mark_in_flight_unsent(customer)
+
+    def _mark_in_flight_unsent(self, customer: Customer) -> None:
+        if customer.plan.max_in_flight and customer.in_flight != customer.in_flight_sent:
+            self.unsent[customer.name] = customer
+
+    def _track(self, pending: PendingRequest, timeout_ms: float) -> None:
+        """Keep a request until its final answer, which a timer brings about at the latest."""
+        self.pending[pending.request.request_id] = pending
+        token, self.next_timer_token = self.next_timer_token, self.next_timer_token + 1
+        self.timers[token] = pending.request.request_id
+        self.actions.append(SetTimer(token, timeout_ms))
+
+    def _add_to_counter(
+        self, customer: Customer, kind: str, epoch: int, counts: tuple[int, int], amount: int, ttl_ms: float
     ) -> None:
-        """Call the counter under the name of this kind and epoch; `parts` wait for the answer."""
-        name = zlib.crc32(f"{kind}{epoch}".encode(), customer.phase) << 20 | customer.phase & 0xFFFFF
-        customer.calling = (name, *parts)
-        self.names[name] = (customer, kind == "open")
-        self.actions.append(Count(name, amount, life))
+        """Call the counter under the key of this kind and epoch; `counts` are applied when the call ends."""
+        key = zlib.crc32(f"{kind}{epoch}".encode(), customer.name_hash) << 20 | customer.name_hash & 0xFFFFF
+        customer.pending_call = (key, *counts)
+        self.calls_by_key[key] = (customer, kind == "open")
+        self.actions.append(AddToCounter(key, amount, ttl_ms))
--- a/ashlift/gatekeeper/admission/wirehost.py
+++ b/ashlift/gatekeeper/admission/wirehost.py
@@ -1,7 +1,7 @@
-"""Adapter: the operators' JSON wire on standard input and output, one Gateway for each instance.
+"""Adapter from the simulator's JSON lines on standard input and output to one Gateway for each node.
 
-It translates and nothing more. `python -m ashlift.gatekeeper.admission.wirehost` exits with 0 at the end of
-input, and with 1 and one line on standard error when a line cannot be read or the settings cannot be right.
+`python -m ashlift.gatekeeper.admission.wirehost` exits with 0 at the end of input, and with 1 and one line on
+standard error if a line or the settings are invalid.
 """
 
 import json
@@ -19,19 +19,19 @@
 RESULTS = {
     200: i.Result.OK,
     502: i.Result.ERROR,
-    429: i.Result.FULL,
+    429: i.Result.OVERLOADED,
     408: i.Result.TIMEOUT,
     521: i.Result.CONNECT_FAILED,
     520: i.Result.RESET,
     444: i.Result.CANCELLED,
-    409: i.Result.MOOT,
+    409: i.Result.NOT_SENT,
 }
 
 Json = dict[str, Any]
 
 
 class WireError(Exception):
-    """A line or a setting that cannot be right; the text names the key."""
+    """An invalid line or setting; the message names the key."""
 
 
 def number(table: Json, where: str, key: str, low: float = 0.0, high: float = math.inf) -> float:
@@ -50,11 +50,11 @@
     return value
 
 
-def word(table: Json, where: str, key: str, words: dict[str, Any]) -> Any:
+def choice(table: Json, where: str, key: str, choices: dict[str, Any]) -> Any:
     value = table.get(key)
-    if not isinstance(value, str) or value not in words:
+    if not isinstance(value, str) or value not in choices:
         raise WireError(f"setting {where}{key} is missing or unknown: {value!r}")
-    return words[value]
+    return choices[value]
 
 
 def table(table: Json, key: str) -> Json:
@@ -73,15 +73,15 @@
 
 def _class(row: Json, at: int) -> i.RequestClass:
     where = f"Categories[{at}]."
-    effect = word(row, where, "Effect", EFFECTS)
+    effect = choice(row, where, "Effect", EFFECTS)
     keyed = effect is i.Effect.KEYED
     return i.RequestClass(
         effect=effect,
-        aim_ms=number(row, where, "TargetMs"),
-        give_up_ms=number(row, where, "GiveUpMs"),
-        worth=number(row, where, "Value"),
-        late_share=number(row, where, "LateShare", 0.0, 1.0),
-        key_scope=word(row, where, "KeyScope", SCOPES) if keyed else i.KeyScope.ALL,
+        target_latency_ms=number(row, where, "TargetMs"),
+        client_timeout_ms=number(row, where, "GiveUpMs"),
+        value=number(row, where, "Value"),
+        late_value_ratio=number(row, where, "LateShare", 0.0, 1.0),
+        key_scope=choice(row, where, "KeyScope", SCOPES) if keyed else i.KeyScope.ALL,
         key_ttl_ms=number(row, where, "KeyTtlMs") if keyed else 0.0,
     )
 
@@ -93,10 +93,10 @@
     return i.Plan(
         rate=rate,
         burst=number(row, where, "MostAtOnce", 1e-9 if rate else 0.0),
-        max_out=int(number(row, where, "MaxOut")),
+        max_in_flight=int(number(row, where, "MaxOut")),
         price=number(row, where, "Pays"),
-        over_worth=number(row, where, "OverWorth"),
-        over_cost=number(row, where, "OverrunCost"),
+        over_quota_value_ratio=number(row, where, "OverWorth"),
+        over_quota_cost_ratio=number(row, where, "OverrunCost"),
         ceiling_rate=ceiling,
         ceiling_burst=number(row, where, "HardBurst", 1e-9 if ceiling else 0.0),
         ceiling_slack=number(row, where, "CeilingSlack"),
@@ -104,38 +104,38 @@
 
 
 def read_settings(facts: Json) -> i.Settings:
-    """Translate and check the settings; unknown keys are skipped."""
+    """Convert and validate the settings; unknown keys are ignored."""
     info, limits, rules = table(facts, "FamilyInfo"), table(facts, "Limits"), table(facts, "Rules")
     report = table(facts, "Report")
-    discovery = word(facts, "", "Discovery", {"automatic": False, "subscribe": True})
+    discovery = choice(facts, "", "Discovery", {"automatic": False, "subscribe": True})
     counter = flag(info, "FamilyInfo.", "MayCount")
     size = int(number(facts, "", "GroupSize", 1))
     return i.Settings(
         classes=tuple(_class(row, at) for at, row in enumerate(rows(facts, "Categories"))),
         plans=tuple(_plan(row, at) for at, row in enumerate(rows(facts, "Plans"))),
-        me=int(number(facts, "", "Me", 0, size - 1)),
-        group_size=size,
+        gateway_index=int(number(facts, "", "Me", 0, size - 1)),
+        gateway_count=size,
         zone=int(number(facts, "", "Zone")),
         tick_ms=number(facts, "", "TickMs"),
-        counter=counter,
+        counter_enabled=counter,
         counter_timeout_ms=number(info, "FamilyInfo.", "CounterTimeoutMs") if counter else 0.0,
-        count_fee=number(info, "FamilyInfo.", "CountFee") if counter else 0.0,
-        meter_ms=number(info, "FamilyInfo.", "MeterMs"),
-        max_units=number(info, "FamilyInfo.", "MaxUnits"),
-        cost_after=flag(info, "FamilyInfo.", "CostAfter"),
-        cancel=flag(limits, "Limits.", "Cancel"),
-        probing=flag(limits, "Limits.", "Probing"),
-        retry_after=flag(limits, "Limits.", "RetryAfter"),
+        counter_call_fee=number(info, "FamilyInfo.", "CountFee") if counter else 0.0,
+        usage_meter_ms=number(info, "FamilyInfo.", "MeterMs"),
+        max_request_units=number(info, "FamilyInfo.", "MaxUnits"),
+        units_known_after=flag(info, "FamilyInfo.", "CostAfter"),
+        cancel_enabled=flag(limits, "Limits.", "Cancel"),
+        probes_enabled=flag(limits, "Limits.", "Probing"),
+        retry_after_enabled=flag(limits, "Limits.", "RetryAfter"),
         max_retry_after_ms=number(limits, "Limits.", "MaxRetryAfterMs"),
-        second_copies=flag(limits, "Limits.", "SecondCopies"),
+        hedging_enabled=flag(limits, "Limits.", "SecondCopies"),
         max_attempts=int(number(limits, "Limits.", "TryLimit", 1)),
         report_fields=tuple(str(field) for field in report.get("Fields") or ()),
-        subscribe=discovery,
-        must_ask_ms=number(rules, "Rules.", "MustAskInMs") if discovery else 0.0,
-        cold_from=number(rules, "Rules.", "ColdFrom", 0.0, 1.0),
-        cold_ms=number(rules, "Rules.", "ColdMs"),
-        fall_multiple=number(rules, "Rules.", "FallMultiple"),
-        fall_ms=number(rules, "Rules.", "TipAfterMs"),
+        subscribe_enabled=discovery,
+        max_poll_interval_ms=number(rules, "Rules.", "MustAskInMs") if discovery else 0.0,
+        cold_capacity_ratio=number(rules, "Rules.", "ColdFrom", 0.0, 1.0),
+        warm_up_ms=number(rules, "Rules.", "ColdMs"),
+        cold_load_factor=number(rules, "Rules.", "FallMultiple"),
+        cold_load_window_ms=number(rules, "Rules.", "TipAfterMs"),
     )
 
 
@@ -153,35 +153,35 @@
         state=STATES[row["StageState"]],
         cell=row.get("Cell", 0),
         zone=row.get("Campus", 0),
-        size=float(row.get("Nominal", 1)),
+        capacity=float(row.get("Nominal", 1)),
         ready_at_ms=float(row.get("ReadyAtMs", 0.0)),
     )
 
 
 def _request(body: Json) -> i.Event:
     return i.Request(
-        request=body["RequestId"],
+        request_id=body["RequestId"],
         request_class=body.get("TierClass", 0),
         plan=body.get("Contract", 0),
         customer=body.get("Customer", ""),
-        patience_ms=float(body["PatienceLeftMs"]),
+        time_left_ms=float(body["PatienceLeftMs"]),
         units=float(body.get("SizeUnits", 1)),
-        set_size=max(1, int(body.get("SetSize", 1))),
+        gateway_count=max(1, int(body.get("SetSize", 1))),
         retry=bool(body.get("Retry", False)),
     )
 
 
 def _outcome(body: Json) -> i.Event:
-    return i.Outcome(
-        request=body["RequestId"],
+    return i.AttemptEnded(
+        request_id=body["RequestId"],
         attempt=body.get("N", 0),
         server=body["Server"],
         result=_result(body),
-        waited_ms=float(body.get("WaitTimeMs", 0.0)),
+        elapsed_ms=float(body.get("WaitTimeMs", 0.0)),
         final=bool(body.get("Final", False)),
-        use_percent=float(body["QuotaUse"] - 1) if body.get("QuotaUse") else None,
+        quota_use_percent=float(body["QuotaUse"] - 1) if body.get("QuotaUse") else None,
         units=float(body["FinalUnits"]) if body.get("FinalUnits") else None,
-        load=_load(body),
+        load_report=_load(body),
     )
 
 
@@ -189,22 +189,22 @@
     "Incoming": _request,
     "Outcome": _outcome,
     "Flowing": lambda b: i.StreamStarted(b["RequestId"], b.get("N", 0)),
-    "Dropped": lambda b: i.ClientLeft(b["RequestId"]),
+    "Dropped": lambda b: i.ClientDisconnected(b["RequestId"]),
     "Ring": lambda b: i.Timer(b["Ref"]),
-    "Checked": lambda b: i.Probed(b["Server"], _result(b), float(b.get("WaitTimeMs", 0.0)), _load(b)),
-    "CountResult": lambda b: i.Counted(
+    "Checked": lambda b: i.ProbeEnded(b["Server"], _result(b), float(b.get("WaitTimeMs", 0.0)), _load(b)),
+    "CountResult": lambda b: i.CounterCallEnded(
         b["Book"], _result(b), float(b.get("WaitTimeMs", 0.0)), float(b.get("Level", 0.0))
     ),
-    "NoteFrom": lambda b: i.PeerNote(b.get("From", 0), bytes.fromhex(b.get("Content", ""))),
+    "NoteFrom": lambda b: i.PeerMessage(b.get("From", 0), bytes.fromhex(b.get("Content", ""))),
 }
 
 WRITERS: dict[type, Callable[[Any], tuple[str, Json]]] = {
-    i.Send: lambda a: ("Send", {"RequestId": a.request, "Server": a.server, "CapMs": a.timeout_ms}),
-    i.Refuse: lambda a: ("TurnAway", {"RequestId": a.request, "PauseMs": a.retry_after_ms}),
-    i.Fail: lambda a: ("Abort", {"RequestId": a.request}),
-    i.Cancel: lambda a: ("AbortAttempt", {"RequestId": a.request, "N": a.attempt}),
-    i.SetTimer: lambda a: ("SetAlarm", {"Ref": a.token, "InMs": a.in_ms}),
-    i.Count: lambda a: ("AddTo", {"Book": a.name, "N": a.amount, "ExpireInMs": a.expire_ms}),
+    i.Send: lambda a: ("Send", {"RequestId": a.request_id, "Server": a.server, "CapMs": a.timeout_ms}),
+    i.Refuse: lambda a: ("TurnAway", {"RequestId": a.request_id, "PauseMs": a.retry_after_ms}),
+    i.Fail: lambda a: ("Abort", {"RequestId": a.request_id}),
+    i.Cancel: lambda a: ("AbortAttempt", {"RequestId": a.request_id, "N": a.attempt}),
+    i.SetTimer: lambda a: ("SetAlarm", {"Ref": a.token, "InMs": a.delay_ms}),
+    i.AddToCounter: lambda a: ("AddTo", {"Book": a.key, "N": a.amount, "ExpireInMs": a.ttl_ms}),
     i.Probe: lambda a: ("HealthCheck", {"Server": a.server}),
     i.Subscribe: lambda a: ("Watch", {"Active": True}),
     i.Log: lambda a: ("Record", {"ReasonText": a.text}),
@@ -212,30 +212,30 @@
 
 
 class Host:
-    """Keeps the instances of this process and turns one batch into one reply."""
+    """The gateways of all simulated nodes; each batch of events is answered by one batch of actions."""
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
         self.pools: dict[int, tuple[i.Server, ...]] = {}
 
     def batch(self, line: str) -> str:
-        """Answer one line of the wire with one line."""
+        """Process one input line and return the line that answers it."""
         try:
             batch = json.loads(line)
-            now, happened = float(batch["SimTimeMs"]), batch["happened"]
+            now, events = float(batch["SimTimeMs"]), batch["happened"]
             out: list[Json] = []
-            for event in happened:
+            for event in events:
                 ((kind, body),) = event.items()
-                self._one(now, kind, body, out)
+                self._process(now, kind, body, out)
         except WireError:
             raise
-        except KeyError as missing:
-            raise WireError(f"field {missing} is missing or has an unknown value") from missing
-        except (ValueError, TypeError, AttributeError) as wrong:
-            raise WireError(f"line is not a batch: {wrong}") from wrong
+        except KeyError as error:
+            raise WireError(f"field {error} is missing or has an unknown value") from error
+        except (ValueError, TypeError, AttributeError) as error:
+            raise WireError(f"line is not a batch: {error}") from error
         return json.dumps({"out": out}, separators=(",", ":"))
 
-    def _one(self, now: float, kind: str, body: Json, out: list[Json]) -> None:
+    def _process(self, now: float, kind: str, body: Json, out: list[Json]) -> None:
         if kind == "Pool":
             self.pools[body["RosterId"]] = tuple(_server(row) for row in body["Records"])
             return
@@ -258,7 +258,7 @@
     def _handle(self, node: int, now: float, event: i.Event, out: list[Json]) -> None:
         try:
             actions = self.gateways[node].handle(now, event)
-        except Exception as error:  # told to the operators, who must see it; never swallowed
+        except Exception as error:  # reported to the simulator
             text = f"{type(error).__name__}: {error}"
             out.append({"InternalError": {"NodeId": node, "ReasonText": text}})
             return
@@ -268,7 +268,7 @@
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout, errors: TextIO = sys.stderr) -> int:
-    """Answer batches until the input ends."""
+    """Answer batches until the input ends; return the exit status."""
     host = Host()
     for line in source:
         try:
--- a/ashlift/gatekeeper/calls.py
+++ b/ashlift/gatekeeper/calls.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ashlift.gatekeeper.admission.interface import Counted, Result
+from ashlift.gatekeeper.admission.interface import CounterCallEnded, Result
 from ashlift.gatekeeper.jobs import Clock, Inbox
 from ashlift.gatekeeper.metrics import Metrics
 
@@ -61,4 +61,4 @@
         call.ended = True
         call.timer.close()
         self._metrics.add("counter.over_limit" if over else f"counter.{result.value.replace(' ', '_')}")
-        self._inbox.put(Counted(call.name, result, self._clock.now() - call.at, total, over))
+        self._inbox.put(CounterCallEnded(call.name, result, self._clock.now() - call.at, total, over))
--- a/ashlift/gatekeeper/config.py
+++ b/ashlift/gatekeeper/config.py
@@ -143,7 +143,7 @@
     settings = read_settings(facts)
     grpc_counter = own.ratelimit.client.address
     counter = found.get("counter")
-    if settings.counter and not counter and not grpc_counter:
+    if settings.counter_enabled and not counter and not grpc_counter:
         raise ConfigError("counter is missing, though setting FamilyInfo.MayCount is true")
     try:
         seed = int(str(found.get("seed", "0")), 16)
@@ -167,15 +167,15 @@
         name=str(env.get("GW_NAME") or found.get("name") or "gatekeeper"),
         listen=_address("GW_LISTEN", env.get("GW_LISTEN") or found.get("listen")),
         discovery=_address("GW_DISCOVERY", env.get("GW_DISCOVERY") or found.get("discovery")),
-        counter=_address("counter", counter) if settings.counter and not grpc_counter else None,
+        counter=_address("counter", counter) if settings.counter_enabled and not grpc_counter else None,
         seed=seed,
         settings=settings,
         names=Names(
             _names(rows(facts, "Categories"), "Categories"),
             _names(rows(facts, "Plans"), "Plans"),
-            settings.max_units,
-            settings.group_size,
-            tuple(one.give_up_ms for one in settings.classes),
+            settings.max_request_units,
+            settings.gateway_count,
+            tuple(one.client_timeout_ms for one in settings.classes),
         ),
         zones=tuple(str(zone) for zone in facts.get("Zones") or ()),
         idle_ms=number(site, "Limits.", "IdleCloseMs", 1.0) if "IdleCloseMs" in site else 15_000.0,
--- a/ashlift/gatekeeper/jobs.py
+++ b/ashlift/gatekeeper/jobs.py
@@ -5,7 +5,13 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from ashlift.gatekeeper.admission.interface import Counted, Result, ServerList, Sharing, Timer
+from ashlift.gatekeeper.admission.interface import (
+    CounterCallEnded,
+    ProcessCountChanged,
+    Result,
+    ServerList,
+    Timer,
+)
 
 
 class Verdict(Enum):
@@ -129,10 +135,10 @@
     | Delivered
     | Command
     | HandsWritten
-    | Counted
+    | CounterCallEnded
     | ServerList
     | Timer
-    | Sharing
+    | ProcessCountChanged
 )
 
 
@@ -154,7 +160,7 @@
 
 
 class Counter(Protocol):
-    """The shared quota counter. Each call ends in one Counted, after the give-up time at the latest."""
+    """The shared quota counter. Each call ends in one CounterCallEnded, by the give-up time at the latest."""
 
     def add(self, name: int, amount: float, expire_ms: float) -> None:
         """Begin a call; returns at once."""
--- a/ashlift/gatekeeper/net/counter.py
+++ b/ashlift/gatekeeper/net/counter.py
@@ -192,7 +192,7 @@
                 return None
             return (Result.OK, level) if math.isfinite(level) else None
         case [b"busy"]:
-            return Result.FULL, 0.0
+            return Result.OVERLOADED, 0.0
         case [b"error", *_]:
             return Result.CONNECT_FAILED, 0.0  # nothing added
         case _:
--- a/ashlift/gatekeeper/net/nodes.py
+++ b/ashlift/gatekeeper/net/nodes.py
@@ -145,7 +145,7 @@
         if claim.cancelled:
             return Result.CANCELLED, b""
         if machine is None or (claim.timeout_ms < 0):
-            return Result.MOOT, b""
+            return Result.NOT_SENT, b""
         timer = gevent.Timeout(claim.timeout_ms / 1000 if claim.timeout_ms > 0 else None)
         timer.start()
         link: Link | None = None
@@ -154,14 +154,14 @@
         try:
             link = self._take((claim.server, machine.address)) or self._dial(claim, machine.address)
             if link is None:
-                return Result.MOOT, b""
+                return Result.NOT_SENT, b""
             claim.sock = link.sock
             # A drain told while the connection was coming up counts: looked at again before the first byte.
             still = self._machines.ready(claim.server)
             if still is None or still.address != machine.address:
                 self._metrics.add("claims.withdrawn")
                 keep = True
-                return Result.MOOT, b""
+                return Result.NOT_SENT, b""
             left = claim.timeout_ms - (self._clock.now() - began)
             if claim.job.cargo.passage is not None:
                 from ashlift.gatekeeper.net.stream_claim import StreamClaim  # loaded where there are streams
@@ -220,7 +220,7 @@
         if reply.status == 200:
             return Result.OK, b"".join(reply.parts), reply.keep
         if reply.status in (503, 504) and reply.never_ran:
-            return Result.FULL, b"", reply.keep
+            return Result.OVERLOADED, b"", reply.keep
         return Result.ERROR, b"", reply.keep
 
     # ---- connections
--- a/ashlift/gatekeeper/net/stream_claim.py
+++ b/ashlift/gatekeeper/net/stream_claim.py
@@ -223,7 +223,7 @@
         if reply.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             never = reply.never_ran and reply.status in (503, 504)
             claim.cause = Fault.NODE_ERROR
-            return (Result.FULL if never else Result.ERROR), reply.keep and reply.done and not early
+            return (Result.OVERLOADED if never else Result.ERROR), reply.keep and reply.done and not early
         if body.framing is Framing.CLOSE:
             raise SpoiltAnswerError("an answer that does not say where it ends")
         if reply.too_long:
--- a/ashlift/gatekeeper/operations/siblings.py
+++ b/ashlift/gatekeeper/operations/siblings.py
@@ -2,8 +2,8 @@
 
 Each process that inherits its listening socket keeps a mark, `ashlift-NAME.PID.alive`, and touches it
 every POLL_S; a mark that has not been touched for ALIVE_S is of a process that is gone, however it ended.
-The module is told how many there are (`Sharing`) whenever that changes, and splits its shares of ceilings
-between them.
+The module is told how many there are (`ProcessCountChanged`) whenever that changes, and splits its shares of
+ceilings between them.
 """
 
 import contextlib
--- a/ashlift/gatekeeper/owner.py
+++ b/ashlift/gatekeeper/owner.py
@@ -96,12 +96,16 @@
                 if self._jobs.pop(message.job.number, None) is None:
                     return None  # answered while the news was in the queue
                 self._metrics.add("jobs.left")
-                return i.ClientLeft(message.job.number)
+                return i.ClientDisconnected(message.job.number)
             case ClaimEnded():
                 return self._outcome(message)
             case BodyBegun():
                 known = message.number in self._jobs
-                return i.StreamStarted(message.number, message.attempt, spent=True) if known else None
+                return (
+                    i.StreamStarted(message.number, message.attempt, request_body_sent=True)
+                    if known
+                    else None
+                )
             case Headed():
                 return self._headed(message)
             case Delivered():
@@ -127,7 +131,9 @@
     def gauges(self) -> Gauges:
         """What stands now: jobs owed an answer, nodes listed, and those of them that are avoided."""
         now, views = self._clock.now(), self._gateway.servers.values()
-        avoided = sum(view.entry.state is not i.ServerState.READY or now < view.out_until for view in views)
+        avoided = sum(
+            view.entry.state is not i.ServerState.READY or now < view.ejected_until for view in views
+        )
         return Gauges(self.owed, len(views), avoided)
 
     def _request(self, job: Job) -> i.Request:
@@ -149,7 +155,7 @@
             streamed=job.streamed,
         )
 
-    def _outcome(self, ended: ClaimEnded) -> i.Outcome:
+    def _outcome(self, ended: ClaimEnded) -> i.AttemptEnded:
         served, job = ended.result is i.Result.OK, self._jobs.get(ended.number)
         self._metrics.add(f"claims.{ended.result.value.replace(' ', '_')}")
         if job is not None:
@@ -157,7 +163,7 @@
         if served:
             self._answer(ended.number, Answer(Verdict.SERVED, ended.body))
         final = ended.number not in self._jobs or (job is not None and job.flowing)
-        return i.Outcome(ended.number, ended.attempt, ended.server, ended.result, ended.waited_ms, final)
+        return i.AttemptEnded(ended.number, ended.attempt, ended.server, ended.result, ended.waited_ms, final)
 
     def _headed(self, headed: Headed) -> i.Event | None:
         """The answer begins: from here on the job has its one answer, and nothing is made again."""
@@ -193,27 +199,27 @@
         match action:
             case i.SetTimer():
                 put = self.inbox.put
-                self._timers[action.token] = self._clock.later(action.in_ms, put, i.Timer(action.token))
+                self._timers[action.token] = self._clock.later(action.delay_ms, put, i.Timer(action.token))
             case i.Send():
-                job = self._jobs.get(action.request)
+                job = self._jobs.get(action.request_id)
                 if job is not None and self._nodes is not None:
                     job.claims += 1
                     self._metrics.add("claims.sent")
                     self._nodes.start(job, job.claims - 1, action.server, action.timeout_ms)
             case i.Cancel():
                 if self._nodes is not None:
-                    self._nodes.cancel(action.request, action.attempt)
+                    self._nodes.cancel(action.request_id, action.attempt)
             case i.Refuse():
-                self._metrics.add(f"refused.{action.cause}")
-                self._answer(action.request, Answer(Verdict.REFUSED, b"", action.retry_after_ms))
+                self._metrics.add(f"refused.{action.reason}")
+                self._answer(action.request_id, Answer(Verdict.REFUSED, b"", action.retry_after_ms))
             case i.Admit():
-                self._answer(action.request, Answer(Verdict.PASSED))
+                self._answer(action.request_id, Answer(Verdict.PASSED))
             case i.Fail():
-                self._answer(action.request, self._failed(action.request))
-            case i.Count():
+                self._answer(action.request_id, self._failed(action.request_id))
+            case i.AddToCounter():
                 if self._counter is not None:
                     self._metrics.add("counter.calls")
-                    self._counter.add(action.name, action.amount, action.expire_ms)
+                    self._counter.add(action.key, action.amount, action.ttl_ms)
             case i.Log():
                 log.info("%s", action.text)
             case i.Subscribe() | i.Probe():
--- a/ashlift/gatekeeper/ratelimit/client.py
+++ b/ashlift/gatekeeper/ratelimit/client.py
@@ -121,7 +121,7 @@
 def read_error(code: grpc.StatusCode, details: str) -> Result:
     """What a failed call leaves behind; wherever that is in doubt, it may have been added."""
     if code is grpc.StatusCode.RESOURCE_EXHAUSTED:
-        return Result.FULL
+        return Result.OVERLOADED
     if code is grpc.StatusCode.UNAVAILABLE and details.startswith(NOT_SENT):
         return Result.CONNECT_FAILED
     return Result.TIMEOUT
--- a/ashlift/traffic/suppression.py
+++ b/ashlift/traffic/suppression.py
@@ -1,35 +1,34 @@
-"""Probabilistic suppression: the three regimes of Trypema's suppressed strategy, and the usage they go by.
+"""Probabilistic suppression after Trypema's suppressed strategy, and the usage that it is based on.
 
-With the paper's terms: `total` is all requests of a tenant in its window, `declined` those of them that were
-refused, and `accepted = total - declined`. Below the soft limit (by `accepted`) all requests are admitted;
-from the hard limit (by `total`) on, none; between them each is declined with the probability of the
-suppression factor:
+`total` is the number of a tenant's requests in its window, `declined` the refused ones of them, and
+`accepted = total - declined`. All requests are admitted while `accepted` is below the soft limit, none once
+`total` reaches the hard limit; between them, each is declined with the probability of the suppression factor:
 
     soft_limit         = window_size_seconds * rate_limit
     hard_limit         = soft_limit * hard_limit_factor
     perceived_rate     = max(total / window_size_seconds, rate_in_last_1000ms)
     suppression_factor = 1 - rate_limit / perceived_rate
 
-This is the hybrid form: a proxy counts its own requests at once, and those of others as totals tell them.
+A proxy counts its own requests at once, and those of others when it receives totals.
 """
 
 import random
 from typing import Final, NamedTuple
 
-from ashlift.gatekeeper.admission.window import suppression as suppression_factor
+from ashlift.gatekeeper.admission.window import suppression_factor
 from ashlift.traffic.tenant_usage import TenantUsage
-from ashlift.traffic.usage_window import MILLISECONDS
+from ashlift.traffic.usage_window import MS_PER_SECOND
 
-# Large: up to a spike of this size chance decides, so that all proxies and clients are admitted alike.
+# Large, so that during a spike all proxies and clients are admitted with the same probability.
 HARD_LIMIT_FACTOR: Final = 12.0
-FACTOR_CACHE_SECONDS: Final = 0.1  # that a suppression factor stands; the paper's default
-# Times the limit asked, from which a tenant is surely over it: below it, what is uneven would look like a
-# jump.
+FACTOR_CACHE_SECONDS: Final = 0.1  # for which a suppression factor is kept
+# Demand over the rate limit, above which a tenant is over its limit: below it, uneven traffic looks like a
+# surge.
 OVERLOAD_FACTOR: Final = 1.5
 
 
 class ObservedUsage(NamedTuple):
-    """Usage of one tenant, and the limit that it is held against: of all proxies, or of this one's share."""
+    """Usage and limits of one tenant: of all proxies, or of this proxy and its share."""
 
     total: float  # requests in the window
     accepted: float  # requests in the window
@@ -44,8 +43,7 @@
 ) -> ObservedUsage:
     """Return the usage at this proxy and its share of the limit, for an isolated proxy.
 
-    A tenant of which totals have never told has its share of the soft limit; any other, of what the rule's
-    window lets through.
+    If totals have included the tenant before, the limit covers the window of the rule QUOTA.
     """
     window_seconds = tenant.window_seconds
     soft_limit = tenant.burst
@@ -65,9 +63,9 @@
 
 
 def observe_all(now: float, tenant: TenantUsage, reported_until: float) -> ObservedUsage:
-    """Return the usage at all proxies: as reported, and since `reported_until` as it went on before.
+    """Return the usage at all proxies: as reported until `reported_until`, extrapolated since then.
 
-    Above the limit, the others' rate is taken to have jumped as this proxy's has: clients spread evenly.
+    Above the limit, the others' rate is assumed to have risen like this proxy's, as clients spread evenly.
     """
     total, accepted, last_second_total = tenant.window.recent_usage(now, tenant.window_seconds)
     since_reported = tenant.window.sums_since(reported_until)
@@ -95,7 +93,7 @@
 
 
 def is_admitted(now: float, tenant: TenantUsage, observed: ObservedUsage, rng: random.Random) -> bool:
-    """Decide by the three regimes; the suppression factor is computed anew once it is too old."""
+    """Return whether the request is admitted; the suppression factor is kept for a short time."""
     if observed.accepted < observed.soft_limit:
         return True
     if observed.total >= HARD_LIMIT_FACTOR * observed.soft_limit:
@@ -103,7 +101,7 @@
     if now >= tenant.suppression_factor_until:
         tenant.suppression_factor = suppression_factor(
             observed.rate_limit,
-            observed.window_seconds * MILLISECONDS,
+            observed.window_seconds * MS_PER_SECOND,
             observed.total,
             observed.last_second_total,
         )
--- a/tests/gatekeeper/fleet.py
+++ b/tests/gatekeeper/fleet.py
@@ -14,17 +14,17 @@
 SETTINGS = i.Settings(
     classes=(i.RequestClass(i.Effect.PURE, AIM, 7500.0),),
     plans=(i.Plan(),),
-    group_size=40,
+    gateway_count=40,
     tick_ms=1,
-    cancel=True,
+    cancel_enabled=True,
     counter_timeout_ms=30,
     max_attempts=3,
-    retry_after=True,
+    retry_after_enabled=True,
     max_retry_after_ms=1000,
-    cold_from=0.25,
-    cold_ms=18_000,
-    fall_multiple=2.5,
-    fall_ms=1500,
+    cold_capacity_ratio=0.25,
+    warm_up_ms=18_000,
+    cold_load_factor=2.5,
+    cold_load_window_ms=1500,
 )
 
 
@@ -41,8 +41,8 @@
     def pace(self, now: float) -> float:
         if not self.started:
             return 1.0
-        share = min(1.0, (now - self.started) / SETTINGS.cold_ms)
-        return SETTINGS.cold_from + (1 - SETTINGS.cold_from) * share
+        share = min(1.0, (now - self.started) / SETTINGS.warm_up_ms)
+        return SETTINGS.cold_capacity_ratio + (1 - SETTINGS.cold_capacity_ratio) * share
 
 
 class Fleet:
@@ -58,7 +58,7 @@
         calls_per_s: float = 0.0,
     ) -> None:
         self.now, self.random, self.work_ms = 1_000_000.0, random.Random(seed), work_ms
-        self.settings, self.seed = replace(settings, group_size=size), seed
+        self.settings, self.seed = replace(settings, gateway_count=size), seed
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._tick = self._requests = 0
         self.nodes = {f"n{at}": Node() for at in range(nodes)}
@@ -88,7 +88,7 @@
         self.now = end
 
     def boot(self, me: int) -> None:
-        self.up[me] = Gateway(replace(self.settings, me=me), self.seed * 1000 + me)
+        self.up[me] = Gateway(replace(self.settings, gateway_index=me), self.seed * 1000 + me)
         self.tell(me, complete=True)
 
     def kill(self, me: int) -> None:
@@ -127,7 +127,9 @@
         number = self._requests
         self.asked_by[number] = customer
         self.feed(
-            me, self.up[me], i.Request(number, 0, plan, customer or f"c{number}", 7000.0, set_size=set_size)
+            me,
+            self.up[me],
+            i.Request(number, 0, plan, customer or f"c{number}", 7000.0, gateway_count=set_size),
         )
 
     def feed(self, me: int, gate: Gateway, event: i.Event) -> None:
@@ -136,22 +138,22 @@
         for action in gate.handle(self.now, event):
             match action:
                 case i.SetTimer():
-                    self.at(action.in_ms, lambda one=action: self.feed(me, gate, i.Timer(one.token)))  # type: ignore[misc]
+                    self.at(action.delay_ms, lambda one=action: self.feed(me, gate, i.Timer(one.token)))  # type: ignore[misc]
                 case i.Send():
                     self._send(me, gate, action)
                 case i.Refuse() | i.Fail():
                     self.refused[me] += 1
-                    self.causes[action.cause if isinstance(action, i.Refuse) else "failed"] += 1
-                case i.Count():
+                    self.causes[action.reason if isinstance(action, i.Refuse) else "failed"] += 1
+                case i.AddToCounter():
                     self._count(me, gate, action)
                 case _:
                     pass
 
     def _send(self, me: int, gate: Gateway, send: i.Send) -> None:
-        attempt, node, began = self.attempts[me, send.request], self.nodes[send.server], self.now
-        self.attempts[me, send.request] += 1
+        attempt, node, began = self.attempts[me, send.request_id], self.nodes[send.server], self.now
+        self.attempts[me, send.request_id] += 1
         if not attempt:
-            self.let_in.setdefault(self.asked_by[send.request], []).append(self.now)
+            self.let_in.setdefault(self.asked_by[send.request_id], []).append(self.now)
         self.dials[send.server] += (me, send.server) not in self.pairs
         self.pairs.add((me, send.server))
         ended = False
@@ -162,7 +164,7 @@
                 ended = True
                 ok, waited = result is i.Result.OK, self.now - began
                 self.served[me] += ok
-                self.feed(me, gate, i.Outcome(send.request, attempt, send.server, result, waited, ok))
+                self.feed(me, gate, i.AttemptEnded(send.request_id, attempt, send.server, result, waited, ok))
 
         if not node.up:
             self.in_vain[send.server] += 1
@@ -186,14 +188,14 @@
             node.line.append(begin)
         self.at(send.timeout_ms, lambda: end(i.Result.TIMEOUT))
 
-    def _count(self, me: int, gate: Gateway, call: i.Count) -> None:
+    def _count(self, me: int, gate: Gateway, call: i.AddToCounter) -> None:
         """A line with a place a call; who has waited for too long has been added all the same."""
         self.call_free = max(self.call_free, self.now) + self.call_ms
         waited = self.call_free - self.now + 1.0
-        self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
-        total, late = self.totals[call.name], waited > self.settings.counter_timeout_ms
+        self.totals[call.key] = self.totals.get(call.key, 0.0) + call.amount
+        total, late = self.totals[call.key], waited > self.settings.counter_timeout_ms
         result = i.Result.TIMEOUT if late else i.Result.OK
         self.at(
             min(waited, self.settings.counter_timeout_ms),
-            lambda: self.feed(me, gate, i.Counted(call.name, result, waited, total)),
+            lambda: self.feed(me, gate, i.CounterCallEnded(call.key, result, waited, total)),
         )
--- a/tests/gatekeeper/helpers.py
+++ b/tests/gatekeeper/helpers.py
@@ -5,27 +5,27 @@
 from ashlift.gatekeeper.admission import Gateway
 from ashlift.gatekeeper.admission import interface as i
 
-PURE = i.RequestClass(i.Effect.PURE, aim_ms=600, give_up_ms=2000)
-KEYED = i.RequestClass(i.Effect.KEYED, aim_ms=600, give_up_ms=3000, key_ttl_ms=1000)
-UNSAFE = i.RequestClass(i.Effect.UNSAFE, aim_ms=600, give_up_ms=3000)
+PURE = i.RequestClass(i.Effect.PURE, target_latency_ms=600, client_timeout_ms=2000)
+KEYED = i.RequestClass(i.Effect.KEYED, target_latency_ms=600, client_timeout_ms=3000, key_ttl_ms=1000)
+UNSAFE = i.RequestClass(i.Effect.UNSAFE, target_latency_ms=600, client_timeout_ms=3000)
 BASE = i.Settings(
     classes=(PURE, KEYED, UNSAFE),
     plans=(i.Plan(rate=2, burst=6),),
-    group_size=3,
+    gateway_count=3,
     tick_ms=4,
-    counter=True,
+    counter_enabled=True,
     counter_timeout_ms=30,
-    cancel=True,
-    probing=True,
-    retry_after=True,
+    cancel_enabled=True,
+    probes_enabled=True,
+    retry_after_enabled=True,
     max_retry_after_ms=1000,
     max_attempts=4,
-    cold_from=0.2,
-    cold_ms=10_000,
-    fall_multiple=2,
-    fall_ms=3000,
+    cold_capacity_ratio=0.2,
+    warm_up_ms=10_000,
+    cold_load_factor=2,
+    cold_load_window_ms=3000,
 )
-PROVES_NOT_RUN = (i.Result.FULL, i.Result.CONNECT_FAILED, i.Result.MOOT)
+PROVES_NOT_RUN = (i.Result.OVERLOADED, i.Result.CONNECT_FAILED, i.Result.NOT_SENT)
 
 
 @dataclass
@@ -55,7 +55,7 @@
         actions = self.gateway.handle(self.now, event)
         for action in actions:
             if isinstance(action, i.SetTimer):
-                self.timers.append((self.now + action.in_ms, action.token))
+                self.timers.append((self.now + action.delay_ms, action.token))
         self.log.extend(actions)
         return actions
 
@@ -85,7 +85,7 @@
         final: bool | None = None,
     ) -> list[i.Action]:
         closed = result is i.Result.OK if final is None else final
-        return self.do(i.Outcome(number, attempt, server, result, waited, final=closed))
+        return self.do(i.AttemptEnded(number, attempt, server, result, waited, final=closed))
 
 
 def sends(actions: list[i.Action]) -> list[i.Send]:
@@ -96,5 +96,5 @@
     return [action for action in actions if isinstance(action, (i.Refuse, i.Fail))]
 
 
-def counts(actions: list[i.Action]) -> list[i.Count]:
-    return [action for action in actions if isinstance(action, i.Count)]
+def counts(actions: list[i.Action]) -> list[i.AddToCounter]:
+    return [action for action in actions if isinstance(action, i.AddToCounter)]
--- a/tests/gatekeeper/test_fleet.py
+++ b/tests/gatekeeper/test_fleet.py
@@ -41,8 +41,8 @@
     for name in new:
         times = [at for at in fleet.nodes[name].got if at >= since]
         for at in times:
-            most = 2.5 * 2 * fleet.nodes[name].pace(at) * SETTINGS.fall_ms / fleet.work_ms
-            assert sum(at <= other < at + SETTINGS.fall_ms for other in times) <= most + 2
+            most = 2.5 * 2 * fleet.nodes[name].pace(at) * SETTINGS.cold_load_window_ms / fleet.work_ms
+            assert sum(at <= other < at + SETTINGS.cold_load_window_ms for other in times) <= most + 2
 
 
 def test_the_scatter_of_forty_small_shares_is_no_overload() -> None:
@@ -100,7 +100,9 @@
     assert max(fleet.dials.values()) <= 8  # of the twelve gateways
 
 
-QUOTAS = replace(SETTINGS, counter=True, plans=(i.Plan(rate=0.5, burst=3.0, over_cost=1.2),))
+QUOTAS = replace(
+    SETTINGS, counter_enabled=True, plans=(i.Plan(rate=0.5, burst=3.0, over_quota_cost_ratio=1.2),)
+)
 
 
 def beyond(times: list[float], plan: i.Plan) -> int:
@@ -149,7 +151,7 @@
     # With all of the unheard let in and untold, 25 to 28 in 100 went beyond. Turning all of them away is no
     # mend either: what is left of the worth, less what is charged, must be as much as it was.
     assert over <= 0.21 * let_in
-    assert let_in - over - QUOTAS.plans[0].over_cost * over >= 1600
+    assert let_in - over - QUOTAS.plans[0].over_quota_cost_ratio * over >= 1600
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -177,12 +179,12 @@
     fleet.run(10_000.0)
     for name in gone:  # back cold, and told: work comes, and no more than the rule allows in any 1.5 s
         times = [at for at in fleet.nodes[name].got if at >= since]
-        most = 2.5 * 2 * SETTINGS.cold_from * SETTINGS.fall_ms / fleet.work_ms
-        assert times and sum(at < since + SETTINGS.fall_ms for at in times) <= most + 2
+        most = 2.5 * 2 * SETTINGS.cold_capacity_ratio * SETTINGS.cold_load_window_ms / fleet.work_ms
+        assert times and sum(at < since + SETTINGS.cold_load_window_ms for at in times) <= most + 2
 
 
 def test_each_refusal_tells_its_cause() -> None:
-    fleet = Fleet(size=1, nodes=1, settings=replace(QUOTAS, counter=False))
+    fleet = Fleet(size=1, nodes=1, settings=replace(QUOTAS, counter_enabled=False))
     for _ in range(9):
         fleet.ask(0, "a")
     assert set(fleet.causes) == {"quota"}
@@ -199,7 +201,7 @@
     for me, size, nodes in ((57, 40, 60), (0, 1, 60), (0, 1, 1), (3, 40, 0)):
         fleet = Fleet(size=1, nodes=nodes, settings=SETTINGS)
         gate = fleet.up[0]
-        gate.settings = i.Settings(SETTINGS.classes, SETTINGS.plans, me=me, group_size=size)
+        gate.settings = i.Settings(SETTINGS.classes, SETTINGS.plans, gateway_index=me, gateway_count=size)
         fleet.tell(0, complete=True)
         assert bool(gate.subset) is bool(nodes)
         fleet.ask(0)
--- a/tests/gatekeeper/test_operations.py
+++ b/tests/gatekeeper/test_operations.py
@@ -412,11 +412,11 @@
     new = Gatekeeper(replace(settings, inherited_fd=os.dup(held.fileno())))
     new.start()
     with gevent.Timeout(10):
-        while not old.owner._gateway.parts == new.owner._gateway.parts == 2:
+        while not old.owner._gateway.process_count == new.owner._gateway.process_count == 2:
             gevent.sleep(0.02)
         old.stop(0.0)
         assert old.marks is not None and not old.marks.path.exists()
-        while new.owner._gateway.parts != 1:  # the old one's mark is gone
+        while new.owner._gateway.process_count != 1:  # the old one's mark is gone
             gevent.sleep(0.02)
     new.stop(0.0)
     held.close()
--- a/tests/gatekeeper/test_parts.py
+++ b/tests/gatekeeper/test_parts.py
@@ -61,7 +61,7 @@
     node = Node()
     nodes, inbox, metrics = pool(Drained, node)
     nodes.start(job(), 0, "n1", 900.0)
-    assert inbox.get(timeout=10).result is Result.MOOT
+    assert inbox.get(timeout=10).result is Result.NOT_SENT
     assert metrics.counts["claims.withdrawn"] == 1 and node.traces == []
     node.server.stop()
 
@@ -74,7 +74,7 @@
     nodes.start(job(1), 0, "n1", 20_000.0)
     nodes.start(job(2), 0, "n1", 20_000.0)
     refused = inbox.get(timeout=10)
-    assert (refused.number, refused.result) == (2, Result.MOOT)
+    assert (refused.number, refused.result) == (2, Result.NOT_SENT)
     nodes.cancel(1, 0)
     assert inbox.get(timeout=10).result is Result.CANCELLED
     silent.close()
@@ -142,7 +142,7 @@
     owner = Owner(Gateway(config(NOWHERE, {}).settings, 1), clock := ManualClock(), Metrics())
     late = job()
     late.came_ms, late.patience_ms = clock.now() - 300.0, 900.0
-    assert owner._request(late).patience_ms == 600.0
+    assert owner._request(late).time_left_ms == 600.0
 
 
 def test_all_gatekeepers_read_one_clock() -> None:
--- a/tests/gatekeeper/test_quota.py
+++ b/tests/gatekeeper/test_quota.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from ashlift.gatekeeper.admission import interface as i
-from ashlift.gatekeeper.admission.quota import HARD_FACTOR
+from ashlift.gatekeeper.admission.quota import HARD_LIMIT_FACTOR
 from tests.gatekeeper.helpers import BASE, Driver, answers, counts, sends
 
 
@@ -48,29 +48,29 @@
 
 def test_a_new_customer_gets_its_share_until_the_counter_answers() -> None:
     gates = [Driver(seed=seed) for seed in range(20)]
-    assert sum(len(sends(gate.ask(set_size=3)[1])) for gate in gates for _ in range(12)) < 6 * 20
+    assert sum(len(sends(gate.ask(gateway_count=3)[1])) for gate in gates for _ in range(12)) < 6 * 20
 
 
 def test_counts_of_another_gateway_close_the_quota_here() -> None:
     gate = Driver()
     for _ in range(2):
-        gate.ask(set_size=2)
+        gate.ask(gateway_count=2)
     (first,) = counts(gate.log)
-    gate.do(i.Counted(first.name, i.Result.OK, 2.0, first.amount))
-    gate.ask(set_size=2)
+    gate.do(i.CounterCallEnded(first.key, i.Result.OK, 2.0, first.amount))
+    gate.ask(gateway_count=2)
     (second,) = counts(gate.run(2000.0))
     theirs = 9 * 1000 + 6
-    gate.do(i.Counted(second.name, i.Result.OK, 2.0, first.amount + second.amount + theirs))
-    assert not sends(gate.ask(set_size=2)[1])
+    gate.do(i.CounterCallEnded(second.key, i.Result.OK, 2.0, first.amount + second.amount + theirs))
+    assert not sends(gate.ask(gateway_count=2)[1])
 
 
 def test_a_timed_out_call_is_never_added_again_and_a_refused_one_is() -> None:
-    for result, again in ((i.Result.TIMEOUT, False), (i.Result.FULL, True)):
+    for result, again in ((i.Result.TIMEOUT, False), (i.Result.OVERLOADED, True)):
         gate = Driver()
-        gate.ask(set_size=2)
+        gate.ask(gateway_count=2)
         gate.run(300.0)
         (count,) = counts(gate.log)
-        gate.do(i.Counted(count.name, result, 30.0))
+        gate.do(i.CounterCallEnded(count.key, result, 30.0))
         later = counts(gate.run(3000.0))
         assert (sum(call.amount for call in later) == count.amount) is again
 
@@ -79,17 +79,17 @@
     # Else all that others ever did under the name would count as done just now, and close the quota here.
     gate = Driver()
     gate.run(5000.0)  # a name lasts 12 s: all that follows is under one
-    made, out = gate.ask(set_size=2)
+    made, out = gate.ask(gateway_count=2)
     (first,) = counts(out)
     theirs = 5 * 1000 + 5
-    assert sends(gate.do(i.Counted(first.name, i.Result.OK, 2.0, first.amount + theirs)))
+    assert sends(gate.do(i.CounterCallEnded(first.key, i.Result.OK, 2.0, first.amount + theirs)))
     gate.run(3100.0)  # theirs have left the window
-    (second,) = counts(gate.ask(set_size=2)[1])
-    gate.do(i.Counted(second.name, i.Result.TIMEOUT, 30.0))
-    (third,) = counts([*gate.ask(set_size=2)[1], *gate.run(300.0)])
-    assert first.name == second.name == third.name
-    gate.do(i.Counted(third.name, i.Result.OK, 2.0, first.amount + theirs + third.amount))
-    assert sends(gate.ask(set_size=2)[1])
+    (second,) = counts(gate.ask(gateway_count=2)[1])
+    gate.do(i.CounterCallEnded(second.key, i.Result.TIMEOUT, 30.0))
+    (third,) = counts([*gate.ask(gateway_count=2)[1], *gate.run(300.0)])
+    assert first.key == second.key == third.key
+    gate.do(i.CounterCallEnded(third.key, i.Result.OK, 2.0, first.amount + theirs + third.amount))
+    assert sends(gate.ask(gateway_count=2)[1])
     # What is known never to have been added is told with the next call.
     (fourth,) = counts(gate.run(1000.0))
     assert fourth.amount == second.amount + 1001
@@ -98,25 +98,25 @@
 def test_at_most_one_call_in_flight_for_a_name() -> None:
     gate = Driver()
     for _ in range(40):
-        gate.ask(set_size=2)
+        gate.ask(gateway_count=2)
         gate.run(50.0)
     assert len(counts(gate.log)) == 1
 
 
 def test_idle_customers_are_forgotten() -> None:
-    gate = Driver(replace(BASE, counter=False))
+    gate = Driver(replace(BASE, counter_enabled=False))
     for number in range(500):
         made, out = gate.ask(customer=f"c{number}")
         for send in sends(out):
             gate.end(made, send.server, i.Result.OK)
     gate.run(60_000.0)
-    assert not gate.gateway.customers and not gate.gateway.dirty and not gate.gateway.attempts
+    assert not gate.gateway.customers and not gate.gateway.unsent and not gate.gateway.attempts
 
 
 def test_the_same_events_give_the_same_actions() -> None:
     first, second = Driver(seed=5), Driver(seed=5)
     for gate in (first, second):
-        flood(gate, 5, 9, set_size=2)
+        flood(gate, 5, 9, gateway_count=2)
     assert first.log == second.log and len(first.log) > 100
 
 
@@ -133,35 +133,35 @@
 
 def test_a_customer_that_the_call_budget_starves_gets_no_more_than_its_share() -> None:
     gate = Driver()
-    gate.ask(set_size=3)
+    gate.ask(gateway_count=3)
     (count,) = counts(gate.log)
-    gate.do(i.Counted(count.name, i.Result.OK, 2.0, count.amount))
-    gate.gateway.call_rate = gate.gateway.calls = 0.0
-    passed = flood(gate, 30, 4, set_size=3)
+    gate.do(i.CounterCallEnded(count.key, i.Result.OK, 2.0, count.amount))
+    gate.gateway.call_rate = gate.gateway.call_tokens = 0.0
+    passed = flood(gate, 30, 4, gateway_count=3)
     assert passed <= 30 * 2 / 3 * 1.4 + 6
 
 
 def test_a_call_speaks_for_what_could_not_be_told_and_for_no_more_than_a_burst() -> None:
     for unheard, told in ((2, 3), (30, 7)):  # with its own; the burst is 6 units
         gate = Driver()
-        gate.gateway.calls = gate.gateway.call_rate = 0.0
+        gate.gateway.call_tokens = gate.gateway.call_rate = 0.0
         for number in range(unheard):
-            assert len(sends(gate.ask(set_size=3, customer=f"c{number}")[1])) == 1
-        gate.gateway.calls = 1.0
-        (count,) = counts(gate.ask(set_size=3)[1])
+            assert len(sends(gate.ask(gateway_count=3, customer=f"c{number}")[1])) == 1
+        gate.gateway.call_tokens = 1.0
+        (count,) = counts(gate.ask(gateway_count=3)[1])
         assert count.amount == told * 1001
 
 
 def test_the_unheard_are_turned_away_once_the_heard_like_them_were_over_their_quota() -> None:
     def play(over: bool, over_cost: float = 1.2) -> int:
-        gate = Driver(replace(BASE, plans=(replace(BASE.plans[0], over_cost=over_cost),)))
+        gate = Driver(replace(BASE, plans=(replace(BASE.plans[0], over_quota_cost_ratio=over_cost),)))
         for number in range(40):
-            gate.gateway.calls = 1.0
-            (count,) = counts(gate.ask(set_size=3, customer=f"h{number}")[1])
+            gate.gateway.call_tokens = 1.0
+            (count,) = counts(gate.ask(gateway_count=3, customer=f"h{number}")[1])
             theirs = over * (30 * 1000 + 6)
-            gate.do(i.Counted(count.name, i.Result.OK, 2.0, count.amount + theirs))
-        gate.gateway.calls = gate.gateway.call_rate = 0.0
-        return sum(len(sends(gate.ask(set_size=3, customer=f"u{number}")[1])) for number in range(10))
+            gate.do(i.CounterCallEnded(count.key, i.Result.OK, 2.0, count.amount + theirs))
+        gate.gateway.call_tokens = gate.gateway.call_rate = 0.0
+        return sum(len(sends(gate.ask(gateway_count=3, customer=f"u{number}")[1])) for number in range(10))
 
     assert play(over=False) == 10 and play(over=True) == 0
     assert play(over=True, over_cost=0.0) == 10  # nothing is charged for them
@@ -173,7 +173,7 @@
     assert [type(action) for action in told] == [i.Admit] * 3
     number, out = driver.ask(units=2.0, admit_only=True)
     refused = answers(out)[0]
-    assert isinstance(refused, i.Refuse) and refused.request == number and refused.retry_after_ms > 0
+    assert isinstance(refused, i.Refuse) and refused.request_id == number and refused.retry_after_ms > 0
     assert not sends(driver.log)
 
 
@@ -181,16 +181,16 @@
     driver = Driver()
     _, out = driver.ask(units=4e9, admit_only=True)
     assert isinstance(out[0], i.Refuse)
-    assert driver.gateway.customers["ab12"].fresh_total <= HARD_FACTOR * BASE.plans[0].burst
+    assert driver.gateway.customers["ab12"].unsent_total <= HARD_LIMIT_FACTOR * BASE.plans[0].burst
 
 
 def test_a_count_over_its_limit_is_no_room_until_the_counter_tells_otherwise() -> None:
     driver = Driver()
-    number, out = driver.ask(set_size=3)
+    number, out = driver.ask(gateway_count=3)
     call = counts(out)[0]
-    refused = answers(driver.do(i.Counted(call.name, i.Result.OK, 2.0, 0.0, over=True)))
-    assert [action.request for action in refused if isinstance(action, i.Refuse)] == [number]
+    refused = answers(driver.do(i.CounterCallEnded(call.key, i.Result.OK, 2.0, 0.0, limit_exceeded=True)))
+    assert [action.request_id for action in refused if isinstance(action, i.Refuse)] == [number]
     driver.now += 2_000
-    _, out = driver.ask(set_size=3)
+    _, out = driver.ask(gateway_count=3)
     again = counts(out)[0]
-    assert len(sends(driver.do(i.Counted(again.name, i.Result.OK, 2.0, again.amount)))) == 1
+    assert len(sends(driver.do(i.CounterCallEnded(again.key, i.Result.OK, 2.0, again.amount)))) == 1
--- a/tests/gatekeeper/test_random_orders.py
+++ b/tests/gatekeeper/test_random_orders.py
@@ -10,18 +10,27 @@
 from tests.gatekeeper.helpers import BASE, KEYED, PROVES_NOT_RUN, PURE, UNSAFE
 
 CEILING = i.Plan(rate=2, burst=6, ceiling_rate=0.5, ceiling_burst=4, ceiling_slack=2)  # a ceiling that binds
-PLANS = (CEILING, i.Plan(max_out=3), i.Plan(rate=3, burst=9, max_out=4), i.Plan())
+PLANS = (CEILING, i.Plan(max_in_flight=3), i.Plan(rate=3, burst=9, max_in_flight=4), i.Plan())
 SETTINGS = {
     "plain": replace(BASE, plans=PLANS),
     "cell": replace(BASE, plans=PLANS, classes=(PURE, replace(KEYED, key_scope=i.KeyScope.CELL), UNSAFE)),
     "zone": replace(BASE, plans=PLANS, classes=(PURE, replace(KEYED, key_scope=i.KeyScope.ZONE), UNSAFE)),
-    "alone": replace(BASE, plans=PLANS, group_size=1, counter=False, probing=False, cancel=False),
-    "reports": replace(BASE, plans=PLANS, report_fields=("busy_reqs",), second_copies=True, cost_after=True),
-    "large": replace(BASE, plans=PLANS, group_size=300),
+    "alone": replace(
+        BASE, plans=PLANS, gateway_count=1, counter_enabled=False, probes_enabled=False, cancel_enabled=False
+    ),
+    "reports": replace(
+        BASE, plans=PLANS, report_fields=("busy_reqs",), hedging_enabled=True, units_known_after=True
+    ),
+    "large": replace(BASE, plans=PLANS, gateway_count=300),
     "large, asked, capped": replace(
-        BASE, plans=PLANS, group_size=300, subscribe=True, report_fields=("busy_reqs",), max_units=2.0
+        BASE,
+        plans=PLANS,
+        gateway_count=300,
+        subscribe_enabled=True,
+        report_fields=("busy_reqs",),
+        max_request_units=2.0,
     ),
-    "asked": replace(BASE, plans=PLANS, subscribe=True, must_ask_ms=10_000.0),
+    "asked": replace(BASE, plans=PLANS, subscribe_enabled=True, max_poll_interval_ms=10_000.0),
 }
 
 
@@ -36,13 +45,13 @@
         self.out: dict[tuple[int, int], tuple[str, float]] = {}
         self.tries: dict[int, int] = {}
         self.may_run: dict[int, tuple[str, float]] = {}
-        self.calls: list[i.Count] = []
+        self.calls: list[i.AddToCounter] = []
         self.totals: dict[int, float] = {}
         self.probes: list[str] = []
         self.listed: dict[str, i.Server] = {}
         self.store = {f"p0c{n}": CEILING.ceiling_burst for n in range(3)}
         self.next_id, self.answered, self.taken, self.started = 1, 0, 0, self.now
-        cold = self.now if settings.group_size > 3 else 0.0  # a large group starts with every server cold
+        cold = self.now if settings.gateway_count > 3 else 0.0  # a large group starts with every server cold
         entries = tuple(i.Server(f"s{n}", cell=n % 2, zone=n % 3, ready_at_ms=cold) for n in range(6))
         self.feed(i.ServerList(entries, complete=True))
 
@@ -57,8 +66,8 @@
             case i.SetTimer(token, in_ms):
                 assert in_ms >= 0
                 self.timers.append((self.now + in_ms, token))
-            case i.Count():
-                assert all(call.name != action.name for call in self.calls), "two calls in flight for a name"
+            case i.AddToCounter():
+                assert all(call.key != action.key for call in self.calls), "two calls in flight for a name"
                 self.calls.append(action)
             case i.Probe(server):
                 self.probes.append(server)
@@ -71,33 +80,33 @@
                 if isinstance(action, i.Refuse):
                     self.check_refusal(ask)
             case i.Cancel(number, attempt):
-                assert self.settings.cancel and attempt < self.tries[number]
+                assert self.settings.cancel_enabled and attempt < self.tries[number]
             case _:
                 assert isinstance(action, (i.Subscribe, i.Log))
 
     def check_refusal(self, ask: i.Request) -> None:
         cls = self.settings.classes[ask.request_class]
-        ran = ask.request in self.may_run or any(number == ask.request for number, _ in self.out)
+        ran = ask.request_id in self.may_run or any(number == ask.request_id for number, _ in self.out)
         if cls.effect is not i.Effect.PURE and ran:
             assert cls.effect is i.Effect.KEYED and cls.key_scope is i.KeyScope.ALL
 
     def check_send(self, send: i.Send) -> None:
-        ask, end = self.open[send.request]
+        ask, end = self.open[send.request_id]
         assert self.now < end and self.listed[send.server].state is i.ServerState.READY
-        assert not any(number == send.request for number, _ in self.out), "two attempts at once"
-        cls, first = self.settings.classes[ask.request_class], self.may_run.get(send.request)
+        assert not any(number == send.request_id for number, _ in self.out), "two attempts at once"
+        cls, first = self.settings.classes[ask.request_class], self.may_run.get(send.request_id)
         if first is not None and cls.effect is not i.Effect.PURE:
             assert cls.effect is i.Effect.KEYED and self.now < first[1] + cls.key_ttl_ms
             was, now = self.listed[first[0]], self.listed[send.server]
             assert cls.key_scope is not i.KeyScope.CELL or was.cell == now.cell
             assert cls.key_scope is not i.KeyScope.ZONE or was.zone == now.zone
-        number = self.tries.get(send.request, 0)
+        number = self.tries.get(send.request_id, 0)
         assert number < self.settings.max_attempts
         if ask.plan == 0 and number == 0:
             self.store[ask.customer] -= ask.units
             assert self.store[ask.customer] >= -CEILING.ceiling_slack, "ceiling passed"
-        self.tries[send.request] = number + 1
-        self.out[send.request, number] = (send.server, self.now)
+        self.tries[send.request_id] = number + 1
+        self.out[send.request_id, number] = (send.server, self.now)
 
     def until(self, now: float) -> None:
         for name, level in self.store.items():
@@ -123,7 +132,7 @@
         elif draw < 0.90:
             self.news()
         elif draw < 0.93 and self.probes:
-            self.feed(i.Probed(self.probes.pop(), self.dice.choice((i.Result.OK, i.Result.TIMEOUT)), 3.0))
+            self.feed(i.ProbeEnded(self.probes.pop(), self.dice.choice((i.Result.OK, i.Result.TIMEOUT)), 3.0))
         elif draw < 0.94 and self.open:
             self.leave(self.dice.choice(list(self.open)))
         elif draw < 0.945 and self.now > self.started + 5_000:
@@ -134,12 +143,12 @@
     def ask(self) -> None:
         plan, patience = self.dice.randrange(4), self.dice.choice((1.0, 90.0, 600.0, 2500.0))
         customer = f"p{plan}c{self.dice.randrange(3)}"
-        units, size = float(self.dice.choice((1, 1, 2))), self.dice.randint(1, self.settings.group_size)
+        units, size = float(self.dice.choice((1, 1, 2))), self.dice.randint(1, self.settings.gateway_count)
         ask = i.Request(self.next_id, self.dice.randrange(3), plan, customer, patience, units, size)
         if plan == 0:
-            ask = replace(ask, set_size=1)
+            ask = replace(ask, gateway_count=1)
         self.next_id, self.taken = self.next_id + 1, self.taken + 1
-        self.open[ask.request] = (ask, self.now + patience)
+        self.open[ask.request_id] = (ask, self.now + patience)
         self.feed(ask)
 
     def outcome(self, key: tuple[int, int]) -> None:
@@ -152,14 +161,16 @@
             del self.open[key[0]]
             self.answered += 1
         load = (self.dice.random() * 9,) if self.settings.report_fields else ()
-        self.feed(i.Outcome(key[0], key[1], server, result, self.now - at, final, 90.0, load=load))
+        self.feed(
+            i.AttemptEnded(key[0], key[1], server, result, self.now - at, final, 90.0, load_report=load)
+        )
 
-    def counted(self, call: i.Count) -> None:
-        result = self.dice.choice((i.Result.OK, i.Result.OK, i.Result.TIMEOUT, i.Result.FULL))
+    def counted(self, call: i.AddToCounter) -> None:
+        result = self.dice.choice((i.Result.OK, i.Result.OK, i.Result.TIMEOUT, i.Result.OVERLOADED))
         if result is i.Result.OK or self.dice.random() < 0.5:
-            kept = 0.0 if self.dice.random() < 0.05 else self.totals.get(call.name, 0.0)
-            self.totals[call.name] = kept + call.amount
-        self.feed(i.Counted(call.name, result, 5.0, self.totals.get(call.name, 0.0)))
+            kept = 0.0 if self.dice.random() < 0.05 else self.totals.get(call.key, 0.0)
+            self.totals[call.key] = kept + call.amount
+        self.feed(i.CounterCallEnded(call.key, result, 5.0, self.totals.get(call.key, 0.0)))
 
     def news(self) -> None:
         if self.dice.random() < 0.2:
@@ -172,7 +183,7 @@
     def leave(self, number: int) -> None:
         del self.open[number]
         self.answered += 1
-        self.feed(i.ClientLeft(number))
+        self.feed(i.ClientDisconnected(number))
 
     def restart(self) -> None:
         self.taken -= len(self.open)
--- a/tests/gatekeeper/test_ratelimit.py
+++ b/tests/gatekeeper/test_ratelimit.py
@@ -12,7 +12,7 @@
 from gevent.queue import SimpleQueue
 
 from ashlift.gatekeeper.__main__ import Gatekeeper
-from ashlift.gatekeeper.admission.interface import Counted, Result
+from ashlift.gatekeeper.admission.interface import CounterCallEnded, Result
 from ashlift.gatekeeper.clock import UnixClock
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.ratelimit.bridge import Bridge
@@ -275,12 +275,12 @@
 # ---- the client alone
 
 
-def one_call(address: str, amount: float = 5.0, timeout_ms: float = 10_000.0) -> Counted:
+def one_call(address: str, amount: float = 5.0, timeout_ms: float = 10_000.0) -> CounterCallEnded:
     inbox: SimpleQueue[Any] = SimpleQueue()
     counter = GrpcCounter(address, "counts", timeout_ms, Bridge(), UnixClock(), inbox, Metrics())
     try:
         counter.add(77, amount, 4000.0)
-        counted: Counted = inbox.get(timeout=20)
+        counted: CounterCallEnded = inbox.get(timeout=20)
         return counted
     finally:
         counter.close()
@@ -289,7 +289,7 @@
 @pytest.mark.parametrize(
     ("code", "result"),
     [
-        (grpc.StatusCode.RESOURCE_EXHAUSTED, Result.FULL),
+        (grpc.StatusCode.RESOURCE_EXHAUSTED, Result.OVERLOADED),
         (grpc.StatusCode.UNAVAILABLE, Result.TIMEOUT),
         (grpc.StatusCode.INTERNAL, Result.TIMEOUT),
         (grpc.StatusCode.UNKNOWN, Result.TIMEOUT),
@@ -343,7 +343,7 @@
     counts.limitless = True
     assert one_call(counts.address).result is Result.TIMEOUT  # no total: no room read
     counts.limitless, counts.over = False, True
-    assert one_call(counts.address).over
+    assert one_call(counts.address).limit_exceeded
     counts.stop()
 
 
--- a/tests/gatekeeper/test_rules.py
+++ b/tests/gatekeeper/test_rules.py
@@ -13,7 +13,7 @@
 def test_an_answer_is_given_before_the_client_gives_up_and_only_once() -> None:
     gate = Driver()
     start = gate.now
-    number, out = gate.ask(patience_ms=500.0)
+    number, out = gate.ask(time_left_ms=500.0)
     assert sends(out)
     final = answers(gate.run(499.0))
     assert len(final) == 1 and gate.now <= start + 500
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("patience", [0.0, 0.5, 3.0])
 def test_a_patience_of_almost_nothing_is_answered(patience: float) -> None:
     gate = Driver()
-    _, out = gate.ask(patience_ms=patience)
+    _, out = gate.ask(time_left_ms=patience)
     assert len(answers(out + gate.run(patience))) == 1
 
 
@@ -123,7 +123,7 @@
         for gate in gates:
             if step == 400 and gate is gates[0]:
                 gate.boot()
-            number, out = gate.ask(set_size=2)
+            number, out = gate.ask(gateway_count=2)
             for send in sends(out):
                 store -= 1
                 gate.end(number, send.server, i.Result.OK)
@@ -131,21 +131,21 @@
             for count in counts(gate.run(20.0)):
                 result = {"silent": i.Result.TIMEOUT, "refusing": i.Result.CONNECT_FAILED}.get(counter)
                 total = 0.0 if counter == "zero" else count.amount
-                gate.do(i.Counted(count.name, result or i.Result.OK, 2.0, total))
+                gate.do(i.CounterCallEnded(count.key, result or i.Result.OK, 2.0, total))
     assert lowest >= -2
 
 
 @pytest.mark.parametrize("told", [True, False])
 def test_two_processes_of_one_gatekeeper_keep_its_ceiling_between_them(told: bool) -> None:
     plan = i.Plan(rate=50, burst=200, ceiling_rate=4, ceiling_burst=16, ceiling_slack=2)  # no quota binds
-    processes = [Driver(replace(BASE, plans=(plan,), counter=False), seed=n) for n in range(2)]
+    processes = [Driver(replace(BASE, plans=(plan,), counter_enabled=False), seed=n) for n in range(2)]
     for gate in processes:
-        gate.do(i.Sharing(2 if told else 1))
+        gate.do(i.ProcessCountChanged(2 if told else 1))
     store, lowest = 16.0, 16.0
     for _ in range(1500):  # both are asked every 20 ms: far beyond the ceiling
         store = min(16.0, store + 4 * 0.02)
         for gate in processes:
-            number, out = gate.ask(set_size=1)
+            number, out = gate.ask(gateway_count=1)
             for send in sends(out):
                 store -= 1
                 gate.end(number, send.server, i.Result.OK)
@@ -155,8 +155,8 @@
 
 
 def test_open_attempts_stay_under_a_cap_without_the_counter() -> None:
-    gate = Driver(replace(BASE, plans=(i.Plan(max_out=6),), counter=False))
-    out = [gate.ask(set_size=2)[1] for _ in range(10)]
+    gate = Driver(replace(BASE, plans=(i.Plan(max_in_flight=6),), counter_enabled=False))
+    out = [gate.ask(gateway_count=2)[1] for _ in range(10)]
     assert sum(len(sends(actions)) for actions in out) == 3
 
 
@@ -165,12 +165,12 @@
     number, out = gate.ask()
     gate.end(number, sends(out)[0].server, i.Result.OK)
     for event in (
-        i.Outcome(number, 0, "s0", i.Result.OK, 5.0, final=True),
-        i.Outcome(999, 3, "zz", i.Result.FULL, 1.0),
-        i.ClientLeft(number),
+        i.AttemptEnded(number, 0, "s0", i.Result.OK, 5.0, final=True),
+        i.AttemptEnded(999, 3, "zz", i.Result.OVERLOADED, 1.0),
+        i.ClientDisconnected(number),
         i.Timer(98765),
-        i.Counted(5, i.Result.OK, 1.0, 7.0),
-        i.Probed("zz", i.Result.OK, 1.0),
+        i.CounterCallEnded(5, i.Result.OK, 1.0, 7.0),
+        i.ProbeEnded("zz", i.Result.OK, 1.0),
         i.StreamStarted(77, 0),
     ):
         assert gate.do(event) == []
@@ -204,7 +204,7 @@
         for send in sends(out):
             gate.end(number, send.server, i.Result.OK, 40.0 if step < 300 else 160.0)
         gate.run(20.0)
-        assert all(view.out_until < gate.now for view in gate.gateway.servers.values())
+        assert all(view.ejected_until < gate.now for view in gate.gateway.servers.values())
 
 
 def test_a_server_that_cannot_be_reached_is_left_out_until_a_probe_is_answered() -> None:
@@ -217,14 +217,14 @@
                 gate.end(number, send.server, i.Result.OK, attempt=1)
         else:
             gate.end(number, "s1", i.Result.OK)
-    assert view.out_until > gate.now
+    assert view.ejected_until > gate.now
     probes = [action for action in gate.run(1100.0) if isinstance(action, i.Probe)]
-    assert probes == [i.Probe("s0")] and view.out_until > gate.now
-    gate.do(i.Probed("s0", i.Result.CONNECT_FAILED, 250.0))
-    assert view.out_until > gate.now + 1000
+    assert probes == [i.Probe("s0")] and view.ejected_until > gate.now
+    gate.do(i.ProbeEnded("s0", i.Result.CONNECT_FAILED, 250.0))
+    assert view.ejected_until > gate.now + 1000
     assert i.Probe("s0") in gate.run(2100.0)
-    gate.do(i.Probed("s0", i.Result.OK, 1.0))
-    assert view.out_until <= gate.now and not gate.gateway.suspects
+    gate.do(i.ProbeEnded("s0", i.Result.OK, 1.0))
+    assert view.ejected_until <= gate.now and not gate.gateway.ejected
 
 
 def test_a_server_that_answers_fast_with_errors_does_not_draw_the_traffic() -> None:
@@ -238,7 +238,7 @@
             gate.end(number, send.server, i.Result.ERROR if failed else i.Result.OK, 2.0 if failed else 80.0)
         for action in gate.run(20.0):
             if isinstance(action, i.Probe):
-                gate.do(i.Probed(action.server, i.Result.OK, 1.0))
+                gate.do(i.ProbeEnded(action.server, i.Result.OK, 1.0))
     assert 2 <= bad <= 15
 
 
@@ -259,9 +259,9 @@
 def test_the_limit_falls_to_its_floor_in_a_slow_fleet_and_comes_back() -> None:
     gate = Driver(replace(BASE, plans=(i.Plan(),)), servers=6)
     slow_down(gate, 10, 50)
-    before = gate.gateway.limit
+    before = gate.gateway.in_flight_limit
     slow_down(gate, 10, 500)
-    floor = gate.gateway.limit
+    floor = gate.gateway.in_flight_limit
     slow_down(gate, 30, 100)
     assert floor < before and floor >= 3 * 6 / 3 - 1 and gate.gateway.pressure < 0.4
 
@@ -269,10 +269,10 @@
 def test_the_limit_grows_with_the_fleet() -> None:
     gate = Driver(replace(BASE, plans=(i.Plan(),)), servers=4)
     gate.run(100.0)
-    before = gate.gateway.limit
+    before = gate.gateway.in_flight_limit
     gate.do(i.ServerList(tuple(i.Server(f"new{n}") for n in range(4))))
     gate.run(100.0)
-    assert abs(gate.gateway.limit - 2 * before) < 0.1
+    assert abs(gate.gateway.in_flight_limit - 2 * before) < 0.1
 
 
 def test_an_attempt_that_hangs_while_its_server_answers_is_withdrawn_and_made_anew_after_its_end() -> None:
@@ -292,4 +292,4 @@
         assert (cancels == [i.Cancel(hanging, 0)]) is withdrawn
         if withdrawn:
             again = sends(gate.end(hanging, "s0", i.Result.CANCELLED, 300.0))
-            assert [send.request for send in again] == [hanging]
+            assert [send.request_id for send in again] == [hanging]
--- a/tests/gatekeeper/test_scale.py
+++ b/tests/gatekeeper/test_scale.py
@@ -10,7 +10,10 @@
 
 
 def group(size: int, servers: int, settings: i.Settings = FREE) -> list[Driver]:
-    return [Driver(replace(settings, group_size=size, me=me), seed=me, servers=servers) for me in range(size)]
+    return [
+        Driver(replace(settings, gateway_count=size, gateway_index=me), seed=me, servers=servers)
+        for me in range(size)
+    ]
 
 
 def test_each_gateway_of_a_large_group_goes_by_few_servers_and_all_servers_by_as_many() -> None:
@@ -25,7 +28,7 @@
 
 
 def test_an_idle_step_touches_no_server() -> None:
-    gate = Driver(replace(FREE, group_size=300), servers=80)
+    gate = Driver(replace(FREE, gateway_count=300), servers=80)
     gate.gateway.servers = {}  # would fail on any look at a server's state
     assert gate.run(200.0) == [i.SetTimer(0, 50.0)] * 4
 
@@ -48,26 +51,30 @@
 
 
 def test_a_gateway_whose_servers_are_all_left_out_turns_to_the_rest_of_the_fleet() -> None:
-    gate = Driver(replace(FREE, group_size=300), servers=40)
+    gate = Driver(replace(FREE, gateway_count=300), servers=40)
     for view in gate.gateway.subset:
         gate.gateway._eject(gate.now, view)
     names = {view.entry.name for view in gate.gateway.subset}
     assert sends(gate.ask()[1])[0].server not in names
 
 
-QUOTA = replace(BASE, group_size=100, plans=(i.Plan(rate=1, burst=4, over_cost=1.0), i.Plan(max_out=4)))
+QUOTA = replace(
+    BASE,
+    gateway_count=100,
+    plans=(i.Plan(rate=1, burst=4, over_quota_cost_ratio=1.0), i.Plan(max_in_flight=4)),
+)
 
 
 def test_a_customer_spread_thin_is_decided_after_its_count_and_not_before() -> None:
     for elsewhere, passes in ((0, True), (60 * 1000 + 20, False)):
         gate = Driver(QUOTA)
-        number, out = gate.ask(set_size=97)
-        (count,) = [action for action in out if isinstance(action, i.Count)]
+        number, out = gate.ask(gateway_count=97)
+        (count,) = [action for action in out if isinstance(action, i.AddToCounter)]
         assert not sends(out) and not answers(out)
         gate.now += 3
-        after = gate.do(i.Counted(count.name, i.Result.OK, 3.0, count.amount + elsewhere))
+        after = gate.do(i.CounterCallEnded(count.key, i.Result.OK, 3.0, count.amount + elsewhere))
         assert bool(sends(after)) is passes and bool(answers(after)) is not passes
-        later = [action for action in gate.run(500.0) if isinstance(action, i.Count)]
+        later = [action for action in gate.run(500.0) if isinstance(action, i.AddToCounter)]
         # What was counted as let in and then refused is taken off again.
         assert [action.amount for action in later] == ([] if passes else [-1])
 
@@ -75,21 +82,21 @@
 def test_a_held_request_is_decided_without_the_counter_too() -> None:
     gate = Driver(QUOTA)
     for lost in range(3):  # one lost call of a gateway that makes few is no dead counter
-        number, out = gate.ask(set_size=97, customer=f"c{lost}")
-        (count,) = [action for action in out if isinstance(action, i.Count)]
+        number, out = gate.ask(gateway_count=97, customer=f"c{lost}")
+        (count,) = [action for action in out if isinstance(action, i.AddToCounter)]
         gate.now += 30
-        assert len(sends(gate.do(i.Counted(count.name, i.Result.TIMEOUT, 30.0)))) == 1
+        assert len(sends(gate.do(i.CounterCallEnded(count.key, i.Result.TIMEOUT, 30.0)))) == 1
         gate.run(1000.0)
     # While the counter fails nothing is held; one request passes unheard.
-    assert len(sends(gate.ask(set_size=97, customer="other")[1])) == 1
+    assert len(sends(gate.ask(gateway_count=97, customer="other")[1])) == 1
 
 
 def test_a_held_request_whose_client_leaves_or_gives_up_is_answered_once() -> None:
     gate = Driver(QUOTA)
-    number, out = gate.ask(set_size=97, patience_ms=10.0)
-    (count,) = [action for action in out if isinstance(action, i.Count)]
+    number, out = gate.ask(gateway_count=97, time_left_ms=10.0)
+    (count,) = [action for action in out if isinstance(action, i.AddToCounter)]
     assert len(answers(gate.run(10.0))) == 1
-    assert not sends(gate.do(i.Counted(count.name, i.Result.OK, 12.0, count.amount)))
+    assert not sends(gate.do(i.CounterCallEnded(count.key, i.Result.OK, 12.0, count.amount)))
 
 
 def test_a_cap_on_open_attempts_holds_over_many_gateways() -> None:
@@ -97,17 +104,17 @@
     total: dict[int, float] = {}
     sent = 0
     for gate in gates:
-        number, out = gate.ask(plan=1, set_size=50)
-        while calls := [action for action in out if isinstance(action, i.Count)]:
-            total[calls[0].name] = total.get(calls[0].name, 0) + calls[0].amount
-            out = gate.do(i.Counted(calls[0].name, i.Result.OK, 2.0, total[calls[0].name]))
+        number, out = gate.ask(plan=1, gateway_count=50)
+        while calls := [action for action in out if isinstance(action, i.AddToCounter)]:
+            total[calls[0].key] = total.get(calls[0].key, 0) + calls[0].amount
+            out = gate.do(i.CounterCallEnded(calls[0].key, i.Result.OK, 2.0, total[calls[0].key]))
             sent += len(sends(out))
             out = gate.run(60.0)
     assert sent == 4
 
 
 def test_a_few_attempts_at_a_calm_gateway_of_a_large_group_are_no_overload() -> None:
-    gate = Driver(replace(FREE, group_size=100), servers=20)
+    gate = Driver(replace(FREE, gateway_count=100), servers=20)
     for _ in range(200):
         gate.run(500.0)
         pair = [gate.ask(), gate.ask()]
@@ -117,7 +124,7 @@
 
 
 def test_a_failed_list_call_is_asked_again_with_growing_pauses() -> None:
-    gate = Driver(replace(FREE, subscribe=True))
+    gate = Driver(replace(FREE, subscribe_enabled=True))
     asked = []
     for _ in range(4):
         start = gate.now
@@ -131,7 +138,7 @@
 def test_a_class_left_unanswered_by_some_servers_goes_elsewhere_and_leaves_no_server_out() -> None:
     silent, missed, seeds = {"s0", "s1", "s2"}, 0, range(1, 9)
     for seed in seeds:
-        gate = Driver(replace(FREE, group_size=100), servers=8, seed=seed)
+        gate = Driver(replace(FREE, gateway_count=100), servers=8, seed=seed)
         for step in range(300):
             kind = step % 2
             number, out = gate.ask(request_class=kind)
@@ -141,13 +148,13 @@
                 waited, result = (590.0, i.Result.CANCELLED) if mute else (90.0, i.Result.OK)
                 gate.run(waited)
                 gate.end(number, send.server, result, waited)
-        assert not gate.gateway.suspects
+        assert not gate.gateway.ejected
     # Each is tried once as its mark has faded, after some 3 s; without marks it were 37 in a hundred.
     assert missed <= 18 * len(seeds)
 
 
 def test_a_server_seen_seldom_is_judged_by_few_answers() -> None:
-    gate = Driver(replace(FREE, group_size=100), servers=8)
+    gate = Driver(replace(FREE, gateway_count=100), servers=8)
     slow = 0
     for step in range(160):
         number, out = gate.ask()
@@ -164,17 +171,17 @@
 
 
 def test_nonsense_from_the_meter_or_a_load_report_raises_nothing() -> None:
-    gate = Driver(replace(FREE, group_size=100, report_fields=("busy_reqs",)), servers=8)
+    gate = Driver(replace(FREE, gateway_count=100, report_fields=("busy_reqs",)), servers=8)
     for load in ((), (-5.0,), (1e12,), (0.0,)):
         for use in (None, 0.0, -1.0, 1e9):
-            number, out = gate.ask(set_size=500)
+            number, out = gate.ask(gateway_count=500)
             send = sends(out)[0]
-            gate.do(i.Outcome(number, 0, send.server, i.Result.OK, 80.0, True, use, load=load))
+            gate.do(i.AttemptEnded(number, 0, send.server, i.Result.OK, 80.0, True, use, load_report=load))
             gate.run(100.0)
 
 
 def test_a_fleet_of_thousands_that_drains_is_answered_at_once() -> None:
-    gate = Driver(replace(FREE, group_size=100), servers=3000)
+    gate = Driver(replace(FREE, gateway_count=100), servers=3000)
     assert sends(gate.ask()[1])
     gate.do(i.ServerList(tuple(i.Server(f"s{n}", i.ServerState.DRAINING) for n in range(3000))))
     assert isinstance(answers(gate.ask()[1])[0], i.Refuse)
--- a/tests/gatekeeper/test_streams.py
+++ b/tests/gatekeeper/test_streams.py
@@ -351,7 +351,7 @@
         number, actions = driver.ask(streamed=True)
         server = sends(actions)[0].server
         if spent:
-            driver.do(i.StreamStarted(number, 0, spent=True))
+            driver.do(i.StreamStarted(number, 0, request_body_sent=True))
         after = driver.end(number, server, result)
         assert [type(action) for action in after if isinstance(action, i.Send | i.Fail | i.Refuse)] == [told]
 
@@ -360,10 +360,10 @@
     driver = Driver()
     number, actions = driver.ask(streamed=True)
     server = sends(actions)[0].server
-    assert driver.gateway.out == 1
+    assert driver.gateway.in_flight == 1
     driver.do(i.StreamStarted(number, 0))
-    assert driver.gateway.out == 0 == driver.gateway.servers[server].out
+    assert driver.gateway.in_flight == 0 == driver.gateway.servers[server].in_flight
     assert answers(driver.run(60_000)) == []
     driver.end(number, server, i.Result.TIMEOUT, final=True)
-    assert driver.gateway.out == 0 and driver.gateway.servers[server].fails == 1
-    assert number not in driver.gateway.live
+    assert driver.gateway.in_flight == 0 and driver.gateway.servers[server].failures_in_row == 1
+    assert number not in driver.gateway.pending
