--- a/ashlift/traffic/__init__.py
+++ b/ashlift/traffic/__init__.py
@@ -1,5 +1,5 @@
 """Traffic policies of a proxy: rate limiter, retry budget, outlier detection and slow start.
 
-All modules are pure: no input or output, no clock and no random source of their own. Callers give the time
-(seconds of the steady clock) and, where chance decides, a seeded `random.Random`.
+The modules do no input or output and read no clock: callers pass the time (seconds of the monotonic clock)
+and, where needed, a seeded `random.Random`.
 """
--- a/ashlift/traffic/outlier_detection.py
+++ b/ashlift/traffic/outlier_detection.py
@@ -1,36 +1,35 @@
-"""Outlier detection: which workers fail too often, judged by what all proxies have seen together.
+"""Outlier detection: ejects workers that fail too often, by the failures that all proxies have seen.
 
-In thin traffic one proxy sends a worker a request in many seconds, and by itself would notice too late that
-they fail. So each proxy reports its failures and requests for every worker at which a request failed, here or
-elsewhere (`OutlierDetector.failure_counts`), and gets the totals of all proxies back
-(`OutlierDetector.record_failure_totals`). A worker that fails too often is ejected for a while: the load
-balancer ranks it after all others, which is not the same as never using it.
+A single proxy may send a worker too few requests to detect failures quickly. Each proxy therefore reports its
+failures and requests (`OutlierDetector.failure_counts`) for every worker with a failed request at any proxy,
+and receives the totals of all proxies (`OutlierDetector.record_failure_totals`). The load balancer ranks an
+ejected worker after all others, but may still use it.
 
-A faulty proxy must not take a service away: two proxies must have seen failures, each counts for a bounded
-number, and at most a fifth of a service's workers in a region is ejected. The load balancer owns the state;
-times are seconds of the steady clock.
+To limit the damage that a faulty proxy can do, at least two proxies must have seen failures, the failures
+counted for each proxy are capped, and at most a fifth of a service's workers in a region is ejected. Times
+are seconds of the monotonic clock.
 """
 
 import math
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Final, NamedTuple
 
-DECAY_SECONDS: Final = 4.0  # time constant with which evidence loses its weight
-MIN_FAILURES: Final = 2.5  # failures of all proxies from which a worker can be ejected
-MIN_FAILURE_RATE: Final = 0.12  # failed part of the requests from which it is ejected
-PRIOR_SUCCESSES: Final = 2.0  # requests that count as successful at each worker before any is seen
-MIN_REPORTERS: Final = 2  # proxies that must have seen failures; fewer where there are fewer proxies
-MIN_LOCAL_FAILURES: Final = 3.0  # failures seen here that are enough for this proxy to eject by itself
-MAX_FAILURES_PER_PROXY: Final = 4.0  # at a worker, in totals
-# From the first totals that name a worker until they hold the successes of other proxies there too.
+DECAY_SECONDS: Final = 4.0  # time constant of the exponential decay of evidence
+MIN_FAILURES: Final = 2.5  # at all proxies, from which a worker can be ejected
+MIN_FAILURE_RATE: Final = 0.12  # failed part of the requests, from which a worker can be ejected
+PRIOR_SUCCESSES: Final = 2.0  # successful requests assumed at each worker before any is seen
+MIN_REPORTERS: Final = 2  # proxies that must have seen failures, if there are so many
+MIN_LOCAL_FAILURES: Final = 3.0  # with which this proxy ejects a worker without the totals
+MAX_REPORTED_FAILURES: Final = 4.0  # of one proxy at one worker
+# From the first totals that name a worker until totals include its successes at other proxies.
 REPORT_DELAY_SECONDS: Final = 0.7
 FIRST_EJECTION_SECONDS: Final = 5.0  # doubled with each further ejection
 MAX_EJECTION_SECONDS: Final = 20.0
-RECOVERED_AFTER_SECONDS: Final = 20.0  # without ejection: the next one is a first one again
+RECOVERED_AFTER_SECONDS: Final = 20.0  # without ejection, after which the duration starts anew
 MAX_EJECTED_RATIO: Final = 0.2  # of a service's workers in a region
-MAX_UTILIZATION: Final = 0.8  # of the slots of the workers that are not ejected
-MIN_REPORTED_WEIGHT: Final = 0.3  # failures or requests: below it a worker is not reported
-REPORT_SCALE: Final = 10  # reports and totals are in tenths of a request
+MAX_UTILIZATION: Final = 0.8  # of the remaining workers' slots
+MIN_REPORTED_REQUESTS: Final = 0.3  # failures or requests, below which a worker is not reported
+REPORT_SCALE: Final = 10  # reports and totals count tenths of a request
 
 
 class FailureTotals(NamedTuple):
@@ -42,14 +41,14 @@
 
 
 class WorkerLoad(NamedTuple):
-    """What the ejection of a worker would take away, and what the others would have to take over."""
+    """Capacity and load of one worker, which the others would have to take over."""
 
     slots: int
     in_flight: float  # requests of all proxies
 
 
-class _Evidence(NamedTuple):
-    """Decayed numbers of failures and requests, and of the proxies that have seen failures."""
+class _FailureEvidence(NamedTuple):
+    """Decayed failures and requests, and the number of proxies that have seen failures."""
 
     failures: float
     requests: float
@@ -57,7 +56,7 @@
 
 
 class _LocalEvidence:
-    """What this proxy has seen of one worker, as of `updated_at`."""
+    """Failures and requests of this proxy at one worker, as of `updated_at`."""
 
     __slots__ = ("failures", "requests", "updated_at")
 
@@ -67,28 +66,28 @@
         self.updated_at = -math.inf
 
     def decayed(self, now: float) -> tuple[float, float]:
-        """Failures and requests with the weight that they have now."""
+        """Return failures and requests, decayed until now."""
         weight = math.exp(-(now - self.updated_at) / DECAY_SECONDS)
         return self.failures * weight, self.requests * weight
 
 
 class _RemoteEvidence(NamedTuple):
-    """What other proxies have seen of one worker."""
+    """Failures and requests of other proxies at one worker."""
 
-    everywhere: _Evidence
-    same_registry: _Evidence  # of proxies that report to the same registry: newer
+    everywhere: _FailureEvidence
+    same_registry: _FailureEvidence  # of proxies that report to the same registry: more current
     first_reported_at: float
 
 
 class Ejection(NamedTuple):
-    """The last time that a worker was ejected."""
+    """The last ejection of a worker."""
 
     until: float
     duration_seconds: float
 
 
 class OutlierDetector:
-    """Ejects the workers that fail too often, by the evidence of this proxy and the totals of all."""
+    """Ejects workers that fail too often, by this proxy's evidence and the totals of all proxies."""
 
     def __init__(self) -> None:
         self._local: dict[str, _LocalEvidence] = {}
@@ -99,9 +98,9 @@
     # ---- evidence
 
     def record_result(self, now: float, worker_id: str, failure: float) -> None:
-        """Count one request of this proxy that ended at the worker.
+        """Count one finished request of this proxy at the worker.
 
-        `failure` is 0 for a success and 1 for a failure; a value between says that it may be a failure.
+        `failure` is 0 for a success and 1 for a failure; a value between is the probability of a failure.
         """
         evidence = self._local.setdefault(worker_id, _LocalEvidence())
         failures, requests = evidence.decayed(now)
@@ -112,17 +111,14 @@
             self._failed_here.add(worker_id)
 
     def failure_counts(self, now: float) -> dict[str, list[int]]:
-        """Return what to report: failures and requests of this proxy by worker, in tenths.
-
-        Named are the workers at which requests failed here or elsewhere.
-        """
+        """Return failures and requests of this proxy, in tenths, by worker with failures at any proxy."""
         counts = {}
         for worker_id in self._failed_here | self._remote.keys():
             failures, requests = self._local_counts(now, worker_id)
-            if failures < MIN_REPORTED_WEIGHT:
+            if failures < MIN_REPORTED_REQUESTS:
                 self._failed_here.discard(worker_id)
-            if requests >= MIN_REPORTED_WEIGHT:
-                scale = min(1.0, MAX_FAILURES_PER_PROXY / failures) if failures else 1.0
+            if requests >= MIN_REPORTED_REQUESTS:
+                scale = min(1.0, MAX_REPORTED_FAILURES / failures) if failures else 1.0
                 counts[worker_id] = [
                     round(failures * scale * REPORT_SCALE),
                     round(requests * scale * REPORT_SCALE),
@@ -136,14 +132,14 @@
         same_registry: Mapping[str, FailureTotals],
         own_counts: Mapping[str, Sequence[int]],
     ) -> None:
-        """Take the totals by worker: of all proxies, and of those that report to the same registry.
+        """Replace the totals by worker: of all proxies, and of those that report to the same registry.
 
-        `own_counts` is what this proxy reported last (`failure_counts`): both totals contain it.
+        `own_counts` are the last counts reported by this proxy (`failure_counts`): both totals include them.
         """
         remote: dict[str, _RemoteEvidence] = {}
         for worker_id, totals in everywhere.items():
             own_failures, own_requests = own_counts.get(worker_id, (0, 0))
-            seen_failures = int(own_failures >= MIN_REPORTED_WEIGHT * REPORT_SCALE)
+            seen_failures = int(own_failures >= MIN_REPORTED_REQUESTS * REPORT_SCALE)
             own = FailureTotals(own_failures, own_requests, seen_failures)
             known = self._remote.get(worker_id)
             remote[worker_id] = _RemoteEvidence(
@@ -167,11 +163,11 @@
     # ---- ejections
 
     def suspects(self) -> set[str]:
-        """Return all workers that may have to be ejected."""
+        """Return all workers that may be ejected."""
         return self._failed_here | self._remote.keys() | self._ejections.keys()
 
     def failure_rate(self, now: float, worker_id: str, proxy_count: int) -> float:
-        """Return the failed part of the worker's requests where that calls for an ejection, else 0."""
+        """Return the worker's failure rate if it is high enough for an ejection, else 0."""
         failures, requests = self._local_counts(now, worker_id)
         rate = 0.0
         if failures >= MIN_LOCAL_FAILURES and failures / (requests + PRIOR_SUCCESSES) >= MIN_FAILURE_RATE:
@@ -180,8 +176,8 @@
         if remote is None or now - remote.first_reported_at < REPORT_DELAY_SECONDS:
             return rate
         for evidence in (remote.everywhere, remote.same_registry):
-            reporters = evidence.reporters + (failures >= MIN_REPORTED_WEIGHT)
-            all_failures = evidence.failures + min(failures, MAX_FAILURES_PER_PROXY)
+            reporters = evidence.reporters + (failures >= MIN_REPORTED_REQUESTS)
+            all_failures = evidence.failures + min(failures, MAX_REPORTED_FAILURES)
             all_requests = evidence.requests + requests
             if all_failures >= MIN_FAILURES and reporters >= min(MIN_REPORTERS, proxy_count):
                 all_rate = all_failures / (all_requests + PRIOR_SUCCESSES)
@@ -189,7 +185,7 @@
         return rate
 
     def ejected_workers(self, now: float, group: Mapping[str, WorkerLoad], proxy_count: int) -> set[str]:
-        """Decide which workers are ejected of `group`: a service's workers in one region."""
+        """Decide which workers of `group` (a service's workers in one region) are ejected."""
         rates = self._rates_for_ejection(now, group, proxy_count)
         if not rates:
             return set()
@@ -208,7 +204,7 @@
     def _rates_for_ejection(
         self, now: float, group: Mapping[str, WorkerLoad], proxy_count: int
     ) -> dict[str, float]:
-        """Failure rates of the workers to be ejected, 1 for those that are; forgets ejections long past."""
+        """Failure rates of workers to eject, 1 for ejected ones; also drops old ejections."""
         rates: dict[str, float] = {}
         for worker_id in self.suspects():
             if worker_id not in group:
@@ -223,7 +219,7 @@
         return rates
 
     def _eject(self, now: float, worker_id: str) -> None:
-        """Begin an ejection, unless one goes on."""
+        """Start an ejection, unless the worker is ejected."""
         ejection = self._ejections.get(worker_id)
         if ejection is not None and now < ejection.until:
             return
@@ -238,9 +234,9 @@
         return evidence.decayed(now) if evidence is not None else (0.0, 0.0)
 
 
-def _without_own(totals: FailureTotals, own: FailureTotals) -> _Evidence:
-    """What other proxies have seen. Totals are older than `own`, which may therefore be larger."""
-    return _Evidence(
+def _without_own(totals: FailureTotals, own: FailureTotals) -> _FailureEvidence:
+    """Evidence of other proxies. Totals are older than `own`, so that `own` may be larger."""
+    return _FailureEvidence(
         max(0, totals.failures - own.failures) / REPORT_SCALE,
         max(0, totals.requests - own.requests) / REPORT_SCALE,
         max(0, totals.reporters - own.reporters),
--- a/ashlift/traffic/rate_limiter.py
+++ b/ashlift/traffic/rate_limiter.py
@@ -1,15 +1,15 @@
-"""Rate limiter of one proxy for all tenants: it admits or declines each request, without asking anybody.
-
-Two decisions must both admit a request: suppression (`ashlift.traffic.suppression`), which keeps the admitted
-rate of all proxies near the limit, and the sharing of the quota (`ashlift.traffic.quota_sharing`), which
-keeps the rule QUOTA whatever other proxies do unheard. Both go by this proxy's own counts and by the totals
-of all proxies (`ashlift.traffic.usage_totals`). What travels is the caller's to send and to fetch. Times are
-seconds of the steady clock.
-
-While a proxy is cut off, both sides see to the quota. It finds itself isolated (`UsageTotals.is_isolated`)
-and admits within its own share alone (`QuotaSharing.isolated_share`, `has_isolated_room`). The others set a
-share aside for it as long as it may go on (`ashlift.traffic.unreported_usage`). What it admitted is reported
-by and by after it has returned (`TenantUsage.report_late`).
+"""Rate limiter of one proxy for all tenants: admits or declines each request by local state alone.
+
+A request must be admitted both by suppression (`ashlift.traffic.suppression`), which keeps the admitted rate
+of all proxies near the limit, and by the quota's division (`ashlift.traffic.quota_sharing`), which keeps the
+rule QUOTA whatever other proxies have not reported yet. Both use this proxy's counts and the totals of all
+proxies (`ashlift.traffic.usage_totals`). Callers transmit reports and totals. Times are seconds of the
+monotonic clock.
+
+A proxy that receives no totals is isolated (`UsageTotals.is_isolated`) and admits no more than its own share
+(`QuotaSharing.isolated_share`, `has_isolated_room`). The other proxies reserve a share for it as long as it
+may admit requests (`ashlift.traffic.unreported_usage`). After its return it reports what it admitted in
+several parts (`TenantUsage.schedule_late_report`).
 """
 
 import math
@@ -24,17 +24,17 @@
 from ashlift.traffic.unreported_usage import SourceCoverage
 from ashlift.traffic.usage_totals import TenantTotals, UsageTotals
 
-UsageByTenant = dict[str, tuple[int, int]]  # total, declined: tuples, as they travel
+UsageByTenant = dict[str, tuple[int, int]]  # total, declined; tuples, as in messages
 
 MIN_RETRY_AFTER_SECONDS: Final = 0.3
 MAX_RETRY_AFTER_SECONDS: Final = 3.0
-# Retry-After is spread by chance from 0.75 to 1.25 of itself, so that clients do not come back together.
+# Retry-After is multiplied by a random factor from 0.75 to 1.25, so that clients do not retry together.
 MIN_RETRY_AFTER_FACTOR: Final = 0.75
 RETRY_AFTER_SPREAD: Final = 0.5
 
 
 class RateLimiter:
-    """All tenants' limits at one proxy. It starts isolated: with a share of each limit."""
+    """Limits of all tenants at one proxy. It starts isolated, with a share of each limit."""
 
     def __init__(self, rng: random.Random, bounds: QuotaBounds) -> None:
         self._random = rng
@@ -42,25 +42,25 @@
         self._tenants: dict[str, TenantUsage] = {}
         self._totals = UsageTotals(bounds)
         self._sharing = QuotaSharing(rng, bounds, self._totals)
-        self._latest_time = -math.inf  # that a caller gave
+        self._latest_time = -math.inf  # of the calls
 
     # ---- configuration
 
     def set_quota(self, tenant_name: str, rate: float, burst: float) -> None:
-        """Take a tenant's limit (requests a second, requests); a rate of 0 is none. Its counts stay."""
+        """Set a tenant's limit (requests a second, requests) and keep its counts; a rate of 0 is no limit."""
         if rate <= 0:
             self._tenants.pop(tenant_name, None)
             return
         self._tenants.setdefault(tenant_name, TenantUsage()).set_quota(rate, burst, self._bounds)
 
     def forget_tenant(self, tenant_name: str) -> None:
-        """Drop a tenant that the configuration no longer has."""
+        """Drop a tenant that is no longer configured."""
         self._tenants.pop(tenant_name, None)
 
     def set_proxy_count(self, now: float, count: int, missing_since: float | None = None) -> None:
-        """Take how many proxies may admit requests now.
+        """Set how many proxies may admit requests now.
 
-        Those that have left may be partitioned off and go on admitting; `missing_since` is when they were
+        Those that have left may be partitioned and still admit requests; `missing_since` is when they were
         last known, if that is before `now`.
         """
         self._totals.set_proxy_count(now, count, missing_since)
@@ -68,9 +68,9 @@
     # ---- requests
 
     def admit(self, now: float, tenant_name: str) -> float | None:
-        """Count one request: None admits it, else it is declined with this Retry-After in seconds.
+        """Count one request; return None if it is admitted, else its Retry-After in seconds.
 
-        This is called for every request of a client: a plain number tells the two apart without an object.
+        A plain number, as no object has to be allocated for each request.
         """
         tenant = self._tenants.get(tenant_name)
         if tenant is None:
@@ -87,18 +87,18 @@
             self._sharing.has_isolated_room(now, tenant) if isolated else self._sharing.has_room(now, tenant)
         )
         tenant.window.record_local(now, 1.0, float(admitted))
-        if without_totals or not isolated:  # else it is reported when totals are received again
+        if without_totals or not isolated:  # else it is reported after isolation
             tenant.count_request(admitted)
         return None if admitted else self._retry_after(observed)
 
     def refund(self, now: float, tenant_name: str) -> None:
-        """Count an admitted request as declined: it will never reach a worker."""
+        """Count an admitted request as declined, as it will not be sent to a worker."""
         tenant = self._tenants.get(tenant_name)
         if tenant is not None:
             tenant.refund(now)
 
     def _retry_after(self, observed: ObservedUsage) -> float:
-        """Seconds in which the limit lets through what is over it, spread by chance."""
+        """Seconds until the excess fits into the limit, times a random factor."""
         seconds = max(observed.total - observed.soft_limit, 1.0) / observed.rate_limit
         bounded = min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds))
         return bounded * (MIN_RETRY_AFTER_FACTOR + RETRY_AFTER_SPREAD * self._random.random())
@@ -106,10 +106,10 @@
     # ---- reports of this proxy
 
     def take_new_counts(self) -> UsageByTenant:
-        """Return the counts to report since the last call, by tenant: total, declined.
+        """Return the counts since the last call, by tenant: total, declined; nothing while isolated.
 
-        Nothing is reported while isolated. What was admitted then is reported over several calls after it: at
-        once it would look like a spike to the others.
+        Requests admitted in isolation are reported over several calls after it, as others would take them for
+        a spike.
         """
         if self._totals.is_isolated(self._latest_time):
             return {}
@@ -121,14 +121,14 @@
         return counts
 
     def restore_counts(self, counts: Mapping[str, tuple[int, int]]) -> None:
-        """Put back what `take_new_counts` returned: the call failed before it was sent."""
+        """Put back counts that `take_new_counts` returned and that were not sent."""
         for name, (total, declined) in counts.items():
             tenant = self._tenants.get(name)
             if tenant is not None:
                 tenant.restore_counts(total, declined)
 
     def confirm_counts(self, counts: Mapping[str, tuple[int, int]]) -> None:
-        """Take note that a source's totals contain these counts of this proxy, or may contain them."""
+        """Expect these counts of this proxy in a source's totals: they were sent."""
         for name, (total, declined) in counts.items():
             tenant = self._tenants.get(name)
             if tenant is not None:
@@ -143,19 +143,18 @@
         coverage: Mapping[str, SourceCoverage] | None = None,
         started_at: Mapping[str, float] | None = None,
     ) -> None:
-        """Take cumulative totals by source and tenant; only those that changed need be there.
+        """Record cumulative totals by source and tenant; unchanged ones may be left out.
 
-        The first totals of a source are where it starts, not new requests, unless it was started lately
-        (`started_at`, steady time) while totals were received. `coverage` tells how many proxies each source
-        names.
+        The first totals of a source are a baseline, not new requests, unless the source was started recently
+        (`started_at`) while totals were received. `coverage` is how many proxies each source names.
         """
         self._latest_time = now
         self._totals.record(now, self._tenants, totals, coverage or {}, started_at or {})
 
     def retain_sources(self, now: float, alive: Container[str]) -> None:
-        """Drop the totals of all sources but these and those that stalled of late."""
+        """Drop the totals of all other sources, except those that stalled recently."""
         self._totals.retain_sources(now, alive)
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether the last totals are so old that each tenant has only this proxy's share."""
+        """Return whether the last totals are too old, so that this proxy only uses its own shares."""
         return self._totals.is_isolated(now)
--- a/ashlift/traffic/retry_budget.py
+++ b/ashlift/traffic/retry_budget.py
@@ -1,20 +1,18 @@
-"""Retry budget of one proxy for each service: its part of the rule BUDGET, which is about all proxies.
+"""Retry budget of one proxy for each service: its part of the rule BUDGET, which covers all proxies.
 
-In any window, attempts after the first of each request may be at most a ratio of the service's requests, and
-a slack. A proxy spends the ratio of the requests that came to itself, and an even part of the slack, so that
-proxies need not agree on anything. The proxy owns the state; times are seconds of the steady clock.
+In any window, retries may be at most a ratio of the service's requests, plus a slack. Each proxy uses the
+ratio of its own requests and an even part of the slack, so that no coordination is needed. Times are seconds
+of the monotonic clock.
 """
 
 from collections import deque
 from typing import Final, Protocol
 
-# Part of the budget that is spent: requests at other proxies, and attempts that workers make by themselves,
-# are not known here.
+# Part of the budget that is used, as retries by workers and requests at other proxies are unknown.
 SAFETY_FACTOR: Final = 0.8
-# Part of the slack that is there at the start: the incarnation before may have spent the rest, and most
-# proxies may have been killed at once.
+# Part of the slack that is available at the start: the rest may have been used before a restart.
 INITIAL_SLACK_RATIO: Final = 0.4
-SLOT_SECONDS: Final = 0.25  # width of a slot of counts
+SLOT_SECONDS: Final = 0.25  # width of a slot of the sliding count
 
 
 class RetryBudgetBounds(Protocol):
@@ -30,16 +28,16 @@
 
     @property
     def retry_slack(self) -> float:
-        """Retries in a window that are allowed beside the ratio, over all proxies."""
+        """Retries in a window that all proxies may make beyond the ratio."""
 
 
 class _SlidingCount:
-    """Events of the last seconds, counted in slots of time, oldest first."""
+    """Number of events in a sliding window, counted in time slots."""
 
     def __init__(self, window_seconds: float) -> None:
         self._window_seconds = window_seconds
         self._total = 0
-        self._slots: deque[list[int]] = deque()  # [slot number, events]: lists, as the newest one counts up
+        self._slots: deque[list[int]] = deque()  # [slot number, events], oldest first
 
     def add(self, now: float) -> None:
         slot = int(now // SLOT_SECONDS)
@@ -70,7 +68,7 @@
         self._count_of(self._requests, service).add(now)
 
     def can_retry(self, now: float, service: str, proxy_count: int) -> bool:
-        """Return whether one more retry stays inside the budget of one of `proxy_count` proxies."""
+        """Return whether the budget of this proxy, one of `proxy_count`, has room for one more retry."""
         requests = self._requests.get(service)
         retries = self._retries.get(service)
         earned = self._bounds.retry_budget_ratio * (requests.total(now) if requests else 0)
@@ -82,7 +80,7 @@
         self._count_of(self._retries, service).add(now)
 
     def _available_slack(self, now: float) -> float:
-        """Retries of the slack that may be made: all of it once a window has passed since the start."""
+        """Available part of the slack: it rises to the whole within the first window."""
         elapsed_windows = 0.0
         if self._first_request_at is not None:
             elapsed_windows = (now - self._first_request_at) / self._bounds.retry_window
--- a/ashlift/traffic/slow_start.py
+++ b/ashlift/traffic/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: which proxies may send to a worker that is warming up, and how fast (rule FAILBACK).
+"""Slow start: which proxies may send to a worker that is warming up, and at what rate (rule FAILBACK).
 
-The rule bounds the requests of all proxies together. It must hold while proxies cannot reach each other, so
-nothing is negotiated: proxies that know the same membership assign a worker to the same few proxies, and each
-of these sends its fixed share of the rate. The proxy owns the state; times are seconds of the steady clock.
+The rule bounds the requests of all proxies together and must hold during partitions. Proxies with the same
+membership therefore assign a worker to the same few proxies without communication, and each of these uses a
+fixed share of the rate. Times are seconds of the monotonic clock.
 """
 
 from collections import deque
@@ -24,18 +24,18 @@
 def assigned_proxies(worker_id: str, proxies: Sequence[str], count: int = 2) -> tuple[str, ...]:
     """Choose the proxies that may send to a worker while it warms up, by rendezvous hashing.
 
-    The result does not depend on the order of `proxies`, and a proxy that joins or leaves changes the
-    assignment of only those workers that it is itself assigned to.
+    The result does not depend on the order of `proxies`. A proxy that joins or leaves only changes the
+    assignment of workers that it is assigned to.
     """
     ranked = sorted(proxies, key=lambda proxy: (_rendezvous_weight(worker_id, proxy), proxy), reverse=True)
     return tuple(ranked[:count])
 
 
 class SlowStartPacer:
-    """Paces the requests of this proxy to each worker that is warming up.
+    """Limits the rate of this proxy's requests to each worker that is warming up.
 
-    At least one request a second: no sliding second holds more than `rate * share`. Less than one a second:
-    two requests are at least the inverse of that apart, so that the mean over many seconds holds too.
+    A limit of at least one request a second holds in any sliding second. A lower one is kept as a minimum
+    interval between two requests.
     """
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
     def can_send(self, now: float, worker_id: str, rate: float, share: float) -> bool:
         """Return whether one more request may be sent to the worker now.
 
-        `rate` is in requests a second for all proxies together, `share` the part of it that is this proxy's.
+        `rate` is the requests a second of all proxies together, `share` this proxy's part of it.
         """
         max_per_second = rate * share
         if max_per_second <= 0:
@@ -63,7 +63,7 @@
         self._sent_times.setdefault(worker_id, deque(maxlen=MAX_SENT_TIMES)).append(now)
 
     def retain_workers(self, worker_ids: Container[str]) -> None:
-        """Forget all workers but these: an id is never used again."""
+        """Forget all workers but these. Ids are not reused."""
         self._sent_times = {
             worker_id: sent_times
             for worker_id, sent_times in self._sent_times.items()
--- a/ashlift/traffic/tenant_usage.py
+++ b/ashlift/traffic/tenant_usage.py
@@ -1,9 +1,8 @@
-"""What the rate limiter holds of one tenant: its limits, its window, and counts on their way to the
-registries.
+"""State of one tenant in the rate limiter: its limits, its window, and counts not yet in the totals.
 
-The counts of this proxy travel in three steps: new (counted, not yet reported), reported (taken for a call),
-and pending (confirmed, but not yet seen in the totals of a registry). Pending ones are subtracted from what
-the totals show as new, or this proxy would take its own requests for those of others.
+Counts of this proxy are new (not yet reported), then reported, then pending (confirmed, but not yet in the
+totals of a registry). Pending counts are subtracted from the growth of totals, which includes this proxy's
+own requests.
 """
 
 import math
@@ -11,14 +10,14 @@
 
 from ashlift.traffic.usage_window import UsageWindow
 
-# Part of the quota that the guard of the rule QUOTA deals out: the rest is for what nobody has reported.
+# Part of the quota that is divided among proxies; the rest allows for unreported requests.
 QUOTA_SAFETY_FACTOR: Final = 0.84
-# After which confirmed counts that no totals have shown are taken for lost.
+# After which confirmed counts that are in no totals are considered lost.
 PENDING_REPORT_SECONDS: Final = 2.0
-# Calls, a quarter of a second each, over which requests admitted in isolation are reported: at once they
-# would look like a spike to the other proxies.
+# Reports, one each 0.25 s, over which requests admitted in isolation are spread: others would take them for
+# a spike.
 LATE_REPORT_CALLS: Final = 8
-MIN_RETENTION_SECONDS: Final = 1.0  # the suppression factor looks at the last second
+MIN_RETENTION_SECONDS: Final = 1.0  # the suppression factor uses the last second
 
 
 class QuotaBounds(Protocol):
@@ -30,15 +29,15 @@
 
     @property
     def quota_overrun(self) -> float:
-        """Part of the quota by which it may be exceeded."""
+        """Ratio by which the quota may be exceeded."""
 
     @property
     def quota_slack(self) -> float:
-        """Requests in a window by which it may be exceeded beside that."""
+        """Requests in a window by which the quota may be exceeded in addition."""
 
 
 class _PendingReport:
-    """Counts of this proxy that a source has confirmed and not yet shown."""
+    """Counts of this proxy that a source has confirmed, but not yet included in its totals."""
 
     __slots__ = ("accepted", "expires_at", "total")
 
@@ -55,33 +54,33 @@
         self.rate_limit = 0.0  # requests a second
         self.burst = 0.0  # requests
         self.window_seconds = 1.0
-        self.guarded_quota = math.inf  # requests of all proxies in the rule's window
+        self.enforced_quota = math.inf  # requests of all proxies in the rule's window
         self.retention_seconds = MIN_RETENTION_SECONDS
         self.window = UsageWindow()
-        # When totals first told of the tenant, or could have; infinite before any were received.
+        # First totals that could include the tenant; infinite before any were received.
         self.totals_since = math.inf
-        # Accepted a second until the last totals before isolation, here and elsewhere, and when those came.
+        # Accepted requests a second before isolation, and the time of the last totals before it.
         self.local_rate_before = 0.0
         self.remote_rate_before = math.inf
         self.rates_known_at = -math.inf
-        # Values that stand for a short time.
+        # Random or computed values that are kept for a short time.
         self.suppression_factor = 0.0
         self.suppression_factor_until = -math.inf
         self.rounding = 0.0
         self.rounding_until = -math.inf
         self._new_total = 0
         self._new_declined = 0
-        self._late_total = 0  # admitted in isolation and not yet reported,
-        self._late_calls = 0  # and the calls left to report it with
+        self._late_total = 0  # admitted in isolation and not yet reported
+        self._late_calls = 0  # reports that are left for it
         self._pending: list[_PendingReport] = []
 
     def set_quota(self, rate: float, burst: float, bounds: QuotaBounds) -> None:
-        """Take the tenant's limits: requests a second, and requests at once (0: those of a second)."""
+        """Set the limits: requests a second, and burst in requests (0: those of a second)."""
         self.rate_limit = rate
         self.burst = burst if burst > 0 else rate
         self.window_seconds = self.burst / rate
         quota = rate * bounds.quota_window + self.burst
-        self.guarded_quota = QUOTA_SAFETY_FACTOR * (quota * (1 + bounds.quota_overrun) + bounds.quota_slack)
+        self.enforced_quota = QUOTA_SAFETY_FACTOR * (quota * (1 + bounds.quota_overrun) + bounds.quota_slack)
         self.retention_seconds = max(self.window_seconds, bounds.quota_window, MIN_RETENTION_SECONDS)
         self.suppression_factor_until = -math.inf
 
@@ -97,13 +96,13 @@
         self.window.record_local(now, 0.0, -1.0)
         self._new_declined += 1
 
-    def report_late(self, total: int) -> None:
-        """Report so many requests that were admitted in isolation by and by."""
+    def schedule_late_report(self, total: int) -> None:
+        """Spread the report of requests that were admitted in isolation over the next calls."""
         self._late_total = total
         self._late_calls = LATE_REPORT_CALLS
 
     def take_new_counts(self) -> tuple[int, int] | None:
-        """Return total and declined since the last call, as they travel; None where there is nothing new."""
+        """Return total and declined since the last call, or None if there is nothing new."""
         if self._late_calls:
             late_part = self._late_total // self._late_calls
             self._new_total += late_part
@@ -116,7 +115,7 @@
         return counts
 
     def restore_counts(self, total: int, declined: int) -> None:
-        """Put back what `take_new_counts` returned, as it was not sent."""
+        """Put back counts that `take_new_counts` returned and that were not sent."""
         self._new_total += total
         self._new_declined += declined
 
@@ -127,12 +126,12 @@
     # ---- counts of the others
 
     def record_remote(self, now: float, since: float, until: float, total: float, accepted: float) -> None:
-        """Count what totals grew by, without this proxy's own counts, over the time it was made in."""
+        """Count the growth of totals without this proxy's own counts, spread over the given time."""
         remote_total, remote_accepted = self._without_pending(now, total, accepted)
         self.window.record_remote(since, until, self.retention_seconds, remote_total, remote_accepted)
 
     def _without_pending(self, now: float, total: float, accepted: float) -> tuple[float, float]:
-        """Subtract pending counts that the totals may now contain; drop those that are used up or lost."""
+        """Subtract pending counts from the growth of totals; drop those that are used up or lost."""
         for report in self._pending:
             report.expires_at = min(report.expires_at, now + PENDING_REPORT_SECONDS)
             if now < report.expires_at:
--- a/ashlift/traffic/usage_totals.py
+++ b/ashlift/traffic/usage_totals.py
@@ -1,11 +1,9 @@
-"""What the rate limiter knows of the requests at all proxies: the totals of each source, as they are
-received.
-
-Each registry is a source: it adds up what proxies report to it, by tenant, and these totals reach every
-proxy, directly or by other registries. They only grow; what they grew by is counted as requests of other
-proxies, in the time in which it was made. A proxy that has received no totals for a second is isolated: it no
-longer knows what the others admit (`ashlift.traffic.quota_sharing` says what it admits then). Times are
-seconds of the steady clock.
+"""Totals of the requests at all proxies, by source, as the rate limiter receives them.
+
+Each registry is a source: it sums the reports of its proxies by tenant, and every proxy receives these
+totals, directly or through other registries. Totals only grow. Their growth is counted as requests of other
+proxies in the time that it covers. A proxy that has received no totals for a second is isolated
+(`ashlift.traffic.quota_sharing` defines what it admits then). Times are seconds of the monotonic clock.
 """
 
 import math
@@ -22,30 +20,31 @@
     estimate_unreported,
 )
 
-TenantTotals = Mapping[
-    str, tuple[int, int]
-]  # by tenant: total, declined; tuples, as they come with every pull
+# By tenant: total, declined.
+TenantTotals = Mapping[str, tuple[int, int]]
 
-# Mean age of what totals show as new: a report, an exchange of registries and a pull take up to 0.25 s each.
+# Mean age of the growth of totals: a report, an exchange of registries and a pull take up to 0.25 s each.
 REPORT_LAG_SECONDS: Final = 0.4
 ISOLATED_AFTER_SECONDS: Final = 1.0  # without totals
-# A source that has run for less: all that it shows first was reported to it while we received totals.
+# Age of a source below which all of its first totals were reported while this proxy received totals.
 YOUNG_SOURCE_SECONDS: Final = 2.0
-# Without a change of any totals, after which a new source does not tell of that time.
+# Without a change of any totals, after which the first totals of a new source are only a baseline.
 GAP_AFTER_SECONDS: Final = 0.6
-# After the first totals of a tenant: before it, the rate of the others is uncertain.
+# After a tenant's first totals, until the rate of other proxies is known.
 RATE_KNOWN_AFTER_SECONDS: Final = 1.2
-MAX_LATE_PERIOD_SECONDS: Final = 3.0  # that a source which had stalled is taken to tell of, at most,
-LATE_PERIOD_END_SECONDS: Final = 1.0  # up to so long ago: what is late is no spike of the last second
+MAX_LATE_PERIOD_SECONDS: Final = 3.0  # covered by the growth of a stalled source, at most
+LATE_PERIOD_END_SECONDS: Final = (
+    1.0  # ago, at which that time ends: late totals are no spike of the last second
+)
 
 
 class _Reception(NamedTuple):
-    """One reception of totals, and what preceded it."""
+    """One reception of totals, and the time since the one before."""
 
     now: float
     previous_at: float
     isolated_since: float
-    after_gap: bool  # a new source stands for one that has lost what it knew
+    after_gap: bool  # no totals had changed for a while: a new source may replace one that lost its counts
 
     @property
     def after_isolation(self) -> bool:
@@ -53,7 +52,7 @@
 
 
 class UsageTotals:
-    """The totals of all sources, and how far they can be relied on."""
+    """The totals of all sources, and whether they are current."""
 
     def __init__(self, bounds: QuotaBounds) -> None:
         self._bounds = bounds
@@ -70,20 +69,20 @@
 
     @property
     def reported_until(self) -> float:
-        """The time up to which the totals tell of the requests at other proxies, on average."""
+        """The time up to which the totals cover the requests of other proxies, on average."""
         return self.received_at - REPORT_LAG_SECONDS
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether the last totals are too old to go by."""
+        """Return whether the last totals are too old to be used."""
         return now - self.received_at > ISOLATED_AFTER_SECONDS
 
     def set_proxy_count(self, now: float, count: int, missing_since: float | None = None) -> None:
-        """Take how many proxies may admit requests now (see `UnreportedUsage.set_proxy_count`)."""
+        """Set how many proxies may admit requests now (see `UnreportedUsage.set_proxy_count`)."""
         self._unreported.set_proxy_count(now, count, missing_since)
         self._unreported_spans = self._unreported.spans(now, self.sources)
 
     def retain_sources(self, now: float, alive: Container[str]) -> None:
-        """Drop all sources but these and those stalled of late: one that comes back later starts anew."""
+        """Drop all other sources, except recently stalled ones; a source that returns later is a new one."""
         self.sources = {
             name: source
             for name, source in self.sources.items()
@@ -91,15 +90,15 @@
         }
 
     def estimate_unreported(self, now: float, tenant: TenantUsage) -> float:
-        """Estimate the tenant's requests that other proxies admitted unreported in the rule's window."""
+        """Estimate the tenant's unreported requests at other proxies in the rule's window."""
         return estimate_unreported(
-            now, tenant.window, self._unreported_spans, self._bounds.quota_window, tenant.guarded_quota
+            now, tenant.window, self._unreported_spans, self._bounds.quota_window, tenant.enforced_quota
         )
 
     def remember_rates(self, tenant: TenantUsage, received_at: float) -> None:
-        """Keep what was admitted a second, here and elsewhere, up to the last totals before isolation.
+        """Store the local and remote accepted rates before the last totals, for use in isolation.
 
-        Nothing is kept where those totals did not tell of the tenant for long enough, or it is kept already.
+        Nothing is stored if the totals included the tenant for too short a time, or if it is stored already.
         """
         known_seconds = received_at - tenant.totals_since
         if tenant.rates_known_at >= received_at or known_seconds <= RATE_KNOWN_AFTER_SECONDS:
@@ -107,8 +106,7 @@
         until = received_at - REPORT_LAG_SECONDS
         span_seconds = min(self._bounds.quota_window, known_seconds)
         usage = tenant.window.sums_between(until - span_seconds, until)
-        # A refund counts when it is made: where no requests were admitted at that time, the sum is below
-        # zero.
+        # Refunds count when they are made: the sums may be below 0.
         local_accepted = max(0.0, usage.local_accepted)
         remote_accepted = max(0.0, usage.remote_accepted) + self.estimate_unreported(received_at, tenant)
         tenant.local_rate_before = local_accepted / span_seconds
@@ -125,7 +123,7 @@
         coverage: Mapping[str, SourceCoverage],
         started_at: Mapping[str, float],
     ) -> None:
-        """Take totals by source and tenant (see `RateLimiter.record_usage_totals`)."""
+        """Record totals by source and tenant (see `RateLimiter.record_usage_totals`)."""
         isolated_since = self.received_at + ISOLATED_AFTER_SECONDS
         gap_since = min(isolated_since, self._changed_at + GAP_AFTER_SECONDS)
         reception = _Reception(now, self.received_at, isolated_since, now > gap_since)
@@ -139,7 +137,7 @@
             if source is None:
                 source = self._add_source(reception, name, source_totals, started_at.get(name, -math.inf))
                 if source is None:
-                    self._begin_anew(reception, tenants)
+                    self._restart_after_gap(reception, tenants)
                     continue
             self._record_source(reception, source, source_totals, tenants)
         self._unreported_spans = self._unreported.spans(now, self.sources)
@@ -150,9 +148,9 @@
         tenants: Mapping[str, TenantUsage],
         totals: Mapping[str, TenantTotals],
     ) -> None:
-        """Bring all tenants up to date; after isolation, have what was admitted in it reported late."""
+        """Update all tenants; after isolation, schedule the report of the requests admitted in it."""
         now = reception.now
-        report_late = reception.after_isolation and self._known_source_changed(totals)
+        schedule_late_report = reception.after_isolation and self._known_source_changed(totals)
         for tenant in tenants.values():
             if reception.after_isolation:
                 self.remember_rates(tenant, reception.previous_at)
@@ -161,10 +159,10 @@
             if now > reception.isolated_since > tenant.totals_since:
                 since = max(reception.isolated_since, now - self._bounds.quota_window)
                 admitted = tenant.window.sums_since(since).local_accepted
-                tenant.report_late(round(admitted) if report_late else 0)
+                tenant.schedule_late_report(round(admitted) if schedule_late_report else 0)
 
     def _known_source_changed(self, totals: Mapping[str, TenantTotals]) -> bool:
-        """Whether other proxies were in touch; where all sources are new, all were isolated alike."""
+        """Whether other proxies were connected; if all sources are new, all proxies were isolated."""
         return any(
             name in self.sources and source_totals != self.sources[name].totals
             for name, source_totals in totals.items()
@@ -173,17 +171,17 @@
     def _add_source(
         self, reception: _Reception, name: str, totals: TenantTotals, started_at: float
     ) -> UsageSource | None:
-        """Add a new source; returned is one whose totals were all reported while we received totals."""
+        """Add a new source; return it if all of its totals are new requests, None if they are a baseline."""
         now = reception.now
         if reception.after_gap or started_at <= now - YOUNG_SOURCE_SECONDS:
             self.sources[name] = UsageSource(now, dict(totals))
             return None
         source = self.sources[name] = UsageSource(started_at, {})
-        source.proxies_at_change = 0  # no proxy's reports were seen of it
+        source.proxies_at_change = 0  # it has not changed yet
         return source
 
-    def _begin_anew(self, reception: _Reception, tenants: Mapping[str, TenantUsage]) -> None:
-        """After a gap, what was reported to a new source in the meantime is not known."""
+    def _restart_after_gap(self, reception: _Reception, tenants: Mapping[str, TenantUsage]) -> None:
+        """After a gap, start to observe all tenants anew: reports to a new source in the gap are unknown."""
         if not reception.after_gap:
             return
         for tenant in tenants.values():
@@ -197,9 +195,9 @@
         totals: TenantTotals,
         tenants: Mapping[str, TenantUsage],
     ) -> None:
-        """Count what the totals of one source grew by."""
+        """Count the growth of one source's totals."""
         now = reception.now
-        since, until, counted_ratio = self._period_of(reception, source)
+        since, until, counted_ratio = self._growth_period(reception, source)
         all_accepted = 0
         for name, counts in totals.items():
             old_total, old_declined = source.totals.get(name, (0, 0))
@@ -216,11 +214,11 @@
         if all_accepted:
             source.record_change(now, all_accepted)
 
-    def _period_of(self, reception: _Reception, source: UsageSource) -> tuple[float, float, float]:
-        """When the growth of a source's totals was made, and the part of it that is in the rule's window."""
+    def _growth_period(self, reception: _Reception, source: UsageSource) -> tuple[float, float, float]:
+        """Start and end of the time that the growth covers, and its part in the rule's window."""
         now = reception.now
         until = now - REPORT_LAG_SECONDS
-        if reception.after_isolation or source.is_stalled(now):  # much at once, and perhaps of late
+        if reception.after_isolation or source.is_stalled(now):  # the growth of a longer time
             counted_ratio = min(1.0, self._bounds.quota_window / (now - source.changed_at))
             since = max(source.changed_at - REPORT_LAG_SECONDS, until - MAX_LATE_PERIOD_SECONDS)
             return since, until - LATE_PERIOD_END_SECONDS, counted_ratio
