--- a/tests/gatekeeper/play.py
+++ b/tests/gatekeeper/play.py
@@ -1,4 +1,4 @@
-"""Plays a recorded exchange against the program, in this process, and compares every byte.
+"""Plays a recorded exchange against the gatekeeper in this process, and compares every byte.
 
 An exchange is a text file. `c1`, `c2` are clients, `n1`, `n2` execute nodes, `k` the counter, `d` discovery:
 
@@ -6,16 +6,15 @@
     d ># LINE      send one chunk that holds this line
     n1 < LINE      the next line must be this; * is anything        n1 << TEXT    the next bytes must be
     n1 close       close the connection (or `reset` it)           n1 closed     the program must end it
-    n1 stop        refuse connections from now on   expect NAME N   wait until the program's counter says so
-    job c1 a1 2    a block of lines that stands in the file `blocks`
-    wait MS        at least so long passes: what has come due meanwhile must be seen, however slow the machine
-    move d2 k2     discovery and counter are there from now on
+    n1 stop        refuse connections from now on   expect NAME N   wait until the program's counter is N
+    job c1 a1 2    a block of lines that is defined in the file `blocks`
+    wait MS        wait for at least this time, so that pending timers expire
+    move d2 k2     discovery and counter are at these addresses from now on
     set KEY VALUE  a setting (dotted, JSON); comes first
-    own TEXT       our own settings, as a file would have them; comes first
+    own TEXT       text of the program's settings file; comes first
     c1 gone        the program resets the connection
 
-A party that has no connection opens or accepts one when it first needs it; `k.2` is a second one to `k`. Each
-wait ends after WAIT_S, far longer than anything takes: time decides no verdict.
+Connections are opened or accepted on first use; `k.2` is a second one to `k`. Each wait is limited by WAIT_S.
 """
 
 import contextlib
@@ -40,7 +39,7 @@
 
 
 def config(addresses: dict[str, str], changes: dict[str, Any], own: str = "") -> Config:
-    """The settings of a small deployment, with changes, and with settings of our own."""
+    """The configuration of a small deployment, with changes to it and the text of a settings file."""
     facts = copy.deepcopy(FACTS)
     facts["Categories"][0] |= {"Name": "availability-check", "TargetMs": 20_000.0, "GiveUpMs": 30_000.0}
     facts["Plans"][0] |= {"Name": "basic", "QuotaRate": 0.01, "MostAtOnce": 100.0}
@@ -71,8 +70,8 @@
     return {"instanceId": name, "hostPort": address, "lifecycle": state, "startedAtMs": 0}
 
 
-class Stage:
-    """The program and the parties round it."""
+class Exchange:
+    """The gatekeeper and its simulated peers."""
 
     def __init__(self, changes: dict[str, Any], own: str = "") -> None:
         self.listeners = {name: listen() for name in SERVERS}
@@ -116,7 +115,7 @@
             got = b""
             while not got.endswith(b"\n"):
                 byte = self.sock(who).recv(1)
-                assert byte, f"ended after {got!r}"
+                assert byte, f"the connection ended after {got!r}"
                 got += byte
             pattern = re.escape(rest).replace(r"\*", ".*")
             assert re.fullmatch(pattern, got.decode().removesuffix("\r\n")), got
@@ -132,7 +131,7 @@
             try:
                 while self.sock(who).recv(65536):
                     pass
-                raise AssertionError("ended in good order")
+                raise AssertionError("the connection was closed, not reset")
             except ConnectionError:
                 self.open.pop(who).close()
         elif verb == "reset":
@@ -143,7 +142,7 @@
         elif verb == "stop":
             self.listeners[who].close()
         else:
-            raise ValueError(f"no such line: {text}")
+            raise ValueError(f"unknown command: {text}")
 
 
 def listen() -> Any:
@@ -154,7 +153,7 @@
 
 
 def blocks(path: Path) -> dict[str, list[str]]:
-    """The named blocks of a file; the last argument of a line that uses one may hold spaces."""
+    """The named blocks of a file. The last argument of a line that uses a block may contain spaces."""
     parts = ("\n" + path.read_text()).split("\n= ")[1:]
     return {name: lines for name, *lines in (part.splitlines() for part in parts)}
 
@@ -176,11 +175,13 @@
     lines = [line for short in written for line in expand(short, known)]
     changes = [line.split(" ", 2) for line in lines if line.startswith("set ")]
     own = " ".join(line[4:] for line in lines if line.startswith("own "))
-    stage = Stage({key: json.loads(value) for _, key, value in changes}, own)
+    exchange = Exchange({key: json.loads(value) for _, key, value in changes}, own)
     try:
         for line in lines:
             if not line.startswith(("set ", "own ")):
-                with gevent.Timeout(WAIT_S, AssertionError(f"{path.name}: nothing came of: {line}")):
-                    stage.line(line)
+                with gevent.Timeout(
+                    WAIT_S, AssertionError(f"{path.name}: no reaction within {WAIT_S} s to: {line}")
+                ):
+                    exchange.line(line)
     finally:
-        stage.close()
+        exchange.close()
--- a/tests/gatekeeper/test_parts.py
+++ b/tests/gatekeeper/test_parts.py
@@ -129,7 +129,7 @@
     broken = job()
     broken.reply = answers.append
     with monkeypatch.context() as patch:
-        patch.setattr(Gateway, "_arrive", lambda *_: 1 / 0)
+        patch.setattr(Gateway, "_on_request", lambda *_: 1 / 0)
         owner.take(broken)
     sound = job(2)
     sound.reply = answers.append
--- a/tests/gatekeeper/test_quota.py
+++ b/tests/gatekeeper/test_quota.py
@@ -1,4 +1,4 @@
-"""The three regimes, the counter, and how large the module may grow."""
+"""Quotas: suppression, the shared counter, and the line limit of the policy files."""
 
 import tomllib
 from dataclasses import replace
@@ -10,7 +10,7 @@
 
 
 def flood(gate: Driver, seconds: float, per_second: float, **ask: object) -> int:
-    """Ask evenly, serve all that is sent, and return how many were sent on."""
+    """Send requests at an even rate, answer all attempts, and return their number."""
     passed = 0
     for _ in range(int(seconds * per_second)):
         number, out = gate.ask(**ask)
@@ -51,7 +51,7 @@
     assert sum(len(sends(gate.ask(gateway_count=3)[1])) for gate in gates for _ in range(12)) < 6 * 20
 
 
-def test_counts_of_another_gateway_close_the_quota_here() -> None:
+def test_counts_of_another_gateway_use_up_the_quota_here() -> None:
     gate = Driver()
     for _ in range(2):
         gate.ask(gateway_count=2)
@@ -75,22 +75,22 @@
         assert (sum(call.amount for call in later) == count.amount) is again
 
 
-def test_a_call_that_was_never_added_is_not_taken_for_an_emptied_counter() -> None:
-    # Else all that others ever did under the name would count as done just now, and close the quota here.
+def test_a_call_that_was_never_added_is_not_taken_for_a_counter_reset() -> None:
+    # Otherwise all counts under the key would be taken for new ones, and use up the quota here.
     gate = Driver()
-    gate.run(5000.0)  # a name lasts 12 s: all that follows is under one
+    gate.run(5000.0)  # a key is used for 12 s: all that follows uses the same one
     made, out = gate.ask(gateway_count=2)
     (first,) = counts(out)
     theirs = 5 * 1000 + 5
     assert sends(gate.do(i.CounterCallEnded(first.key, i.Result.OK, 2.0, first.amount + theirs)))
-    gate.run(3100.0)  # theirs have left the window
+    gate.run(3100.0)  # the other gateway's units have left the window
     (second,) = counts(gate.ask(gateway_count=2)[1])
     gate.do(i.CounterCallEnded(second.key, i.Result.TIMEOUT, 30.0))
     (third,) = counts([*gate.ask(gateway_count=2)[1], *gate.run(300.0)])
     assert first.key == second.key == third.key
     gate.do(i.CounterCallEnded(third.key, i.Result.OK, 2.0, first.amount + theirs + third.amount))
     assert sends(gate.ask(gateway_count=2)[1])
-    # What is known never to have been added is told with the next call.
+    # The counts that were never added go along with the next call.
     (fourth,) = counts(gate.run(1000.0))
     assert fourth.amount == second.amount + 1001
 
@@ -120,7 +120,7 @@
     assert first.log == second.log and len(first.log) > 100
 
 
-def test_the_module_stays_readable_in_size() -> None:
+def test_the_policy_files_stay_within_their_line_limit() -> None:
     root = Path(__file__).parents[2]
     folder = "ashlift/gatekeeper/admission"
     policy = tomllib.loads((root / "deploy/balancer.toml").read_text())["policy"]
@@ -131,7 +131,7 @@
     assert max(len(line) for lines in files for line in lines) <= 110 and max(map(len, files)) <= 500
 
 
-def test_a_customer_that_the_call_budget_starves_gets_no_more_than_its_share() -> None:
+def test_a_customer_without_counter_calls_gets_no_more_than_its_share() -> None:
     gate = Driver()
     gate.ask(gateway_count=3)
     (count,) = counts(gate.log)
@@ -141,18 +141,18 @@
     assert passed <= 30 * 2 / 3 * 1.4 + 6
 
 
-def test_a_call_speaks_for_what_could_not_be_told_and_for_no_more_than_a_burst() -> None:
-    for unheard, told in ((2, 3), (30, 7)):  # with its own; the burst is 6 units
+def test_a_call_includes_deferred_counts_up_to_one_burst() -> None:
+    for deferred, counted in ((2, 3), (30, 7)):  # with its own request; the burst is 6 units
         gate = Driver()
         gate.gateway.call_tokens = gate.gateway.call_rate = 0.0
-        for number in range(unheard):
+        for number in range(deferred):
             assert len(sends(gate.ask(gateway_count=3, customer=f"c{number}")[1])) == 1
         gate.gateway.call_tokens = 1.0
         (count,) = counts(gate.ask(gateway_count=3)[1])
-        assert count.amount == told * 1001
+        assert count.amount == counted * 1001
 
 
-def test_the_unheard_are_turned_away_once_the_heard_like_them_were_over_their_quota() -> None:
+def test_uncounted_requests_are_refused_once_similar_counted_ones_were_over_quota() -> None:
     def play(over: bool, over_cost: float = 1.2) -> int:
         gate = Driver(replace(BASE, plans=(replace(BASE.plans[0], over_quota_cost_ratio=over_cost),)))
         for number in range(40):
@@ -164,13 +164,13 @@
         return sum(len(sends(gate.ask(gateway_count=3, customer=f"u{number}")[1])) for number in range(10))
 
     assert play(over=False) == 10 and play(over=True) == 0
-    assert play(over=True, over_cost=0.0) == 10  # nothing is charged for them
+    assert play(over=True, over_cost=0.0) == 10  # nothing is charged beyond the quota
 
 
-def test_a_request_that_only_asks_passes_without_a_server_and_takes_units() -> None:
+def test_an_admit_only_request_needs_no_server_and_uses_units() -> None:
     driver = Driver(servers=0)
-    told = [driver.ask(units=2.0, admit_only=True)[1][0] for _ in range(3)]
-    assert [type(action) for action in told] == [i.Admit] * 3
+    actions = [driver.ask(units=2.0, admit_only=True)[1][0] for _ in range(3)]
+    assert [type(action) for action in actions] == [i.Admit] * 3
     number, out = driver.ask(units=2.0, admit_only=True)
     refused = answers(out)[0]
     assert isinstance(refused, i.Refuse) and refused.request_id == number and refused.retry_after_ms > 0
@@ -184,7 +184,7 @@
     assert driver.gateway.customers["ab12"].unsent_total <= HARD_LIMIT_FACTOR * BASE.plans[0].burst
 
 
-def test_a_count_over_its_limit_is_no_room_until_the_counter_tells_otherwise() -> None:
+def test_a_limit_of_the_counter_refuses_requests_until_a_call_is_within_it() -> None:
     driver = Driver()
     number, out = driver.ask(gateway_count=3)
     call = counts(out)[0]
--- a/tests/gatekeeper/test_rules.py
+++ b/tests/gatekeeper/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each by a single gateway's actions."""
+"""The rules of the service, checked on the actions of a single gateway."""
 
 from dataclasses import replace
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("patience", [0.0, 0.5, 3.0])
-def test_a_patience_of_almost_nothing_is_answered(patience: float) -> None:
+def test_a_request_with_almost_no_time_left_is_answered(patience: float) -> None:
     gate = Driver()
     _, out = gate.ask(time_left_ms=patience)
     assert len(answers(out + gate.run(patience))) == 1
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("state", [i.ServerState.DRAINING, i.ServerState.GONE])
-def test_nothing_new_goes_to_a_draining_or_gone_server(state: i.ServerState) -> None:
+def test_no_request_is_sent_to_a_draining_or_gone_server(state: i.ServerState) -> None:
     gate = Driver(replace(BASE, plans=(i.Plan(),)))
     gate.do(i.ServerList((i.Server("s0", state),)))
     for _ in range(50):
@@ -93,7 +93,7 @@
     assert sends(gate.ask()[1])
 
 
-def test_a_cold_server_gets_less_than_its_share_of_the_budget() -> None:
+def test_a_cold_server_stays_below_its_permitted_load() -> None:
     gate = Driver(replace(BASE, plans=(i.Plan(),)), servers=5)
     start = 0.0
     taken: list[float] = []
@@ -117,17 +117,17 @@
 def test_a_ceiling_holds_whatever_the_counter_says_and_after_a_restart(counter: str) -> None:
     plan = i.Plan(rate=2, burst=8, ceiling_rate=4, ceiling_burst=16, ceiling_slack=2)
     gates = [Driver(replace(BASE, plans=(plan,)), seed=n) for n in range(2)]
-    store, lowest = 16.0, 16.0
+    tokens, lowest = 16.0, 16.0
     for step in range(1500):
-        store = min(16.0, store + 4 * 0.02)
+        tokens = min(16.0, tokens + 4 * 0.02)
         for gate in gates:
             if step == 400 and gate is gates[0]:
                 gate.boot()
             number, out = gate.ask(gateway_count=2)
             for send in sends(out):
-                store -= 1
+                tokens -= 1
                 gate.end(number, send.server, i.Result.OK)
-            lowest = min(lowest, store)
+            lowest = min(lowest, tokens)
             for count in counts(gate.run(20.0)):
                 result = {"silent": i.Result.TIMEOUT, "refusing": i.Result.CONNECT_FAILED}.get(counter)
                 total = 0.0 if counter == "zero" else count.amount
@@ -135,23 +135,24 @@
     assert lowest >= -2
 
 
-@pytest.mark.parametrize("told", [True, False])
-def test_two_processes_of_one_gatekeeper_keep_its_ceiling_between_them(told: bool) -> None:
-    plan = i.Plan(rate=50, burst=200, ceiling_rate=4, ceiling_burst=16, ceiling_slack=2)  # no quota binds
+@pytest.mark.parametrize("announced", [True, False])
+def test_two_processes_of_one_gatekeeper_share_its_ceiling(announced: bool) -> None:
+    # The quota is far above the ceiling.
+    plan = i.Plan(rate=50, burst=200, ceiling_rate=4, ceiling_burst=16, ceiling_slack=2)
     processes = [Driver(replace(BASE, plans=(plan,), counter_enabled=False), seed=n) for n in range(2)]
     for gate in processes:
-        gate.do(i.ProcessCountChanged(2 if told else 1))
-    store, lowest = 16.0, 16.0
-    for _ in range(1500):  # both are asked every 20 ms: far beyond the ceiling
-        store = min(16.0, store + 4 * 0.02)
+        gate.do(i.ProcessCountChanged(2 if announced else 1))
+    tokens, lowest = 16.0, 16.0
+    for _ in range(1500):  # a request each every 20 ms: far beyond the ceiling
+        tokens = min(16.0, tokens + 4 * 0.02)
         for gate in processes:
             number, out = gate.ask(gateway_count=1)
             for send in sends(out):
-                store -= 1
+                tokens -= 1
                 gate.end(number, send.server, i.Result.OK)
-            lowest = min(lowest, store)
+            lowest = min(lowest, tokens)
             gate.run(20.0)
-    assert (lowest >= -2) is told  # each alone would take the whole share
+    assert (lowest >= -2) is announced  # otherwise each uses the whole share
 
 
 def test_open_attempts_stay_under_a_cap_without_the_counter() -> None:
@@ -160,7 +161,7 @@
     assert sum(len(sends(actions)) for actions in out) == 3
 
 
-def test_events_of_ended_or_unknown_things_are_ignored() -> None:
+def test_events_of_ended_or_unknown_requests_calls_and_timers_are_ignored() -> None:
     gate = Driver()
     number, out = gate.ask()
     gate.end(number, sends(out)[0].server, i.Result.OK)
@@ -197,7 +198,7 @@
     assert reached >= 0.9 * sum(sent.values())
 
 
-def test_a_fleet_slow_as_a_whole_ejects_nobody() -> None:
+def test_no_server_is_ejected_from_a_fleet_that_is_slow_as_a_whole() -> None:
     gate = Driver(replace(BASE, plans=(i.Plan(),)), servers=6)
     for step in range(600):
         number, out = gate.ask()
@@ -207,7 +208,7 @@
         assert all(view.ejected_until < gate.now for view in gate.gateway.servers.values())
 
 
-def test_a_server_that_cannot_be_reached_is_left_out_until_a_probe_is_answered() -> None:
+def test_an_unreachable_server_is_ejected_until_a_probe_succeeds() -> None:
     gate = Driver(replace(BASE, plans=(i.Plan(),)), servers=2)
     view = gate.gateway.servers["s0"]
     for _ in range(30):
@@ -227,7 +228,7 @@
     assert view.ejected_until <= gate.now and not gate.gateway.ejected
 
 
-def test_a_server_that_answers_fast_with_errors_does_not_draw_the_traffic() -> None:
+def test_a_server_that_fails_fast_does_not_attract_traffic() -> None:
     gate = Driver(replace(BASE, plans=(i.Plan(),)), servers=4)
     bad = 0
     for _ in range(200):
@@ -242,8 +243,8 @@
     assert 2 <= bad <= 15
 
 
-def slow_down(gate: Driver, seconds: float, latency: float) -> None:
-    """Offer much, answer everything `latency` ms after it was sent."""
+def run_load(gate: Driver, seconds: float, latency: float) -> None:
+    """Send 50 requests a second, each answered after `latency` ms."""
     out: list[tuple[float, int, str]] = []
     for _ in range(int(seconds * 50)):
         number, actions = gate.ask()
@@ -256,13 +257,13 @@
         gate.end(number, server, i.Result.OK, latency)
 
 
-def test_the_limit_falls_to_its_floor_in_a_slow_fleet_and_comes_back() -> None:
+def test_the_limit_falls_to_its_minimum_in_a_slow_fleet_and_recovers() -> None:
     gate = Driver(replace(BASE, plans=(i.Plan(),)), servers=6)
-    slow_down(gate, 10, 50)
+    run_load(gate, 10, 50)
     before = gate.gateway.in_flight_limit
-    slow_down(gate, 10, 500)
+    run_load(gate, 10, 500)
     floor = gate.gateway.in_flight_limit
-    slow_down(gate, 30, 100)
+    run_load(gate, 30, 100)
     assert floor < before and floor >= 3 * 6 / 3 - 1 and gate.gateway.pressure < 0.4
 
 
@@ -275,9 +276,9 @@
     assert abs(gate.gateway.in_flight_limit - 2 * before) < 0.1
 
 
-def test_an_attempt_that_hangs_while_its_server_answers_is_withdrawn_and_made_anew_after_its_end() -> None:
-    # A connection may die without a word. A server that is silent as a whole is another matter.
-    for others_answered, withdrawn in ((True, True), (False, False)):
+def test_an_attempt_that_hangs_while_its_server_answers_is_cancelled_and_then_retried() -> None:
+    # A connection may die without a reset. A server that answers nothing is handled differently.
+    for others_answered, cancelled in ((True, True), (False, False)):
         gate = Driver(replace(BASE, plans=(i.Plan(),)), servers=1)
         for _ in range(400):
             number, out = gate.ask()
@@ -289,7 +290,7 @@
             if others_answered:
                 gate.end(number, sends(out)[0].server, i.Result.OK, 10.0)
         cancels = [action for action in gate.run(400.0) if isinstance(action, i.Cancel)]
-        assert (cancels == [i.Cancel(hanging, 0)]) is withdrawn
-        if withdrawn:
+        assert (cancels == [i.Cancel(hanging, 0)]) is cancelled
+        if cancelled:
             again = sends(gate.end(hanging, "s0", i.Result.CANCELLED, 300.0))
             assert [send.request_id for send in again] == [hanging]
--- a/tests/gatekeeper/test_scale.py
+++ b/tests/gatekeeper/test_scale.py
@@ -1,4 +1,4 @@
-"""A large group: each gateway sees a sliver of the traffic, and decides well all the same."""
+"""Large groups of gateways, each of which sees a small part of the traffic."""
 
 from collections import Counter
 from dataclasses import replace
@@ -16,7 +16,7 @@
     ]
 
 
-def test_each_gateway_of_a_large_group_goes_by_few_servers_and_all_servers_by_as_many() -> None:
+def test_each_gateway_of_a_large_group_uses_few_servers_and_all_are_used_evenly() -> None:
     for size, servers in ((100, 23), (390, 80), (3, 12), (1, 5)):
         gates = group(size, servers)
         load = Counter(view.entry.name for gate in gates for view in gate.gateway.subset)
@@ -29,11 +29,11 @@
 
 def test_an_idle_step_touches_no_server() -> None:
     gate = Driver(replace(FREE, gateway_count=300), servers=80)
-    gate.gateway.servers = {}  # would fail on any look at a server's state
+    gate.gateway.servers = {}  # access to a server would fail
     assert gate.run(200.0) == [i.SetTimer(0, 50.0)] * 4
 
 
-def test_a_fleet_of_nothing_but_cold_servers_gets_its_budget_whatever_the_group() -> None:
+def test_a_fleet_of_cold_servers_gets_its_permitted_load_in_any_group() -> None:
     for size in (3, 100):
         gates = group(size, 20)
         start = gates[0].now
@@ -46,11 +46,11 @@
                 sent += len(sends(out))
                 for send in sends(out):
                     gate.end(number, send.server, i.Result.OK)
-        # The rule allows twice the warmth of 0.2; half of that is ours, of what is asked for.
+        # The rule allows twice the capacity ratio of 0.2; the gateways use half of that.
         assert 0.1 * 3000 < sent < 0.3 * 3000
 
 
-def test_a_gateway_whose_servers_are_all_left_out_turns_to_the_rest_of_the_fleet() -> None:
+def test_a_gateway_whose_servers_are_all_ejected_uses_the_rest_of_the_fleet() -> None:
     gate = Driver(replace(FREE, gateway_count=300), servers=40)
     for view in gate.gateway.subset:
         gate.gateway._eject(gate.now, view)
@@ -65,7 +65,7 @@
 )
 
 
-def test_a_customer_spread_thin_is_decided_after_its_count_and_not_before() -> None:
+def test_a_request_of_a_customer_on_many_gateways_is_decided_after_its_counter_call() -> None:
     for elsewhere, passes in ((0, True), (60 * 1000 + 20, False)):
         gate = Driver(QUOTA)
         number, out = gate.ask(gateway_count=97)
@@ -75,19 +75,19 @@
         after = gate.do(i.CounterCallEnded(count.key, i.Result.OK, 3.0, count.amount + elsewhere))
         assert bool(sends(after)) is passes and bool(answers(after)) is not passes
         later = [action for action in gate.run(500.0) if isinstance(action, i.AddToCounter)]
-        # What was counted as let in and then refused is taken off again.
+        # A request that was counted as accepted and then refused is subtracted again.
         assert [action.amount for action in later] == ([] if passes else [-1])
 
 
-def test_a_held_request_is_decided_without_the_counter_too() -> None:
+def test_a_held_request_is_decided_when_its_counter_call_fails() -> None:
     gate = Driver(QUOTA)
-    for lost in range(3):  # one lost call of a gateway that makes few is no dead counter
+    for lost in range(3):  # a single failed call does not mean that the counter is down
         number, out = gate.ask(gateway_count=97, customer=f"c{lost}")
         (count,) = [action for action in out if isinstance(action, i.AddToCounter)]
         gate.now += 30
         assert len(sends(gate.do(i.CounterCallEnded(count.key, i.Result.TIMEOUT, 30.0)))) == 1
         gate.run(1000.0)
-    # While the counter fails nothing is held; one request passes unheard.
+    # While the counter fails no request is held; one is admitted without a count.
     assert len(sends(gate.ask(gateway_count=97, customer="other")[1])) == 1
 
 
@@ -123,7 +123,7 @@
             gate.end(number, sends(out)[0].server, i.Result.OK, 80.0)
 
 
-def test_a_failed_list_call_is_asked_again_with_growing_pauses() -> None:
+def test_a_failed_list_call_is_retried_with_backoff() -> None:
     gate = Driver(replace(FREE, subscribe_enabled=True))
     asked = []
     for _ in range(4):
@@ -135,7 +135,7 @@
     assert asked == sorted(asked) and asked[0] >= 400 and asked[3] >= 3000
 
 
-def test_a_class_left_unanswered_by_some_servers_goes_elsewhere_and_leaves_no_server_out() -> None:
+def test_a_class_left_unanswered_by_some_servers_goes_to_others_and_ejects_no_server() -> None:
     silent, missed, seeds = {"s0", "s1", "s2"}, 0, range(1, 9)
     for seed in seeds:
         gate = Driver(replace(FREE, gateway_count=100), servers=8, seed=seed)
@@ -143,17 +143,17 @@
             kind = step % 2
             number, out = gate.ask(request_class=kind)
             for send in sends(out):
-                mute = kind == 1 and send.server in silent
-                missed += mute and step >= 100
-                waited, result = (590.0, i.Result.CANCELLED) if mute else (90.0, i.Result.OK)
+                unanswered = kind == 1 and send.server in silent
+                missed += unanswered and step >= 100
+                waited, result = (590.0, i.Result.CANCELLED) if unanswered else (90.0, i.Result.OK)
                 gate.run(waited)
                 gate.end(number, send.server, result, waited)
         assert not gate.gateway.ejected
-    # Each is tried once as its mark has faded, after some 3 s; without marks it were 37 in a hundred.
+    # Each is tried again when its score has faded; without scores it would be 37 of 100 requests.
     assert missed <= 18 * len(seeds)
 
 
-def test_a_server_seen_seldom_is_judged_by_few_answers() -> None:
+def test_a_server_with_few_requests_is_judged_by_few_answers() -> None:
     gate = Driver(replace(FREE, gateway_count=100), servers=8)
     slow = 0
     for step in range(160):
@@ -170,7 +170,7 @@
     assert len(timers) > 30
 
 
-def test_nonsense_from_the_meter_or_a_load_report_raises_nothing() -> None:
+def test_invalid_usage_or_load_reports_raise_no_error() -> None:
     gate = Driver(replace(FREE, gateway_count=100, report_fields=("busy_reqs",)), servers=8)
     for load in ((), (-5.0,), (1e12,), (0.0,)):
         for use in (None, 0.0, -1.0, 1e9):
--- a/tests/gatekeeper/test_wirehost.py
+++ b/tests/gatekeeper/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter: JSON in, JSON out, and what happens to lines that cannot be right."""
+"""The JSON adapter: conversion of events and actions, and errors for invalid lines."""
 
 import copy
 import io
@@ -79,7 +79,7 @@
         (("Limits", "TryLimit"), "x", "TryLimit"),
     ],
 )
-def test_settings_that_cannot_be_right_name_the_key(path: tuple[Any, ...], value: Any, named: str) -> None:
+def test_invalid_settings_are_reported_with_their_key(path: tuple[Any, ...], value: Any, named: str) -> None:
     facts = copy.deepcopy(FACTS)
     at: Any = facts
     for step in path[:-1]:
@@ -90,13 +90,13 @@
 
 
 @pytest.mark.parametrize("line", ["{", "[]", "{}", batch(1.0, {"Ring": {"Ref": 1}})])
-def test_a_bad_line_ends_with_one_plain_line(line: str) -> None:
+def test_an_invalid_line_is_reported_in_one_line(line: str) -> None:
     out, errors = io.StringIO(), io.StringIO()
     assert main(io.StringIO(line + "\n"), out, errors) == 1
     assert len(errors.getvalue().splitlines()) == 1 and "Traceback" not in errors.getvalue()
 
 
-def test_the_end_of_input_is_a_good_end() -> None:
+def test_the_end_of_input_gives_exit_status_0() -> None:
     out = io.StringIO()
     assert main(io.StringIO(batch(1.0) + "\n"), out, io.StringIO()) == 0
     assert json.loads(out.getvalue()) == {"out": []}
@@ -107,8 +107,8 @@
     host.batch(batch(100.0, BOOT, POOL, SYNC))
 
     def broken(self: control.Gateway, now_ms: float, event: object) -> None:
-        raise RuntimeError("no such luck")
+        raise RuntimeError("broken")
 
     monkeypatch.setattr(control.Gateway, "handle", broken)
     out = json.loads(host.batch(batch(104.0, ASK)))["out"]
-    assert out == [{"InternalError": {"NodeId": 3, "ReasonText": "RuntimeError: no such luck"}}]
+    assert out == [{"InternalError": {"NodeId": 3, "ReasonText": "RuntimeError: broken"}}]
--- a/tests/traffic/test_imports.py
+++ b/tests/traffic/test_imports.py
@@ -1,4 +1,4 @@
-"""What loading the limiter costs each proxy."""
+"""Imports of the rate limiter, which every proxy loads."""
 
 import subprocess
 import sys
--- a/tests/traffic/test_outlier_detection.py
+++ b/tests/traffic/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection over all proxies: the real detector, load balancer and load reports, without sockets."""
+"""Outlier detection with many proxies: detectors, load balancers and load reports in one process."""
 
 import random
 from collections import deque
@@ -27,7 +27,7 @@
     home_regions=frozenset(),
 )
 REGIONS = {"z1": "r1", "z2": "r2", "z3": "r3"}
-REPORT_DELAY_PULLS = 3  # pulls of 0.25 s: so old are the totals that proxies receive
+REPORT_DELAY_PULLS = 3  # of 0.25 s each: the age of the totals that proxies receive
 STEP_SECONDS = 0.01
 PULL_STEPS = 25
 WORKERS = [f"{zone}-{number}" for zone in REGIONS for number in range(8)]
@@ -35,7 +35,7 @@
 
 
 class Cluster:
-    """24 workers of 6 slots in three regions, 6 requests a second each; the load balancers of all proxies."""
+    """24 workers of 6 slots in three regions, each with 6 requests a second, and the load balancers."""
 
     def __init__(self, proxies: int, reports_shared: bool) -> None:
         self.rng = random.Random(4)
@@ -55,7 +55,7 @@
         self.totals = deque([dict[str, list[int]]()] * REPORT_DELAY_PULLS)
         self.sent: list[tuple[float, str]] = []  # time and worker of each request
         self.failure_rates: dict[str, float] = {}  # by worker
-        self.faulty_proxies: set[int] = set()  # all of whose requests fail
+        self.faulty_proxies: set[int] = set()  # all of their requests fail
 
     def run(self, until: float) -> None:
         while (now := self.step * STEP_SECONDS) < until:
@@ -77,7 +77,7 @@
             balancer.record_response(now, worker, HOLD, 0.1, 500)
 
     def _pull(self, now: float) -> None:
-        """Each proxy reports, and receives the totals of some time ago."""
+        """Each proxy reports, and receives delayed totals."""
         for number, balancer in enumerate(self.balancers):
             detector = balancer.outlier_detector
             counts = detector.failure_counts(now)
@@ -94,7 +94,7 @@
         return len(WORKERS) * sent.count(worker_id) / max(1, len(sent))
 
     def ejected_after(self, worker_id: str, since: float, until: float) -> float | None:
-        """Seconds until two seconds begin in which a worker gets under a tenth of its share."""
+        """Seconds until the first two seconds in which a worker gets less than a tenth of its share."""
         for step in range(int((until - since - 2) / 0.1)):
             if self.share(worker_id, since + 0.1 * step, since + 0.1 * step + 2) < 0.1:
                 return round(0.1 * step, 1)
@@ -110,8 +110,8 @@
     ejected_after = cluster.ejected_after(FAILING_WORKER, 4.0, 14.0)
     assert ejected_after is not None
     assert ejected_after <= max_seconds, ejected_after
-    zone_mates = [worker_id for worker_id in WORKERS if worker_id[:2] == "z1" and worker_id != FAILING_WORKER]
-    assert all(cluster.share(worker_id, 4.0, 14.0) > 0.5 for worker_id in zone_mates)
+    same_zone = [worker_id for worker_id in WORKERS if worker_id[:2] == "z1" and worker_id != FAILING_WORKER]
+    assert all(cluster.share(worker_id, 4.0, 14.0) > 0.5 for worker_id in same_zone)
 
 
 @test("without the reports of others, 80 proxies do not eject it in any useful time")
@@ -155,7 +155,7 @@
         was_ejected.append("w1" in ejected)
         if step % 10 == 0 and not ejected:
             detector.record_result(now, "w1", 1.0)
-    spells = "".join("x" if one else "." for one in was_ejected).split(".")
-    lengths = [len(spell) for spell in spells if spell]
+    ejections = "".join("x" if one else "." for one in was_ejected).split(".")
+    lengths = [len(ejection) for ejection in ejections if ejection]
     assert 480 < lengths[0] < 520, lengths
     assert 980 < lengths[1] < 1020, lengths
--- a/tests/traffic/test_rate_limiter.py
+++ b/tests/traffic/test_rate_limiter.py
@@ -1,4 +1,4 @@
-"""The rate limiter: scenarios against the rule QUOTA (tests/scenarios/rate_limiter_*.txt), and its counts."""
+"""The rate limiter: scenarios for the rule QUOTA (tests/scenarios/rate_limiter_*.txt), and its counts."""
 
 import random
 
@@ -21,7 +21,7 @@
     results = [RateLimiterSimulation(scenario, seed).run() for seed in range(seeds)]
     assert max(result.worst for result in results) <= max_worst
     assert sum(result.declined for result in results) / seeds <= max_declined
-    if any(isinstance(event, Overload) for event in scenario.events):  # what the quota gives is given
+    if any(isinstance(event, Overload) for event in scenario.events):  # the quota must be used up
         assert min(result.overload_admitted for result in results) >= (min_admitted or [0.9])[0]
 
 
@@ -40,10 +40,12 @@
     limiter.record_usage_totals(100.0, {"p#1": {}})
     limiter.record_usage_totals(100.3, {"p#1": {}})
     admitted = sum(limiter.admit(100.3 + 0.01 * step, "t") is None for step in range(20))
-    assert admitted >= 8  # 5 or 6 where the unknown swamps its part by use
+    assert admitted >= 8  # 5 or 6 if the unknown usage decided its part
     bounds = Bounds()
     allowed = (100.0 * bounds.quota_window + 100.0) * (1 + bounds.quota_overrun) + bounds.quota_slack
-    assert proxies * admitted <= allowed - 100.0 * (bounds.quota_window - 1)  # had all been as quick
+    assert proxies * admitted <= allowed - 100.0 * (
+        bounds.quota_window - 1
+    )  # if all proxies admitted as much
 
 
 @test(
@@ -73,7 +75,7 @@
 def _() -> None:
     for own_total, uses_up in ((12, False), (0, True)):
         limiter = _limiter(rate=10.0, burst=10.0, proxies=2)
-        for step in range(40):  # past the time in which it does not know the others
+        for step in range(40):  # until it knows the others' rate
             limiter.record_usage_totals(0.25 * step, {"p#1": {"t": (100, 0)}})
         limiter.confirm_counts({"t": (own_total, 0)})
         limiter.record_usage_totals(10.2, {"p#1": {"t": (112, 0)}})
@@ -112,10 +114,10 @@
         limiter.record_usage_totals(now, {"p#1": {"t": (step, 0)}})
         if step == 8:
             assert all(limiter.admit(now, "t") is None for _ in range(5))
-        if step == 30:  # long after, when what was admitted is out of the rule's window
+        if step == 30:  # when the admitted requests have left the rule's window
             for _ in range(5):
                 limiter.refund(now, "t")
-    for step in range(30):  # isolated for 3 s: a request a second less than none would be expected
+    for step in range(30):  # isolated for 3 s: unguarded, the expected rate would be negative
         assert limiter.admit(9.75 + 0.1 * step, "t") is None
     limiter.record_usage_totals(12.75, {"p#1": {"t": (41, 0)}})
     limiter.record_usage_totals(13.0, {"p#1": {"t": (42, 0)}})
--- a/tests/traffic/test_retry_budget.py
+++ b/tests/traffic/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budgets of all proxies together, against the rule BUDGET."""
+"""The retry budgets of all proxies together keep the rule BUDGET."""
 
 import random
 from dataclasses import dataclass
@@ -26,7 +26,7 @@
     retry_times: list[float] = []
     for step in range(4000):
         now = 0.01 * step
-        for _ in range(2 if step % 1500 < 500 else 1):  # load comes and goes
+        for _ in range(2 if step % 1500 < 500 else 1):  # varying load
             budget = rng.choice(budgets)
             budget.record_request(now, "s")
             request_times.append(now)
--- a/tests/traffic/test_slow_start.py
+++ b/tests/traffic/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the assignment of warming workers to proxies, and the pace of one proxy."""
+"""Slow start: the assignment of warming workers to proxies, and the rate of one proxy."""
 
 import random
 
