--- a/ashlift/gatekeeper/admission/quota.py
+++ b/ashlift/gatekeeper/admission/quota.py
@@ -24,19 +24,19 @@
         window.discard_before(buckets, now - max(window_ms, 1000.0))
         total, accepted, recent = window.usage(buckets, now, window_ms)
         if customer.gateway_share < 1:
-            age_ms = now - customer.total_read_at
-            # Each gateway may admit one request: its share of a small quota could be less than that.
-            one = self.settings.max_request_units * 1000 / window_ms
-            even = max(0.0, customer.plan.rate - max(one, customer.plan.rate * customer.gateway_share))
+            age_ms, plan_rate = now - customer.total_read_at, customer.plan.rate
+            # This gateway's own part of the quota is at least one request in a window.
+            least_rate = self.settings.max_request_units * 1000 / window_ms
+            even_rate = max(0.0, plan_rate - max(least_rate, plan_rate * customer.gateway_share))
             enabled_since = now if self.settings.counter_enabled else -1e9
-            blind_ms = now - min(self.counter_failing_since, customer.call_overdue_since, enabled_since)
-            blind = 1.0 if age_ms == math.inf else min(1.0, blind_ms / window_ms)
+            no_total_ms = now - min(self.counter_failing_since, customer.call_overdue_since, enabled_since)
+            unknown = 1.0 if age_ms == math.inf else min(1.0, no_total_ms / window_ms)
             fade_ms = max(TOTAL_FADE_WINDOWS * window_ms, TOTAL_FADE_GAPS * customer.request_gap_ms)
-            fresh = max(0.0, 1 - age_ms / fade_ms)
-            # The others may be asked for as much as this gateway, as far as enough requests came to tell.
-            here = total * (min(1 / customer.gateway_share, max(1.0, total)) - 1) * 1000 / window_ms
-            total_rate = max(customer.remote_total_rate * fresh, blind * max(even, here))
-            accepted_rate = max(customer.remote_accepted_rate * fresh, blind * even)
+            known = max(0.0, 1 - age_ms / fade_ms)
+            # Each other gateway may receive as much as this one; a few requests here are no evidence of it.
+            alike_rate = total * (min(1 / customer.gateway_share, max(1.0, total)) - 1) * 1000 / window_ms
+            total_rate = max(customer.remote_total_rate * known, unknown * max(even_rate, alike_rate))
+            accepted_rate = max(customer.remote_accepted_rate * known, unknown * even_rate)
             total += total_rate * min(age_ms, window_ms) / 1000
             accepted += accepted_rate * min(age_ms, window_ms) / 1000
             recent += total_rate * min(age_ms, 1000.0) / 1000
