--- a/ashlift/configstore/follower.py
+++ b/ashlift/configstore/follower.py
@@ -82,7 +82,7 @@
         """Raises ValueError, TypeError or LookupError for a payload that is none."""
         replica = self.replica
         requested = (request.term, request.proposed_index)
-        self._learn_commit(request)
+        self._update_committed(request)
         payload = None if request.payload is None else decode_payload(request.payload)
         entries = self._apply_payload(payload)
         vote = None
@@ -147,13 +147,13 @@
             replica.log_event(events.CAUGHT_UP, term=request.term, index=request.proposed_index)
         if accepted.snapshot is not None or accepted.is_promotion:
             self.staged_entries = None
-        self._learn_commit(request)
+        self._update_committed(request)
         replica.freshness.renew(request)
         replica.respond(reply_to, self._append_response(request))
         if self._is_displaced():
             replica.joining.give_up_standing()
 
-    def _learn_commit(self, request: AppendRequest) -> None:
+    def _update_committed(self, request: AppendRequest) -> None:
         """A leader proposes one at a time: what it proposed up to its `commit_index` is committed."""
         replica = self.replica
         if replica.term_index[0] == request.term and replica.term_index[1] <= request.commit_index:
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -120,7 +120,7 @@
     ),
     "a later state taken for committed": Mutant(
         Follower,
-        "_learn_commit",
+        "_update_committed",
         "replica.term_index[1] <= request.commit_index",
         "replica.term_index[1] <= request.commit_index + 1",
     ),
@@ -158,7 +158,7 @@
         "True",
     ),
     "learnt by index alone": Mutant(
-        Follower, "_learn_commit", "replica.term_index[0] == request.term and ", ""
+        Follower, "_update_committed", "replica.term_index[0] == request.term and ", ""
     ),
     "a proposal before the term's first is committed": Mutant(
         ProposalQueue,
