--- a/ashlift/configstore/heartbeat_rounds.py
+++ b/ashlift/configstore/heartbeat_rounds.py
@@ -87,10 +87,10 @@
 
     def read(self, reply_to: Any) -> None:
         """Answer with the committed snapshot, once a round that begins now is confirmed."""
-        self.answer_after_next_round(reply_to, None)
+        self.reply_after_next_round(reply_to, None)
         self.begin()
 
-    def answer_after_next_round(self, reply_to: Any, response: Any) -> None:
+    def reply_after_next_round(self, reply_to: Any, response: Any) -> None:
         """Answer once a round is confirmed that has not begun yet; the caller begins it."""
         self.pending_reads.append(PendingRead(self.newest + 1, reply_to, response))
 
--- a/ashlift/configstore/proposal_queue.py
+++ b/ashlift/configstore/proposal_queue.py
@@ -74,7 +74,7 @@
             if isinstance(outcome, Proposal):
                 self.propose(outcome, queued.reply_to)
                 return
-            leader.rounds.answer_after_next_round(queued.reply_to, outcome.response)
+            leader.rounds.reply_after_next_round(queued.reply_to, outcome.response)
             needs_round = True
         if needs_round:
             leader.rounds.begin()
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -46,7 +46,7 @@
     "confirmed by one": Mutant(HeartbeatRounds, "confirm", "quorum(len(acknowledged))", "1"),
     "a round begun before the read": Mutant(
         HeartbeatRounds,
-        "answer_after_next_round",
+        "reply_after_next_round",
         "self.newest + 1",
         "self.newest",
     ),
@@ -56,7 +56,7 @@
     "a 412 without a round": Mutant(
         ProposalQueue,
         "advance",
-        "leader.rounds.answer_after_next_round(queued.reply_to, outcome.response)",
+        "leader.rounds.reply_after_next_round(queued.reply_to, outcome.response)",
         "leader.replica.reply(queued.reply_to, {**outcome.response, 'index': leader.commit_index})",
     ),
     "an older map is voted for": Mutant(
