--- a/ashlift/configstore/proposal_queue.py
+++ b/ashlift/configstore/proposal_queue.py
@@ -67,7 +67,7 @@
                 break
             queued = self.queue.popleft()
             outcome = self._decide(queued.command)
-            if queued.fencing_token is not None and self._is_overtaken(queued.fencing_token, outcome):
+            if queued.fencing_token is not None and self._is_expired(queued.fencing_token, outcome):
                 failure = Failure(FailureReason.EXPIRED, "its caller may have gone")
                 leader.replica.reply(queued.reply_to, failure)
                 continue
@@ -84,7 +84,7 @@
             return self.leader.membership.decide(command)
         return self.leader.command_handler(self.leader.current_map(), command)
 
-    def _is_overtaken(self, token: FencingToken, outcome: Proposal | ReadOnlyResult) -> bool:
+    def _is_expired(self, token: FencingToken, outcome: Proposal | ReadOnlyResult) -> bool:
         """Whether the command may have been on its way for longer than its caller waits, or is void."""
         age_seconds = self.leader.rounds.started_seconds_ago(token)
         if age_seconds is None or age_seconds >= token.remaining_seconds:
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -208,7 +208,7 @@
     "orders have no fence": Mutant(
         ProposalQueue,
         "advance",
-        "queued.fencing_token is not None and self._is_overtaken(queued.fencing_token, outcome)",
+        "queued.fencing_token is not None and self._is_expired(queued.fencing_token, outcome)",
         "False",
     ),
     "two proposals at a time": Mutant(ProposalQueue, "advance", "not self.in_flight and ", ""),
@@ -235,14 +235,14 @@
 COMMAND_MUTANTS: Final[dict[str, Mutant]] = {
     "an order of any age is begun": Mutant(
         ProposalQueue,
-        "_is_overtaken",
+        "_is_expired",
         "age_seconds is None or age_seconds >= token.remaining_seconds",
         "False",
         "an evacuation that its operator has given up does not come into force 20 s later",
     ),
     "an order is begun whatever has changed since": Mutant(
         ProposalQueue,
-        "_is_overtaken",
+        "_is_expired",
         "committed.may_have_changed_since(key, token.known_index)",
         "False",
         "taken back within the second: a call held up for half of it is void, and so are its copies at other "
