--- a/ashlift/configstore/follower.py
+++ b/ashlift/configstore/follower.py
@@ -94,7 +94,7 @@
         return Accepted(
             vote=vote,
             snapshot=snapshot,
-            is_promotion=self._is_promoted_by(payload, requested),
+            is_promotion=self._is_promotion(payload, requested),
             is_repair=snapshot is not None and entries is self.staged_entries,
         )
 
@@ -114,7 +114,7 @@
                 return None
         return entries if entries.digest() == payload.digest else None
 
-    def _is_promoted_by(self, payload: Payload | None, requested: TermIndex) -> bool:
+    def _is_promotion(self, payload: Payload | None, requested: TermIndex) -> bool:
         """Whether the leader says that this incarnation of a learner counts from now on."""
         replica = self.replica
         if replica.vote.is_voter or not isinstance(payload, Promotion):
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -102,7 +102,7 @@
     ),
     "promoted in any life": Mutant(
         Follower,
-        "_is_promoted_by",
+        "_is_promotion",
         "payload.incarnation == replica.incarnation and ",
         "",
     ),
