--- a/ashlift/configstore/leadership_transfer.py
+++ b/ashlift/configstore/leadership_transfer.py
@@ -54,7 +54,7 @@
             if ip == leader.replica.ip:
                 continue
             peer = leader.peers.get(ip)
-            if peer.learning is None and peer.heard_at > earliest:
+            if peer.restoring_learner is None and peer.heard_at > earliest:
                 candidates.append((peer.match_index, peer.acknowledged_round, ip))
         if candidates:
             _, _, successor = max(candidates)
--- a/ashlift/configstore/membership_manager.py
+++ b/ashlift/configstore/membership_manager.py
@@ -52,7 +52,7 @@
     def _view(self, ip: str, peer: PeerState) -> ReplicaView:
         now = self.leader.replica.now
         newest_index = self.leader.proposed.term_index[1]
-        is_level = peer.learning is None and peer.match_index + MAX_LAG_UP_TO_DATE >= newest_index
+        is_level = peer.restoring_learner is None and peer.match_index + MAX_LAG_UP_TO_DATE >= newest_index
         is_up_to_date = is_level and peer.heard_at > now - QUORUM_CONTACT_TIMEOUT_SECONDS
         seconds_since_contact = now - self.leader.peers.last_contact_at(ip)
         return ReplicaView(seconds_since_contact, is_up_to_date, peer.incarnation if is_up_to_date else None)
@@ -78,7 +78,7 @@
                     "leads": is_self,
                     "behind": 0 if is_self else behind,
                     "unheard": 0.0 if is_self else round(seconds_since_contact, 1),
-                    "counts": is_voter and (is_self or peer.learning is None),
+                    "counts": is_voter and (is_self or peer.restoring_learner is None),
                     "stays": self._removal_refusal(ip, entry, views) if is_voter else None,
                 }
             )
@@ -140,9 +140,13 @@
         """Replicas that learn with another incarnation than the map names, each with that incarnation."""
         incarnations = {}
         for ip, peer in self.leader.peers.states.items():
-            entry = membership_entry(self.leader.current_map(), ip) if peer.learning else None
-            if peer.learning and entry is not None and entry.get(INCARNATION) != peer.learning.incarnation:
-                incarnations[ip] = peer.learning.incarnation
+            entry = membership_entry(self.leader.current_map(), ip) if peer.restoring_learner else None
+            if (
+                peer.restoring_learner
+                and entry is not None
+                and entry.get(INCARNATION) != peer.restoring_learner.incarnation
+            ):
+                incarnations[ip] = peer.restoring_learner.incarnation
         return incarnations
 
     def _enter_incarnations(self, incarnations: dict[str, int]) -> Proposal:
@@ -151,7 +155,7 @@
         index = self.leader.proposed.term_index[1] + 1
         updates = {}
         for ip, incarnation in incarnations.items():
-            self.leader.peers.get(ip).learning = RestoringLearner(incarnation, index)
+            self.leader.peers.get(ip).restoring_learner = RestoringLearner(incarnation, index)
             key = VOTER_PREFIX + ip if VOTER_PREFIX + ip in entries else LEARNER_PREFIX + ip
             updates[key] = {**entries[key], INCARNATION: incarnation}
         return Proposal(updates, [], None)
--- a/ashlift/configstore/peers.py
+++ b/ashlift/configstore/peers.py
@@ -31,7 +31,7 @@
         self.heard_at = float("-inf")  # when the newest answered request was sent
         self.match_index = 0  # the newest index that it holds durably
         self.clock_token = 0  # its newest one
-        self.learning: RestoringLearner | None = None  # not None: it does not count
+        self.restoring_learner: RestoringLearner | None = None  # not None: it does not count
         self.join_requested_at = float("-inf")
         self.incarnation = 0  # that it named when it asked to join
 
@@ -84,18 +84,18 @@
         if ip == self.leader.replica.ip:
             return self.leader.replica.now
         peer = self.get(ip)
-        return float("-inf") if peer.learning else peer.heard_at
+        return float("-inf") if peer.restoring_learner else peer.heard_at
 
     def acknowledged_round(self, ip: str) -> int:
         """The newest heartbeat round that a voter has answered; one that is learning does not count."""
         if ip == self.leader.replica.ip:
             return self.leader.rounds.newest
         peer = self.get(ip)
-        return 0 if peer.learning else peer.acknowledged_round
+        return 0 if peer.restoring_learner else peer.acknowledged_round
 
     def holds(self, ip: str, index: int) -> bool:
         """Whether a voter holds the proposal at `index` durably."""
         if ip == self.leader.replica.ip:
             return self.leader.replica.term_index == self.leader.proposed.term_index
         peer = self.get(ip)
-        return peer.learning is None and peer.match_index >= index
+        return peer.restoring_learner is None and peer.match_index >= index
--- a/ashlift/configstore/replication.py
+++ b/ashlift/configstore/replication.py
@@ -135,8 +135,8 @@
         """It votes again once it holds what was committed without it after its incarnation was heard of."""
         leader = self.leader
         newest = leader.proposed.term_index[1]
-        if peer.learning is None or peer.learning.incarnation != incarnation:
-            peer.learning = RestoringLearner(incarnation, newest + 1)
+        if peer.restoring_learner is None or peer.restoring_learner.incarnation != incarnation:
+            peer.restoring_learner = RestoringLearner(incarnation, newest + 1)
             peer.match_index = 0
             peer.progress.reset()
             leader.replica.log_event(events.LEARNER_RESTORING, ip=ip, index=newest)
@@ -146,7 +146,7 @@
             return
         if entry is None or entry.get(INCARNATION) != incarnation:
             return  # `MembershipManager` enters its incarnation first
-        if peer.learning.promotion_index <= index <= leader.commit_index:
+        if peer.restoring_learner.promotion_index <= index <= leader.commit_index:
             position = None if index == newest else (term, index)
             self._send_append(ip, peer, encode_payload(Promotion(incarnation, position)))
         elif index == newest == leader.commit_index and leader.proposals.is_idle():
@@ -164,7 +164,7 @@
 
 def _note_voter(peer: PeerState, response: AppendAccepted | AppendBehind, index: int) -> None:
     """One that answers as a voter counts, with what it holds durably."""
-    peer.learning = None
+    peer.restoring_learner = None
     if isinstance(response, AppendAccepted):
         peer.match_index = max(peer.match_index, index)
         if response.incarnation is not None:
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -85,11 +85,11 @@
         "self.leader.replica.term_index == self.leader.proposed.term_index",
         "True",
     ),
-    "a learner is counted": Mutant(PeerTable, "holds", "peer.learning is None and ", ""),
+    "a learner is counted": Mutant(PeerTable, "holds", "peer.restoring_learner is None and ", ""),
     "a learner confirms": Mutant(
         PeerTable,
         "acknowledged_round",
-        "0 if peer.learning else peer.acknowledged_round",
+        "0 if peer.restoring_learner else peer.acknowledged_round",
         "peer.acknowledged_round",
     ),
     "a learner votes": Mutant(Election, "handle_vote_request", "if not replica.vote.is_voter:", "if False:"),
@@ -115,7 +115,7 @@
     "promoted with what was committed before": Mutant(
         Replication,
         "_restore_learner",
-        "peer.learning.promotion_index <= index <= leader.commit_index",
+        "peer.restoring_learner.promotion_index <= index <= leader.commit_index",
         "index <= leader.commit_index",
     ),
     "a later state taken for committed": Mutant(
