--- a/ashlift/configstore/leader_requests.py
+++ b/ashlift/configstore/leader_requests.py
@@ -16,15 +16,15 @@
 READ_TIMEOUT_SECONDS: Final = 2.0
 
 NO_LEADER: Final = Failure(FailureReason.UNAVAILABLE, "no leader")
-_NO_LEADER_HEARD: Final = Failure(FailureReason.UNAVAILABLE, "no leader is heard here")
-_NOT_BEGUN: Final = (FailureReason.UNAVAILABLE, FailureReason.UNREACHABLE)
+_NO_LEADER_CONTACT: Final = Failure(FailureReason.UNAVAILABLE, "no leader is heard here")
+_NOT_STARTED_REASONS: Final = (FailureReason.UNAVAILABLE, FailureReason.UNREACHABLE)
 
 
-class Route(Enum):
+class RoutingDecision(Enum):
     """Who is to serve a request, where it is not forwarded."""
 
     THIS_REPLICA = auto()  # it leads
-    NOBODY_YET = auto()  # no leader is known now, or the request must not be forwarded again
+    NO_LEADER_YET = auto()  # no leader is known now, or the request must not be forwarded again
 
 
 class ForwardTo(NamedTuple):
@@ -33,15 +33,15 @@
     leader: str
 
 
-def choose_route(replica: Replica, body: dict[str, Any], now: float) -> Route | ForwardTo | Failure:
+def choose_route(replica: Replica, body: dict[str, Any], now: float) -> RoutingDecision | ForwardTo | Failure:
     """Who is to serve a request now; a Failure where no leader is to be expected soon."""
-    if replica.hears_no_leader(now):
-        return _NO_LEADER_HEARD
+    if replica.lacks_leader_contact(now):
+        return _NO_LEADER_CONTACT
     if replica.leader_role is not None:
-        return Route.THIS_REPLICA
+        return RoutingDecision.THIS_REPLICA
     if replica.leader_ip is not None and not is_forwarded(body):
         return ForwardTo(replica.leader_ip)
-    return Route.NOBODY_YET
+    return RoutingDecision.NO_LEADER_YET
 
 
 def may_retry(response: Any, body: dict[str, Any], now: float, deadline: float) -> bool:
@@ -49,6 +49,6 @@
 
     `deadline`: LEADER_WAIT_SECONDS after the request came.
     """
-    if not isinstance(response, Failure) or response.reason not in _NOT_BEGUN:
+    if not isinstance(response, Failure) or response.reason not in _NOT_STARTED_REASONS:
         return False
     return now < deadline and not is_forwarded(body)
--- a/ashlift/configstore/request_handlers.py
+++ b/ashlift/configstore/request_handlers.py
@@ -16,7 +16,7 @@
     RETRY_INTERVAL_SECONDS,
     SUBMIT_TIMEOUT_SECONDS,
     ForwardTo,
-    Route,
+    RoutingDecision,
     choose_route,
     may_retry,
 )
@@ -113,7 +113,7 @@
             route = choose_route(self._replica, body, clock())
             if isinstance(route, Failure):
                 return route
-            if route is Route.THIS_REPLICA:
+            if route is RoutingDecision.THIS_REPLICA:
                 response = self._runner.request(make_event, timeout)
             elif isinstance(route, ForwardTo):
                 client = self._clients.client((route.leader, self._port))
--- a/ashlift/simulation/configstore_process.py
+++ b/ashlift/simulation/configstore_process.py
@@ -18,7 +18,7 @@
     RETRY_INTERVAL_SECONDS,
     SUBMIT_TIMEOUT_SECONDS,
     ForwardTo,
-    Route,
+    RoutingDecision,
     choose_route,
     may_retry,
 )
@@ -270,7 +270,7 @@
             route = choose_route(self.replica, body, self.clock())
             if isinstance(route, Failure):
                 return route
-            if route is Route.THIS_REPLICA:
+            if route is RoutingDecision.THIS_REPLICA:
                 response = yield from self._await_reply(make_event, timeout)
             elif isinstance(route, ForwardTo):
                 response = yield self.call(route.leader, KIND, method, requests.forwarded(body), timeout)
--- a/tests/configstore/test_leader_requests.py
+++ b/tests/configstore/test_leader_requests.py
@@ -5,7 +5,7 @@
 
 from ward import each, test
 
-from ashlift.configstore.leader_requests import ForwardTo, Route, choose_route, may_retry
+from ashlift.configstore.leader_requests import ForwardTo, RoutingDecision, choose_route, may_retry
 from ashlift.configstore.replica import Replica
 from ashlift.configstore.requests import forwarded
 from ashlift.errors import Failure, FailureReason
@@ -13,23 +13,23 @@
 LEADER_IP = "10.0.0.2"
 
 
-def replica(leader_ip: str | None = None, leads: bool = False, hears_no_leader: bool = False) -> Replica:
+def replica(leader_ip: str | None = None, leads: bool = False, lacks_leader_contact: bool = False) -> Replica:
     """What the choice of a route looks at."""
     leader_role = object() if leads else None
     stub = SimpleNamespace(
-        hears_no_leader=lambda now: hears_no_leader, leader_role=leader_role, leader_ip=leader_ip
+        lacks_leader_contact=lambda now: lacks_leader_contact, leader_role=leader_role, leader_ip=leader_ip
     )
     return cast(Replica, stub)
 
 
 @test("routes to the leader: to the one that is known, once; else a wait, or none where it is silent")
 def _() -> None:
-    assert choose_route(replica(leads=True), {}, 1.0) is Route.THIS_REPLICA
-    assert choose_route(replica(leads=True), forwarded({}), 1.0) is Route.THIS_REPLICA
-    assert choose_route(replica(), {}, 1.0) is Route.NOBODY_YET
+    assert choose_route(replica(leads=True), {}, 1.0) is RoutingDecision.THIS_REPLICA
+    assert choose_route(replica(leads=True), forwarded({}), 1.0) is RoutingDecision.THIS_REPLICA
+    assert choose_route(replica(), {}, 1.0) is RoutingDecision.NO_LEADER_YET
     assert choose_route(replica(LEADER_IP), {}, 1.0) == ForwardTo(LEADER_IP)
-    assert choose_route(replica(LEADER_IP), forwarded({}), 1.0) is Route.NOBODY_YET
-    failure = choose_route(replica(LEADER_IP, hears_no_leader=True), {}, 1.0)
+    assert choose_route(replica(LEADER_IP), forwarded({}), 1.0) is RoutingDecision.NO_LEADER_YET
+    failure = choose_route(replica(LEADER_IP, lacks_leader_contact=True), {}, 1.0)
     assert isinstance(failure, Failure)
     assert failure.reason == FailureReason.UNAVAILABLE
 
