--- a/ashlift/configstore/__init__.py
+++ b/ashlift/configstore/__init__.py
@@ -1,1 +1,1 @@
-"""The store: the operator's word under agreement, on a majority of disks. It never sees traffic."""
+"""Replicated configuration store: commits operator commands to a majority of disks. Not on the data path."""
--- a/ashlift/configstore/__main__.py
+++ b/ashlift/configstore/__main__.py
@@ -12,14 +12,16 @@
 from ashlift.configstore.server import ConfigStoreServer
 from ashlift.events import ERROR, SETTINGS_INVALID, STARTED, STOPPING, configure, log_event
 
-PROGRAM = "configstore"  # its name in the log
-DATA_FOLDER = "vise"  # under DataDirectory; disks written before the program was renamed stay readable
+PROGRAM = "configstore"  # program name in log records
+DATA_FOLDER = (
+    "vise"  # under DataDirectory; the program's former name, kept so that existing disks stay readable
+)
 
 
 def main() -> int:
-    """Run until the process is asked to end and has handed over.
+    """Run until the process is told to terminate and has transferred its leadership.
 
-    :returns: the exit status: 0, or `EX_CONFIG` where the settings are not usable.
+    :returns: the exit status: 0, or `EX_CONFIG` if the settings are invalid.
     """
     loaded = settings.read_settings(process.settings_path())
     if not isinstance(loaded, Settings):
@@ -29,7 +31,7 @@
         return process.EXIT_INVALID_SETTINGS
     configure(PROGRAM, loaded.node_name)
     if loaded.data_directory is None:
-        log_event(SETTINGS_INVALID, level=ERROR, error="DataDirectory: is missing: the store needs a disk")
+        log_event(SETTINGS_INVALID, level=ERROR, error="DataDirectory is required by the configuration store")
         return process.EXIT_INVALID_SETTINGS
     return _serve(loaded, os.path.join(loaded.data_directory, DATA_FOLDER))
 
--- a/ashlift/configstore/catch_up.py
+++ b/ashlift/configstore/catch_up.py
@@ -1,10 +1,10 @@
-"""What the leader knows of another replica's map, and what it sends to bring it up to date. Pure.
+"""Catch-up: the leader's view of another replica's map, and the payloads that bring it up to date.
 
-At most one payload is on its way to each replica. One whose state is among those that the leader has held
-(`ChangeLog`) gets what differs from it, however many changes that was, as one delta. What is too large for a
-request, or goes to a state that is not known, goes by digests over hash ranges: of a range that differs the
-keys that changed since it was known, else the whole range. What changes meanwhile goes with the next request,
-so a repair ends however steadily changes go on.
+No input or output. At most one payload is in flight to each replica. A replica whose map is in the leader's
+`ChangeLog` gets the difference as one delta. If the delta is too large for a request, or the replica's map is
+unknown, the maps are compared by digests of hash ranges: for each differing range, the leader sends the keys
+that changed since a known state, or else the whole range. Changes made meanwhile go with the next payload, so
+catching up completes under continuous changes.
 """
 
 from typing import Any, Final, NamedTuple
@@ -18,60 +18,60 @@
 from ashlift.configstore.timing import PAYLOAD_CHUNK_BYTES
 
 MIN_PAYLOAD_CHUNK_BYTES: Final = PAYLOAD_CHUNK_BYTES // 16
-UNCOMPRESSED_BYTES_PER_PAYLOAD_BYTE: Final = 2  # payloads are compressed to half at least
+UNCOMPRESSED_BYTES_PER_PAYLOAD_BYTE: Final = 2  # assumes that payloads compress to half their size or less
 
 
 class SentRange(NamedTuple):
-    """A hash range that was sent: of which state of the leader's change log, and its digest then."""
+    """A hash range as it was sent: the number of the state in the change log, and the range's digest."""
 
     state_number: int
     digest: bytes
 
 
 class ReplicaProgress:
-    """Another replica's map as the leader knows it."""
+    """The leader's view of another replica's map."""
 
     def __init__(self, position: TermIndex | None) -> None:
-        self.position = position  # None: nobody knows which state it is
+        self.position = position  # None: unknown
         self.payload_in_flight = False  # a payload, or a request for digests
-        self.chunk_bytes = PAYLOAD_CHUNK_BYTES  # about; halved when a payload did not get through in time
+        self.chunk_bytes = PAYLOAD_CHUNK_BYTES  # approximate; halved when a payload is not delivered in time
         self.last_delta_base: TermIndex | None = None
         self.sent_ranges: dict[int, SentRange] = {}
 
     def acknowledge(self, position: TermIndex | None) -> None:
-        """The replica has said what it holds."""
+        """Record the term and index that the replica reports; None: unknown."""
         if position != self.position:
             self.position = position
             self.sent_ranges.clear()
 
     def reset(self) -> None:
-        """Another incarnation: nothing of what was sent may be there."""
+        """Forget what was sent, because another incarnation of the replica may not have it."""
         self.sent_ranges.clear()
         self.last_delta_base = None
 
-    def payload_answered(self, *, carried_payload: bool, got_through: bool) -> None:
-        """What was in flight has been answered in time (`got_through`), or has not."""
+    def record_payload_outcome(self, *, carried_payload: bool, delivered: bool) -> None:
+        """Record whether the request in flight was answered in time, and adapt the payload size."""
         self.payload_in_flight = False
-        if carried_payload and got_through:
+        if carried_payload and delivered:
             self.chunk_bytes = min(PAYLOAD_CHUNK_BYTES, self.chunk_bytes * 2)
         elif carried_payload:
             self.chunk_bytes = max(MIN_PAYLOAD_CHUNK_BYTES, self.chunk_bytes // 2)
-        if not got_through:
+        if not delivered:
             self.sent_ranges.clear()
 
 
 class CatchUp:
-    """Makes the payloads of one leader."""
+    """Builds the payloads of one leader."""
 
     def __init__(self, change_log: ChangeLog) -> None:
         self.change_log = change_log
-        # The number of the newest state, and the deltas to it by number of their base; None: too large.
+        # Cache: the newest state's number, and the deltas to it by their base's number; None: too large.
         self._encoded_deltas: tuple[int, dict[int, bytes | None]] = (0, {})
 
     def next_payload(
         self, progress: ReplicaProgress, newest: Snapshot, range_digests: bytes | None = None
     ) -> bytes | None:
-        """The encoded payload that brings the replica on; None: its range digests are needed first."""
+        """The next encoded payload for the replica; None if its range digests are needed first."""
         delta_was_refused = range_digests and progress.position == progress.last_delta_base
         if progress.position and not progress.sent_ranges and not delta_was_refused:
             delta = self._delta(progress.position, newest)
@@ -81,7 +81,7 @@
         return self._range_update(progress, newest, range_digests) if range_digests else None
 
     def _delta(self, position: TermIndex, newest: Snapshot) -> bytes | None:
-        """All that differs from a state that was held; None: it is not known, or that is too much."""
+        """The encoded delta from a state in the change log; None if that is unknown or it is too large."""
         base = self.change_log.number_of(position)
         if base is None:
             return None
@@ -101,7 +101,7 @@
         return encode_payload(Delta(position, updates, deletions, newest.entries.digest()))
 
     def _range_update(self, progress: ReplicaProgress, newest: Snapshot, range_digests: bytes) -> bytes:
-        """As many of the differing ranges as a request may carry; the response brings the next digests."""
+        """An update of as many differing ranges as fit a request. The response brings the next digests."""
         entries = newest.entries
         base = self.change_log.number_of(progress.position) if progress.position else None
         changed_keys = {} if base is None else self.change_log.keys_changed_since_by_range(base)
@@ -127,14 +127,14 @@
 
 
 def _add_changes(update: RangeUpdate, entries: Any, keys: list[str]) -> int:
-    """Add the keys' changes to the update; -> their size in bytes, uncompressed."""
+    """Add the changes of some keys to the update. Returns their uncompressed size in bytes."""
     update.updates.update((key, entries[key]) for key in keys if key in entries)
     update.deletions.extend(key for key in keys if key not in entries)
     return sum(len(cbor2.dumps(entries.get(key))) for key in keys)
 
 
 def _add_range(update: RangeUpdate, newest: Snapshot, number: int) -> int:
-    """Add a whole range to the update; -> its size in bytes, uncompressed."""
+    """Add a whole range to the update. Returns its uncompressed size in bytes."""
     encoded = newest.entries.encoded_range(number)
     update.ranges[number] = encoded
     return len(encoded)
--- a/ashlift/configstore/codec.py
+++ b/ashlift/configstore/codec.py
@@ -1,7 +1,7 @@
-"""The bytes of the messages between replicas: the one module that knows positions, codes and method names.
+"""Wire format of the messages between replicas: field positions, codes and method names.
 
-Processes of earlier releases run side by side with this one, so what stands here must not change. An RPC body
-is a list; a payload is a compressed CBOR list in it. A body that is no message gives ValueError, TypeError or
+Processes of earlier releases run side by side with this one, so the format must not change. An RPC body is a
+list; a payload is a compressed CBOR list in it. Decoding a malformed body raises ValueError, TypeError or
 LookupError, which the receiver answers with `FailureReason.INVALID`.
 """
 
@@ -40,27 +40,27 @@
 METHODS: Final = (METHOD_VOTE, METHOD_APPEND, METHOD_JOIN, METHOD_TRANSFER)
 
 # Codes of the responses to `append`: `[term, code, clock token, *fields]`.
-CODE_ACCEPTED: Final = 1  # fields: none, or the incarnation of one that is no voter
+CODE_ACCEPTED: Final = 1  # fields: none, or the incarnation if not a voter
 CODE_BEHIND: Final = 2  # fields: range digests or null, `[term, index]` held
 CODE_REJECTED: Final = 3  # the clock token is 0
-CODE_LEARNER: Final = 4  # fields: incarnation, whether it is level, range digests or null, `[term, index]`
+CODE_LEARNER: Final = 4  # fields: incarnation, is_caught_up, range digests or null, `[term, index]`
 
 # Kinds of payloads: `[kind, *fields]`.
 KIND_DELTA: Final = 1  # fields: base term, base index, updates, deletions, digest
 KIND_RANGES: Final = 2  # fields: {range number: bytes}, digest
-KIND_PROMOTION: Final = 3  # fields: incarnation, and term and index unless they are those of the request
+KIND_PROMOTION: Final = 3  # fields: incarnation, and optionally term and index of the map
 KIND_RANGES_AND_CHANGES: Final = 4  # fields: {range number: bytes}, updates, deletions, digest
 
 COMPRESSION_LEVEL: Final = 1
 
 
 class UnknownMessageError(ValueError):
-    """A method that is not known, or a body that does not fit its method."""
+    """An unknown method, or a body that does not fit its method."""
 
 
 # ---- requests
 def encode_request(request: Request) -> tuple[str, list[Any]]:
-    """The RPC method and its body."""
+    """The RPC method and the body of a request."""
     match request:
         case AppendRequest():
             payload = True if request.wants_digests else request.payload
@@ -74,7 +74,7 @@
 
 
 def decode_request(method: str, body: Any) -> Request:
-    """Raises UnknownMessageError, with the method's name."""
+    """Decode a request. Raises UnknownMessageError with the method's name."""
     decode = _REQUEST_DECODERS.get(method)
     request = None if decode is None else decode(body)
     if request is None:
@@ -142,28 +142,31 @@
             return accepted if incarnation is None else [*accepted, incarnation]
         case AppendBehind(term, clock_token, range_digests, position):
             return [term, CODE_BEHIND, clock_token, range_digests, _encode_position(position)]
-        case LearnerStatus(term, clock_token, incarnation, is_level, range_digests, position):
-            fields = [incarnation, is_level, range_digests, _encode_position(position)]
+        case LearnerStatus(term, clock_token, incarnation, is_caught_up, range_digests, position):
+            fields = [incarnation, is_caught_up, range_digests, _encode_position(position)]
             return [term, CODE_LEARNER, clock_token, *fields]
 
 
 def decode_vote_response(body: Any) -> VoteResponse:
-    """Raises ValueError or TypeError."""
+    """Decode the response to `request_vote`. Raises ValueError or TypeError."""
     term, granted, *fields = body
     return VoteResponse(term, granted, fields[0] if fields else None)
 
 
 def decode_append_response(body: Any) -> AppendResponse:
-    """Raises ValueError or TypeError. A code that is not known says nothing of what is held."""
+    """Decode the response to `append`. Raises ValueError or TypeError.
+
+    An unknown code, of a later release, decodes to `AppendBehind` without digests and position.
+    """
     term, code, clock_token, *fields = body
     if code == CODE_REJECTED:
         return AppendRejected(term)
     if code == CODE_ACCEPTED:
         return AppendAccepted(term, clock_token, fields[0] if fields else None)
     if code == CODE_LEARNER:
-        incarnation, is_level, range_digests, *rest = fields
+        incarnation, is_caught_up, range_digests, *rest = fields
         position = _decode_position(rest)
-        return LearnerStatus(term, clock_token, incarnation, is_level, range_digests, position)
+        return LearnerStatus(term, clock_token, incarnation, is_caught_up, range_digests, position)
     if code == CODE_BEHIND:
         range_digests, *rest = fields
         return AppendBehind(term, clock_token, range_digests, _decode_position(rest))
@@ -171,7 +174,7 @@
 
 
 def decode_join_response(body: Any) -> JoinResponse | None:
-    """None: not a response to `join`."""
+    """Decode the response to `join`; None if the body is something else."""
     match body:
         case [leader_ip, displaced_by]:
             return JoinResponse(leader_ip, None if displaced_by is None else tuple(displaced_by))
@@ -183,7 +186,7 @@
 
 
 def _decode_position(fields: list[Any]) -> TermIndex | None:
-    """Processes of early releases do not say what they hold."""
+    """The reported term and index; None from processes of early releases, which omit them."""
     return tuple(fields[0]) if fields else None
 
 
@@ -202,7 +205,7 @@
 
 
 def decode_payload(data: bytes) -> Payload | None:
-    """None: of a kind that is not known. Raises ValueError or LookupError: no payload."""
+    """Decode a payload; None if its kind is unknown. Raises ValueError or LookupError if it is malformed."""
     kind, *fields = unpack(data)
     if kind == KIND_DELTA:
         term, index, updates, deletions, digest = fields
@@ -216,16 +219,16 @@
 
 
 def pack(payload: list[Any]) -> bytes:
-    """Compressed CBOR."""
+    """Encode a list as compressed CBOR."""
     return zlib.compress(cbor2.dumps(payload), COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes) -> list[Any]:
-    """Raises ValueError for bytes that are no compressed CBOR list."""
+    """Decode a compressed CBOR list. Raises ValueError for other data."""
     try:
         value = cbor2.loads(zlib.decompress(data))
     except (zlib.error, cbor2.CBORDecodeError) as error:
         raise ValueError(str(error)) from None
     if not isinstance(value, list):
-        raise ValueError("no payload")
+        raise ValueError("payload is not a list")
     return value
--- a/ashlift/configstore/commands.py
+++ b/ashlift/configstore/commands.py
@@ -1,8 +1,8 @@
-"""What an operator's command changes in the replicated map.
+"""Operator commands: the changes that each makes to the replicated map.
 
-Pure: the leader calls `decide_command` with its newest map and replicates what it returns. A command may
-arrive late, several times, and in another order than it was sent; digests of commands that were accepted or
-refused stand in the map, so that a resend gets the answer that the first copy got.
+Pure functions: the leader calls `decide_command` with its newest map and replicates the outcome. A command
+may arrive late, more than once, or out of order. Digests of accepted and refused commands are stored in the
+map, so that a resent command gets the answer of its first copy.
 """
 
 from collections.abc import Mapping
@@ -20,32 +20,32 @@
 from ashlift.errors import Failure
 from ashlift.response_status import BAD_REQUEST, OK, PRECONDITION_FAILED, SERVICE_UNAVAILABLE
 
-MAX_ACCEPTED_DIGESTS: Final = 512  # a day's changes and more
+MAX_ACCEPTED_DIGESTS: Final = 512  # more than a day's changes
 MAX_REFUSED_DIGESTS: Final = 64
 MAX_ZONE_CHARACTERS: Final = 200
 COMMAND_DIGEST_BYTES: Final = 8
 MAX_SHOWN_KIND_CHARACTERS: Final = 40
-_REFUSED_BEFORE_BASE: Final = "it was refused before what it builds on was current"
+_REFUSED_BEFORE_BASE: Final = "the same command was refused before its base version became current"
 
 
 class CommandKind(StrEnum):
-    """What a command does. The values are the words on the wire."""
+    """Kinds of commands. The values are used on the wire."""
 
     PUT = "put"  # replace the configuration
-    PATCH = "patch"  # change single objects of it
-    EVACUATE = "evacuate"  # take the traffic out of a zone
-    RESTORE = "restore"  # let traffic into the zone again
-    EDIT = "edit"  # change one route; this kind and the next are those of `route_reconciliation`
+    PATCH = "patch"  # change individual objects of the configuration
+    EVACUATE = "evacuate"  # drain all traffic from a zone
+    RESTORE = "restore"  # end the evacuation of a zone
+    EDIT = "edit"  # change one route; this kind and those below are handled by `route_reconciliation`
     CONFIRM = "confirm"
     REJECT = "reject"
     MERGE = "merge"
 
 
 class OperatorCommand(NamedTuple):
-    """A change that an operator wants.
+    """A command as received; `decide_command` validates the fields.
 
-    Its fields are as they came and are checked by `decide_command`: `kind` a `CommandKind`, `if_match` the
-    version it builds on, `body` a configuration, a patch, a zone's name or an edit.
+    `kind` should be a `CommandKind`, `if_match` the version that the command builds on, and `body` a
+    configuration, a patch, a zone's name or an edit.
     """
 
     kind: Any
@@ -54,7 +54,7 @@
 
 
 def decide_command(current: Mapping[str, Any], command: OperatorCommand) -> Proposal | ReadOnlyResult:
-    """What the command changes in the map `current`, and its answer `{status, reason?}`."""
+    """Decide a command on the map `current`. The response is `{status, reason?}`."""
     match command.kind:
         case CommandKind.PUT | CommandKind.PATCH:
             return _decide_configuration(current, command)
@@ -62,7 +62,7 @@
             return _decide_evacuation(current, command.body, command.kind == CommandKind.EVACUATE)
         case CommandKind.EDIT | CommandKind.CONFIRM | CommandKind.REJECT | CommandKind.MERGE:
             return _decide_edit(current, command)
-    return _refusal(BAD_REQUEST, f"no order: {str(command.kind)[:MAX_SHOWN_KIND_CHARACTERS]}")
+    return _refusal(BAD_REQUEST, f"invalid command: {str(command.kind)[:MAX_SHOWN_KIND_CHARACTERS]}")
 
 
 def _is_zone_name(value: Any) -> bool:
@@ -74,7 +74,7 @@
 
 
 def _decide_edit(current: Mapping[str, Any], command: OperatorCommand) -> Proposal | ReadOnlyResult:
-    from ashlift.route_reconciliation import merging  # most systems never need it
+    from ashlift.route_reconciliation import merging  # loaded on first use; many systems have no route edits
 
     match command.kind:
         case CommandKind.MERGE:
@@ -116,12 +116,12 @@
 
 
 def _command_digest(kind: str, if_match: str, body: Any) -> bytes:
-    """Empty for a command without one, which is not a configuration at all."""
+    """The digest of a command; empty if the body is not a configuration."""
     return bytes.fromhex(operator_config.request_digest(kind, if_match, body))[:COMMAND_DIGEST_BYTES]
 
 
 def _answer_to_resend(current: Mapping[str, Any], body: Any, digest: bytes) -> ReadOnlyResult | None:
-    """The answer to a command that was accepted before, or that may have been; None: it is new."""
+    """The answer to a command that was, or may have been, accepted before; None if it is new."""
     version = operator_config.parse_version(body.get("ConfigVersion") if isinstance(body, dict) else None)
     if not isinstance(version, int) or not digest:
         return None
@@ -129,19 +129,19 @@
     if accepted is not None and _accepted_digest(accepted) == digest:
         return ReadOnlyResult({"status": OK})
     if accepted is None and version <= current.get(ACCEPTED_TRIMMED, 0):
-        reason = f"version {version:08x} is too old to be told from one that was taken"
+        reason = f"version {version:08x} is too old to tell whether this command was accepted before"
         return _refusal(SERVICE_UNAVAILABLE, reason)
     return None
 
 
 def _accepted_digest(stored: str | bytes) -> bytes:
-    """Earlier releases stored the full digest as hexadecimal digits."""
+    """The stored digest. Earlier releases stored the full digest as hexadecimal digits."""
     return bytes.fromhex(stored)[:COMMAND_DIGEST_BYTES] if isinstance(stored, str) else stored
 
 
 def _accept(current: Mapping[str, Any], change: operator_config.ConfigChange, digest: bytes) -> Proposal:
-    """The change, with its digest; digests that are not needed any more go."""
-    # Versions only rise, so the lowest are the oldest.
+    """The change together with its digest. Digests that are no longer needed are deleted."""
+    # Versions only increase, so the lowest are the oldest.
     accepted_keys = sorted(key for key in current if key.startswith(ACCEPTED_PREFIX))
     oldest_keys = accepted_keys[: -(MAX_ACCEPTED_DIGESTS - 1)]
     passed_refusals = [
@@ -163,8 +163,8 @@
 ) -> Proposal | ReadOnlyResult:
     """Refuse a command that builds on another version than the current one.
 
-    A refused command must never come into force: if its base version may still come, the refusal is stored
-    until that has passed.
+    A refused command must never take effect. So if its base version is still to come, the refusal is stored
+    until that version has passed.
     """
     answer = {"status": PRECONDITION_FAILED, "reason": reason}
     base = operator_config.parse_version(if_match)
@@ -177,6 +177,6 @@
     if key in current:
         return ReadOnlyResult(answer)
     if sum(stored_key.startswith(REFUSED_PREFIX) for stored_key in current) >= MAX_REFUSED_DIGESTS:
-        reason = f"{MAX_REFUSED_DIGESTS} orders wait for versions to come"
+        reason = f"too many commands refused for future versions ({MAX_REFUSED_DIGESTS})"
         return _refusal(SERVICE_UNAVAILABLE, reason)
     return Proposal({key: True}, [], answer)
--- a/ashlift/configstore/election.py
+++ b/ashlift/configstore/election.py
@@ -1,12 +1,17 @@
-"""Elections: votes that this replica gives, and its own attempts to be elected, as raft has them.
+"""Leader election as in raft: votes granted by this replica, and its own attempts to be elected.
 
-An attempt begins with a pre-vote, which asks whether a majority would vote: a replica that cannot win must
-not raise the term and so end a leadership. Votes are durable before they are given.
+An attempt starts with a pre-vote, which asks whether a majority would grant its vote, so that a replica that
+cannot win does not raise the term and depose the leader. A vote is durable before it is granted.
 
-In order: `Replica._tick` finds `Election.deadline` past, `start_pre_vote`, `handle_vote_response` of a
-majority, `stand` (the own vote becomes durable), `_stand_with`, `handle_vote_response` of a majority again,
-`Replica.become_leader`. `Leader.start` then commits the accepted map anew; until that is done it answers
-no read and begins no command. A successor that the leader has named begins with `stand`.
+The sequence of a successful attempt:
+
+1. `Replica._tick` finds that `Election.deadline` has passed and calls `start_pre_vote`.
+2. `handle_vote_response` counts a majority of pre-votes; `start_election` persists the replica's own vote.
+3. `_handle_own_vote_persisted` requests the votes, and `handle_vote_response` counts them.
+4. With a majority, `Replica.become_leader`. `Leader.start` recommits the accepted map in the new term; until
+   that commit the leader serves no reads and executes no commands.
+
+The target of a leadership transfer starts at `start_election`, without a pre-vote.
 """
 
 from typing import TYPE_CHECKING, Any, Final, NamedTuple
@@ -23,52 +28,57 @@
 if TYPE_CHECKING:
     from ashlift.configstore.replica import Replica
 
-# Bounds of the randomized time-out after an attempt: all others have been waiting as well.
+# Bounds of the randomized time-out before the next attempt; shorter, as the others are waiting as well.
 RETRY_TIMEOUT_SECONDS: Final = (0.3, 0.7)
-# A vote or pre-vote that was granted puts off other attempts by so much: two at once may elect nobody.
+# Granting a vote or pre-vote delays other attempts by this much, since concurrent ones may split the vote.
 GRANTED_VOTE_GRACE_SECONDS: Final = 0.3
 
-_LEARNER: Final = Failure(FailureReason.UNAVAILABLE, "learner")
-_NOT_WRITTEN: Final = Failure(FailureReason.REJECTED, "disk")
-_NOT_NOW: Final = Failure(FailureReason.REJECTED, "not now")
+_LEARNER_CANNOT_VOTE: Final = Failure(FailureReason.UNAVAILABLE, "learners do not vote")
+_DISK_WRITE_FAILED: Final = Failure(FailureReason.REJECTED, "disk write failed")
+_TRANSFER_REJECTED: Final = Failure(FailureReason.REJECTED, "replica cannot take the leadership now")
 
 
 @define
 class ElectionAttempt:
-    """An attempt of this replica to be elected in `term`, by the voters of its newest accepted map."""
+    """An attempt of this replica to be elected in `term` by the voters of its newest accepted map."""
 
     term: int
     is_pre_vote: bool
-    voters: dict[str, int | None]  # who votes, with the incarnation of its disk; None: any
+    voters: dict[str, int | None]  # the incarnation of each voter's disk; None: any
     started_at: float
     votes: set[str] = field(factory=set)
 
 
 class VoteContext(NamedTuple):
-    """What a response to a vote request is understood by."""
+    """Identifies the attempt that a vote response belongs to."""
 
     term: int
     is_pre_vote: bool
 
 
 class Election:
-    """`deadline`: when this replica stands for election, unless it hears a leader; s, monotonic."""
+    """Election timer, current attempt and vote handling of one replica.
+
+    `deadline` is when the replica starts an attempt unless it hears from a leader first; seconds, monotonic.
+    """
 
     def __init__(self, replica: "Replica") -> None:
         self.replica = replica
         self.attempt: ElectionAttempt | None = None
         self.deadline = 0.0
-        # After a vote its candidate is given the time to lead before another one gets a pre-vote.
+        # After granting a vote, gives the candidate time to take the leadership before granting a pre-vote.
         self.pre_votes_withheld_until = 0.0
 
     def reset_timer(self, bounds: tuple[float, float] = ELECTION_TIMEOUT_SECONDS) -> None:
-        """Put off the next attempt by a random time."""
+        """Restart the election timer with a random time-out within `bounds`."""
         timeout = self.replica.random.uniform(*bounds)
         self.deadline = self.replica.now + timeout
         if bounds is RETRY_TIMEOUT_SECONDS:
-            self.deadline += 2 * self.replica.last_write_seconds  # votes are written before they are given
+            self.deadline += (
+                2 * self.replica.last_write_seconds
+            )  # votes are persisted before they are granted
 
-    # ---- standing for election
+    # ---- own attempts
     def start_pre_vote(self) -> None:
         """Ask whether a majority would vote for this replica."""
         self.reset_timer(RETRY_TIMEOUT_SECONDS)
@@ -76,16 +86,18 @@
         self.attempt = self._new_attempt(self.replica.vote.term + 1, is_pre_vote=True)
         self._request_votes(self.attempt)
 
-    def stand(self) -> None:
-        """Vote for oneself in a new term, and once that is durable ask the others for their votes."""
+    def start_election(self) -> None:
+        """Vote for this replica in a new term, and request the others' votes once that vote is durable."""
         self.reset_timer(RETRY_TIMEOUT_SECONDS)
         self.replica.leader_ip = None
         self.attempt = None
         vote = self.replica.vote
         own_vote = vote._replace(term=vote.term + 1, voted_for=self.replica.ip)
-        self.replica.persist(own_vote, None, lambda succeeded: self._stand_with(own_vote.term, succeeded))
+        self.replica.persist(
+            own_vote, None, lambda succeeded: self._handle_own_vote_persisted(own_vote.term, succeeded)
+        )
 
-    def _stand_with(self, term: int, succeeded: bool) -> None:
+    def _handle_own_vote_persisted(self, term: int, succeeded: bool) -> None:
         if not succeeded:
             self.reset_timer()
             return
@@ -107,7 +119,7 @@
         self._count_votes()
 
     def handle_vote_response(self, event: ResponseReceived) -> None:
-        """A vote counts only in time, and only of the disk that the accepted map names."""
+        """Count a vote if it arrives in time and from the incarnation that the accepted map names."""
         attempt = self.attempt
         if isinstance(event.body, Failure) or not self.replica.vote.is_voter:
             return
@@ -124,7 +136,7 @@
         if response.granted is not True:
             return
         if attempt.voters.get(event.peer) not in (None, response.incarnation):
-            return  # the disk of an earlier incarnation: what it has voted since is forgotten there
+            return  # from another disk than the membership names: it may lack votes cast since
         attempt.votes.add(event.peer)
         self._count_votes()
 
@@ -133,17 +145,17 @@
         if attempt is None or len(attempt.votes & {*attempt.voters}) < quorum(len(attempt.voters)):
             return
         if attempt.is_pre_vote:
-            self.stand()
+            self.start_election()
             return
         self.attempt = None
         self.replica.become_leader()
 
-    # ---- requests of others
+    # ---- requests of other replicas
     def handle_vote_request(self, reply_to: Any, request: VoteRequest) -> None:
-        """Grant a vote or pre-vote, or refuse it."""
+        """Grant or refuse a vote or pre-vote."""
         replica = self.replica
         if not replica.vote.is_voter:
-            replica.reply(reply_to, _LEARNER)
+            replica.reply(reply_to, _LEARNER_CANNOT_VOTE)
             return
         if request.is_pre_vote:
             self._handle_pre_vote(reply_to, request)
@@ -159,22 +171,23 @@
         self._vote(reply_to, request)
 
     def _is_current(self, request: VoteRequest) -> bool:
-        """Whether the candidate's map is not older than the one held here."""
+        """Whether the candidate's map is at least as new as the local one."""
         return (request.last_term, request.last_index) >= self.replica.term_index
 
     def _handle_pre_vote(self, reply_to: Any, request: VoteRequest) -> None:
         replica = self.replica
         withheld_until = max(
-            self.pre_votes_withheld_until, replica.follower.leader_heard_at + ELECTION_TIMEOUT_SECONDS[0]
+            self.pre_votes_withheld_until,
+            replica.follower.last_leader_contact_at + ELECTION_TIMEOUT_SECONDS[0],
         )
-        hears_no_leader = replica.leader_role is None and replica.now >= withheld_until
-        granted = self._is_current(request) and hears_no_leader and request.term > replica.vote.term
+        lacks_leader_contact = replica.leader_role is None and replica.now >= withheld_until
+        granted = self._is_current(request) and lacks_leader_contact and request.term > replica.vote.term
         if granted:
             self.deadline = max(self.deadline, replica.now + GRANTED_VOTE_GRACE_SECONDS)
         replica.respond(reply_to, VoteResponse(replica.vote.term, granted, replica.vote.incarnation))
 
     def _vote(self, reply_to: Any, request: VoteRequest) -> None:
-        """In a term in which this replica has not voted yet."""
+        """Decide on a vote in a term in which this replica has not voted yet."""
         replica = self.replica
         granted = self._is_current(request)
         replica.step_down("a higher term")
@@ -191,18 +204,18 @@
 
         def send_response(succeeded: bool) -> None:
             if not succeeded:
-                replica.reply(reply_to, _NOT_WRITTEN)
+                replica.reply(reply_to, _DISK_WRITE_FAILED)
                 return
             replica.respond(reply_to, response)
 
         replica.persist(vote, None, send_response)
 
     def handle_transfer_request(self, reply_to: Any, request: TransferRequest) -> None:
-        """The leader ends, and has chosen this replica as its successor: no pre-vote is needed."""
+        """Start an election, without a pre-vote, at the request of a leader that transfers its leadership."""
         replica = self.replica
         is_outdated = request.term != replica.vote.term or replica.leader_role is not None
         if is_outdated or not replica.can_stand_for_election() or replica.shutdown_deadline is not None:
-            replica.reply(reply_to, _NOT_NOW)
+            replica.reply(reply_to, _TRANSFER_REJECTED)
             return
         replica.respond(reply_to, TransferAccepted())
-        self.stand()
+        self.start_election()
--- a/ashlift/configstore/events.py
+++ b/ashlift/configstore/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events of the configuration store (2xx). The catalogue for operators is docs/events.md."""
+"""Numbered log events of the configuration store (2xx). The operators' catalogue is docs/events.md."""
 
 from typing import Final
 
@@ -11,14 +11,14 @@
 CHANGE_COMMITTED: Final = EventType(204, "change committed")
 LEADERSHIP_TRANSFERRED: Final = EventType(210, "leadership transfer started")
 
-# Membership, at the replica that it is about
+# Membership, logged by the affected replica
 LEARNER_STARTED: Final = EventType(205, "learner: does not vote until restored")
 LEARNER_PROMOTED: Final = EventType(206, "promoted to voter")
 STORE_BOOTSTRAPPED: Final = EventType(207, "store bootstrapped")
 CAUGHT_UP: Final = EventType(213, "caught up by differing ranges")
 VOTER_DISPLACED: Final = EventType(219, "no longer a voter: learning from scratch")
 
-# Membership, at the leader
+# Membership, logged by the leader
 LEARNER_RESTORING: Final = EventType(208, "restoring learner")
 LEARNER_ADDED: Final = EventType(209, "learner added")
 VOTER_REMOVED: Final = EventType(220, "voter removed")
@@ -30,7 +30,7 @@
 STORAGE_UNREADABLE: Final = EventType(212, "stored data unreadable")
 DISK_WRITE_SLOW: Final = EventType(218, "slow disk write")
 
-# Operator commands and edits of routes
+# Operator commands and route edits
 COMMAND_EVALUATION_FAILED: Final = EventType(214, "operator command could not be evaluated")
 EDIT_PENDING: Final = EventType(215, "route edit pending, not in force")
 EDIT_RESOLVED: Final = EventType(216, "route edit resolved")
--- a/ashlift/configstore/follower.py
+++ b/ashlift/configstore/follower.py
@@ -1,4 +1,4 @@
-"""A follower or learner: it takes the leader's append requests, and acknowledges only what is durable."""
+"""Followers and learners: handle the leader's append requests and acknowledge only durable state."""
 
 from typing import TYPE_CHECKING, Any, Final, NamedTuple
 
@@ -25,61 +25,64 @@
 if TYPE_CHECKING:
     from ashlift.configstore.replica import Replica
 
-_NOT_WRITTEN: Final = Failure(FailureReason.REJECTED, "disk")
+_DISK_WRITE_FAILED: Final = Failure(FailureReason.REJECTED, "disk write failed")
 
 
-class Accepted(NamedTuple):
-    """What an append request changes here."""
+class AcceptedAppend(NamedTuple):
+    """The changes that an append request makes to this replica."""
 
-    vote: PersistentVote | None  # of a new term
-    snapshot: Snapshot | None  # a newer one that the payload leads to
+    vote: PersistentVote | None  # if the request starts a new term
+    snapshot: Snapshot | None  # if the payload yields a newer map
     is_promotion: bool
-    is_repair: bool  # the snapshot was put together from ranges
+    is_repair: bool  # the snapshot was assembled from hash ranges
 
 
 class Follower:
-    """`staged_entries`: a map under repair, as far as its ranges have come; None: no repair is under way."""
+    """Handles append requests.
+
+    `staged_entries` is the map being assembled from hash ranges; None if no such repair is in progress.
+    """
 
     def __init__(self, replica: "Replica", staged_entries: RangedMap | None) -> None:
         self.replica = replica
         self.staged_entries = staged_entries
-        self.leader_heard_at = 0.0
+        self.last_leader_contact_at = 0.0
         self.newest_heartbeat_round = (0, 0)  # (term, round) of the newest append request
 
     def handle_append(self, reply_to: Any, request: AppendRequest) -> None:
-        """Follow the sender, unless its term is over; take what it sends."""
+        """Follow the sender unless its term is outdated, and apply the payload."""
         replica = self.replica
         if request.term < replica.vote.term:
             replica.respond(reply_to, AppendRejected(replica.vote.term))
             return
         if request.term == replica.vote.term and replica.leader_role:
             raise InvariantError(f"two leaders in term {request.term}")
-        self._follow(request)
-        accepted = self._accept(request)
+        self._recognize_leader(request)
+        accepted = self._accept_append(request)
 
         def finish(succeeded: bool) -> None:
             if not succeeded:
-                replica.reply(reply_to, _NOT_WRITTEN)
+                replica.reply(reply_to, _DISK_WRITE_FAILED)
                 return
             self._finish_append(reply_to, request, accepted)
 
-        self._hold(request, accepted, finish)
+        self._persist_accepted(request, accepted, finish)
 
-    def _follow(self, request: AppendRequest) -> None:
+    def _recognize_leader(self, request: AppendRequest) -> None:
         replica = self.replica
         if request.term > replica.vote.term or replica.leader_ip != request.leader:
             replica.step_down("another leads")
             replica.log_event(events.FOLLOWING_LEADER, term=request.term, leader=request.leader)
         replica.election.attempt = None
         replica.leader_ip = request.leader
-        self.leader_heard_at = replica.now
+        self.last_leader_contact_at = replica.now
         self.newest_heartbeat_round = max(
             self.newest_heartbeat_round, (request.term, request.heartbeat_round)
         )
         replica.election.reset_timer()
 
-    def _accept(self, request: AppendRequest) -> Accepted:
-        """Raises ValueError, TypeError or LookupError for a payload that is none."""
+    def _accept_append(self, request: AppendRequest) -> AcceptedAppend:
+        """Work out the changes. Raises ValueError, TypeError or LookupError for a malformed payload."""
         replica = self.replica
         requested = (request.term, request.proposed_index)
         self._update_committed(request)
@@ -91,7 +94,7 @@
         snapshot = None
         if entries is not None and requested > replica.term_index:
             snapshot = Snapshot(requested, entries)
-        return Accepted(
+        return AcceptedAppend(
             vote=vote,
             snapshot=snapshot,
             is_promotion=self._is_promotion(payload, requested),
@@ -99,7 +102,7 @@
         )
 
     def _apply_payload(self, payload: Payload | None) -> RangedMap | None:
-        """The map of the request, if the payload leads to it."""
+        """The map that the request proposes, or None if the payload does not yield it."""
         own = self.replica.snapshot
         match payload:
             case Delta(base, updates, deletions):
@@ -115,15 +118,17 @@
         return entries if entries.digest() == payload.digest else None
 
     def _is_promotion(self, payload: Payload | None, requested: TermIndex) -> bool:
-        """Whether the leader says that this incarnation of a learner counts from now on."""
+        """Whether the payload promotes this learner, in this incarnation and with the map it holds."""
         replica = self.replica
         if replica.vote.is_voter or not isinstance(payload, Promotion):
             return False
         position = payload.term_index or requested
         return payload.incarnation == replica.incarnation and replica.term_index == position
 
-    def _hold(self, request: AppendRequest, accepted: Accepted, finish: PersistCallback) -> None:
-        """Make what is accepted durable; a learner's is held in memory until it may count."""
+    def _persist_accepted(
+        self, request: AppendRequest, accepted: AcceptedAppend, finish: PersistCallback
+    ) -> None:
+        """Persist the accepted changes. A learner keeps them in memory until its promotion."""
         replica = self.replica
         if accepted.is_promotion:
             voted_for = replica.vote.voted_for or request.leader
@@ -138,8 +143,8 @@
         else:
             finish(True)
 
-    def _finish_append(self, reply_to: Any, request: AppendRequest, accepted: Accepted) -> None:
-        """What was accepted is durable, or nothing of this replica counts."""
+    def _finish_append(self, reply_to: Any, request: AppendRequest, accepted: AcceptedAppend) -> None:
+        """Respond once the accepted changes are durable, or at once on a learner."""
         replica = self.replica
         if accepted.is_promotion:
             replica.log_event(events.LEARNER_PROMOTED, term=request.term, index=request.proposed_index)
@@ -151,10 +156,14 @@
         replica.freshness.renew(request)
         replica.respond(reply_to, self._append_response(request))
         if self._is_displaced():
-            replica.joining.give_up_standing()
+            replica.joining.reset_to_learner()
 
     def _update_committed(self, request: AppendRequest) -> None:
-        """A leader proposes one at a time: what it proposed up to its `commit_index` is committed."""
+        """Mark the local map committed if the request implies it.
+
+        A leader has one proposal in flight at a time, so a map of its term is committed once `commit_index`
+        has reached it.
+        """
         replica = self.replica
         if replica.term_index[0] == request.term and replica.term_index[1] <= request.commit_index:
             replica.advance_committed(replica.snapshot)
@@ -163,7 +172,7 @@
         replica = self.replica
         clock_token = replica.freshness.issue_clock_token()
         requested = (request.term, request.proposed_index)
-        is_level = replica.term_index == requested
+        is_caught_up = replica.term_index == requested
         range_digests = None
         has_payload = request.payload is not None or request.wants_digests
         if has_payload and replica.term_index < requested:
@@ -173,17 +182,17 @@
                 request.term,
                 clock_token,
                 replica.incarnation,
-                is_level,
+                is_caught_up,
                 range_digests,
                 replica.term_index,
             )
-        if not is_level:
+        if not is_caught_up:
             return AppendBehind(request.term, clock_token, range_digests, replica.term_index)
         incarnation = None if replica.can_stand_for_election() else replica.vote.incarnation
         return AppendAccepted(request.term, clock_token, incarnation)
 
     def _is_displaced(self) -> bool:
-        """Whether the map held here is committed, and says that nothing on this disk counts."""
+        """Whether the local map is committed and no longer includes this disk as a voter or learner."""
         replica = self.replica
         return (
             replica.vote.is_voter
--- a/ashlift/configstore/heartbeat_rounds.py
+++ b/ashlift/configstore/heartbeat_rounds.py
@@ -1,7 +1,8 @@
 """Numbered heartbeat rounds, and the reads that wait for one to be confirmed (raft's ReadIndex).
 
-A round is confirmed once a majority has answered it, or a later one: so at its beginning there was no leader
-of a higher term. What was asked for before a round began is linearizable once that round is confirmed.
+A round is confirmed once a majority has acknowledged it or a later one, which proves that no leader of a
+higher term existed when the round started. A read that was requested before a round started is linearizable
+once that round is confirmed.
 """
 
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -21,7 +22,7 @@
 
 
 class PendingRead(NamedTuple):
-    """Answered once `heartbeat_round` is confirmed. `response` None: with the committed snapshot."""
+    """A read to answer once `heartbeat_round` is confirmed. `response` None: with the committed snapshot."""
 
     heartbeat_round: int
     reply_to: Any
@@ -29,7 +30,7 @@
 
 
 class HeartbeatRounds:
-    """The rounds of one term. Times are seconds of the leader's clock."""
+    """The heartbeat rounds of one term. Times are seconds of the leader's clock."""
 
     def __init__(self, leader: "Leader") -> None:
         self.leader = leader
@@ -39,8 +40,8 @@
         self.next_at = leader.replica.now
         self.pending_reads: list[PendingRead] = []
 
-    def begin(self) -> None:
-        """Send a round of heartbeats, each with what its receiver lacks."""
+    def start_round(self) -> None:
+        """Send a round of heartbeats, each with the changes that its receiver lacks."""
         now = self.leader.replica.now
         self.newest += 1
         self.started_at[self.newest] = now
@@ -50,20 +51,20 @@
         self.confirm()
 
     def confirm(self) -> None:
-        """Note the newest round that a majority has answered, and answer the reads that waited for it."""
+        """Update the newest round acknowledged by a majority, and answer the reads that waited for it."""
         acknowledged = [self.leader.peers.acknowledged_round(ip) for ip in self.leader.peers.voters()]
         acknowledged.sort(reverse=True)
         newest = acknowledged[quorum(len(acknowledged)) - 1]
         if newest > self.confirmed:
             self.confirmed = newest
-            self._forget_rounds_before(newest)
+            self._discard_rounds_before(newest)
         if not self.leader.commit_index or not self.confirmed:
             return
         self.leader.replica.confirm_freshness(self.started_at[self.confirmed])
-        self._answer_confirmed_reads()
+        self._reply_to_confirmed_reads()
 
-    def _forget_rounds_before(self, confirmed: int) -> None:
-        """Rounds that began lately are kept: fencing tokens name them."""
+    def _discard_rounds_before(self, confirmed: int) -> None:
+        """Discard old rounds. Recent ones are kept because fencing tokens refer to them."""
         earliest = self.leader.replica.now - HEARTBEAT_ROUND_RETENTION_SECONDS
         forgotten = [
             number
@@ -73,7 +74,7 @@
         for number in forgotten:
             del self.started_at[number]
 
-    def _answer_confirmed_reads(self) -> None:
+    def _reply_to_confirmed_reads(self) -> None:
         confirmed = [read for read in self.pending_reads if read.heartbeat_round <= self.confirmed]
         if not confirmed:
             return
@@ -86,18 +87,18 @@
                 replica.reply(read.reply_to, {**read.response, "index": self.leader.commit_index})
 
     def read(self, reply_to: Any) -> None:
-        """Answer with the committed snapshot, once a round that begins now is confirmed."""
+        """Start a round and reply with the committed snapshot once it is confirmed."""
         self.reply_after_next_round(reply_to, None)
-        self.begin()
+        self.start_round()
 
     def reply_after_next_round(self, reply_to: Any, response: Any) -> None:
-        """Answer once a round is confirmed that has not begun yet; the caller begins it."""
+        """Reply once the next round is confirmed. The caller starts that round."""
         self.pending_reads.append(PendingRead(self.newest + 1, reply_to, response))
 
-    def started_seconds_ago(self, token: FencingToken) -> float | None:
-        """The age of the token's round; None: it is of another leader, or too old to be known.
+    def round_age_seconds(self, token: FencingToken) -> float | None:
+        """The age of the token's round; None if it is of another term or no longer known.
 
-        A round begins before anybody can know of it, so what names it is at most as old.
+        A token can only be issued after its round has started, so it is at most this old.
         """
         if token.term != self.leader.term:
             return None
@@ -105,7 +106,7 @@
         return None if started_at is None else self.leader.replica.now - started_at
 
     def fail_pending_reads(self) -> None:
-        """The term has ended: nothing was read."""
+        """Fail all pending reads because the leadership has ended."""
         for read in self.pending_reads:
-            self.leader.replica.reply(read.reply_to, Failure(FailureReason.UNAVAILABLE, "lost the lead"))
+            self.leader.replica.reply(read.reply_to, Failure(FailureReason.UNAVAILABLE, "leadership lost"))
         self.pending_reads.clear()
--- a/ashlift/configstore/leader.py
+++ b/ashlift/configstore/leader.py
@@ -1,8 +1,9 @@
-"""A replica while it leads one term: what its parts share, and who of them handles what comes.
+"""The leader role of a replica during one term.
 
-The parts are heartbeat rounds and linearizable reads (`heartbeat_rounds`), replication to the others
-(`replication`), commands and the one proposal under way (`proposal_queue`), changes of the membership
-(`membership_manager`) and the transfer of the leadership (`leadership_transfer`). Each owns its state.
+Its parts are heartbeat rounds and linearizable reads (`heartbeat_rounds`), replication to the other replicas
+(`replication`), queued commands and the in-flight proposal (`proposal_queue`), membership changes
+(`membership_manager`) and leadership transfer (`leadership_transfer`). Each part owns its state; `Leader`
+holds what they share.
 """
 
 from collections.abc import Mapping
@@ -25,9 +26,9 @@
 
 
 class Leader:
-    """Made once a majority has voted; ends with `end`, when the replica steps down.
+    """One leadership, created when the election is won and closed by `end` when the replica steps down.
 
-    `command_handler` decides on commands: it is given the newest proposed map, and is pure.
+    `command_handler` is a pure function that decides a command, given the newest proposed map.
     """
 
     def __init__(self, replica: "Replica", command_handler: CommandHandler) -> None:
@@ -35,8 +36,10 @@
         self.command_handler = command_handler
         self.term = replica.vote.term
         self.elected_at = replica.now
-        self.proposed: Snapshot = replica.snapshot  # the newest proposed map, durable here or not yet
-        self.commit_index = 0  # the newest committed index of this term; 0: none
+        self.proposed: Snapshot = (
+            replica.snapshot
+        )  # the newest proposed map, not necessarily durable here yet
+        self.commit_index = 0  # the newest index committed in this term; 0: none
         self.peers = PeerTable(self)
         self.rounds = HeartbeatRounds(self)
         self.replication = Replication(self)
@@ -45,12 +48,12 @@
         self.transfer = LeadershipTransfer(self)
 
     def start(self) -> None:
-        """Commit the accepted map again, under this term: until then nothing may be read or proposed."""
+        """Recommit the accepted map in this term. Until then no read or command may be served."""
         self.replica.log_event(events.LEADER_ELECTED, term=self.term, voters=len(self.peers.voters()))
         self.proposals.propose(Proposal({}, [], None))
 
     def tick(self) -> None:
-        """Step down if no majority is heard, transfer the leadership if that is due, send heartbeats."""
+        """Step down without contact to a majority, advance a leadership transfer, and send due heartbeats."""
         now = self.replica.now
         contacts = sorted((self._contact_at(ip) for ip in self.peers.voters()), reverse=True)
         if contacts[quorum(len(contacts)) - 1] < now - QUORUM_CONTACT_TIMEOUT_SECONDS:
@@ -58,14 +61,14 @@
             return
         self.transfer.tick()
         if now >= self.rounds.next_at:
-            self.rounds.begin()
+            self.rounds.start_round()
 
     def _contact_at(self, ip: str) -> float:
-        """When a voter was heard; at the earliest the election, after which all times begin anew."""
-        return max(self.peers.counted_contact_at(ip), self.elected_at)
+        """When a voter was last in contact, counting the election as a contact with each of them."""
+        return max(self.peers.last_voter_contact_at(ip), self.elected_at)
 
     def handle_join_request(self, ip: str, incarnation: int) -> None:
-        """A process that is no voter, as far as it knows, asks to join."""
+        """Record a join request of a process that does not consider itself a voter."""
         peer = self.peers.get(ip)
         peer.join_requested_at = self.replica.now
         peer.incarnation = incarnation
@@ -73,15 +76,18 @@
             self.proposals.advance()
 
     def end(self) -> None:
-        """Lead no longer: what was proposed may be committed yet, what was not begun may be sent again."""
+        """Fail all pending requests.
+
+        The in-flight proposal may still be committed by the next leader; queued commands were not started.
+        """
         self.proposals.fail_in_flight()
         self.rounds.fail_pending_reads()
         self.proposals.reject_queued()
 
     def current_map(self) -> Mapping[str, Any]:
-        """The entries of the newest proposed map, on which commands and members are decided."""
+        """The entries of the newest proposed map, on which commands and membership changes are decided."""
         return self.proposed.entries.map
 
     def membership_table(self) -> list[dict[str, Any]]:
-        """Voters and learners, for operators."""
+        """The voters and learners as shown to operators."""
         return self.membership.table()
--- a/ashlift/configstore/leader_requests.py
+++ b/ashlift/configstore/leader_requests.py
@@ -1,6 +1,6 @@
-"""Requests that only the leader can serve: who is to serve one now, and whether it may be tried again.
+"""Routing and retries of requests that only the leader can serve.
 
-Pure: the server and the simulator call these functions between their own waits.
+Pure functions, called by the server and the simulator between their own waits.
 """
 
 from enum import Enum, auto
@@ -10,31 +10,31 @@
 from ashlift.configstore.requests import is_forwarded
 from ashlift.errors import Failure, FailureReason
 
-LEADER_WAIT_SECONDS: Final = 0.5  # how long a request waits for a leader
+LEADER_WAIT_SECONDS: Final = 0.5  # how long a request waits for a leader to be known
 RETRY_INTERVAL_SECONDS: Final = 0.05
-SUBMIT_TIMEOUT_SECONDS: Final = 5.0  # how long a command may be under way
+SUBMIT_TIMEOUT_SECONDS: Final = 5.0
 READ_TIMEOUT_SECONDS: Final = 2.0
 
-NO_LEADER: Final = Failure(FailureReason.UNAVAILABLE, "no leader")
-_NO_LEADER_CONTACT: Final = Failure(FailureReason.UNAVAILABLE, "no leader is heard here")
+NO_LEADER: Final = Failure(FailureReason.UNAVAILABLE, "no leader known")
+_NO_LEADER_CONTACT: Final = Failure(FailureReason.UNAVAILABLE, "no recent contact with a leader")
 _NOT_STARTED_REASONS: Final = (FailureReason.UNAVAILABLE, FailureReason.UNREACHABLE)
 
 
 class RoutingDecision(Enum):
-    """Who is to serve a request, where it is not forwarded."""
+    """How to handle a request that is not forwarded."""
 
-    THIS_REPLICA = auto()  # it leads
-    NO_LEADER_YET = auto()  # no leader is known now, or the request must not be forwarded again
+    THIS_REPLICA = auto()  # this replica leads and serves the request
+    NO_LEADER_YET = auto()  # no leader is known, or the request was forwarded already
 
 
 class ForwardTo(NamedTuple):
-    """The leader as far as is known here. A named tuple, as one is cheaper to define at the start."""
+    """Forward the request to `leader`. A named tuple, which is cheaper to define at process start."""
 
     leader: str
 
 
 def choose_route(replica: Replica, body: dict[str, Any], now: float) -> RoutingDecision | ForwardTo | Failure:
-    """Who is to serve a request now; a Failure where no leader is to be expected soon."""
+    """Where to serve a request; a Failure if a leader is not expected to be known soon."""
     if replica.lacks_leader_contact(now):
         return _NO_LEADER_CONTACT
     if replica.leader_role is not None:
@@ -45,9 +45,9 @@
 
 
 def may_retry(response: Any, body: dict[str, Any], now: float, deadline: float) -> bool:
-    """Whether to try once more: only where nothing was begun, so that nothing is done twice.
+    """Whether to retry: only if the request was certainly not started, so that it cannot execute twice.
 
-    `deadline`: LEADER_WAIT_SECONDS after the request came.
+    `deadline` is LEADER_WAIT_SECONDS after the request arrived.
     """
     if not isinstance(response, Failure) or response.reason not in _NOT_STARTED_REASONS:
         return False
--- a/ashlift/configstore/leadership_transfer.py
+++ b/ashlift/configstore/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""A leader that is to end, or is to be removed, names a successor and lets it stand for election at once."""
+"""Leadership transfer: before it shuts down or is removed, a leader asks a voter to start an election."""
 
 from typing import TYPE_CHECKING, Final
 
@@ -9,52 +9,56 @@
 if TYPE_CHECKING:
     from ashlift.configstore.leader import Leader
 
-RETRY_AFTER_SECONDS: Final = 1.0  # a leader that leads still, though it named a successor, goes on as before
+# A leader that still leads this long after requesting a transfer resumes its work.
+RETRY_AFTER_SECONDS: Final = 1.0
 
 
 class LeadershipTransfer:
-    """`deadline`: by then a successor is named, whatever is under way; None: the process does not end."""
+    """Transfer of one leadership.
+
+    `deadline` is when the transfer is requested even if a proposal is in flight; None unless shutting down.
+    """
 
     def __init__(self, leader: "Leader") -> None:
         self.leader = leader
         self.deadline: float | None = None
-        self.successor_named = False
-        self._named_at = leader.replica.now
+        self.transfer_requested = False
+        self._requested_at = leader.replica.now
 
-    def is_wanted(self) -> bool:
-        """Whether the process is to end, and no successor is named yet."""
-        return self.deadline is not None and not self.successor_named
+    def is_pending(self) -> bool:
+        """Whether the process is shutting down and the transfer is not requested yet."""
+        return self.deadline is not None and not self.transfer_requested
 
     def start(self) -> None:
-        """The process is to end: the proposal under way may still be committed, nothing new is begun."""
+        """Begin the transfer at shutdown. The in-flight proposal may still commit; queued commands fail."""
         self.deadline = self.leader.replica.now + LEADERSHIP_TRANSFER_SECONDS / 2
         self.leader.proposals.reject_queued()
         if not self.leader.proposals.in_flight:
-            self.name_successor()
+            self.request_transfer()
 
     def tick(self) -> None:
-        """Name a successor once that is due, or give one up that did not come to lead."""
+        """Request the transfer once it is due, or abandon one that did not succeed in time."""
         now = self.leader.replica.now
-        gave_up = self.deadline is None and now - self._named_at >= RETRY_AFTER_SECONDS
-        if self.successor_named and gave_up:
-            self.successor_named = False
-        if self.deadline is None or self.successor_named:
+        gave_up = self.deadline is None and now - self._requested_at >= RETRY_AFTER_SECONDS
+        if self.transfer_requested and gave_up:
+            self.transfer_requested = False
+        if self.deadline is None or self.transfer_requested:
             return
         if now >= self.deadline or not self.leader.proposals.in_flight:
-            self.name_successor()
+            self.request_transfer()
 
-    def name_successor(self) -> None:
-        """Ask the voter that is furthest to stand for election; if none is heard, nobody is asked."""
+    def request_transfer(self) -> None:
+        """Ask the most up-to-date voter with recent contact, if there is one, to start an election."""
         leader = self.leader
-        self.successor_named = True
-        self._named_at = leader.replica.now
+        self.transfer_requested = True
+        self._requested_at = leader.replica.now
         earliest = leader.replica.now - QUORUM_CONTACT_TIMEOUT_SECONDS
         candidates = []
         for ip in leader.peers.voters():
             if ip == leader.replica.ip:
                 continue
             peer = leader.peers.get(ip)
-            if peer.restoring_learner is None and peer.heard_at > earliest:
+            if peer.restoring_learner is None and peer.last_answered_request_at > earliest:
                 candidates.append((peer.match_index, peer.acknowledged_round, ip))
         if candidates:
             _, _, successor = max(candidates)
--- a/ashlift/configstore/membership_manager.py
+++ b/ashlift/configstore/membership_manager.py
@@ -1,4 +1,4 @@
-"""The leader's part in membership changes: what it knows of the replicas, and what it proposes next."""
+"""Membership changes at the leader: its view of the replicas, and the change to propose next."""
 
 from typing import TYPE_CHECKING, Any, Final
 
@@ -28,21 +28,21 @@
 if TYPE_CHECKING:
     from ashlift.configstore.leader import Leader
 
-MAX_LAG_UP_TO_DATE: Final = 2  # changes that a replica may be behind, for changes go on meanwhile
+MAX_UP_TO_DATE_LAG: Final = 2  # commits that an up-to-date replica may be behind, as new ones keep arriving
 
 
 class MembershipManager:
-    """The rules are in `membership_rules`; this sees to it that they are applied, one change at a time."""
+    """Applies the rules of `membership_rules`, one change at a time."""
 
     def __init__(self, leader: "Leader") -> None:
         self.leader = leader
-        self._logged_refusal = ""  # why a leaving voter stays, as it was logged last
+        self._logged_refusal = ""  # the last logged reason why a leaving voter cannot be removed yet
 
     def replica_views(self) -> dict[str, ReplicaView]:
-        """Every voter and learner, as seen from here."""
+        """The leader's view of every voter and learner."""
         leader = self.leader
-        is_level = leader.replica.term_index == leader.proposed.term_index
-        views = {leader.replica.ip: ReplicaView(0.0, is_level)}
+        is_caught_up = leader.replica.term_index == leader.proposed.term_index
+        views = {leader.replica.ip: ReplicaView(0.0, is_caught_up)}
         for ip in [*leader.peers.voters(), *leader.peers.learners()]:
             peer = leader.peers.get(ip)
             if ip != leader.replica.ip:
@@ -52,13 +52,15 @@
     def _view(self, ip: str, peer: PeerState) -> ReplicaView:
         now = self.leader.replica.now
         newest_index = self.leader.proposed.term_index[1]
-        is_level = peer.restoring_learner is None and peer.match_index + MAX_LAG_UP_TO_DATE >= newest_index
-        is_up_to_date = is_level and peer.heard_at > now - QUORUM_CONTACT_TIMEOUT_SECONDS
+        is_caught_up = (
+            peer.restoring_learner is None and peer.match_index + MAX_UP_TO_DATE_LAG >= newest_index
+        )
+        is_up_to_date = is_caught_up and peer.last_answered_request_at > now - QUORUM_CONTACT_TIMEOUT_SECONDS
         seconds_since_contact = now - self.leader.peers.last_contact_at(ip)
         return ReplicaView(seconds_since_contact, is_up_to_date, peer.incarnation if is_up_to_date else None)
 
     def table(self) -> list[dict[str, Any]]:
-        """For operators: how far behind each is, and why a voter may not be removed (`stays`)."""
+        """The members as shown to operators. `stays` is the reason why a voter may not be removed now."""
         leader = self.leader
         views = self.replica_views()
         rows = []
@@ -90,35 +92,35 @@
         return removal_refusal(self.leader.current_map(), ip, views, tolerated_failures, action)
 
     def decide(self, command: MembershipCommand) -> Proposal | ReadOnlyResult:
-        """What an operator's command changes."""
+        """Decide an operator's membership command."""
         tolerated_failures = self.leader.replica.tolerated_failures
         entries = self.leader.current_map()
         return decide_membership_command(entries, command, self.replica_views(), tolerated_failures)
 
     def next_change(self) -> Proposal | None:
-        """The next change, if any. A leader that is to be removed transfers the leadership instead."""
+        """The next change, if any. A leader that is to be removed first transfers its leadership."""
         leader = self.leader
         join_requests = self._join_requests()
         entries = leader.current_map()
         leaving = leaving_voters(entries)
         replaced_disks = self._replaced_disks()
         if replaced_disks:
-            return self._enter_incarnations(replaced_disks)
-        if not (self._hears_not_all() or leaving or join_requests or leader.peers.learners()):
+            return self._record_incarnations(replaced_disks)
+        if not (self._has_silent_voter() or leaving or join_requests or leader.peers.learners()):
             return None
         views = self.replica_views()
         tolerated_failures = leader.replica.tolerated_failures
         change = next_membership_change(entries, leader.replica.ip, join_requests, views, tolerated_failures)
         if change is not None:
             self._log_change(change)
-        elif leader.replica.ip in leaving and self._has_successor(views):
-            leader.transfer.name_successor()
+        elif leader.replica.ip in leaving and self._has_transfer_candidate(views):
+            leader.transfer.request_transfer()
         elif leaving:
             self._log_refusal(leaving[0], views)
         return change
 
     def _join_requests(self) -> dict[str, int]:
-        """Who asked to join lately, with its incarnation."""
+        """The replicas that recently asked to join, with their incarnations."""
         earliest = self.leader.replica.now - LEARNER_TIMEOUT_SECONDS
         return {
             ip: peer.incarnation
@@ -126,18 +128,18 @@
             if peer.join_requested_at > earliest
         }
 
-    def _hears_not_all(self) -> bool:
+    def _has_silent_voter(self) -> bool:
         latest = self.leader.replica.now - REPLACE_VOTER_AFTER_SECONDS
         peers = self.leader.peers
         other_voters = [ip for ip in peers.voters() if ip != self.leader.replica.ip]
         return any(peers.last_contact_at(ip) <= latest for ip in other_voters)
 
-    def _has_successor(self, views: dict[str, ReplicaView]) -> bool:
+    def _has_transfer_candidate(self, views: dict[str, ReplicaView]) -> bool:
         other_voters = [ip for ip in self.leader.peers.voters() if ip != self.leader.replica.ip]
         return any(views[ip].is_up_to_date for ip in other_voters)
 
     def _replaced_disks(self) -> dict[str, int]:
-        """Replicas that learn with another incarnation than the map names, each with that incarnation."""
+        """Members that are restoring with another incarnation than the map records, with that incarnation."""
         incarnations = {}
         for ip, peer in self.leader.peers.states.items():
             entry = membership_entry(self.leader.current_map(), ip) if peer.restoring_learner else None
@@ -149,8 +151,8 @@
                 incarnations[ip] = peer.restoring_learner.incarnation
         return incarnations
 
-    def _enter_incarnations(self, incarnations: dict[str, int]) -> Proposal:
-        """These replicas count with their new disks from now on, once they hold this proposal."""
+    def _record_incarnations(self, incarnations: dict[str, int]) -> Proposal:
+        """Record replaced disks in the map. Each may be promoted once it holds this proposal."""
         entries = self.leader.current_map()
         index = self.leader.proposed.term_index[1] + 1
         updates = {}
@@ -173,7 +175,7 @@
                 log_event(events.VOTER_REMOVED, ip=key.removeprefix(VOTER_PREFIX), voters=voters_left)
 
     def _log_refusal(self, ip: str, views: dict[str, ReplicaView]) -> None:
-        """Why a leaving voter stays for now, when that has changed."""
+        """Log why a leaving voter cannot be removed yet, whenever the reason changes."""
         entry = self.leader.current_map()[VOTER_PREFIX + ip]
         refusal = self._removal_refusal(ip, entry, views) or ""
         if refusal != self._logged_refusal:
--- a/ashlift/configstore/messages.py
+++ b/ashlift/configstore/messages.py
@@ -1,4 +1,4 @@
-"""Requests, responses and payloads that replicas of the store send each other. `codec` knows their bytes."""
+"""Requests, responses and payloads exchanged between replicas. `codec` encodes and decodes them."""
 
 from typing import Any, NamedTuple
 
@@ -7,9 +7,9 @@
 
 # ---- requests
 class VoteRequest(NamedTuple):
-    """Asks for a vote in `term`; if `is_pre_vote`, only whether one would be given.
+    """Requests a vote in `term`, or with `is_pre_vote` asks whether a vote would be granted.
 
-    `last_term` and `last_index` are those of the newest map that the candidate has accepted.
+    `last_term` and `last_index` identify the newest map that the candidate has accepted.
     """
 
     term: int
@@ -20,13 +20,13 @@
 
 
 class AppendRequest(NamedTuple):
-    """A heartbeat of the leader of `term`, with what the receiver lacks.
+    """A heartbeat of the leader of `term`, with changes that the receiver lacks.
 
-    `proposed_index`: of the newest proposed map.
-    `commit_index`: the newest committed index of this term; 0: none.
-    `echoed_clock_token`: the newest token in a response of the receiver before this round began.
-    `confirmed_round`: the newest round that a majority has answered.
-    `payload`: an encoded payload. `wants_digests`: the receiver is to send its range digests.
+    `proposed_index`: index of the newest proposed map.
+    `commit_index`: the newest index committed in this term; 0: none.
+    `echoed_clock_token`: the newest token that the receiver sent before this round started.
+    `confirmed_round`: the newest round that a majority has acknowledged.
+    `payload`: an encoded payload, if any. `wants_digests`: asks the receiver for its range digests.
     """
 
     term: int
@@ -41,7 +41,7 @@
 
 
 class JoinRequest(NamedTuple):
-    """Asks to become a learner, or whether it still is a voter if it believes so (`is_voter`)."""
+    """Asks to become a learner or, with `is_voter`, whether the sender is still a voter."""
 
     ip: str
     incarnation: int
@@ -49,7 +49,7 @@
 
 
 class TransferRequest(NamedTuple):
-    """The leader of `term` asks the receiver to stand for election at once."""
+    """The leader of `term` asks the receiver to start an election at once."""
 
     term: int
 
@@ -59,7 +59,7 @@
 
 # ---- responses
 class VoteResponse(NamedTuple):
-    """`incarnation`: of the voter's disk, None in a refusal that needs none."""
+    """The response to a vote request. `incarnation` is that of the voter's disk; a refusal may omit it."""
 
     term: int
     granted: bool
@@ -73,7 +73,7 @@
 
 
 class AppendAccepted(NamedTuple):
-    """The receiver holds the map of the request, durably. `incarnation`: given by one that is no voter."""
+    """The receiver durably holds the proposed map. `incarnation` is set if it is not a voter in that map."""
 
     term: int
     clock_token: int
@@ -81,7 +81,7 @@
 
 
 class AppendBehind(NamedTuple):
-    """The receiver follows, and holds another map: the one at `position`, None if it did not say so."""
+    """The receiver holds another map than the proposed one. `position` is its term and index, if known."""
 
     term: int
     clock_token: int
@@ -90,12 +90,12 @@
 
 
 class LearnerStatus(NamedTuple):
-    """The receiver is a learner. `is_level`: whether it holds the map of the request."""
+    """The receiver is a learner. `is_caught_up`: whether it holds the proposed map."""
 
     term: int
     clock_token: int
     incarnation: int
-    is_level: bool
+    is_caught_up: bool
     range_digests: bytes | None
     position: TermIndex | None
 
@@ -104,14 +104,14 @@
 
 
 class JoinResponse(NamedTuple):
-    """Who leads, and the committed map by which nothing on the asking replica's disk counts, if so."""
+    """The leader, and term and index of a committed map that no longer includes the requester's disk."""
 
     leader_ip: str | None
     displaced_by: TermIndex | None
 
 
 class TransferAccepted(NamedTuple):
-    """The receiver stands for election."""
+    """The receiver starts an election."""
 
 
 Response = VoteResponse | AppendResponse | JoinResponse | TransferAccepted
@@ -119,7 +119,7 @@
 
 # ---- payloads of an append request
 class Delta(NamedTuple):
-    """Changes that lead from the map at `base` to the one of the request, with that one's `digest`."""
+    """Changes from the map at `base` to the proposed map. `digest` is that of the proposed map."""
 
     base: TermIndex
     updates: dict[str, Any]
@@ -128,7 +128,7 @@
 
 
 class RangeUpdate(NamedTuple):
-    """Whole hash ranges, and changes within others. `digest`: of the map once no range differs any more."""
+    """Whole hash ranges, and changes within others. `digest` is that of the complete proposed map."""
 
     ranges: dict[int, bytes]
     updates: dict[str, Any]
@@ -137,10 +137,7 @@
 
 
 class Promotion(NamedTuple):
-    """A learner of this incarnation votes from now on, if it holds the map at `term_index`.
-
-    None: the map of the request.
-    """
+    """Promotes a learner of this incarnation if it holds the map at `term_index`; None: the proposed map."""
 
     incarnation: int
     term_index: TermIndex | None = None
--- a/ashlift/configstore/pending_edits.py
+++ b/ashlift/configstore/pending_edits.py
@@ -1,7 +1,7 @@
-"""Edits of single routes that wait on this machine's disk until the leader has merged or rejected them.
+"""Pending route edits, stored on the local disk until the leader has merged or rejected them.
 
-They are no part of the replicated map, and no vote depends on them. `PendingEdits` decides what to do with
-them and does no input or output; `PendingEditStorage` keeps them durable and logs what became of them.
+They are not part of the replicated map. `PendingEdits` holds the logic without input or output;
+`PendingEditStorage` makes the edits durable and logs their outcomes.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -21,45 +21,45 @@
 from ashlift.route_reconciliation.stored_records import Outcome, outcome_of
 
 MAX_PENDING_EDITS: Final = 256
-MERGE_INTERVAL_SECONDS: Final = 1.0  # between two attempts to have edits merged
+MERGE_INTERVAL_SECONDS: Final = 1.0  # between two merge attempts
 
 CommittedMap = tuple[int, Mapping[str, Any]]  # index and entries
-OutcomeAnswer = Mapping[str, Any]  # of one edit, as the leader answers: `{outcome, why?, version?, lost_to?}`
+OutcomeAnswer = Mapping[str, Any]  # the leader's answer for one edit: `{outcome, why?, version?, lost_to?}`
 
 
 class RecordStorage(Protocol):
-    """Durable records by name, as `snapshot_storage.SnapshotStorage` has them."""
+    """Durable records by name; implemented by `snapshot_storage.SnapshotStorage`."""
 
     def read(self) -> dict[str, bytes] | Failure | None:
-        """All records, None if there were never any."""
+        """All records; None if none were ever written."""
 
     def write(self, records: Mapping[str, bytes]) -> Failure | None:
         """Replace all records."""
 
 
 class PendingEdits:
-    """The edits whose outcome is not committed yet, by id."""
+    """The edits, by id, whose outcome is not committed yet."""
 
     def __init__(self, edits: EditsById) -> None:
         self.edits: dict[str, RouteEdit] = dict(edits)
         self._logged_outcomes: dict[str, str] = {}  # by id, so that each is logged once
-        self._last_attempt: tuple[int, frozenset[str]] | None = None  # index, and ids that conflicted then
+        self._last_attempt: tuple[int, frozenset[str]] | None = None  # index, and ids in conflict then
 
     def with_edits(self, edits: Iterable[RouteEdit]) -> dict[str, RouteEdit] | Failure:
-        """The pending edits joined with these, or a Failure where they would be too many."""
+        """The pending edits together with the given ones, or a Failure if there would be too many."""
         joined = join_edits(self.edits, {edit.id: edit for edit in edits})
         if len(joined) > MAX_PENDING_EDITS:
-            return Failure(FailureReason.REJECTED, f"{MAX_PENDING_EDITS} edits wait already")
+            return Failure(FailureReason.REJECTED, f"too many pending edits (limit {MAX_PENDING_EDITS})")
         return joined
 
     def without_resolved(self, entries: Mapping[str, Any]) -> dict[str, RouteEdit]:
-        """The pending edits without those whose outcome stands in the committed map."""
+        """The pending edits without those whose outcome is in the committed map."""
         return {edit_id: edit for edit_id, edit in self.edits.items() if outcome_of(entries, edit_id) is None}
 
     def merge_request(self, index: int) -> dict[str, Any] | None:
         """The merge to submit while the committed map is at `index`.
 
-        None where nothing may merge by itself, or nothing has changed since the last attempt.
+        None if no edit may be merged automatically, or nothing has changed since the last attempt.
         """
         automatic = [edit for edit in self.edits.values() if edit.automatic]
         if not automatic or self._last_attempt == (index, frozenset(edit.id for edit in automatic)):
@@ -69,7 +69,7 @@
     def record_outcomes(
         self, index: int, outcomes: Mapping[str, OutcomeAnswer]
     ) -> list[tuple[RouteEdit, OutcomeAnswer]]:
-        """Take the leader's outcomes of a merge at `index`; those that are new here are returned."""
+        """Record the leader's outcomes of a merge at `index`, and return those not recorded before."""
         new_outcomes = []
         for edit_id, outcome in outcomes.items():
             edit = self.edits.get(edit_id)
@@ -87,9 +87,9 @@
 
 
 class PendingEditStorage:
-    """The pending edits of this machine on its disk.
+    """The pending edits on the local disk.
 
-    `committed_map` gives the newest committed map known here; `log_event` is as `ashlift.events.log_event`.
+    `committed_map` returns the newest committed map known here.
     """
 
     def __init__(
@@ -109,14 +109,14 @@
         self.pending = PendingEdits(_decode_records(records) if isinstance(records, dict) else {})
 
     def handle_request(self, body: Any) -> dict[str, Any] | Failure:
-        """Add edits durably: `{add: [edit]}` -> `{edits: [edit]}`, all that are pending here."""
+        """Add edits durably. Takes `{add: [edit]}` and returns `{edits: [edit]}` with all pending edits."""
         try:
             decoded = [decode_edit(value) for value in body["add"]]
         except (LookupError, TypeError):
             return Failure(FailureReason.INVALID, PENDING_EDITS)
         edits = [edit for edit in decoded if isinstance(edit, RouteEdit)]
         if len(edits) < len(decoded):
-            return Failure(FailureReason.INVALID, "an edit that is none")
+            return Failure(FailureReason.INVALID, "malformed edit")
         failure = self._replace(self.pending.with_edits(edits))
         if failure is not None:
             return failure
@@ -132,12 +132,12 @@
         return {"edits": [encode_edit(edit) for edit in self.pending.without_resolved(entries).values()]}
 
     def merge_request(self) -> dict[str, Any] | None:
-        """The merge to submit now; None: there is nothing to try."""
+        """The merge to submit now, if any."""
         index, _ = self._committed_map()
         return self.pending.merge_request(index)
 
     def finish_merge(self, response: Any) -> None:
-        """Take the leader's response to a merge (None: none was submitted), and drop resolved edits."""
+        """Handle the leader's response to a merge (None: none was submitted), and drop resolved edits."""
         index, entries = self._committed_map()
         if isinstance(response, dict) and response.get("status") == OK:
             for edit, outcome in self.pending.record_outcomes(index, response["outcomes"]):
--- a/ashlift/configstore/proposal_queue.py
+++ b/ashlift/configstore/proposal_queue.py
@@ -1,4 +1,4 @@
-"""Commands that wait at the leader, and the one proposal under way until a majority holds it durably."""
+"""Queued commands at the leader, and the single proposal in flight until a majority holds it durably."""
 
 from collections import deque
 from collections.abc import Callable, Mapping
@@ -19,7 +19,7 @@
 
 
 class QueuedCommand(NamedTuple):
-    """A command that is not begun yet."""
+    """A command that is not started yet."""
 
     reply_to: Any
     command: Any
@@ -27,14 +27,14 @@
 
 
 class InFlightProposal(NamedTuple):
-    """Whom to answer, and what, once the newest proposed map is committed."""
+    """The reply to send once the newest proposed map is committed."""
 
     reply_to: Any
     response: Any
 
 
 class ProposalQueue:
-    """One proposal at a time, and none of a command before the term's first is committed."""
+    """Executes commands one proposal at a time, starting once the term's first proposal is committed."""
 
     def __init__(self, leader: "Leader") -> None:
         self.leader = leader
@@ -42,33 +42,33 @@
         self.queue: deque[QueuedCommand] = deque()
 
     def submit(self, reply_to: Any, command: Any, fencing_token: FencingToken | None) -> None:
-        """Begin a command, or let it wait."""
+        """Start a command or queue it."""
         if self.leader.transfer.deadline is not None or len(self.queue) >= MAX_QUEUED_COMMANDS:
-            failure = Failure(FailureReason.UNAVAILABLE, "full or leaving")
+            failure = Failure(FailureReason.UNAVAILABLE, "leader is shutting down or its queue is full")
             self.leader.replica.reply(reply_to, failure)
             return
         self.queue.append(QueuedCommand(reply_to, command, fencing_token))
         self.advance()
 
     def is_idle(self) -> bool:
-        """Whether no proposal is under way, and no successor named."""
-        return not self.in_flight and not self.leader.transfer.successor_named
+        """Whether no proposal is in flight and no leadership transfer is requested."""
+        return not self.in_flight and not self.leader.transfer.transfer_requested
 
     def advance(self) -> None:
-        """Begin what waits, changes of the membership first."""
+        """Start what is pending, membership changes first."""
         leader = self.leader
         needs_round = False
-        while not self.in_flight and leader.commit_index and not leader.transfer.successor_named:
+        while not self.in_flight and leader.commit_index and not leader.transfer.transfer_requested:
             change = leader.membership.next_change()
             if change is not None:
                 self.propose(change)
                 return
-            if leader.transfer.successor_named or not self.queue:
+            if leader.transfer.transfer_requested or not self.queue:
                 break
             queued = self.queue.popleft()
             outcome = self._decide(queued.command)
             if queued.fencing_token is not None and self._is_expired(queued.fencing_token, outcome):
-                failure = Failure(FailureReason.EXPIRED, "its caller may have gone")
+                failure = Failure(FailureReason.EXPIRED, "command expired: its caller may have given up")
                 leader.replica.reply(queued.reply_to, failure)
                 continue
             if isinstance(outcome, Proposal):
@@ -77,7 +77,7 @@
             leader.rounds.reply_after_next_round(queued.reply_to, outcome.response)
             needs_round = True
         if needs_round:
-            leader.rounds.begin()
+            leader.rounds.start_round()
 
     def _decide(self, command: Any) -> Proposal | ReadOnlyResult:
         if isinstance(command, MembershipCommand):
@@ -85,8 +85,8 @@
         return self.leader.command_handler(self.leader.current_map(), command)
 
     def _is_expired(self, token: FencingToken, outcome: Proposal | ReadOnlyResult) -> bool:
-        """Whether the command may have been on its way for longer than its caller waits, or is void."""
-        age_seconds = self.leader.rounds.started_seconds_ago(token)
+        """Whether the command may have outlived its caller's wait, or was superseded."""
+        age_seconds = self.leader.rounds.round_age_seconds(token)
         if age_seconds is None or age_seconds >= token.remaining_seconds:
             return True
         committed = self.leader.replica.committed_state
@@ -94,11 +94,11 @@
         return any(committed.may_have_changed_since(key, token.known_index) for key in keys)
 
     def propose(self, proposal: Proposal, reply_to: Any = None) -> None:
-        """Send the changed map to the others, and write it here.
+        """Send the changed map to the other replicas and persist it locally.
 
-        The order does not matter to safety: a copy counts once it is durable where it is, this replica's own
-        as well (`PeerTable.holds`). The requests leave once the write here has ended, since it holds up the
-        process (`ReplicaRunner`).
+        The order does not affect safety: each copy counts once it is durable, the local one included
+        (`PeerTable.holds`). In practice the local write comes first, as it blocks the process
+        (`ReplicaRunner`).
         """
         leader = self.leader
         index = leader.proposed.term_index[1] + 1
@@ -106,7 +106,7 @@
         leader.proposed = Snapshot((leader.term, index), entries)
         self.in_flight = InFlightProposal(reply_to, proposal.response)
         leader.replica.change_log.record(leader.proposed.term_index, entries)
-        leader.rounds.begin()
+        leader.rounds.start_round()
         leader.replica.persist(None, leader.proposed, self._handle_persisted)
 
     def _handle_persisted(self, succeeded: bool) -> None:
@@ -116,7 +116,7 @@
         self.commit_if_replicated()
 
     def commit_if_replicated(self) -> None:
-        """Commit the proposal under way once a majority of its own voters holds it durably."""
+        """Commit the in-flight proposal once a majority of the voters in its map holds it durably."""
         leader = self.leader
         index = leader.proposed.term_index[1]
         if self.in_flight is None or leader.commit_index == index:
@@ -130,20 +130,20 @@
         leader.replica.advance_committed(leader.proposed)
         leader.replica.reply(committed.reply_to, {**(committed.response or {}), "index": index})
         leader.replica.log_event(events.CHANGE_COMMITTED, term=leader.term, index=index)
-        leader.rounds.begin()  # those who hold it learn at once that it is committed
-        if leader.transfer.is_wanted():
-            leader.transfer.name_successor()
+        leader.rounds.start_round()  # notify the followers of the commit at once
+        if leader.transfer.is_pending():
+            leader.transfer.request_transfer()
             return
         self.advance()
 
     def fail_in_flight(self) -> None:
-        """The term has ended: the next leader may commit what was proposed."""
+        """Fail the in-flight proposal as the leadership ends. The next leader may still commit it."""
         if self.in_flight is not None:
-            failure = Failure(FailureReason.OUTCOME_UNKNOWN, "lost the lead")
+            failure = Failure(FailureReason.OUTCOME_UNKNOWN, "leadership lost")
             self.leader.replica.reply(self.in_flight.reply_to, failure)
 
     def reject_queued(self) -> None:
-        """Nothing of what waits was begun: it may be sent again."""
+        """Fail the queued commands. None was started, so callers may retry them."""
         while self.queue:
-            failure = Failure(FailureReason.UNAVAILABLE, "lost the lead")
+            failure = Failure(FailureReason.UNAVAILABLE, "leader is stepping down")
             self.leader.replica.reply(self.queue.popleft().reply_to, failure)
--- a/ashlift/configstore/proposals.py
+++ b/ashlift/configstore/proposals.py
@@ -1,13 +1,13 @@
-"""What the leader makes of a command, and the token that keeps a command from being executed too late."""
+"""Outcomes of deciding a command, and the fencing token that prevents late execution of a command."""
 
 from typing import Any, NamedTuple
 
 
 class FencingToken(NamedTuple):
-    """Keeps the leader from beginning a command whose caller may have given up.
+    """Prevents the leader from executing a command whose caller may have given up.
 
-    `term` and `heartbeat_round` are those of the newest round that the registry knew when it forwarded the
-    command. From then on its caller waits for `remaining_seconds`. `known_index` is the newest committed
+    `term` and `heartbeat_round` identify the newest heartbeat round that the registry knew when it forwarded
+    the command; from then on the caller waits for `remaining_seconds`. `known_index` is the newest committed
     index that the registry knew when it received the command.
     """
 
@@ -18,10 +18,10 @@
 
 
 class Proposal(NamedTuple):
-    """Changes of the map, and the response once they are committed.
+    """Changes to the map, and the response once they are committed.
 
-    `unconditional_keys` are changed whatever they hold: if one has changed since the caller sent the
-    command, the command has been overtaken and must not be executed.
+    `unconditional_keys` are changed regardless of their current value. If one of them has changed since the
+    caller sent the command, the command is superseded and must not be executed.
     """
 
     updates: dict[str, Any]
@@ -33,7 +33,7 @@
 class ReadOnlyResult(NamedTuple):
     """The response to a command that changes nothing.
 
-    It stands once a heartbeat round confirms that the leader is still the leader.
+    It is sent once a heartbeat round has confirmed that the leader still leads.
     """
 
     response: Any
--- a/ashlift/configstore/ranged_map.py
+++ b/ashlift/configstore/ranged_map.py
@@ -1,4 +1,7 @@
-"""The replicated map, in 64 hash ranges: compared, sent and kept a range at a time. Values are CBOR's."""
+"""The replicated map, split into 64 hash ranges that are compared, sent and stored one by one.
+
+Values are of the types that CBOR can encode.
+"""
 
 import hashlib
 import zlib
@@ -8,31 +11,31 @@
 import cbor2
 
 RANGE_COUNT: Final = 64
-RANGE_DIGEST_BYTES: Final = 8  # the digests of all ranges fit a frame of half a kilobyte
+RANGE_DIGEST_BYTES: Final = 8  # the digests of all ranges together take 512 bytes
 MAP_DIGEST_BYTES: Final = 16
 _ABSENT: Final = object()
 
 
 def range_of(key: str) -> int:
-    """The number of the range that holds the key."""
+    """The number of the hash range of a key."""
     return zlib.crc32(key.encode()) % RANGE_COUNT
 
 
 class RangedMap:
-    """An immutable map `key -> value`: a change gives a new one, which shares the unchanged ranges."""
+    """An immutable map. A change returns a new map that shares the unchanged ranges."""
 
     __slots__ = ("_encoded_ranges", "_range_digests", "_ranges", "map")
 
-    def __init__(self, map: Mapping[str, Any] | None = None) -> None:  # noqa: A002  (the field's name)
+    def __init__(self, map: Mapping[str, Any] | None = None) -> None:  # noqa: A002  (named like the attribute)
         self.map: Mapping[str, Any] = map or {}
         self._ranges: list[dict[str, Any]] = [{} for _ in range(RANGE_COUNT)]
-        self._encoded_ranges: list[bytes | None] = [None] * RANGE_COUNT  # filled when they are asked for
+        self._encoded_ranges: list[bytes | None] = [None] * RANGE_COUNT  # filled on demand
         self._range_digests: list[bytes | None] = [None] * RANGE_COUNT
         for key, value in self.map.items():
             self._ranges[range_of(key)][key] = value
 
     def _copy_with(self, entries: Mapping[str, Any]) -> "RangedMap":
-        """A map of these entries, with this one's ranges: the caller exchanges those that differ."""
+        """A map of `entries` that still has this map's ranges; the caller replaces those that differ."""
         copy = RangedMap.__new__(RangedMap)
         copy.map = entries
         copy._ranges = [*self._ranges]
@@ -41,7 +44,7 @@
         return copy
 
     def with_changes(self, updates: Mapping[str, Any], deletions: Iterable[str]) -> "RangedMap":
-        """This map with `updates` laid over it, and without `deletions`."""
+        """A copy with `updates` applied and the keys in `deletions` removed."""
         entries = {**self.map, **updates}
         updates_by_range: dict[int, dict[str, Any]] = {}
         for key, value in updates.items():
@@ -58,7 +61,7 @@
         return copy
 
     def with_ranges(self, encoded_ranges: Mapping[int, bytes]) -> "RangedMap":
-        """This map with whole ranges exchanged. Raises ValueError for bytes that are no range."""
+        """A copy with whole ranges replaced. Raises ValueError for a malformed range."""
         ranges = _decode_ranges(encoded_ranges)
         entries = dict(self.map)
         for number in ranges:
@@ -73,7 +76,7 @@
         return copy
 
     def keys_differing_from(self, older: "RangedMap") -> list[str]:
-        """The keys whose values differ from those of an older map, and those that are in one of them only."""
+        """The keys whose values differ from those in an older map, or that are in only one of the maps."""
         keys = []
         for own_range, older_range in zip(self._ranges, older._ranges, strict=True):
             if own_range is older_range:
@@ -85,7 +88,7 @@
         return keys
 
     def encoded_range(self, number: int) -> bytes:
-        """A range as CBOR: a list of `[key, value]`, ordered by key."""
+        """A range encoded as a CBOR list of `[key, value]`, sorted by key."""
         encoded = self._encoded_ranges[number]
         if encoded is None:
             hash_range = self._ranges[number]
@@ -94,11 +97,11 @@
         return encoded
 
     def nonempty_ranges(self) -> list[int]:
-        """The numbers of the ranges that hold a key."""
+        """The numbers of the ranges that are not empty."""
         return [number for number in range(RANGE_COUNT) if self._ranges[number]]
 
     def range_digests(self) -> bytes:
-        """The ranges' digests in order, RANGE_DIGEST_BYTES each."""
+        """The concatenated digests of all ranges, RANGE_DIGEST_BYTES each."""
         for number in range(RANGE_COUNT):
             if self._range_digests[number] is None:
                 digest = hashlib.blake2b(self.encoded_range(number), digest_size=RANGE_DIGEST_BYTES)
@@ -106,20 +109,20 @@
         return b"".join(digest or b"" for digest in self._range_digests)
 
     def range_digest(self, number: int) -> bytes:
-        """The digest of one range."""
+        """The digest of one range of this map."""
         return self.range_digest_in(self.range_digests(), number)
 
     @staticmethod
     def range_digest_in(range_digests: bytes, number: int) -> bytes:
-        """The digest of one range among all those of another map."""
+        """The digest of one range within concatenated range digests."""
         return range_digests[number * RANGE_DIGEST_BYTES : (number + 1) * RANGE_DIGEST_BYTES]
 
     def digest(self) -> bytes:
-        """One digest of the whole map, MAP_DIGEST_BYTES."""
+        """The digest of the whole map, MAP_DIGEST_BYTES long."""
         return hashlib.blake2b(self.range_digests(), digest_size=MAP_DIGEST_BYTES).digest()
 
     def differing_ranges(self, range_digests: bytes) -> list[int]:
-        """The ranges that differ from another map by its digests; all, if these are no digests."""
+        """The ranges that differ from a map with these digests; all ranges if the digests are malformed."""
         own = self.range_digests()
         return [
             number
@@ -129,20 +132,20 @@
 
 
 def _decode_ranges(encoded_ranges: Mapping[int, bytes]) -> dict[int, dict[str, Any]]:
-    """Raises ValueError."""
+    """Decode whole ranges. Raises ValueError for malformed ones."""
     ranges: dict[int, dict[str, Any]] = {}
     try:
         for number, encoded in encoded_ranges.items():
             ranges[number] = dict(cbor2.loads(encoded))
             if any(range_of(key) != number for key in ranges[number]):
-                raise ValueError(f"range {number} holds a key of another")
+                raise ValueError(f"hash range {number} has a key of another range")
     except (cbor2.CBORDecodeError, TypeError, AttributeError) as error:
         raise ValueError(str(error)) from None
     return ranges
 
 
 def _differs(older: Any, value: Any) -> bool:
-    """Values that Python takes for equal, such as 1 and True, differ if their bytes do."""
+    """Whether two values differ. Equal values with different encodings, such as 1 and True, differ too."""
     if older is value:
         return False
     return bool(older != value or cbor2.dumps(older) != cbor2.dumps(value))
--- a/ashlift/configstore/replica.py
+++ b/ashlift/configstore/replica.py
@@ -1,9 +1,10 @@
-"""One replica of the store: events in, effects out. Invariants and their tests: docs/design/store.md.
+"""One replica as a state machine: events in, effects out. For the invariants see docs/design/store.md.
 
-A replica is a non-voting learner (nothing that it holds counts), a follower, a candidate, or the leader. What
-all roles share is in `replica_state`; the roles are in `joining` (learners, and replicas that were removed),
-`follower`, `election` and `leader`. This module hands each event to the role that it concerns. Durable are
-`vote` and `snapshot`, changed through `ReplicaState.persist`; while a write is under way, events wait.
+A replica is a learner (non-voting, not counted in any quorum), a follower, a candidate or the leader. The
+state that all roles share is in `replica_state`; the roles are in `joining` (learners and removed replicas),
+`follower`, `election` and `leader`. This module dispatches each event to the role that handles it. `vote`
+and `snapshot` are durable and change only through `ReplicaState.persist`; events are deferred while a write
+is in flight.
 """
 
 import random
@@ -43,20 +44,21 @@
 )
 from ashlift.errors import Failure, FailureReason
 
-LEADER_CONTACT_TIMEOUT_SECONDS: Final = (
-    3 * HEARTBEAT_INTERVAL_SECONDS
-)  # a leader not heard for so long is not asked
+# Requests are not forwarded to a leader that has sent no heartbeat for this long.
+LEADER_CONTACT_TIMEOUT_SECONDS: Final = 3 * HEARTBEAT_INTERVAL_SECONDS
 INCARNATION_BITS: Final = 31
 
 EMPTY_SNAPSHOT: Final = Snapshot(NO_TERM_INDEX, RangedMap())
 NO_VOTE: Final = PersistentVote(0, None, False)
-_NOT_LEADER: Final = Failure(FailureReason.UNAVAILABLE, "leads not")
+_NOT_LEADER: Final = Failure(FailureReason.UNAVAILABLE, "this replica is not the leader")
 
 
 class Replica(ReplicaState):
-    """`vote` and `snapshot`: what the disk holds; None: nothing was ever there, Failure: it cannot be read.
+    """A replica of the store, started from what its disk holds.
 
-    `bootstrap` lets one of the `seeds` write the first membership, if its disk holds nothing.
+    `vote` and `snapshot` are the stored state: None if nothing was ever stored, a Failure if unreadable.
+    With `bootstrap`, a replica that is one of the `seeds` and has an empty disk writes the initial
+    membership.
     """
 
     def __init__(
@@ -72,13 +74,14 @@
         stored_vote = vote if isinstance(vote, PersistentVote) else NO_VOTE
         stored = snapshot if isinstance(snapshot, Snapshot) else EMPTY_SNAPSHOT
         is_voter = stored_vote.is_voter and isinstance(snapshot, Snapshot)
-        initial_vote = _vote_for_start(stored_vote, stored) if is_voter else NO_VOTE
+        initial_vote = _restored_vote(stored_vote, stored) if is_voter else NO_VOTE
         super().__init__(ip, random_source, initial_vote, stored if is_voter else EMPTY_SNAPSHOT)
         self.seeds = seeds
         self.command_handler = command_handler
         self._bootstraps = vote is None and snapshot is None and bootstrap and ip in seeds
-        self._must_clear_vote = stored_vote.is_voter and not is_voter  # its snapshot is lost
-        self.incarnation = random_source.getrandbits(INCARNATION_BITS)  # of this process, and of its disk
+        self._must_clear_vote = stored_vote.is_voter and not is_voter  # the snapshot was lost
+        # Of this process, and of its disk if this process initializes it.
+        self.incarnation = random_source.getrandbits(INCARNATION_BITS)
         self.leader_ip: str | None = None
         self.leader_role: Leader | None = None
         self.shutdown_deadline: float | None = None
@@ -90,31 +93,34 @@
 
     # ---- events
     def start(self, now: float) -> list[Effect]:
-        """The process has started; called once, before `handle`."""
+        """Start the replica. Called once, before `handle`."""
         self.now = now
         self.effects = []
         self.election.reset_timer(INITIAL_ELECTION_TIMEOUT_SECONDS)
-        self.follower.leader_heard_at = now - QUORUM_CONTACT_TIMEOUT_SECONDS
+        self.follower.last_leader_contact_at = now - QUORUM_CONTACT_TIMEOUT_SECONDS
         if self._bootstraps:
-            self._write_first_membership()
+            self._bootstrap_membership()
         elif not self.vote.is_voter:
             self.joining.become_learner()
             if self._must_clear_vote:
                 self.persist(self.vote, None, ignore_outcome)
         return self._take_effects()
 
-    def _write_first_membership(self) -> None:
+    def _bootstrap_membership(self) -> None:
         members: dict[str, Any] = {VOTER_PREFIX + ip: {} for ip in self.seeds}
         first = Snapshot(NO_TERM_INDEX, RangedMap(members))
         self.log_event(events.STORE_BOOTSTRAPPED, voters=len(members))
-        self.persist(PersistentVote(0, None, True, self.incarnation), first, self._handle_first_membership)
+        self.persist(PersistentVote(0, None, True, self.incarnation), first, self._handle_bootstrap_persisted)
 
-    def _handle_first_membership(self, succeeded: bool) -> None:
+    def _handle_bootstrap_persisted(self, succeeded: bool) -> None:
         if not succeeded:
             self.joining.become_learner()
 
     def handle(self, now: float, event: Event) -> list[Effect]:
-        """Take one event; execute the effects in order. Raises InvariantError: stop the process."""
+        """Handle one event and return the effects, which the caller executes in order.
+
+        Raises InvariantError, after which the process must stop.
+        """
         self.now = max(now, self.now)
         self.effects = []
         if isinstance(event, StatePersisted):
@@ -126,9 +132,9 @@
         return self._take_effects()
 
     def _take_effects(self) -> list[Effect]:
-        """The effects, a `PersistState` last.
+        """Return the effects so far, with a `PersistState` last.
 
-        What depends on the write is not among them: its callback makes those effects once it has ended.
+        Effects that depend on the write are not included: the write's callback adds them once it completes.
         """
         if self.shutdown_deadline is not None and self.leader_role is None and not self.is_persisting:
             self.effects.append(HandoverComplete())
@@ -171,9 +177,9 @@
             self.leader_role.proposals.submit(event.reply_to, event.command, event.fencing_token)
 
     def _handle_request(self, event: RequestReceived) -> None:
-        """Another replica's request. One that cannot be right changes nothing and is answered INVALID."""
+        """Serve another replica's request. A malformed one changes nothing and is answered INVALID."""
         if self.joining.is_quarantined():
-            self.reply(event.reply_to, Failure(FailureReason.UNAVAILABLE, "mute"))
+            self.reply(event.reply_to, Failure(FailureReason.UNAVAILABLE, "learner is in quarantine"))
             return
         try:
             self._serve(event.reply_to, codec.decode_request(event.method, event.body))
@@ -199,41 +205,45 @@
         elif event.method == codec.METHOD_JOIN:
             self.joining.handle_response(event)
 
-    # ---- what others ask
+    # ---- queries
     def newest_heartbeat_round(self) -> tuple[int, int]:
-        """The newest round of a leader known here, with its term (`FencingToken`)."""
+        """Term and number of the newest heartbeat round known to this replica (see `FencingToken`)."""
         if self.leader_role:
             return self.leader_role.term, self.leader_role.rounds.newest
         return self.follower.newest_heartbeat_round
 
-    def hears_no_leader(self, now: float) -> bool:
-        """Whether no leader is to be expected here: who wants one had better ask another replica."""
+    def lacks_leader_contact(self, now: float) -> bool:
+        """Whether this replica neither leads nor has had recent contact with a leader.
+
+        Clients that need the leader should try another replica.
+        """
         return (
-            self.leader_role is None and now - self.follower.leader_heard_at > LEADER_CONTACT_TIMEOUT_SECONDS
+            self.leader_role is None
+            and now - self.follower.last_leader_contact_at > LEADER_CONTACT_TIMEOUT_SECONDS
         )
 
     def next_tick_at(self) -> float:
-        """When the next `ClockTicked` is wanted, if nothing comes before."""
+        """When the next `ClockTicked` is due, if no other event comes first."""
         if self.leader_role:
             return self.leader_role.rounds.next_at
         return self.election.deadline if self.can_stand_for_election() else self.joining.next_request_at
 
     def can_stand_for_election(self) -> bool:
-        """Whether this replica's disk is that of a voter, by its newest accepted map."""
+        """Whether this replica's disk belongs to a voter according to its newest accepted map."""
         entries = self.snapshot.entries.map
         return self.vote.is_voter and incarnation_matches(entries, self.ip, self.vote.incarnation)
 
     # ---- changes of role
     def become_leader(self) -> None:
-        """A majority has voted for this replica in its term."""
+        """Take the leadership after winning an election in the current term."""
         self.leader_ip = self.ip
         self.follower.staged_entries = None
-        self.freshness.forget_echoes()
+        self.freshness.clear_echoes()
         self.leader_role = Leader(self, self.command_handler)
         self.leader_role.start()
 
     def observe_higher_term(self, term: int) -> None:
-        """Another replica is at a higher term: so is this one from now on."""
+        """Adopt a higher term seen at another replica, stepping down if necessary."""
         if term <= self.vote.term:
             return
         self.step_down("a higher term")
@@ -241,9 +251,9 @@
         self.persist(self.vote._replace(term=term, voted_for=None), None, ignore_outcome)
 
     def step_down(self, reason: str) -> None:
-        """Be a follower: an election or a leadership under way ends."""
+        """Become a follower, ending the current election attempt or leadership."""
         self.election.attempt = None
-        self.freshness.forget_echoes()
+        self.freshness.clear_echoes()
         if self.leader_role:
             self.log_event(events.STEPPED_DOWN, term=self.leader_role.term, reason=reason)
             ended = self.leader_role
@@ -253,8 +263,12 @@
             self.election.reset_timer()
 
 
-def _vote_for_start(stored: PersistentVote, snapshot: Snapshot) -> PersistentVote:
-    """A write may have been cut off between snapshot and vote: the term is at least the snapshot's."""
+def _restored_vote(stored: PersistentVote, snapshot: Snapshot) -> PersistentVote:
+    """The vote to start with.
+
+    A crash between the writes of snapshot and vote can leave the vote behind, so its term is raised to the
+    snapshot's.
+    """
     term = max(stored.term, snapshot.term_index[0])
     voted_for = stored.voted_for if term == stored.term else None
     return PersistentVote(term, voted_for, True, stored.incarnation)
--- a/ashlift/configstore/replica_io.py
+++ b/ashlift/configstore/replica_io.py
@@ -1,8 +1,8 @@
-"""Events that a replica takes and effects that it asks for; the replica itself does no input or output.
+"""Events that a replica handles and effects that it returns; the replica itself does no input or output.
 
-Whoever runs a replica (`replica_runner`, or the simulator) feeds events and executes the effects in their
-order. Times are seconds of the process's monotonic clock. They are named tuples, which cost a start less than
-attrs classes; those without fields are plain classes, as an empty tuple is false.
+The driver of a replica (`replica_runner`, or the simulator) feeds events and executes the effects in order.
+Times are seconds of the process's monotonic clock. The types are named tuples, which are cheaper to define at
+process start than attrs classes; those without fields are plain classes, since an empty tuple is falsy.
 """
 
 from typing import Any, NamedTuple
@@ -12,13 +12,13 @@
 from ashlift.events import EventType
 
 
-# ---- events: facts
+# ---- events
 class ClockTicked:
-    """Time has passed: wanted at `Replica.next_tick_at`, harmless at any other time."""
+    """Time has passed. Due at `Replica.next_tick_at`, harmless at any other time."""
 
 
 class RequestReceived(NamedTuple):
-    """Another replica's request; answered by a `SendReply` with the same `reply_to`."""
+    """A request of another replica, answered by a `SendReply` with the same `reply_to`."""
 
     reply_to: Any
     method: str
@@ -26,7 +26,7 @@
 
 
 class ResponseReceived(NamedTuple):
-    """The outcome of a `SendRequest`: the body of the response, or a `Failure`."""
+    """The outcome of a `SendRequest`: the response body, or a `Failure`."""
 
     peer: str
     method: str
@@ -36,16 +36,16 @@
 
 
 class StatePersisted(NamedTuple):
-    """The last `PersistState` is durable; if not `succeeded`, it may or may not be."""
+    """The last `PersistState` has completed. Unless it `succeeded`, the state may or may not be durable."""
 
     succeeded: bool
 
 
 class CommandSubmitted(NamedTuple):
-    """A command for the leader, answered by a `SendReply`: its response, or a `Failure`.
+    """A command for the leader, answered by a `SendReply` with its response or a `Failure`.
 
-    UNAVAILABLE: not begun. EXPIRED: not begun, and never will be. OUTCOME_UNKNOWN: it may be executed.
-    Without a `fencing_token` the command may be begun however late it comes.
+    UNAVAILABLE: not executed. EXPIRED: not executed, and never will be. OUTCOME_UNKNOWN: it may be executed.
+    A command without a `fencing_token` never expires.
     """
 
     reply_to: Any
@@ -60,14 +60,14 @@
 
 
 class ShutdownRequested:
-    """The process was asked to end: transfer the leadership first, if it is held."""
+    """The process was told to terminate; a leader transfers its leadership first."""
 
 
-# ---- effects: instructions
+# ---- effects
 class SendRequest(NamedTuple):
-    """Call `method` at the replica `peer`, with CALL_TIMEOUT_SECONDS.
+    """Call `method` at the replica `peer` with a time-out of CALL_TIMEOUT_SECONDS.
 
-    The outcome is fed as a `ResponseReceived` with the same `context`.
+    The outcome is fed back as a `ResponseReceived` with the same `context`.
     """
 
     peer: str
@@ -77,14 +77,14 @@
 
 
 class SendReply(NamedTuple):
-    """Answer the request or the client behind `reply_to`."""
+    """Send `body` as the reply to the request identified by `reply_to`."""
 
     reply_to: Any
     body: Any
 
 
 class PersistState(NamedTuple):
-    """Make these durable, the snapshot first, then feed `StatePersisted`. Always the last effect."""
+    """Make both durable, the snapshot first, then feed `StatePersisted`. Always the last effect."""
 
     vote: PersistentVote | None
     snapshot: Snapshot | None
@@ -98,7 +98,7 @@
 
 
 class HandoverComplete:
-    """Another replica leads, or can: the process may end."""
+    """This replica no longer leads, so the process may exit."""
 
 
 Event = (
--- a/ashlift/configstore/replica_runner.py
+++ b/ashlift/configstore/replica_runner.py
@@ -1,9 +1,9 @@
-"""Runs a replica: feeds events to it and carries its effects out on the network, the disk and the log.
+"""Runs a replica: feeds it events and executes its effects on the network, the disk and the log.
 
-The replica decides everything and waits for nothing; this module is its only way out. The greenlet that feeds
-an event carries out the effects. Nothing there yields to other greenlets, writes to disk included, so a write
-is complete before any later event is handled, and before a request of the same batch leaves: each of those
-has a greenlet of its own, which starts afterwards.
+The replica itself does no input or output. The greenlet that feeds an event also executes the resulting
+effects without yielding, disk writes included. So a write completes before any later event is handled, and
+before any request of the same batch is sent: each request is sent from its own greenlet, which starts
+afterwards.
 """
 
 import time
@@ -34,15 +34,15 @@
 from ashlift.events import WARNING, log_event
 from ashlift.rpc.client import ClientPool
 
-MAX_SLEEP_SECONDS: Final = 0.15  # between two looks at the clock
+MAX_SLEEP_SECONDS: Final = 0.15  # between two checks of the clock
 MIN_SLEEP_SECONDS: Final = 0.01
-SLOW_WRITE_SECONDS: Final = 0.5  # a write that took so long is logged: the process stood still meanwhile
+SLOW_WRITE_SECONDS: Final = 0.5  # slower writes are logged, since a write blocks the whole process
 
 Clock = Callable[[], float]
 
 
 class ReplicaRunner:
-    """The replica of this process. `port`: where all replicas listen."""
+    """Runs the replica of this process. `port` is the port on which all replicas listen."""
 
     def __init__(
         self,
@@ -54,59 +54,59 @@
     ) -> None:
         self.replica = replica
         self.clock = clock
-        self.stopped = Event()  # the replica has handed over: the process may end
+        self.stopped = Event()  # set once the replica has handed over its role and the process may exit
         self._storage = storage
         self._clients = clients
         self._port = port
         self._effects: deque[Effect] = deque()
         self._executing = False
-        self._commit_event = Event()  # set and replaced once something is committed
-        self._waits_ended = False
+        self._commit_event = Event()  # set and replaced at each commit
+        self._waits_cancelled = False
         self._committed_index = 0
-        self._last_contact: dict[str, float] = {}  # when a peer responded, or its connection was given up
+        self._last_contact: dict[str, float] = {}  # when each peer last responded or was disconnected
 
     def start(self) -> None:
-        """Let the replica begin with what its disk holds."""
+        """Start the replica and execute its first effects."""
         self._execute(self.replica.start(self.clock()))
 
     def run(self) -> None:
-        """Feed the clock to the replica until it has handed over."""
+        """Feed clock ticks to the replica until it has handed over its role."""
         while not self.stopped.is_set():
             if self.clock() >= self.replica.next_tick_at():
                 self.feed(ClockTicked())
-            until_due = self.replica.next_tick_at() - self.clock()
-            self.stopped.wait(min(MAX_SLEEP_SECONDS, max(MIN_SLEEP_SECONDS, until_due)))
+            seconds_until_tick = self.replica.next_tick_at() - self.clock()
+            self.stopped.wait(min(MAX_SLEEP_SECONDS, max(MIN_SLEEP_SECONDS, seconds_until_tick)))
 
     def feed(self, event: ReplicaEvent) -> None:
-        """Let the replica handle an event, and carry out what it wants."""
+        """Let the replica handle an event and execute the resulting effects."""
         self._execute(self.replica.handle(self.clock(), event))
 
     def request(self, make_event: Callable[[Any], ReplicaEvent], timeout: float) -> Any:
-        """Feed the event that `make_event` makes of a reference, and wait for the reply to that reference.
+        """Feed the event that `make_event` builds around a reply reference, and wait for the reply.
 
         :param timeout: seconds.
-        :returns: the reply, or a Failure `OUTCOME_UNKNOWN`.
+        :returns: the reply, or a Failure `OUTCOME_UNKNOWN` on time-out.
         """
         reply: Any = AsyncResult()
         self.feed(make_event(reply))
         try:
             return reply.get(timeout=timeout)
         except gevent.Timeout:
-            return Failure(FailureReason.OUTCOME_UNKNOWN, f"{timeout:g} s")
+            return Failure(FailureReason.OUTCOME_UNKNOWN, f"no reply from the replica within {timeout:g} s")
 
     def wait_for_commit(self, timeout: float) -> bool:
-        """Wait until something is committed here, `timeout` seconds at most; False: the process ends."""
-        if not self._waits_ended:
+        """Wait up to `timeout` seconds for a commit. Returns False if the process is shutting down."""
+        if not self._waits_cancelled:
             self._commit_event.wait(timeout)
-        return not self._waits_ended
+        return not self._waits_cancelled
 
-    def end_waits(self) -> None:
-        """The process ends: whoever waits for a commit is answered with what there is."""
-        self._waits_ended = True
+    def cancel_waits(self) -> None:
+        """Wake all waiters for a commit, because the process is shutting down."""
+        self._waits_cancelled = True
         self._commit_event.set()
 
     def _execute(self, effects: list[Effect]) -> None:
-        """Carry out effects in order; those of a call within this one are queued behind them."""
+        """Execute effects in order. Effects of a nested call are queued behind them."""
         self._effects.extend(effects)
         if self._executing:
             return
@@ -155,7 +155,7 @@
         if not isinstance(response, Failure):
             self._last_contact[request.peer] = self.clock()
         elif response.reason == FailureReason.OUTCOME_UNKNOWN and self._is_out_of_contact(request.peer):
-            # After a partition a new connection comes up sooner than an old one retransmits.
+            # After a partition a new connection is established sooner than TCP retransmits on the old one.
             self._last_contact[request.peer] = self.clock()
             client.close()
         self.feed(ResponseReceived(request.peer, request.method, sent_at, request.context, response))
--- a/ashlift/configstore/replica_state.py
+++ b/ashlift/configstore/replica_state.py
@@ -1,4 +1,4 @@
-"""What a replica has in every role: durable vote and snapshot, the committed map, and its effects so far."""
+"""State that a replica has in every role: durable vote and snapshot, committed map, and pending effects."""
 
 import random
 from collections.abc import Callable
@@ -14,21 +14,21 @@
 from ashlift.configstore.replica_io import Effect, LogEvent, PersistState, SendReply, SendRequest
 from ashlift.events import EventType
 
-MAX_WRITE_WAIT_SECONDS: Final = 0.4  # the others do not wait for a slower disk
+MAX_WRITE_WAIT_SECONDS: Final = 0.4  # upper bound on how far a slow local disk extends election time-outs
 
-PersistCallback = Callable[[bool], None]  # gets whether the write succeeded
+PersistCallback = Callable[[bool], None]  # called with whether the write succeeded
 
 
 def ignore_outcome(_succeeded: bool) -> None:
-    """For writes that nothing waits for."""
+    """Callback for writes that nothing depends on."""
 
 
 class InvariantError(Exception):
-    """An invariant of the replication protocol does not hold: the process must stop."""
+    """An invariant of the replication protocol is violated; the process must stop."""
 
 
 class PendingWrite(NamedTuple):
-    """What a `PersistState` under way makes durable, and what follows it."""
+    """The state that an in-flight `PersistState` makes durable, and the callback to run afterwards."""
 
     vote: PersistentVote | None
     snapshot: Snapshot | None
@@ -37,7 +37,11 @@
 
 
 class ReplicaState:
-    """Durable state changes through `persist` alone; nothing that depends on it is sent before."""
+    """State shared by all roles.
+
+    Durable state changes only through `persist`; messages that depend on it are sent once the write has
+    succeeded.
+    """
 
     def __init__(
         self, ip: str, random_source: random.Random, vote: PersistentVote, snapshot: Snapshot
@@ -46,10 +50,10 @@
         self.random = random_source
         self.vote = vote
         self.snapshot = snapshot
-        self.tolerated_failures = 1  # simultaneous losses that the voters must bear
+        self.tolerated_failures = 1  # simultaneous replica failures that the voters must survive
         self.now = 0.0
         self.committed_state = CommittedState()
-        self.change_log = ChangeLog()  # of all that was accepted since the process started
+        self.change_log = ChangeLog()  # of the maps accepted since the process started
         self.change_log.record(snapshot.term_index, snapshot.entries)
         self.effects: list[Effect] = []
         self.last_write_seconds = 0.0
@@ -59,37 +63,37 @@
     # ---- effects
     @property
     def is_persisting(self) -> bool:
-        """Whether a write is under way; until it is done no event is handled."""
+        """Whether a write is in flight. Until it completes no other event is handled."""
         return self._pending_write is not None
 
     def persist(
         self, vote: PersistentVote | None, snapshot: Snapshot | None, on_done: PersistCallback
     ) -> None:
-        """Make these durable and go on with `on_done`. The last thing that a handler does.
+        """Make `vote` and `snapshot` durable, then call `on_done`. Must be the last step of a handler.
 
-        `vote` and `snapshot` of this replica change once the write has succeeded (`complete_persist`). So
-        what must be durable first, a vote or an acknowledgement, is sent by `on_done`.
+        The in-memory `vote` and `snapshot` change once the write has succeeded (`complete_persist`), so votes
+        and acknowledgements that require durability are sent by `on_done`.
         """
         if self._pending_write is not None:
-            raise InvariantError("two writes at a time")
+            raise InvariantError("persist called while another write is in flight")
         if vote is not None:
             self._check_vote(vote)
         if snapshot is not None and self.vote.is_voter and snapshot.term_index <= self.term_index:
-            raise InvariantError(f"stamp {snapshot.term_index} after {self.term_index}")
+            raise InvariantError(f"snapshot at {snapshot.term_index} is not newer than {self.term_index}")
         self._pending_write = PendingWrite(vote, snapshot, on_done, self.now)
         self.effects.append(PersistState(vote, snapshot))
 
     def _check_vote(self, vote: PersistentVote) -> None:
         if vote.term < self.vote.term:
-            raise InvariantError(f"term {vote.term} after {self.vote.term}")
+            raise InvariantError(f"term {vote.term} is lower than {self.vote.term}")
         if vote.term == self.vote.term and self.vote.voted_for not in (None, vote.voted_for):
-            raise InvariantError(f"a second vote in term {vote.term}")
+            raise InvariantError(f"second vote in term {vote.term}")
 
     def complete_persist(self, succeeded: bool) -> None:
-        """The write under way has ended."""
+        """Apply the outcome of the in-flight write and run its callback."""
         write = self._pending_write
         if write is None:
-            raise InvariantError("kept what was not to be kept")
+            raise InvariantError("write completed while none was in flight")
         self._pending_write = None
         self.last_write_seconds = min(self.now - write.started_at, MAX_WRITE_WAIT_SECONDS)
         if succeeded:
@@ -98,46 +102,46 @@
         write.on_done(succeeded)
 
     def send_request(self, peer: str, request: Request, context: Any = None) -> None:
-        """The response is fed with the same `context`."""
+        """Send a request to another replica. `context` comes back in the `ResponseReceived`."""
         method, body = codec.encode_request(request)
         self.effects.append(SendRequest(peer, method, body, context))
 
     def respond(self, reply_to: Any, response: Response) -> None:
-        """Answer another replica's request."""
+        """Send the response to another replica's request."""
         self.reply(reply_to, codec.encode_response(response))
 
     def reply(self, reply_to: Any, body: Any) -> None:
-        """Answer a client, or any request with a Failure. `reply_to` None: nobody waits."""
+        """Send a reply to a client, or a Failure to any caller. With `reply_to` None nothing is sent."""
         if reply_to is not None:
             self.effects.append(SendReply(reply_to, body))
 
     def log_event(self, event: EventType, **fields: Any) -> None:
-        """Write a numbered event of `configstore.events`."""
+        """Add an effect that writes a numbered event of `configstore.events` to the log."""
         self.effects.append(LogEvent(event, fields))
 
     # ---- state
     def accept_snapshot(self, snapshot: Snapshot) -> None:
-        """Hold this one from now on; it is durable, or this replica does not count."""
+        """Replace the accepted snapshot. The caller has made it durable unless this replica is a learner."""
         self.snapshot = snapshot
         self.change_log.record(snapshot.term_index, snapshot.entries)
 
     @property
     def term_index(self) -> TermIndex:
-        """That of the newest accepted map."""
+        """Term and index of the newest accepted map."""
         return self.snapshot.term_index
 
     def voters(self, snapshot: Snapshot | None = None) -> list[str]:
-        """The voters by the newest accepted map, or by that snapshot, in order."""
+        """The sorted addresses of the voters in `snapshot`, by default the newest accepted one."""
         entries = (snapshot or self.snapshot).entries
         if self._voters_cache is None or self._voters_cache[0] is not entries:
             self._voters_cache = entries, addresses_under(entries.map, VOTER_PREFIX)
         return [*self._voters_cache[1]]
 
     def advance_committed(self, snapshot: Snapshot) -> None:
-        """This one is committed."""
+        """Record that `snapshot` is committed."""
         self.committed_state.advance(snapshot)
 
     def confirm_freshness(self, at: float) -> None:
-        """At the time `at` no newer map than the committed one known here was committed anywhere."""
+        """Record that at time `at` no newer map than the local committed one was committed anywhere."""
         committed = self.committed_state
         committed.freshness_confirmed_at = max(committed.freshness_confirmed_at, at)
--- a/ashlift/configstore/replica_storage.py
+++ b/ashlift/configstore/replica_storage.py
@@ -1,7 +1,4 @@
-"""What a replica must find again after a restart: its vote and its newest snapshot, on the local disk.
-
-The formats of both stand here alone. Nothing else writes to these files.
-"""
+"""Stores a replica's vote and newest snapshot on the local disk, and defines the format of both."""
 
 from typing import Final
 
@@ -15,26 +12,26 @@
 from ashlift.errors import Failure, FailureReason
 
 _VOTE_RECORD: Final = "vote"
-_TERM_INDEX_RECORD: Final = "stamp"  # beside one record a hash range, named by its number
+_TERM_INDEX_RECORD: Final = "stamp"  # the other records are one per hash range, named by its number
 
 
 class ReplicaStorage:
-    """The durable state of one replica in `folder`."""
+    """The durable state of one replica, stored in `folder`."""
 
     def __init__(self, folder: str) -> None:
         self._votes = SnapshotStorage(folder, VOTE_STORAGE)
         self._snapshots = SnapshotStorage(folder, SNAPSHOT_STORAGE)
 
     def read(self) -> tuple[PersistentVote | Failure | None, Snapshot | Failure | None]:
-        """Vote and snapshot, each None if it was never written, or a Failure if it cannot be read."""
+        """Vote and snapshot: each None if never written, or a Failure if unreadable."""
         return _decode_vote(self._votes.read()), _decode_snapshot(self._snapshots.read())
 
     def persist(self, request: PersistState) -> Failure | None:
-        """Make the given parts durable, the snapshot first. After a Failure none, one or both are.
+        """Make the given parts durable, the snapshot first. After a Failure none, one or both may be durable.
 
-        A vote may say that this disk counts, which it must not before it holds the map that it was promoted
-        with. A snapshot without its vote does no harm: at the next start a voter takes the snapshot's term
-        for seen (`_vote_for_start` in `replica`), and a learner has it as a base to catch up from.
+        The order matters because the vote may mark the disk as counting, which requires the snapshot that the
+        replica was promoted with. A snapshot without its vote is harmless: at the next start a voter raises
+        its term to the snapshot's (`_restored_vote` in `replica`), and a learner catches up from it.
         """
         if request.snapshot is not None:
             failure = self._snapshots.write(_encode_snapshot(request.snapshot))
--- a/ashlift/configstore/replication.py
+++ b/ashlift/configstore/replication.py
@@ -1,4 +1,4 @@
-"""The leader's append requests to the other replicas, and what it learns from their responses."""
+"""Replication from the leader: append requests to the other replicas, and handling of their responses."""
 
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -28,7 +28,7 @@
 
 
 class AppendContext(NamedTuple):
-    """What a response to an append request is understood by."""
+    """Identifies the append request that a response belongs to."""
 
     term: int
     heartbeat_round: int
@@ -38,7 +38,7 @@
 
 
 class Replication:
-    """Owns the payloads on their way; what is known of each replica stands in `Leader.peers`."""
+    """Sends payloads and evaluates responses. The state of each replica is kept in `Leader.peers`."""
 
     def __init__(self, leader: "Leader") -> None:
         self.leader = leader
@@ -46,7 +46,7 @@
 
     # ---- requests
     def send_heartbeats(self) -> None:
-        """One append request to each, with what it lacks unless something is on its way to it."""
+        """Send one append request to each peer, with the changes it lacks unless a payload is in flight."""
         proposed = self.leader.proposed
         for ip in self.leader.peers.heartbeat_targets():
             peer = self.leader.peers.get(ip)
@@ -80,7 +80,7 @@
 
     # ---- responses
     def handle_response(self, event: ResponseReceived) -> None:
-        """The outcome of an append request, in time or not."""
+        """Handle the outcome of an append request: a response, a late response or a failure."""
         context: AppendContext = event.context
         leader = self.leader
         replica = leader.replica
@@ -88,12 +88,12 @@
             return
         peer = leader.peers.get(event.peer)
         is_lost = isinstance(event.body, Failure) or replica.now - event.sent_at >= CALL_TIMEOUT_SECONDS
-        _note_delivery(peer, context, event.body, is_lost=is_lost)
+        _record_delivery(peer, context, event.body, is_lost=is_lost)
         if is_lost:
             return
         response = decode_append_response(event.body)
         if isinstance(response, AppendRejected) or response.term > leader.term:
-            # A replica that was removed must not end a leadership.
+            # A replica that was removed from the membership must not depose the leader.
             if membership_entry(leader.current_map(), event.peer) is not None:
                 replica.observe_higher_term(response.term)
             return
@@ -107,23 +107,23 @@
     def _apply(
         self, event: ResponseReceived, peer: PeerState, context: AppendContext, response: StatusResponse
     ) -> None:
-        """Responses may come out of order: only the newest one says what the replica holds now."""
+        """Update the peer's state. Responses may arrive out of order; only the newest tells what it holds."""
         is_newest = context.heartbeat_round >= peer.acknowledged_round
         peer.acknowledged_round = max(peer.acknowledged_round, context.heartbeat_round)
-        peer.heard_at = max(peer.heard_at, event.sent_at)
+        peer.last_answered_request_at = max(peer.last_answered_request_at, event.sent_at)
         if is_newest:
             peer.clock_token = response.clock_token
             peer.progress.acknowledge(_position(response, (self.leader.term, context.proposed_index)))
         if isinstance(response, LearnerStatus):
             self._restore_learner(event.peer, peer, response.incarnation)
         else:
-            _note_voter(peer, response, context.proposed_index)
+            _record_voter_response(peer, response, context.proposed_index)
         if is_newest:
             range_digests = None if isinstance(response, AppendAccepted) else response.range_digests
             self._send_missing(event.peer, peer, range_digests)
 
     def _send_missing(self, ip: str, peer: PeerState, range_digests: bytes | None) -> None:
-        """Send at once what is known to be lacking."""
+        """Send the changes that the peer is known to lack without waiting for the next heartbeat."""
         proposed = self.leader.proposed
         if peer.progress.payload_in_flight or peer.progress.position == proposed.term_index:
             return
@@ -132,7 +132,10 @@
             self._send_append(ip, peer, payload)
 
     def _restore_learner(self, ip: str, peer: PeerState, incarnation: int) -> None:
-        """It votes again once it holds what was committed without it after its incarnation was heard of."""
+        """Bring a learner closer to promotion.
+
+        It is promoted once it holds a map that was committed without it after its incarnation became known.
+        """
         leader = self.leader
         newest = leader.proposed.term_index[1]
         if peer.restoring_learner is None or peer.restoring_learner.incarnation != incarnation:
@@ -145,25 +148,25 @@
         if term != leader.term or peer.progress.payload_in_flight:
             return
         if entry is None or entry.get(INCARNATION) != incarnation:
-            return  # `MembershipManager` enters its incarnation first
+            return  # `MembershipManager` records its incarnation in the map first
         if peer.restoring_learner.promotion_index <= index <= leader.commit_index:
             position = None if index == newest else (term, index)
             self._send_append(ip, peer, encode_payload(Promotion(incarnation, position)))
         elif index == newest == leader.commit_index and leader.proposals.is_idle():
-            leader.proposals.propose(Proposal({}, [], None))  # to be committed without it
+            leader.proposals.propose(Proposal({}, [], None))  # an empty change, committed without the learner
 
 
-def _note_delivery(peer: PeerState, context: AppendContext, body: object, *, is_lost: bool) -> None:
-    """Whether what the request carried got through; one that was never sent tells nothing of the link."""
+def _record_delivery(peer: PeerState, context: AppendContext, body: object, *, is_lost: bool) -> None:
+    """Record whether the payload was delivered. An unsent request says nothing about the link's capacity."""
     if context.carried_payload or context.wanted_digests:
         was_unsent = isinstance(body, Failure) and body.reason == FailureReason.UNREACHABLE
-        peer.progress.payload_answered(
-            carried_payload=context.carried_payload and not was_unsent, got_through=not is_lost
+        peer.progress.record_payload_outcome(
+            carried_payload=context.carried_payload and not was_unsent, delivered=not is_lost
         )
 
 
-def _note_voter(peer: PeerState, response: AppendAccepted | AppendBehind, index: int) -> None:
-    """One that answers as a voter counts, with what it holds durably."""
+def _record_voter_response(peer: PeerState, response: AppendAccepted | AppendBehind, index: int) -> None:
+    """Count a peer that responds as a voter, with the index it holds durably."""
     peer.restoring_learner = None
     if isinstance(response, AppendAccepted):
         peer.match_index = max(peer.match_index, index)
@@ -172,10 +175,10 @@
 
 
 def _position(response: StatusResponse, requested: TermIndex) -> TermIndex | None:
-    """Which state the replica holds; None: it is not known."""
+    """Term and index of the map that the replica holds; None: unknown."""
     match response:
-        case AppendAccepted() | LearnerStatus(is_level=True):
+        case AppendAccepted() | LearnerStatus(is_caught_up=True):
             return requested
         case AppendBehind(position=position) | LearnerStatus(position=position):
-            # Index 0 is of one that has nothing, and of the seeds at first: these differ.
+            # Index 0 is ambiguous: an empty replica and a newly bootstrapped seed hold different maps.
             return position if position is not None and position[1] > 0 else None
--- a/ashlift/configstore/request_handlers.py
+++ b/ashlift/configstore/request_handlers.py
@@ -1,6 +1,6 @@
-"""Handlers of the store's RPC methods: those of registries, and those of other replicas.
+"""Handlers of the store's RPC methods, for registries and for other replicas.
 
-Each takes the request's body as it came and returns the response's body, or a Failure: no clear answer.
+Each takes the undecoded request body and returns the response body or a Failure.
 """
 
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
 
 def replica_handlers(runner: ReplicaRunner) -> dict[str, Handler]:
-    """Handlers of what other replicas ask: the replica answers them itself."""
+    """Handlers of the requests of other replicas, which the local replica serves."""
 
     def make_handler(method: str) -> Handler:
         return lambda body: runner.request(
@@ -42,7 +42,7 @@
 
 
 class RegistryRequestHandler:
-    """What registries ask. `port`: where all replicas listen."""
+    """Serves the requests of registries. `port` is the port on which all replicas listen."""
 
     def __init__(self, runner: ReplicaRunner, clients: ClientPool, port: int) -> None:
         self._runner = runner
@@ -61,7 +61,7 @@
         }
 
     def submit(self, body: Any) -> Any:
-        """Have a command executed. The response: `{status, reason?, index}`."""
+        """Execute a command. The response is `{status, reason?, index}`."""
         request = requests.decode_submit(body)
         if isinstance(request, Failure):
             return request
@@ -72,13 +72,13 @@
         return self._ask_leader(requests.SUBMIT, body, make_event, SUBMIT_TIMEOUT_SECONDS)
 
     def read(self, body: Any) -> Any:
-        """The committed map, as the leader confirmed it after the request came."""
+        """The committed map, read linearizably through the leader."""
         body = body if isinstance(body, dict) else {}
         snapshot = self._ask_leader(requests.READ, body, ReadRequested, READ_TIMEOUT_SECONDS)
         return requests.encode_snapshot(snapshot) if isinstance(snapshot, Snapshot) else snapshot
 
     def members(self, body: Any) -> Any:
-        """Show the members, or change who votes. The response: `{status, reason?, members?}`."""
+        """Show or change the membership. The response is `{status, reason?, members?}`."""
         command = requests.decode_membership(body)
         if isinstance(command, Failure):
             return command
@@ -91,7 +91,7 @@
         return self._ask_leader(requests.MEMBERS, body, make_event, SUBMIT_TIMEOUT_SECONDS)
 
     def watch(self, body: Any) -> Any:
-        """What changed since the watcher's index, as soon as there is something or its wait is over."""
+        """The changes since the watcher's index, as soon as there are any or its wait time is over."""
         request = requests.decode_watch(body)
         if isinstance(request, Failure):
             return request
@@ -105,7 +105,7 @@
     def _ask_leader(
         self, method: str, body: dict[str, Any], make_event: Callable[[Any], Event], timeout: float
     ) -> Any:
-        """Have the leader serve a request: this process, or the one that is known here."""
+        """Serve a request through the leader, which is this replica or the one known here."""
         clock = self._runner.clock
         deadline = clock() + LEADER_WAIT_SECONDS
         response: Any = NO_LEADER
--- a/ashlift/configstore/requests.py
+++ b/ashlift/configstore/requests.py
@@ -1,7 +1,7 @@
-"""Requests of registries to the store, and its responses: this module alone knows their keys on the wire.
+"""Requests of registries to the store and the responses, with their encoding on the wire.
 
-A registry asks any replica. One that does not lead forwards `submit`, `read` and `members` to the leader,
-marked so that they are forwarded once at most.
+A registry may ask any replica. A replica that does not lead forwards `submit`, `read` and `members` to the
+leader, marked so that they are forwarded at most once.
 """
 
 from collections.abc import Mapping
@@ -28,16 +28,16 @@
 
 
 class SubmitRequest(NamedTuple):
-    """A command. `fencing_token` None: one that may be begun whenever it arrives."""
+    """A command to execute. Without a `fencing_token` it never expires."""
 
     command: OperatorCommand
     fencing_token: FencingToken | None
 
 
 class WatchRequest(NamedTuple):
-    """A wait of `wait_seconds` at most for an index above `known_index`.
+    """Waits up to `wait_seconds` for an index above `known_index`.
 
-    `fragment`: the wanted one, as `ashlift.rpc.fragmentation` has it, of a caller that can reassemble them.
+    `fragment`: the requested fragment of a large response, see `ashlift.rpc.fragmentation`.
     """
 
     known_index: int
@@ -47,10 +47,10 @@
 
 
 class WatchStatus(NamedTuple):
-    """What every response to `watch` says besides the changes.
+    """The status part of every response to `watch`.
 
-    `age_seconds`: since the committed map was last known to be the newest; None: never. `heartbeat_round`:
-    the newest one known, `(term, round)`.
+    `age_seconds`: time since the committed map was last confirmed as the newest; None: never confirmed.
+    `heartbeat_round`: the newest known one, as `(term, round)`.
     """
 
     age_seconds: float | None
@@ -60,10 +60,9 @@
 
 
 def decode_submit(body: Any) -> SubmitRequest | Failure:
-    """`{kind, if_match, body, fence}`.
+    """Decode `{kind, if_match, body, fence}`.
 
-    A `merge` has no fence: stores send it by themselves, again and again, and its edits are resolved once by
-    their ids.
+    A `merge` has no fence: stores send it periodically on their own, and its edits are deduplicated by id.
     """
     if isinstance(body, dict) and body.get("kind") == CommandKind.MERGE:
         return SubmitRequest(_decode_command(body), None)
@@ -80,24 +79,24 @@
 
 
 def encode_merge(edits: list[dict[str, Any]]) -> dict[str, Any]:
-    """The `submit` by which a store has its pending edits merged."""
+    """The `submit` request with which a store merges its pending edits."""
     return {"kind": CommandKind.MERGE.value, "if_match": None, "body": {"edits": edits}}
 
 
 def decode_membership(body: Any) -> MembershipCommand | Failure:
-    """`{do, ip}`; do: `show`, or a change of `configstore.membership`."""
+    """Decode `{do, ip}`, where `do` is `show` or an action of `membership_rules`."""
     if not isinstance(body, dict) or not isinstance(body.get("do"), str):
         return Failure(FailureReason.INVALID, MEMBERS)
     return MembershipCommand(body["do"], str(body.get("ip", "")))
 
 
 def encode_members(members: Any) -> dict[str, Any]:
-    """The response to `members` that shows them."""
+    """The response to `members` that shows the membership."""
     return {"status": OK, "members": members}
 
 
 def decode_watch(body: Any) -> WatchRequest | Failure:
-    """`{have, wait, part}`; a caller that says `part`, though null, can reassemble fragments."""
+    """Decode `{have, wait, part}`. A caller that sends `part`, even as null, accepts fragments."""
     try:
         known_index = int(body["have"])
         wait_seconds = min(float(body["wait"]), MAX_WATCH_SECONDS)
@@ -107,7 +106,7 @@
 
 
 def encode_watch(changes: Mapping[str, Any], status: WatchStatus) -> dict[str, Any]:
-    """The response to `watch`: `{index, set, gone, full, ...}` or a fragment of that, and the status."""
+    """The response to `watch`: `{index, set, gone, full}` or a fragment of that, and the status."""
     return {
         **changes,
         "age": status.age_seconds,
@@ -124,10 +123,10 @@
 
 
 def forwarded(body: Mapping[str, Any]) -> dict[str, Any]:
-    """The request as a replica sends it on to the leader."""
+    """The request, marked as forwarded to the leader."""
     return {**body, _FORWARDED: True}
 
 
 def is_forwarded(body: Mapping[str, Any]) -> bool:
-    """Whether another replica has forwarded this request already."""
+    """Whether another replica forwarded this request."""
     return bool(body.get(_FORWARDED))
--- a/ashlift/configstore/server.py
+++ b/ashlift/configstore/server.py
@@ -1,7 +1,7 @@
-"""The configuration store's process: one replica with its disk, its RPC server and its greenlets.
+"""The configuration store's process: one replica with its disk, RPC server and greenlets.
 
-`ConfigStoreServer` puts the parts together: `replica_runner` runs the replica, `request_handlers` serves RPC,
-`pending_edits` keeps edits of routes, which are loaded once one is there.
+`ConfigStoreServer` connects the parts: `replica_runner` runs the replica, `request_handlers` serves RPC, and
+`pending_edits`, which is loaded on first use, stores route edits.
 """
 
 import os
@@ -32,23 +32,23 @@
 if TYPE_CHECKING:
     from ashlift.configstore.pending_edits import PendingEditStorage
 
-# For calls in progress to be answered after the replica has handed over: registries wait that long for a
-# command, and try another store when the connection ends.
+# Time for calls in progress to finish after the leadership transfer; registries retry at another store when
+# the connection closes.
 SHUTDOWN_SECONDS: Final = 1.0
 _RANDOM_SEED_BYTES: Final = 16
 
 
 def decide_or_refuse(current: Mapping[str, Any], command: OperatorCommand) -> Proposal | ReadOnlyResult:
-    """Decide a command; an error in the checks must not stop one leader after the other."""
+    """Decide a command. A bug in the decision must not crash one leader after another."""
     try:
         return decide_command(current, command)
     except Exception as error:
         log_event(events.COMMAND_EVALUATION_FAILED, level=ERROR, error=repr(error))
-        return ReadOnlyResult({"status": SERVICE_UNAVAILABLE, "reason": "the order could not be worked out"})
+        return ReadOnlyResult({"status": SERVICE_UNAVAILABLE, "reason": "the command could not be evaluated"})
 
 
 class ConfigStoreServer:
-    """One replica of the configuration store; `folder` is on its disk. Serves from its creation on."""
+    """One replica of the configuration store, serving from its creation on. Its state is in `folder`."""
 
     def __init__(self, settings: Settings, folder: str, clock: Clock = time.monotonic) -> None:
         self._folder = folder
@@ -70,22 +70,22 @@
         self.rpc_server = serve((settings.ip, port), handlers)
 
     def run(self) -> None:
-        """Serve until the replica has handed over after `shut_down`."""
+        """Serve until the replica has handed over its role after `shut_down`."""
         self._runner.run()
-        self._runner.end_waits()
+        self._runner.cancel_waits()
         self.rpc_server.shut_down(SHUTDOWN_SECONDS)
 
     def shut_down(self) -> None:
-        """Let the replica hand its role over; `run` returns after that."""
+        """Make the replica hand over its role, after which `run` returns."""
         self._runner.feed(ShutdownRequested())
 
     def _handle_pending_edits(self, body: Any) -> Any:
         return self._open_pending_edits().handle_request(body)
 
     def _open_pending_edits(self) -> "PendingEditStorage":
-        """Open the pending edits, once, and have them merged from now on."""
+        """Open the pending edits on first use, and start merging them periodically."""
         if self._pending_edits is None:
-            from ashlift.configstore.pending_edits import PendingEditStorage  # most systems never need it
+            from ashlift.configstore.pending_edits import PendingEditStorage  # loaded on first use
 
             storage = snapshot_storage.SnapshotStorage(self._folder, PENDING_EDIT_STORAGE)
             self._pending_edits = PendingEditStorage(storage, self._committed_map)
@@ -106,7 +106,7 @@
 
 
 def _restore_replica(settings: Settings, storage: ReplicaStorage) -> Replica:
-    """The replica as its disk has it; unreadable parts are logged, and the replica learns them anew."""
+    """Create the replica from its disk. Unreadable parts are logged and later restored from the leader."""
     vote, snapshot = storage.read()
     _log_unreadable(VOTE_STORAGE, vote)
     _log_unreadable(SNAPSHOT_STORAGE, snapshot)
--- a/ashlift/configstore/snapshot_storage.py
+++ b/ashlift/configstore/snapshot_storage.py
@@ -1,11 +1,11 @@
 """Durable records on the local disk: `SnapshotStorage`, two alternating slots of `dbm.dumb`.
 
-`dbm.dumb` writes in place, never syncs and cannot open a torn index. So a write goes to the slot that is not
-the newest, changes only what differs there, and counts once data, index and folder are synced. Each slot
-holds all records, its generation and a digest of both. `read` takes the newest slot that is intact; the other
-one may be in any state, so no pointer to the current slot is needed.
+`dbm.dumb` writes in place, never syncs and cannot open a torn index. So a write goes to the older slot,
+changes only the records that differ there, and is complete once data, index and folder are synced. Each slot
+holds all records, its generation and a digest of both. `read` uses the newest intact slot; the other one may
+be in any state, so no pointer to the current slot is needed.
 
-The module knows nothing of what the records mean: `replica_storage` and `pending_edits` do.
+The content of the records is opaque here; `replica_storage` and `pending_edits` define it.
 """
 
 import contextlib
@@ -22,13 +22,16 @@
 
 Records = dict[str, bytes]
 
-MAX_WASTED_BYTES: Final = 64 << 10  # that a slot may hold beyond twice its records before it is rewritten
+MAX_WASTED_BYTES: Final = 64 << 10  # a slot is rewritten when it exceeds twice its records by this much
 _HEADER: Final = "head"  # name of the record with `[generation, digest]`
-_SLOTS: Final = ("a", "b")  # a generation is in the slot of its parity
+_SLOTS: Final = ("a", "b")  # indexed by the parity of the generation
 _DATA_SUFFIX: Final = ".dat"
 _INDEX_SUFFIX: Final = ".dir"
 _DIGEST_BYTES: Final = 16
-_TORN_SLOT_ERRNOS: Final = (errno.ENOENT, errno.EINVAL)  # of a lost name, and of an index that points nowhere
+_TORN_SLOT_ERRNOS: Final = (
+    errno.ENOENT,
+    errno.EINVAL,
+)  # a lost file name, an index that points beyond the data
 
 
 class _SlotContent(NamedTuple):
@@ -54,10 +57,10 @@
 
 
 def _read_slot(path: str) -> _SlotContent | None:
-    """A slot's content, or None where the slot is absent, torn or a mixture of two generations.
+    """A slot's content, or None if the slot is absent, torn or a mixture of two generations.
 
-    Raises OSError where the disk does not give its bytes: that slot may be the newest, so the other one must
-    not be taken for it.
+    Raises OSError if the disk cannot be read: the slot may be the newest, so the caller must not fall back to
+    the other one.
     """
     database = None
     try:
@@ -66,7 +69,7 @@
         records = {str(name, "utf-8"): database[name] for name in names}
         generation, digest = cbor2.loads(records.pop(_HEADER))
         return _SlotContent(generation, records) if digest == _digest(generation, records) else None
-    except Exception as error:  # a torn index can hold anything: whatever it raises, the slot is not intact
+    except Exception as error:  # reading a torn index may raise anything
         if isinstance(error, OSError) and error.errno not in _TORN_SLOT_ERRNOS:
             raise
         return None
@@ -78,19 +81,19 @@
 class SnapshotStorage:
     """Records `name -> bytes`, replaced as a whole, in the files `folder/name-*`.
 
-    One process at a time. Failures are returned: `REJECTED` where the disk refuses, `INVALID` where nothing
-    that was written can be read.
+    For use by one process at a time. Failures are returned: `REJECTED` for a disk error, `INVALID` if the
+    files exist but none is intact.
     """
 
     def __init__(self, folder: str, name: str) -> None:
         self._folder = folder
         self._path = os.path.join(folder, name)
         self._generation = 0
-        self._unreadable_files = False  # of which nobody knows how new they are
-        self._slot_records: list[Records | None] = [None, None]  # what each slot is known to hold
+        self._unreadable_files = False  # whether files of unknown generation are present
+        self._slot_records: list[Records | None] = [None, None]  # the content of each slot, if known
 
     def read(self) -> Records | Failure | None:
-        """The newest intact records; None: nothing was ever written here; a Failure: nothing is intact."""
+        """The newest intact records; None if nothing was ever written, a Failure if nothing is readable."""
         try:
             os.makedirs(self._folder, exist_ok=True)
             files = os.listdir(self._folder)
@@ -108,7 +111,7 @@
         newest = max(intact, key=lambda slot: slot.generation)
         self._generation = newest.generation
         try:
-            # A killed process may have left the slot complete but not durable, and the next write goes over
+            # A killed process may have left this slot complete but not durable, and the next write overwrites
             # the other one.
             self._sync_slot(self._slot_path(self._slot_of(newest.generation)))
         except OSError as error:
@@ -116,7 +119,7 @@
         return newest.records
 
     def write(self, records: Mapping[str, bytes]) -> Failure | None:
-        """Replace all records, durably once this returns None; after a Failure the old or new ones stand."""
+        """Replace all records durably. After a Failure either the old or the new records are in effect."""
         generation = self._generation + 1
         slot = self._slot_of(generation)
         known = self._slot_records[slot]
@@ -135,7 +138,7 @@
         self, path: str, generation: int, known: Records | None, records: Mapping[str, bytes]
     ) -> None:
         reusable = self._reusable_records(path, known, records)
-        # Closed at once: one left open would write its index again, unsynced, when the process ends.
+        # Closed at once: an open database would write its index again, unsynced, at process exit.
         with contextlib.closing(dbm.dumb.open(path, "n" if reusable is None else "w")) as database:
             for name in [name for name in reusable or {} if name not in records]:
                 del database[name]
@@ -148,7 +151,7 @@
     def _reusable_records(
         self, path: str, known: Records | None, records: Mapping[str, bytes]
     ) -> Records | None:
-        """What the slot holds if that is known and not wasteful; None: the slot is to be written anew."""
+        """The records already in the slot; None if they are unknown or the slot wastes too much space."""
         if known is not None:
             max_bytes = 2 * sum(map(len, records.values())) + MAX_WASTED_BYTES
             return known if os.path.getsize(path + _DATA_SUFFIX) < max_bytes else None
@@ -166,7 +169,7 @@
         return file.startswith(os.path.basename(self._path) + "-")
 
     def _remove_unreadable_files(self) -> None:
-        """Were they read another day, their generation might be the higher one."""
+        """Remove files of unknown generation, which could otherwise be taken for the newest later."""
         for file in os.listdir(self._folder):
             if self._is_own(file):
                 os.remove(os.path.join(self._folder, file))
@@ -180,5 +183,5 @@
 
 
 def exists(folder: str, name: str) -> bool:
-    """Whether a `SnapshotStorage` of this name was ever written to, without opening it."""
+    """Whether a `SnapshotStorage` of this name was ever written; does not open it."""
     return os.path.exists(os.path.join(folder, f"{name}-{_SLOTS[1]}{_DATA_SUFFIX}"))
--- a/ashlift/configstore/watch.py
+++ b/ashlift/configstore/watch.py
@@ -1,4 +1,4 @@
-"""What a watcher of the committed map is answered. Pure; the waiting is the server's and the simulator's."""
+"""Responses to watchers of the committed map. Waiting for changes is left to the server and the simulator."""
 
 from typing import Any, Final
 
@@ -6,16 +6,16 @@
 from ashlift.configstore.requests import WatchRequest, WatchStatus, encode_watch
 from ashlift.rpc.fragmentation import Fragmenter
 
-FRAGMENT_BYTES: Final = 256 << 10  # what is smaller, packed or not, is sent in one response, not packed
+FRAGMENT_BYTES: Final = 256 << 10  # larger responses are packed and sent in fragments
 
 
 def new_fragmenter(replica: Replica) -> Fragmenter:
-    """Cuts large responses into fragments, under a name of this incarnation."""
+    """A splitter of large responses into fragments, whose ids are unique to this incarnation."""
     return Fragmenter(str(replica.incarnation), FRAGMENT_BYTES, FRAGMENT_BYTES)
 
 
 def respond(fragmenter: Fragmenter, replica: Replica, request: WatchRequest, now: float) -> dict[str, Any]:
-    """The response: what changed since the watcher's index, and what is known of leader and heartbeats."""
+    """The response: changes since the watcher's index, and the status of leader and heartbeats."""
     committed = replica.committed_state
     age = now - committed.freshness_confirmed_at
     status = WatchStatus(
@@ -33,7 +33,7 @@
 ) -> dict[str, Any]:
     """The changes `{index, set, gone, full}`, or the next fragment of them if they are large.
 
-    In a fragment `late` says whether more is to come before the watcher is at `index`.
+    In a fragment, `late` says whether more fragments follow before the watcher is at `index`.
     """
     if not request.accepts_fragments or not changes["set"]:
         return changes
