--- a/tests/configstore/test_catch_up.py
+++ b/tests/configstore/test_catch_up.py
@@ -1,4 +1,4 @@
-"""A member that was away is level again while changes go on; what is kept for it is bounded."""
+"""Catch-up of replicas that were away: it completes under continuous changes and sends a bounded amount."""
 
 import random
 from typing import Any
@@ -32,12 +32,12 @@
 )
 
 SMALL: dict[str, Any] = {"routes": 300, "changes": 60, "observed_seconds": 6.0}
-# Far from the others, so that changes come more often than an answer of it.
+# High latency, so that changes are more frequent than the replica's responses.
 FAR: dict[str, Any] = {**SMALL, "rate": 20.0, "extra_delay": 0.04}
 
 
 class Receiver:
-    """The other end of `CatchUp`: takes payloads as `ashlift.configstore.follower` does."""
+    """The receiving side of `CatchUp`, which applies payloads like `ashlift.configstore.follower`."""
 
     def __init__(self, snapshot: Snapshot) -> None:
         self.snapshot = snapshot
@@ -64,18 +64,18 @@
             self.staged = entries
 
 
-def random_routes(chance: random.Random, many: int, size: int) -> dict[str, Any]:
-    return {f"Routes/{number}": {"text": chance.randbytes(size // 2).hex()} for number in range(many)}
+def random_routes(random_source: random.Random, count: int, size: int) -> dict[str, Any]:
+    return {f"Routes/{number}": {"text": random_source.randbytes(size // 2).hex()} for number in range(count)}
 
 
-@test("mending: {many} routes, {away} changes while away, two more with each call: {what}")
+@test("catch-up: {routes} routes, {missed} missed changes, two more with each payload: {case}")
 def _(
-    many: int = each(2000, 2000, 2000, 2000),
-    away: int = each(10, 400, 400, 400),
-    what: str = each("its state is known", "its state is known", "its state is not known", "nothing held"),
+    routes: int = each(2000, 2000, 2000, 2000),
+    missed: int = each(10, 400, 400, 400),
+    case: str = each("known base", "known base", "unknown base", "empty replica"),
 ) -> None:
-    chance = random.Random(away)
-    base = RangedMap(random_routes(chance, many, 300))
+    random_source = random.Random(missed)
+    base = RangedMap(random_routes(random_source, routes, 300))
     change_log = ChangeLog()
     index = 1
     change_log.record((1, 1), base)
@@ -84,16 +84,17 @@
     def change() -> Snapshot:
         nonlocal entries, index
         index += 1
-        value = {"text": chance.randbytes(150).hex()}
-        entries = entries.with_changes({f"Routes/{chance.randrange(many)}": value, "Version": index}, [])
+        value = {"text": random_source.randbytes(150).hex()}
+        key = f"Routes/{random_source.randrange(routes)}"
+        entries = entries.with_changes({key: value, "Version": index}, [])
         change_log.record((1, index), entries)
         return Snapshot((1, index), entries)
 
-    for _ in range(away):
+    for _ in range(missed):
         change()
     newest = Snapshot((1, index), entries)
-    start = Snapshot((0, 9), base) if "not known" in what else Snapshot((1, 1), base)
-    receiver = Receiver(Snapshot((0, 0), RangedMap()) if what == "nothing held" else start)
+    start = Snapshot((0, 9), base) if "unknown" in case else Snapshot((1, 1), base)
+    receiver = Receiver(Snapshot((0, 0), RangedMap()) if case == "empty replica" else start)
     catch_up = CatchUp(change_log)
     progress = ReplicaProgress(receiver.snapshot.term_index)
     range_digests = None
@@ -111,27 +112,22 @@
         progress.acknowledge(receiver.snapshot.term_index)
         range_digests = receiver.staged.range_digests()
     assert receiver.snapshot.entries.digest() == newest.entries.digest()
-    differing = (away + 2 * calls) * 340
-    complete = many * 340
-    assert receiver.payload_bytes < (
-        1.2 * differing + 2000 if what == "its state is known" else 1.4 * complete
-    )
-    assert (
-        receiver.payloads
-        <= 3 + (differing if what == "its state is known" else complete) // PAYLOAD_CHUNK_BYTES
-    )
+    differing = (missed + 2 * calls) * 340
+    complete = routes * 340
+    assert receiver.payload_bytes < (1.2 * differing + 2000 if case == "known base" else 1.4 * complete)
+    assert receiver.payloads <= 3 + (differing if case == "known base" else complete) // PAYLOAD_CHUNK_BYTES
 
 
-def payloads_until_level(most: int) -> int:
-    """Calls until a copy is level of which nothing is known, and which loses what it was sent after a few."""
-    chance = random.Random(1)
+def payloads_until_caught_up(max_payloads: int) -> int:
+    """Payloads until an empty replica catches up that loses its partial update after the first few."""
+    random_source = random.Random(1)
     change_log = ChangeLog()
-    entries = RangedMap(random_routes(chance, 600, 900))
+    entries = RangedMap(random_routes(random_source, 600, 900))
     change_log.record((1, 1), entries)
     receiver = Receiver(Snapshot((0, 0), RangedMap()))
     catch_up = CatchUp(change_log)
     progress = ReplicaProgress(None)
-    for number in range(2, most):
+    for number in range(2, max_payloads):
         entries = entries.with_changes({"Routes/1": number}, [])
         change_log.record((1, number), entries)
         newest = Snapshot((1, number), entries)
@@ -139,45 +135,45 @@
         assert isinstance(payload, bytes)
         receiver.take(payload, newest.term_index)
         if number == 5:
-            receiver.staged = RangedMap()  # started again
+            receiver.staged = RangedMap()  # restarted
         if receiver.snapshot.term_index == newest.term_index:
             assert receiver.snapshot.entries.map == entries.map
             return number
-    return most
+    return max_payloads
 
 
-@test("mending: a life that has lost what was sent to it gets the ranges whole, not the same keys for ever")
+@test("catch-up: a replica that lost its partial update is sent whole ranges, not the same keys again")
 def _() -> None:
-    assert payloads_until_level(60) < 40
+    assert payloads_until_caught_up(60) < 40
     with mutated("taken for there because it was sent"):
-        assert payloads_until_level(60) == 60, "it need not be broken to fail"
+        assert payloads_until_caught_up(60) == 60, "the mutant was not detected"
 
 
-@test("away for {changes} changes and back ({back}) while others go on: level, and stays so")
+@test("catch-up: a replica that missed {changes} changes ({disk}) catches up under load and keeps up")
 def _(
-    back: str = each("disk", "wiped", "torn", "disk"),
+    disk: str = each("disk", "wiped", "torn", "disk"),
     changes: int = each(60, 60, 60, 250),
 ) -> None:
-    found = measure_catch_up(CatchUpCase(**{**FAR, "disk": back, "changes": changes}))
-    assert found.acknowledged_away == changes, "not all were taken"
-    assert found.acknowledged_after > 0.7 * found.wanted_after, "too few were taken to tell"
-    assert found.level_after < (0.8 if back == "disk" else 2.8)
-    assert found.worst_lag <= MAX_LEVEL_LAG_SECONDS
+    result = measure_catch_up(CatchUpCase(**{**FAR, "disk": disk, "changes": changes}))
+    assert result.acknowledged_away == changes, "not all changes were accepted"
+    assert result.acknowledged_after > 0.7 * result.wanted_after, "too few changes were accepted under load"
+    assert result.level_after < (0.8 if disk == "disk" else 2.8)
+    assert result.worst_lag <= MAX_LEVEL_LAG_SECONDS
 
 
-@test("away, and back on a line of 2 Mbit/s with changes of 100 routes, and after another leader: level")
+@test("catch-up: over a 2 Mbit/s link with changes of 100 routes, and after a change of leader")
 def _(
-    more: dict[str, Any] = each(
+    conditions: dict[str, Any] = each(
         {"link_mbit": 2.0, "routes_per_change": 100, "rate": 5.0}, {"leader_restarts": True}
     ),
 ) -> None:
-    found = measure_catch_up(CatchUpCase(**{**FAR, **more, "changes": 30}))
-    assert found.acknowledged_away == 30
-    assert found.acknowledged_after > 0.7 * found.wanted_after
-    assert found.level_after < 1.5, str(found)
+    result = measure_catch_up(CatchUpCase(**{**FAR, **conditions, "changes": 30}))
+    assert result.acknowledged_away == 30
+    assert result.acknowledged_after > 0.7 * result.wanted_after
+    assert result.level_after < 1.5, str(result)
 
 
-@test("what is sent to one that was away grows with what differs, not with how long it was away")
+@test("catch-up: the bytes sent grow with the differences, not with the time away")
 def _() -> None:
     same = {**SMALL, "rate": 1.0, "observed_seconds": 3.0}
     short, long, more = (
@@ -188,9 +184,11 @@
     assert 1.5 < more / short < 6, (short, long, more)
 
 
-def promoted(index_offset: int, committed: int, proposed: int) -> list[list[Any]]:
-    """What promotes a learner that is said to hold one of a leader's proposals: those since it was heard of
-    are numbered from 1, so many are committed."""
+def promotions_sent(index_offset: int, committed: int, proposed: int) -> list[list[Any]]:
+    """The promotions sent to a learner that reports the map `index_offset` after the leader's first one.
+
+    The leader makes `proposed` proposals after it learns of the learner, and commits the first `committed`.
+    """
     replica = elected_replica()
     first = replica.snapshot.term_index[1]
     for peer in "34":
@@ -204,7 +202,7 @@
         body = [2, CODE_LEARNER, 6, 77, index == first, None, [2, index]]
         return feed(replica, 2.1, append_response("2", 2.1, 9, index, body))
 
-    answer_as_learner(first)  # it proposes at once what is to be committed without that life
+    answer_as_learner(first)  # the leader then proposes a map to be committed without the learner
     for number in range(1, proposed + 1):
         if number > 1:
             feed(replica, 2.1, CommandSubmitted(f"c{number}", (number - 2, f"c{number}")))
@@ -223,45 +221,45 @@
     return [payload for payload in payloads if payload[0] == KIND_PROMOTION]
 
 
-@test("a learner is promoted with a committed state, not older than what was committed after it was heard of")
+@test("a learner is promoted only with a map that was committed after the leader learned of it")
 def _() -> None:
-    assert not promoted(0, 0, 1)
-    assert not promoted(0, 2, 2)
-    assert not promoted(1, 0, 1)
-    assert not promoted(2, 1, 2)
-    assert promoted(1, 1, 1)[0][:2] == [KIND_PROMOTION, 77]
-    older = promoted(1, 2, 3)[0]
+    assert not promotions_sent(0, 0, 1)
+    assert not promotions_sent(0, 2, 2)
+    assert not promotions_sent(1, 0, 1)
+    assert not promotions_sent(2, 1, 2)
+    assert promotions_sent(1, 1, 1)[0][:2] == [KIND_PROMOTION, 77]
+    older = promotions_sent(1, 2, 3)[0]
     assert older[:3] == [KIND_PROMOTION, 77, 2]
-    assert promoted(2, 2, 3)[0][3] == older[3] + 1
+    assert promotions_sent(2, 2, 3)[0][3] == older[3] + 1
     with mutated("promoted with what is not committed"):
-        assert promoted(1, 0, 1)
-        assert promoted(2, 1, 2)
-    # With what names its disk still under way, and with what was committed before that was.
+        assert promotions_sent(1, 0, 1)
+        assert promotions_sent(2, 1, 2)
     with mutated("promoted with what was committed before"):
-        assert promoted(0, 0, 1)
-        assert promoted(0, 2, 2)
+        assert promotions_sent(0, 0, 1)
+        assert promotions_sent(0, 2, 2)
 
 
-def learnt(term: int, index: int, commit: int) -> int:
-    """The index known to be committed at a member that holds this, once the leader of term 2 names one."""
+def committed_index(term: int, index: int, commit: int) -> int:
+    """The index that a follower with this map considers committed after a heartbeat of term 2."""
     state = Snapshot((term, index), held_snapshot().entries)
     replica = make_replica(PersistentVote(term, "2", True), state)
     feed(replica, 5.0, append_request([2, "2", 1, 9, commit, 0, 0, None]))
     return replica.committed_state.index
 
 
-@test("a state of the leader's own term at or below its commit is committed, one of another term is not")
+@test("a map of the leader's term at or below its commit index is committed, one of another term is not")
 def _() -> None:
-    assert learnt(2, 5, 5) == learnt(2, 5, 8) == 5
-    assert learnt(2, 5, 4) == learnt(1, 3, 3) == learnt(1, 3, 8) == learnt(2, 5, 0) == 0
+    assert committed_index(2, 5, 5) == committed_index(2, 5, 8) == 5
+    assert committed_index(2, 5, 4) == committed_index(1, 3, 3) == 0
+    assert committed_index(1, 3, 8) == committed_index(2, 5, 0) == 0
     with mutated("learnt by index alone"):
-        assert learnt(1, 3, 8) == 3
+        assert committed_index(1, 3, 8) == 3
     with mutated("a later state taken for committed"):
-        assert learnt(2, 5, 4) == 5
+        assert committed_index(2, 5, 4) == 5
 
 
-@test("broken on purpose, a learner is promoted only with the newest: one that is far never is level")
+@test("mutant: if only the newest map allowed a promotion, a distant learner would never catch up")
 def _() -> None:
     with mutated("promoted only with the newest"):
-        found = measure_catch_up(CatchUpCase(**{**FAR, "disk": "wiped"}))
-    assert found.level_after == float("inf"), str(found)
+        result = measure_catch_up(CatchUpCase(**{**FAR, "disk": "wiped"}))
+    assert result.level_after == float("inf"), str(result)
--- a/tests/configstore/test_change_log.py
+++ b/tests/configstore/test_change_log.py
@@ -1,4 +1,4 @@
-"""Which keys changed since an earlier state: complete from every state that is known, and bounded."""
+"""The change log: complete from every known state, and bounded in size."""
 
 import random
 
@@ -10,38 +10,40 @@
 from ashlift.configstore.ranged_map import RangedMap
 
 
-def with_random_changes(entries: RangedMap, chance: random.Random, most: int = 4) -> RangedMap:
-    """Some keys set anew or taken out."""
-    keys = [f"Routes/{chance.randrange(120)}" for _ in range(chance.randint(0, most))]
-    deletions = {key for key in keys if chance.random() < 0.4}
+def with_random_changes(entries: RangedMap, random_source: random.Random, max_changes: int = 4) -> RangedMap:
+    """The map with a few keys set or deleted at random."""
+    keys = [f"Routes/{random_source.randrange(120)}" for _ in range(random_source.randint(0, max_changes))]
+    deletions = {key for key in keys if random_source.random() < 0.4}
     return entries.with_changes(
-        {key: chance.choice([1, 1.0, True, 2]) for key in keys if key not in deletions}, deletions
+        {key: random_source.choice([1, 1.0, True, 2]) for key in keys if key not in deletions}, deletions
     )
 
 
-def record_random_states(chance: random.Random, steps: int) -> tuple[ChangeLog, dict[TermIndex, RangedMap]]:
-    """States as a member accepts them: one by one, in jumps, and back where a leader undoes some."""
+def record_random_states(
+    random_source: random.Random, steps: int
+) -> tuple[ChangeLog, dict[TermIndex, RangedMap]]:
+    """Record states as a replica accepts them: one by one, with gaps, and back after a change of leader."""
     changes = ChangeLog()
     recorded: dict[TermIndex, RangedMap] = {}
     entries = RangedMap()
     term = 1
     index = 0
     for _ in range(steps):
-        step = chance.choice([1, 1, 1, 1, 5, -1])
+        step = random_source.choice([1, 1, 1, 1, 5, -1])
         if step != 1:
             term += 1
         index = max(1, index + step)
-        entries = with_random_changes(entries, chance)
+        entries = with_random_changes(entries, random_source)
         changes.record((term, index), entries)
         changes.record((term, index), entries)
         recorded[term, index] = entries
     return changes, recorded
 
 
-@test("changes: from every state that was held the keys told lead to the newest, seed {seed}")
+@test("change log: the keys changed since any recorded state lead to the newest one, seed {seed}")
 def _(seed: int = each(*range(12))) -> None:
-    chance = random.Random(seed)
-    changes, recorded = record_random_states(chance, 60)
+    random_source = random.Random(seed)
+    changes, recorded = record_random_states(random_source, 60)
     newest = changes.entries
     for term_index, entries in recorded.items():
         number = changes.number_of(term_index)
@@ -59,7 +61,7 @@
     assert changes.number_of((99, 1)) is None
 
 
-@test("changes: what is kept is bounded, and who asks for more than that is told so")
+@test("change log: its size is bounded, and discarded states are reported as unknown")
 def _() -> None:
     changes = ChangeLog()
     entries = RangedMap()
@@ -67,7 +69,7 @@
     usual_maximum = change_log.MAX_DELETED_KEYS
     change_log.MAX_DELETED_KEYS = 50
     try:
-        for number in range(1, 1000):  # each change lets one key go, as those of `Taken/` do
+        for number in range(1, 1000):  # each change deletes one key, as commands do with `Taken/`
             deletions = [f"Taken/{number - 8}"] if number > 8 else []
             entries = entries.with_changes({f"Taken/{number}": 1, "Version": number}, deletions)
             changes.record((1 + number // 300, number), entries)
--- a/tests/configstore/test_codec.py
+++ b/tests/configstore/test_codec.py
@@ -1,4 +1,4 @@
-"""The bytes of messages between replicas, as processes of earlier releases send and understand them."""
+"""The wire format of messages between replicas, which processes of earlier releases send and understand."""
 
 from typing import Any
 
@@ -51,7 +51,7 @@
 ]
 
 
-@test("a request is these positions, and comes back the same: {body}")
+@test("a request is encoded by field position and decodes to the same value: {body}")
 def _(case: tuple[Request, str, list[Any]] = each(*REQUESTS), body: str = each(*map(str, REQUESTS))) -> None:
     request, method, wire = case
     assert encode_request(request) == (method, wire), body
@@ -68,14 +68,14 @@
 ]
 
 
-@test("a response to an append request is these positions, and comes back the same")
+@test("a response to an append request is encoded by field position and decodes to the same value")
 def _() -> None:
     for response, wire in APPEND_RESPONSES:
         assert encode_response(response) == wire
         assert decode_append_response(wire) == response
 
 
-@test("a response to an append request of an early release, or of a later one, is understood")
+@test("a response to an append request from an earlier or later release is understood")
 def _() -> None:
     assert decode_append_response([5, 2, 77, None]) == AppendBehind(5, 77, None, None)
     early_learner = decode_append_response([5, 4, 77, 1234, True, None])
@@ -83,7 +83,7 @@
     assert decode_append_response([5, 9, 77, "more"]) == AppendBehind(5, 77, None, None)
 
 
-@test("responses to votes, joins and transfers are these positions, and come back the same")
+@test("responses to votes, joins and transfers are encoded by field position and decode to the same value")
 def _() -> None:
     for vote, wire in ((VoteResponse(5, False), [5, False]), (VoteResponse(5, True, 1234), [5, True, 1234])):
         assert encode_response(vote) == wire
@@ -108,7 +108,7 @@
 ]
 
 
-@test("a payload is a compressed list of these positions, and comes back the same")
+@test("a payload is a compressed list of fields and decodes to the same value")
 def _() -> None:
     for payload, fields in PAYLOADS:
         assert encode_payload(payload) == pack(fields)
@@ -117,7 +117,7 @@
     assert decode_payload(pack([99, "of a later release"])) is None
 
 
-NO_REQUESTS: list[tuple[str, Any]] = [
+MALFORMED_REQUESTS: list[tuple[str, Any]] = [
     ("request_vote", [5, "2", 4, 17]),
     ("request_vote", [5, "2", 4, 17, 1]),
     ("append", [5, "1", 9, 17, 16, 77, 8]),
@@ -129,9 +129,9 @@
 ]
 
 
-@test("a body that does not fit its method is INVALID, with the method's name, and changes nothing")
+@test("a body that does not fit its method is answered INVALID with the method's name, changing nothing")
 def _() -> None:
-    for method, body in NO_REQUESTS:
+    for method, body in MALFORMED_REQUESTS:
         with raises(UnknownMessageError) as raised:
             decode_request(method, body)
         assert str(raised.raised) == method
@@ -144,7 +144,7 @@
     assert sorted(METHODS) == ["append", "join", "request_vote", "succeed"]
 
 
-@test("an append request with a payload that is none is INVALID")
+@test("an append request with a malformed payload is answered INVALID")
 def _() -> None:
     for payload in (b"", b"no zlib", pack([]), pack([1, 1, 3]), pack([2]), pack([3]), pack([4, {}])):
         replica = make_replica(None, held_snapshot())
--- a/tests/configstore/test_commands.py
+++ b/tests/configstore/test_commands.py
@@ -1,4 +1,4 @@
-"""Operator commands: resends, refusals that stay, commands that arrive too late. Pure, no sockets."""
+"""Operator commands: resends, permanent refusals, and commands that arrive late."""
 
 import json
 import random
@@ -32,7 +32,7 @@
 
 
 class ReplicatedMap:
-    """The map, changed by commands one after the other."""
+    """A map to which commands are applied one after another."""
 
     def __init__(self, first: Map | None = FIRST) -> None:
         self.entries: Map = {}
@@ -41,7 +41,7 @@
             assert self.execute(0, first, "put") == 200
 
     def execute(self, base: int, body: Map, kind: str = "patch") -> int:
-        """The status that a configuration which builds on the version `base` is answered with."""
+        """The status of the answer to a configuration that builds on the version `base`."""
         return self.execute_command(OperatorCommand(kind, f"{base:08x}", body))
 
     def execute_command(self, command: OperatorCommand) -> int:
@@ -61,7 +61,7 @@
         return int(self.entries["Version"], 16)
 
 
-@test("what was accepted is acknowledged again, as long as digests are kept, and never refused after that")
+@test("an accepted command is acknowledged again while its digest is kept, and never refused afterwards")
 def _() -> None:
     replicated = ReplicatedMap()
     sent: list[tuple[int, Map]] = []
@@ -83,7 +83,7 @@
     assert all(len(replicated.entries[key]) == COMMAND_DIGEST_BYTES == 8 for key in accepted)
 
 
-@test("a record of an earlier release is known again")
+@test("a digest stored by an earlier release is recognized")
 def _() -> None:
     replicated = ReplicatedMap()
     assert replicated.execute(1, patch(2)) == 200
@@ -93,7 +93,7 @@
 
 
 def rewritten(value: Any, random_source: random.Random) -> str:
-    """The same JSON value in other bytes."""
+    """The same JSON value in another encoding."""
     match value:
         case dict():
             items = list(value.items())
@@ -113,7 +113,7 @@
     return json.dumps(value)
 
 
-@test("the same configuration in other bytes is the same command; another one under its number is not")
+@test("a configuration in another JSON encoding is the same command; another one of its version is not")
 def _() -> None:
     random_source = random.Random(3)
     replicated = ReplicatedMap()
@@ -139,15 +139,15 @@
     assert replicated.entries == before
 
 
-@test("what was refused before its base was current is refused for good, in any order of arrival")
+@test("a command refused before its base was current stays refused, in any order of arrival")
 def _() -> None:
     replicated = ReplicatedMap()
     assert replicated.execute(5, patch(6)) == 412
     assert replicated.execute(5, patch(6)) == 412
-    assert replicated.execute(1, patch(5, "b")) == 200, "the base arrives"
-    assert replicated.execute(5, patch(6)) == 412, "refused once, and accepted as a late copy"
+    assert replicated.execute(1, patch(5, "b")) == 200, "the base is accepted"
+    assert replicated.execute(5, patch(6)) == 412, "a late copy of a refused command was accepted"
     assert replicated.execute(5, patch(6, "c")) == 200
-    assert not replicated.keys(REFUSED_PREFIX), "kept though its base has passed"
+    assert not replicated.keys(REFUSED_PREFIX), "a refusal was kept although its base has passed"
     assert replicated.execute(5, patch(6)) == 412
     for number in range(MAX_REFUSED_DIGESTS):
         assert replicated.execute(9, patch(10, f"s{number}")) == 412
@@ -157,7 +157,7 @@
     assert replicated.execute(9, patch(10, "more")) == 200
 
 
-@test("an evacuation changes its zone whatever it holds, and says so; a configuration is guarded by its base")
+@test("an evacuation declares its key unconditional; a configuration is guarded by its base version")
 def _() -> None:
     for kind, entries in (("evacuate", {}), ("restore", {"Evacuations/z": True})):
         outcome = decide_command(entries, OperatorCommand(kind, None, "z"))
@@ -169,13 +169,13 @@
 
 
 def limits_only(version: int) -> Map:
-    """A whole configuration of nothing but limits."""
+    """A complete configuration that consists of limits only."""
     specification = {"MaxHeaderBytes": 1, "MaxBodyBytes": 1, "HeaderTimeout": "1s", "IdleTimeout": "1s"}
     limits = {"ObjectType": "Limits", "Metadata": {}, "Specification": specification}
     return {"ConfigVersion": f"{version:08x}", "Objects": [limits]}
 
 
-@test("commands: accepted once, the same again is 200, another on the same base 412, nonsense 400")
+@test("commands: a resend is answered 200, another command on the same base 412, an invalid one 400")
 def _() -> None:
     replicated = ReplicatedMap(first=None)
 
--- a/tests/configstore/test_committed_state.py
+++ b/tests/configstore/test_committed_state.py
@@ -1,4 +1,4 @@
-"""The committed map: its ranges' digests, and what watchers of it are told."""
+"""The committed map: digests of its ranges, and the changes reported to watchers."""
 
 from ward import test
 
@@ -7,7 +7,7 @@
 from ashlift.configstore.ranged_map import RangedMap
 
 
-@test("ranges: the digest is of the content however it came about; exchanged ranges make maps alike")
+@test("ranges: digests depend on the content alone, and replacing the differing ranges makes maps equal")
 def _() -> None:
     entries = {f"Routes/{number}": {"n": number} for number in range(300)}
     base = RangedMap(entries)
@@ -24,7 +24,7 @@
     assert repaired.digest() == changed.digest()
 
 
-@test("changes: since an index, removed keys too; the whole map to one whose index is not known here")
+@test("changes: since an index, with removed keys; the whole map for an unknown index")
 def _() -> None:
     committed = CommittedState()
     entries = RangedMap({"a": 1, "b": 1})
@@ -39,11 +39,11 @@
     assert committed.changes_since(9)["index"] == 5
 
 
-@test("news: who has an index that was passed over is told everything: a key may have changed, and back")
+@test("changes: a watcher at a skipped index gets the whole map, as a key may have changed back since")
 def _() -> None:
     committed = CommittedState()
     entries = RangedMap({"a": 1, "b": 1})
-    for index, value in ((4, 1), (5, 2), (7, 2), (8, 3)):  # at 6, known to others, b was 9
+    for index, value in ((4, 1), (5, 2), (7, 2), (8, 3)):  # index 6, where b was 9, was skipped here
         entries = entries.with_changes({"a": value, "c": index}, [])
         committed.advance(Snapshot((1, index), entries))
     assert [committed.changes_since(known_index)["full"] for known_index in (3, 4, 5, 6, 7)] == [
--- a/tests/configstore/test_election.py
+++ b/tests/configstore/test_election.py
@@ -1,4 +1,4 @@
-"""Votes: whose count, and for how long."""
+"""Which votes count, and until when."""
 
 from ward import test
 
@@ -26,7 +26,7 @@
 )
 
 
-@test("I2: a vote counts only within the call's time-out, and only from a member")
+@test("I2: a vote counts only within the call's time-out, and only from a voter")
 def _() -> None:
     replica = make_replica(PersistentVote(1, None, True), held_snapshot())
     request = requests_sent(feed(replica, 2.0, ClockTicked()), "request_vote")[0]
@@ -41,7 +41,7 @@
     assert replica.vote.term == 1
 
 
-@test("I8: a learner is mute, then says that it is one, and never votes")
+@test("I8: a learner rejects requests in quarantine, then responds as a learner, and never votes")
 def _() -> None:
     replica = make_replica(None, None)
     vote_request = request_received("request_vote", [5, "2", 9, 9, False])
--- a/tests/configstore/test_follower.py
+++ b/tests/configstore/test_follower.py
@@ -1,4 +1,4 @@
-"""What a follower and a learner acknowledge, and when a learner is promoted."""
+"""What followers and learners acknowledge, and when a learner is promoted."""
 
 from ward import test
 
@@ -23,21 +23,21 @@
 )
 
 
-@test("I2 I4: a member says yes only to what it holds durably and whole, and is promoted only in this life")
+@test("I2 I4: only complete and durable maps are acknowledged, and only this incarnation is promoted")
 def _() -> None:
     replica = make_replica(PersistentVote(2, "2", True), held_snapshot())
     for prev, digest in ((2, held_snapshot().entries.digest()), (3, b"no")):
         body = [2, "2", 1, 4, 0, 0, 0, pack([KIND_DELTA, 1, prev, {}, [], digest])]
         assert replies(feed(replica, 5.0, append_request(body)))[0][1] == CODE_BEHIND
     sound = [2, "2", 1, 4, 0, 0, 0, pack([KIND_DELTA, 1, 3, {}, [], held_snapshot().entries.digest()])]
-    assert not replies(replica.handle(5.0, append_request(sound))), "answered before the write"
+    assert not replies(replica.handle(5.0, append_request(sound))), "responded before the write completed"
     assert isinstance(replies(replica.handle(5.0, StatePersisted(False)))[0], Failure)
     assert replica.term_index == (
         1,
         3,
     )
     learner = make_replica(None, held_snapshot())
-    assert not learner.vote.is_voter, "a member without its vote counts"
+    assert not learner.vote.is_voter, "a replica without its vote record is a voter"
     ranges = pack([KIND_RANGES, {}, held_snapshot().entries.digest()])
     for payload in (
         pack([KIND_PROMOTION, learner.incarnation]),
--- a/tests/configstore/test_freshness_lease.py
+++ b/tests/configstore/test_freshness_lease.py
@@ -1,4 +1,4 @@
-"""When the committed map is known to have been the newest."""
+"""When a follower confirms that its committed map was the newest."""
 
 from ward import test
 
@@ -15,7 +15,7 @@
 )
 
 
-@test("I7: an echoed time proves nothing before its round is confirmed, nor while its commit is not held")
+@test("I7: an echoed token confirms nothing before its round is confirmed and its commit is held")
 def _() -> None:
     replica = make_replica(PersistentVote(1, None, True), held_snapshot())
     entries = held_snapshot().entries
--- a/tests/configstore/test_heartbeat_rounds.py
+++ b/tests/configstore/test_heartbeat_rounds.py
@@ -1,4 +1,4 @@
-"""Linearizable reads: answered by rounds of heartbeats that a majority confirms."""
+"""Linearizable reads: answered after a heartbeat round that a majority has acknowledged."""
 
 from ward import test
 
@@ -21,7 +21,7 @@
 )
 
 
-@test("I6 I8: nothing is read by answers that are late, of a learner or to a round begun before the call")
+@test("I6 I8: late responses, learners and rounds started before a read do not confirm it")
 def _() -> None:
     replica = elected_replica()
     index = replica.snapshot.term_index[1]
@@ -34,7 +34,7 @@
     effects = feed(replica, 2.1, ReadRequested("read")) + feed(
         replica, 2.1, CommandSubmitted("stale", (9, "x"))
     )
-    assert not replies(effects), "answered without a round"
+    assert not replies(effects), "answered without a heartbeat round"
     for peer, at, body in (("2", 1.2, [2, 1, 6]), ("4", 2.1, [2, CODE_LEARNER, 6, 77, False, None])):
         assert not replies(
             feed(replica, 2.1, append_response(peer, at, 4, index, body, carried_payload=False))
@@ -47,4 +47,4 @@
     )
     assert answers == [replica.committed_state.snapshot, {"status": 412, "index": index}]
     feed(replica, 2.1 + QUORUM_CONTACT_TIMEOUT_SECONDS + 0.1, ClockTicked())
-    assert replica.leader_role is None, "it leads on though it hears nobody"
+    assert replica.leader_role is None, "still leader without contact to a majority"
--- a/tests/configstore/test_leader_requests.py
+++ b/tests/configstore/test_leader_requests.py
@@ -1,4 +1,4 @@
-"""Who serves a request that only the leader can serve, and when it may be tried again."""
+"""Routing and retries of requests that only the leader can serve."""
 
 from types import SimpleNamespace
 from typing import cast
@@ -14,7 +14,7 @@
 
 
 def replica(leader_ip: str | None = None, leads: bool = False, lacks_leader_contact: bool = False) -> Replica:
-    """What the choice of a route looks at."""
+    """A stub with the attributes that routing depends on."""
     leader_role = object() if leads else None
     stub = SimpleNamespace(
         lacks_leader_contact=lambda now: lacks_leader_contact, leader_role=leader_role, leader_ip=leader_ip
@@ -22,7 +22,7 @@
     return cast(Replica, stub)
 
 
-@test("routes to the leader: to the one that is known, once; else a wait, or none where it is silent")
+@test("requests are forwarded once to a known leader, else wait, or fail without contact to a leader")
 def _() -> None:
     assert choose_route(replica(leads=True), {}, 1.0) is RoutingDecision.THIS_REPLICA
     assert choose_route(replica(leads=True), forwarded({}), 1.0) is RoutingDecision.THIS_REPLICA
@@ -34,14 +34,14 @@
     assert failure.reason == FailureReason.UNAVAILABLE
 
 
-@test("a request is tried again only where nothing was begun: {reason}")
+@test("a request is retried only if it was certainly not started: {reason}")
 def _(reason: FailureReason = each(*FailureReason)) -> None:
-    is_not_begun = reason in (FailureReason.UNAVAILABLE, FailureReason.UNREACHABLE)
-    assert may_retry(Failure(reason), {}, now=1.0, deadline=1.5) == is_not_begun
+    was_not_started = reason in (FailureReason.UNAVAILABLE, FailureReason.UNREACHABLE)
+    assert may_retry(Failure(reason), {}, now=1.0, deadline=1.5) == was_not_started
     assert not may_retry(Failure(reason), {}, now=1.5, deadline=1.5)
     assert not may_retry(Failure(reason), forwarded({}), now=1.0, deadline=1.5)
 
 
-@test("a response is never asked for again")
+@test("a request that has a response is not retried")
 def _() -> None:
     assert not may_retry({"status": 503}, {}, now=1.0, deadline=1.5)
--- a/tests/configstore/test_membership.py
+++ b/tests/configstore/test_membership.py
@@ -1,4 +1,4 @@
-"""Members of the store change: arithmetic, scenes, all ways of four, worlds by chance, planted breaches."""
+"""Membership changes: rules, scenarios, explored faults, random runs and mutants."""
 
 import itertools
 import random
@@ -32,21 +32,22 @@
 from tests.support.replica_driver import requests_sent
 from tests.support.replica_scenarios import ReplicaScenarioPlayer, membership_table, read_scenarios
 
-SCENES = dict(read_scenarios(Path(__file__).parent.parent / "scenarios" / "configstore_members.txt"))
-ABLE, SILENT, MOVED, LOST, GONE = (
+SCENARIOS = dict(read_scenarios(Path(__file__).parent.parent / "scenarios" / "configstore_members.txt"))
+UP_TO_DATE, SILENT, REPLACEABLE, REMOVABLE, REMOVABLE_AS_PAIR = (
     ReplicaView(0.1, True, 7),
     ReplicaView(2.0),
     ReplicaView(REPLACE_VOTER_AFTER_SECONDS),
     ReplicaView(REMOVE_VOTER_AFTER_SECONDS),
     ReplicaView(REMOVE_VOTER_PAIR_AFTER_SECONDS),
 )
+VIEWS = (UP_TO_DATE, SILENT, REPLACEABLE, REMOVABLE, REMOVABLE_AS_PAIR)
 
 
-@test("members scene: {scene}")
-def _(scene: str = each(*SCENES)) -> None:
+@test("membership scenario: {scenario}")
+def _(scenario: str = each(*SCENARIOS)) -> None:
     for seed in (1, 2):
         player = ReplicaScenarioPlayer(seed)
-        for line in SCENES[scene]:
+        for line in SCENARIOS[scenario]:
             player.play(line)
 
 
@@ -54,15 +55,15 @@
     return {key: value for key, value in {**entries, **change.updates}.items() if key not in change.deletions}
 
 
-@test("no change that a leader makes by itself lowers what may be lost, nor hangs on the newcomer")
+@test("no membership change by the leader reduces the failures tolerated or depends on the new voter")
 def _() -> None:
     changed = 0
     for count, learners, tolerated in itertools.product(range(2, 8), range(3), (1, 2)):
-        for others in itertools.combinations_with_replacement((ABLE, SILENT, MOVED, LOST, GONE), count - 1):
-            views = {str(number): view for number, view in enumerate([ABLE, *others])}
+        for others in itertools.combinations_with_replacement(VIEWS, count - 1):
+            views = {str(number): view for number, view in enumerate([UP_TO_DATE, *others])}
             entries: dict[str, Any] = {VOTER_PREFIX + ip: {} for ip in views}
             for number in range(learners):
-                entries[f"{LEARNER_PREFIX}x{number}"], views[f"x{number}"] = {"life": 7}, ABLE
+                entries[f"{LEARNER_PREFIX}x{number}"], views[f"x{number}"] = {"life": 7}, UP_TO_DATE
             for _ in range(12):
                 voters = addresses_under(entries, VOTER_PREFIX)
                 change = next_membership_change(entries, "0", {}, views, tolerated)
@@ -77,36 +78,36 @@
                     voters,
                     voters_after,
                 )
-                assert spare_voters(voters_after, views) >= 0, "nobody could commit it"
+                assert spare_voters(voters_after, views) >= 0, "no majority could commit the change"
                 promoted = {*voters_after} - {*voters}
-                able = sum(views[ip].is_up_to_date for ip in voters_after if ip not in promoted)
-                assert able >= quorum(len(voters_after)), "it hangs on the newcomer alone"
+                up_to_date = sum(views[ip].is_up_to_date for ip in voters_after if ip not in promoted)
+                assert up_to_date >= quorum(len(voters_after)), "the quorum depends on the new voter"
                 assert len(voters_after) + len(addresses_under(entries, LEARNER_PREFIX)) >= min(
                     count, max(3, 2 * tolerated + 1)
                 )
             else:
-                raise AssertionError("it goes on for ever")
+                raise AssertionError("the changes do not converge")
     assert changed > 500
 
 
-@test("why a voter may not be taken off is told in words")
+@test("the refusal to remove a voter states the reason")
 def _() -> None:
     voters: dict[str, Any] = {VOTER_PREFIX + ip: {} for ip in "12345"}
-    views = dict.fromkeys("12345", ABLE)
+    views = dict.fromkeys("12345", UP_TO_DATE)
     assert removal_refusal(voters, "5", views, 1) is None
     assert removal_refusal(voters, "5", views, 2) == "4 voters would be left, and 5 are needed to lose 2"
     assert removal_refusal(voters, "9", views, 1) == "9 is no voter"
-    two = {**views, "1": SILENT, "2": SILENT}
+    two_silent = {**views, "1": SILENT, "2": SILENT}
     assert (
-        removal_refusal(voters, "5", two, 1)
+        removal_refusal(voters, "5", two_silent, 1)
         == "4 would be left, and 1 more of them must be heard and up to date"
     )
     assert removal_refusal(voters, "5", {**views, "1": SILENT}, 1) == "only 0 more could be lost then"
-    waits = {**voters, VOTER_PREFIX + "5": {"leaving": "replace", "until": 5}}
-    assert removal_refusal(waits, "5", views, 1, "replace") == "5 others must vote first, and 4 do"
+    replaced = {**voters, VOTER_PREFIX + "5": {"leaving": "replace", "until": 5}}
+    assert removal_refusal(replaced, "5", views, 1, "replace") == "5 others must vote first, and 4 do"
 
 
-@test("explored, one trouble at every step of a change of members: {case}")
+@test("explorer: one fault at every step of a membership change: {case}")
 def _(case: str = each("add+", "remove+")) -> None:
     report = explore(CASES[case])
     assert not report.wrong, "\n".join([report.wrong, *report.way])
@@ -114,13 +115,13 @@
     assert report.ends > 50, str(report)
 
 
-@test("M1 to M4 in long worlds of {members} in which members change")
+@test("M1 to M4 hold in long runs of {members} replicas with membership changes")
 def _(members: int = each(5, 7)) -> None:
     worlds = [run_random_world(members, seed, turnover=0.1) for seed in range(5)]
-    assert sum(world.voter_changes for world in worlds) > 20, "too few changes of voters to tell"
+    assert sum(world.voter_changes for world in worlds) > 20, "too few voter changes to be conclusive"
 
 
-BREACHES = (
+RANDOM_RUN_MUTANTS = (
     "a quorum of the old members",
     "two proposals at a time",
     "a learner that counts",
@@ -128,21 +129,21 @@
 )
 
 
-@test("planted, {breach}: found")
-def _(breach: str = each(*BREACHES)) -> None:
-    with ExitStack() as planted:
-        for name in breach.split(", "):
-            planted.enter_context(mutated(name))
+@test("mutant detected in random runs: {mutants}")
+def _(mutants: str = each(*RANDOM_RUN_MUTANTS)) -> None:
+    with ExitStack() as stack:
+        for name in mutants.split(", "):
+            stack.enter_context(mutated(name))
         for seed in range(12):
             try:
                 run_random_world(5, seed, turnover=0.15)
             except (InvariantViolationError, InvariantError):
                 return
-    raise AssertionError("not found")
+    raise AssertionError("not detected")
 
 
 def elects(entries: dict[str, Any], peer: str, incarnation: int) -> bool:
-    """Whether replica 1 of these is elected by that one's vote beside its own."""
+    """Whether replica 1 is elected with its own vote and that of `peer`, in this incarnation."""
     vote = PersistentVote(1, None, True, 11)
     snapshot = Snapshot((1, 3), RangedMap(entries))
     replica = Replica("1", ["1", "2"], False, vote, snapshot, decide_history_command, random.Random(4))
@@ -165,35 +166,35 @@
     return {VOTER_PREFIX + ip[1:]: {"life": incarnation} for ip, incarnation in incarnations.items()}
 
 
-@test("a vote counts only of the newest accepted map's voters, and of the disk that is named there")
+@test("a vote counts only from voters of the newest accepted map, with the incarnation named there")
 def _() -> None:
     three = with_disks(m1=11, m2=12, m3=13)
     assert elects(three, "2", 12)
-    assert not elects(three, "2", 99), "the disk of an earlier incarnation has voted"
-    assert not elects({**three, VOTER_PREFIX + "4": {}}, "2", 12), "two of four are no majority"
-    assert not elects({**three, LEARNER_PREFIX + "4": {"life": 14}}, "4", 14), "a learner has voted"
-    assert not elects(with_disks(m2=12, m3=13), "2", 12), "one that was taken off stands"
-    assert not elects(with_disks(m1=11, m3=13, m4=14), "2", 12), "one that was taken off has voted"
+    assert not elects(three, "2", 99), "the vote of another incarnation counted"
+    assert not elects({**three, VOTER_PREFIX + "4": {}}, "2", 12), "two of four voters are not a majority"
+    assert not elects({**three, LEARNER_PREFIX + "4": {"life": 14}}, "4", 14), "the vote of a learner counted"
+    assert not elects(with_disks(m2=12, m3=13), "2", 12), "a removed replica was elected"
+    assert not elects(with_disks(m1=11, m3=13, m4=14), "2", 12), "the vote of a removed replica counted"
 
 
-ELECTED = (
+ELECTION_MUTANTS = (
     "an old disk votes",
     "a removed one stands, whoever votes counts",
     "a removed one is asked, whoever votes counts",
 )
 
 
-@test("planted, {breach}: found by the votes that count")
-def _(breach: str = each(*ELECTED)) -> None:
-    with ExitStack() as planted:
-        for name in breach.split(", "):
-            planted.enter_context(mutated(name))
+@test("mutant detected by the votes that count: {mutants}")
+def _(mutants: str = each(*ELECTION_MUTANTS)) -> None:
+    with ExitStack() as stack:
+        for name in mutants.split(", "):
+            stack.enter_context(mutated(name))
         three = with_disks(m1=11, m2=12, m3=13)
         removed = elects(with_disks(m2=12, m3=13), "2", 12), elects(with_disks(m1=11, m3=13, m4=14), "2", 12)
         assert elects(three, "2", 99) or any(removed)
 
 
-@test("the operator's table shows voters, learners and leaving ones, how far behind, and why one stays")
+@test("the membership table shows roles, leaving voters, lag, and why a voter cannot be removed")
 def _() -> None:
     found = membership_table("members 5", "run 5", "order replace 5 -> 200", "lose 4", "run 2")
     rows = {row["ip"]: row for row in found}
--- a/tests/configstore/test_proposal_queue.py
+++ b/tests/configstore/test_proposal_queue.py
@@ -1,4 +1,4 @@
-"""Commands with fencing tokens: begun while their caller waits, never later."""
+"""Commands with fencing tokens: started only while their caller still waits."""
 
 from typing import Any
 
@@ -23,8 +23,8 @@
 )
 
 
-def leader_of_zones() -> tuple[Replica, Leader, int]:
-    """A leader that has committed, and its commit index; it decides by `decide_zone`; time is 2.05 s."""
+def leader_deciding_zones() -> tuple[Replica, Leader, int]:
+    """A leader with a commit in its term and `decide_zone` as its command handler; the time is 2.05 s."""
     replica = elected_replica()
     index = replica.snapshot.term_index[1]
     for peer in "23":
@@ -48,12 +48,12 @@
 
 
 def submit(replica: Replica, now: float, command: str, token: FencingToken) -> list[Any]:
-    """The replies once the command has come, those that wait for others not among them."""
+    """The replies sent immediately after the command is submitted."""
     return replies(feed(replica, now, CommandSubmitted(command, command, token)))
 
 
 def accept_all(replica: Replica, leader: Leader, now: float) -> list[Any]:
-    """All replies once a majority holds what is proposed and has answered the newest round."""
+    """All replies once a majority has accepted the proposal and acknowledged the newest round."""
     heartbeat_round = leader.rounds.newest
     index = leader.proposed.term_index[1]
     answers = []
@@ -67,38 +67,38 @@
     return [failure.reason for failure in answers]
 
 
-@test("an order is begun while its caller waits and never later: {story}")
+@test("a command is started only while its caller still waits: {case}")
 def _(
-    story: str = each("in time", "held up", "of another leader", "of no round", "behind another", "void"),
+    case: str = each("in time", "delayed", "other term", "unknown round", "queued too long", "superseded"),
 ) -> None:
-    replica, leader, index = leader_of_zones()
+    replica, leader, index = leader_deciding_zones()
     known_round = leader.rounds.newest
     token = FencingToken(2, known_round, index, 0.9)
-    match story:
+    match case:
         case "in time":
             submit(replica, 2.6, "+z", token)
             assert leader.proposals.in_flight
             assert accept_all(replica, leader, 2.61) == [{"status": 200, "index": index + 1}]
-        case "held up":
+        case "delayed":
             answers = submit(replica, 2.96, "+z", token)
             assert failure_reasons(answers) == [FailureReason.EXPIRED]
             assert not leader.proposals.in_flight
-        case "of another leader":
+        case "other term":
             answers = submit(replica, 2.06, "+z", token._replace(term=1))
             assert failure_reasons(answers) == [FailureReason.EXPIRED]
             assert not leader.proposals.in_flight
-        case "of no round":
+        case "unknown round":
             answers = submit(replica, 2.06, "+z", token._replace(heartbeat_round=0))
             assert failure_reasons(answers) == [FailureReason.EXPIRED]
             assert not leader.proposals.in_flight
-        case "behind another":
+        case "queued too long":
             submit(replica, 2.1, "+y", token)
             assert not submit(replica, 2.1, "+z", token)
             first_answer, *other_answers = accept_all(replica, leader, 3.0)
             assert first_answer["status"] == 200
             assert failure_reasons(other_answers) == [FailureReason.EXPIRED]
             assert not leader.proposals.in_flight
-        case "void":
+        case "superseded":
             for at, command in ((2.1, "+z"), (2.15, "-z")):
                 newest = FencingToken(2, leader.rounds.newest, leader.commit_index, 0.9)
                 submit(replica, at, command, newest)
@@ -106,7 +106,9 @@
             assert leader.commit_index == index + 2
             assert "Evacuations/z" not in leader.proposed.entries.map
             answers = submit(replica, 2.2, "+z", token)
-            assert failure_reasons(answers) == [FailureReason.EXPIRED], "restored meanwhile, in force again"
+            assert failure_reasons(answers) == [FailureReason.EXPIRED], (
+                "an evacuation took effect after its zone was restored"
+            )
             assert not leader.proposals.in_flight
             submit(replica, 2.2, "+z", token._replace(known_index=index + 2))
-            assert leader.proposals.in_flight, "who knows of it may evacuate again"
+            assert leader.proposals.in_flight, "a caller that knows of the restore may evacuate again"
--- a/tests/configstore/test_replica_state.py
+++ b/tests/configstore/test_replica_state.py
@@ -1,4 +1,4 @@
-"""Broken invariants stop the process."""
+"""Invariant violations raise `InvariantError`, which stops the process."""
 
 from ward import raises, test
 
@@ -13,7 +13,7 @@
 )
 
 
-@test("broken invariants stop: a second vote, an older term_index, two leaders in a term")
+@test("InvariantError is raised for a second vote, an older snapshot and two leaders in a term")
 def _() -> None:
     replica = make_replica(PersistentVote(1, "2", True), held_snapshot())
     with raises(InvariantError):
--- a/tests/configstore/test_replica_storage.py
+++ b/tests/configstore/test_replica_storage.py
@@ -1,4 +1,4 @@
-"""A replica's vote and snapshot on its disk, and what the server logs of slow and refused writes."""
+"""Storage of a replica's vote and snapshot, and the log events of slow and failed writes."""
 
 import shutil
 import tempfile
@@ -26,12 +26,12 @@
 
 @fixture
 def folder() -> Iterator[Path]:
-    """For tests that write often, and not about what a sync does."""
+    """A folder for tests that write often and do not depend on syncs, which are disabled."""
     with tempfile.TemporaryDirectory() as name, replaced(snapshot_storage, _sync=open_without_sync):
         yield Path(name) / "storage"
 
 
-@test("a write that takes long is logged with its seconds, and one that is refused with its error")
+@test("a slow write is logged with its duration, and a failed one with its error")
 def _(folder: Path = folder) -> None:
     logged: list[tuple[Any, Any]] = []
     now = [100.0]
@@ -57,7 +57,7 @@
     assert [value.detail for event, value in logged if event == events.DISK_WRITE_FAILED] == ["full"]
 
 
-@test("a slot that wastes too much is written anew, and a replica's state comes back as it was")
+@test("a slot that wastes too much space is rewritten, and the state is read back unchanged")
 def _(folder: Path = folder) -> None:
     storage = ReplicaStorage(str(folder))
     assert storage.read() == (None, None)
--- a/tests/configstore/test_replication.py
+++ b/tests/configstore/test_replication.py
@@ -1,4 +1,4 @@
-"""The leader's append requests: when a learner is promoted."""
+"""The leader's append requests: promotion of a learner."""
 
 from ward import test
 
@@ -15,11 +15,11 @@
 )
 
 
-@test("I8: a learner is promoted only by a commit after the leader heard of that life, without its own yes")
+@test("I8: a learner is promoted only after a commit, made without it, since the leader learned of it")
 def _() -> None:
     replica = elected_replica()
     index = replica.snapshot.term_index[1]
-    for peer in "23":  # a majority, with 2, commits
+    for peer in "23":  # with the leader's own, a majority
         feed(
             replica,
             2.0,
@@ -38,7 +38,7 @@
     assert payloads
     assert all(payload[0] == KIND_DELTA for payload in payloads)
     assert replica.leader_role.proposed.term_index == (2, index + 1), (
-        "nothing was proposed after hearing of the new life"
+        "nothing was proposed after the leader learned of the new incarnation"
     )
     learner = append_response("2", 2.15, 3, index + 1, [2, CODE_LEARNER, 7, 77, True, None])
     feed(
@@ -47,7 +47,7 @@
         append_response("3", 2.15, 3, index + 1, [2, 1, 6]),
     )
     feed(replica, 2.2, learner)
-    assert replica.leader_role.commit_index == index, "a learner was counted"
+    assert replica.leader_role.commit_index == index, "a learner was counted for the quorum"
     feed(
         replica,
         2.2,
--- a/tests/configstore/test_replication_scenarios.py
+++ b/tests/configstore/test_replication_scenarios.py
@@ -1,4 +1,4 @@
-"""Invariants I1 to I8: text scenes, a fault at every step, every fate of messages, long mixed runs."""
+"""Invariants I1 to I8 in scenarios, with a fault at every step, with message faults, and in random runs."""
 
 import itertools
 from collections.abc import Callable, Iterable
@@ -11,27 +11,27 @@
 from ashlift.simulation.replica_world import ReplicaWorld
 from tests.support.replica_scenarios import ReplicaScenarioPlayer, read_scenarios
 
-SCENES = dict(read_scenarios(Path(__file__).parent.parent / "scenarios" / "configstore_agreement.txt"))
+SCENARIOS = dict(read_scenarios(Path(__file__).parent.parent / "scenarios" / "configstore_agreement.txt"))
 
 
-@test("configuration store scene: {scene}")
-def _(scene: str = each(*SCENES)) -> None:
+@test("configuration store scenario: {scenario}")
+def _(scenario: str = each(*SCENARIOS)) -> None:
     for seed in (1, 2, 3):
         player = ReplicaScenarioPlayer(seed)
-        for line in SCENES[scene]:
+        for line in SCENARIOS[scenario]:
             player.play(line)
 
 
-@test("I1 to I8 in long mixed runs of {members}")
+@test("I1 to I8 hold in long mixed runs of {members} replicas")
 def _(members: int = each(3, 5, 7, 12)) -> None:
     acknowledged = sum(
         len(run_random_world(members, seed).committed_history) for seed in range(8 if members < 12 else 3)
     )
-    assert acknowledged > 20, "too little was agreed on to tell"
+    assert acknowledged > 20, "too few commits to be conclusive"
 
 
 def start_world(members: int, seed: int) -> ReplicaWorld:
-    """A world with a leader that has committed one change, and a second one just submitted."""
+    """A world whose leader has committed one change and has just received a second one."""
     world = ReplicaWorld(members, seed)
     world.run(2.5 if members == 3 else 5.0)
     leader = world.leader()
@@ -42,17 +42,17 @@
     return world
 
 
-def steps_of(members: int, seed: int, seconds: float) -> tuple[int, int]:
-    """The steps from the second change's submission until so much later."""
+def step_range(members: int, seed: int, seconds: float) -> tuple[int, int]:
+    """The steps from the submission of the second change until `seconds` later."""
     world = start_world(members, seed)
     first = world.step
     world.run(seconds)
     return first, world.step
 
 
-@test("I3 I4: every member killed, frozen or cut off at every step of a change")
+@test("I3 I4: each replica killed, frozen or cut off at every step of a change")
 def _(fault: str = each("kill", "freeze", "cut")) -> None:
-    first, last = steps_of(3, 5, 0.25)
+    first, last = step_range(3, 5, 0.25)
     assert last - first > 20
     for step, ip in itertools.product(range(first + 1, last + 1), ("1", "2", "3")):
         world = start_world(3, 5)
@@ -70,9 +70,9 @@
         world.settle()
 
 
-@test("I4 I8: the closing fault at every step: one of {members} loses its disk, all others lose power")
+@test("I4 I8: at every step, one of {members} replicas loses its disk and all others lose power")
 def _(members: int = each(3, 5)) -> None:
-    first, last = steps_of(members, 3, 0.06)
+    first, last = step_range(members, 3, 0.06)
     for step, ip in itertools.product(range(first + 1, last + 2), "12345"[:members]):
         world = start_world(members, 3)
 
@@ -92,12 +92,12 @@
 
 
 def fates_in_turn(fates: Iterable[Fate | None]) -> Callable[[str, str, str], Fate | None]:
-    """The fates of the next messages, whoever sends them."""
+    """Assign the given fates to the next messages of any sender."""
     remaining = iter(fates)
     return lambda sender, receiver, kind: next(remaining, None)
 
 
-@test("I1 I2 I3: every fate (lost, doubled, late) of the first messages between three who elect and commit")
+@test("I1 I2 I3: the first messages of an election and a commit lost, duplicated or late, in all ways")
 def _() -> None:
     every = itertools.product((None, Fate.DROPPED, Fate.DUPLICATED, Fate.LATE), repeat=4)
     for fates, leader_is_lost in itertools.product(every, (False, True)):
--- a/tests/configstore/test_requests.py
+++ b/tests/configstore/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests of registries: their keys on the wire, and bodies that are none."""
+"""Requests of registries: their encoding on the wire, and malformed bodies."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 from ashlift.errors import Failure, FailureReason
 
 
-@test("requests: a submit has a command and a fencing token, a merge a command alone")
+@test("requests: a submit has a command and a fencing token, a merge only a command")
 def _() -> None:
     body = {"kind": "put", "if_match": "1", "body": {"a": 1}, "fence": [3, 7, 12, 0.5]}
     expected = SubmitRequest(OperatorCommand("put", "1", {"a": 1}), FencingToken(3, 7, 12, 0.5))
@@ -44,7 +44,7 @@
         assert requests.decode_watch(body) == Failure(FailureReason.INVALID, "watch")
 
 
-@test("requests: the members are shown or changed by what is to be done and an address")
+@test("requests: a membership request has an action and an address")
 def _() -> None:
     assert requests.decode_membership({"do": "show"}) == MembershipCommand("show", "")
     command = MembershipCommand("remove", "10.0.0.4")
@@ -54,7 +54,7 @@
         assert requests.decode_membership(body) == Failure(FailureReason.INVALID, "members")
 
 
-@test("responses: their keys and the order of them, which is that of the bytes")
+@test("responses: keys and their order on the wire")
 def _() -> None:
     status = WatchStatus(age_seconds=0.25, term=3, leader="10.0.0.1", heartbeat_round=(3, 9))
     response = requests.encode_watch({"index": 5, "set": {}, "gone": [], "full": False}, status)
@@ -66,7 +66,7 @@
     assert requests.encode_members([]) == {"status": 200, "members": []}
 
 
-@test("requests: a forwarded one says so, and nothing else of it changes")
+@test("requests: forwarding adds only the forwarded mark")
 def _() -> None:
     body = {"do": "remove", "ip": "10.0.0.4"}
     assert not requests.is_forwarded(body)
--- a/tests/configstore/test_snapshot_storage.py
+++ b/tests/configstore/test_snapshot_storage.py
@@ -1,4 +1,4 @@
-"""`SnapshotStorage`: lost power, torn files, disks that refuse or are full, and how far its files grow."""
+"""`SnapshotStorage`: power loss, torn files, disk errors, full disks, and bounds on file size."""
 
 import dbm.dumb
 import errno
@@ -37,7 +37,7 @@
 
 @fixture
 def unsynced(folder: Path = folder) -> Iterator[Path]:
-    """For tests that read and write hundreds of times, and not about what a sync does."""
+    """A folder for tests that write often and do not depend on syncs, which are disabled."""
     with replaced(snapshot_storage, _sync=open_without_sync):
         yield folder
 
@@ -47,7 +47,7 @@
 
 
 def stored(folder: Path) -> Records | Failure | None:
-    """What a process reads that starts now."""
+    """The records that a newly started process reads."""
     return open_storage(folder).read()
 
 
@@ -56,7 +56,7 @@
 
 
 def written_storage(folder: Path, count: int) -> SnapshotStorage:
-    """A storage after so many writes."""
+    """A storage after `count` writes."""
     storage = open_storage(folder)
     assert storage.read() is None
     for number in range(1, count + 1):
@@ -75,7 +75,7 @@
             assert syncs == SYNCS_PER_WRITE
         except PowerLostError:
             assert syncs < SYNCS_PER_WRITE
-        del storage  # as when the process ends: nothing more may be written, for it would not be synced
+        del storage  # as at process exit, when nothing more may be written because it would not be synced
         gc.collect()
         is_new = set()
         for files in list(disk.states_after_power_loss()):
@@ -90,13 +90,13 @@
         assert (syncs < SYNCS_PER_WRITE) == (False in is_new)
 
 
-@test("what a killed process left intact but not synced is made durable before it is relied on")
+@test("records left intact but unsynced by a killed process are made durable before they are used")
 def _(folder: Path = folder) -> None:
     disk = PowerLossDisk(folder)
     with replaced(snapshot_storage, _sync=disk.sync):
         storage = written_storage(folder, 4)
         disk.remaining_syncs = 0
-        with raises(PowerLostError):  # here: the process is killed, the files stay
+        with raises(PowerLostError):  # stands for a killed process: the files stay
             storage.write(records(5))
         disk.remaining_syncs = UNLIMITED
         storage = open_storage(folder)
@@ -109,7 +109,7 @@
             assert stored(folder) in (records(5), records(6))
 
 
-@test("every torn prefix and the lack of a file leave the newest slot that is intact, or a Failure")
+@test("with a truncated or missing file the newest intact slot is read, or a Failure is returned")
 def _(folder: Path = unsynced) -> None:
     written_storage(folder, 3)
     newest_slot = sorted(folder.glob("map-b.da*")) + sorted(folder.glob("map-b.dir"))
@@ -117,7 +117,7 @@
     for path in newest_slot:
         content = path.read_bytes()
         for length in [*range(len(content)), None]:
-            path.unlink(missing_ok=True)  # a file that is cut and written over waits for the disk
+            path.unlink(missing_ok=True)  # truncating and rewriting a file in place is slow
             if length is not None:
                 path.write_bytes(content[:length])
             read = stored(folder)
@@ -128,7 +128,7 @@
     assert isinstance(stored(folder), Failure)
 
 
-@test("a disk that refuses at any sync is a Failure, and the next write that works is kept")
+@test("a failed sync is returned as a Failure, and the next successful write is kept")
 def _(folder: Path = folder) -> None:
     sync = snapshot_storage._sync
     for failing_sync in range(SYNCS_PER_WRITE):
@@ -148,10 +148,10 @@
         assert stored(folder) == records(5)
 
 
-@test("a disk that is full at any write is a Failure; what was confirmed stays, and with space it goes on")
+@test("a full disk is returned as a Failure; confirmed records stay, and writes succeed once there is space")
 def _(folder: Path = unsynced) -> None:
     failures = 0
-    for restarted in (False, True):  # changed in place, and a slot written anew, as after a start
+    for restarted in (False, True):  # an update in place, and a full rewrite of a slot as after a start
         for remaining_writes in itertools.count():
             shutil.rmtree(folder, ignore_errors=True)
             storage = written_storage(folder, 4)
@@ -172,7 +172,7 @@
     assert failures > 10
 
 
-@test("a disk that does not give the bytes of a slot is a refusal: the other slot might be the older")
+@test("an I/O error on a slot is returned as a Failure, since the other slot might be the older one")
 def _(folder: Path = unsynced, slot: str = each("a", "b")) -> None:
     written_storage(folder, 4)
     open_database = dbm.dumb.open
@@ -191,7 +191,7 @@
     assert stored(folder) == records(9)
 
 
-@test("a storage grows no further than 3 times its records and 64 KB a slot, whatever is written")
+@test("a slot never exceeds 3 times its records plus 64 KB")
 def _(folder: Path = unsynced) -> None:
     random_source = random.Random(7)
     storage = open_storage(folder)
@@ -209,7 +209,7 @@
         assert sum(path.stat().st_size for path in folder.glob("*.dir")) < 2 * 65 * 40
 
 
-@test("whether a storage was ever written to is seen without opening it")
+@test("exists() tells whether a storage was ever written, without opening it")
 def _(folder: Path = unsynced) -> None:
     assert not snapshot_storage.exists(str(folder), "map")
     open_storage(folder).read()
--- a/tests/configstore/test_stored_data.py
+++ b/tests/configstore/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Disks written by the code of commit 147a987: read to the same values, and written to the same bytes."""
+"""Compatibility with disks written by the code of commit 147a987: same values read, same bytes written."""
 
 import tempfile
 from collections.abc import Iterable, Iterator
@@ -34,7 +34,7 @@
 
 
 def request(stored: Stored) -> PersistState:
-    """What a replica asks its storage to persist."""
+    """The effect with which a replica persists this state."""
     return PersistState(PersistentVote(*stored.vote), Snapshot(stored.term_index, RangedMap(stored.objects)))
 
 
@@ -53,7 +53,7 @@
 
 
 def read_values(folder: Path) -> tuple[PersistentVote, tuple[int, int], Values]:
-    """Vote and snapshot of a disk that has both: the vote, term and index, and the entries."""
+    """The vote, the snapshot's term and index, and its entries."""
     vote, snapshot = ReplicaStorage(str(folder)).read()
     assert isinstance(vote, PersistentVote)
     assert isinstance(snapshot, Snapshot)
