--- a/ashlift/configstore/replica_state.py
+++ b/ashlift/configstore/replica_state.py
@@ -14,7 +14,7 @@
 from ashlift.configstore.replica_io import Effect, LogEvent, PersistState, SendReply, SendRequest
 from ashlift.events import EventType
 
-MAX_WRITE_WAIT_SECONDS: Final = 0.4  # upper bound on how far a slow local disk extends election time-outs
+MAX_WRITE_WAIT_SECONDS: Final = 0.4  # cap on the write time that extends election time-outs
 
 PersistCallback = Callable[[bool], None]  # called with whether the write succeeded
 
