--- a/ashlift/configstore/joining.py
+++ b/ashlift/configstore/joining.py
@@ -6,7 +6,7 @@
 
 The steps from an empty disk to a vote:
 
-1. `_send_join_requests` asks the seeds, and `handle_response` forwards the request to the leader that they
+1. `_send_join_requests` asks the seeds, and `handle_response` repeats the request at the leader that they
    name. `Leader.handle_join_request` records it. A replica that is already in the map gets heartbeats without
    asking.
 2. `MembershipManager.next_change` adds a new replica as a learner. For a voter whose disk was replaced,
