--- a/ashlift/configstore/election.py
+++ b/ashlift/configstore/election.py
@@ -33,9 +33,9 @@
 # Granting a vote or pre-vote delays other attempts by this much, since concurrent ones may split the vote.
 GRANTED_VOTE_GRACE_SECONDS: Final = 0.3
 
-_LEARNER_CANNOT_VOTE: Final = Failure(FailureReason.UNAVAILABLE, "learners do not vote")
-_DISK_WRITE_FAILED: Final = Failure(FailureReason.REJECTED, "disk write failed")
-_TRANSFER_REJECTED: Final = Failure(FailureReason.REJECTED, "replica cannot take the leadership now")
+_LEARNER_CANNOT_VOTE: Final = Failure(FailureReason.UNAVAILABLE, "learner")
+_DISK_WRITE_FAILED: Final = Failure(FailureReason.REJECTED, "disk")
+_TRANSFER_REJECTED: Final = Failure(FailureReason.REJECTED, "not now")
 
 
 @define
--- a/ashlift/configstore/follower.py
+++ b/ashlift/configstore/follower.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from ashlift.configstore.replica import Replica
 
-_DISK_WRITE_FAILED: Final = Failure(FailureReason.REJECTED, "disk write failed")
+_DISK_WRITE_FAILED: Final = Failure(FailureReason.REJECTED, "disk")
 
 
 class AcceptedAppend(NamedTuple):
--- a/ashlift/configstore/heartbeat_rounds.py
+++ b/ashlift/configstore/heartbeat_rounds.py
@@ -108,5 +108,5 @@
     def fail_pending_reads(self) -> None:
         """Fail all pending reads because the leadership has ended."""
         for read in self.pending_reads:
-            self.leader.replica.reply(read.reply_to, Failure(FailureReason.UNAVAILABLE, "leadership lost"))
+            self.leader.replica.reply(read.reply_to, Failure(FailureReason.UNAVAILABLE, "lost the lead"))
         self.pending_reads.clear()
--- a/ashlift/configstore/leader_requests.py
+++ b/ashlift/configstore/leader_requests.py
@@ -15,8 +15,8 @@
 SUBMIT_TIMEOUT_SECONDS: Final = 5.0
 READ_TIMEOUT_SECONDS: Final = 2.0
 
-NO_LEADER: Final = Failure(FailureReason.UNAVAILABLE, "no leader known")
-_NO_LEADER_CONTACT: Final = Failure(FailureReason.UNAVAILABLE, "no recent contact with a leader")
+NO_LEADER: Final = Failure(FailureReason.UNAVAILABLE, "no leader")
+_NO_LEADER_CONTACT: Final = Failure(FailureReason.UNAVAILABLE, "no leader is heard here")
 _NOT_STARTED_REASONS: Final = (FailureReason.UNAVAILABLE, FailureReason.UNREACHABLE)
 
 
--- a/ashlift/configstore/proposal_queue.py
+++ b/ashlift/configstore/proposal_queue.py
@@ -44,7 +44,7 @@
     def submit(self, reply_to: Any, command: Any, fencing_token: FencingToken | None) -> None:
         """Start a command or queue it."""
         if self.leader.transfer.deadline is not None or len(self.queue) >= MAX_QUEUED_COMMANDS:
-            failure = Failure(FailureReason.UNAVAILABLE, "leader is shutting down or its queue is full")
+            failure = Failure(FailureReason.UNAVAILABLE, "full or leaving")
             self.leader.replica.reply(reply_to, failure)
             return
         self.queue.append(QueuedCommand(reply_to, command, fencing_token))
@@ -68,7 +68,7 @@
             queued = self.queue.popleft()
             outcome = self._decide(queued.command)
             if queued.fencing_token is not None and self._is_expired(queued.fencing_token, outcome):
-                failure = Failure(FailureReason.EXPIRED, "command expired: its caller may have given up")
+                failure = Failure(FailureReason.EXPIRED, "its caller may have gone")
                 leader.replica.reply(queued.reply_to, failure)
                 continue
             if isinstance(outcome, Proposal):
@@ -139,11 +139,11 @@
     def fail_in_flight(self) -> None:
         """Fail the in-flight proposal as the leadership ends. The next leader may still commit it."""
         if self.in_flight is not None:
-            failure = Failure(FailureReason.OUTCOME_UNKNOWN, "leadership lost")
+            failure = Failure(FailureReason.OUTCOME_UNKNOWN, "lost the lead")
             self.leader.replica.reply(self.in_flight.reply_to, failure)
 
     def reject_queued(self) -> None:
         """Fail the queued commands. None was started, so callers may retry them."""
         while self.queue:
-            failure = Failure(FailureReason.UNAVAILABLE, "leader is stepping down")
+            failure = Failure(FailureReason.UNAVAILABLE, "lost the lead")
             self.leader.replica.reply(self.queue.popleft().reply_to, failure)
--- a/ashlift/configstore/replica.py
+++ b/ashlift/configstore/replica.py
@@ -50,7 +50,7 @@
 
 EMPTY_SNAPSHOT: Final = Snapshot(NO_TERM_INDEX, RangedMap())
 NO_VOTE: Final = PersistentVote(0, None, False)
-_NOT_LEADER: Final = Failure(FailureReason.UNAVAILABLE, "this replica is not the leader")
+_NOT_LEADER: Final = Failure(FailureReason.UNAVAILABLE, "leads not")
 
 
 class Replica(ReplicaState):
@@ -179,7 +179,7 @@
     def _handle_request(self, event: RequestReceived) -> None:
         """Serve another replica's request. A malformed one changes nothing and is answered INVALID."""
         if self.joining.is_quarantined():
-            self.reply(event.reply_to, Failure(FailureReason.UNAVAILABLE, "learner is in quarantine"))
+            self.reply(event.reply_to, Failure(FailureReason.UNAVAILABLE, "mute"))
             return
         try:
             self._serve(event.reply_to, codec.decode_request(event.method, event.body))
