--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -46,7 +46,7 @@
     "confirmed by one": Mutant(HeartbeatRounds, "confirm", "quorum(len(acknowledged))", "1"),
     "a round begun before the read": Mutant(
         HeartbeatRounds,
-        "answer_after_next_round",
+        "reply_after_next_round",
         "self.newest + 1",
         "self.newest",
     ),
@@ -56,7 +56,7 @@
     "a 412 without a round": Mutant(
         ProposalQueue,
         "advance",
-        "leader.rounds.answer_after_next_round(queued.reply_to, outcome.response)",
+        "leader.rounds.reply_after_next_round(queued.reply_to, outcome.response)",
         "leader.replica.reply(queued.reply_to, {**outcome.response, 'index': leader.commit_index})",
     ),
     "an older map is voted for": Mutant(
@@ -85,11 +85,11 @@
         "self.leader.replica.term_index == self.leader.proposed.term_index",
         "True",
     ),
-    "a learner is counted": Mutant(PeerTable, "holds", "peer.learning is None and ", ""),
+    "a learner is counted": Mutant(PeerTable, "holds", "peer.restoring_learner is None and ", ""),
     "a learner confirms": Mutant(
         PeerTable,
         "acknowledged_round",
-        "0 if peer.learning else peer.acknowledged_round",
+        "0 if peer.restoring_learner else peer.acknowledged_round",
         "peer.acknowledged_round",
     ),
     "a learner votes": Mutant(Election, "handle_vote_request", "if not replica.vote.is_voter:", "if False:"),
@@ -102,7 +102,7 @@
     ),
     "promoted in any life": Mutant(
         Follower,
-        "_is_promoted_by",
+        "_is_promotion",
         "payload.incarnation == replica.incarnation and ",
         "",
     ),
@@ -115,12 +115,12 @@
     "promoted with what was committed before": Mutant(
         Replication,
         "_restore_learner",
-        "peer.learning.promotion_index <= index <= leader.commit_index",
+        "peer.restoring_learner.promotion_index <= index <= leader.commit_index",
         "index <= leader.commit_index",
     ),
     "a later state taken for committed": Mutant(
         Follower,
-        "_learn_commit",
+        "_update_committed",
         "replica.term_index[1] <= request.commit_index",
         "replica.term_index[1] <= request.commit_index + 1",
     ),
@@ -158,7 +158,7 @@
         "True",
     ),
     "learnt by index alone": Mutant(
-        Follower, "_learn_commit", "replica.term_index[0] == request.term and ", ""
+        Follower, "_update_committed", "replica.term_index[0] == request.term and ", ""
     ),
     "a proposal before the term's first is committed": Mutant(
         ProposalQueue,
@@ -208,7 +208,7 @@
     "orders have no fence": Mutant(
         ProposalQueue,
         "advance",
-        "queued.fencing_token is not None and self._is_overtaken(queued.fencing_token, outcome)",
+        "queued.fencing_token is not None and self._is_expired(queued.fencing_token, outcome)",
         "False",
     ),
     "two proposals at a time": Mutant(ProposalQueue, "advance", "not self.in_flight and ", ""),
@@ -235,14 +235,14 @@
 COMMAND_MUTANTS: Final[dict[str, Mutant]] = {
     "an order of any age is begun": Mutant(
         ProposalQueue,
-        "_is_overtaken",
+        "_is_expired",
         "age_seconds is None or age_seconds >= token.remaining_seconds",
         "False",
         "an evacuation that its operator has given up does not come into force 20 s later",
     ),
     "an order is begun whatever has changed since": Mutant(
         ProposalQueue,
-        "_is_overtaken",
+        "_is_expired",
         "committed.may_have_changed_since(key, token.known_index)",
         "False",
         "taken back within the second: a call held up for half of it is void, and so are its copies at other "
