--- a/ashlift/configstore/commands.py
+++ b/ashlift/configstore/commands.py
@@ -25,7 +25,7 @@
 MAX_ZONE_CHARACTERS: Final = 200
 COMMAND_DIGEST_BYTES: Final = 8
 MAX_SHOWN_KIND_CHARACTERS: Final = 40
-_REFUSED_BEFORE_BASE: Final = "the same command was refused before its base version became current"
+_REFUSED_BEFORE_BASE: Final = "it was refused before what it builds on was current"
 
 
 class CommandKind(StrEnum):
@@ -62,7 +62,7 @@
             return _decide_evacuation(current, command.body, command.kind == CommandKind.EVACUATE)
         case CommandKind.EDIT | CommandKind.CONFIRM | CommandKind.REJECT | CommandKind.MERGE:
             return _decide_edit(current, command)
-    return _refusal(BAD_REQUEST, f"invalid command: {str(command.kind)[:MAX_SHOWN_KIND_CHARACTERS]}")
+    return _refusal(BAD_REQUEST, f"no order: {str(command.kind)[:MAX_SHOWN_KIND_CHARACTERS]}")
 
 
 def _is_zone_name(value: Any) -> bool:
@@ -129,7 +129,7 @@
     if accepted is not None and _accepted_digest(accepted) == digest:
         return ReadOnlyResult({"status": OK})
     if accepted is None and version <= current.get(ACCEPTED_TRIMMED, 0):
-        reason = f"version {version:08x} is too old to tell whether this command was accepted before"
+        reason = f"version {version:08x} is too old to be told from one that was taken"
         return _refusal(SERVICE_UNAVAILABLE, reason)
     return None
 
@@ -177,6 +177,6 @@
     if key in current:
         return ReadOnlyResult(answer)
     if sum(stored_key.startswith(REFUSED_PREFIX) for stored_key in current) >= MAX_REFUSED_DIGESTS:
-        reason = f"too many commands refused for future versions ({MAX_REFUSED_DIGESTS})"
+        reason = f"{MAX_REFUSED_DIGESTS} orders wait for versions to come"
         return _refusal(SERVICE_UNAVAILABLE, reason)
     return Proposal({key: True}, [], answer)
--- a/ashlift/configstore/membership_rules.py
+++ b/ashlift/configstore/membership_rules.py
@@ -113,14 +113,14 @@
         return _decide_add(entries, command.ip)
     if command.action not in (REMOVE, REPLACE):
         shown_action = command.action[:MAX_SHOWN_ACTION_CHARACTERS]
-        return _refused(BAD_REQUEST, f"unknown membership action: {shown_action}")
+        return _refused(BAD_REQUEST, f"no change of members: {shown_action}")
     if not isinstance(entries.get(VOTER_PREFIX + command.ip), dict):
         if isinstance(entries.get(LEARNER_PREFIX + command.ip), dict):
             return _unchanged()  # already removed
         return _refused(CONFLICT, f"{command.ip} is no voter")
     other_voters = _without(leaving_voters(entries), command.ip)
     if other_voters:
-        return _refused(CONFLICT, f"another voter is leaving already: {', '.join(other_voters)}")
+        return _refused(CONFLICT, f"{', '.join(other_voters)} leaves already: one at a time")
     return _decide_removal(entries, command, views, tolerated_failures)
 
 
--- a/ashlift/configstore/pending_edits.py
+++ b/ashlift/configstore/pending_edits.py
@@ -49,7 +49,7 @@
         """The pending edits together with the given ones, or a Failure if there would be too many."""
         joined = join_edits(self.edits, {edit.id: edit for edit in edits})
         if len(joined) > MAX_PENDING_EDITS:
-            return Failure(FailureReason.REJECTED, f"too many pending edits (limit {MAX_PENDING_EDITS})")
+            return Failure(FailureReason.REJECTED, f"{MAX_PENDING_EDITS} edits wait already")
         return joined
 
     def without_resolved(self, entries: Mapping[str, Any]) -> dict[str, RouteEdit]:
@@ -116,7 +116,7 @@
             return Failure(FailureReason.INVALID, PENDING_EDITS)
         edits = [edit for edit in decoded if isinstance(edit, RouteEdit)]
         if len(edits) < len(decoded):
-            return Failure(FailureReason.INVALID, "malformed edit")
+            return Failure(FailureReason.INVALID, "an edit that is none")
         failure = self._replace(self.pending.with_edits(edits))
         if failure is not None:
             return failure
--- a/ashlift/configstore/server.py
+++ b/ashlift/configstore/server.py
@@ -44,7 +44,7 @@
         return decide_command(current, command)
     except Exception as error:
         log_event(events.COMMAND_EVALUATION_FAILED, level=ERROR, error=repr(error))
-        return ReadOnlyResult({"status": SERVICE_UNAVAILABLE, "reason": "the command could not be evaluated"})
+        return ReadOnlyResult({"status": SERVICE_UNAVAILABLE, "reason": "the order could not be worked out"})
 
 
 class ConfigStoreServer:
