--- a/ashlift/configstore/commands.py
+++ b/ashlift/configstore/commands.py
@@ -25,7 +25,7 @@
 MAX_ZONE_CHARACTERS: Final = 200
 COMMAND_DIGEST_BYTES: Final = 8
 MAX_SHOWN_KIND_CHARACTERS: Final = 40
-_REFUSED_BEFORE_BASE: Final = "the same command was refused before its base version became current"
+_REFUSED_BEFORE_BASE: Final = "it was refused before what it builds on was current"
 
 
 class CommandKind(StrEnum):
