--- a/ashlift/configstore/codec.py
+++ b/ashlift/configstore/codec.py
@@ -230,5 +230,5 @@
     except (zlib.error, cbor2.CBORDecodeError) as error:
         raise ValueError(str(error)) from None
     if not isinstance(value, list):
-        raise ValueError("payload is not a list")
+        raise ValueError("no payload")
     return value
--- a/ashlift/configstore/ranged_map.py
+++ b/ashlift/configstore/ranged_map.py
@@ -138,7 +138,7 @@
         for number, encoded in encoded_ranges.items():
             ranges[number] = dict(cbor2.loads(encoded))
             if any(range_of(key) != number for key in ranges[number]):
-                raise ValueError(f"hash range {number} has a key of another range")
+                raise ValueError(f"range {number} holds a key of another")
     except (cbor2.CBORDecodeError, TypeError, AttributeError) as error:
         raise ValueError(str(error)) from None
     return ranges
--- a/ashlift/configstore/replica_runner.py
+++ b/ashlift/configstore/replica_runner.py
@@ -92,7 +92,7 @@
         try:
             return reply.get(timeout=timeout)
         except gevent.Timeout:
-            return Failure(FailureReason.OUTCOME_UNKNOWN, f"no reply from the replica within {timeout:g} s")
+            return Failure(FailureReason.OUTCOME_UNKNOWN, f"{timeout:g} s")
 
     def wait_for_commit(self, timeout: float) -> bool:
         """Wait up to `timeout` seconds for a commit. Returns False if the process is shutting down."""
