--- a/ashlift/cli/__init__.py
+++ b/ashlift/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line: reads files, asks core machines, plans, and sends the operators' changes."""
+"""The operators' command line: inspects core machines, plans changes, and sends them."""
--- a/ashlift/cli/__main__.py
+++ b/ashlift/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of `python3 -m ashlift.cli`."""
+"""Runs the command line as `python3 -m ashlift.cli`."""
 
 import sys
 
--- a/ashlift/cli/application.py
+++ b/ashlift/cli/application.py
@@ -1,4 +1,4 @@
-"""The command line application: all commands under their names."""
+"""The cleo application with all commands."""
 
 from typing import Final
 
@@ -40,7 +40,7 @@
 
 
 def create_application() -> Application:
-    """Return the application with all commands."""
+    """Return the application with every command registered."""
     application = Application("ashlift.cli", __version__)
     for command in COMMANDS:
         application.add(command())
@@ -48,5 +48,5 @@
 
 
 def main() -> int:
-    """Run the command that the arguments name; return its exit code."""
+    """Run the command given in `sys.argv`; return its exit code."""
     return create_application().run()
--- a/ashlift/cli/capacity_planner.py
+++ b/ashlift/cli/capacity_planner.py
@@ -1,6 +1,7 @@
-"""Plans capacity: what the workers can serve after the loss of a zone or region. Pure.
+"""Computes the load that the workers can serve after the failure of a zone or region. Performs no I/O.
 
-Rates are requests a second, service times seconds, capacities requests at a time of a worker.
+Rates are in requests per second and service times in seconds; the capacity of a worker is the number of
+requests that it processes concurrently.
 """
 
 from collections.abc import Collection, Iterator, Mapping
@@ -12,7 +13,7 @@
 
 @frozen
 class PlannedWorker:
-    """A worker that is ready."""
+    """A worker in the state `ready`."""
 
     id: str
     service: str
@@ -23,32 +24,32 @@
 
 @frozen
 class OfferedLoad:
-    """What clients ask of a route."""
+    """The load that clients offer to a route."""
 
-    rate: float  # requests a second
-    service_seconds: float  # that a worker works on one request
+    rate: float  # requests/s
+    service_seconds: float  # processing time of one request
 
 
 @frozen
 class ServedLoad:
-    """What one service can serve of a route's load after a loss."""
+    """The part of a route's load that one service can serve after a failure."""
 
-    lost: str  # "nothing", a zone or a region
+    failed_domain: str  # "nothing", a zone or a region
     route: str
     service: str
-    workers: int  # that are left and that the route's home regions allow
+    workers: int  # remaining workers in the route's home regions
     offered_rate: float
     served_rate: float
 
     @property
     def rejected_rate(self) -> float:
-        """Requests a second that are not served."""
+        """Requests per second that exceed the capacity."""
         return self.offered_rate - self.served_rate
 
 
 @frozen
 class _Demand:
-    """The part of a route's load that goes to one service."""
+    """The part of a route's load that its traffic split sends to one service."""
 
     priority: int
     route: str
@@ -57,31 +58,31 @@
     rate: float
     service_seconds: float
 
-    def order(self) -> tuple[int, int, str, str]:
-        """Higher rank (0) first; within a rank those that are bound to fewer workers."""
+    def allocation_order(self) -> tuple[int, int, str, str]:
+        """Sort key: the highest priority (0) first, then demands that fewer workers can serve."""
         return self.priority, len(self.workers), self.route, self.service
 
 
 def plan_capacity(
     workers: Collection[PlannedWorker], table: RoutingTable, load: Mapping[str, OfferedLoad]
 ) -> Iterator[ServedLoad]:
-    """Yield what is served of each route's load after each loss; `load` is by route.
+    """Yield the load served per route and service after each failure; `load` is by route.
 
-    Routes of higher rank are served first, and a route with home regions uses workers there alone.
+    Routes of higher priority are served first. A route with home regions uses only workers there.
     """
-    for lost, lost_zones in _losses(workers):
-        remaining = [worker for worker in workers if worker.zone not in lost_zones]
-        # Seconds of work that each worker has left, of each second.
+    for failed_domain, failed_zones in _failure_domains(workers):
+        remaining = [worker for worker in workers if worker.zone not in failed_zones]
+        # Unallocated capacity of each worker, in seconds of work per second.
         free_capacity = {worker.id: float(worker.capacity) for worker in remaining}
-        for demand in sorted(_demands(remaining, table, load), key=_Demand.order):
+        for demand in sorted(_demands(remaining, table, load), key=_Demand.allocation_order):
             served_rate = _allocate(demand, free_capacity)
             yield ServedLoad(
-                lost, demand.route, demand.service, len(demand.workers), demand.rate, served_rate
+                failed_domain, demand.route, demand.service, len(demand.workers), demand.rate, served_rate
             )
 
 
-def _losses(workers: Collection[PlannedWorker]) -> list[tuple[str, frozenset[str]]]:
-    """Nothing, each zone, and each region of more than one zone: a name, and the zones that are lost."""
+def _failure_domains(workers: Collection[PlannedWorker]) -> list[tuple[str, frozenset[str]]]:
+    """Return name and failed zones for: no failure, each zone, each region of more than one zone."""
     region_of_zone = {worker.zone: worker.region for worker in workers}
     losses: list[tuple[str, frozenset[str]]] = [("nothing", frozenset())]
     losses += [(f"zone {zone}", frozenset({zone})) for zone in sorted(region_of_zone)]
@@ -111,7 +112,7 @@
 
 
 def _allocate(demand: _Demand, free_capacity: dict[str, float]) -> float:
-    """Take the work from the usable workers in proportion to what they have free; return the rate served."""
+    """Allocate the demand to its workers in proportion to their free capacity; return the rate served."""
     free = sum(free_capacity[worker.id] for worker in demand.workers)
     served_rate = demand.rate
     if demand.service_seconds > 0:
--- a/ashlift/cli/change_planner.py
+++ b/ashlift/cli/change_planner.py
@@ -1,4 +1,4 @@
-"""Plans a change of the configuration: what becomes of recorded requests before and after it. Pure."""
+"""Predicts how a configuration change affects recorded requests. Performs no I/O."""
 
 import math
 from collections import defaultdict
@@ -12,7 +12,7 @@
 
 @frozen
 class RecordedRequest:
-    """One request of a record. `at` is in seconds; `key` is its tenant's API key, or empty."""
+    """A recorded request; `at` is its time in seconds, `key` the tenant's API key or empty."""
 
     at: float
     host: str
@@ -21,7 +21,7 @@
 
 
 class OutcomeKind(StrEnum):
-    """What becomes of a request."""
+    """How a request is handled."""
 
     FORWARDED = "forwarded"
     REJECTED = "rejected"
@@ -30,7 +30,7 @@
 
 @frozen(order=True)
 class Outcome:
-    """What becomes of a request, and the services that it may go to, or why it is rejected."""
+    """How a request is handled: `details` are the possible services, or the reason for a rejection."""
 
     kind: OutcomeKind
     details: tuple[str, ...] = ()
@@ -46,14 +46,17 @@
 class RouteOutcomes:
     """The outcomes of a request under the old and the new configuration."""
 
-    route: str  # of the old configuration, else of the new one; host and path where there is none
+    route: str  # in the old, else in the new configuration; without a route, host and path
     before: Outcome
     after: Outcome
 
 
 @define
 class TokenBucket:
-    """A tenant's quota as the operator states it: `rate` a second, and `burst` more at once."""
+    """Rate limit of one tenant: `rate` requests per second, with a burst allowance on top.
+
+    The bucket starts full and holds `rate + burst` tokens.
+    """
 
     rate: float
     burst: float
@@ -61,7 +64,7 @@
     updated_at: float = -math.inf
 
     def take(self, now: float) -> bool:
-        """Return whether a request is inside the quota, and count it if so."""
+        """Take one token for a request; return False if none is left."""
         if not self.rate:
             return True
         self.tokens = min(self.burst + self.rate, self.tokens + (now - self.updated_at) * self.rate)
@@ -75,13 +78,13 @@
 def compare_outcomes(
     old: RoutingTable, new: RoutingTable, requests: Sequence[RecordedRequest]
 ) -> Mapping[RouteOutcomes, int]:
-    """Return the number of requests by route and by what becomes of them before and after the change.
+    """Count requests by route and by their outcomes before and after the change.
 
-    Requests that are not affected are counted too, with two outcomes alike.
+    Unaffected requests are counted too: their two outcomes are equal.
     """
     ordered = sorted(requests, key=lambda request: request.at)
     counts: dict[RouteOutcomes, int] = defaultdict(int)
-    outcomes = zip(ordered, _outcomes(old, ordered), _outcomes(new, ordered), strict=True)
+    outcomes = zip(ordered, _predict_outcomes(old, ordered), _predict_outcomes(new, ordered), strict=True)
     for request, before, after in outcomes:
         route = old.find_route(request.host, request.path) or new.find_route(request.host, request.path)
         name = route.name if route else f"{request.host}{request.path}"
@@ -89,14 +92,16 @@
     return dict(counts)
 
 
-def _outcomes(table: RoutingTable, requests: Iterable[RecordedRequest]) -> Iterator[Outcome]:
-    """The outcome of each request, in order of time."""
+def _predict_outcomes(table: RoutingTable, requests: Iterable[RecordedRequest]) -> Iterator[Outcome]:
+    """Yield the outcome of each request; the requests must be ordered by time."""
     buckets: dict[str, TokenBucket] = {}  # by tenant
     for request in requests:
-        yield _outcome(table, request, buckets)
+        yield _predict_outcome(table, request, buckets)
 
 
-def _outcome(table: RoutingTable, request: RecordedRequest, buckets: dict[str, TokenBucket]) -> Outcome:
+def _predict_outcome(
+    table: RoutingTable, request: RecordedRequest, buckets: dict[str, TokenBucket]
+) -> Outcome:
     route = table.find_route(request.host, request.path)
     if route is None:
         return Outcome(OutcomeKind.NO_ROUTE)
--- a/ashlift/cli/cluster_status.py
+++ b/ashlift/cli/cluster_status.py
@@ -1,4 +1,4 @@
-"""What the core machines that answer `GET /status` know together: configuration, proxies, workers' slots."""
+"""Merges the `GET /status` responses of all core machines: configuration, proxies, workers' slots."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -11,112 +11,117 @@
 from ashlift.config import operator_config
 from ashlift.errors import Failure, FailureReason
 
-PEER_TIMEOUT_SECONDS: Final = 1.0  # for the other core machines: some may be down
+PEER_TIMEOUT_SECONDS: Final = 1.0  # short, as some of the other core machines may be down
 
-Answer = Mapping[str, Any]  # of GET /status
+JsonObject = Mapping[str, Any]  # a response of GET /status, or one of its rows
 
 
 @frozen
 class ProxyStatus:
-    """A proxy with a session, and the index of the configuration that it holds, where that is known."""
+    """A proxy with a session."""
 
     node: str
     zone: str
     region: str
     ready: bool
-    index: int | None
-    heard_ago: float | None  # seconds since its last pull
+    index: int | None  # of the configuration that it holds; None if not known
+    seconds_since_contact: float | None  # since its last pull; None if not known
 
 
 @frozen
 class ClusterStatus:
-    """The newest configuration that is known, the proxies with sessions, and the slots of ready workers."""
+    """The newest known configuration, the proxies with sessions, and the slots of ready workers.
+
+    A slot is a request that a worker can process concurrently with others.
+    """
 
     index: int
     version: str
     proxies: list[ProxyStatus]
-    slots: Mapping[tuple[str, str], int]  # by service and zone
-    unreachable: list[str]  # core machines that did not answer
+    slots: Mapping[tuple[str, str], int]  # by (service, zone)
+    unreachable: list[str]  # Control addresses of core machines that did not respond
 
     def proxies_behind(self, index: int) -> list[ProxyStatus]:
-        """Return the proxies that are not known to hold this index."""
+        """Return the proxies that are not known to hold the configuration with this index or a newer one."""
         return [proxy for proxy in self.proxies if proxy.index is None or proxy.index < index]
 
     @property
     def no_index_known(self) -> bool:
-        """Whether it is not known of any proxy what it holds, so that asking again will not tell."""
+        """Whether no proxy reports its index, so that polling again cannot succeed."""
         return all(proxy.index is None for proxy in self.proxies)
 
 
 def fetch_cluster_status(address: str) -> ClusterStatus | Failure:
-    """Ask all core machines that the one at `address` knows."""
+    """Query the core machine at `address` and all core machines that it lists."""
     first = get_json_object(address, "/status")
     if isinstance(first, Failure):
         return first
-    answers = [first]
+    responses = [first]
     unreachable = []
     for peer in peer_addresses(address, first):
-        answer = get_json(peer, "/status", timeout_seconds=PEER_TIMEOUT_SECONDS)
-        if isinstance(answer, dict):
-            answers.append(answer)
+        response = get_json(peer, "/status", timeout_seconds=PEER_TIMEOUT_SECONDS)
+        if isinstance(response, dict):
+            responses.append(response)
         else:
             unreachable.append(peer)
     try:
-        return merge_status(answers, unreachable)
+        return merge_status(responses, unreachable)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         return Failure(FailureReason.INVALID, f"{address}: GET /status: is not in a known form: {error!r}")
 
 
-def peer_addresses(address: str, answer: Answer) -> list[str]:
-    """Return the Control addresses of the other core machines: their port is the same everywhere."""
+def peer_addresses(address: str, response: JsonObject) -> list[str]:
+    """Return the Control addresses of the other core machines, which all use the same port."""
     target = parse_address(address)
-    ips = answer.get("members")
+    ips = response.get("members")
     if isinstance(target, Failure) or not isinstance(ips, list):
         return []
     host, port = target
     return [f"{ip}:{port}" for ip in ips if ip != host]
 
 
-def merge_status(answers: Iterable[Answer], unreachable: list[str]) -> ClusterStatus:
-    """Merge answers of several core machines.
+def merge_status(responses: Iterable[JsonObject], unreachable: list[str]) -> ClusterStatus:
+    """Merge the responses of several core machines.
 
-    A proxy calls one core machine at a time: what the one says that heard it last counts. Raises KeyError,
-    TypeError, ValueError or AttributeError for an answer in another form.
+    A proxy pulls from one core machine at a time, so the row with the most recent contact is used. Raises
+    KeyError, TypeError, ValueError or AttributeError for a malformed response.
     """
     index = 0
     version = operator_config.INITIAL_VERSION
     proxies: dict[str, ProxyStatus] = {}
-    ready_workers: dict[str, Answer] = {}
-    for answer in answers:
-        if answer.get("index", 0) >= index and answer.get("version"):
-            index = answer["index"]
-            version = answer["version"]
-        for row in answer.get("gatekeepers", ()):
+    ready_workers: dict[str, JsonObject] = {}
+    for response in responses:
+        if response.get("index", 0) >= index and response.get("version"):
+            index = response["index"]
+            version = response["version"]
+        for row in response.get("gatekeepers", ()):
             proxy = _proxy_status(row)
             known = proxies.get(proxy.node)
-            if known is None or _heard_ago(proxy) < _heard_ago(known):
+            if known is None or _seconds_since_contact(proxy) < _seconds_since_contact(known):
                 proxies[proxy.node] = proxy
-        ready_workers |= {row["id"]: row for row in answer.get("workers", ()) if row.get("state") == "ready"}
+        ready_workers |= {
+            row["id"]: row for row in response.get("workers", ()) if row.get("state") == "ready"
+        }
     ordered = sorted(proxies.values(), key=lambda proxy: proxy.node)
     return ClusterStatus(index, version, ordered, _slots(ready_workers.values()), unreachable)
 
 
-def _proxy_status(row: Answer) -> ProxyStatus:
+def _proxy_status(row: JsonObject) -> ProxyStatus:
     return ProxyStatus(
         node=row["node"],
         zone=row.get("zone", ""),
         region=row.get("region", ""),
         ready=row.get("ready") is True,
         index=row.get("index"),
-        heard_ago=row.get("heard"),
+        seconds_since_contact=row.get("heard"),
     )
 
 
-def _heard_ago(proxy: ProxyStatus) -> float:
-    return math.inf if proxy.heard_ago is None else proxy.heard_ago
+def _seconds_since_contact(proxy: ProxyStatus) -> float:
+    return math.inf if proxy.seconds_since_contact is None else proxy.seconds_since_contact
 
 
-def _slots(workers: Iterable[Answer]) -> dict[tuple[str, str], int]:
+def _slots(workers: Iterable[JsonObject]) -> dict[tuple[str, str], int]:
     slots: dict[tuple[str, str], int] = {}
     for row in workers:
         key = row["service"], row.get("zone", "")
--- a/ashlift/cli/command.py
+++ b/ashlift/cli/command.py
@@ -1,4 +1,4 @@
-"""What all commands share: exit codes, and where results and failures are printed."""
+"""Base class of the commands: exit codes, and printing of results and failures."""
 
 from typing import Any, Final
 
@@ -9,37 +9,37 @@
 from ashlift.cli.control_client import get_json
 from ashlift.errors import Failure, FailureReason
 
-EXIT_DONE: Final = 0
-EXIT_DIFFERENT: Final = 1  # two configurations differ, or a plan shows rejections or changes
+EXIT_SUCCESS: Final = 0
+EXIT_DIFFERENT: Final = 1  # differences, rejected load, affected requests, or proxies that lag
 EXIT_FAILED: Final = 2
-EXIT_PENDING: Final = 3  # an edit of a route is not in force: it is pending, or conflicts
+EXIT_PENDING: Final = 3  # a route edit was not applied: it is pending, or conflicts
 
 ADDRESS: Final = argument("address", "A Control address, such as 10.0.0.4:8200.")
 
 
 class CliCommand(Command):
-    """A command: results go to standard output, each failure on one line to standard error."""
+    """Prints results to standard output, and each failure on one line to standard error."""
 
     def print_lines(self, lines: list[str]) -> int:
-        """Print results; return the exit code for success."""
+        """Print results; return `EXIT_SUCCESS`."""
         for line in lines:
             self.io.output.write_line(line, type=Type.RAW)
-        return EXIT_DONE
+        return EXIT_SUCCESS
 
     def print_failures(self, failures: list[Failure]) -> int:
-        """Print failures; return the exit code for them."""
+        """Print failures; return `EXIT_FAILED`."""
         for failure in failures:
             self.io.error_output.write_line(" ".join(failure.detail.split()), type=Type.RAW)
         return EXIT_FAILED
 
-    def print_invalid(self, text: str) -> int:
-        """Print one failure in the command's input; return the exit code for it."""
+    def print_error(self, text: str) -> int:
+        """Print one error message; return `EXIT_FAILED`."""
         return self.print_failures([Failure(FailureReason.INVALID, text)])
 
 
 def get_json_object(address: str, path: str) -> dict[str, Any] | Failure:
-    """Return the JSON object that `GET path` gives at a Control address."""
-    answer = get_json(address, path)
-    if isinstance(answer, Failure | dict):
-        return answer
+    """Return the JSON object of `GET path` from a Control address."""
+    response = get_json(address, path)
+    if isinstance(response, Failure | dict):
+        return response
     return Failure(FailureReason.INVALID, f"{address}: GET {path}: is not a JSON object")
--- a/ashlift/cli/config_diff.py
+++ b/ashlift/cli/config_diff.py
@@ -1,4 +1,4 @@
-"""What turns one configuration into another, a line an object or field. Pure."""
+"""Compares two configurations, one line per changed object or field. Performs no I/O."""
 
 import json
 from collections.abc import Iterable, Mapping
@@ -10,7 +10,7 @@
 
 
 def diff_lines(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[str]:
-    """Compare the entries of two configurations: `+` only in the new, `-` only in the old, `~` changed."""
+    """Compare the entries of two configurations: `+` is added, `-` removed, `~` changed."""
     lines = []
     if current_version(old) != current_version(new):
         lines.append(f"~ ConfigVersion: {current_version(old)} -> {current_version(new)}")
--- a/ashlift/cli/control_client.py
+++ b/ashlift/cli/control_client.py
@@ -1,7 +1,7 @@
-"""HTTP client of the `Control` addresses of core machines, where operators read state and send commands.
+"""HTTP client for the `Control` addresses of core machines, which serve state and accept operator commands.
 
-All functions return a `Failure` instead of raising: `UNREACHABLE` where nothing was sent, `OUTCOME_UNKNOWN`
-where a request may have taken effect.
+Errors are returned as a `Failure`, not raised: `UNREACHABLE` if the connection failed before a request was
+sent, `OUTCOME_UNKNOWN` if the request may have been processed.
 """
 
 import http.client
@@ -15,40 +15,40 @@
 from ashlift.cli.files import parse_json
 from ashlift.errors import Failure, FailureReason
 
-STEP_TIMEOUT_SECONDS: Final = 5.0  # for connecting, and for each read or write
+SOCKET_TIMEOUT_SECONDS: Final = 5.0  # for the connect and for each read or write
 MAX_REDIRECTS: Final = 2
 MAX_RESPONSE_BYTES: Final = 64 << 20
-MAX_QUOTED_BYTES: Final = 200  # of a response that is no JSON, in a message
-HIGHEST_PORT: Final = 65535
-MAX_PORT_DIGITS: Final = 9  # a longer number is cut, so that no huge one is converted
+MAX_EXCERPT_BYTES: Final = 200  # of a response body, in an error message
+MAX_PORT: Final = 65535
+MAX_PORT_DIGITS: Final = 9  # bounds the cost of converting the text to an integer
 
-Address = tuple[str, int]  # host and port
+Address = tuple[str, int]  # (host, port)
 
 
 @frozen
 class ControlResponse:
-    """What a core machine answered."""
+    """Status, `Location` header and body of an HTTP response."""
 
     status: int
     location: str
     body: bytes
 
-    def quoted_body(self) -> str:
-        """The beginning of the body on one line, for a message."""
-        return " ".join(self.body[:MAX_QUOTED_BYTES].decode(errors="replace").split())
+    def body_excerpt(self) -> str:
+        """Return the beginning of the body on one line, for an error message."""
+        return " ".join(self.body[:MAX_EXCERPT_BYTES].decode(errors="replace").split())
 
 
 def parse_address(text: str) -> Address | Failure:
-    """Parse `HOST:PORT`, with or without `http://`."""
+    """Parse `HOST:PORT`, with an optional `http://` prefix."""
     host, _, port = text.removeprefix("http://").rstrip("/").rpartition(":")
-    is_port = port.isascii() and port.isdigit() and 0 < int(port[:MAX_PORT_DIGITS]) <= HIGHEST_PORT
+    is_port = port.isascii() and port.isdigit() and 0 < int(port[:MAX_PORT_DIGITS]) <= MAX_PORT
     if not host or not is_port:
         return Failure(FailureReason.INVALID, f"{text}: is no address such as 10.0.0.4:8200")
     return host, int(port)
 
 
-def get_json(address: str, path: str, timeout_seconds: float = STEP_TIMEOUT_SECONDS) -> Any | Failure:
-    """Return the JSON value of `GET path`; a redirect is followed twice."""
+def get_json(address: str, path: str, timeout_seconds: float = SOCKET_TIMEOUT_SECONDS) -> Any | Failure:
+    """Return the JSON value of `GET path`, following at most `MAX_REDIRECTS` temporary redirects."""
     for _ in range(MAX_REDIRECTS + 1):
         target = parse_address(address)
         if isinstance(target, Failure):
@@ -63,14 +63,14 @@
             path = parts.path or path
             continue
         if response.status != http.client.OK:
-            text = f"{label}: {response.status} {response.quoted_body()}".rstrip()
+            text = f"{label}: {response.status} {response.body_excerpt()}".rstrip()
             return Failure(FailureReason.REJECTED, text)
         return parse_json(response.body, label)
     return Failure(FailureReason.REJECTED, f"{address}: GET {path}: more than {MAX_REDIRECTS} redirects")
 
 
 def post_json(address: str, path: str, body: Any) -> tuple[int, Any] | Failure:
-    """Return status and JSON value of `POST path`."""
+    """Send `body` as JSON with `POST path`; return the status and the JSON value of the response."""
     target = parse_address(address)
     if isinstance(target, Failure):
         return target
@@ -85,13 +85,13 @@
 def send_command(
     address: str, method: str, path: str, if_match: str, body: bytes, timeout_seconds: float
 ) -> tuple[int, str] | Failure:
-    """Send an operator command to one core machine, without redirects; return status and quoted body."""
+    """Send a command to one core machine without following redirects; return status and body excerpt."""
     target = parse_address(address)
     if isinstance(target, Failure):
         return target
     headers = {"Content-Type": "application/json", "If-Match": if_match}
     response = _request(target, method, path, f"{address}: {method} {path}", body, headers, timeout_seconds)
-    return response if isinstance(response, Failure) else (response.status, response.quoted_body())
+    return response if isinstance(response, Failure) else (response.status, response.body_excerpt())
 
 
 def _request(
@@ -101,9 +101,9 @@
     label: str,
     body: bytes | None = None,
     headers: Mapping[str, str] | None = None,
-    timeout_seconds: float = STEP_TIMEOUT_SECONDS,
+    timeout_seconds: float = SOCKET_TIMEOUT_SECONDS,
 ) -> ControlResponse | Failure:
-    """Make one request on a connection of its own; `label` names it in a failure."""
+    """Send one request on a new connection; `label` identifies the request in error messages."""
     connection = http.client.HTTPConnection(*target, timeout=timeout_seconds)
     try:
         connection.connect()
--- a/ashlift/cli/files.py
+++ b/ashlift/cli/files.py
@@ -1,4 +1,4 @@
-"""Reads files and JSON; what cannot be read is a `Failure` that names the file."""
+"""Reads files and parses JSON; errors are returned as a `Failure` that names the file."""
 
 import json
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 def parse_json(data: bytes, origin: str) -> Any | Failure:
-    """Return the JSON value of `data`; `origin` names it in a failure."""
+    """Return the JSON value of `data`; `origin` names its source in the error message."""
     try:
         return json.loads(data)
     except (ValueError, RecursionError) as error:
--- a/ashlift/cli/inspect_commands.py
+++ b/ashlift/cli/inspect_commands.py
@@ -1,4 +1,4 @@
-"""The commands `check`, `status`, `members`, `config show` and `config diff`: they change nothing."""
+"""The read-only commands `check`, `status`, `members`, `config show` and `config diff`."""
 
 import json
 from collections.abc import Callable, Mapping
@@ -6,7 +6,7 @@
 
 from cleo.helpers import argument, option
 
-from ashlift.cli.command import ADDRESS, EXIT_DIFFERENT, EXIT_DONE, CliCommand, get_json_object
+from ashlift.cli.command import ADDRESS, EXIT_DIFFERENT, EXIT_SUCCESS, CliCommand, get_json_object
 from ashlift.cli.config_diff import diff_lines
 from ashlift.cli.configurations import is_patch, load_entries, prefix_failures
 from ashlift.cli.control_client import get_json
@@ -15,19 +15,27 @@
 from ashlift.config import operator_config, settings
 from ashlift.errors import Failure, FailureReason
 
-JSON_OUTPUT: Final = option("json", None, "The answer as it came.", flag=True)
+JSON_OUTPUT: Final = option("json", None, "Print the JSON response unchanged.", flag=True)
 
 
 class Check(CliCommand):
     """`check`."""
 
     name = "check"
-    description = "Check a settings file (TOML) or a configuration (JSON): every error by file and key."
-    arguments = [argument("file", "The file; what begins with a brace is a configuration.")]
-    options = [option("on", None, "The configuration (file or address) that it is to follow.", flag=False)]
+    description = (
+        "Check a settings file (TOML) or a configuration (JSON); every error names the file and the key."
+    )
+    arguments = [
+        argument("file", "The file; a .json file, or one that begins with a brace, is a configuration.")
+    ]
+    options = [
+        option(
+            "on", None, "The current configuration (file or address) that the change applies to.", flag=False
+        )
+    ]
 
     def handle(self) -> int:
-        """Print all errors of the file, or that it has none."""
+        """Validate the file, and print its errors."""
         file = self.argument("file")
         data = read_file(file)
         if isinstance(data, Failure):
@@ -38,7 +46,7 @@
         if isinstance(body, Failure):
             return self.print_failures([body])
         base = self.option("on")
-        failures = _validate_following(body, base) if base else _validate_alone(body)
+        failures = _validate_change(body, base) if base else _validate_complete(body)
         if failures:
             return self.print_failures(prefix_failures(file, failures))
         return self.print_lines([f"{file}: configuration, no error"])
@@ -50,14 +58,16 @@
         return self.print_lines([f"{file}: settings, no error"])
 
 
-def _validate_alone(body: Any) -> list[Failure]:
+def _validate_complete(body: Any) -> list[Failure]:
     if is_patch(body):
-        return [Failure(FailureReason.INVALID, "is a change by name: say with --on what it is to follow")]
+        return [
+            Failure(FailureReason.INVALID, "is a patch: give the configuration that it changes with --on")
+        ]
     entries = operator_config.load_configuration(body)
     return entries if isinstance(entries, list) else []
 
 
-def _validate_following(body: Any, base: str) -> list[Failure]:
+def _validate_change(body: Any, base: str) -> list[Failure]:
     current = load_entries(base)
     if isinstance(current, list):
         return current
@@ -73,15 +83,15 @@
     options = [JSON_OUTPUT]
 
     def handle(self) -> int:
-        """Print the state in a few lines."""
+        """Print a summary of the state."""
         return self.print_status(status_lines)
 
-    def print_status(self, format_answer: Callable[[Mapping[str, Any]], list[str]]) -> int:
-        """Print an answer of `/status`, formatted or as it came."""
-        answer = get_json_object(self.argument("address"), "/status")
-        if isinstance(answer, Failure):
-            return self.print_failures([answer])
-        lines = [json.dumps(answer, indent=2)] if self.option("json") else format_answer(answer)
+    def print_status(self, format_response: Callable[[Mapping[str, Any]], list[str]]) -> int:
+        """Print a response of `GET /status`, formatted or, with `--json`, unchanged."""
+        response = get_json_object(self.argument("address"), "/status")
+        if isinstance(response, Failure):
+            return self.print_failures([response])
+        lines = [json.dumps(response, indent=2)] if self.option("json") else format_response(response)
         return self.print_lines(lines)
 
 
@@ -89,7 +99,7 @@
     """`members`."""
 
     name = "members"
-    description = "The core machines, proxies and workers, each on a line."
+    description = "Tables of the core machines, proxies and workers."
 
     def handle(self) -> int:
         """Print the tables."""
@@ -100,31 +110,29 @@
     """`config show`."""
 
     name = "config show"
-    description = "The newest configuration, as JSON that can be sent again."
+    description = "The current configuration, as JSON that can be uploaded again."
     arguments = [ADDRESS]
 
     def handle(self) -> int:
         """Print the configuration."""
-        answer = get_json(self.argument("address"), "/config")
-        if isinstance(answer, Failure):
-            return self.print_failures([answer])
-        return self.print_lines([json.dumps(answer, indent=2, ensure_ascii=False)])
+        response = get_json(self.argument("address"), "/config")
+        if isinstance(response, Failure):
+            return self.print_failures([response])
+        return self.print_lines([json.dumps(response, indent=2, ensure_ascii=False)])
 
 
 class ConfigDiff(CliCommand):
     """`config diff`."""
 
     name = "config diff"
-    description = (
-        "What turns one configuration into another: + only in the second, - only in the first, ~ changed."
-    )
+    description = "Differences of two configurations: + only in the second, - only in the first, ~ changed."
     arguments = [
         argument("first", "A file, or a Control address."),
         argument("second", "A file, or a Control address."),
     ]
 
     def handle(self) -> int:
-        """Print the differences; different where there are any."""
+        """Print the differences; return `EXIT_DIFFERENT` if there are any."""
         first = load_entries(self.argument("first"))
         second = load_entries(self.argument("second"))
         if isinstance(first, list) or isinstance(second, list):
@@ -134,4 +142,4 @@
             )
         lines = diff_lines(first, second)
         self.print_lines(lines)
-        return EXIT_DIFFERENT if lines else EXIT_DONE
+        return EXIT_DIFFERENT if lines else EXIT_SUCCESS
--- a/ashlift/cli/plan_commands.py
+++ b/ashlift/cli/plan_commands.py
@@ -1,4 +1,4 @@
-"""The commands `plan capacity`, `plan rollout` and `plan change`: they ask, and change nothing."""
+"""The read-only commands `plan capacity`, `plan rollout` and `plan change`."""
 
 from collections.abc import Mapping
 from typing import Any, Final
@@ -8,32 +8,32 @@
 
 from ashlift.cli.capacity_planner import OfferedLoad, PlannedWorker, ServedLoad, plan_capacity
 from ashlift.cli.change_planner import RecordedRequest, RouteOutcomes, compare_outcomes
-from ashlift.cli.command import EXIT_DIFFERENT, EXIT_DONE, CliCommand
+from ashlift.cli.command import EXIT_DIFFERENT, EXIT_SUCCESS, CliCommand
 from ashlift.cli.configurations import load_entries, prefix_failures
 from ashlift.cli.control_client import get_json
 from ashlift.cli.files import parse_json, read_file, read_json_file
-from ashlift.cli.rollout_planner import Replaceable, plan_rollout
+from ashlift.cli.rollout_planner import RolloutTarget, plan_rollout
 from ashlift.cli.tables import format_table, sorted_rows
 from ashlift.config import operator_config
 from ashlift.config.routing_table import RoutingTable
 from ashlift.errors import Failure, FailureReason
 
-ROUNDING_TOLERANCE: Final = 1e-9  # requests a second that count as served
-STATUS: Final = argument("status", "A Control address, or a file with the answer of its /status.")
+ROUNDING_TOLERANCE: Final = 1e-9  # requests/s; a smaller rejected rate is a rounding error
+STATUS: Final = argument("status", "A Control address, or a file with its response to GET /status.")
 CAPACITY_COLUMNS: Final = ("lost", "route", "service", "workers", "offered", "served", "rejected")
 
 
 def read_status(origin: str) -> dict[str, Any] | Failure:
-    """Return an answer of `GET /status`, from a core machine or from a file."""
+    """Return a response of `GET /status`, from a file or from a core machine."""
     data = read_file(origin)
-    answer = parse_json(data, origin) if isinstance(data, bytes) else get_json(origin, "/status")
-    if isinstance(answer, Failure | dict):
-        return answer
+    response = parse_json(data, origin) if isinstance(data, bytes) else get_json(origin, "/status")
+    if isinstance(response, Failure | dict):
+        return response
     return Failure(FailureReason.INVALID, f"{origin}: is no answer of /status")
 
 
-def parse_loads(texts: list[str], table: RoutingTable) -> dict[str, OfferedLoad] | Failure:
-    """Parse `ROUTE=RATE:WORK_MS`, each of a route of the configuration."""
+def parse_offered_loads(texts: list[str], table: RoutingTable) -> dict[str, OfferedLoad] | Failure:
+    """Parse texts of the form `ROUTE=RATE:WORK_MS`; each route must exist in the configuration."""
     loads = {}
     for text in texts:
         name, _, numbers = text.partition("=")
@@ -45,7 +45,9 @@
         if name not in table.routes:
             return Failure(FailureReason.INVALID, f"{name}: the configuration has no such route")
     if not loads:
-        return Failure(FailureReason.INVALID, "say with --ask ROUTE=RATE:WORK_MS what clients ask")
+        return Failure(
+            FailureReason.INVALID, "--ask ROUTE=RATE:WORK_MS is required: the load that clients offer"
+        )
     return loads
 
 
@@ -57,34 +59,41 @@
     arguments = [STATUS]
     options = [
         option("on", None, "The configuration (file or address).", flag=False),
-        option("ask", None, "ROUTE=RATE:WORK_MS, as look=158:220.", flag=False, multiple=True),
+        option(
+            "ask",
+            None,
+            "Offered load as ROUTE=RATE:WORK_MS (requests/s and ms of work each), e.g. look=158:220.",
+            flag=False,
+            multiple=True,
+        ),
     ]
 
     def handle(self) -> int:
-        """Print the table, and the quotas; different where requests are rejected with nothing lost."""
-        answer = read_status(self.argument("status"))
-        if isinstance(answer, Failure):
-            return self.print_failures([answer])
+        """Print served rates and quotas; `EXIT_DIFFERENT` if load is rejected even without a failure."""
+        response = read_status(self.argument("status"))
+        if isinstance(response, Failure):
+            return self.print_failures([response])
         entries = load_entries(self.option("on") or self.argument("status"))
         if isinstance(entries, list):
             return self.print_failures(entries)
         table = RoutingTable.from_entries(entries)
-        loads = parse_loads(self.option("ask"), table)
+        loads = parse_offered_loads(self.option("ask"), table)
         if isinstance(loads, Failure):
             return self.print_failures([loads])
-        results = list(plan_capacity(_planned_workers(answer), table, loads))
+        results = list(plan_capacity(_planned_workers(response), table, loads))
         self.print_lines(format_table(CAPACITY_COLUMNS, [_capacity_row(result) for result in results]))
         self.print_lines([_quota_line(table)])
         rejected = any(
-            result.lost == "nothing" and result.rejected_rate > ROUNDING_TOLERANCE for result in results
+            result.failed_domain == "nothing" and result.rejected_rate > ROUNDING_TOLERANCE
+            for result in results
         )
-        return EXIT_DIFFERENT if rejected else EXIT_DONE
+        return EXIT_DIFFERENT if rejected else EXIT_SUCCESS
 
 
-def _planned_workers(answer: Mapping[str, Any]) -> list[PlannedWorker]:
-    """The ready workers of an answer of `/status`; a zone's region is that of its proxies."""
+def _planned_workers(response: Mapping[str, Any]) -> list[PlannedWorker]:
+    """Return the ready workers of a status response; their region is that of the proxies in their zone."""
     region_of_zone = {
-        str(row.get("zone")): str(row.get("region")) for row in sorted_rows(answer, "gatekeepers")
+        str(row.get("zone")): str(row.get("region")) for row in sorted_rows(response, "gatekeepers")
     }
     return [
         PlannedWorker(
@@ -94,14 +103,14 @@
             region=region_of_zone.get(str(row["zone"]), ""),
             capacity=int(row["capacity"]),
         )
-        for row in sorted_rows(answer, "workers")
+        for row in sorted_rows(response, "workers")
         if row.get("state") == "ready"
     ]
 
 
 def _capacity_row(result: ServedLoad) -> dict[str, Any]:
     return {
-        "lost": result.lost,
+        "lost": result.failed_domain,
         "route": result.route,
         "service": result.service,
         "workers": result.workers,
@@ -124,43 +133,43 @@
     description = "In which order to replace proxies, core machines or workers."
     arguments = [
         STATUS,
-        argument("what", "gatekeepers (the proxies), core, or a service, whose workers are meant."),
+        argument("what", "gatekeepers (the proxies), core, or the name of a service (its workers)."),
     ]
-    options = [option("most", None, "So many are out at most.", flag=False, default="1")]
+    options = [option("most", None, "The maximum number out of service at a time.", flag=False, default="1")]
 
     def handle(self) -> int:
         """Print the batches, numbered."""
-        answer = read_status(self.argument("status"))
-        if isinstance(answer, Failure):
-            return self.print_failures([answer])
-        max_out = str(self.option("most"))
-        if not max_out.isdigit():
-            return self.print_invalid("--most wants a whole number")
-        what = self.argument("what")
-        items = _replaceable_items(answer, what)
+        response = read_status(self.argument("status"))
+        if isinstance(response, Failure):
+            return self.print_failures([response])
+        max_unavailable = str(self.option("most"))
+        if not max_unavailable.isdigit():
+            return self.print_error("--most must be a whole number")
+        group = self.argument("what")
+        items = _rollout_targets(response, group)
         if not items:
-            return self.print_invalid(f"{what}: there are none")
-        batches = plan_rollout(items, int(max_out), needs_majority=what == "core")
+            return self.print_error(f"{group}: there are none")
+        batches = plan_rollout(items, int(max_unavailable), needs_majority=group == "core")
         if isinstance(batches, Failure):
             return self.print_failures([batches])
         return self.print_lines([f"{number}. {', '.join(batch)}" for number, batch in enumerate(batches, 1)])
 
 
-def _replaceable_items(answer: Mapping[str, Any], what: str) -> list[Replaceable]:
-    if what == "core":  # each machine counts as a zone of its own
+def _rollout_targets(response: Mapping[str, Any], group: str) -> list[RolloutTarget]:
+    if group == "core":  # each core machine counts as its own zone
         return [
-            Replaceable(str(row["ip"]), str(row["ip"]), "core", row["ip"] == answer.get("leader"))
-            for row in sorted_rows(answer, "members")
+            RolloutTarget(str(row["ip"]), str(row["ip"]), "core", row["ip"] == response.get("leader"))
+            for row in sorted_rows(response, "members")
         ]
-    if what == "gatekeepers":
+    if group == "gatekeepers":
         return [
-            Replaceable(str(row["node"]), str(row["zone"]), "gatekeepers")
-            for row in sorted_rows(answer, "gatekeepers")
+            RolloutTarget(str(row["node"]), str(row["zone"]), "gatekeepers")
+            for row in sorted_rows(response, "gatekeepers")
         ]
     return [
-        Replaceable(str(row["id"]), str(row["zone"]), what)
-        for row in sorted_rows(answer, "workers")
-        if row.get("service") == what
+        RolloutTarget(str(row["id"]), str(row["zone"]), group)
+        for row in sorted_rows(response, "workers")
+        if row.get("service") == group
     ]
 
 
@@ -168,15 +177,17 @@
     """`plan change`."""
 
     name = "plan change"
-    description = "Which requests of a record are forwarded elsewhere or rejected after a change."
+    description = (
+        "Recorded requests that would be forwarded elsewhere or rejected after a configuration change."
+    )
     arguments = [
-        argument("config", "The new configuration, complete or a change by name."),
-        argument("on", "The configuration (file or address) that it is to follow."),
-        argument("record", "JSON lines: at, host, path, key."),
+        argument("config", "The new configuration, complete or a patch."),
+        argument("on", "The current configuration (file or address) that the change applies to."),
+        argument("record", "JSON lines with at (seconds), host, path, key."),
     ]
 
     def handle(self) -> int:
-        """Print the affected requests by route; different where there are any."""
+        """Print the affected requests by route; return `EXIT_DIFFERENT` if there are any."""
         file = self.argument("config")
         body = read_json_file(file)
         if isinstance(body, Failure):
@@ -184,25 +195,25 @@
         current = load_entries(self.argument("on"))
         if isinstance(current, list):
             return self.print_failures(current)
-        following = entries_after(current, body)
-        if isinstance(following, list):
-            return self.print_failures(prefix_failures(file, following))
-        requests = read_record(self.argument("record"))
+        new_entries = entries_after_change(current, body)
+        if isinstance(new_entries, list):
+            return self.print_failures(prefix_failures(file, new_entries))
+        requests = read_recorded_requests(self.argument("record"))
         if isinstance(requests, Failure):
             return self.print_failures([requests])
         old = RoutingTable.from_entries(current)
-        new = RoutingTable.from_entries(following)
+        new = RoutingTable.from_entries(new_entries)
         counts = compare_outcomes(old, new, requests)
         affected = {key: count for key, count in counts.items() if key.before != key.after}
         self.print_lines(format_table(("route", "requests", "before", "after"), _affected_rows(affected)))
         self.print_lines(
             [f"{sum(affected.values())} of {sum(counts.values())} requests have another outcome"]
         )
-        return EXIT_DIFFERENT if affected else EXIT_DONE
+        return EXIT_DIFFERENT if affected else EXIT_SUCCESS
 
 
-def read_record(origin: str) -> list[RecordedRequest] | Failure:
-    """Read JSON lines with `at` (s), `host`, `path` and `key`; other fields are ignored."""
+def read_recorded_requests(origin: str) -> list[RecordedRequest] | Failure:
+    """Read JSON lines with `at` (seconds), `host`, `path` and an optional `key`; ignore other fields."""
     data = read_file(origin)
     if isinstance(data, Failure):
         return data
@@ -225,15 +236,15 @@
         request = RecordedRequest(**{**fields, "at": float(fields["at"])})
     except (TypeError, ValueError, AttributeError, KeyError):
         return Failure(
-            FailureReason.INVALID, f"{origin}: wants at (s), host, path, and key where there is one"
+            FailureReason.INVALID, f"{origin}: must have at (seconds), host and path; key is optional"
         )
     if not all(isinstance(text, str) for text in (request.host, request.path, request.key)):
-        return Failure(FailureReason.INVALID, f"{origin}: host, path and key are texts")
+        return Failure(FailureReason.INVALID, f"{origin}: host, path and key must be strings")
     return request
 
 
-def entries_after(current: dict[str, Any], body: Any) -> dict[str, Any] | list[Failure]:
-    """Return the entries after a change, complete or by name, or all its errors."""
+def entries_after_change(current: dict[str, Any], body: Any) -> dict[str, Any] | list[Failure]:
+    """Return the entries after a complete upload or a patch, or all its errors."""
     kind = "put" if isinstance(body, dict) and "Objects" in body else "patch"
     failures = operator_config.validate_change(current, kind, body)
     if failures:
--- a/ashlift/cli/rollout_planner.py
+++ b/ashlift/cli/rollout_planner.py
@@ -1,4 +1,4 @@
-"""Plans the order in which machines or workers are replaced. Pure."""
+"""Plans the order in which machines or workers are replaced. Performs no I/O."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -9,54 +9,58 @@
 
 
 @frozen
-class Replaceable:
+class RolloutTarget:
     """A proxy, core machine or worker that is to be replaced."""
 
     name: str
     zone: str
-    group: str  # of which it is one: bounded is how many of a group are out
-    is_last: bool = False  # such as the leader: it is replaced when all others of its group are back
+    group: str  # the limit on unavailable targets applies per group
+    replace_last: bool = False  # after all others of its group, as for the leader
 
 
 def plan_rollout(
-    items: Sequence[Replaceable], max_out: int, needs_majority: bool = False
+    targets: Sequence[RolloutTarget], max_unavailable: int, needs_majority: bool = False
 ) -> list[list[str]] | Failure:
-    """Return batches of names, each to be back before the next.
+    """Return batches of names; each batch must be back in service before the next one starts.
 
-    At most `max_out` are out at a time, all in one zone, and less than half of a group that has three or
-    more; where the group needs a majority, never so many that none is left.
+    A batch has at most `max_unavailable` targets, all in one zone. From a group of three or more it takes
+    less than half; from a smaller group it takes one, or fails if `needs_majority` is set.
     """
-    if max_out < 1:
-        return Failure(FailureReason.INVALID, "at most 0 may be out: nothing can be replaced")
-    limits = _limits_by_group(items, max_out)
+    if max_unavailable < 1:
+        return Failure(FailureReason.INVALID, "the maximum number out of service must be at least 1")
+    limits = _max_unavailable_by_group(targets, max_unavailable)
     if needs_majority and (too_small := next((group for group, limit in limits.items() if limit < 1), None)):
-        size = sum(item.group == too_small for item in items)
+        size = sum(target.group == too_small for target in targets)
         return Failure(
             FailureReason.INVALID,
-            f"{too_small}: of {size} none may be out, for the others are no majority",
+            f"{too_small}: none of {size} can be replaced: the others would not be a majority",
         )
-    waiting = sorted(items, key=lambda item: (item.is_last, item.zone, item.group, item.name))
+    pending = sorted(
+        targets, key=lambda target: (target.replace_last, target.zone, target.group, target.name)
+    )
     batches: list[list[str]] = []
-    while waiting:
-        batch = _next_batch(waiting, max_out, limits)
-        waiting = [item for item in waiting if item not in batch]
-        batches.append([item.name for item in batch])
+    while pending:
+        batch = _next_batch(pending, max_unavailable, limits)
+        pending = [target for target in pending if target not in batch]
+        batches.append([target.name for target in batch])
     return batches
 
 
-def _limits_by_group(items: Sequence[Replaceable], max_out: int) -> dict[str, int]:
-    """How many of each group may be out; 0 where the others would be no majority."""
-    sizes = Counter(item.group for item in items)
-    return {group: min(max_out, (size - 1) // 2) for group, size in sizes.items()}
+def _max_unavailable_by_group(targets: Sequence[RolloutTarget], max_unavailable: int) -> dict[str, int]:
+    """Return how many of each group may be unavailable; 0 if the others would not be a majority."""
+    sizes = Counter(target.group for target in targets)
+    return {group: min(max_unavailable, (size - 1) // 2) for group, size in sizes.items()}
 
 
-def _next_batch(waiting: Sequence[Replaceable], max_out: int, limits: Mapping[str, int]) -> list[Replaceable]:
-    """The first that waits, and others of its zone as far as the limits allow; one of a group always may."""
-    first = waiting[0]
-    batch: list[Replaceable] = []
-    for item in waiting:
-        same_group = sum(other.group == item.group for other in batch)
-        fits = len(batch) < max_out and same_group < max(1, limits[item.group])
-        if item.zone == first.zone and item.is_last == first.is_last and fits:
-            batch.append(item)
+def _next_batch(
+    pending: Sequence[RolloutTarget], max_unavailable: int, limits: Mapping[str, int]
+) -> list[RolloutTarget]:
+    """Return the first pending target and others of its zone within the limits; one per group always fits."""
+    first = pending[0]
+    batch: list[RolloutTarget] = []
+    for target in pending:
+        same_group = sum(other.group == target.group for other in batch)
+        fits = len(batch) < max_unavailable and same_group < max(1, limits[target.group])
+        if target.zone == first.zone and target.replace_last == first.replace_last and fits:
+            batch.append(target)
     return batch
--- a/ashlift/cli/route_commands.py
+++ b/ashlift/cli/route_commands.py
@@ -1,4 +1,4 @@
-"""The `route` commands: edits of single routes, and pending edits (docs/operations/routes.md)."""
+"""The `route` commands: edit single routes, and resolve pending edits (docs/operations/routes.md)."""
 
 import getpass
 import json
@@ -15,23 +15,23 @@
 from ashlift.errors import Failure, FailureReason
 
 EDIT_ID_BYTES: Final = 6
-AUTHOR: Final = option("who", None, "The author; if not given, your login name.", flag=False)
+AUTHOR: Final = option("who", None, "The author; the default is your login name.", flag=False)
 ON_VERSION: Final = option("on", None, "The version that `route proposals` showed.", flag=False)
 
 
 class _RouteCommand(CliCommand):
     def author(self) -> str:
-        """Return who makes the edit or resolves it."""
+        """Return the name recorded as author of the edit or of its resolution."""
         return str(self.option("who") or getpass.getuser())
 
-    def print_answer(self, answer: tuple[int, Any] | Failure, done: str) -> int:
-        """Print the answer to a POST; `done` is a format for the answer of an edit that is in force."""
-        if isinstance(answer, Failure):
-            return self.print_failures([answer])
-        status, value = answer
+    def print_response(self, response: tuple[int, Any] | Failure, success_format: str) -> int:
+        """Print the response to a POST; if the edit was applied, format its JSON with `success_format`."""
+        if isinstance(response, Failure):
+            return self.print_failures([response])
+        status, value = response
         match status:
             case 200:
-                return self.print_lines([done.format(**value).rstrip()])
+                return self.print_lines([success_format.format(**value).rstrip()])
             case 202:
                 self.print_lines(route_edit_output.pending_lines(value))
                 return EXIT_PENDING
@@ -52,15 +52,15 @@
     options = [
         option("file", None, "JSON: the route's Specification.", flag=False),
         option("withdraw", None, "Remove the route.", flag=True),
-        option("id", None, "The id of an edit that got no clear answer, to send it again.", flag=False),
+        option("id", None, "The id of an edit whose outcome is unknown, to send it again.", flag=False),
         AUTHOR,
     ]
 
     def handle(self) -> int:
-        """Read the current route, and send the edit that builds on it."""
+        """Read the current route, and send an edit based on it."""
         file = self.option("file")
         if bool(file) == bool(self.option("withdraw")):
-            return self.print_invalid("either --file or --withdraw")
+            return self.print_error("either --file or --withdraw")
         specification = read_json_file(file) if file else None
         if isinstance(specification, Failure):
             return self.print_failures([specification])
@@ -71,48 +71,48 @@
             return self.print_failures([current])
         edit_id = self.option("id") or secrets.token_hex(EDIT_ID_BYTES)
         body = {"id": edit_id, "who": self.author(), "text": specification, "base": current.get("text")}
-        answer = post_json(address, path, body)
-        if isinstance(answer, Failure):  # it may have been accepted
-            answer = Failure(answer.reason, f"{answer.detail}; send it again with --id {edit_id}")
-        return self.print_answer(answer, f"{edit_id}: {{outcome}}, version {{version}}")
+        response = post_json(address, path, body)
+        if isinstance(response, Failure):  # the edit may have been accepted
+            response = Failure(response.reason, f"{response.detail}; send it again with --id {edit_id}")
+        return self.print_response(response, f"{edit_id}: {{outcome}}, version {{version}}")
 
 
 class RouteProposals(_RouteCommand):
     """`route proposals`."""
 
     name = "route proposals"
-    description = "The pending edits: which, by whom, on which version, and why they are pending."
+    description = "The pending edits with author, base version and the reason why each is pending."
     arguments = [ADDRESS]
-    options = [option("json", None, "The answer as it came.", flag=True)]
+    options = [option("json", None, "Print the JSON response unchanged.", flag=True)]
 
     def handle(self) -> int:
         """Print the pending edits."""
-        answer = get_json_object(self.argument("address"), "/proposals")
-        if isinstance(answer, Failure):
-            return self.print_failures([answer])
+        response = get_json_object(self.argument("address"), "/proposals")
+        if isinstance(response, Failure):
+            return self.print_failures([response])
         if self.option("json"):
-            return self.print_lines([json.dumps(answer, indent=2)])
-        return self.print_lines(route_edit_output.proposal_lines(answer))
+            return self.print_lines([json.dumps(response, indent=2)])
+        return self.print_lines(route_edit_output.proposal_lines(response))
 
 
 class RouteConfirm(_RouteCommand):
     """`route confirm`."""
 
     name = "route confirm"
-    description = "Put a pending edit in force, on top of the version that you were shown."
-    resolution = "confirm"  # as `POST /proposals/ID` names it
+    description = "Apply a pending edit on top of the version that `route proposals` showed."
+    resolution = "confirm"  # value of `word` in the body of `POST /proposals/ID`
     arguments = [ADDRESS, argument("id", "The edit's id, as `route proposals` shows it.")]
     options = [
         ON_VERSION,
-        option("over", None, "Also if the route has changed since the edit was made.", flag=True),
+        option("over", None, "Apply it even if the route has changed since the edit was made.", flag=True),
         AUTHOR,
     ]
 
     def handle(self) -> int:
-        """Send the resolution of the edit."""
+        """Confirm or reject the edit."""
         version = self.option("on")
         if not version:
-            return self.print_invalid("--on VERSION: the one that `route proposals` showed")
+            return self.print_error("--on VERSION: the one that `route proposals` showed")
         body = {
             "word": self.resolution,
             "who": self.author(),
@@ -120,11 +120,11 @@
             "over": self.overwrites(),
         }
         path = f"/proposals/{quote(self.argument('id'))}"
-        answer = post_json(self.argument("address"), path, body)
-        return self.print_answer(answer, "{outcome} {version}")
+        response = post_json(self.argument("address"), path, body)
+        return self.print_response(response, "{outcome} {version}")
 
     def overwrites(self) -> bool:
-        """Return whether the edit replaces a route that has changed since."""
+        """Return whether the edit may replace a route that has changed since the edit was made."""
         return bool(self.option("over"))
 
 
@@ -137,7 +137,7 @@
     options = [ON_VERSION, AUTHOR]
 
     def overwrites(self) -> bool:
-        """A rejected edit replaces nothing."""
+        """Return False: a rejected edit replaces nothing."""
         return False
 
 
@@ -145,12 +145,14 @@
     """`route history`."""
 
     name = "route history"
-    description = "What became of a route's edits: who, where, when, which version, what they lost to."
+    description = (
+        "The outcomes of a route's edits: author, machine, time, version, and the edit that won a conflict."
+    )
     arguments = [ADDRESS, argument("name", "The route's name.")]
 
     def handle(self) -> int:
-        """Print the current route and its last edits."""
-        answer = get_json_object(self.argument("address"), f"/routes/{quote(self.argument('name'))}")
-        if isinstance(answer, Failure):
-            return self.print_failures([answer])
-        return self.print_lines(route_edit_output.history_lines(answer))
+        """Print the current route and its latest edits."""
+        response = get_json_object(self.argument("address"), f"/routes/{quote(self.argument('name'))}")
+        if isinstance(response, Failure):
+            return self.print_failures([response])
+        return self.print_lines(route_edit_output.history_lines(response))
--- a/ashlift/cli/status_output.py
+++ b/ashlift/cli/status_output.py
@@ -1,4 +1,4 @@
-"""What `status` and `members` print of an answer of `GET /status`. Pure."""
+"""Formats responses of `GET /status` for the `status` and `members` commands. Performs no I/O."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -7,17 +7,18 @@
 from ashlift.cli.tables import Rows, format_cell, format_table, sorted_rows
 
 
-def status_lines(answer: Mapping[str, Any]) -> list[str]:
-    """Return the state of the system as one core machine sees it."""
-    proxies = sorted_rows(answer, "gatekeepers")
-    workers = sorted_rows(answer, "workers")
+def status_lines(response: Mapping[str, Any]) -> list[str]:
+    """Return a summary of the system's state as reported by one core machine."""
+    proxies = sorted_rows(response, "gatekeepers")
+    workers = sorted_rows(response, "workers")
     ready_proxies = sum(row.get("ready") is True for row in proxies)
     lines = [
-        f"node           {format_cell(answer.get('node'))}",
-        f"configuration  {format_cell(answer.get('version'))}, {_freshness(answer.get('age'))}",
-        f"store          leader {format_cell(answer.get('leader'))}, term {format_cell(answer.get('term'))}, "
-        f"index {format_cell(answer.get('index'))}, {len(sorted_rows(answer, 'members'))} members",
-        *_registry_lines(answer.get("sources")),
+        f"node           {format_cell(response.get('node'))}",
+        f"configuration  {format_cell(response.get('version'))}, {_freshness(response.get('age'))}",
+        f"store          leader {format_cell(response.get('leader'))}, "
+        f"term {format_cell(response.get('term'))}, "
+        f"index {format_cell(response.get('index'))}, {len(sorted_rows(response, 'members'))} members",
+        *_registry_lines(response.get("sources")),
         f"proxies        {len(proxies)}, {ready_proxies} ready",
         f"workers        {len(workers)}",
     ]
@@ -27,19 +28,19 @@
     return lines
 
 
-def member_lines(answer: Mapping[str, Any]) -> list[str]:
-    """Return the core machines, proxies and workers, each on a line."""
-    core = sorted_rows(answer, "members")
-    further_columns = sorted({key for row in core for key in row} - {"ip"})
+def member_lines(response: Mapping[str, Any]) -> list[str]:
+    """Return tables of the core machines, proxies and workers."""
+    core = sorted_rows(response, "members")
+    other_columns = sorted({key for row in core for key in row} - {"ip"})
     return [
         "core",
-        *format_table(["ip", *further_columns], core),
+        *format_table(["ip", *other_columns], core),
         "proxies",
         *format_table(
-            ["node", "zone", "region", "front", "ready", "since"], sorted_rows(answer, "gatekeepers")
+            ["node", "zone", "region", "front", "ready", "since"], sorted_rows(response, "gatekeepers")
         ),
         "workers",
-        *format_table(["id", "service", "zone", "state", "warm"], sorted_rows(answer, "workers")),
+        *format_table(["id", "service", "zone", "state", "warm"], sorted_rows(response, "workers")),
     ]
 
 
@@ -50,7 +51,7 @@
 
 
 def _registry_lines(sources: Any) -> list[str]:
-    """The other registries, and how long ago the last update of each came."""
+    """Return the other registries and the age of the last update from each."""
     if not isinstance(sources, dict) or not sources:
         return []
     ages = {name: format_cell(row.get("silent")) for name, row in sources.items() if isinstance(row, dict)}
@@ -58,11 +59,15 @@
 
 
 def _worker_states(workers: Rows) -> dict[str, Counter[str]]:
-    """Numbers of workers by state, by service."""
+    """Return, by service, the number of workers in each state."""
     states: dict[str, Counter[str]] = {}
     for row in workers:
-        warm_in = row.get("warm")  # seconds, or of no use where the state has none
-        warming_up = isinstance(warm_in, int | float) and not isinstance(warm_in, bool) and warm_in > 0
+        seconds_until_warm = row.get("warm")  # None for a state without a warm-up
+        warming_up = (
+            isinstance(seconds_until_warm, int | float)
+            and not isinstance(seconds_until_warm, bool)
+            and seconds_until_warm > 0
+        )
         state = f"{format_cell(row.get('state'))}{' (warming up)' if warming_up else ''}"
         states.setdefault(format_cell(row.get("service")), Counter())[state] += 1
     return states
--- a/ashlift/cli/store_member_commands.py
+++ b/ashlift/cli/store_member_commands.py
@@ -1,6 +1,6 @@
-"""The `members store`, `add`, `remove` and `replace` commands: the store's voters and learners.
+"""The commands `members store`, `add`, `remove` and `replace` for the store's voters and learners.
 
-A change is planned from the leader's table and shown before anything is sent.
+A change is planned from the leader's table of members, and the plan is printed before the change is sent.
 """
 
 import json
@@ -14,7 +14,7 @@
 from ashlift.errors import Failure, FailureReason
 
 COMMAND_TIMEOUT_SECONDS: Final = 3.0
-VOTER: Final = "voter"  # as the table says it
+VOTER: Final = "voter"  # value of `role` in the table of members
 MEMBER_COLUMNS: Final = {
     "ip": "ip",
     "role": "role",
@@ -27,27 +27,27 @@
     "stays": "not removable",
 }
 
-MemberRow = dict[str, Any]  # of the leader's table, as JSON
+MemberRow = dict[str, Any]  # a row of the leader's table of members, as JSON
 
 
 def fetch_member_rows(address: str) -> list[MemberRow] | Failure:
-    """Return the leader's table of members, as one core machine forwards it."""
-    answer = get_json(address, "/members")
-    if isinstance(answer, Failure):
-        return answer
-    rows = answer.get("members") if isinstance(answer, dict) else None
+    """Return the leader's table of members, through any core machine."""
+    response = get_json(address, "/members")
+    if isinstance(response, Failure):
+        return response
+    rows = response.get("members") if isinstance(response, dict) else None
     if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
         return Failure(FailureReason.INVALID, f"{address}: GET /members: is no list of members")
     return rows
 
 
 def member_table_lines(rows: list[MemberRow]) -> list[str]:
-    """Return the table of members as text."""
+    """Return the table of members as lines of text."""
     return ["store", *format_table(MEMBER_COLUMNS, rows)]
 
 
 def plan_member_change(rows: list[MemberRow], action: str, ip: str) -> list[str] | Failure:
-    """Return what a change of one member would lead to, in words, or why it is rejected."""
+    """Describe the effects of changing one member, or return why the change is rejected."""
     row = next((row for row in rows if row.get("ip") == ip), None)
     voters = sum(row.get("role") == VOTER for row in rows)
     if row is None:
@@ -75,7 +75,9 @@
     """`members store`."""
 
     name = "members store"
-    description = "Voters and learners of the store: whose disk counts, who leaves, how far each is behind."
+    description = (
+        "Voters and learners of the store: who counts for the majority, who leaves, how far each is behind."
+    )
     arguments = [ADDRESS]
 
     def handle(self) -> int:
@@ -87,14 +89,16 @@
 
 
 class _MemberChange(CliCommand):
-    """A change of one member; without `--yes` its plan alone is shown."""
+    """A change of one member; without `--yes` only the plan is printed."""
 
-    action = ""  # as `POST /members` names it
+    action = ""  # value of `Do` in the body of `POST /members`
     arguments = [ADDRESS, argument("ip", "The core machine's IP.")]
-    options = [option("yes", None, "Do it; else the plan alone is shown.", flag=True)]
+    options = [
+        option("yes", None, "Send the change; without this option only the plan is printed.", flag=True)
+    ]
 
     def handle(self) -> int:
-        """Print the plan, and send the change where it is confirmed."""
+        """Print the plan, and send the change if `--yes` is given."""
         address = self.argument("address")
         ip = self.argument("ip")
         rows = fetch_member_rows(address)
@@ -107,12 +111,12 @@
         if not self.option("yes"):
             return self.print_lines(["nothing was done: say --yes"])
         body = json.dumps({"Do": self.action, "Ip": ip}).encode()
-        answer = send_command(address, "POST", "/members", "", body, COMMAND_TIMEOUT_SECONDS)
-        if isinstance(answer, Failure):
-            return self.print_failures([answer])
-        status, text = answer
+        response = send_command(address, "POST", "/members", "", body, COMMAND_TIMEOUT_SECONDS)
+        if isinstance(response, Failure):
+            return self.print_failures([response])
+        status, text = response
         if status != 200:
-            return self.print_invalid(f"{status} {text}")
+            return self.print_error(f"{status} {text}")
         return self.print_lines(["accepted: look again with `members store`"])
 
 
@@ -120,7 +124,7 @@
     """`members remove`."""
 
     name = "members remove"
-    description = "Take a core machine's vote; rejected where too few would be left."
+    description = "Make a voter a learner; rejected if too few voters would be left."
     action = "remove"
 
 
@@ -128,7 +132,7 @@
     """`members replace`."""
 
     name = "members replace"
-    description = "Take a core machine's vote once a new one votes in its place."
+    description = "Make a voter a learner once another core machine votes in its place."
     action = "replace"
 
 
@@ -136,5 +140,5 @@
     """`members add`."""
 
     name = "members add"
-    description = "Let a core machine vote again that was removed, or keep one that leaves."
+    description = "Let a removed core machine become a voter again, or keep one that is leaving."
     action = "add"
--- a/ashlift/cli/tables.py
+++ b/ashlift/cli/tables.py
@@ -1,15 +1,15 @@
-"""Formats values and tables for a terminal; what an answer lacks is shown as `-`. Pure."""
+"""Formats values and tables for a terminal; a missing value is shown as `-`. Performs no I/O."""
 
 import json
 from collections.abc import Mapping, Sequence
 from typing import Any, Final
 
 SORT_KEYS: Final = ("zone", "service", "node", "id", "ip")
-Rows = Sequence[Mapping[str, Any]]  # rows of JSON answers, by key
+Rows = Sequence[Mapping[str, Any]]  # rows of a JSON response
 
 
 def format_cell(value: Any) -> str:
-    """Return a value on one line."""
+    """Return a value as text on one line."""
     if value is None or value == "":
         return "-"
     if isinstance(value, bool):
@@ -20,7 +20,7 @@
 
 
 def format_table(columns: Sequence[str] | Mapping[str, str], rows: Rows) -> list[str]:
-    """Return the lines of a table: columns by key, headed by the key or, in a mapping, by its value."""
+    """Return the lines of a table; `columns` are row keys, or a mapping of row keys to headings."""
     if not rows:
         return ["  none"]
     headings = list(columns.values()) if isinstance(columns, Mapping) else list(columns)
@@ -30,9 +30,9 @@
     return [f"  {'  '.join(line)}".rstrip() for line in padded]
 
 
-def sorted_rows(answer: Mapping[str, Any], key: str) -> Rows:
-    """Return the rows that an answer has under a key, in a fixed order; a bare text is a row's `ip`."""
-    values = answer.get(key)
+def sorted_rows(response: Mapping[str, Any], key: str) -> Rows:
+    """Return the rows under a key of a response, sorted; a bare value becomes `{"ip": value}`."""
+    values = response.get(key)
     if not isinstance(values, list):
         return []
     rows = [value if isinstance(value, dict) else {"ip": value} for value in values]
--- a/ashlift/cli/tenants.py
+++ b/ashlift/cli/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants in files and in the configuration: changes, and what is allowed but seldom meant. Pure."""
+"""Reads tenants from files, builds patches, and warns about likely mistakes. Performs no I/O."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any, Final
@@ -9,12 +9,12 @@
 from ashlift.config.stored_objects import OTHER_FIELDS
 from ashlift.errors import Failure, FailureReason
 
-Json = dict[str, Any]
+JsonObject = dict[str, Any]
 TENANT_KEY_PREFIX: Final = "Tenants/"
 
 
-def parse_objects(body: Any, origin: str) -> list[Json] | Failure:
-    """Return the objects of a file: `{"Objects": [...]}`, the same under `Upsert`, or one object alone."""
+def parse_objects(body: Any, origin: str) -> list[JsonObject] | Failure:
+    """Return the objects of a file: `{"Objects": [...]}`, the same under `Upsert`, or a single object."""
     if isinstance(body, dict) and isinstance(body.get("Upsert"), dict):
         if body.get("Withdraw"):
             return Failure(
@@ -31,17 +31,17 @@
     return objects
 
 
-def tenant_names(objects: Iterable[Json]) -> list[str]:
+def tenant_names(objects: Iterable[JsonObject]) -> list[str]:
     """Return the names of the tenants among validated objects."""
     return [item["Metadata"]["Name"] for item in objects if item["ObjectType"] == "Tenants"]
 
 
 def build_patch(
-    entries: Mapping[str, Any], objects: list[Json], removed_tenants: Iterable[str] = ()
-) -> tuple[str, Json]:
-    """Return If-Match and the body of a PATCH that upserts these objects and withdraws these tenants."""
+    entries: Mapping[str, Any], objects: list[JsonObject], removed_tenants: Iterable[str] = ()
+) -> tuple[str, JsonObject]:
+    """Return If-Match and body of a PATCH that upserts `objects` and withdraws `removed_tenants`."""
     version = operator_config.current_version(entries)
-    body: Json = {"ConfigVersion": f"{int(version, 16) + 1:08x}"}
+    body: JsonObject = {"ConfigVersion": f"{int(version, 16) + 1:08x}"}
     if objects:
         body["Upsert"] = {"Objects": objects}
     if removed_tenants:
@@ -49,8 +49,8 @@
     return version, body
 
 
-def without_api_keys(entries: Mapping[str, Any], name: str) -> Json:
-    """Return a stored tenant as an object without its API keys: its limits stay."""
+def without_api_keys(entries: Mapping[str, Any], name: str) -> JsonObject:
+    """Return a stored tenant as an object without API keys; all other fields are kept."""
     key = TENANT_KEY_PREFIX + name
     bare_object = {"ObjectType": "Tenants", "Metadata": {"Name": name}}
     specification = {**entries[key], "ApiKeys": []}
@@ -58,15 +58,15 @@
 
 
 def tenant_warnings(
-    entries_after: Mapping[str, Any], objects: list[Json], status: ClusterStatus
+    entries_after: Mapping[str, Any], objects: list[JsonObject], status: ClusterStatus
 ) -> list[str]:
-    """Return what is allowed and yet seldom meant, for the tenants among `objects`."""
+    """Return warnings about valid but probably unintended values of the tenants among `objects`."""
     table = RoutingTable.from_entries(entries_after)
     routes = _relevant_routes(table, objects)
     warnings = []
     for name in tenant_names(objects):
         tenant = table.tenants[name]
-        warnings += _own_warnings(tenant, status)
+        warnings += _field_warnings(tenant, status)
         warnings += _home_region_conflicts(tenant, routes)
         max_rate, slots = _sustainable_rate(tenant, routes, status)
         if tenant.rate_limit > max_rate:
@@ -79,7 +79,7 @@
 
 
 def describe_tenant(tenant: Tenant) -> str:
-    """Return a tenant's limits on one line; API keys are secret, and only counted."""
+    """Return a tenant's limits on one line, with the number of API keys, as the keys are secret."""
     limit = "no rate limit"
     if tenant.rate_limit > 0:
         limit = f"{tenant.rate_limit:g} a second, burst {tenant.burst_size:g}"
@@ -88,14 +88,14 @@
     return f"{len(tenant.api_keys)} keys, {limit}, home regions {home_regions}, priority {priority}"
 
 
-def _relevant_routes(table: RoutingTable, objects: list[Json]) -> list[Route]:
-    """The routes that come with the tenants, or all, of those that ask for a key."""
+def _relevant_routes(table: RoutingTable, objects: list[JsonObject]) -> list[Route]:
+    """Return the routes that require an API key: those among `objects`, or all if there are none."""
     names = [item["Metadata"].get("Name") for item in objects if item["ObjectType"] == "Routes"]
-    with_key = [route for route in table.routes.values() if not route.anonymous]
-    return [route for route in with_key if route.name in names] or with_key
+    authenticated_routes = [route for route in table.routes.values() if not route.anonymous]
+    return [route for route in authenticated_routes if route.name in names] or authenticated_routes
 
 
-def _own_warnings(tenant: Tenant, status: ClusterStatus) -> list[str]:
+def _field_warnings(tenant: Tenant, status: ClusterStatus) -> list[str]:
     warnings = []
     if not tenant.api_keys:
         warnings.append(f"Tenants {tenant.name}: has no key: all of its requests get 401")
@@ -116,7 +116,7 @@
 
 
 def _sustainable_rate(tenant: Tenant, routes: Iterable[Route], status: ClusterStatus) -> tuple[float, int]:
-    """Requests a second that the services of these routes sustain at their targets, and their slots."""
+    """Return the requests/s that the routes' services sustain at their latency targets, and their slots."""
     region_of_zone = {proxy.zone: proxy.region for proxy in status.proxies}
     latency_targets: dict[str, float] = {}  # by service
     for route in routes:
--- a/tests/cli/test_planners.py
+++ b/tests/cli/test_planners.py
@@ -9,7 +9,7 @@
 
 from ashlift.cli.capacity_planner import OfferedLoad, PlannedWorker, plan_capacity
 from ashlift.cli.change_planner import Outcome, OutcomeKind, RecordedRequest, RouteOutcomes, compare_outcomes
-from ashlift.cli.rollout_planner import Replaceable, plan_rollout
+from ashlift.cli.rollout_planner import RolloutTarget, plan_rollout
 from ashlift.config.operator_config import load_configuration
 from ashlift.config.routing_table import RoutingTable
 from ashlift.errors import Failure
@@ -45,7 +45,7 @@
 def _() -> None:
     load = {"look": OfferedLoad(100.0, 0.2), "bill": OfferedLoad(50.0, 0.1)}
     results = plan_capacity(planned_workers(), routing_table(BODY), load)
-    served = {(result.lost, result.route): result for result in results}
+    served = {(result.failed_domain, result.route): result for result in results}
     assert served["nothing", "look"].rejected_rate == 0
     assert served["nothing", "look"].workers == 6
     # After a zone 5 workers of 4 slots serve 100 a second of 0.2 s; after a region 4, that is 80.
@@ -66,7 +66,7 @@
             item["Specification"] = {**item["Specification"], "Priority": 0}
     load = {"look": OfferedLoad(100.0, 0.2), "hold": OfferedLoad(60.0, 0.2)}
     results = plan_capacity(planned_workers(), routing_table(body), load)
-    served = {result.route: result for result in results if result.lost == "nothing"}
+    served = {result.route: result for result in results if result.failed_domain == "nothing"}
     assert served["hold"].rejected_rate < 1e-9
     assert abs(served["look"].served_rate - 60.0) < 1e-9
 
@@ -74,15 +74,15 @@
 @test("plan rollout: {kind}, never more than may be out, nor a majority, one zone at a time, the leader last")
 def _(kind: str = each("gatekeepers", "core", "workers")) -> None:
     count = 5 if kind == "core" else 11
-    items = [Replaceable(f"n{number}", f"z{number % 3}", kind, number == 2) for number in range(count)]
+    items = [RolloutTarget(f"n{number}", f"z{number % 3}", kind, number == 2) for number in range(count)]
     zones = {item.name: item.zone for item in items}
-    for max_out in (1, 2, 9):
-        batches = plan_rollout(items, max_out, kind == "core")
+    for max_unavailable in (1, 2, 9):
+        batches = plan_rollout(items, max_unavailable, kind == "core")
         assert not isinstance(batches, Failure)
         assert sorted(name for batch in batches for name in batch) == sorted(zones)
         assert batches[-1] == ["n2"]
         for batch in batches:
-            assert 0 < len(batch) <= min(max_out, (count - 1) // 2)
+            assert 0 < len(batch) <= min(max_unavailable, (count - 1) // 2)
             assert len({zones[name] for name in batch}) == 1
     assert isinstance(plan_rollout(items, 0), Failure)
     assert isinstance(plan_rollout(items[:2], 1, True), Failure) == (kind == "core") or kind != "core"
--- a/tests/cli/test_tenants.py
+++ b/tests/cli/test_tenants.py
@@ -78,10 +78,10 @@
             return Failure(FailureReason.OUTCOME_UNKNOWN, label)
         if fault == "503":
             return respond(503, {})
-        answer = self.decide("patch", headers["If-Match"], json.loads(body or b""))
+        response = self.decide("patch", headers["If-Match"], json.loads(body or b""))
         if fault == "after":
             return Failure(FailureReason.OUTCOME_UNKNOWN, label)
-        return respond(answer["status"], answer)
+        return respond(response["status"], response)
 
     def status(self, target: Address) -> dict[str, Any]:
         """The second machine is the one that the proxy calls."""
