--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands that inspect: run in this process, with the responses of core machines given."""
+"""The read-only commands, run in this process with canned responses of core machines."""
 
 import json
 import tempfile
@@ -41,7 +41,7 @@
 
 
 def run(line: str, responses: dict[str, ControlResponse] | None = None) -> tuple[int, str, str]:
-    """Exit code, standard output, standard error of a command; `responses` by `ADDRESS PATH`."""
+    """Return exit code, standard output and standard error; `responses` are keyed by `ADDRESS PATH`."""
 
     def request(target: Address, method: str, path: str, label: str, **_: Any) -> ControlResponse | Failure:
         host, port = target
@@ -54,8 +54,8 @@
     return code, tester.io.fetch_output(), tester.io.fetch_error()
 
 
-def answering(path: str, value: Any) -> dict[str, ControlResponse]:
-    """A core machine that answers one path with a JSON value."""
+def json_responses(path: str, value: Any) -> dict[str, ControlResponse]:
+    """Return the responses of a core machine that serves a JSON value on one path."""
     return {f"{CORE} {path}": ControlResponse(200, "", json.dumps(value).encode())}
 
 
@@ -66,12 +66,12 @@
 
 
 def write(folder: Path, name: str, value: Any) -> str:
-    """Write a text, or a value as JSON, to a file; return its path."""
+    """Write a string, or another value as JSON, to a file; return its path."""
     (folder / name).write_text(value if isinstance(value, str) else json.dumps(value))
     return str(folder / name)
 
 
-@test("check: valid files are said to be so, and every error is printed by file and key")
+@test("check: valid files pass, and every error is printed with its file and key")
 def _(folder: Path = folder) -> None:
     assert run(f"check {SCENARIOS / 'config_settings.toml'}")[0] == 0
     assert run(f"check {write(folder, 'c.json', PUT)}")[::2] == (0, "")
@@ -92,35 +92,35 @@
     assert "d.json: Routes r: Timeout: is no time" in errors
 
 
-@test("check --on: what is to follow a configuration is compared with it")
+@test("check --on: a change is validated against the configuration that it applies to")
 def _(folder: Path = folder) -> None:
     first = write(folder, "a.json", PUT)
     change = write(folder, "b.json", PATCH)
     assert run(f"check {change}")[0] == 2
     assert run(f"check {change} --on {first}")[::2] == (0, "")
-    assert run(f"check {change} --on {CORE}", answering("/config", PUT))[0] == 0
+    assert run(f"check {change} --on {CORE}", json_responses("/config", PUT))[0] == 0
     code, _, errors = run(f"check {first} --on {first}")
     assert code == 2
     assert errors == f"{first}: ConfigVersion: 00000007 is not above the current 00000007\n"
 
 
-@test("status: what a core machine knows, and its answer unchanged as JSON")
+@test("status: a summary of the response, and with --json the response unchanged")
 def _() -> None:
-    code, out, _ = run(f"status {CORE}", answering("/status", STATUS))
+    code, out, _ = run(f"status {CORE}", json_responses("/status", STATUS))
     assert code == 0
     assert "00000007, confirmed current 0.25 s ago" in out
     assert "proxies        2, 1 ready" in out
     assert "s: 1 ready, 1 ready (warming up)" in out
     assert "<t>: 1 draining" in out
     assert "core-b-1#4 (0.1 s ago)" in out
-    assert json.loads(run(f"status {CORE} --json", answering("/status", STATUS))[1]) == STATUS
-    assert run(f"status {CORE}", answering("/status", {}))[0] == 0
-    assert "not confirmed" in run(f"status {CORE}", answering("/status", {"age": None}))[1]
+    assert json.loads(run(f"status {CORE} --json", json_responses("/status", STATUS))[1]) == STATUS
+    assert run(f"status {CORE}", json_responses("/status", {}))[0] == 0
+    assert "not confirmed" in run(f"status {CORE}", json_responses("/status", {"age": None}))[1]
 
 
 @test("members: core machines, proxies and workers in this order")
 def _() -> None:
-    code, out, _ = run(f"members {CORE}", answering("/status", STATUS))
+    code, out, _ = run(f"members {CORE}", json_responses("/status", STATUS))
     assert code == 0
     assert out.index("10.0.0.2") < out.index("edge-a-1") < out.index("i-1")
     assert "edge-b-1  b     r       10.0.1.2:80  no" in out
@@ -128,9 +128,9 @@
 
 @test("config: shown as it can be sent, and compared with files and core machines")
 def _(folder: Path = folder) -> None:
-    assert json.loads(run(f"config show {CORE}", answering("/config", PUT))[1]) == PUT
+    assert json.loads(run(f"config show {CORE}", json_responses("/config", PUT))[1]) == PUT
     file = write(folder, "a.json", PUT)
-    assert run(f"config diff {file} {CORE}", answering("/config", PUT)) == (0, "", "")
+    assert run(f"config diff {file} {CORE}", json_responses("/config", PUT)) == (0, "", "")
     other = json.loads(json.dumps(PUT))
     other["ConfigVersion"] = "8"
     other["Objects"][0]["Specification"]["Timeout"] = "2s"
@@ -154,21 +154,21 @@
     if "show" in line:
         responses = {f"{CORE} /config": ControlResponse(404, "", b"nobody\n home")}
     if "diff" in line:
-        responses = answering("/config", PUT)
+        responses = json_responses("/config", PUT)
     code, out, errors = run(line, responses)
     assert (code, out, errors.count("\n")) == (2, "", 1)
     assert text in errors
 
 
-@test("requests: at most two redirects are followed, and what is no JSON is an error")
+@test("requests: at most two redirects are followed, and a body that is not JSON is an error")
 def _() -> None:
-    hops = {
+    redirects = {
         f"10.0.0.{n}:8200 /status": ControlResponse(307, f"http://10.0.0.{n + 1}:8200/status", b"")
         for n in (1, 2, 3)
     }
     last = {"10.0.0.4:8200 /status": ControlResponse(200, "", b"{}")}
-    assert run("status 10.0.0.2:8200", hops | last)[0] == 0
-    assert run(f"status {CORE}", hops | last)[0] == 2
+    assert run("status 10.0.0.2:8200", redirects | last)[0] == 0
+    assert run(f"status {CORE}", redirects | last)[0] == 2
     redirect = ControlResponse(307, "http://10.0.0.2:8200/status", b"")
     peer = "10.0.0.2:8200 /status"
     responses = {f"{CORE} /status": redirect, peer: ControlResponse(200, "", b'{"node": "core-b-1"}')}
@@ -176,9 +176,9 @@
     assert "more than 2 redirects" in run(f"status {CORE}", responses | {peer: redirect})[2]
     page = {f"{CORE} /status": ControlResponse(200, "", b"<html>")}
     assert "is no JSON" in run(f"status {CORE}", page)[2]
-    assert run(f"status {CORE}", answering("/status", 3))[0] == 2
+    assert run(f"status {CORE}", json_responses("/status", 3))[0] == 2
 
 
-@test("damaged configurations: a value in the place of all of it is possible")
+@test("mutated configurations: the whole configuration can be replaced by a single value")
 def _() -> None:
     assert mutated(PUT, [("set", 0, 3)]) == 3
--- a/tests/cli/test_members.py
+++ b/tests/cli/test_members.py
@@ -1,4 +1,4 @@
-"""The operator's command for members of the store: its plans, made from the leader's table."""
+"""The `members` commands: plans made from the leader's table of members."""
 
 from ward import test
 
@@ -7,7 +7,7 @@
 from tests.support.replica_scenarios import membership_table
 
 
-@test("members command: a plan in words, or why it is refused")
+@test("members command: the plan of a change, or the reason for its rejection")
 def _() -> None:
     rows = membership_table("members 5", "run 5")
     leader = next(row["ip"] for row in rows if row["leads"])
@@ -18,7 +18,7 @@
     assert isinstance(plan_member_change(rows, "remove", "9"), Failure)
     assert isinstance(plan_member_change(rows, "add", "1"), list)
     few = membership_table("members 3", "run 5")
-    refused = plan_member_change(few, "remove", "1")
-    assert isinstance(refused, Failure)
-    assert "2 voters would be left, and 3 are needed" in refused.detail
+    rejected = plan_member_change(few, "remove", "1")
+    assert isinstance(rejected, Failure)
+    assert "2 voters would be left, and 3 are needed" in rejected.detail
     assert isinstance(plan_member_change(few, "replace", "1"), list)
--- a/tests/cli/test_planners.py
+++ b/tests/cli/test_planners.py
@@ -1,4 +1,4 @@
-"""The planners: capacity after losses, order of a rollout, what a change does to recorded requests."""
+"""The planners: capacity after failures, batches of a rollout, effects of a change on recorded requests."""
 
 import json
 from collections import defaultdict
@@ -41,24 +41,24 @@
     ]
 
 
-@test("plan capacity: what is served after a loss, by rank, and home regions bind")
+@test("plan capacity: the load served after a failure, by priority and within home regions")
 def _() -> None:
     load = {"look": OfferedLoad(100.0, 0.2), "bill": OfferedLoad(50.0, 0.1)}
     results = plan_capacity(planned_workers(), routing_table(BODY), load)
     served = {(result.failed_domain, result.route): result for result in results}
     assert served["nothing", "look"].rejected_rate == 0
     assert served["nothing", "look"].workers == 6
-    # After a zone 5 workers of 4 slots serve 100 a second of 0.2 s; after a region 4, that is 80.
+    # 5 workers of 4 slots (one zone lost) serve 100 requests/s of 0.2 s; 4 (one region lost) serve 80.
     assert served["zone z1", "look"].rejected_rate == 0
     assert abs(served["region r2", "look"].rejected_rate - 20.0) < 1e-9
-    assert served["nothing", "bill"].workers == 2  # r1: z1, z4
+    assert served["nothing", "bill"].workers == 2  # the zones of r1: z1 and z4
     assert served["nothing", "bill"].rejected_rate == 0
     assert served["region r1", "bill"].served_rate == 0
     assert abs(served["zone z1", "bill"].rejected_rate - 10.0) < 1e-9
     assert abs(served["region r2", "bill"].rejected_rate) < 1e-9
 
 
-@test("plan capacity: of routes that share a service, the one of higher rank is served first")
+@test("plan capacity: of routes that share a service, the one of higher priority is served first")
 def _() -> None:
     body = edit_configuration(BODY, 2, ["hold=fleet"])
     for item in body["Objects"]:
@@ -71,7 +71,7 @@
     assert abs(served["look"].served_rate - 60.0) < 1e-9
 
 
-@test("plan rollout: {kind}, never more than may be out, nor a majority, one zone at a time, the leader last")
+@test("plan rollout: {kind}, each batch within the limit, a minority, and of one zone; the leader last")
 def _(kind: str = each("gatekeepers", "core", "workers")) -> None:
     count = 5 if kind == "core" else 11
     items = [RolloutTarget(f"n{number}", f"z{number % 3}", kind, number == 2) for number in range(count)]
@@ -101,7 +101,7 @@
         BODY, 2, ["hold=desk", "look=desk", "k-t3-a", "q:t1=5", "r-bill", "r+other=fleet"]
     )
     counts = defaultdict(int, compare_outcomes(routing_table(BODY), routing_table(new), requests))
-    # 20 pass at 10 a second with 10 on top (and what time gives back), 10 at half of that.
+    # The old quota (10 requests/s, burst 10) admits 20 plus the refill, the new one half of that.
     moved = counts[RouteOutcomes("look", TO_FLEET, TO_DESK)]
     over_new_quota = counts[RouteOutcomes("look", TO_FLEET, OVER_QUOTA)]
     assert counts[RouteOutcomes("look", OVER_QUOTA, OVER_QUOTA)] + moved + over_new_quota == 30
@@ -116,21 +116,21 @@
 
 
 @test("plan commands: exit codes and lines")
-def _(place: Path = folder) -> None:
+def _(folder_path: Path = folder) -> None:
     before = edit_configuration(BODY, 1, [])
     after = edit_configuration(BODY, 2, ["look=desk"])
     rows = [{"at": 1, "host": HOST, "path": "/look/x", "key": "t1-a", "status": 200}]
-    old = write(place, "old.json", before)
-    new = write(place, "new.json", patch_between(before, after))
-    record = write(place, "hour.jsonl", "\n".join(map(json.dumps, rows)))
+    old = write(folder_path, "old.json", before)
+    new = write(folder_path, "new.json", patch_between(before, after))
+    record = write(folder_path, "hour.jsonl", "\n".join(map(json.dumps, rows)))
     code, out, _ = run(f"plan change {new} {old} {record}")
     assert code == 1
     assert "forwarded to fleet 1" in out
     assert "1 of 1 requests" in out
     assert run(f"plan change {old} {old} {record}")[0] == 2  # its version is not higher
-    assert run(f"plan change {new} {old} {write(place, 'bad.jsonl', '{}')}")[0] == 2
+    assert run(f"plan change {new} {old} {write(folder_path, 'bad.jsonl', '{}')}")[0] == 2
     workers = [{"id": "f1", "service": "fleet", "zone": "a", "state": "ready", "capacity": 4}]
-    status = write(place, "status.json", {**STATUS, "workers": workers})
+    status = write(folder_path, "status.json", {**STATUS, "workers": workers})
     code, out, _ = run(f"plan capacity {status} --on {old} --ask look=50:100")
     assert code == 1
     assert "quotas: 40 a second" in out
--- a/tests/cli/test_tenant_steps.py
+++ b/tests/cli/test_tenant_steps.py
@@ -1,10 +1,7 @@
-"""Every order of the steps by which a tenant is added, with real registries, cluster view and request router.
+"""Explores every order of the steps that propagate a new tenant, to guard against 401s after the commit.
 
-Proxies receive the configuration from registries alone and hold nothing of each other's, so all orders for
-one proxy are all orders for three. Of three core machines it can meet one that knows the tenant, one that
-lags, and the change from one to the other: two registries. A state is what is held and confirmed, its times
-by rank. The commit is before all steps, so an acknowledgement may be too: what must hold after it must hold
-everywhere here.
+Uses real registries, cluster view and request router. One proxy is enough, as proxies share no state; two
+registries cover an up-to-date one, a stale one, and a change between them. The store commits first.
 """
 
 import random
@@ -25,14 +22,24 @@
 STEP_SECONDS = 0.001
 MAX_STEPS = 6
 TENANT_ENTRIES = {"Version": "00000002", "Tenants/new": {"ApiKeys": ["n"], "RatePerS": 5, "BurstSize": 5}}
-INDEX_BEFORE = 1  # of the configuration without the tenant
+INDEX_BEFORE = 1  # index of the configuration without the tenant
 INDEX_AFTER = 2
-ACTIONS = ("lag 0", "learn 0", "lag 1", "learn 1", "pull 0", "pull 1", "send 0", "deliver", "ask")
+ACTIONS = (
+    "watch_old 0",
+    "watch_new 0",
+    "watch_old 1",
+    "watch_new 1",
+    "pull 0",
+    "pull 1",
+    "send 0",
+    "deliver",
+    "request",
+)
 ADMITTED = "admitted"
-UNSURE = "unsure"  # the request may be admitted once newer configuration has come
+UNDECIDED = "undecided"  # rejected so far; may be admitted with a newer configuration
 
 
-class World:
+class TenantAdditionModel:
     """One proxy, two registries, and a store that has just committed the tenant (at time 0)."""
 
     def __init__(self) -> None:
@@ -47,12 +54,12 @@
             self.watch(self.registries[-1], INDEX_BEFORE, self.now)
         self.pull(0)
         self.now = 0.0
-        self.received_at: float | None = None  # the client's request
-        self.pull_in_flight: tuple[float, Any] | None = None  # when it was sent, and its response
-        self.outcome = ""  # of the client's request
+        self.received_at: float | None = None  # arrival time of the client's request
+        self.pull_in_flight: tuple[float, Any] | None = None  # (time sent, response)
+        self.outcome = ""  # outcome of the client's request
 
     def watch(self, registry: Registry, index: int, confirmed_at: float) -> None:
-        """Give a registry the store's answer to a watch."""
+        """Deliver a response of the store's watch to a registry."""
         entries = CONFIGURATION if index == INDEX_BEFORE else {**CONFIGURATION, **TENANT_ENTRIES}
         response = {
             "index": index,
@@ -75,14 +82,14 @@
         change = self.router.cluster.apply(sent_at, self.now, PullResponse.from_wire(response))
         self.router.apply_change(self.now, change)
 
-    def perform(self, action: str) -> bool:
-        """Perform an action; return whether it is possible now."""
+    def execute(self, action: str) -> bool:
+        """Execute an action; return False if it is not possible in this state."""
         self.now += STEP_SECONDS
-        verb, _, number = action.partition(" ")
-        match verb:
-            case "lag":  # a store that has not heard of the commit, with a confirmation from before it
+        operation, _, number = action.partition(" ")
+        match operation:
+            case "watch_old":  # from a stale store replica, confirmed before the commit
                 self.watch(self.registries[int(number)], INDEX_BEFORE, -STEP_SECONDS)
-            case "learn":
+            case "watch_new":
                 self.watch(self.registries[int(number)], INDEX_AFTER, self.now)
             case "pull":
                 self.pull(int(number))
@@ -95,23 +102,23 @@
                     return False
                 self.apply(*self.pull_in_flight)
                 self.pull_in_flight = None
-            case "ask":
-                if self.outcome not in ("", UNSURE):
+            case "request":
+                if self.outcome not in ("", UNDECIDED):
                     return False
-                self.ask()
+                self.send_client_request()
         return True
 
-    def ask(self) -> None:
-        """The client's request arrives, or asks again."""
+    def send_client_request(self) -> None:
+        """Let the client's request arrive, or reconsider it."""
         self.received_at = self.now if self.received_at is None else self.received_at
         result = self.router.admit(self.now, "h", "/look/x", "n", 3.0, self.received_at)
         self.outcome = ADMITTED if isinstance(result, AdmittedRequest) else self.describe(result)
 
     def describe(self, rejection: Rejection) -> str:
-        return UNSURE if self.now < rejection.reconsider_until else f"{rejection.status}"
+        return UNDECIDED if self.now < rejection.reconsider_until else f"{rejection.status}"
 
-    def state(self) -> tuple[Any, ...]:
-        """Return what is held, and the ranks of the times at which it was confirmed."""
+    def canonical_state(self) -> tuple[Any, ...]:
+        """Return the held configurations and the order (not the values) of their confirmation times."""
         configuration = self.router.cluster.configuration
         held: list[Any] = [
             configuration.version,
@@ -132,7 +139,7 @@
         return *held, *(None if time is None else ranks.index(round(time, 4)) for time in times)
 
 
-@test("every order of the steps: what was committed gets no 401, and who admits it holds all of it")
+@test("tenant added, steps in every order: no 401 after the commit, no admission without its quota")
 def _() -> None:
     states: set[tuple[Any, ...]] = set()
     outcomes: set[str] = set()
@@ -141,18 +148,18 @@
         paths = frontier
         frontier = []
         for path, action in ((path, action) for path in paths for action in ACTIONS):
-            world = World()
-            possible = all(world.perform(step) for step in (*path, action))
-            if not possible or (state := world.state()) in states:
+            model = TenantAdditionModel()
+            possible = all(model.execute(step) for step in (*path, action))
+            if not possible or (canonical_state := model.canonical_state()) in states:
                 continue
-            states.add(state)
-            outcomes.add(world.outcome)
-            if world.outcome == ADMITTED:
-                table = world.router.cluster.configuration.routing_table
+            states.add(canonical_state)
+            outcomes.add(model.outcome)
+            if model.outcome == ADMITTED:
+                table = model.router.cluster.configuration.routing_table
                 assert table is not None
                 assert table.version == 2
-                assert "new" in world.router._quota_tenants, path
+                assert "new" in model.router._quota_tenants, path
             else:
                 frontier.append((*path, action))
     assert len(states) > 500
-    assert outcomes == {"", UNSURE, ADMITTED}, (len(states), outcomes)
+    assert outcomes == {"", UNDECIDED, ADMITTED}, (len(states), outcomes)
--- a/tests/cli/test_tenants.py
+++ b/tests/cli/test_tenants.py
@@ -1,4 +1,4 @@
-"""The `tenant` commands against a simulated core: the store's real validation, and lost answers."""
+"""The `tenant` commands against a simulated core: real store validation, lost requests and responses."""
 
 import json
 import tempfile
@@ -28,27 +28,27 @@
 }
 
 
-class Core:
-    """Two core machines over one store.
+class SimulatedCore:
+    """Two core machines that share one store.
 
-    `faults` befall the next commands, in turn: lost `before` or `after` the store has accepted it, `503`, or
-    another operator's change that comes `between`.
+    `faults` apply to the next commands, one each: the connection is lost `before` or `after` the store has
+    accepted it, the response is `503`, or another operator's change is applied first (`between`).
     """
 
     def __init__(self, *faults: str, behind: int = 0) -> None:
         self.entries: dict[str, Any] = {}
         self.index = 1
         self.faults = list(faults)
-        self.behind = behind  # changes that the proxy lacks
+        self.behind = behind  # number of changes that the proxy has not received
         self.slept_seconds = 0.0
-        self.decide("put", "0", PUT)
+        self.apply_command("put", "0", PUT)
 
     @property
     def version(self) -> int:
         return int(self.entries["Version"], 16)
 
-    def decide(self, kind: str, if_match: str, body: Any) -> Any:
-        """Take a command as the store does."""
+    def apply_command(self, kind: str, if_match: str, body: Any) -> Any:
+        """Validate and apply a command as the store does."""
         decision = decide_command(self.entries, OperatorCommand(kind, if_match, body))
         if isinstance(decision, Proposal):
             kept = {key: value for key, value in self.entries.items() if key not in decision.deletions}
@@ -66,25 +66,25 @@
         headers: Any = None,
         timeout_seconds: float = 0.0,
     ) -> ControlResponse | Failure:
-        """Stand in for the HTTP client."""
+        """Replaces `control_client._request`."""
         if path == "/status":
             return respond(200, self.status(target))
         if method == "GET":
             return respond(200, export_configuration(self.entries))
         fault = self.faults.pop(0) if self.faults else ""
         if fault == "between":
-            self.change_by_another_operator()
+            self.apply_concurrent_change()
         if fault == "before":
             return Failure(FailureReason.OUTCOME_UNKNOWN, label)
         if fault == "503":
             return respond(503, {})
-        response = self.decide("patch", headers["If-Match"], json.loads(body or b""))
+        response = self.apply_command("patch", headers["If-Match"], json.loads(body or b""))
         if fault == "after":
             return Failure(FailureReason.OUTCOME_UNKNOWN, label)
         return respond(response["status"], response)
 
     def status(self, target: Address) -> dict[str, Any]:
-        """The second machine is the one that the proxy calls."""
+        """Return the status of one machine; the proxy pulls from the second one."""
         proxy = {"node": "edge-1", "zone": "z1", "region": "r1", "ready": True}
         if target[0] == "10.0.0.2":
             proxy |= {"index": self.index - self.behind, "heard": 0.1}
@@ -97,17 +97,17 @@
             "workers": [worker],
         }
 
-    def change_by_another_operator(self) -> None:
+    def apply_concurrent_change(self) -> None:
         base = self.entries["Version"]
         other = {**TENANT, "Specification": {"ApiKeys": ["o-1"]}}
         patch_body = {"ConfigVersion": f"{self.version + 1:08x}", "Upsert": {"Objects": [other]}}
-        assert self.decide("patch", base, patch_body)["status"] == 200
+        assert self.apply_command("patch", base, patch_body)["status"] == 200
 
     def sleep(self, seconds: float) -> None:
         self.slept_seconds += seconds
 
     def run(self, line: str) -> tuple[int, str, str]:
-        """Exit code, standard output, standard error of a command."""
+        """Return exit code, standard output and standard error of a command."""
         tester = ApplicationTester(create_application())
         with (
             patch.object(control_client, "_request", self.request),
@@ -122,41 +122,41 @@
 
 
 @fixture
-def file() -> Iterator[str]:
+def tenant_file() -> Iterator[str]:
     with tempfile.TemporaryDirectory() as name:
         path = Path(name) / "new.json"
         path.write_text(json.dumps(TENANT))
         yield str(path)
 
 
-@test("tenant add: one version, whatever befalls the command ({faults}); once more changes nothing")
-def _(faults: str = each("", "before", "after", "503 after", "after before 503"), file: str = file) -> None:
-    core = Core(*faults.split())
+@test("tenant add: one new version despite faults ({faults}); repeating it changes nothing")
+def _(
+    faults: str = each("", "before", "after", "503 after", "after before 503"), tenant_file: str = tenant_file
+) -> None:
+    core = SimulatedCore(*faults.split())
     version = core.version
-    code, out, errors = core.run(f"tenant add {CORE} {file}")
+    code, out, errors = core.run(f"tenant add {CORE} {tenant_file}")
     assert (code, errors) == (0, "")
     assert "held by 1 of 1 proxies with a session" in out
     assert core.entries["Tenants/new"] == TENANT["Specification"]
     assert core.version == version + 1
-    assert "nothing to change" in core.run(f"tenant add {CORE} {file}")[1]
+    assert "nothing to change" in core.run(f"tenant add {CORE} {tenant_file}")[1]
     assert core.version == version + 1
 
 
-@test(
-    "tenant add: who comes second is told so, also after a call without a clear answer, and changes nothing"
-)
-def _(faults: str = each("between", "before between"), file: str = file) -> None:
-    core = Core(*faults.split())
-    code, _, errors = core.run(f"tenant add {CORE} {file}")
+@test("tenant add: rejected after another operator's change, also on a retry, and changes nothing")
+def _(faults: str = each("between", "before between"), tenant_file: str = tenant_file) -> None:
+    core = SimulatedCore(*faults.split())
+    code, _, errors = core.run(f"tenant add {CORE} {tenant_file}")
     assert code == 2
     assert "412" in errors
     assert core.entries["Tenants/new"]["ApiKeys"] == ["o-1"]
 
 
-@test("tenant add: a proxy that does not hold it in time is named")
-def _(file: str = file) -> None:
-    core = Core(behind=1)
-    code, out, _ = core.run(f"tenant add {CORE} {file}")
+@test("tenant add: a proxy that does not hold the change in time is printed")
+def _(tenant_file: str = tenant_file) -> None:
+    core = SimulatedCore(behind=1)
+    code, out, _ = core.run(f"tenant add {CORE} {tenant_file}")
     assert code == 1
     assert "held by 0 of 1" in out
     assert "edge-1" in out
@@ -164,9 +164,9 @@
     assert core.run(f"tenant status {CORE} new")[0] == 1
 
 
-@test("tenant plan: errors and what is doubtful are printed before anything is sent")
-def _(file: str = file) -> None:
-    core = Core()
+@test("tenant plan: errors and warnings are printed, and stop `tenant add` before it sends anything")
+def _(tenant_file: str = tenant_file) -> None:
+    core = SimulatedCore()
     other_tenant = next(item for item in PUT["Objects"] if item["ObjectType"] == "Tenants")
     version = core.version
     for specification, text in (
@@ -176,19 +176,19 @@
         ({"ApiKeys": ["n"]}, "no limit at all"),
         ({"ApiKeys": [], "RatePerS": 1}, "has no key"),
     ):
-        Path(file).write_text(json.dumps({"Objects": [{**TENANT, "Specification": specification}]}))
-        _, out, errors = core.run(f"tenant plan {CORE} {file}")
+        Path(tenant_file).write_text(json.dumps({"Objects": [{**TENANT, "Specification": specification}]}))
+        _, out, errors = core.run(f"tenant plan {CORE} {tenant_file}")
         assert text in out + errors, (specification, out, errors)
-        assert core.run(f"tenant add {CORE} {file}")[0] == 2
+        assert core.run(f"tenant add {CORE} {tenant_file}")[0] == 2
         assert core.version == version
-    assert core.run(f"tenant add {CORE} {file} --doubtful")[0] == 0
+    assert core.run(f"tenant add {CORE} {tenant_file} --doubtful")[0] == 0
     assert "Tenants/new" in core.entries
 
 
-@test("tenant remove: first its keys, and after the longest timeout all of it; it goes on where it ended")
-def _(file: str = file) -> None:
-    core = Core()
-    core.run(f"tenant add {CORE} {file}")
+@test("tenant remove: first the keys, then, after draining, the tenant; it resumes after an interruption")
+def _(tenant_file: str = tenant_file) -> None:
+    core = SimulatedCore()
+    core.run(f"tenant add {CORE} {tenant_file}")
     version = core.version
     core.faults = ["after", *["before"] * config_rollout.MAX_ATTEMPTS]
     code, _, errors = core.run(f"tenant remove {CORE} new")
