--- a/ashlift/gatekeeper/net/replies.py
+++ b/ashlift/gatekeeper/net/http_response.py
@@ -14,11 +14,11 @@
 FED_MOST = 2 << 20  # all of such an answer: a body in tiny chunks takes many times its size
 
 
-class SpoiltAnswerError(Exception):
+class MalformedResponseError(Exception):
     """What came back is no answer that anybody could read; the job may have run."""
 
 
-class Reply:
+class HttpResponse:
     """Collects one answer from httptools: the first that is whole, whatever stands before or behind it.
 
     Guards against a body made of two answers: a node may write a second copy, or noise, right behind. 1xx
@@ -57,15 +57,15 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.keep = False
             if not self.done:
-                raise SpoiltAnswerError(str(error)) from None
+                raise MalformedResponseError(str(error)) from None
         if self.done:
             return
         if self.code == 200 and self.headed:  # what is served is held up to SPILL, then passed on
             if self.length is not None and self.length > LONGEST:
-                raise SpoiltAnswerError("an answer that says it is longer than any")
+                raise MalformedResponseError("an answer that says it is longer than any")
             return
         if self.size > BODY_MOST or self.fed > (FED_MOST if self.headed else HEAD_MOST):
-            raise SpoiltAnswerError("no end")
+            raise MalformedResponseError("no end")
 
     def ended(self) -> bool:
         """The connection has ended: whether that was the end of an answer that ends so."""
--- a/ashlift/gatekeeper/net/nodes.py
+++ b/ashlift/gatekeeper/net/nodes.py
@@ -11,9 +11,9 @@
 from ashlift.gatekeeper.admission.interface import Result
 from ashlift.gatekeeper.jobs import ClaimEnded, Clock, Inbox, Job
 from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.net.http_response import HttpResponse, MalformedResponseError
 from ashlift.gatekeeper.net.links import quiet
 from ashlift.gatekeeper.net.machine_list import MachineList
-from ashlift.gatekeeper.net.replies import Reply, SpoiltAnswerError
 from ashlift.gatekeeper.operations.figures import RELAYED
 
 if TYPE_CHECKING:
@@ -128,7 +128,7 @@
                 result = Result.CANCELLED
             elif isinstance(error, (OSError, gevent.Timeout)):
                 result = Result.RESET if claim.written else Result.CONNECT_FAILED
-            elif isinstance(error, SpoiltAnswerError):
+            elif isinstance(error, MalformedResponseError):
                 self._metrics.add("claims.spoilt")
                 result = Result.RESET
             else:
@@ -201,7 +201,7 @@
     def _read(self, claim: Claim, sock: socket.socket, timer: gevent.Timeout) -> tuple[Result, bytes, bool]:
         """Result, body, and whether the connection may be used again. An answer too long to hold passes on
         as it comes, and its body is not returned."""
-        reply = Reply()
+        reply = HttpResponse()
         while not reply.done:
             data = sock.recv(65536)
             if not data:
--- a/ashlift/gatekeeper/net/spill.py
+++ b/ashlift/gatekeeper/net/spill.py
@@ -11,8 +11,8 @@
 from ashlift.gatekeeper.admission.interface import Result
 from ashlift.gatekeeper.jobs import Headed, Inbox
 from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.net.http_response import HttpResponse, MalformedResponseError
 from ashlift.gatekeeper.net.nodes import Claim
-from ashlift.gatekeeper.net.replies import Reply, SpoiltAnswerError
 from ashlift.gatekeeper.settings.model import StreamClass
 from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
 from ashlift.gatekeeper.streams.heads import ANSWER_HEADERS, REQUEST_HEADERS, Body, Framing, Head, passing
@@ -28,7 +28,7 @@
 
 
 def pass_on(
-    claim: Claim, sock: object, reply: Reply, timer: object, desk: Desk, inbox: Inbox, metrics: Metrics
+    claim: Claim, sock: object, reply: HttpResponse, timer: object, desk: Desk, inbox: Inbox, metrics: Metrics
 ) -> tuple[Result, bool]:
     """Pass the rest of a long answer on; the claim's result, and whether its connection may be used again.
 
@@ -47,10 +47,10 @@
     inbox.put(Headed(claim.job.number, claim.attempt, Opening(head, passage)))
     try:
         _fill(sock, reply, answer)
-    except (BrokenOffError, LagError, SpoiltAnswerError, EndedError, OSError) as error:
+    except (BrokenOffError, LagError, MalformedResponseError, EndedError, OSError) as error:
         fault = _fault(error)
         metrics.add(f"spill.failed.{fault.label}")
-        if isinstance(error, SpoiltAnswerError):
+        if isinstance(error, MalformedResponseError):
             metrics.add("claims.spoilt")
         answer.break_off(fault)
         return (Result.CANCELLED if claim.cancelled else fault.value.result), False
@@ -58,7 +58,7 @@
     return Result.OK, keep and not reply.to_close
 
 
-def _fill(sock: object, reply: Reply, answer: Pipe) -> None:
+def _fill(sock: object, reply: HttpResponse, answer: Pipe) -> None:
     source = Source(sock, Pace(TERMS.set.stall, TERMS.set.least_rate, TERMS.set.rate_span))
     answer.put_copy(reply.take())
     if reply.length is not None and not reply.done:
@@ -82,6 +82,6 @@
             return error.fault
         case LagError():
             return LAG[error.lag]
-        case SpoiltAnswerError():
+        case MalformedResponseError():
             return Fault.NODE_SPOILT
     return Fault.NODE_RESET
--- a/ashlift/gatekeeper/net/stream_claim.py
+++ b/ashlift/gatekeeper/net/stream_claim.py
@@ -14,8 +14,8 @@
 from ashlift.gatekeeper.admission.interface import Result
 from ashlift.gatekeeper.jobs import BodyBegun, Clock, Headed, Inbox
 from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.net.http_response import HEAD_MOST, MalformedResponseError
 from ashlift.gatekeeper.net.nodes import Cargo, Claim
-from ashlift.gatekeeper.net.replies import HEAD_MOST, SpoiltAnswerError
 from ashlift.gatekeeper.operations.figures import RELAYED
 from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
 from ashlift.gatekeeper.streams.heads import (
@@ -66,9 +66,9 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, FramingError) as error:
             self.keep = False
             if not self.done:
-                raise SpoiltAnswerError(str(error)) from None
+                raise MalformedResponseError(str(error)) from None
         if not self.done and self._fed - self.size > HEAD_MOST + CHUNK_COST * self.size:
-            raise SpoiltAnswerError("no end")
+            raise MalformedResponseError("no end")
 
     def take(self) -> bytes:
         """What of the body has been read since this was last asked."""
@@ -225,7 +225,7 @@
             claim.cause = Fault.NODE_ERROR
             return (Result.OVERLOADED if never else Result.ERROR), reply.keep and reply.done and not early
         if body.framing is Framing.CLOSE:
-            raise SpoiltAnswerError("an answer that does not say where it ends")
+            raise MalformedResponseError("an answer that does not say where it ends")
         if reply.too_long:
             # Another node would say the same: nothing is made again.
             self._inbox.put(BodyBegun(claim.job.number, claim.attempt))
@@ -275,7 +275,7 @@
                     fault = error.fault
                 case LagError():
                     fault = LAG[error.lag]
-                case SpoiltAnswerError():
+                case MalformedResponseError():
                     fault = Fault.NODE_SPOILT
                     self._metrics.add("claims.spoilt")
                 case EndedError() | OSError():
--- a/ashlift/lab/system/control_calls.py
+++ b/ashlift/lab/system/control_calls.py
@@ -11,7 +11,7 @@
 import gevent
 
 from ashlift.errors import Failure, FailureReason
-from ashlift.gatekeeper.net.replies import Reply
+from ashlift.gatekeeper.net.http_response import HttpResponse
 from ashlift.lab.system.http_exchange import exchange, request_head
 from ashlift.lab.system.machine_layout import CONTROL_PORT, DIRECTORY_PORT, LabMachine
 from ashlift.simulation.event_loop import Future
@@ -86,7 +86,7 @@
     return HttpCall(method, f"/evacuation/{command['body']}")
 
 
-def decode_answer(method: str, answer: Reply, names: dict[str, str]) -> Any:
+def decode_answer(method: str, answer: HttpResponse, names: dict[str, str]) -> Any:
     """Return (status, value) as the simulated roles expect it; `names`: of machines by their IP."""
     try:
         value = json.loads(b"".join(answer.parts) or b"null")
--- a/ashlift/lab/system/http_clients.py
+++ b/ashlift/lab/system/http_clients.py
@@ -7,7 +7,7 @@
 import gevent
 
 from ashlift.errors import Failure, FailureReason
-from ashlift.gatekeeper.net.replies import Reply
+from ashlift.gatekeeper.net.http_response import HttpResponse
 from ashlift.lab.system.http_exchange import TIMED_OUT, request_head
 from ashlift.lab.system.kept_connections import KeptConnections
 from ashlift.lab.system.machine_layout import FRONT_PORT
@@ -118,7 +118,7 @@
         else:
             self._handle_answer(operation, request, answer)
 
-    def _handle_answer(self, operation: ClientOperation, request: Request, answer: Reply) -> None:
+    def _handle_answer(self, operation: ClientOperation, request: Request, answer: HttpResponse) -> None:
         headers = dict(answer.headers)
         if 200 <= answer.status < 300:
             seal = headers.get(b"x-server-seal", b"").decode()
--- a/ashlift/lab/system/http_exchange.py
+++ b/ashlift/lab/system/http_exchange.py
@@ -7,7 +7,7 @@
 from gevent import socket
 
 from ashlift.errors import Failure, FailureReason
-from ashlift.gatekeeper.net.replies import Reply, SpoiltAnswerError
+from ashlift.gatekeeper.net.http_response import HttpResponse, MalformedResponseError
 
 Address = tuple[str, int]
 MIN_TIMEOUT_SECONDS: Final = 0.001
@@ -23,7 +23,7 @@
     timeout: float,
     on_sent: Callable[[], None] | None = None,
     connect_timeout: float | None = None,
-) -> Reply | Failure:
+) -> HttpResponse | Failure:
     """Send a request and return its answer; `on_sent` is called once all is written.
 
     `timeout`: seconds for the whole exchange; `connect_timeout`: of these to connect. Failures: UNREACHABLE,
@@ -52,7 +52,7 @@
 
 def converse(
     sock: socket.socket, request: bytes, deadline: float, on_sent: Callable[[], None] | None = None
-) -> Reply | Failure:
+) -> HttpResponse | Failure:
     """Send a request on a connection and return its answer, or the Failure OUTCOME_UNKNOWN.
 
     `deadline`: of the monotonic clock.
@@ -65,12 +65,12 @@
         return _receive(sock, deadline)
     except TimeoutError:
         return Failure(FailureReason.OUTCOME_UNKNOWN, TIMED_OUT)
-    except (OSError, SpoiltAnswerError) as error:
+    except (OSError, MalformedResponseError) as error:
         return Failure(FailureReason.OUTCOME_UNKNOWN, str(error))
 
 
-def _receive(sock: socket.socket, deadline: float) -> Reply | Failure:
-    reply = Reply()
+def _receive(sock: socket.socket, deadline: float) -> HttpResponse | Failure:
+    reply = HttpResponse()
     while not reply.done:
         sock.settimeout(_remaining(deadline))
         data = sock.recv(RECEIVE_BYTES)
--- a/ashlift/lab/system/kept_connections.py
+++ b/ashlift/lab/system/kept_connections.py
@@ -11,7 +11,7 @@
 from gevent import socket
 
 from ashlift.errors import Failure
-from ashlift.gatekeeper.net.replies import Reply
+from ashlift.gatekeeper.net.http_response import HttpResponse
 from ashlift.lab.system.http_exchange import Address, connect, converse
 from ashlift.rpc.sockets import has_unread_input
 
@@ -32,7 +32,7 @@
         connect_timeout: float,
         on_sent: Callable[[], None],
         use_kept: bool,
-    ) -> Reply | Failure:
+    ) -> HttpResponse | Failure:
         """Send a request and return its answer, as `http_exchange.exchange` does.
 
         `use_kept`: on an idle connection, if there is one. The connection is kept if the answer allows it.
@@ -43,7 +43,11 @@
         if isinstance(connection, Failure):
             return connection
         answer = converse(connection, request, deadline, on_sent)
-        if isinstance(answer, Reply) and answer.keep and len(self._idle[address]) < MAX_IDLE_PER_ADDRESS:
+        if (
+            isinstance(answer, HttpResponse)
+            and answer.keep
+            and len(self._idle[address]) < MAX_IDLE_PER_ADDRESS
+        ):
             self._idle[address].append(connection)
         else:
             connection.close()
--- a/ashlift/proxy/responses.py
+++ b/ashlift/proxy/responses.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 from typing import Final
 
-from ashlift.gatekeeper.net.replies import Reply
+from ashlift.gatekeeper.net.http_response import HttpResponse
 from ashlift.proxy.rejections import RejectionReason
 from ashlift.proxy.request_reader import HOP_BY_HOP_HEADERS, Headers
 
@@ -19,7 +19,7 @@
 BODILESS_STATUSES: Final = (204, 304)
 
 
-class WorkerResponse(Reply):
+class WorkerResponse(HttpResponse):
     """One response of a worker, received completely."""
 
     @property
--- a/ashlift/proxy/upstream.py
+++ b/ashlift/proxy/upstream.py
@@ -12,7 +12,7 @@
 import gevent
 from gevent import socket
 
-from ashlift.gatekeeper.net.replies import SpoiltAnswerError as MalformedResponseError
+from ashlift.gatekeeper.net.http_response import MalformedResponseError
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
 from ashlift.proxy.idle_connections import IdleConnectionAges
 from ashlift.proxy.responses import ATTEMPT_ID_HEADER, KEEP_ALIVE_HEADER, WorkerResponse
--- a/benchmarks/scale/simulated_workers.py
+++ b/benchmarks/scale/simulated_workers.py
@@ -9,7 +9,7 @@
 from attrs import evolve
 from gevent import socket
 
-from ashlift.gatekeeper.net.replies import Reply
+from ashlift.gatekeeper.net.http_response import HttpResponse
 from benchmarks.scale.host_messages import HostFigures, StartWorkers
 from benchmarks.scale.sample_objects import heartbeat_body, service_name, worker_address, worker_id
 
@@ -169,7 +169,7 @@
 
 
 def _receive_status(connection: socket.socket) -> int:
-    reply = Reply()
+    reply = HttpResponse()
     while not reply.done:
         data = connection.recv(RECEIVE_BYTES)
         if not data:
--- a/tests/gatekeeper/test_spill.py
+++ b/tests/gatekeeper/test_spill.py
@@ -12,9 +12,9 @@
 from ashlift.gatekeeper.clock import UnixClock
 from ashlift.gatekeeper.jobs import ClaimEnded, Headed, Job
 from ashlift.gatekeeper.metrics import Metrics
+from ashlift.gatekeeper.net.http_response import SPILL
 from ashlift.gatekeeper.net.machine_list import MachineList
 from ashlift.gatekeeper.net.nodes import Cargo, Limits, NodePool
-from ashlift.gatekeeper.net.replies import SPILL
 from tests.gatekeeper.play import config, instance, listen
 
 JOB = (
