--- a/ashlift/gatekeeper/net/http_response.py
+++ b/ashlift/gatekeeper/net/http_response.py
@@ -6,12 +6,16 @@
 
 import httptools
 
-HEAD_MOST = 16 * 1024  # of an answer, 1xx answers in front of it included
-SPILL = 64 * 1024  # bytes of a served answer's body held whole at most: beyond, it passes on as it comes,
+MAX_HEAD_BYTES = 16 * 1024  # of an answer, 1xx answers in front of it included
+MAX_BUFFERED_BYTES = (
+    64 * 1024
+)  # bytes of a served answer's body held whole at most: beyond, it passes on as it comes,
 # for the first bytes of a longer one are what its client waits for
-LONGEST = 64 << 20  # bytes of a served answer that is told: one that announces more is no answer to pass on
-BODY_MOST = 1 << 20  # of an answer that is not served (it is thrown away): nodes may say much
-FED_MOST = 2 << 20  # all of such an answer: a body in tiny chunks takes many times its size
+MAX_RESPONSE_BYTES = (
+    64 << 20
+)  # bytes of a served answer that is told: one that announces more is no answer to pass on
+MAX_ERROR_BODY_BYTES = 1 << 20  # of an answer that is not served (it is thrown away): nodes may say much
+MAX_ERROR_RESPONSE_BYTES = 2 << 20  # all of such an answer: a body in tiny chunks takes many times its size
 
 
 class MalformedResponseError(Exception):
@@ -29,63 +33,72 @@
     def __init__(self) -> None:
         self.parts: list[bytes] = []
         self.headers: list[tuple[bytes, bytes]] = []  # of the answer's head, names in lower case
-        self.size = self.fed = self.status = self.code = 0
+        self.size = self.bytes_fed = self.status = self.head_status = 0
         self.length: int | None = None  # as announced
-        self.chunked = self.never_ran = self.headed = self.done = self.keep = self.alive = False
+        self.chunked = self.never_ran = self.head_complete = self.done = self.keep_alive = (
+            self.head_keep_alive
+        ) = False
         self.parser = httptools.HttpResponseParser(self)
 
     @property
-    def long(self) -> bool:
+    def too_long_to_buffer(self) -> bool:
         """A node's 200 that is too long to hold: its body passes on as it comes."""
         return (
-            self.headed
+            self.head_complete
             and not self.done
-            and self.code == 200
-            and (self.size > SPILL or (self.length is not None and self.length > SPILL))
+            and self.head_status == 200
+            and (
+                self.size > MAX_BUFFERED_BYTES
+                or (self.length is not None and self.length > MAX_BUFFERED_BYTES)
+            )
         )
 
     @property
-    def to_close(self) -> bool:
+    def ends_with_connection(self) -> bool:
         """Whether the body ends with the connection: neither a length nor chunks were told."""
-        return self.headed and self.length is None and not self.chunked
+        return self.head_complete and self.length is None and not self.chunked
 
     def feed(self, data: bytes | memoryview) -> None:
         """Guards against heads, bodies and 1xx answers without end: each claim has so much room."""
-        self.fed += len(data)
+        self.bytes_fed += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.keep = False
+            self.keep_alive = False
             if not self.done:
                 raise MalformedResponseError(str(error)) from None
         if self.done:
             return
-        if self.code == 200 and self.headed:  # what is served is held up to SPILL, then passed on
-            if self.length is not None and self.length > LONGEST:
+        if (
+            self.head_status == 200 and self.head_complete
+        ):  # what is served is held up to SPILL, then passed on
+            if self.length is not None and self.length > MAX_RESPONSE_BYTES:
                 raise MalformedResponseError("an answer that says it is longer than any")
             return
-        if self.size > BODY_MOST or self.fed > (FED_MOST if self.headed else HEAD_MOST):
+        if self.size > MAX_ERROR_BODY_BYTES or self.bytes_fed > (
+            MAX_ERROR_RESPONSE_BYTES if self.head_complete else MAX_HEAD_BYTES
+        ):
             raise MalformedResponseError("no end")
 
-    def ended(self) -> bool:
+    def connection_ended(self) -> bool:
         """The connection has ended: whether that was the end of an answer that ends so."""
-        if self.done or not self.to_close:
+        if self.done or not self.ends_with_connection:
             return self.done
-        self.status, self.done, self.keep = self.code, True, False
+        self.status, self.done, self.keep_alive = self.head_status, True, False
         return True
 
-    def take(self) -> bytes:
+    def take_body(self) -> bytes:
         """What of the body has been read since this was last asked."""
         taken, self.parts = b"".join(self.parts), []
         return taken
 
     def on_message_begin(self) -> None:
-        self.keep = False  # of one that is done: something came behind it
+        self.keep_alive = False  # of one that is done: something came behind it
         if not self.done:
             self.headers, self.length, self.chunked = [], None, False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.done or self.headed:
+        if self.done or self.head_complete:
             return  # behind the answer, or its trailers
         name, value = name.lower(), value.strip()
         self.headers.append((name, value))
@@ -98,9 +111,11 @@
 
     def on_headers_complete(self) -> None:
         if not self.done:
-            self.code = self.parser.get_status_code()
-            self.headed = self.code >= 200
-            self.alive = self.parser.should_keep_alive()  # by the head: a body may pass the parser by
+            self.head_status = self.parser.get_status_code()
+            self.head_complete = self.head_status >= 200
+            self.head_keep_alive = (
+                self.parser.should_keep_alive()
+            )  # by the head: a body may pass the parser by
 
     def on_body(self, body: bytes) -> None:
         if not self.done:
@@ -113,4 +128,4 @@
             return
         # Asked here, for once the message is over the parser says False to everything: guards against a
         # pool that never gets a connection back, and a handshake for each claim.
-        self.status, self.done, self.keep = status, True, self.parser.should_keep_alive()
+        self.status, self.done, self.keep_alive = status, True, self.parser.should_keep_alive()
--- a/ashlift/gatekeeper/net/nodes.py
+++ b/ashlift/gatekeeper/net/nodes.py
@@ -201,27 +201,27 @@
     def _read(self, claim: Claim, sock: socket.socket, timer: gevent.Timeout) -> tuple[Result, bytes, bool]:
         """Result, body, and whether the connection may be used again. An answer too long to hold passes on
         as it comes, and its body is not returned."""
-        reply = HttpResponse()
-        while not reply.done:
+        response = HttpResponse()
+        while not response.done:
             data = sock.recv(65536)
             if not data:
-                if reply.ended():
+                if response.connection_ended():
                     break  # an answer that ends with its connection
                 return Result.RESET, b"", False
-            reply.feed(data)
-            if reply.long:
+            response.feed(data)
+            if response.too_long_to_buffer:
                 from ashlift.gatekeeper.net.spill import pass_on  # loaded with the first answer that needs it
 
                 # Guards against a node that looks slow for the length of its answer: what counts is its head.
                 claim.waited_ms = self._clock.now() - claim.began
                 desk = self._spill_desk()
-                result, keep = pass_on(claim, sock, reply, timer, desk, self._inbox, self._metrics)
+                result, keep = pass_on(claim, sock, response, timer, desk, self._inbox, self._metrics)
                 return result, b"", keep
-        if reply.status == 200:
-            return Result.OK, b"".join(reply.parts), reply.keep
-        if reply.status in (503, 504) and reply.never_ran:
-            return Result.OVERLOADED, b"", reply.keep
-        return Result.ERROR, b"", reply.keep
+        if response.status == 200:
+            return Result.OK, b"".join(response.parts), response.keep_alive
+        if response.status in (503, 504) and response.never_ran:
+            return Result.OVERLOADED, b"", response.keep_alive
+        return Result.ERROR, b"", response.keep_alive
 
     # ---- connections
 
--- a/ashlift/gatekeeper/net/spill.py
+++ b/ashlift/gatekeeper/net/spill.py
@@ -28,7 +28,13 @@
 
 
 def pass_on(
-    claim: Claim, sock: object, reply: HttpResponse, timer: object, desk: Desk, inbox: Inbox, metrics: Metrics
+    claim: Claim,
+    sock: object,
+    response: HttpResponse,
+    timer: object,
+    desk: Desk,
+    inbox: Inbox,
+    metrics: Metrics,
 ) -> tuple[Result, bool]:
     """Pass the rest of a long answer on; the claim's result, and whether its connection may be used again.
 
@@ -41,12 +47,12 @@
         metrics.add("spill.no_room")
         return Result.ERROR, False
     metrics.add("spill.begun")
-    framing = Body(Framing.LENGTH, reply.length) if reply.length is not None else Body(Framing.CHUNKED)
-    head = Head(200, passing(reply.headers, TERMS.answer_headers), framing)
+    framing = Body(Framing.LENGTH, response.length) if response.length is not None else Body(Framing.CHUNKED)
+    head = Head(200, passing(response.headers, TERMS.answer_headers), framing)
     answer = passage.begin_answer()
     inbox.put(Headed(claim.job.number, claim.attempt, Opening(head, passage)))
     try:
-        _fill(sock, reply, answer)
+        _fill(sock, response, answer)
     except (BrokenOffError, LagError, MalformedResponseError, EndedError, OSError) as error:
         fault = _fault(error)
         metrics.add(f"spill.failed.{fault.label}")
@@ -54,23 +60,25 @@
             metrics.add("claims.spoilt")
         answer.break_off(fault)
         return (Result.CANCELLED if claim.cancelled else fault.value.result), False
-    keep = reply.keep if reply.done else reply.alive  # a body of known length went by the parser
-    return Result.OK, keep and not reply.to_close
+    keep = (
+        response.keep_alive if response.done else response.head_keep_alive
+    )  # a body of known length went by the parser
+    return Result.OK, keep and not response.ends_with_connection
 
 
-def _fill(sock: object, reply: HttpResponse, answer: Pipe) -> None:
+def _fill(sock: object, response: HttpResponse, answer: Pipe) -> None:
     source = Source(sock, Pace(TERMS.set.stall, TERMS.set.least_rate, TERMS.set.rate_span))
-    answer.put_copy(reply.take())
-    if reply.length is not None and not reply.done:
-        source.fill(answer, reply.length - reply.size)
-    elif reply.chunked and not reply.done:
+    answer.put_copy(response.take_body())
+    if response.length is not None and not response.done:
+        source.fill(answer, response.length - response.size)
+    elif response.chunked and not response.done:
 
         def read(view: memoryview) -> tuple[bytes, bool]:
-            reply.feed(view)
-            return reply.take(), reply.done
+            response.feed(view)
+            return response.take_body(), response.done
 
         source.fill_parsed(answer, read)
-    elif not reply.done:
+    elif not response.done:
         with contextlib.suppress(EndedError):  # its end
             source.fill(answer, UNTIL_END)
     answer.end()
--- a/ashlift/gatekeeper/net/stream_claim.py
+++ b/ashlift/gatekeeper/net/stream_claim.py
@@ -14,7 +14,7 @@
 from ashlift.gatekeeper.admission.interface import Result
 from ashlift.gatekeeper.jobs import BodyBegun, Clock, Headed, Inbox
 from ashlift.gatekeeper.metrics import Metrics
-from ashlift.gatekeeper.net.http_response import HEAD_MOST, MalformedResponseError
+from ashlift.gatekeeper.net.http_response import MAX_HEAD_BYTES, MalformedResponseError
 from ashlift.gatekeeper.net.nodes import Cargo, Claim
 from ashlift.gatekeeper.operations.figures import RELAYED
 from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
@@ -46,31 +46,31 @@
         self.fault = fault
 
 
-class StreamReply:
+class StreamedResponseReader:
     """Reads one answer's head, and its body where a parser must find the end. 1xx answers are passed over."""
 
     def __init__(self, method: bytes, longest: int) -> None:
         self._method, self._longest = method, longest
         self.headers: Headers = []
-        self.status = self.size = self._fed = 0
+        self.status = self.size = self._bytes_fed = 0
         self.body: Body | None = None  # once the head is whole
-        self.done = self.keep = self.never_ran = self.too_long = False
+        self.done = self.keep_alive = self.never_ran = self.exceeds_limit = False
         self._parts: list[bytes] = []
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes | memoryview) -> None:
         """Raises SpoiltAnswerError."""
-        self._fed += len(data)
+        self._bytes_fed += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, FramingError) as error:
-            self.keep = False
+            self.keep_alive = False
             if not self.done:
                 raise MalformedResponseError(str(error)) from None
-        if not self.done and self._fed - self.size > HEAD_MOST + CHUNK_COST * self.size:
+        if not self.done and self._bytes_fed - self.size > MAX_HEAD_BYTES + CHUNK_COST * self.size:
             raise MalformedResponseError("no end")
 
-    def take(self) -> bytes:
+    def take_body(self) -> bytes:
         """What of the body has been read since this was last asked."""
         taken, self._parts = b"".join(self._parts), []
         return taken
@@ -79,7 +79,7 @@
 
     def on_message_begin(self) -> None:
         if self.done:
-            self.keep = False  # something came behind it
+            self.keep_alive = False  # something came behind it
         else:
             self.headers = []
 
@@ -93,17 +93,17 @@
             return
         self.status, self.body = status, answer_body(self._method, status, self.headers)
         self.never_ran = (b"x-never-ran", b"1") in self.headers
-        self.keep = self._parser.should_keep_alive() and self.body.framing is not Framing.CLOSE
-        self.too_long = self.body.length > self._longest
+        self.keep_alive = self._parser.should_keep_alive() and self.body.framing is not Framing.CLOSE
+        self.exceeds_limit = self.body.length > self._longest
         if self.body.framing is Framing.NONE:
             self.done = True
 
     def on_body(self, body: bytes) -> None:
         if self.done:
-            self.keep = False  # of a HEAD's answer that has a body all the same
+            self.keep_alive = False  # of a HEAD's answer that has a body all the same
             return
         self.size += len(body)
-        self.too_long |= self.size > self._longest
+        self.exceeds_limit |= self.size > self._longest
         self._parts.append(body)
 
     def on_message_complete(self) -> None:
@@ -140,9 +140,9 @@
                 self._metrics.add(RELAYED)
             else:
                 carrier = gevent.spawn(self._carry, passage.upload)
-            reply = StreamReply(self._cargo.method, passage.terms.set.longest)
-            self._read_head(reply)
-            return self._answer(reply)
+            response = StreamedResponseReader(self._cargo.method, passage.terms.set.longest)
+            self._read_head(response)
+            return self._answer(response)
         except BaseException as error:
             return self._failed(error), False
         finally:
@@ -205,62 +205,64 @@
 
     # ---- the answer
 
-    def _read_head(self, reply: StreamReply) -> None:
-        while reply.body is None:
+    def _read_head(self, response: StreamedResponseReader) -> None:
+        while response.body is None:
             data = self._sock.recv(65536)
             if not data:
                 raise EndedError
-            reply.feed(data)
+            response.feed(data)
         self._timer.close()
         if self._late is not None:
             self._late.close()
 
-    def _answer(self, reply: StreamReply) -> tuple[Result, bool]:
-        claim, body, passage = self._claim, reply.body, self._passage
+    def _answer(self, response: StreamedResponseReader) -> tuple[Result, bool]:
+        claim, body, passage = self._claim, response.body, self._passage
         assert body is not None
         claim.waited_ms = self._clock.now() - self._began
         early = passage.upload is not None and not claim.written
-        if reply.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            never = reply.never_ran and reply.status in (503, 504)
+        if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
+            never = response.never_ran and response.status in (503, 504)
             claim.cause = Fault.NODE_ERROR
-            return (Result.OVERLOADED if never else Result.ERROR), reply.keep and reply.done and not early
+            return (
+                Result.OVERLOADED if never else Result.ERROR
+            ), response.keep_alive and response.done and not early
         if body.framing is Framing.CLOSE:
             raise MalformedResponseError("an answer that does not say where it ends")
-        if reply.too_long:
+        if response.exceeds_limit:
             # Another node would say the same: nothing is made again.
             self._inbox.put(BodyBegun(claim.job.number, claim.attempt))
             raise FaultError(Fault.ANSWER_TOO_LONG)
         if early:
             passage.stop_upload(Fault.EARLY_ANSWER)
-        announced = next((v for n, v in reply.headers if n == b"content-length"), None)
+        announced = next((v for n, v in response.headers if n == b"content-length"), None)
         head = Head(
-            reply.status,
-            passing(reply.headers, passage.terms.answer_headers),
+            response.status,
+            passing(response.headers, passage.terms.answer_headers),
             body,
             announced if self._cargo.method == b"HEAD" else None,
         )
         answer = passage.begin_answer()
         opening = Opening(head, passage)
         self._inbox.put(Headed(claim.job.number, claim.attempt, opening))
-        self._fill(reply, answer, body)
-        return Result.OK, reply.keep and not early
+        self._fill(response, answer, body)
+        return Result.OK, response.keep_alive and not early
 
-    def _fill(self, reply: StreamReply, answer: Pipe, body: Body) -> None:
+    def _fill(self, response: StreamedResponseReader, answer: Pipe, body: Body) -> None:
         terms = self._passage.terms.set
         source = Source(self._sock, Pace(terms.stall, terms.least_rate, terms.rate_span))
-        answer.put_copy(reply.take())
-        if body.framing is Framing.LENGTH and not reply.done:
-            source.fill(answer, body.length - reply.size)
-        elif body.framing is Framing.CHUNKED and not reply.done:
-            source.fill_parsed(answer, self._parse(reply))
+        answer.put_copy(response.take_body())
+        if body.framing is Framing.LENGTH and not response.done:
+            source.fill(answer, body.length - response.size)
+        elif body.framing is Framing.CHUNKED and not response.done:
+            source.fill_parsed(answer, self._parse(response))
         answer.end()
 
-    def _parse(self, reply: StreamReply) -> Callable[[memoryview], tuple[bytes, bool]]:
+    def _parse(self, response: StreamedResponseReader) -> Callable[[memoryview], tuple[bytes, bool]]:
         def read(view: memoryview) -> tuple[bytes, bool]:
-            reply.feed(view)
-            if reply.too_long:
+            response.feed(view)
+            if response.exceeds_limit:
                 raise FaultError(Fault.ANSWER_TOO_LONG)
-            return reply.take(), reply.done
+            return response.take_body(), response.done
 
         return read
 
--- a/ashlift/lab/system/http_exchange.py
+++ b/ashlift/lab/system/http_exchange.py
@@ -75,7 +75,7 @@
         sock.settimeout(_remaining(deadline))
         data = sock.recv(RECEIVE_BYTES)
         if not data:
-            return reply if reply.ended() else Failure(FailureReason.OUTCOME_UNKNOWN, CLOSED)
+            return reply if reply.connection_ended() else Failure(FailureReason.OUTCOME_UNKNOWN, CLOSED)
         reply.feed(data)
     return reply
 
--- a/ashlift/lab/system/kept_connections.py
+++ b/ashlift/lab/system/kept_connections.py
@@ -45,7 +45,7 @@
         answer = converse(connection, request, deadline, on_sent)
         if (
             isinstance(answer, HttpResponse)
-            and answer.keep
+            and answer.keep_alive
             and len(self._idle[address]) < MAX_IDLE_PER_ADDRESS
         ):
             self._idle[address].append(connection)
--- a/ashlift/proxy/responses.py
+++ b/ashlift/proxy/responses.py
@@ -45,7 +45,12 @@
         A status that promises more than the worker has said is none: only X-Not-Executed says that a request
         has not run.
         """
-        if not self.done or self.to_close or not 200 <= self.status <= 599 or self.status in NOT_RUN_STATUSES:
+        if (
+            not self.done
+            or self.ends_with_connection
+            or not 200 <= self.status <= 599
+            or self.status in NOT_RUN_STATUSES
+        ):
             return False
         if self.status >= 300:
             return True
--- a/ashlift/proxy/upstream.py
+++ b/ashlift/proxy/upstream.py
@@ -144,12 +144,12 @@
                 response.feed(data)
             if response.header(ATTEMPT_ID_HEADER) == attempt_id:
                 break
-            if not response.keep or stray_response:
+            if not response.keep_alive or stray_response:
                 return None
             stray_response = True
         if not (response.is_valid() or response.not_run):
             return None
-        if not stray_response and response.keep and not response.to_close:
+        if not stray_response and response.keep_alive and not response.ends_with_connection:
             connection.reusable_for = _keep_alive_seconds(response)
         return response
 
--- a/tests/gatekeeper/test_spill.py
+++ b/tests/gatekeeper/test_spill.py
@@ -12,7 +12,7 @@
 from ashlift.gatekeeper.clock import UnixClock
 from ashlift.gatekeeper.jobs import ClaimEnded, Headed, Job
 from ashlift.gatekeeper.metrics import Metrics
-from ashlift.gatekeeper.net.http_response import SPILL
+from ashlift.gatekeeper.net.http_response import MAX_BUFFERED_BYTES
 from ashlift.gatekeeper.net.machine_list import MachineList
 from ashlift.gatekeeper.net.nodes import Cargo, Limits, NodePool
 from tests.gatekeeper.play import config, instance, listen
@@ -71,7 +71,7 @@
 def test_a_long_answer_that_ends_with_its_connection_goes_on_in_chunks() -> None:
     node = listen()
     gate, front = gatekeeper(node)
-    body = bytes(range(256)) * (2 * SPILL // 256 + 7)
+    body = bytes(range(256)) * (2 * MAX_BUFFERED_BYTES // 256 + 7)
     serving = gevent.spawn(serve_once, node, b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\n" + body)
     with socket.create_connection(front) as client:
         client.sendall(JOB % (1, b"t1"))
@@ -86,7 +86,7 @@
 def test_to_a_client_of_http_1_0_a_long_answer_ends_with_the_connection() -> None:
     node = listen()
     gate, front = gatekeeper(node)
-    body = b"x" * (SPILL + 1)
+    body = b"x" * (MAX_BUFFERED_BYTES + 1)
     serving = gevent.spawn(
         serve_once,
         node,
@@ -126,11 +126,14 @@
     nodes.start(job, 0, "n1", 9000.0)
     sock = node.accept()[0]
     sock.recv(65536)
-    sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * SPILL) + b"p" * (SPILL + 1))
+    sock.sendall(
+        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * MAX_BUFFERED_BYTES)
+        + b"p" * (MAX_BUFFERED_BYTES + 1)
+    )
     headed = inbox.get(timeout=10)
     assert isinstance(headed, Headed)
     gevent.sleep(0.3)  # the rest comes late: the node is no slower for it
-    sock.sendall(b"q" * (SPILL - 1))
+    sock.sendall(b"q" * (MAX_BUFFERED_BYTES - 1))
     ended = inbox.get(timeout=10)
     assert isinstance(ended, ClaimEnded) and ended.result is Result.OK and ended.waited_ms < 250
     opening: Any = headed.opening  # a streams' Opening
@@ -139,6 +142,6 @@
     while (part := answer.get()) is not None:
         got += part.end - part.start
         answer.give(part)
-    assert got == 2 * SPILL
+    assert got == 2 * MAX_BUFFERED_BYTES
     sock.close()
     node.close()
--- a/tests/gatekeeper/test_streams.py
+++ b/tests/gatekeeper/test_streams.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from ashlift.gatekeeper.admission import interface as i
-from ashlift.gatekeeper.net.stream_claim import StreamReply
+from ashlift.gatekeeper.net.stream_claim import StreamedResponseReader
 from ashlift.gatekeeper.settings.model import LEAST_LEASE, Streaming
 from ashlift.gatekeeper.streams import pump
 from ashlift.gatekeeper.streams.budget import Budget, Share
@@ -221,12 +221,12 @@
         if chunks is None:
             into.fill(pipe, len(body))
         else:
-            reply = StreamReply(b"GET", 1 << 30)
+            reply = StreamedResponseReader(b"GET", 1 << 30)
             reply.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
             def read(view: memoryview) -> tuple[bytes, bool]:
                 reply.feed(view)
-                return reply.take(), reply.done
+                return reply.take_body(), reply.done
 
             into.fill_parsed(pipe, read)
         pipe.end()
