--- a/ashlift/gatekeeper/net/front/connection.py
+++ b/ashlift/gatekeeper/net/front/connection.py
@@ -19,7 +19,7 @@
 from ashlift.gatekeeper.net.front.answers import CONTINUE, render
 from ashlift.gatekeeper.net.front.asked import Asked, BadRequestError, job_of
 from ashlift.gatekeeper.net.front.reader import RequestReader
-from ashlift.gatekeeper.net.links import quiet
+from ashlift.gatekeeper.net.socket_state import has_no_input
 from ashlift.gatekeeper.operations.figures import answered
 
 WAITING_MOST = 4  # requests read ahead on one connection: clients send one at a time
@@ -114,7 +114,7 @@
             with gevent.Timeout(left):
                 data = self._sock.recv(65536)
         except gevent.Timeout:
-            if not quiet(self._sock):
+            if not has_no_input(self._sock):
                 return True  # something came in the same turn of the event loop as the time-out
             if self._reader.asked is None:
                 self._front.metrics.add("clients.silent")
@@ -218,7 +218,7 @@
         asked then. A first request that is cut off has failed, so those who may be about to ask have time."""
         young = 0.0 if self._answered else SPARE_SILENT_MS
         least = young if self._reader.asked is None else SPARE_HALF_MS
-        return now - self._since >= least and quiet(self._sock)
+        return now - self._since >= least and has_no_input(self._sock)
 
     def put_out(self) -> None:
         """End it to make room."""
@@ -230,7 +230,7 @@
 
         One that was accepted just now is about to ask: it has a moment for that.
         """
-        if self._current is not None or self._reader.asked is not None or not quiet(self._sock):
+        if self._current is not None or self._reader.asked is not None or not has_no_input(self._sock):
             return
         if self._answered or self._front.clock.now() - self._since >= SPARE_SILENT_MS:
             self._shut(socket.SHUT_RDWR)
@@ -249,7 +249,7 @@
 
     def _may_end(self) -> bool:
         """Whether the front closes and nothing more has been asked here."""
-        return self._front.closing and not self._waiting and quiet(self._sock)
+        return self._front.closing and not self._waiting and has_no_input(self._sock)
 
     def _shut(self, how: int) -> None:
         with contextlib.suppress(OSError):
--- a/ashlift/gatekeeper/net/front/streaming.py
+++ b/ashlift/gatekeeper/net/front/streaming.py
@@ -19,7 +19,7 @@
 from ashlift.gatekeeper.net.front.asked import Asked, BadRequestError
 from ashlift.gatekeeper.net.front.connection import Connection, Owner
 from ashlift.gatekeeper.net.front.reader import RequestReader
-from ashlift.gatekeeper.net.links import hung_up
+from ashlift.gatekeeper.net.socket_state import peer_has_closed
 from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
 from ashlift.gatekeeper.streams.heads import Framing, passing
 from ashlift.gatekeeper.streams.pace import Lag, Pace
@@ -119,7 +119,7 @@
         passage = asked.passage
         assert passage is not None and passage.upload is not None and asked.framing is not None
         passage.wanted.wait()
-        source = Source(self._sock, pace_of(passage.terms), partial(hung_up, self._sock))
+        source = Source(self._sock, pace_of(passage.terms), partial(peer_has_closed, self._sock))
         try:
             if passage.upload.fault is not None:
                 raise BrokenOffError(passage.upload.fault)
--- a/ashlift/gatekeeper/net/nodes.py
+++ b/ashlift/gatekeeper/net/nodes.py
@@ -12,8 +12,8 @@
 from ashlift.gatekeeper.jobs import ClaimEnded, Clock, Inbox, Job
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.http_response import HttpResponse, MalformedResponseError
-from ashlift.gatekeeper.net.links import quiet
 from ashlift.gatekeeper.net.machine_list import MachineList
+from ashlift.gatekeeper.net.socket_state import has_no_input
 from ashlift.gatekeeper.operations.figures import RELAYED
 
 if TYPE_CHECKING:
@@ -234,7 +234,9 @@
         links = self._idle.get(end)
         while links:
             link = links.pop()
-            if self._clock.now() - link.idle_at < IDLE_SHARE * self._limits.idle_ms and quiet(link.sock):
+            if self._clock.now() - link.idle_at < IDLE_SHARE * self._limits.idle_ms and has_no_input(
+                link.sock
+            ):
                 return link
             self._close(link)
         return None
--- a/ashlift/proxy/client_connection.py
+++ b/ashlift/proxy/client_connection.py
@@ -10,7 +10,7 @@
 
 from ashlift.config.object_schema import ClientLimits
 from ashlift.events import WARNING, log_event
-from ashlift.gatekeeper.net.links import hung_up
+from ashlift.gatekeeper.net.socket_state import peer_has_closed
 from ashlift.invariants import Invariant, monitor
 from ashlift.proxy import events
 from ashlift.proxy.request_handler import RequestContext, RequestHandler
@@ -147,7 +147,7 @@
     def _read_request(self, limits: ClientLimits) -> ClientRequest | None:
         """The next request; None: there is none, and the connection ends."""
         reader = self._reader
-        if reader.complete and hung_up(self._sock):
+        if reader.complete and peer_has_closed(self._sock):
             return None  # it was sent together with the one before, and nobody waits for it any more
         waiting_since = time.monotonic()
         continue_sent = False
@@ -244,7 +244,7 @@
 
     def _check(self) -> None:
         self._readable.stop()
-        if hung_up(self._sock):
+        if peer_has_closed(self._sock):
             self._context.client_gone = True
             self._context.wake.set()
         elif self._timer is None:
