--- a/ashlift/gatekeeper/__main__.py
+++ b/ashlift/gatekeeper/__main__.py
@@ -16,7 +16,7 @@
 from ashlift.gatekeeper.admission.interface import ProcessCountChanged
 from ashlift.gatekeeper.clock import UnixClock
 from ashlift.gatekeeper.config import Config, ConfigError, OwnSettingsError, load, load_anew
-from ashlift.gatekeeper.jobs import Clock, Counter, HandsWritten
+from ashlift.gatekeeper.jobs import Clock, Counter, ManualDrainsChanged
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.counter import TextCounter
 from ashlift.gatekeeper.net.front import Front
@@ -161,7 +161,7 @@
         if self.door is not None and self._door is not None:
             self._running.append(gevent.spawn(self.door.run, self._door))
             told = self.owner.inbox.put
-            self._running.append(gevent.spawn(self.hands.run, lambda out: told(HandsWritten(out))))
+            self._running.append(gevent.spawn(self.hands.run, lambda out: told(ManualDrainsChanged(out))))
         if self.ratelimit is not None:
             self.ratelimit_port = self.ratelimit.listen(self.config.own.ratelimit.server.listen)
         host, port = self._listener.getsockname()
--- a/ashlift/gatekeeper/jobs.py
+++ b/ashlift/gatekeeper/jobs.py
@@ -60,14 +60,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class JobAbandoned:
     """The client of this job is gone."""
 
     job: Job
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimEnded:
+class AttemptFinished:
     """How one claim ended; the body counts only where the result is OK."""
 
     number: int
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BodyBegun:
+class RequestBodyStarted:
     """The first byte of this job's body is about to leave in this claim: it cannot be sent again."""
 
     number: int
@@ -95,7 +95,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Headed:
+class ResponseStarted:
     """The head of this claim's answer has come; the claim ends when the body has."""
 
     number: int
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Delivered:
+class ResponseDelivered:
     """The body of this job's answer has gone to its client, to its end or not."""
 
     job: Job
@@ -120,7 +120,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandsWritten:
+class ManualDrainsChanged:
     """Another process wrote which execute nodes are out by hand: ids and since when, Unix ms."""
 
     out: dict[str, float]
@@ -128,13 +128,13 @@
 
 Message = (
     Job
-    | Left
-    | ClaimEnded
-    | BodyBegun
-    | Headed
-    | Delivered
+    | JobAbandoned
+    | AttemptFinished
+    | RequestBodyStarted
+    | ResponseStarted
+    | ResponseDelivered
     | Command
-    | HandsWritten
+    | ManualDrainsChanged
     | CounterCallEnded
     | ServerList
     | Timer
--- a/ashlift/gatekeeper/net/front/connection.py
+++ b/ashlift/gatekeeper/net/front/connection.py
@@ -14,7 +14,7 @@
 from gevent.queue import SimpleQueue
 
 from ashlift.gatekeeper.config import Names
-from ashlift.gatekeeper.jobs import Answer, Clock, Delivered, Inbox, Job, Left, Verdict
+from ashlift.gatekeeper.jobs import Answer, Clock, Inbox, Job, JobAbandoned, ResponseDelivered, Verdict
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.front.answers import CONTINUE, render
 from ashlift.gatekeeper.net.front.asked import Asked, BadRequestError, job_of
@@ -96,7 +96,7 @@
             self._flowing.withdraw()  # wakes the writer, and the node's side ends
         if self._job is not None:
             self._front.metrics.add("clients.left")
-            self._front.inbox.put(Left(self._job))
+            self._front.inbox.put(JobAbandoned(self._job))
             self._done()
 
     def _step(self) -> bool:
@@ -304,7 +304,7 @@
             self._flowing = None
             opening.passage.close()
         if self._job is not None:
-            self._front.inbox.put(Delivered(self._job, fault is None))
+            self._front.inbox.put(ResponseDelivered(self._job, fault is None))
         self._front.metrics.add("spill.served" if fault is None else f"spill.cut.{fault.label}")
         return keep and fault is None and not self._may_end()
 
--- a/ashlift/gatekeeper/net/front/streaming.py
+++ b/ashlift/gatekeeper/net/front/streaming.py
@@ -14,7 +14,7 @@
 from gevent import socket
 
 from ashlift.gatekeeper import logs
-from ashlift.gatekeeper.jobs import Delivered, Left, Verdict
+from ashlift.gatekeeper.jobs import JobAbandoned, ResponseDelivered, Verdict
 from ashlift.gatekeeper.net.front.answers import CONTINUE
 from ashlift.gatekeeper.net.front.asked import Asked, BadRequestError
 from ashlift.gatekeeper.net.front.connection import Connection, Owner
@@ -176,7 +176,7 @@
         keep = keep and not (asked.minor == 0 and answer.opening.head.body.framing is Framing.CHUNKED)
         fault = self._flow(asked, answer.opening, keep)
         if self._job is not None:
-            self._front.inbox.put(Delivered(self._job, fault is None))
+            self._front.inbox.put(ResponseDelivered(self._job, fault is None))
         if not self._gone:
             left = "left" if fault is Fault.CLIENT_LEFT else "failed"
             self._tell(asked, "served" if fault is None else left, fault)
@@ -198,7 +198,7 @@
             return
         if job.flowing:
             return passage.break_off(fault)  # the writer sees it, and cuts
-        self._front.inbox.put(Left(job))  # ahead of the claim's end: nothing is made again
+        self._front.inbox.put(JobAbandoned(job))  # ahead of the claim's end: nothing is made again
         passage.break_off(fault)
         if fault.value.status is not None:
             self._out.put((asked, self._word(fault)))
--- a/ashlift/gatekeeper/net/nodes.py
+++ b/ashlift/gatekeeper/net/nodes.py
@@ -9,7 +9,7 @@
 from gevent import socket
 
 from ashlift.gatekeeper.admission.interface import Result
-from ashlift.gatekeeper.jobs import ClaimEnded, Clock, Inbox, Job
+from ashlift.gatekeeper.jobs import AttemptFinished, Clock, Inbox, Job
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.http_response import HttpResponse, MalformedResponseError
 from ashlift.gatekeeper.net.machine_list import MachineList
@@ -138,7 +138,9 @@
             del self._claims[claim.job.number, claim.attempt]
         waited = self._clock.now() - began if claim.waited_ms is None else claim.waited_ms
         number = claim.job.number
-        self._inbox.put(ClaimEnded(number, claim.attempt, claim.server, result, waited, body, claim.cause))
+        self._inbox.put(
+            AttemptFinished(number, claim.attempt, claim.server, result, waited, body, claim.cause)
+        )
 
     def _exchange(self, claim: Claim) -> tuple[Result, bytes]:
         machine = self._machines.ready(claim.server)
--- a/ashlift/gatekeeper/net/spill.py
+++ b/ashlift/gatekeeper/net/spill.py
@@ -9,7 +9,7 @@
 import contextlib
 
 from ashlift.gatekeeper.admission.interface import Result
-from ashlift.gatekeeper.jobs import Headed, Inbox
+from ashlift.gatekeeper.jobs import Inbox, ResponseStarted
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.http_response import HttpResponse, MalformedResponseError
 from ashlift.gatekeeper.net.nodes import Claim
@@ -50,7 +50,7 @@
     framing = Body(Framing.LENGTH, response.length) if response.length is not None else Body(Framing.CHUNKED)
     head = Head(200, passing(response.headers, TERMS.answer_headers), framing)
     answer = passage.begin_answer()
-    inbox.put(Headed(claim.job.number, claim.attempt, Opening(head, passage)))
+    inbox.put(ResponseStarted(claim.job.number, claim.attempt, Opening(head, passage)))
     try:
         _fill(sock, response, answer)
     except (BrokenOffError, LagError, MalformedResponseError, EndedError, OSError) as error:
--- a/ashlift/gatekeeper/net/stream_claim.py
+++ b/ashlift/gatekeeper/net/stream_claim.py
@@ -12,7 +12,7 @@
 import httptools
 
 from ashlift.gatekeeper.admission.interface import Result
-from ashlift.gatekeeper.jobs import BodyBegun, Clock, Headed, Inbox
+from ashlift.gatekeeper.jobs import Clock, Inbox, RequestBodyStarted, ResponseStarted
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.http_response import MAX_HEAD_BYTES, MalformedResponseError
 from ashlift.gatekeeper.net.nodes import Cargo, Claim
@@ -179,7 +179,7 @@
             first = upload.get()
             if first is not None:
                 # Ahead of the first byte: from here on the module knows that it cannot be sent again.
-                self._inbox.put(BodyBegun(self._claim.job.number, self._claim.attempt))
+                self._inbox.put(RequestBodyStarted(self._claim.job.number, self._claim.attempt))
                 self._timer.close()  # an upload has its own limits
                 upload.unget(first)
             sink.drain(upload, self._passage.body.framing is Framing.CHUNKED)
@@ -230,7 +230,7 @@
             raise MalformedResponseError("an answer that does not say where it ends")
         if response.exceeds_limit:
             # Another node would say the same: nothing is made again.
-            self._inbox.put(BodyBegun(claim.job.number, claim.attempt))
+            self._inbox.put(RequestBodyStarted(claim.job.number, claim.attempt))
             raise FaultError(Fault.ANSWER_TOO_LONG)
         if early:
             passage.stop_upload(Fault.EARLY_ANSWER)
@@ -243,7 +243,7 @@
         )
         answer = passage.begin_answer()
         opening = Opening(head, passage)
-        self._inbox.put(Headed(claim.job.number, claim.attempt, opening))
+        self._inbox.put(ResponseStarted(claim.job.number, claim.attempt, opening))
         self._fill(response, answer, body)
         return Result.OK, response.keep_alive and not early
 
--- a/ashlift/gatekeeper/owner.py
+++ b/ashlift/gatekeeper/owner.py
@@ -9,18 +9,18 @@
 from ashlift.gatekeeper.admission.control import Gateway
 from ashlift.gatekeeper.jobs import (
     Answer,
-    BodyBegun,
-    ClaimEnded,
+    AttemptFinished,
     Clock,
     Command,
     Counter,
-    Delivered,
-    HandsWritten,
-    Headed,
     Job,
-    Left,
+    JobAbandoned,
+    ManualDrainsChanged,
     Message,
     Nodes,
+    RequestBodyStarted,
+    ResponseDelivered,
+    ResponseStarted,
     Verdict,
 )
 from ashlift.gatekeeper.metrics import Metrics
@@ -79,7 +79,7 @@
             self._metrics.add("module.faults")
             # What it had decided until then stands: its next step, above all, or housekeeping would end here.
             actions = [*self._gateway.actions]
-            if isinstance(message, Job | ClaimEnded):
+            if isinstance(message, Job | AttemptFinished):
                 actions.append(i.Fail(message.number))
         for action in actions:
             self._do(action)
@@ -92,28 +92,28 @@
         match message:
             case Job():
                 return self._request(message)
-            case Left():
+            case JobAbandoned():
                 if self._jobs.pop(message.job.number, None) is None:
                     return None  # answered while the news was in the queue
                 self._metrics.add("jobs.left")
                 return i.ClientDisconnected(message.job.number)
-            case ClaimEnded():
+            case AttemptFinished():
                 return self._outcome(message)
-            case BodyBegun():
+            case RequestBodyStarted():
                 known = message.number in self._jobs
                 return (
                     i.StreamStarted(message.number, message.attempt, request_body_sent=True)
                     if known
                     else None
                 )
-            case Headed():
+            case ResponseStarted():
                 return self._headed(message)
-            case Delivered():
+            case ResponseDelivered():
                 self._delivered(message)
                 return None
             case Command():
                 return self._command(message)
-            case HandsWritten():
+            case ManualDrainsChanged():
                 changed = self._operator.adopt(message.out, self._clock.now()) if self._operator else []
                 return i.ServerList(tuple(changed)) if changed else None
             case i.Timer():
@@ -155,7 +155,7 @@
             streamed=job.streamed,
         )
 
-    def _outcome(self, ended: ClaimEnded) -> i.AttemptEnded:
+    def _outcome(self, ended: AttemptFinished) -> i.AttemptEnded:
         served, job = ended.result is i.Result.OK, self._jobs.get(ended.number)
         self._metrics.add(f"claims.{ended.result.value.replace(' ', '_')}")
         if job is not None:
@@ -165,7 +165,7 @@
         final = ended.number not in self._jobs or (job is not None and job.flowing)
         return i.AttemptEnded(ended.number, ended.attempt, ended.server, ended.result, ended.waited_ms, final)
 
-    def _headed(self, headed: Headed) -> i.Event | None:
+    def _headed(self, headed: ResponseStarted) -> i.Event | None:
         """The answer begins: from here on the job has its one answer, and nothing is made again."""
         job = self._jobs.get(headed.number)
         if job is None or job.flowing:
@@ -175,7 +175,7 @@
         job.reply(Answer(Verdict.SERVED, opening=headed.opening))
         return i.StreamStarted(headed.number, headed.attempt)
 
-    def _delivered(self, delivered: Delivered) -> None:
+    def _delivered(self, delivered: ResponseDelivered) -> None:
         if self._jobs.pop(delivered.job.number, None) is not None:
             verdict = Verdict.SERVED if delivered.whole else Verdict.FAILED
             self._metrics.add(f"answers.{verdict.value}")
--- a/ashlift/gatekeeper/ratelimit/server.py
+++ b/ashlift/gatekeeper/ratelimit/server.py
@@ -17,7 +17,7 @@
 from envoy.service.ratelimit.v3 import rls_pb2, rls_pb2_grpc
 
 from ashlift.gatekeeper.config import Names, customer_name
-from ashlift.gatekeeper.jobs import Answer, Clock, Inbox, Job, Left, Verdict
+from ashlift.gatekeeper.jobs import Answer, Clock, Inbox, Job, JobAbandoned, Verdict
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.ratelimit.bridge import Bridge
 from ashlift.gatekeeper.ratelimit.messages import is_negative
@@ -96,7 +96,7 @@
     def _ended(self, jobs: list[Job]) -> None:
         """The call is over, however it ended: what is not decided yet is not wanted any more."""
         for job in jobs:
-            self._bridge.post(self._inbox.put, Left(job))
+            self._bridge.post(self._inbox.put, JobAbandoned(job))
             job.reply(Answer(Verdict.FAILED))  # lets its thread go, if that still waits
 
     def _expire(self, context: grpc.ServicerContext) -> None:
--- a/tests/gatekeeper/test_front_end.py
+++ b/tests/gatekeeper/test_front_end.py
@@ -8,7 +8,7 @@
 from gevent.queue import SimpleQueue
 
 from ashlift.gatekeeper.clock import UnixClock
-from ashlift.gatekeeper.jobs import Left
+from ashlift.gatekeeper.jobs import JobAbandoned
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.front import connection
 from ashlift.gatekeeper.net.front.listener import Front
@@ -91,5 +91,5 @@
     assert sock.recv(65536).startswith(b"HTTP/1.1 200 ")
     sock.sendall(b"GET /availability-check HTTP/1.1\r\nX-Trace-Id: t\r\nX-Qos: gold\r\n\r\n")
     assert read_to_end(sock) == b""
-    assert not any(isinstance(event, Left) for event in running.inbox.queue)
+    assert not any(isinstance(event, JobAbandoned) for event in running.inbox.queue)
     assert running.inbox.empty()
--- a/tests/gatekeeper/test_spill.py
+++ b/tests/gatekeeper/test_spill.py
@@ -10,7 +10,7 @@
 from ashlift.gatekeeper.__main__ import Gatekeeper
 from ashlift.gatekeeper.admission.interface import Result
 from ashlift.gatekeeper.clock import UnixClock
-from ashlift.gatekeeper.jobs import ClaimEnded, Headed, Job
+from ashlift.gatekeeper.jobs import AttemptFinished, Job, ResponseStarted
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.http_response import MAX_BUFFERED_BYTES
 from ashlift.gatekeeper.net.machine_list import MachineList
@@ -131,11 +131,11 @@
         + b"p" * (MAX_BUFFERED_BYTES + 1)
     )
     headed = inbox.get(timeout=10)
-    assert isinstance(headed, Headed)
+    assert isinstance(headed, ResponseStarted)
     gevent.sleep(0.3)  # the rest comes late: the node is no slower for it
     sock.sendall(b"q" * (MAX_BUFFERED_BYTES - 1))
     ended = inbox.get(timeout=10)
-    assert isinstance(ended, ClaimEnded) and ended.result is Result.OK and ended.waited_ms < 250
+    assert isinstance(ended, AttemptFinished) and ended.result is Result.OK and ended.waited_ms < 250
     opening: Any = headed.opening  # a streams' Opening
     answer, got = opening.passage.answer, 0
     assert answer is not None
