--- a/ashlift/gatekeeper/__main__.py
+++ b/ashlift/gatekeeper/__main__.py
@@ -195,7 +195,7 @@
         end = self.clock.now() + 1000 * DRAIN_S
         if self.ratelimit is not None:
             self.ratelimit.close(DRAIN_S)
-        while (self.front.open or self.owner.owed) and self.clock.now() < end:
+        while (self.front.open or self.owner.unanswered) and self.clock.now() < end:
             self.front.rest()
             gevent.sleep(0.02)
         self.front.cut()
--- a/ashlift/gatekeeper/calls.py
+++ b/ashlift/gatekeeper/calls.py
@@ -51,7 +51,7 @@
 
     def begin(self, call: Call, give_up: Callable[[Any], None]) -> None:
         call.at = self._clock.now()
-        call.timer = self._clock.later(self.timeout_ms, give_up, call)
+        call.timer = self._clock.call_later(self.timeout_ms, give_up, call)
 
     def end(self, call: Call, result: Result, total: float = 0.0, over: bool = False) -> None:
         """Guards against two ends of one call: an answer after the give-up time is only counted."""
--- a/ashlift/gatekeeper/clock.py
+++ b/ashlift/gatekeeper/clock.py
@@ -21,7 +21,7 @@
     def now(self) -> float:
         return (self._base + time.monotonic()) * 1000.0
 
-    def later(self, in_ms: float, call: Callable[..., Any], *args: Any) -> Any:
-        timer = gevent.get_hub().loop.timer(max(0.0, in_ms / 1000.0))
+    def call_later(self, delay_ms: float, call: Callable[..., Any], *args: Any) -> Any:
+        timer = gevent.get_hub().loop.timer(max(0.0, delay_ms / 1000.0))
         timer.start(call, *args)
         return timer
--- a/ashlift/gatekeeper/jobs.py
+++ b/ashlift/gatekeeper/jobs.py
@@ -42,20 +42,22 @@
     only whether it may pass.
     """
 
-    kind: int  # class, as the settings number it
+    request_class: int  # class, as the settings number it
     plan: int
     customer: str
-    patience_ms: float  # counted from `came_ms`
-    came_ms: float
+    time_left_ms: float  # counted from `came_ms`
+    received_ms: float
     reply: Callable[[Answer], None] = field(repr=False)
-    cargo: Any = field(default=None, repr=False)
+    upstream_request: Any = field(default=None, repr=False)
     units: float = 1.0
-    set_size: int = 1
+    gateway_count: int = 1
     retry: bool = False
     streamed: bool = False  # its bodies are passed on as they arrive
     number: int = -1  # given by the owner
-    claims: int = 0  # started so far
-    flowing: bool = False  # its answer's head has gone to the client: there is no other answer any more
+    attempts: int = 0  # started so far
+    response_started: bool = (
+        False  # its answer's head has gone to the client: there is no other answer any more
+    )
     cause: Any = field(default=None, repr=False)
 
 
@@ -74,7 +76,7 @@
     attempt: int
     server: str
     result: Result
-    waited_ms: float  # of a streamed answer: to its head
+    elapsed_ms: float  # of a streamed answer: to its head
     body: bytes = field(default=b"", repr=False)
     cause: Any = None
 
@@ -108,7 +110,7 @@
     """The body of this job's answer has gone to its client, to its end or not."""
 
     job: Job
-    whole: bool
+    complete: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -152,10 +154,10 @@
 class Nodes(Protocol):
     """Carries claims to execute nodes. Each start ends in one ClaimEnded."""
 
-    def start(self, job: Job, attempt: int, server: str, timeout_ms: float) -> None:
+    def start(self, job: Job, attempt_index: int, server: str, timeout_ms: float) -> None:
         """Begin a claim; returns at once."""
 
-    def cancel(self, number: int, attempt: int) -> None:
+    def cancel(self, number: int, attempt_index: int) -> None:
         """Close the claim's connection before returning."""
 
 
@@ -172,5 +174,5 @@
     def now(self) -> float:
         """Milliseconds."""
 
-    def later(self, in_ms: float, call: Callable[..., Any], *args: Any) -> Any:
+    def call_later(self, delay_ms: float, callback: Callable[..., Any], *args: Any) -> Any:
         """Call in so many ms; the returned timer has `close()`."""
--- a/ashlift/gatekeeper/net/counter.py
+++ b/ashlift/gatekeeper/net/counter.py
@@ -140,7 +140,7 @@
         """Nothing more is written here; the calls under way keep their chance of an answer, for a while."""
         self._retired = True
         if self._pending:
-            self._timer = self._clock.later(SILENT_MS, self.close)
+            self._timer = self._clock.call_later(SILENT_MS, self.close)
         else:
             self.close()
 
--- a/ashlift/gatekeeper/net/front/asked.py
+++ b/ashlift/gatekeeper/net/front/asked.py
@@ -7,7 +7,7 @@
 
 from ashlift.gatekeeper.config import Names, customer_name
 from ashlift.gatekeeper.jobs import Answer, Job
-from ashlift.gatekeeper.net.nodes import Cargo
+from ashlift.gatekeeper.net.nodes import UpstreamRequest
 
 if TYPE_CHECKING:
     from ashlift.gatekeeper.streams.heads import Body
@@ -42,26 +42,26 @@
     keep: bool = True
     whole: bool = False
     headed: bool = False
-    came_ms: float = 0.0
+    received_ms: float = 0.0
     wrong: BadRequestError | None = None
     terms: "Terms | None" = None  # of a class that streams
     framing: "Body | None" = None
     passage: "Passage | None" = None
 
 
-def job_of(asked: Asked, names: Names, traces: set[bytes], reply: Callable[[Answer], None]) -> Job:
+def job_of(asked: Asked, names: Names, trace_ids: set[bytes], reply: Callable[[Answer], None]) -> Job:
     """What a request asks of the core; raises BadRequestError. `traces` are those of open jobs."""
     headers = asked.headers
     kind = names.classes.get(headers.get(b"x-qos", b""))
     first = asked.target.split(b"?", 1)[0].split(b"/", 2)[1:2]
     if not first or first[0] not in names.classes:
         raise BadRequestError(HTTPStatus.NOT_FOUND)
-    plan, trace = names.plans.get(headers.get(b"api-plan", b"")), headers.get(b"x-trace-id", b"")
-    if kind is None or names.classes[first[0]] != kind or plan is None or not trace:
+    plan, trace_id = names.plans.get(headers.get(b"api-plan", b"")), headers.get(b"x-trace-id", b"")
+    if kind is None or names.classes[first[0]] != kind or plan is None or not trace_id:
         raise BadRequestError(HTTPStatus.BAD_REQUEST)
     try:
         customer = customer_name(headers[b"api-customer"].decode())
-        patience = float(headers[b"x-expires-in"]) * 1000
+        time_left_ms = float(headers[b"x-expires-in"]) * 1000
         listed = headers.get(b"api-terms", b"").split(b",")
         terms = dict(part.strip().split(b"=", 1) for part in listed if part)
         units, spread = float(terms.get(b"units", 1)), int(terms.get(b"spread", 1))
@@ -69,24 +69,24 @@
     except (ValueError, KeyError):
         raise BadRequestError(HTTPStatus.BAD_REQUEST) from None
     in_set = 1 <= spread <= names.group_size and 0 <= start < names.group_size
-    if not (0 <= patience < 1e9 and 0 < units <= names.max_units and in_set):
+    if not (0 <= time_left_ms < 1e9 and 0 < units <= names.max_units and in_set):
         raise BadRequestError(HTTPStatus.BAD_REQUEST)
-    if trace in traces:
+    if trace_id in trace_ids:
         # Guards against a second copy at the nodes while the first is out.
         raise BadRequestError(HTTPStatus.CONFLICT)
     passage = asked.passage
     if passage is not None:  # so long for the answer's head; an upload before it has its own limits
-        patience = min(patience, passage.terms.set.head)
+        time_left_ms = min(time_left_ms, passage.terms.set.head)
     body = b"".join(asked.body) if passage is None else b""
-    cargo = Cargo(asked.method, asked.target, trace, body, passage)
+    upstream_request = UpstreamRequest(asked.method, asked.target, trace_id, body, passage)
     return Job(
         kind,
         plan,
         customer,
-        patience,
-        asked.came_ms,
+        time_left_ms,
+        asked.received_ms,
         reply,
-        cargo,
+        upstream_request,
         units,
         spread,
         retry=headers.get(b"x-second-try") == b"1",
--- a/ashlift/gatekeeper/net/front/connection.py
+++ b/ashlift/gatekeeper/net/front/connection.py
@@ -43,7 +43,7 @@
     inbox: Inbox
     metrics: Metrics
     closing: bool
-    traces: set[bytes]
+    trace_ids: set[bytes]
     idle: "dict[Any, None]"
 
 
@@ -158,7 +158,7 @@
         self._front.idle.pop(self, None)
         # The loop noted when it woke: what this request lay unread since then is off the client's patience.
         unread = max(0.0, time.time() - gevent.get_hub().loop.now())
-        asked.came_ms = self._front.clock.now() - 1000 * unread
+        asked.received_ms = self._front.clock.now() - 1000 * unread
         if self._current is not None:
             self._waiting.append(asked)
             if len(self._waiting) >= WAITING_MOST:
@@ -174,7 +174,7 @@
             self._out.put((asked, HTTPStatus.OK if front.ready() else HTTPStatus.SERVICE_UNAVAILABLE))
         else:
             try:
-                self._job = job_of(asked, front.names, front.traces, partial(self._reply, asked))
+                self._job = job_of(asked, front.names, front.trace_ids, partial(self._reply, asked))
             except BadRequestError as bad:
                 front.metrics.add(f"requests.bad_{int(bad.status)}")
                 kind = asked.headers.get(b"x-qos", b"")
@@ -182,7 +182,7 @@
                     front.metrics.add(answered(Verdict.FAILED, kind.decode("latin-1")))
                 self._out.put((asked, bad))
             else:
-                front.traces.add(self._job.cargo.trace)
+                front.trace_ids.add(self._job.upstream_request.trace_id)
                 front.inbox.put(self._job)
 
     def _reply(self, asked: Asked, answer: Answer) -> None:
@@ -201,7 +201,7 @@
 
     def _done(self) -> None:
         if self._job is not None:
-            self._front.traces.discard(self._job.cargo.trace)
+            self._front.trace_ids.discard(self._job.upstream_request.trace_id)
         self._current = self._job = None
 
     # ---- idle
@@ -245,7 +245,7 @@
         Guards against a request that is begun after the last answer, and dropped with the connection."""
         self._deaf = True
         self._shut(socket.SHUT_WR)
-        self._linger = self._front.clock.later(LINGER_MS, self._shut, socket.SHUT_RDWR)
+        self._linger = self._front.clock.call_later(LINGER_MS, self._shut, socket.SHUT_RDWR)
 
     def _may_end(self) -> bool:
         """Whether the front closes and nothing more has been asked here."""
--- a/ashlift/gatekeeper/net/front/listener.py
+++ b/ashlift/gatekeeper/net/front/listener.py
@@ -52,7 +52,7 @@
     ) -> None:
         self.names, self.ready, self.clock, self.inbox, self.metrics = names, ready, clock, inbox, metrics
         self.closing = False
-        self.traces: set[bytes] = set()  # of open jobs
+        self.trace_ids: set[bytes] = set()  # of open jobs
         self.idle: dict[Connection, None] = {}  # connections that are owed nothing, the longest idle first
         self._most, self._idle_most = most, idle_most
         self._freed = Event()
--- a/ashlift/gatekeeper/net/front/streaming.py
+++ b/ashlift/gatekeeper/net/front/streaming.py
@@ -111,7 +111,7 @@
             self._began = self._front.clock.now()
             total = asked.passage.terms.set.total
             if total > 0:
-                self._overtime = self._front.clock.later(total, self._give_up, asked, Fault.OVERTIME)
+                self._overtime = self._front.clock.call_later(total, self._give_up, asked, Fault.OVERTIME)
         super()._begin(asked)
 
     def _carry(self, asked: Asked) -> bool:
@@ -196,7 +196,7 @@
             if passage is not None:
                 passage.break_off(fault)
             return
-        if job.flowing:
+        if job.response_started:
             return passage.break_off(fault)  # the writer sees it, and cuts
         self._front.inbox.put(JobAbandoned(job))  # ahead of the claim's end: nothing is made again
         passage.break_off(fault)
--- a/ashlift/gatekeeper/net/nodes.py
+++ b/ashlift/gatekeeper/net/nodes.py
@@ -25,12 +25,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cargo:
+class UpstreamRequest:
     """What of a job an execute node gets unchanged."""
 
     method: bytes
     target: bytes
-    trace: bytes
+    trace_id: bytes
     body: bytes = b""
     passage: "Passage | None" = None  # of a job whose bodies are passed on as they arrive
 
@@ -47,15 +47,15 @@
 
 
 @dataclass(slots=True, eq=False)
-class Claim:
+class Attempt:
     job: Job
-    attempt: int
+    index: int  # among the attempts of the job, from 0
     server: str
     timeout_ms: float
     sock: socket.socket | None = None
     cancelled: bool = False
     written: bool = False  # its last byte is
-    waited_ms: float | None = None  # to the head of an answer that is streamed
+    elapsed_ms: float | None = None  # to the head of an answer that is streamed
     began: float = 0.0  # ms
     cause: Any = None  # why it failed, for the front's words
 
@@ -91,7 +91,7 @@
         self._inbox, self._metrics = inbox, metrics
         self._idle: dict[End, deque[Link]] = {}
         self._open = 0
-        self._claims: dict[tuple[int, int], Claim] = {}
+        self._attempts: dict[tuple[int, int], Attempt] = {}
         self.desk = desk  # where long answers get their places; made at the first where none is given
         self._spill_bytes = spill_bytes  # the budget of such a desk
 
@@ -106,28 +106,28 @@
             )
         return self.desk
 
-    def start(self, job: Job, attempt: int, server: str, timeout_ms: float) -> None:
-        claim = Claim(job, attempt, server, timeout_ms)
-        self._claims[job.number, attempt] = claim
-        gevent.spawn(self._run, claim)
+    def start(self, job: Job, attempt_index: int, server: str, timeout_ms: float) -> None:
+        attempt = Attempt(job, attempt_index, server, timeout_ms)
+        self._attempts[job.number, attempt_index] = attempt
+        gevent.spawn(self._run, attempt)
 
-    def cancel(self, number: int, attempt: int) -> None:
+    def cancel(self, number: int, attempt_index: int) -> None:
         """Guards against two claims out at once: the connection is closed before this returns."""
-        claim = self._claims.get((number, attempt))
-        if claim is not None:
-            claim.cancelled = True
-            claim.end()
+        attempt = self._attempts.get((number, attempt_index))
+        if attempt is not None:
+            attempt.cancelled = True
+            attempt.end()
 
-    def _run(self, claim: Claim) -> None:
-        began = claim.began = self._clock.now()
+    def _run(self, attempt: Attempt) -> None:
+        began = attempt.began = self._clock.now()
         body = b""
         try:
-            result, body = self._exchange(claim)
+            result, body = self._exchange(attempt)
         except Exception as error:  # whatever breaks in one claim is that claim's end and no other's
-            if claim.cancelled:
+            if attempt.cancelled:
                 result = Result.CANCELLED
             elif isinstance(error, (OSError, gevent.Timeout)):
-                result = Result.RESET if claim.written else Result.CONNECT_FAILED
+                result = Result.RESET if attempt.written else Result.CONNECT_FAILED
             elif isinstance(error, MalformedResponseError):
                 self._metrics.add("claims.spoilt")
                 result = Result.RESET
@@ -135,72 +135,80 @@
                 self._metrics.add("claims.faults")
                 result = Result.RESET
         finally:
-            del self._claims[claim.job.number, claim.attempt]
-        waited = self._clock.now() - began if claim.waited_ms is None else claim.waited_ms
-        number = claim.job.number
+            del self._attempts[attempt.job.number, attempt.index]
+        waited = self._clock.now() - began if attempt.elapsed_ms is None else attempt.elapsed_ms
+        number = attempt.job.number
         self._inbox.put(
-            AttemptFinished(number, claim.attempt, claim.server, result, waited, body, claim.cause)
+            AttemptFinished(number, attempt.index, attempt.server, result, waited, body, attempt.cause)
         )
 
-    def _exchange(self, claim: Claim) -> tuple[Result, bytes]:
-        machine = self._machines.ready(claim.server)
-        if claim.cancelled:
+    def _exchange(self, attempt: Attempt) -> tuple[Result, bytes]:
+        machine = self._machines.ready(attempt.server)
+        if attempt.cancelled:
             return Result.CANCELLED, b""
-        if machine is None or (claim.timeout_ms < 0):
+        if machine is None or (attempt.timeout_ms < 0):
             return Result.NOT_SENT, b""
-        timer = gevent.Timeout(claim.timeout_ms / 1000 if claim.timeout_ms > 0 else None)
+        timer = gevent.Timeout(attempt.timeout_ms / 1000 if attempt.timeout_ms > 0 else None)
         timer.start()
         link: Link | None = None
         keep = False
         began = self._clock.now()
         try:
-            link = self._take((claim.server, machine.address)) or self._dial(claim, machine.address)
+            link = self._take((attempt.server, machine.address)) or self._dial(attempt, machine.address)
             if link is None:
                 return Result.NOT_SENT, b""
-            claim.sock = link.sock
+            attempt.sock = link.sock
             # A drain told while the connection was coming up counts: looked at again before the first byte.
-            still = self._machines.ready(claim.server)
+            still = self._machines.ready(attempt.server)
             if still is None or still.address != machine.address:
                 self._metrics.add("claims.withdrawn")
                 keep = True
                 return Result.NOT_SENT, b""
-            left = claim.timeout_ms - (self._clock.now() - began)
-            if claim.job.cargo.passage is not None:
-                from ashlift.gatekeeper.net.stream_claim import StreamClaim  # loaded where there are streams
+            left = attempt.timeout_ms - (self._clock.now() - began)
+            if attempt.job.upstream_request.passage is not None:
+                from ashlift.gatekeeper.net.stream_attempt import (
+                    StreamAttempt,  # loaded where there are streams
+                )
 
-                streaming = StreamClaim(claim, link.sock, timer, self._clock, self._inbox, self._metrics)
+                streaming = StreamAttempt(attempt, link.sock, timer, self._clock, self._inbox, self._metrics)
                 result, keep = streaming.run(machine.address, left)
                 return result, b""
-            link.sock.sendall(self._request(claim, machine.address, left))
-            claim.written = True
+            link.sock.sendall(self._request(attempt, machine.address, left))
+            attempt.written = True
             self._metrics.add(RELAYED)
-            result, body, keep = self._read(claim, link.sock, timer)
+            result, body, keep = self._read(attempt, link.sock, timer)
             return result, body
         except gevent.Timeout as over:
             if over is not timer:
                 raise
-            return (Result.TIMEOUT if claim.written else Result.CONNECT_FAILED), b""
+            return (Result.TIMEOUT if attempt.written else Result.CONNECT_FAILED), b""
         finally:
             timer.close()
-            claim.sock = None
+            attempt.sock = None
             if link is not None:
-                self._give(link) if keep and not claim.cancelled else self._close(link)
-
-    def _request(self, claim: Claim, address: tuple[str, int], left_ms: float) -> bytes:
-        cargo: Cargo = claim.job.cargo
-        length = b"Content-Length: %d\r\n" % len(cargo.body) if cargo.body or cargo.method != b"GET" else b""
+                self._give(link) if keep and not attempt.cancelled else self._close(link)
+
+    def _request(self, attempt: Attempt, address: tuple[str, int], left_ms: float) -> bytes:
+        upstream_request: UpstreamRequest = attempt.job.upstream_request
+        length = (
+            b"Content-Length: %d\r\n" % len(upstream_request.body)
+            if upstream_request.body or upstream_request.method != b"GET"
+            else b""
+        )
         return b"%b %b HTTP/1.1\r\nHost: %b:%d\r\nX-Trace-Id: %b\r\nX-Expires-In: %.3f\r\n%b\r\n%b" % (
-            cargo.method,
-            cargo.target,
+            upstream_request.method,
+            upstream_request.target,
             address[0].encode(),
             address[1],
-            cargo.trace,
+            upstream_request.trace_id,
             max(0.001, left_ms / 1000),
             length,
-            cargo.body,
+            upstream_request.body,
         )
 
-    def _read(self, claim: Claim, sock: socket.socket, timer: gevent.Timeout) -> tuple[Result, bytes, bool]:
+    def _read(
+        self, attempt: Attempt, sock: socket.socket, timer: gevent.Timeout
+    ) -> tuple[Result, bytes, bool]:
         """Result, body, and whether the connection may be used again. An answer too long to hold passes on
         as it comes, and its body is not returned."""
         response = HttpResponse()
@@ -215,9 +223,9 @@
                 from ashlift.gatekeeper.net.spill import pass_on  # loaded with the first answer that needs it
 
                 # Guards against a node that looks slow for the length of its answer: what counts is its head.
-                claim.waited_ms = self._clock.now() - claim.began
+                attempt.elapsed_ms = self._clock.now() - attempt.began
                 desk = self._spill_desk()
-                result, keep = pass_on(claim, sock, response, timer, desk, self._inbox, self._metrics)
+                result, keep = pass_on(attempt, sock, response, timer, desk, self._inbox, self._metrics)
                 return result, b"", keep
         if response.status == 200:
             return Result.OK, b"".join(response.parts), response.keep_alive
@@ -243,14 +251,14 @@
             self._close(link)
         return None
 
-    def _dial(self, claim: Claim, address: tuple[str, int]) -> Link | None:
+    def _dial(self, attempt: Attempt, address: tuple[str, int]) -> Link | None:
         if self._open >= self._limits.links and not self._drop_oldest():
             self._metrics.add("nodes.no_room")
             return None
         self._open += 1
         self._metrics.add("nodes.dialled")
-        sock = claim.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        link = Link(sock, (claim.server, address))
+        sock = attempt.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        link = Link(sock, (attempt.server, address))
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             with gevent.Timeout(self._limits.dial_ms / 1000, OSError(errno.ETIMEDOUT, "dial")):
--- a/ashlift/gatekeeper/net/spill.py
+++ b/ashlift/gatekeeper/net/spill.py
@@ -12,7 +12,7 @@
 from ashlift.gatekeeper.jobs import Inbox, ResponseStarted
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.http_response import HttpResponse, MalformedResponseError
-from ashlift.gatekeeper.net.nodes import Claim
+from ashlift.gatekeeper.net.nodes import Attempt
 from ashlift.gatekeeper.settings.model import StreamClass
 from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
 from ashlift.gatekeeper.streams.heads import ANSWER_HEADERS, REQUEST_HEADERS, Body, Framing, Head, passing
@@ -28,7 +28,7 @@
 
 
 def pass_on(
-    claim: Claim,
+    attempt: Attempt,
     sock: object,
     response: HttpResponse,
     timer: object,
@@ -50,7 +50,7 @@
     framing = Body(Framing.LENGTH, response.length) if response.length is not None else Body(Framing.CHUNKED)
     head = Head(200, passing(response.headers, TERMS.answer_headers), framing)
     answer = passage.begin_answer()
-    inbox.put(ResponseStarted(claim.job.number, claim.attempt, Opening(head, passage)))
+    inbox.put(ResponseStarted(attempt.job.number, attempt.index, Opening(head, passage)))
     try:
         _fill(sock, response, answer)
     except (BrokenOffError, LagError, MalformedResponseError, EndedError, OSError) as error:
@@ -59,7 +59,7 @@
         if isinstance(error, MalformedResponseError):
             metrics.add("claims.spoilt")
         answer.break_off(fault)
-        return (Result.CANCELLED if claim.cancelled else fault.value.result), False
+        return (Result.CANCELLED if attempt.cancelled else fault.value.result), False
     keep = (
         response.keep_alive if response.done else response.head_keep_alive
     )  # a body of known length went by the parser
--- a/ashlift/gatekeeper/net/stream_claim.py
+++ b/ashlift/gatekeeper/net/stream_attempt.py
@@ -15,7 +15,7 @@
 from ashlift.gatekeeper.jobs import Clock, Inbox, RequestBodyStarted, ResponseStarted
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.http_response import MAX_HEAD_BYTES, MalformedResponseError
-from ashlift.gatekeeper.net.nodes import Cargo, Claim
+from ashlift.gatekeeper.net.nodes import Attempt, UpstreamRequest
 from ashlift.gatekeeper.operations.figures import RELAYED
 from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
 from ashlift.gatekeeper.streams.heads import (
@@ -111,17 +111,17 @@
             self.done = True
 
 
-class StreamClaim:
+class StreamAttempt:
     """One attempt to pass a job's bodies on. `timer` is the claim's, for all until its answer's head."""
 
     def __init__(
-        self, claim: Claim, sock: Any, timer: Any, clock: Clock, inbox: Inbox, metrics: Metrics
+        self, attempt: Attempt, sock: Any, timer: Any, clock: Clock, inbox: Inbox, metrics: Metrics
     ) -> None:
-        self._claim, self._sock, self._timer, self._clock = claim, sock, timer, clock
+        self._attempt, self._sock, self._timer, self._clock = attempt, sock, timer, clock
         self._inbox, self._metrics = inbox, metrics
-        self._cargo: Cargo = claim.job.cargo
-        assert self._cargo.passage is not None
-        self._passage: Passage = self._cargo.passage
+        self._upstream_request: UpstreamRequest = attempt.job.upstream_request
+        assert self._upstream_request.passage is not None
+        self._passage: Passage = self._upstream_request.passage
         self._began = clock.now()
         self._late: Any = None  # the timer of the answer's head behind an upload
         self._fault: Fault | None = None  # that another greenlet found
@@ -136,11 +136,11 @@
                 return Result.CANCELLED, False
             self._sock.sendall(self._head(address, left_ms))
             if passage.upload is None:
-                self._claim.written = True
+                self._attempt.written = True
                 self._metrics.add(RELAYED)
             else:
                 carrier = gevent.spawn(self._carry, passage.upload)
-            response = StreamedResponseReader(self._cargo.method, passage.terms.set.longest)
+            response = StreamedResponseReader(self._upstream_request.method, passage.terms.set.longest)
             self._read_head(response)
             return self._answer(response)
         except BaseException as error:
@@ -153,16 +153,16 @@
                 carrier.kill()
 
     def _head(self, address: tuple[str, int], left_ms: float) -> bytes:
-        cargo, passage = self._cargo, self._passage
+        upstream_request, passage = self._upstream_request, self._passage
         host = b"%b:%d" % (address[0].encode(), address[1])
         framing = framing_line(passage.body)
-        if not framing and cargo.method not in (b"GET", b"HEAD"):
+        if not framing and upstream_request.method not in (b"GET", b"HEAD"):
             framing = b"Content-Length: 0\r\n"
         return b"%b %b HTTP/1.1\r\nHost: %b\r\nX-Trace-Id: %b\r\nX-Expires-In: %.3f\r\n%b%b\r\n" % (
-            cargo.method,
-            cargo.target,
+            upstream_request.method,
+            upstream_request.target,
             host,
-            cargo.trace,
+            upstream_request.trace_id,
             max(0.001, left_ms / 1000),
             lines(passage.headers),
             framing,
@@ -179,7 +179,7 @@
             first = upload.get()
             if first is not None:
                 # Ahead of the first byte: from here on the module knows that it cannot be sent again.
-                self._inbox.put(RequestBodyStarted(self._claim.job.number, self._claim.attempt))
+                self._inbox.put(RequestBodyStarted(self._attempt.job.number, self._attempt.index))
                 self._timer.close()  # an upload has its own limits
                 upload.unget(first)
             sink.drain(upload, self._passage.body.framing is Framing.CHUNKED)
@@ -191,17 +191,17 @@
         except OSError:
             pass
         else:
-            self._claim.written = True
+            self._attempt.written = True
             self._metrics.add(RELAYED)
             self._timer.close()
             self._began = self._clock.now()
-            self._late = self._clock.later(terms.head, self._stop, Fault.HEAD_LATE)
+            self._late = self._clock.call_later(terms.head, self._stop, Fault.HEAD_LATE)
 
     def _stop(self, fault: Fault | None = None) -> None:
         """End the claim from another greenlet."""
         if self._fault is None:
             self._fault = fault or self._passage.fault
-        self._claim.end()
+        self._attempt.end()
 
     # ---- the answer
 
@@ -216,13 +216,13 @@
             self._late.close()
 
     def _answer(self, response: StreamedResponseReader) -> tuple[Result, bool]:
-        claim, body, passage = self._claim, response.body, self._passage
+        attempt, body, passage = self._attempt, response.body, self._passage
         assert body is not None
-        claim.waited_ms = self._clock.now() - self._began
-        early = passage.upload is not None and not claim.written
+        attempt.elapsed_ms = self._clock.now() - self._began
+        early = passage.upload is not None and not attempt.written
         if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             never = response.never_ran and response.status in (503, 504)
-            claim.cause = Fault.NODE_ERROR
+            attempt.cause = Fault.NODE_ERROR
             return (
                 Result.OVERLOADED if never else Result.ERROR
             ), response.keep_alive and response.done and not early
@@ -230,7 +230,7 @@
             raise MalformedResponseError("an answer that does not say where it ends")
         if response.exceeds_limit:
             # Another node would say the same: nothing is made again.
-            self._inbox.put(RequestBodyStarted(claim.job.number, claim.attempt))
+            self._inbox.put(RequestBodyStarted(attempt.job.number, attempt.index))
             raise FaultError(Fault.ANSWER_TOO_LONG)
         if early:
             passage.stop_upload(Fault.EARLY_ANSWER)
@@ -239,11 +239,11 @@
             response.status,
             passing(response.headers, passage.terms.answer_headers),
             body,
-            announced if self._cargo.method == b"HEAD" else None,
+            announced if self._upstream_request.method == b"HEAD" else None,
         )
         answer = passage.begin_answer()
         opening = Opening(head, passage)
-        self._inbox.put(ResponseStarted(claim.job.number, claim.attempt, opening))
+        self._inbox.put(ResponseStarted(attempt.job.number, attempt.index, opening))
         self._fill(response, answer, body)
         return Result.OK, response.keep_alive and not early
 
@@ -268,8 +268,8 @@
 
     def _failed(self, error: BaseException) -> Result:
         """Name what broke, break the answer off where it flows, and say what the module is told."""
-        claim, fault = self._claim, self._fault
-        if fault is None and claim.cancelled:
+        attempt, fault = self._attempt, self._fault
+        if fault is None and attempt.cancelled:
             fault = self._passage.fault or Fault.WITHDRAWN
         if fault is None:
             match error:
@@ -286,10 +286,10 @@
                     fault = Fault.HEAD_LATE
                 case _:
                     raise error
-        claim.cause = fault
+        attempt.cause = fault
         if self._passage.answer is not None:
             self._passage.answer.break_off(fault)
-        if claim.cancelled or fault.value.result is Result.CANCELLED:
+        if attempt.cancelled or fault.value.result is Result.CANCELLED:
             return Result.CANCELLED
-        ran = claim.written or self._passage.answer is not None
+        ran = attempt.written or self._passage.answer is not None
         return fault.value.result if ran else Result.CONNECT_FAILED
--- a/ashlift/gatekeeper/owner.py
+++ b/ashlift/gatekeeper/owner.py
@@ -44,7 +44,7 @@
         self.inbox: SimpleQueue[Message] = SimpleQueue()
         self._jobs: dict[int, Job] = {}  # those that are owed an answer
         self._timers: dict[int, Any] = {}  # kept alive until they ring
-        self._next = 1
+        self._next_number = 1
         self._nodes: Nodes | None = None
         self._counter: Counter | None = None
 
@@ -55,14 +55,14 @@
         self._nodes, self._counter, self._operator = nodes, counter, operator
 
     @property
-    def owed(self) -> int:
+    def unanswered(self) -> int:
         """Jobs taken and not answered yet, those still in the queue included."""
         return len(self._jobs) + sum(isinstance(item, Job) for item in self.inbox.queue)
 
     def run(self) -> None:
         """Take messages for ever."""
         while True:
-            self.take(self.inbox.get())
+            self.handle(self.inbox.get())
 
     def close(self) -> None:
         """Let no timer ring any more."""
@@ -70,10 +70,10 @@
             timer.close()
         self._timers.clear()
 
-    def take(self, message: Message) -> None:
+    def handle(self, message: Message) -> None:
         """Handle one message. A fault of the module costs the job it struck an answer, not the others."""
         try:
-            actions = self._feed(message)
+            actions = self._handle_message(message)
         except Exception:
             log.exception("the module failed on %s", type(message).__name__)
             self._metrics.add("module.faults")
@@ -82,37 +82,37 @@
             if isinstance(message, Job | AttemptFinished):
                 actions.append(i.Fail(message.number))
         for action in actions:
-            self._do(action)
+            self._perform(action)
 
-    def _feed(self, message: Message) -> list[i.Action]:
-        now, event = self._clock.now(), self._event(message)
+    def _handle_message(self, message: Message) -> list[i.Action]:
+        now, event = self._clock.now(), self._to_event(message)
         return self._gateway.handle(now, event) if event is not None else []
 
-    def _event(self, message: Message) -> i.Event | None:
+    def _to_event(self, message: Message) -> i.Event | None:
         match message:
             case Job():
-                return self._request(message)
+                return self._request_event(message)
             case JobAbandoned():
                 if self._jobs.pop(message.job.number, None) is None:
                     return None  # answered while the news was in the queue
                 self._metrics.add("jobs.left")
                 return i.ClientDisconnected(message.job.number)
             case AttemptFinished():
-                return self._outcome(message)
+                return self._attempt_event(message)
             case RequestBodyStarted():
-                known = message.number in self._jobs
+                is_open = message.number in self._jobs
                 return (
                     i.StreamStarted(message.number, message.attempt, request_body_sent=True)
-                    if known
+                    if is_open
                     else None
                 )
             case ResponseStarted():
-                return self._headed(message)
+                return self._start_response(message)
             case ResponseDelivered():
-                self._delivered(message)
+                self._finish_response(message)
                 return None
             case Command():
-                return self._command(message)
+                return self._run_command(message)
             case ManualDrainsChanged():
                 changed = self._operator.adopt(message.out, self._clock.now()) if self._operator else []
                 return i.ServerList(tuple(changed)) if changed else None
@@ -120,12 +120,12 @@
                 self._timers.pop(message.token, None)
         return message
 
-    def _command(self, command: Command) -> i.Event | None:
+    def _run_command(self, command: Command) -> i.Event | None:
         """A call of the door: answered at once; what it changed of the nodes the module hears next."""
         if self._operator is None:
             return None
-        said, changed = self._operator.call(command.call, self._clock.now(), self.gauges())
-        command.reply(said)
+        reply, changed = self._operator.call(command.call, self._clock.now(), self.gauges())
+        command.reply(reply)
         return i.ServerList(tuple(changed)) if changed else None
 
     def gauges(self) -> Gauges:
@@ -134,88 +134,92 @@
         avoided = sum(
             view.entry.state is not i.ServerState.READY or now < view.ejected_until for view in views
         )
-        return Gauges(self.owed, len(views), avoided)
+        return Gauges(self.unanswered, len(views), avoided)
 
-    def _request(self, job: Job) -> i.Request:
-        job.number, self._next = self._next, self._next + 1
+    def _request_event(self, job: Job) -> i.Request:
+        job.number, self._next_number = self._next_number, self._next_number + 1
         self._jobs[job.number] = job
         self._metrics.add("jobs.taken")
         # The client counts from when it sent: what the job lay unread is off its patience.
-        left = max(0.0, job.patience_ms - (self._clock.now() - job.came_ms))
+        time_left_ms = max(0.0, job.time_left_ms - (self._clock.now() - job.received_ms))
         return i.Request(
             job.number,
-            job.kind,
+            job.request_class,
             job.plan,
             job.customer,
-            left,
+            time_left_ms,
             job.units,
-            job.set_size,
+            job.gateway_count,
             job.retry,
-            admit_only=job.cargo is None,
+            admit_only=job.upstream_request is None,
             streamed=job.streamed,
         )
 
-    def _outcome(self, ended: AttemptFinished) -> i.AttemptEnded:
-        served, job = ended.result is i.Result.OK, self._jobs.get(ended.number)
-        self._metrics.add(f"claims.{ended.result.value.replace(' ', '_')}")
+    def _attempt_event(self, message: AttemptFinished) -> i.AttemptEnded:
+        served, job = message.result is i.Result.OK, self._jobs.get(message.number)
+        self._metrics.add(f"claims.{message.result.value.replace(' ', '_')}")
         if job is not None:
-            job.cause = ended.cause
+            job.cause = message.cause
         if served:
-            self._answer(ended.number, Answer(Verdict.SERVED, ended.body))
-        final = ended.number not in self._jobs or (job is not None and job.flowing)
-        return i.AttemptEnded(ended.number, ended.attempt, ended.server, ended.result, ended.waited_ms, final)
+            self._send_answer(message.number, Answer(Verdict.SERVED, message.body))
+        final = message.number not in self._jobs or (job is not None and job.response_started)
+        return i.AttemptEnded(
+            message.number, message.attempt, message.server, message.result, message.elapsed_ms, final
+        )
 
-    def _headed(self, headed: ResponseStarted) -> i.Event | None:
+    def _start_response(self, message: ResponseStarted) -> i.Event | None:
         """The answer begins: from here on the job has its one answer, and nothing is made again."""
-        job = self._jobs.get(headed.number)
-        if job is None or job.flowing:
-            headed.opening.withdraw()
+        job = self._jobs.get(message.number)
+        if job is None or job.response_started:
+            message.opening.withdraw()
             return None
-        job.flowing = True
-        job.reply(Answer(Verdict.SERVED, opening=headed.opening))
-        return i.StreamStarted(headed.number, headed.attempt)
+        job.response_started = True
+        job.reply(Answer(Verdict.SERVED, opening=message.opening))
+        return i.StreamStarted(message.number, message.attempt)
 
-    def _delivered(self, delivered: ResponseDelivered) -> None:
-        if self._jobs.pop(delivered.job.number, None) is not None:
-            verdict = Verdict.SERVED if delivered.whole else Verdict.FAILED
+    def _finish_response(self, message: ResponseDelivered) -> None:
+        if self._jobs.pop(message.job.number, None) is not None:
+            verdict = Verdict.SERVED if message.complete else Verdict.FAILED
             self._metrics.add(f"answers.{verdict.value}")
-            self._metrics.add(answered(verdict, self._classes[delivered.job.kind]))
+            self._metrics.add(answered(verdict, self._classes[message.job.request_class]))
 
-    def _answer(self, number: int, answer: Answer) -> None:
+    def _send_answer(self, number: int, answer: Answer) -> None:
         """Guards against a second final answer: the job is forgotten with its first, and one whose answer
         flows has it already."""
         job = self._jobs.get(number)
-        if job is not None and not job.flowing:
+        if job is not None and not job.response_started:
             del self._jobs[number]
             self._metrics.add(f"answers.{answer.verdict.value}")
-            self._metrics.add(answered(answer.verdict, self._classes[job.kind]))
+            self._metrics.add(answered(answer.verdict, self._classes[job.request_class]))
             job.reply(answer)
 
-    def _failed(self, number: int) -> Answer:
+    def _failure_answer(self, number: int) -> Answer:
         job = self._jobs.get(number)
         return Answer(Verdict.FAILED, cause=job.cause if job is not None else None)
 
-    def _do(self, action: i.Action) -> None:
+    def _perform(self, action: i.Action) -> None:
         match action:
             case i.SetTimer():
                 put = self.inbox.put
-                self._timers[action.token] = self._clock.later(action.delay_ms, put, i.Timer(action.token))
+                self._timers[action.token] = self._clock.call_later(
+                    action.delay_ms, put, i.Timer(action.token)
+                )
             case i.Send():
                 job = self._jobs.get(action.request_id)
                 if job is not None and self._nodes is not None:
-                    job.claims += 1
+                    job.attempts += 1
                     self._metrics.add("claims.sent")
-                    self._nodes.start(job, job.claims - 1, action.server, action.timeout_ms)
+                    self._nodes.start(job, job.attempts - 1, action.server, action.timeout_ms)
             case i.Cancel():
                 if self._nodes is not None:
                     self._nodes.cancel(action.request_id, action.attempt)
             case i.Refuse():
                 self._metrics.add(f"refused.{action.reason}")
-                self._answer(action.request_id, Answer(Verdict.REFUSED, b"", action.retry_after_ms))
+                self._send_answer(action.request_id, Answer(Verdict.REFUSED, b"", action.retry_after_ms))
             case i.Admit():
-                self._answer(action.request_id, Answer(Verdict.PASSED))
+                self._send_answer(action.request_id, Answer(Verdict.PASSED))
             case i.Fail():
-                self._answer(action.request_id, self._failed(action.request_id))
+                self._send_answer(action.request_id, self._failure_answer(action.request_id))
             case i.AddToCounter():
                 if self._counter is not None:
                     self._metrics.add("counter.calls")
--- a/tests/gatekeeper/standins.py
+++ b/tests/gatekeeper/standins.py
@@ -24,8 +24,8 @@
     def now(self) -> float:
         return self.time
 
-    def later(self, in_ms: float, call: Callable[..., Any], *args: Any) -> "_ManualTimer":
-        timer = _ManualTimer(self.time + in_ms, lambda: call(*args))
+    def call_later(self, delay_ms: float, call: Callable[..., Any], *args: Any) -> "_ManualTimer":
+        timer = _ManualTimer(self.time + delay_ms, lambda: call(*args))
         self._due.append(timer)
         return timer
 
--- a/tests/gatekeeper/test_parts.py
+++ b/tests/gatekeeper/test_parts.py
@@ -25,7 +25,7 @@
 from ashlift.gatekeeper.net import machine_list
 from ashlift.gatekeeper.net.front import connection
 from ashlift.gatekeeper.net.machine_list import Machine, MachineList
-from ashlift.gatekeeper.net.nodes import Cargo, Limits, NodePool
+from ashlift.gatekeeper.net.nodes import Limits, NodePool, UpstreamRequest
 from ashlift.gatekeeper.owner import Owner
 from tests.gatekeeper.play import config, instance, listen
 from tests.gatekeeper.standins import ManualClock, Node
@@ -35,8 +35,8 @@
 
 
 def job(number: int = 1) -> Job:
-    cargo = Cargo(b"GET", b"/availability-check", b"t%d" % number)
-    return Job(0, 0, "aa", 900.0, 0.0, lambda answer: None, cargo, number=number)
+    upstream_request = UpstreamRequest(b"GET", b"/availability-check", b"t%d" % number)
+    return Job(0, 0, "aa", 900.0, 0.0, lambda answer: None, upstream_request, number=number)
 
 
 class Drained(MachineList):
@@ -130,10 +130,10 @@
     broken.reply = answers.append
     with monkeypatch.context() as patch:
         patch.setattr(Gateway, "_on_request", lambda *_: 1 / 0)
-        owner.take(broken)
+        owner.handle(broken)
     sound = job(2)
     sound.reply = answers.append
-    owner.take(sound)
+    owner.handle(sound)
     assert [answer.verdict for answer in answers] == [Verdict.FAILED, Verdict.REFUSED]
     assert list(owner._timers) == [0]  # the step that the module had asked for before it failed
 
@@ -141,8 +141,8 @@
 def test_what_a_job_lay_unread_is_off_its_patience() -> None:
     owner = Owner(Gateway(config(NOWHERE, {}).settings, 1), clock := ManualClock(), Metrics())
     late = job()
-    late.came_ms, late.patience_ms = clock.now() - 300.0, 900.0
-    assert owner._request(late).time_left_ms == 600.0
+    late.received_ms, late.time_left_ms = clock.now() - 300.0, 900.0
+    assert owner._request_event(late).time_left_ms == 600.0
 
 
 def test_all_gatekeepers_read_one_clock() -> None:
--- a/tests/gatekeeper/test_spill.py
+++ b/tests/gatekeeper/test_spill.py
@@ -14,7 +14,7 @@
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.http_response import MAX_BUFFERED_BYTES
 from ashlift.gatekeeper.net.machine_list import MachineList
-from ashlift.gatekeeper.net.nodes import Cargo, Limits, NodePool
+from ashlift.gatekeeper.net.nodes import Limits, NodePool, UpstreamRequest
 from tests.gatekeeper.play import config, instance, listen
 
 JOB = (
@@ -122,7 +122,9 @@
     machines.take({"generation": 1, "instances": [instance("n1", "{}:{}".format(*node.getsockname()))]})
     inbox.get()
     nodes = NodePool(machines, Limits(2000.0, 15_000.0, 8), UnixClock(), inbox, Metrics())
-    job = Job(0, 0, "aa", 9000.0, 0.0, lambda answer: None, Cargo(b"GET", b"/availability-check", b"t1"))
+    job = Job(
+        0, 0, "aa", 9000.0, 0.0, lambda answer: None, UpstreamRequest(b"GET", b"/availability-check", b"t1")
+    )
     nodes.start(job, 0, "n1", 9000.0)
     sock = node.accept()[0]
     sock.recv(65536)
@@ -135,7 +137,7 @@
     gevent.sleep(0.3)  # the rest comes late: the node is no slower for it
     sock.sendall(b"q" * (MAX_BUFFERED_BYTES - 1))
     ended = inbox.get(timeout=10)
-    assert isinstance(ended, AttemptFinished) and ended.result is Result.OK and ended.waited_ms < 250
+    assert isinstance(ended, AttemptFinished) and ended.result is Result.OK and ended.elapsed_ms < 250
     opening: Any = headed.opening  # a streams' Opening
     answer, got = opening.passage.answer, 0
     assert answer is not None
--- a/tests/gatekeeper/test_stream_program.py
+++ b/tests/gatekeeper/test_stream_program.py
@@ -92,7 +92,7 @@
     """Nothing of any stream is left."""
     desk = gate.desk
     assert desk is not None
-    return not desk.open and desk.pool.budget.held == 0 and not desk.pool.pipes and not gate.owner.owed
+    return not desk.open and desk.pool.budget.held == 0 and not desk.pool.pipes and not gate.owner.unanswered
 
 
 def until(true: Any) -> None:
@@ -215,7 +215,7 @@
             gate.stop(0.0)
             got = len(answer.get()[0].partition(b"\r\n\r\n")[2])
             assert got == size if size else 0 < got < 100
-        assert gate.metrics.counts[counted] == 1 and gate.owner.owed == 0
+        assert gate.metrics.counts[counted] == 1 and gate.owner.unanswered == 0
         peer.server.stop()
 
 
@@ -277,7 +277,7 @@
         + sum(n for key, n in counts.items() if key.startswith("streams.failed."))
         == counts["jobs.taken"]
     )
-    assert not gate.nodes._claims
+    assert not gate.nodes._attempts
     gate.stop(0.0)
     node.server.stop()
 
--- a/tests/gatekeeper/test_streams.py
+++ b/tests/gatekeeper/test_streams.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from ashlift.gatekeeper.admission import interface as i
-from ashlift.gatekeeper.net.stream_claim import StreamedResponseReader
+from ashlift.gatekeeper.net.stream_attempt import StreamedResponseReader
 from ashlift.gatekeeper.settings.model import LEAST_LEASE, Streaming
 from ashlift.gatekeeper.streams import pump
 from ashlift.gatekeeper.streams.budget import Budget, Share
