--- a/ashlift/gatekeeper/__main__.py
+++ b/ashlift/gatekeeper/__main__.py
@@ -31,7 +31,7 @@
 
 if TYPE_CHECKING:
     from ashlift.gatekeeper.ratelimit.server import RateLimitFront
-    from ashlift.gatekeeper.streams.passage import Desk
+    from ashlift.gatekeeper.streams.stream import StreamRegistry
 
 log = logging.getLogger("ashlift")
 GRACE_S = 0.7  # after SIGTERM new connections and requests keep coming for about so long
@@ -49,14 +49,14 @@
         self.owner = Owner(Gateway(config.settings, config.seed), self.clock, self.metrics, classes)
         inbox = self.owner.inbox
         self.machines = MachineList(config.discovery, config.zones, inbox, self.metrics)
-        self.desk = self._new_desk()
+        self.stream_registry = self._create_stream_registry()
         self.nodes = NodePool(
             self.machines,
             Limits(config.dial_ms, config.idle_ms, config.node_links),
             self.clock,
             inbox,
             self.metrics,
-            self.desk,
+            self.stream_registry,
             config.spill_bytes,
         )
         self.counter: TextCounter | None = None
@@ -98,7 +98,7 @@
             self.clock,
             inbox,
             self.metrics,
-            self.desk,
+            self.stream_registry,
         )
         # The operators' door, where the configuration names one; what is out by hand passes through TMPDIR.
         self.door = Door(inbox, self.metrics) if config.mgmt is not None else None
@@ -122,15 +122,15 @@
         self._listener: gevent.socket.socket | None = None
         self._door: gevent.socket.socket | None = None
 
-    def _new_desk(self) -> "Desk | None":
+    def _create_stream_registry(self) -> "StreamRegistry | None":
         """Where streams get their places, if the settings turn them on: nothing is loaded for them else."""
         streaming = self.config.own.streaming
         if not streaming.enabled:
             return None
-        from ashlift.gatekeeper.streams.passage import Desk
+        from ashlift.gatekeeper.streams.stream import StreamRegistry
 
-        desk = Desk(streaming, self.config.names.classes)
-        for name in desk.unknown:
+        stream_registry = StreamRegistry(streaming, self.config.names.classes)
+        for name in stream_registry.unknown_classes:
             logs.tell(
                 log,
                 logging.WARNING,
@@ -138,14 +138,14 @@
                 name=name,
                 what="not among the platform's classes: nothing of it is streamed",
             )
-        return desk
+        return stream_registry
 
     def start(self) -> tuple[str, int]:
         """Listen and run; the address is told for where the port was left open."""
         if self.door is not None:  # what a process before this one took out stays out
             self.machines.adopt(self.hands.load(), self.clock.now())
         if self.config.known.get("instances"):
-            self.machines.take(self.config.known | {"reset": True})
+            self.machines.apply_update(self.config.known | {"reset": True})
         self._listener = self.front.listen(self.config.listen, self.config.inherited_fd)
         if self.door is not None and self.config.mgmt is not None:
             self._door = self.door.listen(self.config.mgmt)
@@ -178,9 +178,9 @@
             log.error("reload: %s; the settings stay", error)
             return
         self.metrics.add("reloads")
-        self.machines.move(config.discovery)
+        self.machines.change_address(config.discovery)
         if self.counter is not None and config.counter is not None:
-            self.counter.move(config.counter)
+            self.counter.change_address(config.counter)
         log.info("reload: discovery %s:%d, counter %s", *config.discovery, config.counter)
 
     def stop(self, grace_s: float = GRACE_S) -> None:
--- a/ashlift/gatekeeper/calls.py
+++ b/ashlift/gatekeeper/counter_calls.py
@@ -8,11 +8,15 @@
 from ashlift.gatekeeper.jobs import Clock, Inbox
 from ashlift.gatekeeper.metrics import Metrics
 
-OVERDUE = 3.0  # x the give-up time without the answer that is due: new calls go out on a new connection
-SILENT_MS = 1_000.0  # nothing more will come after so long; and the longest patience with a new connection
+OVERDUE_FACTOR = (
+    3.0  # x the give-up time without the answer that is due: new calls go out on a new connection
+)
+MAX_ANSWER_WAIT_MS = (
+    1_000.0  # nothing more will come after so long; and the longest patience with a new connection
+)
 
 
-class Patience:
+class ReconnectPolicy:
     """How long an answer may be overdue before new calls go out on a new connection.
 
     Guards against one silent connection that stops all counting. A counter that is silent itself is not
@@ -20,45 +24,53 @@
     """
 
     def __init__(self, timeout_ms: float) -> None:
-        self._least = self._most = OVERDUE * timeout_ms
+        self._min_wait_ms = self._max_wait_ms = OVERDUE_FACTOR * timeout_ms
 
-    def heard(self) -> None:
-        self._most = self._least
+    def reset(self) -> None:
+        self._max_wait_ms = self._min_wait_ms
 
-    def is_over(self, waited_ms: float, heard: bool) -> bool:
+    def should_reconnect(self, waited_ms: float, answered: bool) -> bool:
         """Whether to begin anew; `heard`: something has come on the connection."""
-        over = waited_ms > self._most
-        if over and not heard and self._most < SILENT_MS:
-            self._most *= 2
-        return over
+        is_overdue = waited_ms > self._max_wait_ms
+        if is_overdue and not answered and self._max_wait_ms < MAX_ANSWER_WAIT_MS:
+            self._max_wait_ms *= 2
+        return is_overdue
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class CounterCall:
     """One call to a counter."""
 
-    name: int
-    at: float = 0.0
+    key: int
+    started_at: float = 0.0
     timer: Any = None
     ended: bool = False
 
 
-class Calls:
+class CounterCalls:
     """Begins and ends calls; each end is told to the owner."""
 
     def __init__(self, timeout_ms: float, clock: Clock, inbox: Inbox, metrics: Metrics) -> None:
         self.timeout_ms, self._clock, self._inbox, self._metrics = timeout_ms, clock, inbox, metrics
 
-    def begin(self, call: Call, give_up: Callable[[Any], None]) -> None:
-        call.at = self._clock.now()
+    def begin(self, call: CounterCall, give_up: Callable[[Any], None]) -> None:
+        call.started_at = self._clock.now()
         call.timer = self._clock.call_later(self.timeout_ms, give_up, call)
 
-    def end(self, call: Call, result: Result, total: float = 0.0, over: bool = False) -> None:
+    def end(
+        self, call: CounterCall, result: Result, total_units: float = 0.0, limit_exceeded: bool = False
+    ) -> None:
         """Guards against two ends of one call: an answer after the give-up time is only counted."""
         if call.ended:
             self._metrics.add("counter.late", result is Result.OK)
             return
         call.ended = True
         call.timer.close()
-        self._metrics.add("counter.over_limit" if over else f"counter.{result.value.replace(' ', '_')}")
-        self._inbox.put(CounterCallEnded(call.name, result, self._clock.now() - call.at, total, over))
+        self._metrics.add(
+            "counter.over_limit" if limit_exceeded else f"counter.{result.value.replace(' ', '_')}"
+        )
+        self._inbox.put(
+            CounterCallEnded(
+                call.key, result, self._clock.now() - call.started_at, total_units, limit_exceeded
+            )
+        )
--- a/ashlift/gatekeeper/jobs.py
+++ b/ashlift/gatekeeper/jobs.py
@@ -164,7 +164,7 @@
 class Counter(Protocol):
     """The shared quota counter. Each call ends in one CounterCallEnded, by the give-up time at the latest."""
 
-    def add(self, name: int, amount: float, expire_ms: float) -> None:
+    def add(self, key: int, amount: float, ttl_ms: float) -> None:
         """Begin a call; returns at once."""
 
 
--- a/ashlift/gatekeeper/net/counter.py
+++ b/ashlift/gatekeeper/net/counter.py
@@ -11,19 +11,19 @@
 from gevent.event import Event
 
 from ashlift.gatekeeper.admission.interface import Result
-from ashlift.gatekeeper.calls import SILENT_MS, Call, Calls, Patience
+from ashlift.gatekeeper.counter_calls import MAX_ANSWER_WAIT_MS, CounterCall, CounterCalls, ReconnectPolicy
 from ashlift.gatekeeper.jobs import Clock, Inbox
 from ashlift.gatekeeper.metrics import Metrics
 
 log = logging.getLogger("ashlift.counter")
-CONNECT_S = 0.25
-IDLE_MS = 2_000.0  # the counter closes idle connections after 10 s or less: ours are given up before
-LINE_MOST = 256
-WORDS = (b"ok ", b"busy", b"error")  # with which answers begin
+IO_TIMEOUT_S = 0.25
+MAX_IDLE_MS = 2_000.0  # the counter closes idle connections after 10 s or less: ours are given up before
+MAX_LINE_BYTES = 256
+ANSWER_PREFIXES = (b"ok ", b"busy", b"error")  # with which answers begin
 
 
 @dataclass(slots=True, eq=False)
-class _Call(Call):
+class _Call(CounterCall):
     line: bytes = b""
     written: bool = False
 
@@ -35,26 +35,26 @@
         self, address: tuple[str, int], timeout_ms: float, clock: Clock, inbox: Inbox, metrics: Metrics
     ) -> None:
         self._address, self._clock, self._metrics = address, clock, metrics
-        self._calls = Calls(timeout_ms, clock, inbox, metrics)
+        self._calls = CounterCalls(timeout_ms, clock, inbox, metrics)
         self._unsent: deque[_Call] = deque()
         self._wake = Event()
-        self._link: _CounterLink | None = None
-        self._patience = Patience(timeout_ms)
+        self._connection: _CounterConnection | None = None
+        self._reconnect_policy = ReconnectPolicy(timeout_ms)
 
-    def add(self, name: int, amount: float, expire_ms: float) -> None:
+    def add(self, key: int, amount: float, ttl_ms: float) -> None:
         number = f"{int(amount)}" if amount == int(amount) else f"{amount:.6f}"
-        call = _Call(name, line=f"bump {name} {number} {max(1, round(expire_ms))}\r\n".encode())
+        call = _Call(key, line=f"bump {key} {number} {max(1, round(ttl_ms))}\r\n".encode())
         self._calls.begin(call, self._give_up)
         self._unsent.append(call)
         self._wake.set()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Call there from now on. What the old address owes may come: its connection then ends."""
         if address != self._address:
             self._address = address
-            if self._link is not None:
-                self._link.retire()
-                self._link = None
+            if self._connection is not None:
+                self._connection.retire()
+                self._connection = None
 
     def run(self) -> None:
         """Write for ever. A connect that does not come up holds nobody up: each call has its own timer."""
@@ -69,36 +69,38 @@
                 self._fail_unsent()
 
     def _write(self) -> None:
-        link, now = self._link, self._clock.now()
-        if link is not None and self._patience.is_over(link.overdue(now), link.heard):
+        connection, now = self._connection, self._clock.now()
+        if connection is not None and self._reconnect_policy.should_reconnect(
+            connection.overdue_ms(now), connection.answered
+        ):
             self._metrics.add("counter.overdue")
-            link.retire()
-            link = None
-        elif link is not None and link.stale(now):
-            link.close()
-            link = None
-        while link is None or link.closed:
+            connection.retire()
+            connection = None
+        elif connection is not None and connection.is_idle(now):
+            connection.close()
+            connection = None
+        while connection is None or connection.closed:
             address = self._address
-            link = self._link = self._dial()
+            connection = self._connection = self._connect()
             if address != self._address:  # moved while the connection was coming up
-                link.close()
+                connection.close()
         calls = []
         while self._unsent:
             call = self._unsent.popleft()
             if not call.ended:
                 call.written = True  # from here on it may have been added
                 calls.append(call)
-        if link.heard:
-            self._patience.heard()
+        if connection.answered:
+            self._reconnect_policy.reset()
         if calls:
-            link.write(calls)
+            connection.write(calls)
 
-    def _dial(self) -> "_CounterLink":
-        with gevent.Timeout(CONNECT_S):
+    def _connect(self) -> "_CounterConnection":
+        with gevent.Timeout(IO_TIMEOUT_S):
             sock = socket.create_connection(self._address)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._metrics.add("counter.dialled")
-        return _CounterLink(sock, self._clock, self._calls.end)
+        return _CounterConnection(sock, self._clock, self._calls.end)
 
     def _fail_unsent(self) -> None:
         while self._unsent:
@@ -109,29 +111,29 @@
         self._calls.end(call, Result.TIMEOUT if call.written else Result.CONNECT_FAILED)
 
 
-class _CounterLink:
+class _CounterConnection:
     """One connection, and the calls written to it whose answers are to come."""
 
     def __init__(self, sock: socket.socket, clock: Clock, end: Any) -> None:
         self._sock, self._clock, self._end = sock, clock, end
         self._pending: deque[_Call] = deque()
-        self._used = clock.now()
-        self.closed = self.heard = self._retired = False
+        self._last_used = clock.now()
+        self.closed = self.answered = self._retired = False
         self._timer: Any = None
         gevent.spawn(self._read)
 
-    def overdue(self, now: float) -> float:
+    def overdue_ms(self, now: float) -> float:
         """For how long the next answer has been waited for."""
-        return now - self._pending[0].at if self._pending else 0.0
+        return now - self._pending[0].started_at if self._pending else 0.0
 
-    def stale(self, now: float) -> bool:
-        return not self._pending and now - self._used > IDLE_MS
+    def is_idle(self, now: float) -> bool:
+        return not self._pending and now - self._last_used > MAX_IDLE_MS
 
     def write(self, calls: list[_Call]) -> None:
-        self._used = self._clock.now()
+        self._last_used = self._clock.now()
         self._pending.extend(calls)
         try:
-            with gevent.Timeout(CONNECT_S):
+            with gevent.Timeout(IO_TIMEOUT_S):
                 self._sock.sendall(b"".join(call.line for call in calls))
         except (OSError, gevent.Timeout):
             self.close()
@@ -140,7 +142,7 @@
         """Nothing more is written here; the calls under way keep their chance of an answer, for a while."""
         self._retired = True
         if self._pending:
-            self._timer = self._clock.call_later(SILENT_MS, self.close)
+            self._timer = self._clock.call_later(MAX_ANSWER_WAIT_MS, self.close)
         else:
             self.close()
 
@@ -156,23 +158,23 @@
     def _read(self) -> None:
         """Guards against answers matched with the wrong calls: behind one that cannot be read, nothing that
         comes on this connection says which call it is for."""
-        rest = b""
+        unparsed = b""
         try:
-            while len(rest) <= LINE_MOST:
+            while len(unparsed) <= MAX_LINE_BYTES:
                 data = self._sock.recv(16384)
                 if not data:
                     break
-                *lines, rest = (rest + data).split(b"\n")
-                self._used = self._clock.now()
+                *lines, unparsed = (unparsed + data).split(b"\n")
+                self._last_used = self._clock.now()
                 for line in lines:
                     if not self._pending:
                         raise ValueError("an answer to no call")
                     answer = read_answer(line)
                     self._end(self._pending.popleft(), *(answer or (Result.TIMEOUT, 0.0)))
-                    self.heard = True
+                    self.answered = True
                     if answer is None:
                         raise ValueError("an answer that cannot be read")
-                if rest and not any(word.startswith(rest[: len(word)]) for word in WORDS):
+                if unparsed and not any(word.startswith(unparsed[: len(word)]) for word in ANSWER_PREFIXES):
                     raise ValueError("the start of an answer that cannot be read")
                 if self._retired and not self._pending:
                     break
--- a/ashlift/gatekeeper/net/front/asked.py
+++ b/ashlift/gatekeeper/net/front/asked.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from ashlift.gatekeeper.streams.heads import Body
-    from ashlift.gatekeeper.streams.passage import Passage, Terms
+    from ashlift.gatekeeper.streams.stream import Stream, StreamPolicy
 
 # Headers that mean something here: repeated, nobody can tell which one holds.
 ONCE = {b"x-qos", b"api-plan", b"api-customer", b"api-terms", b"x-trace-id", b"x-expires-in", b"x-second-try"}
@@ -44,9 +44,9 @@
     headed: bool = False
     received_ms: float = 0.0
     wrong: BadRequestError | None = None
-    terms: "Terms | None" = None  # of a class that streams
+    policy: "StreamPolicy | None" = None  # of a class that streams
     framing: "Body | None" = None
-    passage: "Passage | None" = None
+    stream: "Stream | None" = None
 
 
 def job_of(asked: Asked, names: Names, trace_ids: set[bytes], reply: Callable[[Answer], None]) -> Job:
@@ -74,11 +74,11 @@
     if trace_id in trace_ids:
         # Guards against a second copy at the nodes while the first is out.
         raise BadRequestError(HTTPStatus.CONFLICT)
-    passage = asked.passage
-    if passage is not None:  # so long for the answer's head; an upload before it has its own limits
-        time_left_ms = min(time_left_ms, passage.terms.set.head)
-    body = b"".join(asked.body) if passage is None else b""
-    upstream_request = UpstreamRequest(asked.method, asked.target, trace_id, body, passage)
+    stream = asked.stream
+    if stream is not None:  # so long for the answer's head; an upload before it has its own limits
+        time_left_ms = min(time_left_ms, stream.policy.settings.head)
+    body = b"".join(asked.body) if stream is None else b""
+    upstream_request = UpstreamRequest(asked.method, asked.target, trace_id, body, stream)
     return Job(
         kind,
         plan,
@@ -90,5 +90,5 @@
         units,
         spread,
         retry=headers.get(b"x-second-try") == b"1",
-        streamed=passage is not None,
+        streamed=stream is not None,
     )
--- a/ashlift/gatekeeper/net/front/connection.py
+++ b/ashlift/gatekeeper/net/front/connection.py
@@ -142,7 +142,13 @@
         """Guards against a client that waits for leave to send its body: `100 Continue`, where nothing of the
         body has come and nothing is owed here before it. A streamed body is asked for once a claim stands."""
         expects = asked.headers.get(b"expect", b"").lower() == b"100-continue"
-        if expects and asked.terms is None and not asked.size and self._current is None and not self._waiting:
+        if (
+            expects
+            and asked.policy is None
+            and not asked.size
+            and self._current is None
+            and not self._waiting
+        ):
             self._send(CONTINUE)
 
     def _refuse(self, bad: BadRequestError) -> None:
@@ -302,7 +308,7 @@
             fault = flow(self._sock, asked.minor, opening, keep)
         finally:
             self._flowing = None
-            opening.passage.close()
+            opening.stream.close()
         if self._job is not None:
             self._front.inbox.put(ResponseDelivered(self._job, fault is None))
         self._front.metrics.add("spill.served" if fault is None else f"spill.cut.{fault.label}")
--- a/ashlift/gatekeeper/net/front/listener.py
+++ b/ashlift/gatekeeper/net/front/listener.py
@@ -15,7 +15,7 @@
 from ashlift.gatekeeper.net.front.connection import Connection
 
 if TYPE_CHECKING:
-    from ashlift.gatekeeper.streams.passage import Desk
+    from ashlift.gatekeeper.streams.stream import StreamRegistry
 
 FULL_S = 0.02  # when all places are taken by jobs, one is looked for so often
 BACKLOG = 1024
@@ -48,7 +48,7 @@
         clock: Clock,
         inbox: Inbox,
         metrics: Metrics,
-        desk: "Desk | None" = None,
+        registry: "StreamRegistry | None" = None,
     ) -> None:
         self.names, self.ready, self.clock, self.inbox, self.metrics = names, ready, clock, inbox, metrics
         self.closing = False
@@ -58,10 +58,10 @@
         self._freed = Event()
         self._connections: set[Connection] = set()
         self._new: Callable[[socket.socket], Connection] = lambda sock: Connection(self, sock)
-        if desk is not None:  # loaded only where the settings turn it on
+        if registry is not None:  # loaded only where the settings turn it on
             from ashlift.gatekeeper.net.front.streaming import StreamConnection
 
-            here = desk
+            here = registry
             self._new = lambda sock: StreamConnection(self, sock, here)
 
     @property
--- a/ashlift/gatekeeper/net/front/reader.py
+++ b/ashlift/gatekeeper/net/front/reader.py
@@ -9,7 +9,7 @@
 from ashlift.gatekeeper.net.front.asked import ONCE, Asked, BadRequestError
 
 if TYPE_CHECKING:
-    from ashlift.gatekeeper.streams.passage import Terms
+    from ashlift.gatekeeper.streams.stream import StreamPolicy
 
 HEAD_MOST = 16 * 1024  # bytes of request line and headers
 BODY_MOST = 64 * 1024  # of a body that is not streamed
@@ -26,9 +26,9 @@
         self,
         began: Callable[[], None],
         arrived: Callable[[Asked], None],
-        terms: "Callable[[bytes], Terms | None] | None",
+        policy: "Callable[[bytes], StreamPolicy | None] | None",
     ) -> None:
-        self._began, self._arrived, self._terms = began, arrived, terms
+        self._began, self._arrived, self._policy = began, arrived, policy
         self.asked: Asked | None = None  # being read
         self._fed = 0  # bytes since the last request's end
         self._parser = httptools.HttpRequestParser(self)
@@ -48,7 +48,7 @@
         asked = self.asked
         if asked is None:
             return
-        spare = 0 if asked.terms is None else CHUNK_COST * asked.size
+        spare = 0 if asked.policy is None else CHUNK_COST * asked.size
         if self._fed - asked.size > HEAD_MOST + spare:
             raise BadRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
@@ -91,21 +91,21 @@
         asked = self.asked
         assert asked is not None
         asked.headed = True
-        if self._terms is not None and (terms := self._terms(asked.target)) is not None:
-            self._streamed(asked, terms)
+        if self._policy is not None and (policy := self._policy(asked.target)) is not None:
+            self._streamed(asked, policy)
 
-    def _streamed(self, asked: Asked, terms: "Terms") -> None:
-        from ashlift.gatekeeper.streams.heads import Body, Framing, FramingError, body_of
+    def _streamed(self, asked: Asked, policy: "StreamPolicy") -> None:
+        from ashlift.gatekeeper.streams.heads import Body, Framing, FramingError, declared_body
 
         try:
-            asked.framing = body_of([*asked.headers.items()]) or Body(Framing.NONE)
+            asked.framing = declared_body([*asked.headers.items()]) or Body(Framing.NONE)
         except FramingError:
             raise BadRequestError(HTTPStatus.BAD_REQUEST) from None
-        if asked.framing.length > terms.set.longest:
+        if asked.framing.length > policy.settings.longest:
             raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         if asked.headers.get(b"expect", b"100-continue").lower() != b"100-continue":
             raise BadRequestError(HTTPStatus.EXPECTATION_FAILED)
-        asked.terms = terms
+        asked.policy = policy
         asked.minor = int(self._parser.get_http_version()[-1:] or 1)
         self._tell(asked)
 
@@ -114,14 +114,14 @@
         assert asked is not None
         asked.body.append(body)
         asked.size += len(body)
-        if asked.size > (BODY_MOST if asked.terms is None else asked.terms.set.longest):
+        if asked.size > (BODY_MOST if asked.policy is None else asked.policy.settings.longest):
             raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def on_message_complete(self) -> None:
         asked, self.asked, self._fed = self.asked, None, 0
         assert asked is not None
         asked.whole = True
-        if asked.terms is None:
+        if asked.policy is None:
             self._tell(asked)
 
     def _tell(self, asked: Asked) -> None:
--- a/ashlift/gatekeeper/net/machine_list.py
+++ b/ashlift/gatekeeper/net/machine_list.py
@@ -17,12 +17,14 @@
 from ashlift.gatekeeper.operations.handouts import HandOuts
 
 log = logging.getLogger("ashlift.machine_list")
-SILENT_S = 5.0  # without even an empty line, which come every 2 s: the watch is dead though nobody said so
-CONNECT_S = 2.0
-BACKOFF_S = (0.1, 3.0)  # first and longest pause before a new watch
-STOOD_S = 1.0  # a watch that stood for so long was a good one: the next is begun soon
-WATCH_ENDS = (OSError, gevent.Timeout, httptools.HttpParserError)
-LINE_MOST = 4 << 20  # bytes of one unfinished line
+SILENCE_TIMEOUT_S = (
+    5.0  # without even an empty line, which come every 2 s: the watch is dead though nobody said so
+)
+CONNECT_TIMEOUT_S = 2.0
+BACKOFF_RANGE_S = (0.1, 3.0)  # first and longest pause before a new watch
+STABLE_WATCH_S = 1.0  # a watch that stood for so long was a good one: the next is begun soon
+WATCH_ERRORS = (OSError, gevent.Timeout, httptools.HttpParserError)
+MAX_LINE_BYTES = 4 << 20  # bytes of one unfinished line
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +33,7 @@
 
     address: tuple[str, int]
     server: Server  # as shown to the module and the claims
-    told: Server | None = None  # as discovery told it, where that differs
+    reported: Server | None = None  # as discovery told it, where that differs
 
 
 def parse_address(text: str) -> tuple[str, int]:
@@ -50,7 +52,7 @@
         self._discovery, self._zones, self._inbox, self._metrics = discovery, zones, inbox, metrics
         self._index = 0
         self._watching: gevent.Greenlet[..., None] | None = None
-        self._moved = Event()
+        self._address_changed = Event()
         self.machines: dict[str, Machine] = {}
         self.hands = HandOuts()
 
@@ -59,11 +61,11 @@
         machine = self.machines.get(name)
         return machine if machine is not None and machine.server.state is ServerState.READY else None
 
-    def take(self, news: dict[str, Any]) -> None:
+    def apply_update(self, update: dict[str, Any]) -> None:
         """Take one message of discovery. The table changes here and now, ahead of the owner's queue, so that
         a claim about to be written sees a drain that the module has not heard of."""
-        entries = [self._shown(self._entry(row)) for row in news["instances"]]
-        index, complete = int(news["generation"]), bool(news.get("reset", False))
+        entries = [self._with_manual_drain(self._parse_entry(row)) for row in update["instances"]]
+        index, complete = int(update["generation"]), bool(update.get("reset", False))
         if complete:
             self.machines.clear()
         for machine in entries:
@@ -76,10 +78,10 @@
         self._metrics.add("machine_list.news")
         self._inbox.put(ServerList(tuple(machine.server for machine in entries), complete))
 
-    def _shown(self, machine: Machine) -> Machine:
-        told = machine.told or machine.server
-        shown = self.hands.shown(told)
-        return Machine(machine.address, shown, told if shown is not told else None)
+    def _with_manual_drain(self, machine: Machine) -> Machine:
+        reported = machine.reported or machine.server
+        shown = self.hands.shown(reported)
+        return Machine(machine.address, shown, reported if shown is not reported else None)
 
     def hand(self, worker: str, out: bool, now: float) -> list[Server] | None:
         """Take a node out by hand or put it back, here and now; what the module is to see anew. None where
@@ -90,12 +92,12 @@
             self.hands.enter(worker, now)
         else:
             self.hands.exit(worker, now)
-        return self._show_anew({worker})
+        return self._refresh({worker})
 
     def adopt(self, out: dict[str, float], now: float) -> list[Server]:
         """What another process wrote of nodes out by hand holds from now on."""
-        went, came = self.hands.adopt(out, now)
-        return self._show_anew(went | came)
+        drained, returned = self.hands.adopt(out, now)
+        return self._refresh(drained | returned)
 
     def out_by_hand(self) -> dict[str, float]:
         return dict(self.hands.out)
@@ -103,16 +105,16 @@
     def listed(self) -> bool:
         return bool(self.machines)
 
-    def _show_anew(self, workers: set[str]) -> list[Server]:
+    def _refresh(self, workers: set[str]) -> list[Server]:
         changed = []
         for worker in workers:
             machine = self.machines.get(worker)
             if machine is not None:
-                self.machines[worker] = shown = self._shown(machine)
+                self.machines[worker] = shown = self._with_manual_drain(machine)
                 changed.append(shown.server)
         return changed
 
-    def _entry(self, row: dict[str, Any]) -> Machine:
+    def _parse_entry(self, row: dict[str, Any]) -> Machine:
         state = ServerState(row["lifecycle"])
         zone = self._zones.index(row["zone"]) if row.get("zone") in self._zones else 0
         address = ("", 0) if state is ServerState.GONE else parse_address(row["hostPort"])
@@ -127,44 +129,46 @@
         )
         return Machine(address, server)
 
-    def move(self, discovery: tuple[str, int]) -> None:
+    def change_address(self, discovery: tuple[str, int]) -> None:
         """Watch there from now on, at once. The list stays as it is until that address tells of changes."""
         if discovery != self._discovery:
             self._discovery = discovery
-            self._moved.set()
+            self._address_changed.set()
             if self._watching is not None:
                 self._watching.kill(block=False)
 
     def run(self) -> None:
         """Watch for ever; one that ends or falls silent is begun anew, with growing pauses."""
-        pause = BACKOFF_S[0]
+        pause_s = BACKOFF_RANGE_S[0]
         while True:
-            began = time.monotonic()
-            self._moved.clear()
+            started_at = time.monotonic()
+            self._address_changed.clear()
             self._watching = gevent.spawn(self._watch)
             self._watching.join()
             self._metrics.add("machine_list.watches_ended")
-            stood = self._moved.is_set() or time.monotonic() - began > STOOD_S
-            pause = BACKOFF_S[0] if stood else min(BACKOFF_S[1], 2 * pause)
-            self._moved.wait(pause)  # guards against a pause before the first watch at a new address
+            was_stable = self._address_changed.is_set() or time.monotonic() - started_at > STABLE_WATCH_S
+            pause_s = BACKOFF_RANGE_S[0] if was_stable else min(BACKOFF_RANGE_S[1], 2 * pause_s)
+            self._address_changed.wait(
+                pause_s
+            )  # guards against a pause before the first watch at a new address
 
     def _watch(self) -> None:
         try:
-            self._follow()
-        except (*WATCH_ENDS, ValueError, KeyError, TypeError) as error:
+            self._read_updates()
+        except (*WATCH_ERRORS, ValueError, KeyError, TypeError) as error:
             log.warning("watch ended: %s: %s", type(error).__name__, error)
 
-    def _follow(self) -> None:
-        with gevent.Timeout(CONNECT_S):
+    def _read_updates(self) -> None:
+        with gevent.Timeout(CONNECT_TIMEOUT_S):
             sock = socket.create_connection(self._discovery)
         with sock:
             host, port = self._discovery
             path = f"/discovery/hosts?stream=1&index={self._index}"
             sock.sendall(f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
-            reader = _Lines()
+            reader = _LineSplitter()
             parser = httptools.HttpResponseParser(reader)
             while not reader.ended:
-                with gevent.Timeout(SILENT_S):
+                with gevent.Timeout(SILENCE_TIMEOUT_S):
                     data = sock.recv(65536)
                 if not data:
                     return
@@ -174,10 +178,10 @@
                 lines, reader.lines = reader.lines, []
                 for line in lines:
                     if line.strip():
-                        self.take(json.loads(line))
+                        self.apply_update(json.loads(line))
 
 
-class _Lines:
+class _LineSplitter:
     """Cuts a chunked answer into lines."""
 
     def __init__(self) -> None:
@@ -188,7 +192,7 @@
     def on_body(self, body: bytes) -> None:
         *lines, self.rest = (self.rest + body).split(b"\n")
         self.lines += lines
-        if len(self.rest) > LINE_MOST:
+        if len(self.rest) > MAX_LINE_BYTES:
             raise ValueError("a line of the machine list does not end")
 
     def on_message_complete(self) -> None:
--- a/ashlift/gatekeeper/net/nodes.py
+++ b/ashlift/gatekeeper/net/nodes.py
@@ -17,11 +17,13 @@
 from ashlift.gatekeeper.operations.figures import RELAYED
 
 if TYPE_CHECKING:
-    from ashlift.gatekeeper.streams.passage import Desk, Passage
+    from ashlift.gatekeeper.streams.stream import Stream, StreamRegistry
 
-IDLE_EACH = 64  # idle connections kept to one node
-SWEEP_S = 1.0
-IDLE_SHARE = 0.6  # of the time after which a node closes an idle connection: ours goes well before that
+MAX_IDLE_PER_NODE = 64  # idle connections kept to one node
+SWEEP_INTERVAL_S = 1.0
+IDLE_TIMEOUT_FRACTION = (
+    0.6  # of the time after which a node closes an idle connection: ours goes well before that
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,17 +34,17 @@
     target: bytes
     trace_id: bytes
     body: bytes = b""
-    passage: "Passage | None" = None  # of a job whose bodies are passed on as they arrive
+    stream: "Stream | None" = None  # of a job whose bodies are passed on as they arrive
 
 
 # Node and address: guards against a connection to a node that has gone being used for a new one there.
-End = tuple[str, tuple[str, int]]
+Endpoint = tuple[str, tuple[str, int]]
 
 
 @dataclass(slots=True, eq=False)
-class Link:
+class NodeConnection:
     sock: socket.socket
-    end: End
+    endpoint: Endpoint
     idle_at: float = 0.0
 
 
@@ -59,7 +61,7 @@
     began: float = 0.0  # ms
     cause: Any = None  # why it failed, for the front's words
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Close its connection: whoever waits there wakes."""
         if self.sock is not None:
             self.sock.close()
@@ -69,9 +71,9 @@
 class Limits:
     """Bounds of the node connections."""
 
-    dial_ms: float
-    idle_ms: float
-    links: int  # open connections to all nodes together
+    connect_timeout_ms: float
+    node_idle_timeout_ms: float
+    max_connections: int  # open connections to all nodes together
 
 
 class NodePool:
@@ -84,27 +86,34 @@
         clock: Clock,
         inbox: Inbox,
         metrics: Metrics,
-        desk: "Desk | None" = None,
-        spill_bytes: int = 8 << 20,
+        stream_registry: "StreamRegistry | None" = None,
+        long_response_bytes: int = 8 << 20,
     ) -> None:
         self._machines, self._limits, self._clock = machines, limits, clock
         self._inbox, self._metrics = inbox, metrics
-        self._idle: dict[End, deque[Link]] = {}
-        self._open = 0
+        self._idle: dict[Endpoint, deque[NodeConnection]] = {}
+        self._open_count = 0
         self._attempts: dict[tuple[int, int], Attempt] = {}
-        self.desk = desk  # where long answers get their places; made at the first where none is given
-        self._spill_bytes = spill_bytes  # the budget of such a desk
+        self.stream_registry = (
+            stream_registry  # where long answers get their places; made at the first where none is given
+        )
+        self._long_response_bytes = long_response_bytes  # the budget of such a desk
 
-    def _spill_desk(self) -> "Desk":
-        if self.desk is None:
+    def _long_response_registry(self) -> "StreamRegistry":
+        if self.stream_registry is None:
             from ashlift.gatekeeper.settings.model import Streaming
-            from ashlift.gatekeeper.streams.passage import Desk
-
-            most = self._spill_bytes
-            self.desk = Desk(
-                Streaming(enabled=True, buffer_bytes=most, stream_buffer_bytes=min(256 << 10, most // 8)), {}
+            from ashlift.gatekeeper.streams.stream import StreamRegistry
+
+            budget_bytes = self._long_response_bytes
+            self.stream_registry = StreamRegistry(
+                Streaming(
+                    enabled=True,
+                    buffer_bytes=budget_bytes,
+                    stream_buffer_bytes=min(256 << 10, budget_bytes // 8),
+                ),
+                {},
             )
-        return self.desk
+        return self.stream_registry
 
     def start(self, job: Job, attempt_index: int, server: str, timeout_ms: float) -> None:
         attempt = Attempt(job, attempt_index, server, timeout_ms)
@@ -116,7 +125,7 @@
         attempt = self._attempts.get((number, attempt_index))
         if attempt is not None:
             attempt.cancelled = True
-            attempt.end()
+            attempt.close()
 
     def _run(self, attempt: Attempt) -> None:
         began = attempt.began = self._clock.now()
@@ -150,45 +159,49 @@
             return Result.NOT_SENT, b""
         timer = gevent.Timeout(attempt.timeout_ms / 1000 if attempt.timeout_ms > 0 else None)
         timer.start()
-        link: Link | None = None
+        connection: NodeConnection | None = None
         keep = False
         began = self._clock.now()
         try:
-            link = self._take((attempt.server, machine.address)) or self._dial(attempt, machine.address)
-            if link is None:
+            connection = self._take_idle((attempt.server, machine.address)) or self._connect(
+                attempt, machine.address
+            )
+            if connection is None:
                 return Result.NOT_SENT, b""
-            attempt.sock = link.sock
+            attempt.sock = connection.sock
             # A drain told while the connection was coming up counts: looked at again before the first byte.
-            still = self._machines.ready(attempt.server)
-            if still is None or still.address != machine.address:
+            current_machine = self._machines.ready(attempt.server)
+            if current_machine is None or current_machine.address != machine.address:
                 self._metrics.add("claims.withdrawn")
                 keep = True
                 return Result.NOT_SENT, b""
             left = attempt.timeout_ms - (self._clock.now() - began)
-            if attempt.job.upstream_request.passage is not None:
+            if attempt.job.upstream_request.stream is not None:
                 from ashlift.gatekeeper.net.stream_attempt import (
                     StreamAttempt,  # loaded where there are streams
                 )
 
-                streaming = StreamAttempt(attempt, link.sock, timer, self._clock, self._inbox, self._metrics)
+                streaming = StreamAttempt(
+                    attempt, connection.sock, timer, self._clock, self._inbox, self._metrics
+                )
                 result, keep = streaming.run(machine.address, left)
                 return result, b""
-            link.sock.sendall(self._request(attempt, machine.address, left))
+            connection.sock.sendall(self._render_request(attempt, machine.address, left))
             attempt.written = True
             self._metrics.add(RELAYED)
-            result, body, keep = self._read(attempt, link.sock, timer)
+            result, body, keep = self._read_response(attempt, connection.sock, timer)
             return result, body
-        except gevent.Timeout as over:
-            if over is not timer:
+        except gevent.Timeout as timeout:
+            if timeout is not timer:
                 raise
             return (Result.TIMEOUT if attempt.written else Result.CONNECT_FAILED), b""
         finally:
             timer.close()
             attempt.sock = None
-            if link is not None:
-                self._give(link) if keep and not attempt.cancelled else self._close(link)
+            if connection is not None:
+                self._keep_idle(connection) if keep and not attempt.cancelled else self._close(connection)
 
-    def _request(self, attempt: Attempt, address: tuple[str, int], left_ms: float) -> bytes:
+    def _render_request(self, attempt: Attempt, address: tuple[str, int], left_ms: float) -> bytes:
         upstream_request: UpstreamRequest = attempt.job.upstream_request
         length = (
             b"Content-Length: %d\r\n" % len(upstream_request.body)
@@ -206,7 +219,7 @@
             upstream_request.body,
         )
 
-    def _read(
+    def _read_response(
         self, attempt: Attempt, sock: socket.socket, timer: gevent.Timeout
     ) -> tuple[Result, bytes, bool]:
         """Result, body, and whether the connection may be used again. An answer too long to hold passes on
@@ -224,8 +237,10 @@
 
                 # Guards against a node that looks slow for the length of its answer: what counts is its head.
                 attempt.elapsed_ms = self._clock.now() - attempt.began
-                desk = self._spill_desk()
-                result, keep = pass_on(attempt, sock, response, timer, desk, self._inbox, self._metrics)
+                stream_registry = self._long_response_registry()
+                result, keep = pass_on(
+                    attempt, sock, response, timer, stream_registry, self._inbox, self._metrics
+                )
                 return result, b"", keep
         if response.status == 200:
             return Result.OK, b"".join(response.parts), response.keep_alive
@@ -235,69 +250,71 @@
 
     # ---- connections
 
-    def _take(self, end: End) -> Link | None:
+    def _take_idle(self, endpoint: Endpoint) -> NodeConnection | None:
         """The idle connection used last, if it still stands.
 
         Guards against writing to a connection that the node has closed meanwhile: that would be a reset, and
         the job might have run. Such a connection is readable, with an end or an error in it.
         """
-        links = self._idle.get(end)
-        while links:
-            link = links.pop()
-            if self._clock.now() - link.idle_at < IDLE_SHARE * self._limits.idle_ms and has_no_input(
-                link.sock
+        connections = self._idle.get(endpoint)
+        while connections:
+            connection = connections.pop()
+            if (
+                self._clock.now() - connection.idle_at
+                < IDLE_TIMEOUT_FRACTION * self._limits.node_idle_timeout_ms
+                and has_no_input(connection.sock)
             ):
-                return link
-            self._close(link)
+                return connection
+            self._close(connection)
         return None
 
-    def _dial(self, attempt: Attempt, address: tuple[str, int]) -> Link | None:
-        if self._open >= self._limits.links and not self._drop_oldest():
+    def _connect(self, attempt: Attempt, address: tuple[str, int]) -> NodeConnection | None:
+        if self._open_count >= self._limits.max_connections and not self._close_oldest_idle():
             self._metrics.add("nodes.no_room")
             return None
-        self._open += 1
+        self._open_count += 1
         self._metrics.add("nodes.dialled")
         sock = attempt.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        link = Link(sock, (attempt.server, address))
+        connection = NodeConnection(sock, (attempt.server, address))
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            with gevent.Timeout(self._limits.dial_ms / 1000, OSError(errno.ETIMEDOUT, "dial")):
+            with gevent.Timeout(self._limits.connect_timeout_ms / 1000, OSError(errno.ETIMEDOUT, "dial")):
                 sock.connect(address)
         except BaseException:
-            self._close(link)
+            self._close(connection)
             raise
-        return link
+        return connection
 
-    def _drop_oldest(self) -> bool:
-        idle = [links for links in self._idle.values() if links]
+    def _close_oldest_idle(self) -> bool:
+        idle = [connections for connections in self._idle.values() if connections]
         if not idle:
             return False
-        self._close(min(idle, key=lambda links: links[0].idle_at).popleft())
+        self._close(min(idle, key=lambda connections: connections[0].idle_at).popleft())
         return True
 
-    def _give(self, link: Link) -> None:
-        links = self._idle.setdefault(link.end, deque())
-        link.idle_at = self._clock.now()
-        links.append(link)
-        if len(links) > IDLE_EACH:
-            self._close(links.popleft())
+    def _keep_idle(self, connection: NodeConnection) -> None:
+        connections = self._idle.setdefault(connection.endpoint, deque())
+        connection.idle_at = self._clock.now()
+        connections.append(connection)
+        if len(connections) > MAX_IDLE_PER_NODE:
+            self._close(connections.popleft())
 
-    def _close(self, link: Link) -> None:
-        self._open -= 1
-        link.sock.close()
+    def _close(self, connection: NodeConnection) -> None:
+        self._open_count -= 1
+        connection.sock.close()
 
-    def sweep(self) -> None:
+    def close_stale_connections(self) -> None:
         """Close what has stood idle long, or leads to a node that is not on the list (any more)."""
-        wanted = {(name, machine.address) for name, machine in self._machines.machines.items()}
-        for end, links in list(self._idle.items()):
-            oldest = self._clock.now() - IDLE_SHARE * self._limits.idle_ms
-            while links and (links[0].idle_at < oldest or end not in wanted):
-                self._close(links.popleft())
-            if not links:
-                del self._idle[end]
+        current = {(name, machine.address) for name, machine in self._machines.machines.items()}
+        for endpoint, connections in list(self._idle.items()):
+            min_idle_at = self._clock.now() - IDLE_TIMEOUT_FRACTION * self._limits.node_idle_timeout_ms
+            while connections and (connections[0].idle_at < min_idle_at or endpoint not in current):
+                self._close(connections.popleft())
+            if not connections:
+                del self._idle[endpoint]
 
     def run(self) -> None:
         """Sweep for ever."""
         while True:
-            gevent.sleep(SWEEP_S)
-            self.sweep()
+            gevent.sleep(SWEEP_INTERVAL_S)
+            self.close_stale_connections()
--- a/ashlift/gatekeeper/net/spill.py
+++ b/ashlift/gatekeeper/net/spill.py
@@ -14,17 +14,24 @@
 from ashlift.gatekeeper.net.http_response import HttpResponse, MalformedResponseError
 from ashlift.gatekeeper.net.nodes import Attempt
 from ashlift.gatekeeper.settings.model import StreamClass
-from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
-from ashlift.gatekeeper.streams.heads import ANSWER_HEADERS, REQUEST_HEADERS, Body, Framing, Head, passing
-from ashlift.gatekeeper.streams.pace import Lag, Pace
-from ashlift.gatekeeper.streams.passage import Desk, Opening, Terms
-from ashlift.gatekeeper.streams.pipe import EndedError, Pipe
+from ashlift.gatekeeper.streams.faults import AbortedError, Fault
+from ashlift.gatekeeper.streams.heads import (
+    REQUEST_HEADERS,
+    RESPONSE_HEADERS,
+    Body,
+    Framing,
+    Head,
+    select_headers,
+)
+from ashlift.gatekeeper.streams.pipe import Pipe, SourceEndedError
+from ashlift.gatekeeper.streams.progress import Lag, ProgressMonitor
 from ashlift.gatekeeper.streams.pump import LagError, Source
+from ashlift.gatekeeper.streams.stream import StreamedResponse, StreamPolicy, StreamRegistry
 
 # A node that is slow but gives is not cut off: it may stall for longer than a client waits for a first byte.
-TERMS = Terms(StreamClass(stall=4_000.0), REQUEST_HEADERS, ANSWER_HEADERS)
+LONG_RESPONSE_POLICY = StreamPolicy(StreamClass(stall=4_000.0), REQUEST_HEADERS, RESPONSE_HEADERS)
 UNTIL_END = 1 << 62  # bytes wanted of a body that ends with its connection
-LAG = {Lag.STALLED: Fault.NODE_STALLED, Lag.SLOW: Fault.NODE_SLOW}
+FAULT_BY_LAG = {Lag.STALLED: Fault.NODE_STALLED, Lag.SLOW: Fault.NODE_SLOW}
 
 
 def pass_on(
@@ -32,7 +39,7 @@
     sock: object,
     response: HttpResponse,
     timer: object,
-    desk: Desk,
+    registry: StreamRegistry,
     inbox: Inbox,
     metrics: Metrics,
 ) -> tuple[Result, bool]:
@@ -42,23 +49,23 @@
     body is timed by its pace. Without a place at the desk the claim fails: it may have run.
     """
     timer.close()  # type: ignore[attr-defined]
-    passage = desk.take(TERMS, Body(Framing.NONE))
-    if passage is None:
+    stream = registry.open_stream(LONG_RESPONSE_POLICY, Body(Framing.NONE))
+    if stream is None:
         metrics.add("spill.no_room")
         return Result.ERROR, False
     metrics.add("spill.begun")
     framing = Body(Framing.LENGTH, response.length) if response.length is not None else Body(Framing.CHUNKED)
-    head = Head(200, passing(response.headers, TERMS.answer_headers), framing)
-    answer = passage.begin_answer()
-    inbox.put(ResponseStarted(attempt.job.number, attempt.index, Opening(head, passage)))
+    head = Head(200, select_headers(response.headers, LONG_RESPONSE_POLICY.answer_headers), framing)
+    download = stream.start_download()
+    inbox.put(ResponseStarted(attempt.job.number, attempt.index, StreamedResponse(head, stream)))
     try:
-        _fill(sock, response, answer)
-    except (BrokenOffError, LagError, MalformedResponseError, EndedError, OSError) as error:
+        _fill(sock, response, download)
+    except (AbortedError, LagError, MalformedResponseError, SourceEndedError, OSError) as error:
         fault = _fault(error)
         metrics.add(f"spill.failed.{fault.label}")
         if isinstance(error, MalformedResponseError):
             metrics.add("claims.spoilt")
-        answer.break_off(fault)
+        download.abort(fault)
         return (Result.CANCELLED if attempt.cancelled else fault.value.result), False
     keep = (
         response.keep_alive if response.done else response.head_keep_alive
@@ -66,30 +73,37 @@
     return Result.OK, keep and not response.ends_with_connection
 
 
-def _fill(sock: object, response: HttpResponse, answer: Pipe) -> None:
-    source = Source(sock, Pace(TERMS.set.stall, TERMS.set.least_rate, TERMS.set.rate_span))
-    answer.put_copy(response.take_body())
+def _fill(sock: object, response: HttpResponse, download: Pipe) -> None:
+    source = Source(
+        sock,
+        ProgressMonitor(
+            LONG_RESPONSE_POLICY.settings.stall,
+            LONG_RESPONSE_POLICY.settings.least_rate,
+            LONG_RESPONSE_POLICY.settings.rate_span,
+        ),
+    )
+    download.put_copy(response.take_body())
     if response.length is not None and not response.done:
-        source.fill(answer, response.length - response.size)
+        source.fill(download, response.length - response.size)
     elif response.chunked and not response.done:
 
         def read(view: memoryview) -> tuple[bytes, bool]:
             response.feed(view)
             return response.take_body(), response.done
 
-        source.fill_parsed(answer, read)
+        source.fill_parsed(download, read)
     elif not response.done:
-        with contextlib.suppress(EndedError):  # its end
-            source.fill(answer, UNTIL_END)
-    answer.end()
+        with contextlib.suppress(SourceEndedError):  # its end
+            source.fill(download, UNTIL_END)
+    download.end()
 
 
 def _fault(error: BaseException) -> Fault:
     match error:
-        case BrokenOffError():
+        case AbortedError():
             return error.fault
         case LagError():
-            return LAG[error.lag]
+            return FAULT_BY_LAG[error.lag]
         case MalformedResponseError():
             return Fault.NODE_SPOILT
     return Fault.NODE_RESET
--- a/ashlift/gatekeeper/net/stream_attempt.py
+++ b/ashlift/gatekeeper/net/stream_attempt.py
@@ -17,24 +17,24 @@
 from ashlift.gatekeeper.net.http_response import MAX_HEAD_BYTES, MalformedResponseError
 from ashlift.gatekeeper.net.nodes import Attempt, UpstreamRequest
 from ashlift.gatekeeper.operations.figures import RELAYED
-from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
+from ashlift.gatekeeper.streams.faults import AbortedError, Fault
 from ashlift.gatekeeper.streams.heads import (
     Body,
     Framing,
     FramingError,
     Head,
     Headers,
-    answer_body,
-    framing_line,
+    framing_header,
     lines,
-    passing,
+    response_body,
+    select_headers,
 )
-from ashlift.gatekeeper.streams.pace import Lag, Pace
-from ashlift.gatekeeper.streams.passage import Opening, Passage
-from ashlift.gatekeeper.streams.pipe import EndedError, Pipe
+from ashlift.gatekeeper.streams.pipe import Pipe, SourceEndedError
+from ashlift.gatekeeper.streams.progress import Lag, ProgressMonitor
 from ashlift.gatekeeper.streams.pump import LagError, Sink, Source
+from ashlift.gatekeeper.streams.stream import Stream, StreamedResponse
 
-LAG = {Lag.STALLED: Fault.NODE_STALLED, Lag.SLOW: Fault.NODE_SLOW}
+FAULT_BY_LAG = {Lag.STALLED: Fault.NODE_STALLED, Lag.SLOW: Fault.NODE_SLOW}
 CHUNK_COST = 16  # bytes of framing for each byte of a body, beyond HEAD_MOST: tiny chunks, no more
 
 
@@ -91,7 +91,7 @@
         status = self._parser.get_status_code()
         if status < 200 or self.done:
             return
-        self.status, self.body = status, answer_body(self._method, status, self.headers)
+        self.status, self.body = status, response_body(self._method, status, self.headers)
         self.never_ran = (b"x-never-ran", b"1") in self.headers
         self.keep_alive = self._parser.should_keep_alive() and self.body.framing is not Framing.CLOSE
         self.exceeds_limit = self.body.length > self._longest
@@ -120,42 +120,42 @@
         self._attempt, self._sock, self._timer, self._clock = attempt, sock, timer, clock
         self._inbox, self._metrics = inbox, metrics
         self._upstream_request: UpstreamRequest = attempt.job.upstream_request
-        assert self._upstream_request.passage is not None
-        self._passage: Passage = self._upstream_request.passage
+        assert self._upstream_request.stream is not None
+        self._stream: Stream = self._upstream_request.stream
         self._began = clock.now()
         self._late: Any = None  # the timer of the answer's head behind an upload
         self._fault: Fault | None = None  # that another greenlet found
 
     def run(self, address: tuple[str, int], left_ms: float) -> tuple[Result, bool]:
         """Result, and whether the connection may be used again."""
-        passage, carrier = self._passage, None
-        hook = self._stop
-        passage.hooks.add(hook)
+        stream, carrier = self._stream, None
+        abort_callback = self._stop
+        stream.abort_callbacks.add(abort_callback)
         try:
-            if passage.fault is not None:
+            if stream.fault is not None:
                 return Result.CANCELLED, False
             self._sock.sendall(self._head(address, left_ms))
-            if passage.upload is None:
+            if stream.upload is None:
                 self._attempt.written = True
                 self._metrics.add(RELAYED)
             else:
-                carrier = gevent.spawn(self._carry, passage.upload)
-            response = StreamedResponseReader(self._upstream_request.method, passage.terms.set.longest)
+                carrier = gevent.spawn(self._carry, stream.upload)
+            response = StreamedResponseReader(self._upstream_request.method, stream.policy.settings.longest)
             self._read_head(response)
             return self._answer(response)
         except BaseException as error:
             return self._failed(error), False
         finally:
-            passage.hooks.discard(hook)
+            stream.abort_callbacks.discard(abort_callback)
             if self._late is not None:
                 self._late.close()
             if carrier is not None:
                 carrier.kill()
 
     def _head(self, address: tuple[str, int], left_ms: float) -> bytes:
-        upstream_request, passage = self._upstream_request, self._passage
+        upstream_request, stream = self._upstream_request, self._stream
         host = b"%b:%d" % (address[0].encode(), address[1])
-        framing = framing_line(passage.body)
+        framing = framing_header(stream.body)
         if not framing and upstream_request.method not in (b"GET", b"HEAD"):
             framing = b"Content-Length: 0\r\n"
         return b"%b %b HTTP/1.1\r\nHost: %b\r\nX-Trace-Id: %b\r\nX-Expires-In: %.3f\r\n%b%b\r\n" % (
@@ -164,7 +164,7 @@
             host,
             upstream_request.trace_id,
             max(0.001, left_ms / 1000),
-            lines(passage.headers),
+            lines(stream.headers),
             framing,
         )
 
@@ -172,22 +172,22 @@
 
     def _carry(self, upload: Pipe) -> None:
         """Pass the body on. Where the node takes no more, its answer may lie there: the reader sees to it."""
-        terms = self._passage.terms.set
-        sink = Sink(self._sock, Pace(terms.stall, terms.least_rate, terms.rate_span))
-        self._passage.wanted.set()
+        policy = self._stream.policy.settings
+        sink = Sink(self._sock, ProgressMonitor(policy.stall, policy.least_rate, policy.rate_span))
+        self._stream.upload_wanted.set()
         try:
             first = upload.get()
             if first is not None:
                 # Ahead of the first byte: from here on the module knows that it cannot be sent again.
                 self._inbox.put(RequestBodyStarted(self._attempt.job.number, self._attempt.index))
                 self._timer.close()  # an upload has its own limits
-                upload.unget(first)
-            sink.drain(upload, self._passage.body.framing is Framing.CHUNKED)
-        except BrokenOffError as broken:
+                upload.push_front(first)
+            sink.drain(upload, self._stream.body.framing is Framing.CHUNKED)
+        except AbortedError as broken:
             if broken.fault is not Fault.EARLY_ANSWER:
                 self._stop(broken.fault)
         except LagError as lag:
-            self._stop(LAG[lag.lag])
+            self._stop(FAULT_BY_LAG[lag.lag])
         except OSError:
             pass
         else:
@@ -195,13 +195,13 @@
             self._metrics.add(RELAYED)
             self._timer.close()
             self._began = self._clock.now()
-            self._late = self._clock.call_later(terms.head, self._stop, Fault.HEAD_LATE)
+            self._late = self._clock.call_later(policy.head, self._stop, Fault.HEAD_LATE)
 
     def _stop(self, fault: Fault | None = None) -> None:
         """End the claim from another greenlet."""
         if self._fault is None:
-            self._fault = fault or self._passage.fault
-        self._attempt.end()
+            self._fault = fault or self._stream.fault
+        self._attempt.close()
 
     # ---- the answer
 
@@ -209,17 +209,17 @@
         while response.body is None:
             data = self._sock.recv(65536)
             if not data:
-                raise EndedError
+                raise SourceEndedError
             response.feed(data)
         self._timer.close()
         if self._late is not None:
             self._late.close()
 
     def _answer(self, response: StreamedResponseReader) -> tuple[Result, bool]:
-        attempt, body, passage = self._attempt, response.body, self._passage
+        attempt, body, stream = self._attempt, response.body, self._stream
         assert body is not None
         attempt.elapsed_ms = self._clock.now() - self._began
-        early = passage.upload is not None and not attempt.written
+        early = stream.upload is not None and not attempt.written
         if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             never = response.never_ran and response.status in (503, 504)
             attempt.cause = Fault.NODE_ERROR
@@ -233,29 +233,29 @@
             self._inbox.put(RequestBodyStarted(attempt.job.number, attempt.index))
             raise FaultError(Fault.ANSWER_TOO_LONG)
         if early:
-            passage.stop_upload(Fault.EARLY_ANSWER)
+            stream.stop_upload(Fault.EARLY_ANSWER)
         announced = next((v for n, v in response.headers if n == b"content-length"), None)
         head = Head(
             response.status,
-            passing(response.headers, passage.terms.answer_headers),
+            select_headers(response.headers, stream.policy.answer_headers),
             body,
             announced if self._upstream_request.method == b"HEAD" else None,
         )
-        answer = passage.begin_answer()
-        opening = Opening(head, passage)
+        download = stream.start_download()
+        opening = StreamedResponse(head, stream)
         self._inbox.put(ResponseStarted(attempt.job.number, attempt.index, opening))
-        self._fill(response, answer, body)
+        self._fill(response, download, body)
         return Result.OK, response.keep_alive and not early
 
-    def _fill(self, response: StreamedResponseReader, answer: Pipe, body: Body) -> None:
-        terms = self._passage.terms.set
-        source = Source(self._sock, Pace(terms.stall, terms.least_rate, terms.rate_span))
-        answer.put_copy(response.take_body())
+    def _fill(self, response: StreamedResponseReader, download: Pipe, body: Body) -> None:
+        policy = self._stream.policy.settings
+        source = Source(self._sock, ProgressMonitor(policy.stall, policy.least_rate, policy.rate_span))
+        download.put_copy(response.take_body())
         if body.framing is Framing.LENGTH and not response.done:
-            source.fill(answer, body.length - response.size)
+            source.fill(download, body.length - response.size)
         elif body.framing is Framing.CHUNKED and not response.done:
-            source.fill_parsed(answer, self._parse(response))
-        answer.end()
+            source.fill_parsed(download, self._parse(response))
+        download.end()
 
     def _parse(self, response: StreamedResponseReader) -> Callable[[memoryview], tuple[bytes, bool]]:
         def read(view: memoryview) -> tuple[bytes, bool]:
@@ -270,26 +270,26 @@
         """Name what broke, break the answer off where it flows, and say what the module is told."""
         attempt, fault = self._attempt, self._fault
         if fault is None and attempt.cancelled:
-            fault = self._passage.fault or Fault.WITHDRAWN
+            fault = self._stream.fault or Fault.WITHDRAWN
         if fault is None:
             match error:
-                case BrokenOffError() | FaultError():
+                case AbortedError() | FaultError():
                     fault = error.fault
                 case LagError():
-                    fault = LAG[error.lag]
+                    fault = FAULT_BY_LAG[error.lag]
                 case MalformedResponseError():
                     fault = Fault.NODE_SPOILT
                     self._metrics.add("claims.spoilt")
-                case EndedError() | OSError():
+                case SourceEndedError() | OSError():
                     fault = Fault.NODE_RESET
                 case gevent.Timeout() if error is self._timer:
                     fault = Fault.HEAD_LATE
                 case _:
                     raise error
         attempt.cause = fault
-        if self._passage.answer is not None:
-            self._passage.answer.break_off(fault)
+        if self._stream.download is not None:
+            self._stream.download.abort(fault)
         if attempt.cancelled or fault.value.result is Result.CANCELLED:
             return Result.CANCELLED
-        ran = attempt.written or self._passage.answer is not None
+        ran = attempt.written or self._stream.download is not None
         return fault.value.result if ran else Result.CONNECT_FAILED
--- a/ashlift/gatekeeper/ratelimit/client.py
+++ b/ashlift/gatekeeper/ratelimit/client.py
@@ -10,7 +10,7 @@
 from envoy.type.v3 import ratelimit_unit_pb2
 
 from ashlift.gatekeeper.admission.interface import Result
-from ashlift.gatekeeper.calls import Call, Calls, Patience
+from ashlift.gatekeeper.counter_calls import CounterCall, CounterCalls, ReconnectPolicy
 from ashlift.gatekeeper.jobs import Clock, Inbox
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.ratelimit.bridge import Bridge
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Call(Call):
+class _Call(CounterCall):
     future: Any = None
 
 
@@ -47,7 +47,10 @@
     ) -> None:
         self._address, self._domain, self._bridge = address, domain, bridge
         self._clock, self._metrics = clock, metrics
-        self._calls, self._patience = Calls(timeout_ms, clock, inbox, metrics), Patience(timeout_ms)
+        self._calls, self._reconnect_policy = (
+            CounterCalls(timeout_ms, clock, inbox, metrics),
+            ReconnectPolicy(timeout_ms),
+        )
         self._open()
 
     def _open(self) -> None:
@@ -58,7 +61,7 @@
 
     def add(self, name: int, amount: float, expire_ms: float) -> None:
         now = self._clock.now()
-        if self._patience.is_over(now - self._since, self._heard):
+        if self._reconnect_policy.should_reconnect(now - self._since, self._heard):
             self._metrics.add("counter.overdue")
             self._channel.close()  # what is under way may have been added: its own timers say so
             self._open()
@@ -81,7 +84,7 @@
             return
         if done.code() is not grpc.StatusCode.DEADLINE_EXCEEDED:
             self._heard, self._since = True, math.inf
-            self._patience.heard()
+            self._reconnect_policy.reset()
         if done.code() is grpc.StatusCode.OK:
             self._calls.end(call, *read_response(done.result()))
         else:
--- a/ashlift/gatekeeper/streams/heads.py
+++ b/ashlift/gatekeeper/streams/heads.py
@@ -28,7 +28,7 @@
         b"range",
     }
 )
-ANSWER_HEADERS = frozenset(
+RESPONSE_HEADERS = frozenset(
     {
         b"accept-ranges",
         b"age",
@@ -69,7 +69,7 @@
     """A head that does not say where its body ends, or says it in two ways."""
 
 
-def body_of(headers: Headers) -> Body | None:
+def declared_body(headers: Headers) -> Body | None:
     """The body that a head announces, by its own words (RFC 9112, section 6.3); None: it says nothing.
 
     The parser has refused doubled lengths before, and both ways at once in a request; not so in an answer.
@@ -92,14 +92,14 @@
     return None if length is None else Body(Framing.LENGTH if length else Framing.NONE, length)
 
 
-def answer_body(method: bytes, status: int, headers: Headers) -> Body:
+def response_body(method: bytes, status: int, headers: Headers) -> Body:
     """How an answer's body ends. A HEAD's, a 204 and a 304 have none, whatever their heads say."""
     if method == b"HEAD" or status in (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED):
         return Body(Framing.NONE)
-    return body_of(headers) or Body(Framing.CLOSE)
+    return declared_body(headers) or Body(Framing.CLOSE)
 
 
-def passing(headers: Headers, allowed: frozenset[bytes]) -> Headers:
+def select_headers(headers: Headers, allowed: frozenset[bytes]) -> Headers:
     """Those that pass. Names are lower case."""
     return [(name, value) for name, value in headers if name in allowed]
 
@@ -109,7 +109,7 @@
     return b"".join(b"%b: %b\r\n" % (name, value) for name, value in headers)
 
 
-def framing_line(body: Body) -> bytes:
+def framing_header(body: Body) -> bytes:
     """The header that tells where a body ends."""
     if body.framing is Framing.CHUNKED:
         return b"Transfer-Encoding: chunked\r\n"
@@ -137,7 +137,7 @@
             phrase = "Unknown"
         length = b""
         if framing in (Framing.LENGTH, Framing.CHUNKED):
-            length = framing_line(self.body)
+            length = framing_header(self.body)
         elif self.announced is not None:
             length = b"Content-Length: %b\r\n" % self.announced
         elif framing is Framing.NONE and self.status not in (204, 304):
--- a/tests/gatekeeper/play.py
+++ b/tests/gatekeeper/play.py
@@ -105,8 +105,8 @@
                 gevent.sleep(0.005)
         elif who == "move":
             assert self.gatekeeper.counter is not None
-            self.gatekeeper.machines.move(self.listeners[verb].getsockname())
-            self.gatekeeper.counter.move(self.listeners[rest].getsockname())
+            self.gatekeeper.machines.change_address(self.listeners[verb].getsockname())
+            self.gatekeeper.counter.change_address(self.listeners[rest].getsockname())
         elif verb in (">", ">>"):
             self.sock(who).sendall(rest.encode() + (b"\r\n" if verb == ">" else b""))
         elif verb == ">#":
--- a/tests/gatekeeper/test_operations.py
+++ b/tests/gatekeeper/test_operations.py
@@ -243,7 +243,7 @@
     assert status == 200 and json.loads(body)["out_by_hand"] == ["n1"]
     assert figures(gate)["svc.out_of_rotation"] == 1
     discovery = {"generation": 9, "reset": True, "instances": [instance("n1", node.address)]}
-    gate.machines.take(discovery)  # discovery says ready: it stays out
+    gate.machines.apply_update(discovery)  # discovery says ready: it stays out
     assert gate.machines.ready("n1") is None
     with socket.create_connection(front_of(gate)) as client, gevent.Timeout(10):
         client.sendall(JOB % (b"t1", b"5"))
--- a/tests/gatekeeper/test_parts.py
+++ b/tests/gatekeeper/test_parts.py
@@ -52,7 +52,7 @@
 def pool(kind: type[MachineList], node: Node, links: int = 8) -> tuple[NodePool, SimpleQueue[Any], Metrics]:
     inbox: SimpleQueue[Any] = SimpleQueue()
     machines, metrics = kind(("127.0.0.1", 9), (), inbox, Metrics()), Metrics()
-    machines.take({"generation": 1, "instances": [instance("n1", node.address)]})
+    machines.apply_update({"generation": 1, "instances": [instance("n1", node.address)]})
     inbox.get()
     return NodePool(machines, Limits(2000.0, 15_000.0, links), UnixClock(), inbox, metrics), inbox, metrics
 
@@ -88,10 +88,10 @@
     for number in (1, 2):
         nodes.start(job(number), 0, "n1", 9_000.0)
         assert inbox.get(timeout=10).result is Result.OK
-    assert metrics.counts["nodes.dialled"] == 1 and nodes._open == 1
+    assert metrics.counts["nodes.dialled"] == 1 and nodes._open_count == 1
     clock.advance(14_000.0)
-    nodes.sweep()
-    assert nodes._open == 0
+    nodes.close_stale_connections()
+    assert nodes._open_count == 0
     node.server.stop()
 
 
@@ -101,18 +101,18 @@
     for number, name in ((1, "n1"), (2, "n2")):
         state = "gone" if number == 2 else "ready"
         rows = [instance("n1", node.address, state), instance(name, node.address)]
-        nodes._machines.take({"generation": number, "instances": rows})
+        nodes._machines.apply_update({"generation": number, "instances": rows})
         assert inbox.get(timeout=10).servers
         nodes.start(job(number), 0, name, 9_000.0)
         assert inbox.get(timeout=10).result is Result.OK
     assert metrics.counts["nodes.dialled"] == 2
-    nodes.sweep()
-    assert nodes._open == 1
+    nodes.close_stale_connections()
+    assert nodes._open_count == 1
     node.server.stop()
 
 
 def test_a_silent_watch_is_begun_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(machine_list, "SILENT_S", 0.05)
+    monkeypatch.setattr(machine_list, "SILENCE_TIMEOUT_S", 0.05)
     discovery = listen()
     watch = MachineList(discovery.getsockname(), (), SimpleQueue(), Metrics())
     running = gevent.spawn(watch.run)
--- a/tests/gatekeeper/test_spill.py
+++ b/tests/gatekeeper/test_spill.py
@@ -113,13 +113,17 @@
     serving.get()
     gate.stop(0.0)
     node.close()
-    assert gate.nodes.desk is None and "spill.begun" not in gate.metrics.counts  # no budget was made
+    assert (
+        gate.nodes.stream_registry is None and "spill.begun" not in gate.metrics.counts
+    )  # no budget was made
 
 
 def test_a_node_is_judged_by_the_head_of_a_long_answer_not_its_length() -> None:
     node, inbox = listen(), SimpleQueue[Any]()
     machines = MachineList(("127.0.0.1", 9), (), inbox, Metrics())
-    machines.take({"generation": 1, "instances": [instance("n1", "{}:{}".format(*node.getsockname()))]})
+    machines.apply_update(
+        {"generation": 1, "instances": [instance("n1", "{}:{}".format(*node.getsockname()))]}
+    )
     inbox.get()
     nodes = NodePool(machines, Limits(2000.0, 15_000.0, 8), UnixClock(), inbox, Metrics())
     job = Job(
@@ -139,11 +143,11 @@
     ended = inbox.get(timeout=10)
     assert isinstance(ended, AttemptFinished) and ended.result is Result.OK and ended.elapsed_ms < 250
     opening: Any = headed.opening  # a streams' Opening
-    answer, got = opening.passage.answer, 0
+    answer, got = opening.stream.download, 0
     assert answer is not None
     while (part := answer.get()) is not None:
         got += part.end - part.start
-        answer.give(part)
+        answer.release(part)
     assert got == 2 * MAX_BUFFERED_BYTES
     sock.close()
     node.close()
--- a/tests/gatekeeper/test_stream_program.py
+++ b/tests/gatekeeper/test_stream_program.py
@@ -90,9 +90,14 @@
 
 def at_rest(gate: Gatekeeper) -> bool:
     """Nothing of any stream is left."""
-    desk = gate.desk
-    assert desk is not None
-    return not desk.open and desk.pool.budget.held == 0 and not desk.pool.pipes and not gate.owner.unanswered
+    registry = gate.stream_registry
+    assert registry is not None
+    return (
+        not registry.open_streams
+        and registry.pool.budget.held == 0
+        and not registry.pool.pipes
+        and not gate.owner.unanswered
+    )
 
 
 def until(true: Any) -> None:
--- a/tests/gatekeeper/test_streams.py
+++ b/tests/gatekeeper/test_streams.py
@@ -20,10 +20,10 @@
 from ashlift.gatekeeper.streams import pump
 from ashlift.gatekeeper.streams.budget import Budget, Share
 from ashlift.gatekeeper.streams.faults import Fault
-from ashlift.gatekeeper.streams.heads import Body, Framing, FramingError, body_of
-from ashlift.gatekeeper.streams.pace import Lag, Pace
-from ashlift.gatekeeper.streams.passage import Desk
-from ashlift.gatekeeper.streams.pipe import Pipe, Pool
+from ashlift.gatekeeper.streams.heads import Body, Framing, FramingError, declared_body
+from ashlift.gatekeeper.streams.pipe import BufferPool, Pipe
+from ashlift.gatekeeper.streams.progress import Lag, ProgressMonitor
+from ashlift.gatekeeper.streams.stream import StreamRegistry
 from tests.gatekeeper.helpers import Driver, answers, sends
 from tests.gatekeeper.play import config, listen
 
@@ -44,12 +44,12 @@
     budget = Budget(total, count)
     shares = [Share(window=8 * LEAST_LEASE) for _ in range(count)]
     leases: dict[Share, list[int]] = {share: [] for share in shares}
-    for at, want, gives in events:
+    for at, wanted_bytes, gives in events:
         share = shares[at % count]
         if gives and leases[share]:
-            budget.give(share, leases[share].pop())
-        elif size := budget.ask(share, want):
-            assert size <= max(want, LEAST_LEASE)
+            budget.release(share, leases[share].pop())
+        elif size := budget.acquire(share, wanted_bytes):
+            assert size <= max(wanted_bytes, LEAST_LEASE)
             leases[share].append(size)
         else:
             assert share.held > 0  # one that holds nothing always gets something
@@ -57,9 +57,9 @@
         assert all(share.held <= share.window for share in shares)
     for share in shares:
         while leases[share]:
-            budget.give(share, leases[share].pop())
+            budget.release(share, leases[share].pop())
     assert budget.held == budget.busy == 0
-    assert all(budget.ask(share, 1) for share in shares)
+    assert all(budget.acquire(share, 1) for share in shares)
 
 
 def test_slow_readers_cannot_fill_the_budget_together() -> None:
@@ -67,24 +67,24 @@
     greedy = [Share(64 * LEAST_LEASE) for _ in range(4)]
     for _ in range(100):
         for share in greedy:
-            budget.ask(share, 4 * LEAST_LEASE)
+            budget.acquire(share, 4 * LEAST_LEASE)
     held = [share.held for share in greedy]
     late = Share(64 * LEAST_LEASE)
-    assert budget.ask(late, 4 * LEAST_LEASE) >= 2 * LEAST_LEASE  # and not the least alone
+    assert budget.acquire(late, 4 * LEAST_LEASE) >= 2 * LEAST_LEASE  # and not the least alone
     assert max(held) <= 2 * min(held)  # fair shares
 
 
 def test_a_share_stops_at_the_high_watermark_and_goes_on_at_the_low_one() -> None:
     budget, share = Budget(1 << 20, 2), Share(8 * LEAST_LEASE)
-    while budget.ask(share, LEAST_LEASE):
+    while budget.acquire(share, LEAST_LEASE):
         pass
     assert share.held == 8 * LEAST_LEASE
-    assert budget.give(share, LEAST_LEASE) == [] and budget.ask(share, LEAST_LEASE) == 0
+    assert budget.release(share, LEAST_LEASE) == [] and budget.acquire(share, LEAST_LEASE) == 0
     while share.held > 5 * LEAST_LEASE:
-        assert budget.give(share, LEAST_LEASE) == []
-    assert budget.give(share, LEAST_LEASE) == [share] and budget.ask(share, LEAST_LEASE)
+        assert budget.release(share, LEAST_LEASE) == []
+    assert budget.release(share, LEAST_LEASE) == [share] and budget.acquire(share, LEAST_LEASE)
     with pytest.raises(ValueError, match="given back"):
-        budget.give(share, 1 << 20)
+        budget.release(share, 1 << 20)
 
 
 def test_a_budget_too_small_for_its_shares_is_refused() -> None:
@@ -99,28 +99,28 @@
 def test_a_side_is_stalled_exactly_when_it_moved_nothing_for_the_limit(
     waits: list[tuple[float, int]], stall: int
 ) -> None:
-    pace, idle = Pace(stall), 0.0
+    monitor, idle = ProgressMonitor(stall), 0.0
     for ms, moved in waits:
-        pace.moved(moved)
+        monitor.record_bytes(moved)
         idle = (0.0 if moved else idle) + ms
-        lag = pace.waited(ms)
+        lag = monitor.record_wait(ms)
         assert (lag is Lag.STALLED) == (idle >= stall)
         if lag:
             return
-        assert pace.allowance() == max(1.0, stall - idle)
+        assert monitor.max_wait_ms() == max(1.0, stall - idle)
 
 
 def test_the_least_rate_counts_the_time_of_waiting_alone() -> None:
-    pace = Pace(1_000, least_rate=1_000, span=2_000)
+    monitor = ProgressMonitor(1_000, least_rate=1_000, rate_span_ms=2_000)
     for _ in range(10):  # 100 bytes in each 100 ms that it was waited for: just enough
-        pace.moved(100)
-        assert pace.waited(100) is None
+        monitor.record_bytes(100)
+        assert monitor.record_wait(100) is None
     for _ in range(9):
-        pace.moved(90)
-        assert pace.waited(100) is None
-    pace.moved(90)
-    assert pace.waited(100) is Lag.SLOW
-    assert pace.allowance() == 900  # of the stall limit
+        monitor.record_bytes(90)
+        assert monitor.record_wait(100) is None
+    monitor.record_bytes(90)
+    assert monitor.record_wait(100) is Lag.SLOW
+    assert monitor.max_wait_ms() == 900  # of the stall limit
 
 
 # ---- framing
@@ -136,7 +136,7 @@
     ],
 )
 def test_a_head_tells_where_its_body_ends(headers: Any, body: Body | None) -> None:
-    assert body_of(headers) == body
+    assert declared_body(headers) == body
 
 
 @pytest.mark.parametrize(
@@ -150,7 +150,7 @@
 )
 def test_a_head_that_says_it_in_two_ways_is_refused(headers: Any) -> None:
     with pytest.raises(FramingError):
-        body_of(headers)
+        declared_body(headers)
 
 
 # ---- any body in any cuts, through real sockets
@@ -199,7 +199,7 @@
     body: bytes, cuts: list[int], chunks: list[int] | None, chunked: bool, seed: int
 ) -> None:
     """Through a pipe whose window is far smaller, while source and sink take turns at being slow."""
-    chance, pool = random.Random(seed), Pool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)
+    chance, pool = random.Random(seed), BufferPool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)
     source, near = both()
     far, sink = both()
     pipe, got = Pipe(pool), b""
@@ -213,11 +213,11 @@
             gevent.sleep(0.001 * chance.randrange(2))
 
     def drain() -> None:
-        pump.Sink(far, Pace(10_000)).drain(pipe, chunked)
+        pump.Sink(far, ProgressMonitor(10_000)).drain(pipe, chunked)
         far.shutdown(socket.SHUT_WR)
 
     def carry() -> None:
-        into = pump.Source(near, Pace(10_000))
+        into = pump.Source(near, ProgressMonitor(10_000))
         if chunks is None:
             into.fill(pipe, len(body))
         else:
@@ -251,10 +251,10 @@
 def test_the_clock_of_a_source_stands_while_its_sink_is_what_holds_it_up() -> None:
     """A slow but living client is no stalled node: the sink rests for ten stall limits of the source."""
     source, near = both()
-    pipe = Pipe(Pool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4))
+    pipe = Pipe(BufferPool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4))
     source.sendall(b"x" * 60_000)
     with gevent.Timeout(20):
-        filling = gevent.spawn(pump.Source(near, Pace(100)).fill, pipe, 60_000)
+        filling = gevent.spawn(pump.Source(near, ProgressMonitor(100)).fill, pipe, 60_000)
         gevent.sleep(1.0)
         assert not filling.ready() and 0 < pipe.held <= 2 * LEAST_LEASE
         got = 0
@@ -262,10 +262,10 @@
             part = pipe.get()
             assert part is not None
             got += part.end - part.start
-            pipe.give(part)
+            pipe.release(part)
         filling.get()
         # And one that is waited for is judged.
-        late = gevent.spawn(pump.Source(near, Pace(100)).fill, pipe, 1)
+        late = gevent.spawn(pump.Source(near, ProgressMonitor(100)).fill, pipe, 1)
         with pytest.raises(pump.LagError, match="stalled"):
             late.get()
     assert pipe.held == 0
@@ -277,38 +277,38 @@
     now, full = [0.0], Event()
     monkeypatch.setattr(pump, "time", SimpleNamespace(monotonic=lambda: now[0]))
     source, near = both()
-    pipe, got = Pipe(Pool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)), 0
+    pipe, got = Pipe(BufferPool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)), 0
 
-    def gone() -> bool:  # asked while there is no room to read
+    def peer_closed() -> bool:  # asked while there is no room to read
         full.set()
         return False
 
     with gevent.Timeout(20):
-        filling = gevent.spawn(pump.Source(near, Pace(250), gone).fill, pipe, 60_000)
-        for turn in range(1, 4):
+        filling = gevent.spawn(pump.Source(near, ProgressMonitor(250), peer_closed).fill, pipe, 60_000)
+        for bytes_per_turn in range(1, 4):
             gevent.sleep(0.02)
             now[0] += 0.02  # the source's rest
             full.clear()
             source.sendall(b"x" * 20_000)
             full.wait()
             now[0] += 0.4  # the sink's, behind a full window
-            while got < 20_000 * turn:
+            while got < 20_000 * bytes_per_turn:
                 part = pipe.get()
                 assert part is not None
                 got += part.end - part.start
-                pipe.give(part)
+                pipe.release(part)
         filling.get()
     assert pipe.held == 0
 
 
 def test_a_broken_pipe_gives_all_back_and_wakes_both_sides() -> None:
-    pool = Pool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)
+    pool = BufferPool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)
     pipe, ends = Pipe(pool), []
 
     def source() -> None:
         try:
             while True:
-                pipe.put(pipe.lease(LEAST_LEASE), 5)
+                pipe.put(pipe.acquire(LEAST_LEASE), 5)
         except Exception as error:
             ends.append(str(error))
 
@@ -316,10 +316,10 @@
     gevent.sleep(0)
     kept = pipe.get()  # in the sink's hand
     assert kept is not None and pool.budget.held > 0
-    pipe.break_off(Fault.NODE_RESET)
-    pipe.break_off(Fault.CLIENT_LEFT)
+    pipe.abort(Fault.NODE_RESET)
+    pipe.abort(Fault.CLIENT_LEFT)
     held.join(5)
-    pipe.give(kept)
+    pipe.release(kept)
     assert ends == ["node_reset"] and pool.budget.held == 0 and not pool.pipes
     with pytest.raises(Exception, match="node_reset"):
         pipe.get()
@@ -327,15 +327,18 @@
 
 def test_a_desk_gives_each_place_once() -> None:
     own = config(NOWHERE, {}, OWN.format("")).own.streaming
-    desk = Desk(replace(own, most_streams=2), {b"availability-check": 0})
-    terms = desk.terms(b"/availability-check/x?y")
-    assert terms is not None and desk.terms(b"/other") is None and desk.terms(b"*") is None
-    first, second = (desk.take(terms, Body(Framing.NONE)) for _ in range(2))
-    assert first and second and desk.take(terms, Body(Framing.NONE)) is None
+    registry = StreamRegistry(replace(own, most_streams=2), {b"availability-check": 0})
+    policy = registry.policy_for(b"/availability-check/x?y")
+    assert policy is not None and registry.policy_for(b"/other") is None and registry.policy_for(b"*") is None
+    first, second = (registry.open_stream(policy, Body(Framing.NONE)) for _ in range(2))
+    assert first and second and registry.open_stream(policy, Body(Framing.NONE)) is None
     first.close()
     first.close()
-    assert desk.take(terms, Body(Framing.NONE)) and desk.take(terms, Body(Framing.NONE)) is None
-    assert Desk(Streaming(classes=own.classes), {}).unknown == ["availability-check"]
+    assert (
+        registry.open_stream(policy, Body(Framing.NONE))
+        and registry.open_stream(policy, Body(Framing.NONE)) is None
+    )
+    assert StreamRegistry(Streaming(classes=own.classes), {}).unknown_classes == ["availability-check"]
 
 
 # ---- the module
