--- a/ashlift/gatekeeper/__main__.py
+++ b/ashlift/gatekeeper/__main__.py
@@ -195,12 +195,12 @@
         end = self.clock.now() + 1000 * DRAIN_S
         if self.ratelimit is not None:
             self.ratelimit.close(DRAIN_S)
-        while (self.front.open or self.owner.unanswered) and self.clock.now() < end:
-            self.front.rest()
+        while (self.front.open_count or self.owner.unanswered) and self.clock.now() < end:
+            self.front.close_idle()
             gevent.sleep(0.02)
-        self.front.cut()
+        self.front.abort_streams()
         end = self.clock.now() + 1000 * CUT_S
-        while self.front.open and self.clock.now() < end:
+        while self.front.open_count and self.clock.now() < end:
             gevent.sleep(0.02)
         gevent.killall(self._running)
         if self._door is not None:
--- a/ashlift/gatekeeper/net/front/connection.py
+++ b/ashlift/gatekeeper/net/front/connection.py
@@ -16,25 +16,29 @@
 from ashlift.gatekeeper.config import Names
 from ashlift.gatekeeper.jobs import Answer, Clock, Inbox, Job, JobAbandoned, ResponseDelivered, Verdict
 from ashlift.gatekeeper.metrics import Metrics
-from ashlift.gatekeeper.net.front.answers import CONTINUE, render
-from ashlift.gatekeeper.net.front.asked import Asked, BadRequestError, job_of
 from ashlift.gatekeeper.net.front.reader import RequestReader
+from ashlift.gatekeeper.net.front.rendering import CONTINUE, render
+from ashlift.gatekeeper.net.front.request import BadRequestError, ClientRequest, job_from_request
 from ashlift.gatekeeper.net.socket_state import has_no_input
 from ashlift.gatekeeper.operations.figures import answered
 
-WAITING_MOST = 4  # requests read ahead on one connection: clients send one at a time
-SILENT_S = 2.2  # a connection on which nothing was ever asked ends then: its sender is owed a word within 3 s
-HALF_S = 2.5  # a request's head must be whole so long after its first byte: a client may take 2 s over it
-BODY_S = 2.5  # and its body so long after the head: 64 KiB at 64 kB/s, and room to spare
+MAX_PIPELINED_REQUESTS = 4  # requests read ahead on one connection: clients send one at a time
+FIRST_REQUEST_TIMEOUT_S = (
+    2.2  # a connection on which nothing was ever asked ends then: its sender is owed a word within 3 s
+)
+HEAD_TIMEOUT_S = (
+    2.5  # a request's head must be whole so long after its first byte: a client may take 2 s over it
+)
+BODY_TIMEOUT_S = 2.5  # and its body so long after the head: 64 KiB at 64 kB/s, and room to spare
 LINGER_MS = 1000.0  # the rest of a request that was answered unread is thrown away for so long
-LINGER_MOST = 256 * 1024  # bytes, and up to so many
-WRITE_S = 3.0  # a client that takes no bytes for so long is gone
-SPARE_SILENT_MS = 100.0  # while places are short: clients that mean to ask do so once they are connected
-SPARE_HALF_MS = 500.0  # and send their requests in one piece
-Out = Answer | HTTPStatus | BadRequestError | bytes  # bytes: a word in between, which answers nothing
+MAX_LINGER_BYTES = 256 * 1024  # bytes, and up to so many
+WRITE_TIMEOUT_S = 3.0  # a client that takes no bytes for so long is gone
+MIN_SILENT_MS = 100.0  # while places are short: clients that mean to ask do so once they are connected
+MIN_PARTIAL_REQUEST_MS = 500.0  # and send their requests in one piece
+Response = Answer | HTTPStatus | BadRequestError | bytes  # bytes: a word in between, which answers nothing
 
 
-class Owner(Protocol):
+class FrontContext(Protocol):
     """What a connection needs of the front that accepted it."""
 
     names: Names
@@ -50,26 +54,30 @@
 class Connection:
     """One client connection on which nothing is streamed."""
 
-    linger_most = LINGER_MOST
+    max_linger_bytes = MAX_LINGER_BYTES
 
-    def __init__(self, front: Owner, sock: socket.socket) -> None:
+    def __init__(self, front: FrontContext, sock: socket.socket) -> None:
         self._front, self._sock = front, sock
-        self._reader = RequestReader(self._begin_idle, self._arrived, None)
-        self._waiting: deque[Asked] = deque()  # read ahead
-        self._current: Asked | None = None  # being answered
+        self._reader = RequestReader(self._mark_idle, self._on_request, None)
+        self._pipelined: deque[ClientRequest] = deque()  # read ahead
+        self._current: ClientRequest | None = None  # being answered
         self._job: Job | None = None
-        self._out: SimpleQueue[tuple[Asked, Out] | None] = SimpleQueue()
-        self._gone = False
-        self._deaf = False  # a request could not be read: nothing more is taken in here
-        self._thrown = 0  # bytes that came since
-        self._answered = False  # anything, yet
-        self._since = front.clock.now()  # when it began to be idle, or the request that is being read began
+        self._responses: SimpleQueue[tuple[ClientRequest, Response] | None] = SimpleQueue()
+        self._disconnected = False
+        self._discarding_input = False  # a request could not be read: nothing more is taken in here
+        self._discarded_bytes = 0  # bytes that came since
+        self._has_answered = False  # anything, yet
+        self._phase_started_at = (
+            front.clock.now()
+        )  # when it began to be idle, or the request that is being read began
         front.idle[self] = None
-        self._linger: Any = None  # the timer that ends a connection which is deaf
-        self._flowing: Any = None  # the Opening of an answer that passes on as it comes
-        self._headed_at: float | None = None  # when the head of the request that is being read was whole
-        self._room = Event()
-        self._room.set()
+        self._linger_timer: Any = None  # the timer that ends a connection which is deaf
+        self._streamed_response: Any = None  # the Opening of an answer that passes on as it comes
+        self._head_complete_at: float | None = (
+            None  # when the head of the request that is being read was whole
+        )
+        self._queue_not_full = Event()
+        self._queue_not_full.set()
 
     # ---- reading
 
@@ -77,38 +85,38 @@
         """Read until the end of the connection."""
         writer = gevent.spawn(self._write)
         try:
-            while self._step():
-                self._room.wait()
+            while self._read_once():
+                self._queue_not_full.wait()
         except (OSError, gevent.Timeout):
             pass
         finally:
-            self._gone = True
-            self._left()
-            self._out.put(None)
+            self._disconnected = True
+            self._on_disconnect()
+            self._responses.put(None)
             writer.join()
-            if self._linger is not None:
-                self._linger.close()
+            if self._linger_timer is not None:
+                self._linger_timer.close()
             self._sock.close()
 
-    def _left(self) -> None:
+    def _on_disconnect(self) -> None:
         """The client is gone: what is open here is not wanted any more."""
-        if self._flowing is not None:
-            self._flowing.withdraw()  # wakes the writer, and the node's side ends
+        if self._streamed_response is not None:
+            self._streamed_response.withdraw()  # wakes the writer, and the node's side ends
         if self._job is not None:
             self._front.metrics.add("clients.left")
             self._front.inbox.put(JobAbandoned(self._job))
-            self._done()
+            self._finish_request()
 
-    def _step(self) -> bool:
+    def _read_once(self) -> bool:
         """Read once; whether to go on. One who never asks, or asks drop by drop, does not hold a place."""
-        since = self._since
-        if self._reader.asked is not None and not self._deaf:
-            most: float | None = HALF_S if self._headed_at is None else BODY_S
-            since = since if self._headed_at is None else self._headed_at
-        elif self._answered or self._current is not None:
+        since = self._phase_started_at
+        if self._reader.request is not None and not self._discarding_input:
+            most: float | None = HEAD_TIMEOUT_S if self._head_complete_at is None else BODY_TIMEOUT_S
+            since = since if self._head_complete_at is None else self._head_complete_at
+        elif self._has_answered or self._current is not None:
             most = None
         else:
-            most = SILENT_S
+            most = FIRST_REQUEST_TIMEOUT_S
         left = None if most is None else max(0.001, most - (self._front.clock.now() - since) / 1000)
         try:
             with gevent.Timeout(left):
@@ -116,146 +124,148 @@
         except gevent.Timeout:
             if not has_no_input(self._sock):
                 return True  # something came in the same turn of the event loop as the time-out
-            if self._reader.asked is None:
+            if self._reader.request is None:
                 self._front.metrics.add("clients.silent")
                 return False
             # Behind what is still owed here: guards against an answer lost with the connection.
-            self._refuse(BadRequestError(HTTPStatus.REQUEST_TIMEOUT))
+            self._reject(BadRequestError(HTTPStatus.REQUEST_TIMEOUT))
             return True
         if not data:
             return False
-        if self._deaf:
-            self._thrown += len(data)
-            return self._thrown <= self.linger_most or self._current is not None
+        if self._discarding_input:
+            self._discarded_bytes += len(data)
+            return self._discarded_bytes <= self.max_linger_bytes or self._current is not None
         try:
             self._reader.feed(data)
         except BadRequestError as bad:
-            self._refuse(bad)
+            self._reject(bad)
             return True
-        asked = self._reader.asked
-        if asked is not None and asked.headed and self._headed_at is None:
-            self._headed_at = self._front.clock.now()
-            self._go_on(asked)
+        request = self._reader.request
+        if request is not None and request.head_complete and self._head_complete_at is None:
+            self._head_complete_at = self._front.clock.now()
+            self._send_continue(request)
         return True
 
-    def _go_on(self, asked: Asked) -> None:
+    def _send_continue(self, request: ClientRequest) -> None:
         """Guards against a client that waits for leave to send its body: `100 Continue`, where nothing of the
         body has come and nothing is owed here before it. A streamed body is asked for once a claim stands."""
-        expects = asked.headers.get(b"expect", b"").lower() == b"100-continue"
+        expects = request.headers.get(b"expect", b"").lower() == b"100-continue"
         if (
             expects
-            and asked.policy is None
-            and not asked.size
+            and request.policy is None
+            and not request.size
             and self._current is None
-            and not self._waiting
+            and not self._pipelined
         ):
             self._send(CONTINUE)
 
-    def _refuse(self, bad: BadRequestError) -> None:
+    def _reject(self, bad: BadRequestError) -> None:
         """Answer what cannot be read once all before it is answered, and end; nothing after it is read."""
         self._front.metrics.add(f"requests.bad_{int(bad.status)}")
-        self._reader.asked = None
-        self._deaf = True
-        self._arrived(Asked(wrong=bad, keep=False))
+        self._reader.request = None
+        self._discarding_input = True
+        self._on_request(ClientRequest(error=bad, keep_alive=False))
 
     # ---- one request after another
 
-    def _arrived(self, asked: Asked) -> None:
+    def _on_request(self, request: ClientRequest) -> None:
         self._front.idle.pop(self, None)
         # The loop noted when it woke: what this request lay unread since then is off the client's patience.
         unread = max(0.0, time.time() - gevent.get_hub().loop.now())
-        asked.received_ms = self._front.clock.now() - 1000 * unread
+        request.received_ms = self._front.clock.now() - 1000 * unread
         if self._current is not None:
-            self._waiting.append(asked)
-            if len(self._waiting) >= WAITING_MOST:
-                self._room.clear()
+            self._pipelined.append(request)
+            if len(self._pipelined) >= MAX_PIPELINED_REQUESTS:
+                self._queue_not_full.clear()
             return
-        self._begin(asked)
-
-    def _begin(self, asked: Asked) -> None:
-        front, self._current = self._front, asked
-        if asked.wrong is not None:
-            self._out.put((asked, asked.wrong))
-        elif asked.target == b"/up":
-            self._out.put((asked, HTTPStatus.OK if front.ready() else HTTPStatus.SERVICE_UNAVAILABLE))
+        self._process(request)
+
+    def _process(self, request: ClientRequest) -> None:
+        front, self._current = self._front, request
+        if request.error is not None:
+            self._responses.put((request, request.error))
+        elif request.target == b"/up":
+            self._responses.put((request, HTTPStatus.OK if front.ready() else HTTPStatus.SERVICE_UNAVAILABLE))
         else:
             try:
-                self._job = job_of(asked, front.names, front.trace_ids, partial(self._reply, asked))
+                self._job = job_from_request(
+                    request, front.names, front.trace_ids, partial(self._reply, request)
+                )
             except BadRequestError as bad:
                 front.metrics.add(f"requests.bad_{int(bad.status)}")
-                kind = asked.headers.get(b"x-qos", b"")
+                kind = request.headers.get(b"x-qos", b"")
                 if kind in front.names.classes:  # failed, as its client sees it
                     front.metrics.add(answered(Verdict.FAILED, kind.decode("latin-1")))
-                self._out.put((asked, bad))
+                self._responses.put((request, bad))
             else:
                 front.trace_ids.add(self._job.upstream_request.trace_id)
                 front.inbox.put(self._job)
 
-    def _reply(self, asked: Asked, answer: Answer) -> None:
-        self._out.put((asked, answer))
+    def _reply(self, request: ClientRequest, answer: Answer) -> None:
+        self._responses.put((request, answer))
 
-    def _next(self) -> None:
-        if self._waiting:
-            asked = self._waiting.popleft()
-            self._room.set()
-            self._begin(asked)
+    def _process_next(self) -> None:
+        if self._pipelined:
+            request = self._pipelined.popleft()
+            self._queue_not_full.set()
+            self._process(request)
 
-    def _drop_waiting(self) -> None:
+    def _drop_pipelined(self) -> None:
         """What was read ahead is not begun."""
-        self._waiting.clear()
-        self._room.set()
+        self._pipelined.clear()
+        self._queue_not_full.set()
 
-    def _done(self) -> None:
+    def _finish_request(self) -> None:
         if self._job is not None:
             self._front.trace_ids.discard(self._job.upstream_request.trace_id)
         self._current = self._job = None
 
     # ---- idle
 
-    def _begin_idle(self) -> None:
+    def _mark_idle(self) -> None:
         """From now on, unless an answer is owed here, this connection is the youngest of the idle ones."""
-        self._since, self._headed_at = self._front.clock.now(), None
+        self._phase_started_at, self._head_complete_at = self._front.clock.now(), None
         self._front.idle.pop(self, None)
-        if self._current is None and not self._deaf:
+        if self._current is None and not self._discarding_input:
             self._front.idle[self] = None
 
-    def spare(self, now: float) -> bool:
+    def can_evict(self, now: float) -> bool:
         """Whether this idle connection may end to make room. Nothing must lie unread on it: the client has
         asked then. A first request that is cut off has failed, so those who may be about to ask have time."""
-        young = 0.0 if self._answered else SPARE_SILENT_MS
-        least = young if self._reader.asked is None else SPARE_HALF_MS
-        return now - self._since >= least and has_no_input(self._sock)
+        young = 0.0 if self._has_answered else MIN_SILENT_MS
+        least = young if self._reader.request is None else MIN_PARTIAL_REQUEST_MS
+        return now - self._phase_started_at >= least and has_no_input(self._sock)
 
-    def put_out(self) -> None:
+    def evict(self) -> None:
         """End it to make room."""
         self._front.idle.pop(self, None)
         self._shut(socket.SHUT_RDWR)
 
-    def rest(self) -> None:
+    def close_if_idle(self) -> None:
         """End the connection if nothing is asked on it: its reader then sees the end.
 
         One that was accepted just now is about to ask: it has a moment for that.
         """
-        if self._current is not None or self._reader.asked is not None or not has_no_input(self._sock):
+        if self._current is not None or self._reader.request is not None or not has_no_input(self._sock):
             return
-        if self._answered or self._front.clock.now() - self._since >= SPARE_SILENT_MS:
+        if self._has_answered or self._front.clock.now() - self._phase_started_at >= MIN_SILENT_MS:
             self._shut(socket.SHUT_RDWR)
 
-    def cut(self) -> None:
+    def abort_streams(self) -> None:
         """The program ends: what goes on for longer than its drain ends here. Nothing does that is not
         streamed."""
 
-    def _end(self) -> None:
+    def _start_lingering(self) -> None:
         """Guards against an answer that its client never sees: to close while the rest of a large request,
         or another request, comes in would reset the connection, so that is read and thrown away for a while.
         Guards against a request that is begun after the last answer, and dropped with the connection."""
-        self._deaf = True
+        self._discarding_input = True
         self._shut(socket.SHUT_WR)
-        self._linger = self._front.clock.call_later(LINGER_MS, self._shut, socket.SHUT_RDWR)
+        self._linger_timer = self._front.clock.call_later(LINGER_MS, self._shut, socket.SHUT_RDWR)
 
-    def _may_end(self) -> bool:
+    def _can_close(self) -> bool:
         """Whether the front closes and nothing more has been asked here."""
-        return self._front.closing and not self._waiting and has_no_input(self._sock)
+        return self._front.closing and not self._pipelined and has_no_input(self._sock)
 
     def _shut(self, how: int) -> None:
         with contextlib.suppress(OSError):
@@ -264,59 +274,61 @@
     # ---- writing
 
     def _write(self) -> None:
-        while (item := self._out.get()) is not None:
-            asked, answer = item
-            if self._gone or asked is not self._current:
+        while (item := self._responses.get()) is not None:
+            request, answer = item
+            if self._disconnected or request is not self._current:
                 if getattr(answer, "opening", None) is not None:
                     answer.opening.withdraw()  # type: ignore[union-attr]  # nobody takes it
                 continue  # it has its answer
             if isinstance(answer, bytes):
                 self._send(answer)
                 continue
-            keep = asked.keep and asked.whole and not self._may_end()
-            keep = self._deliver(asked, answer, keep)
-            self._deaf |= not asked.whole  # the rest of its body is nobody's request
-            self._done()
-            self._answered = True
-            if self._gone:
+            keep_alive = request.keep_alive and request.body_complete and not self._can_close()
+            keep_alive = self._deliver(request, answer, keep_alive)
+            self._discarding_input |= not request.body_complete  # the rest of its body is nobody's request
+            self._finish_request()
+            self._has_answered = True
+            if self._disconnected:
                 continue  # nothing read ahead is begun for a client that has left
-            if not keep:
-                self._drop_waiting()
-                return self._end()
-            self._next()
+            if not keep_alive:
+                self._drop_pipelined()
+                return self._start_lingering()
+            self._process_next()
             if self._current is None:
-                self._begin_idle()
+                self._mark_idle()
                 if self._front.closing:  # a drain began while the answer was on its way
-                    self.rest()
+                    self.close_if_idle()
 
-    def _deliver(self, asked: Asked, answer: Any, keep: bool) -> bool:
+    def _deliver(self, request: ClientRequest, answer: Any, keep_alive: bool) -> bool:
         """Write an answer; whether the connection goes on."""
         opening = getattr(answer, "opening", None)
         if opening is not None:
-            return self._pass(asked, opening, keep)
-        return self._send(render(answer, keep)) and keep
+            return self._forward_long_response(request, opening, keep_alive)
+        return self._send(render(answer, keep_alive)) and keep_alive
 
-    def _pass(self, asked: Asked, opening: Any, keep: bool) -> bool:
+    def _forward_long_response(self, request: ClientRequest, opening: Any, keep_alive: bool) -> bool:
         """Write an answer that was too long to hold as it comes (`net/spill.py`); whether to go on."""
-        from ashlift.gatekeeper.net.front.streaming import flow
+        from ashlift.gatekeeper.net.front.streaming import forward_response
         from ashlift.gatekeeper.streams.heads import Framing
 
         # To a client of HTTP/1.0 a chunked body ends with the connection.
-        keep = keep and not (asked.minor == 0 and opening.head.body.framing is Framing.CHUNKED)
-        self._flowing = opening
+        keep_alive = keep_alive and not (
+            request.http_minor == 0 and opening.head.body.framing is Framing.CHUNKED
+        )
+        self._streamed_response = opening
         try:
-            fault = flow(self._sock, asked.minor, opening, keep)
+            fault = forward_response(self._sock, request.http_minor, opening, keep_alive)
         finally:
-            self._flowing = None
+            self._streamed_response = None
             opening.stream.close()
         if self._job is not None:
             self._front.inbox.put(ResponseDelivered(self._job, fault is None))
         self._front.metrics.add("spill.served" if fault is None else f"spill.cut.{fault.label}")
-        return keep and fault is None and not self._may_end()
+        return keep_alive and fault is None and not self._can_close()
 
     def _send(self, data: bytes) -> bool:
         try:
-            with gevent.Timeout(WRITE_S):
+            with gevent.Timeout(WRITE_TIMEOUT_S):
                 self._sock.sendall(data)
         except (OSError, gevent.Timeout):
             self._front.metrics.add("clients.unwritable")
--- a/ashlift/gatekeeper/net/front/listener.py
+++ b/ashlift/gatekeeper/net/front/listener.py
@@ -17,11 +17,11 @@
 if TYPE_CHECKING:
     from ashlift.gatekeeper.streams.stream import StreamRegistry
 
-FULL_S = 0.02  # when all places are taken by jobs, one is looked for so often
+RETRY_INTERVAL_S = 0.02  # when all places are taken by jobs, one is looked for so often
 BACKLOG = 1024
 
 
-def adopt(descriptor: int) -> socket.socket:
+def adopt_listener(descriptor: int) -> socket.socket:
     """The listening socket behind an inherited descriptor. Guards against accepting on whatever else the
     number may stand for: an IPv4 TCP socket that listens, or OSError."""
     sock = socket.socket(fileno=descriptor)
@@ -42,30 +42,30 @@
     def __init__(
         self,
         names: Names,
-        most: int,
-        idle_most: int,
+        max_connections: int,
+        max_idle: int,
         ready: Callable[[], bool],
         clock: Clock,
         inbox: Inbox,
         metrics: Metrics,
-        registry: "StreamRegistry | None" = None,
+        stream_registry: "StreamRegistry | None" = None,
     ) -> None:
         self.names, self.ready, self.clock, self.inbox, self.metrics = names, ready, clock, inbox, metrics
         self.closing = False
         self.trace_ids: set[bytes] = set()  # of open jobs
         self.idle: dict[Connection, None] = {}  # connections that are owed nothing, the longest idle first
-        self._most, self._idle_most = most, idle_most
-        self._freed = Event()
+        self._max_connections, self._max_idle = max_connections, max_idle
+        self._slot_freed = Event()
         self._connections: set[Connection] = set()
-        self._new: Callable[[socket.socket], Connection] = lambda sock: Connection(self, sock)
-        if registry is not None:  # loaded only where the settings turn it on
+        self._create_connection: Callable[[socket.socket], Connection] = lambda sock: Connection(self, sock)
+        if stream_registry is not None:  # loaded only where the settings turn it on
             from ashlift.gatekeeper.net.front.streaming import StreamConnection
 
-            here = registry
-            self._new = lambda sock: StreamConnection(self, sock, here)
+            registry = stream_registry
+            self._create_connection = lambda sock: StreamConnection(self, sock, registry)
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         return len(self._connections)
 
     def listen(self, address: tuple[str, int], inherited: int | None = None) -> socket.socket:
@@ -73,7 +73,7 @@
         platform holds for this process and its successor alike. Raises OSError where that is no listening TCP
         socket."""
         if inherited is not None:
-            return adopt(inherited)
+            return adopt_listener(inherited)
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(address)
@@ -83,14 +83,14 @@
     def run(self, listener: socket.socket) -> None:
         """Accept for ever, within the bound of connections."""
         while True:
-            if len(self.idle) > self._idle_most:
+            if len(self.idle) > self._max_idle:
                 # Guards against clients that are kept from asking by others who only stay: all that clients
                 # hold counts towards what they may hold.
-                self._put_one_out()
-            while self.open >= self._most:
-                self._put_one_out()
-                self._freed.clear()
-                self._freed.wait(FULL_S)
+                self._evict_idle_connection()
+            while self.open_count >= self._max_connections:
+                self._evict_idle_connection()
+                self._slot_freed.clear()
+                self._slot_freed.wait(RETRY_INTERVAL_S)
             try:
                 sock, _ = listener.accept()
             except OSError as error:
@@ -112,18 +112,18 @@
     def _accept(self, sock: socket.socket) -> None:
         self.metrics.add("clients.accepted")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection = self._new(sock)
+        connection = self._create_connection(sock)
         self._connections.add(connection)
         gevent.spawn(self._serve, connection)
 
-    def _put_one_out(self) -> None:
+    def _evict_idle_connection(self) -> None:
         """Guards against places held by those who ask nothing while others wait: the longest idle connection
         ends, if there is one that may."""
         now = self.clock.now()
-        spare = next((connection for connection in self.idle if connection.spare(now)), None)
-        if spare is not None:
+        evictable = next((connection for connection in self.idle if connection.can_evict(now)), None)
+        if evictable is not None:
             self.metrics.add("clients.put_out")
-            spare.put_out()
+            evictable.evict()
 
     def _serve(self, connection: Connection) -> None:
         try:
@@ -131,25 +131,25 @@
         finally:
             self._connections.discard(connection)
             self.idle.pop(connection, None)
-            self._freed.set()
+            self._slot_freed.set()
 
     def standby(self, on: bool) -> None:
         """Drain, or end the drain: while on, connections end after their answers, and those at rest now."""
         self.closing = on
         if on:
-            self.rest()
+            self.close_idle()
 
     def close(self) -> None:
         """From now on connections end between requests: those at rest now, the others with their answer."""
         self.closing = True
-        self.rest()
+        self.close_idle()
 
-    def rest(self) -> None:
+    def close_idle(self) -> None:
         """End the connections on which nothing is asked."""
         for connection in list(self._connections):
-            connection.rest()
+            connection.close_if_idle()
 
-    def cut(self) -> None:
+    def abort_streams(self) -> None:
         """End what the drain has not ended, so that its clients can tell."""
         for connection in list(self._connections):
-            connection.cut()
+            connection.abort_streams()
--- a/ashlift/gatekeeper/net/front/answers.py
+++ b/ashlift/gatekeeper/net/front/rendering.py
@@ -3,15 +3,15 @@
 from http import HTTPStatus
 
 from ashlift.gatekeeper.jobs import Answer, Verdict
-from ashlift.gatekeeper.net.front.asked import BadRequestError
+from ashlift.gatekeeper.net.front.request import BadRequestError
 
 REASON = {Verdict.REFUSED: HTTPStatus.TOO_MANY_REQUESTS, Verdict.FAILED: HTTPStatus.BAD_GATEWAY}
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-def render(answer: Answer | HTTPStatus | BadRequestError, keep: bool) -> bytes:
+def render(answer: Answer | HTTPStatus | BadRequestError, keep_alive: bool) -> bytes:
     """The bytes of one answer. A requeue notice says when to come back, as the module advises."""
-    end = b"" if keep else b"Connection: close\r\n"
+    end = b"" if keep_alive else b"Connection: close\r\n"
     if isinstance(answer, Answer) and answer.verdict in (Verdict.SERVED, Verdict.PASSED):
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%b\r\n%b" % (len(answer.body), end, answer.body)
     status, again_ms = HTTPStatus.OK, 0.0
--- a/ashlift/gatekeeper/net/front/asked.py
+++ b/ashlift/gatekeeper/net/front/request.py
@@ -14,7 +14,15 @@
     from ashlift.gatekeeper.streams.stream import Stream, StreamPolicy
 
 # Headers that mean something here: repeated, nobody can tell which one holds.
-ONCE = {b"x-qos", b"api-plan", b"api-customer", b"api-terms", b"x-trace-id", b"x-expires-in", b"x-second-try"}
+SINGLE_VALUE_HEADERS = {
+    b"x-qos",
+    b"api-plan",
+    b"api-customer",
+    b"api-terms",
+    b"x-trace-id",
+    b"x-expires-in",
+    b"x-second-try",
+}
 
 
 class BadRequestError(Exception):
@@ -26,7 +34,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class ClientRequest:
     """One request; `wrong` is what its sender gets instead of an answer.
 
     A streamed one is told of when its head is whole, any other when its body is: `whole` says so.
@@ -37,23 +45,25 @@
     headers: dict[bytes, bytes] = field(default_factory=dict)
     body: list[bytes] = field(default_factory=list)  # what has come, or of a streamed one what lies here
     size: int = 0  # of the body so far
-    head: int = 0  # of the headers
-    minor: int = 1  # of HTTP/1.x
-    keep: bool = True
-    whole: bool = False
-    headed: bool = False
+    header_bytes: int = 0  # of the headers
+    http_minor: int = 1  # of HTTP/1.x
+    keep_alive: bool = True
+    body_complete: bool = False
+    head_complete: bool = False
     received_ms: float = 0.0
-    wrong: BadRequestError | None = None
+    error: BadRequestError | None = None
     policy: "StreamPolicy | None" = None  # of a class that streams
     framing: "Body | None" = None
     stream: "Stream | None" = None
 
 
-def job_of(asked: Asked, names: Names, trace_ids: set[bytes], reply: Callable[[Answer], None]) -> Job:
+def job_from_request(
+    request: ClientRequest, names: Names, trace_ids: set[bytes], reply: Callable[[Answer], None]
+) -> Job:
     """What a request asks of the core; raises BadRequestError. `traces` are those of open jobs."""
-    headers = asked.headers
+    headers = request.headers
     kind = names.classes.get(headers.get(b"x-qos", b""))
-    first = asked.target.split(b"?", 1)[0].split(b"/", 2)[1:2]
+    first = request.target.split(b"?", 1)[0].split(b"/", 2)[1:2]
     if not first or first[0] not in names.classes:
         raise BadRequestError(HTTPStatus.NOT_FOUND)
     plan, trace_id = names.plans.get(headers.get(b"api-plan", b"")), headers.get(b"x-trace-id", b"")
@@ -74,17 +84,17 @@
     if trace_id in trace_ids:
         # Guards against a second copy at the nodes while the first is out.
         raise BadRequestError(HTTPStatus.CONFLICT)
-    stream = asked.stream
+    stream = request.stream
     if stream is not None:  # so long for the answer's head; an upload before it has its own limits
         time_left_ms = min(time_left_ms, stream.policy.settings.head)
-    body = b"".join(asked.body) if stream is None else b""
-    upstream_request = UpstreamRequest(asked.method, asked.target, trace_id, body, stream)
+    body = b"".join(request.body) if stream is None else b""
+    upstream_request = UpstreamRequest(request.method, request.target, trace_id, body, stream)
     return Job(
         kind,
         plan,
         customer,
         time_left_ms,
-        asked.received_ms,
+        request.received_ms,
         reply,
         upstream_request,
         units,
--- a/ashlift/gatekeeper/net/front/streaming.py
+++ b/ashlift/gatekeeper/net/front/streaming.py
@@ -15,10 +15,10 @@
 
 from ashlift.gatekeeper import logs
 from ashlift.gatekeeper.jobs import JobAbandoned, ResponseDelivered, Verdict
-from ashlift.gatekeeper.net.front.answers import CONTINUE
-from ashlift.gatekeeper.net.front.asked import Asked, BadRequestError
-from ashlift.gatekeeper.net.front.connection import Connection, Owner
+from ashlift.gatekeeper.net.front.connection import Connection, FrontContext
 from ashlift.gatekeeper.net.front.reader import RequestReader
+from ashlift.gatekeeper.net.front.rendering import CONTINUE
+from ashlift.gatekeeper.net.front.request import BadRequestError, ClientRequest
 from ashlift.gatekeeper.net.socket_state import peer_has_closed
 from ashlift.gatekeeper.streams.faults import AbortedError, Fault
 from ashlift.gatekeeper.streams.heads import Framing, select_headers
@@ -32,7 +32,7 @@
 
 log = logging.getLogger("ashlift.streams")
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: what is closed then is reset
-SPOILT = {HTTPStatus.REQUEST_ENTITY_TOO_LARGE: Fault.REQUEST_TOO_LONG}
+FAULT_BY_STATUS = {HTTPStatus.REQUEST_ENTITY_TOO_LARGE: Fault.REQUEST_TOO_LONG}
 FAULT_BY_LAG = {Lag.STALLED: Fault.CLIENT_STALLED, Lag.SLOW: Fault.CLIENT_SLOW}
 
 
@@ -41,10 +41,12 @@
     return ProgressMonitor(policy.settings.stall, policy.settings.least_rate, policy.settings.rate_span)
 
 
-def flow(sock: socket.socket, minor: int, opening: StreamedResponse, keep: bool) -> Fault | None:
+def forward_response(
+    sock: socket.socket, http_minor: int, opening: StreamedResponse, keep_alive: bool
+) -> Fault | None:
     """Write an answer to a client of HTTP/1.`minor` as it comes; why it could not be written whole."""
     stream, head = opening.stream, opening.head
-    data, framing = head.render(minor, keep)
+    data, framing = head.render(http_minor, keep_alive)
     sink = Sink(sock, progress_monitor(stream.policy))
     try:
         sink.write(data)
@@ -56,7 +58,7 @@
     except LagError as lag:
         fault = FAULT_BY_LAG[lag.lag]
     except OSError:
-        fault = Fault.CLIENT_LEFT
+        fault = Fault.CLIENT_DISCONNECTED
     stream.abort(fault)
     _close_incomplete(sock, framing, fault)
     return fault
@@ -78,121 +80,133 @@
 class StreamConnection(Connection):
     """One client connection; classes that do not stream are served as on any other."""
 
-    def __init__(self, front: Owner, sock: socket.socket, registry: StreamRegistry) -> None:
+    def __init__(self, front: FrontContext, sock: socket.socket, registry: StreamRegistry) -> None:
         super().__init__(front, sock)
-        self._registry, self.linger_most = registry, registry.settings.linger_bytes
-        self._reader = RequestReader(self._begin_idle, self._arrived, registry.policy_for)
-        self._uploads: deque[Asked] = deque()  # whose bodies are to be carried, in order
-        self._overtime: Any = None
-        self._began = 0.0
+        self._registry, self.max_linger_bytes = registry, registry.settings.linger_bytes
+        self._reader = RequestReader(self._mark_idle, self._on_request, registry.policy_for)
+        self._uploads: deque[ClientRequest] = deque()  # whose bodies are to be carried, in order
+        self._total_timer: Any = None
+        self._started_at = 0.0
 
     # ---- a request's body
 
-    def _step(self) -> bool:
-        return self._carry(self._uploads.popleft()) if self._uploads else super()._step()
+    def _read_once(self) -> bool:
+        return self._forward_upload(self._uploads.popleft()) if self._uploads else super()._read_once()
 
-    def _arrived(self, asked: Asked) -> None:
-        if asked.policy is not None and asked.framing is not None and asked.wrong is None:
-            asked.stream = self._registry.open_stream(asked.policy, asked.framing)
-            if asked.stream is None:
+    def _on_request(self, request: ClientRequest) -> None:
+        if request.policy is not None and request.framing is not None and request.error is None:
+            request.stream = self._registry.open_stream(request.policy, request.framing)
+            if request.stream is None:
                 self._front.metrics.add("streams.turned_away")
-                asked.wrong = BadRequestError(HTTPStatus.SERVICE_UNAVAILABLE, self._registry.retry_after_ms())
-                if asked.framing.framing is not Framing.NONE:
+                request.error = BadRequestError(
+                    HTTPStatus.SERVICE_UNAVAILABLE, self._registry.retry_after_ms()
+                )
+                if request.framing.framing is not Framing.NONE:
                     # Guards against a body that is collected while its answer waits behind others.
-                    asked.keep, self._deaf = False, True
+                    request.keep_alive, self._discarding_input = False, True
             else:
-                asked.stream.headers = select_headers([*asked.headers.items()], asked.policy.request_headers)
-                if asked.framing.framing is not Framing.NONE:
-                    self._uploads.append(asked)
-        super()._arrived(asked)
-
-    def _begin(self, asked: Asked) -> None:
-        if asked.stream is not None:
-            self._began = self._front.clock.now()
-            total = asked.stream.policy.settings.total
+                request.stream.headers = select_headers(
+                    [*request.headers.items()], request.policy.request_headers
+                )
+                if request.framing.framing is not Framing.NONE:
+                    self._uploads.append(request)
+        super()._on_request(request)
+
+    def _process(self, request: ClientRequest) -> None:
+        if request.stream is not None:
+            self._started_at = self._front.clock.now()
+            total = request.stream.policy.settings.total
             if total > 0:
-                self._overtime = self._front.clock.call_later(total, self._give_up, asked, Fault.OVERTIME)
-        super()._begin(asked)
+                self._total_timer = self._front.clock.call_later(
+                    total, self._abort_job, request, Fault.TOTAL_TIMEOUT
+                )
+        super()._process(request)
 
-    def _carry(self, asked: Asked) -> bool:
+    def _forward_upload(self, request: ClientRequest) -> bool:
         """Pass a request's body on, once it is wanted; whether to read on behind it."""
-        stream = asked.stream
-        assert stream is not None and stream.upload is not None and asked.framing is not None
+        stream = request.stream
+        assert stream is not None and stream.upload is not None and request.framing is not None
         stream.upload_wanted.wait()
         source = Source(self._sock, progress_monitor(stream.policy), partial(peer_has_closed, self._sock))
         try:
             if stream.upload.fault is not None:
                 raise AbortedError(stream.upload.fault)
-            if not asked.size and b"expect" in asked.headers and not asked.whole:
-                self._out.put((asked, CONTINUE))
-            stream.upload.put_copy(self._lying(asked))
-            if not asked.whole and asked.framing.framing is Framing.LENGTH:
-                source.fill(stream.upload, asked.framing.length - asked.size)
-                self._reader.pass_over()
-            elif not asked.whole:
-                source.fill_parsed(stream.upload, partial(self._parse, asked))
+            if not request.size and b"expect" in request.headers and not request.body_complete:
+                self._responses.put((request, CONTINUE))
+            stream.upload.put_copy(self._take_buffered_body(request))
+            if not request.body_complete and request.framing.framing is Framing.LENGTH:
+                source.fill(stream.upload, request.framing.length - request.size)
+                self._reader.skip_body()
+            elif not request.body_complete:
+                source.fill_parsed(stream.upload, partial(self._parse, request))
             stream.upload.end()
         except AbortedError:
-            self._deaf |= not asked.whole  # answered, or about to be: the rest of the body is thrown away
+            self._discarding_input |= (
+                not request.body_complete
+            )  # answered, or about to be: the rest of the body is thrown away
         except LagError as lag:
-            self._give_up(asked, FAULT_BY_LAG[lag.lag])
+            self._abort_job(request, FAULT_BY_LAG[lag.lag])
         except BadRequestError as bad:
             self._front.metrics.add(f"requests.bad_{int(bad.status)}")
-            self._give_up(asked, SPOILT.get(bad.status, Fault.CLIENT_SPOILT))
+            self._abort_job(request, FAULT_BY_STATUS.get(bad.status, Fault.CLIENT_MALFORMED))
         except (SourceEndedError, OSError):
             return False
         return True
 
-    def _lying(self, asked: Asked) -> bytes:
+    def _take_buffered_body(self, request: ClientRequest) -> bytes:
         """What of the body came with the head."""
-        lying, asked.body = b"".join(asked.body), []
+        lying, request.body = b"".join(request.body), []
         return lying
 
-    def _parse(self, asked: Asked, view: memoryview) -> tuple[bytes, bool]:
+    def _parse(self, request: ClientRequest, view: memoryview) -> tuple[bytes, bool]:
         """What of the bytes that came is this request's body, and whether that ends it."""
         try:
             self._reader.feed(view)
         except BadRequestError as bad:
-            if not asked.whole:
+            if not request.body_complete:
                 raise
-            self._refuse(bad)  # what cannot be read came behind it
-        return self._lying(asked), asked.whole
+            self._reject(bad)  # what cannot be read came behind it
+        return self._take_buffered_body(request), request.body_complete
 
     # ---- an answer's body
 
-    def _deliver(self, asked: Asked, answer: Any, keep: bool) -> bool:
-        if asked.stream is None:
-            return super()._deliver(asked, answer, keep)
+    def _deliver(self, request: ClientRequest, answer: Any, keep_alive: bool) -> bool:
+        if request.stream is None:
+            return super()._deliver(request, answer, keep_alive)
         if getattr(answer, "opening", None) is None:
             fault = None
             if isinstance(answer, BadRequestError):
-                fault = asked.stream.fault  # none: nothing failed, it could not be taken
+                fault = request.stream.fault  # none: nothing failed, it could not be taken
             elif answer.verdict is Verdict.FAILED:
-                fault = answer.cause or Fault.HEAD_LATE
-                answer = self._word(fault)
-            self._tell(asked, "failed" if fault is not None else "refused", fault)
-            return super()._deliver(asked, answer, keep)
+                fault = answer.cause or Fault.HEAD_TIMEOUT
+                answer = self._error_response(fault)
+            self._record_end(request, "failed" if fault is not None else "refused", fault)
+            return super()._deliver(request, answer, keep_alive)
         # To a client of HTTP/1.0 a chunked body ends with the connection.
-        keep = keep and not (asked.minor == 0 and answer.opening.head.body.framing is Framing.CHUNKED)
-        fault = self._flow(asked, answer.opening, keep)
+        keep_alive = keep_alive and not (
+            request.http_minor == 0 and answer.opening.head.body.framing is Framing.CHUNKED
+        )
+        fault = self._forward_response(request, answer.opening, keep_alive)
         if self._job is not None:
             self._front.inbox.put(ResponseDelivered(self._job, fault is None))
-        if not self._gone:
-            left = "left" if fault is Fault.CLIENT_LEFT else "failed"
-            self._tell(asked, "served" if fault is None else left, fault)
+        if not self._disconnected:
+            left = "left" if fault is Fault.CLIENT_DISCONNECTED else "failed"
+            self._record_end(request, "served" if fault is None else left, fault)
         # The end may have been asked for while the answer flowed: nobody would close this connection then.
-        return keep and fault is None and not self._may_end()
+        return keep_alive and fault is None and not self._can_close()
 
-    def _flow(self, asked: Asked, opening: StreamedResponse, keep: bool) -> Fault | None:
-        return flow(self._sock, asked.minor, opening, keep)
+    def _forward_response(
+        self, request: ClientRequest, opening: StreamedResponse, keep_alive: bool
+    ) -> Fault | None:
+        return forward_response(self._sock, request.http_minor, opening, keep_alive)
 
     # ---- ends
 
-    def _give_up(self, asked: Asked, fault: Fault) -> None:
+    def _abort_job(self, request: ClientRequest, fault: Fault) -> None:
         """End a streamed job from this side, with one answer where none has begun."""
-        job, stream = self._job, asked.stream
-        self._deaf |= not asked.whole
-        if stream is None or asked is not self._current or job is None:
+        job, stream = self._job, request.stream
+        self._discarding_input |= not request.body_complete
+        if stream is None or request is not self._current or job is None:
             if stream is not None:
                 stream.abort(fault)
             return
@@ -201,44 +215,44 @@
         self._front.inbox.put(JobAbandoned(job))  # ahead of the claim's end: nothing is made again
         stream.abort(fault)
         if fault.value.status is not None:
-            self._out.put((asked, self._word(fault)))
+            self._responses.put((request, self._error_response(fault)))
 
-    def _word(self, fault: Fault) -> BadRequestError:
+    def _error_response(self, fault: Fault) -> BadRequestError:
         status = fault.value.status or HTTPStatus.BAD_GATEWAY
         return BadRequestError(status, self._registry.retry_after_ms() if fault is Fault.SHUTDOWN else 0.0)
 
-    def cut(self) -> None:
+    def abort_streams(self) -> None:
         if self._current is not None and self._current.stream is not None:
-            self._give_up(self._current, Fault.SHUTDOWN)
+            self._abort_job(self._current, Fault.SHUTDOWN)
 
-    def _left(self) -> None:
+    def _on_disconnect(self) -> None:
         current = self._current
         if current is not None and current.stream is not None:
             if self._job is not None:
-                self._tell(current, "left", Fault.CLIENT_LEFT)
+                self._record_end(current, "left", Fault.CLIENT_DISCONNECTED)
                 self._shut(socket.SHUT_RDWR)  # wakes a writer that waits for the client
-            current.stream.abort(Fault.CLIENT_LEFT)
-        super()._left()
-        self._drop_waiting()
+            current.stream.abort(Fault.CLIENT_DISCONNECTED)
+        super()._on_disconnect()
+        self._drop_pipelined()
 
-    def _drop_waiting(self) -> None:
-        for asked in self._waiting:
-            if asked.stream is not None:
-                asked.stream.close()
-        super()._drop_waiting()
+    def _drop_pipelined(self) -> None:
+        for request in self._pipelined:
+            if request.stream is not None:
+                request.stream.close()
+        super()._drop_pipelined()
 
-    def _done(self) -> None:
+    def _finish_request(self) -> None:
         current = self._current
-        super()._done()
+        super()._finish_request()
         if current is not None and current.stream is not None:
-            if self._overtime is not None:
-                self._overtime.close()
-                self._overtime = None
+            if self._total_timer is not None:
+                self._total_timer.close()
+                self._total_timer = None
             current.stream.close()
 
-    def _tell(self, asked: Asked, how: str, fault: Fault | None) -> None:
+    def _record_end(self, request: ClientRequest, how: str, fault: Fault | None) -> None:
         """Each stream is counted once, and told of in one line."""
-        stream: Stream | None = asked.stream
+        stream: Stream | None = request.stream
         assert stream is not None
         why = fault.label if fault is not None else "-"
         self._front.metrics.add(f"streams.failed.{why}" if how == "failed" else f"streams.{how}")
@@ -246,10 +260,10 @@
             log,
             logging.INFO,
             "stream.ended",
-            trace=asked.headers.get(b"x-trace-id", b"").decode("latin-1"),
+            trace=request.headers.get(b"x-trace-id", b"").decode("latin-1"),
             how=how,
             reason=why,
             up=stream.upload.got_bytes if stream.upload is not None else 0,
             down=stream.download.got_bytes if stream.download is not None else 0,
-            ms=round(self._front.clock.now() - self._began),
+            ms=round(self._front.clock.now() - self._started_at),
         )
--- a/ashlift/gatekeeper/net/spill.py
+++ b/ashlift/gatekeeper/net/long_response.py
@@ -30,11 +30,11 @@
 
 # A node that is slow but gives is not cut off: it may stall for longer than a client waits for a first byte.
 LONG_RESPONSE_POLICY = StreamPolicy(StreamClass(stall=4_000.0), REQUEST_HEADERS, RESPONSE_HEADERS)
-UNTIL_END = 1 << 62  # bytes wanted of a body that ends with its connection
+UNTIL_CLOSE = 1 << 62  # bytes wanted of a body that ends with its connection
 FAULT_BY_LAG = {Lag.STALLED: Fault.NODE_STALLED, Lag.SLOW: Fault.NODE_SLOW}
 
 
-def pass_on(
+def forward_long_response(
     attempt: Attempt,
     sock: object,
     response: HttpResponse,
@@ -94,7 +94,7 @@
         source.fill_parsed(download, read)
     elif not response.done:
         with contextlib.suppress(SourceEndedError):  # its end
-            source.fill(download, UNTIL_END)
+            source.fill(download, UNTIL_CLOSE)
     download.end()
 
 
@@ -105,5 +105,5 @@
         case LagError():
             return FAULT_BY_LAG[error.lag]
         case MalformedResponseError():
-            return Fault.NODE_SPOILT
+            return Fault.NODE_MALFORMED
     return Fault.NODE_RESET
--- a/ashlift/gatekeeper/net/nodes.py
+++ b/ashlift/gatekeeper/net/nodes.py
@@ -233,12 +233,14 @@
                 return Result.RESET, b"", False
             response.feed(data)
             if response.too_long_to_buffer:
-                from ashlift.gatekeeper.net.spill import pass_on  # loaded with the first answer that needs it
+                from ashlift.gatekeeper.net.long_response import (
+                    forward_long_response,  # loaded with the first answer that needs it
+                )
 
                 # Guards against a node that looks slow for the length of its answer: what counts is its head.
                 attempt.elapsed_ms = self._clock.now() - attempt.began
                 stream_registry = self._long_response_registry()
-                result, keep = pass_on(
+                result, keep = forward_long_response(
                     attempt, sock, response, timer, stream_registry, self._inbox, self._metrics
                 )
                 return result, b"", keep
--- a/ashlift/gatekeeper/net/stream_attempt.py
+++ b/ashlift/gatekeeper/net/stream_attempt.py
@@ -25,7 +25,7 @@
     Head,
     Headers,
     framing_header,
-    lines,
+    render_headers,
     response_body,
     select_headers,
 )
@@ -35,7 +35,7 @@
 from ashlift.gatekeeper.streams.stream import Stream, StreamedResponse
 
 FAULT_BY_LAG = {Lag.STALLED: Fault.NODE_STALLED, Lag.SLOW: Fault.NODE_SLOW}
-CHUNK_COST = 16  # bytes of framing for each byte of a body, beyond HEAD_MOST: tiny chunks, no more
+MAX_FRAMING_RATIO = 16  # bytes of framing for each byte of a body, beyond HEAD_MOST: tiny chunks, no more
 
 
 class FaultError(Exception):
@@ -67,7 +67,7 @@
             self.keep_alive = False
             if not self.done:
                 raise MalformedResponseError(str(error)) from None
-        if not self.done and self._bytes_fed - self.size > MAX_HEAD_BYTES + CHUNK_COST * self.size:
+        if not self.done and self._bytes_fed - self.size > MAX_HEAD_BYTES + MAX_FRAMING_RATIO * self.size:
             raise MalformedResponseError("no end")
 
     def take_body(self) -> bytes:
@@ -122,37 +122,37 @@
         self._upstream_request: UpstreamRequest = attempt.job.upstream_request
         assert self._upstream_request.stream is not None
         self._stream: Stream = self._upstream_request.stream
-        self._began = clock.now()
-        self._late: Any = None  # the timer of the answer's head behind an upload
+        self._started_at = clock.now()
+        self._head_timer: Any = None  # the timer of the answer's head behind an upload
         self._fault: Fault | None = None  # that another greenlet found
 
     def run(self, address: tuple[str, int], left_ms: float) -> tuple[Result, bool]:
         """Result, and whether the connection may be used again."""
-        stream, carrier = self._stream, None
-        abort_callback = self._stop
+        stream, sender = self._stream, None
+        abort_callback = self._fail
         stream.abort_callbacks.add(abort_callback)
         try:
             if stream.fault is not None:
                 return Result.CANCELLED, False
-            self._sock.sendall(self._head(address, left_ms))
+            self._sock.sendall(self._render_head(address, left_ms))
             if stream.upload is None:
                 self._attempt.written = True
                 self._metrics.add(RELAYED)
             else:
-                carrier = gevent.spawn(self._carry, stream.upload)
+                sender = gevent.spawn(self._send_body, stream.upload)
             response = StreamedResponseReader(self._upstream_request.method, stream.policy.settings.longest)
             self._read_head(response)
-            return self._answer(response)
+            return self._forward_response(response)
         except BaseException as error:
-            return self._failed(error), False
+            return self._classify_failure(error), False
         finally:
             stream.abort_callbacks.discard(abort_callback)
-            if self._late is not None:
-                self._late.close()
-            if carrier is not None:
-                carrier.kill()
+            if self._head_timer is not None:
+                self._head_timer.close()
+            if sender is not None:
+                sender.kill()
 
-    def _head(self, address: tuple[str, int], left_ms: float) -> bytes:
+    def _render_head(self, address: tuple[str, int], left_ms: float) -> bytes:
         upstream_request, stream = self._upstream_request, self._stream
         host = b"%b:%d" % (address[0].encode(), address[1])
         framing = framing_header(stream.body)
@@ -164,13 +164,13 @@
             host,
             upstream_request.trace_id,
             max(0.001, left_ms / 1000),
-            lines(stream.headers),
+            render_headers(stream.headers),
             framing,
         )
 
     # ---- the request's body
 
-    def _carry(self, upload: Pipe) -> None:
+    def _send_body(self, upload: Pipe) -> None:
         """Pass the body on. Where the node takes no more, its answer may lie there: the reader sees to it."""
         policy = self._stream.policy.settings
         sink = Sink(self._sock, ProgressMonitor(policy.stall, policy.least_rate, policy.rate_span))
@@ -183,21 +183,21 @@
                 self._timer.close()  # an upload has its own limits
                 upload.push_front(first)
             sink.drain(upload, self._stream.body.framing is Framing.CHUNKED)
-        except AbortedError as broken:
-            if broken.fault is not Fault.EARLY_ANSWER:
-                self._stop(broken.fault)
+        except AbortedError as error:
+            if error.fault is not Fault.EARLY_RESPONSE:
+                self._fail(error.fault)
         except LagError as lag:
-            self._stop(FAULT_BY_LAG[lag.lag])
+            self._fail(FAULT_BY_LAG[lag.lag])
         except OSError:
             pass
         else:
             self._attempt.written = True
             self._metrics.add(RELAYED)
             self._timer.close()
-            self._began = self._clock.now()
-            self._late = self._clock.call_later(policy.head, self._stop, Fault.HEAD_LATE)
+            self._started_at = self._clock.now()
+            self._head_timer = self._clock.call_later(policy.head, self._fail, Fault.HEAD_TIMEOUT)
 
-    def _stop(self, fault: Fault | None = None) -> None:
+    def _fail(self, fault: Fault | None = None) -> None:
         """End the claim from another greenlet."""
         if self._fault is None:
             self._fault = fault or self._stream.fault
@@ -212,34 +212,34 @@
                 raise SourceEndedError
             response.feed(data)
         self._timer.close()
-        if self._late is not None:
-            self._late.close()
+        if self._head_timer is not None:
+            self._head_timer.close()
 
-    def _answer(self, response: StreamedResponseReader) -> tuple[Result, bool]:
+    def _forward_response(self, response: StreamedResponseReader) -> tuple[Result, bool]:
         attempt, body, stream = self._attempt, response.body, self._stream
         assert body is not None
-        attempt.elapsed_ms = self._clock.now() - self._began
+        attempt.elapsed_ms = self._clock.now() - self._started_at
         early = stream.upload is not None and not attempt.written
         if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            never = response.never_ran and response.status in (503, 504)
+            never_ran = response.never_ran and response.status in (503, 504)
             attempt.cause = Fault.NODE_ERROR
             return (
-                Result.OVERLOADED if never else Result.ERROR
+                Result.OVERLOADED if never_ran else Result.ERROR
             ), response.keep_alive and response.done and not early
         if body.framing is Framing.CLOSE:
             raise MalformedResponseError("an answer that does not say where it ends")
         if response.exceeds_limit:
             # Another node would say the same: nothing is made again.
             self._inbox.put(RequestBodyStarted(attempt.job.number, attempt.index))
-            raise FaultError(Fault.ANSWER_TOO_LONG)
+            raise FaultError(Fault.RESPONSE_TOO_LONG)
         if early:
-            stream.stop_upload(Fault.EARLY_ANSWER)
-        announced = next((v for n, v in response.headers if n == b"content-length"), None)
+            stream.stop_upload(Fault.EARLY_RESPONSE)
+        content_length = next((v for n, v in response.headers if n == b"content-length"), None)
         head = Head(
             response.status,
             select_headers(response.headers, stream.policy.answer_headers),
             body,
-            announced if self._upstream_request.method == b"HEAD" else None,
+            content_length if self._upstream_request.method == b"HEAD" else None,
         )
         download = stream.start_download()
         opening = StreamedResponse(head, stream)
@@ -261,12 +261,12 @@
         def read(view: memoryview) -> tuple[bytes, bool]:
             response.feed(view)
             if response.exceeds_limit:
-                raise FaultError(Fault.ANSWER_TOO_LONG)
+                raise FaultError(Fault.RESPONSE_TOO_LONG)
             return response.take_body(), response.done
 
         return read
 
-    def _failed(self, error: BaseException) -> Result:
+    def _classify_failure(self, error: BaseException) -> Result:
         """Name what broke, break the answer off where it flows, and say what the module is told."""
         attempt, fault = self._attempt, self._fault
         if fault is None and attempt.cancelled:
@@ -278,12 +278,12 @@
                 case LagError():
                     fault = FAULT_BY_LAG[error.lag]
                 case MalformedResponseError():
-                    fault = Fault.NODE_SPOILT
+                    fault = Fault.NODE_MALFORMED
                     self._metrics.add("claims.spoilt")
                 case SourceEndedError() | OSError():
                     fault = Fault.NODE_RESET
                 case gevent.Timeout() if error is self._timer:
-                    fault = Fault.HEAD_LATE
+                    fault = Fault.HEAD_TIMEOUT
                 case _:
                     raise error
         attempt.cause = fault
--- a/ashlift/gatekeeper/streams/faults.py
+++ b/ashlift/gatekeeper/streams/faults.py
@@ -21,24 +21,24 @@
 class Fault(Enum):
     """Each has a stable name: in the log line, and in the counter `streams.failed.NAME`."""
 
-    CLIENT_LEFT = FaultEffects("client_left", None, Result.CANCELLED)
+    CLIENT_DISCONNECTED = FaultEffects("client_left", None, Result.CANCELLED)
     CLIENT_STALLED = FaultEffects("client_stalled", HTTPStatus.REQUEST_TIMEOUT, Result.CANCELLED)
     CLIENT_SLOW = FaultEffects("client_slow", HTTPStatus.REQUEST_TIMEOUT, Result.CANCELLED)
-    CLIENT_SPOILT = FaultEffects("client_spoilt", HTTPStatus.BAD_REQUEST, Result.CANCELLED)
+    CLIENT_MALFORMED = FaultEffects("client_spoilt", HTTPStatus.BAD_REQUEST, Result.CANCELLED)
     REQUEST_TOO_LONG = FaultEffects("request_too_long", HTTPStatus.REQUEST_ENTITY_TOO_LARGE, Result.CANCELLED)
     NODE_STALLED = FaultEffects("node_stalled", HTTPStatus.GATEWAY_TIMEOUT, Result.TIMEOUT)
     NODE_SLOW = FaultEffects("node_slow", HTTPStatus.GATEWAY_TIMEOUT, Result.TIMEOUT)
-    HEAD_LATE = FaultEffects("head_late", HTTPStatus.GATEWAY_TIMEOUT, Result.TIMEOUT)
+    HEAD_TIMEOUT = FaultEffects("head_late", HTTPStatus.GATEWAY_TIMEOUT, Result.TIMEOUT)
     NODE_RESET = FaultEffects("node_reset", HTTPStatus.BAD_GATEWAY, Result.RESET)
-    NODE_SPOILT = FaultEffects("node_spoilt", HTTPStatus.BAD_GATEWAY, Result.RESET)
+    NODE_MALFORMED = FaultEffects("node_spoilt", HTTPStatus.BAD_GATEWAY, Result.RESET)
     NODE_ERROR = FaultEffects("node_error", HTTPStatus.BAD_GATEWAY, Result.ERROR)
-    ANSWER_TOO_LONG = FaultEffects("answer_too_long", HTTPStatus.BAD_GATEWAY, Result.RESET)
-    OVERTIME = FaultEffects("overtime", HTTPStatus.GATEWAY_TIMEOUT, Result.CANCELLED)
+    RESPONSE_TOO_LONG = FaultEffects("answer_too_long", HTTPStatus.BAD_GATEWAY, Result.RESET)
+    TOTAL_TIMEOUT = FaultEffects("overtime", HTTPStatus.GATEWAY_TIMEOUT, Result.CANCELLED)
     SHUTDOWN = FaultEffects("shutdown", HTTPStatus.SERVICE_UNAVAILABLE, Result.CANCELLED)
     WITHDRAWN = FaultEffects("withdrawn", HTTPStatus.BAD_GATEWAY, Result.CANCELLED)
     # Not failures: the body that came in is not wanted any more.
-    EARLY_ANSWER = FaultEffects("early_answer", None, Result.OK)
-    ANSWERED = FaultEffects("answered", None, Result.CANCELLED)
+    EARLY_RESPONSE = FaultEffects("early_answer", None, Result.OK)
+    FINISHED = FaultEffects("answered", None, Result.CANCELLED)
 
     @property
     def label(self) -> str:
--- a/ashlift/gatekeeper/streams/heads.py
+++ b/ashlift/gatekeeper/streams/heads.py
@@ -104,7 +104,7 @@
     return [(name, value) for name, value in headers if name in allowed]
 
 
-def lines(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
+def render_headers(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
     """Header lines. The parser took these values off the wire one by one: none holds a line's end."""
     return b"".join(b"%b: %b\r\n" % (name, value) for name, value in headers)
 
@@ -123,14 +123,14 @@
     status: int
     headers: Headers
     body: Body
-    announced: bytes | None = None  # the Content-Length of an answer that has no body: of a HEAD
+    content_length: bytes | None = None  # the Content-Length of an answer that has no body: of a HEAD
 
-    def render(self, minor: int, keep: bool) -> tuple[bytes, Framing]:
+    def render(self, http_minor: int, keep_alive: bool) -> tuple[bytes, Framing]:
         """The bytes for a client of HTTP/1.`minor`, and how the body goes to it: to one of HTTP/1.0 a chunked
         body goes as it is and ends with the connection."""
         framing = self.body.framing
-        if framing is Framing.CHUNKED and minor == 0:
-            framing, keep = Framing.CLOSE, False
+        if framing is Framing.CHUNKED and http_minor == 0:
+            framing, keep_alive = Framing.CLOSE, False
         try:
             phrase = HTTPStatus(self.status).phrase
         except ValueError:
@@ -138,10 +138,10 @@
         length = b""
         if framing in (Framing.LENGTH, Framing.CHUNKED):
             length = framing_header(self.body)
-        elif self.announced is not None:
-            length = b"Content-Length: %b\r\n" % self.announced
+        elif self.content_length is not None:
+            length = b"Content-Length: %b\r\n" % self.content_length
         elif framing is Framing.NONE and self.status not in (204, 304):
             length = b"Content-Length: 0\r\n"
-        end = b"" if keep else b"Connection: close\r\n"
+        end = b"" if keep_alive else b"Connection: close\r\n"
         first = b"HTTP/1.1 %d %b\r\n" % (self.status, phrase.encode())
-        return b"%b%b%b%b\r\n" % (first, lines(self.headers), length, end), framing
+        return b"%b%b%b%b\r\n" % (first, render_headers(self.headers), length, end), framing
--- a/ashlift/gatekeeper/streams/stream.py
+++ b/ashlift/gatekeeper/streams/stream.py
@@ -62,7 +62,7 @@
         """The job has ended, however it did: its place is free."""
         if self._open:
             self._open = False
-            self.abort(Fault.ANSWERED)
+            self.abort(Fault.FINISHED)
             self._registry.open_streams.discard(self)
 
 
--- a/tests/gatekeeper/test_front_end.py
+++ b/tests/gatekeeper/test_front_end.py
@@ -66,20 +66,20 @@
 
 def test_a_connection_accepted_just_now_has_a_moment_to_ask(running: RunningFront) -> None:
     sock = running.connect()
-    while not running.front.open:
+    while not running.front.open_count:
         gevent.sleep(TICK_S)
     running.end()
     gevent.sleep(TICK_S)
-    running.front.rest()
+    running.front.close_idle()
     sock.sendall(UP)
     assert read_to_end(sock).startswith(b"HTTP/1.1 200 ")
 
 
 def test_one_that_does_not_ask_is_ended(running: RunningFront, monkeypatch: pytest.MonkeyPatch) -> None:
     sock = running.connect()
-    while not running.front.open:
+    while not running.front.open_count:
         gevent.sleep(TICK_S)
-    monkeypatch.setattr(connection, "SPARE_SILENT_MS", 0.0)
+    monkeypatch.setattr(connection, "MIN_SILENT_MS", 0.0)
     running.end()
     assert read_to_end(sock) == b""
 
--- a/tests/gatekeeper/test_operations.py
+++ b/tests/gatekeeper/test_operations.py
@@ -14,7 +14,7 @@
 from ashlift.gatekeeper.__main__ import Gatekeeper
 from ashlift.gatekeeper.admission.interface import Server, ServerState
 from ashlift.gatekeeper.jobs import Verdict
-from ashlift.gatekeeper.net.front.listener import adopt
+from ashlift.gatekeeper.net.front.listener import adopt_listener
 from ashlift.gatekeeper.operations.calls import Call, CallError, Kind, route
 from ashlift.gatekeeper.operations.figures import Gauges, answered, lines
 from ashlift.gatekeeper.operations.handouts import HandOuts, StateError, decode, encode
@@ -55,10 +55,10 @@
         bound.bind(("127.0.0.1", 0))  # not listening
         spare = os.dup(bound.fileno())
         with pytest.raises(OSError, match="no listening"):
-            adopt(spare)
+            adopt_listener(spare)
         os.close(spare)  # still open: adopt left it alone
     with open(os.devnull) as file, pytest.raises(OSError):
-        adopt(file.fileno())
+        adopt_listener(file.fileno())
 
 
 @pytest.mark.parametrize("value", ["seven", "-1", "2"])
--- a/tests/gatekeeper/test_parts.py
+++ b/tests/gatekeeper/test_parts.py
@@ -279,7 +279,7 @@
 
 
 def test_places_are_taken_from_those_who_ask_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "HALF_S", 30.0)
+    monkeypatch.setattr(connection, "HEAD_TIMEOUT_S", 30.0)
     node = Node()
     node.go.clear()
     gate = Gatekeeper(replace(config(NOWHERE | {"n1": node.address}, {}), client_links=3))
@@ -295,7 +295,7 @@
         for _ in range(4):  # a full house each time
             others.append(ask(address))
             assert others[-1].recv(65536).startswith(b"HTTP/1.1 200")
-        assert stayed.recv(1) == b"" and gate.front.open <= 3
+        assert stayed.recv(1) == b"" and gate.front.open_count <= 3
         node.go.set()
         assert open_job.recv(65536).startswith(b"HTTP/1.1 200")  # a job's connection is never put out
     gate.stop(0.0)
@@ -317,8 +317,8 @@
 
 @pytest.mark.parametrize(("text", "word"), [(b"", b""), (b"\r\n", b""), (b"GET /u", b"HTTP/1.1 408")])
 def test_who_asks_half_gets_a_word(monkeypatch: pytest.MonkeyPatch, text: bytes, word: bytes) -> None:
-    monkeypatch.setattr(connection, "SILENT_S", 0.05)
-    monkeypatch.setattr(connection, "HALF_S", 0.05)
+    monkeypatch.setattr(connection, "FIRST_REQUEST_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(connection, "HEAD_TIMEOUT_S", 0.05)
     gate = Gatekeeper(config(NOWHERE, {}))
     with gevent.Timeout(30):
         client = ask(gate.start(), text)
--- a/tests/gatekeeper/test_stream_program.py
+++ b/tests/gatekeeper/test_stream_program.py
@@ -249,7 +249,7 @@
         )
         until(lambda: gate.metrics.counts["streams.turned_away"])
         (connection,) = gate.front._connections
-        read = connection._reader.asked
+        read = connection._reader.request
         assert read is not None and read.size < 200_000
         assert rest_of(sock)[0].count(b"HTTP/1.1 503") == 1
         until(lambda: at_rest(gate))
@@ -273,7 +273,7 @@
             if chance.random() < 0.5:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
-        until(lambda: at_rest(gate) and not gate.front.open)
+        until(lambda: at_rest(gate) and not gate.front.open_count)
     counts = gate.metrics.counts
     assert (
         counts["streams.left"]
--- a/tests/gatekeeper/test_streams.py
+++ b/tests/gatekeeper/test_streams.py
@@ -317,7 +317,7 @@
     kept = pipe.get()  # in the sink's hand
     assert kept is not None and pool.budget.held > 0
     pipe.abort(Fault.NODE_RESET)
-    pipe.abort(Fault.CLIENT_LEFT)
+    pipe.abort(Fault.CLIENT_DISCONNECTED)
     held.join(5)
     pipe.release(kept)
     assert ends == ["node_reset"] and pool.budget.held == 0 and not pool.pipes
