--- a/ashlift/gatekeeper/counter_calls.py
+++ b/ashlift/gatekeeper/counter_calls.py
@@ -1,4 +1,4 @@
-"""What both counter adapters keep of a call: when it began, its own timer, and that it ends once."""
+"""Parts that both counter adapters share: calls with a timeout, and the decision to open a new connection."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,19 +8,15 @@
 from ashlift.gatekeeper.jobs import Clock, Inbox
 from ashlift.gatekeeper.metrics import Metrics
 
-OVERDUE_FACTOR = (
-    3.0  # x the give-up time without the answer that is due: new calls go out on a new connection
-)
-MAX_ANSWER_WAIT_MS = (
-    1_000.0  # nothing more will come after so long; and the longest patience with a new connection
-)
+OVERDUE_FACTOR = 3.0  # call timeouts without an answer, after which new calls use a new connection
+MAX_ANSWER_WAIT_MS = 1_000.0  # after which no answer is expected any more
 
 
 class ReconnectPolicy:
-    """How long an answer may be overdue before new calls go out on a new connection.
+    """Decides when a connection has gone unanswered for so long that new calls use a new one.
 
-    Guards against one silent connection that stops all counting. A counter that is silent itself is not
-    called on ever more connections: patience grows until an answer comes.
+    Guards against one silent connection that stops all counting. The wait doubles while no connection gets an
+    answer, so that a counter that is down does not get more and more connections.
     """
 
     def __init__(self, timeout_ms: float) -> None:
@@ -30,7 +26,7 @@
         self._max_wait_ms = self._min_wait_ms
 
     def should_reconnect(self, waited_ms: float, answered: bool) -> bool:
-        """Whether to begin anew; `heard`: something has come on the connection."""
+        """Whether to open a new connection; `answered`: this one has had an answer."""
         is_overdue = waited_ms > self._max_wait_ms
         if is_overdue and not answered and self._max_wait_ms < MAX_ANSWER_WAIT_MS:
             self._max_wait_ms *= 2
@@ -48,7 +44,7 @@
 
 
 class CounterCalls:
-    """Begins and ends calls; each end is told to the owner."""
+    """Starts and ends calls, and reports the end of each to the owner."""
 
     def __init__(self, timeout_ms: float, clock: Clock, inbox: Inbox, metrics: Metrics) -> None:
         self.timeout_ms, self._clock, self._inbox, self._metrics = timeout_ms, clock, inbox, metrics
@@ -60,7 +56,7 @@
     def end(
         self, call: CounterCall, result: Result, total_units: float = 0.0, limit_exceeded: bool = False
     ) -> None:
-        """Guards against two ends of one call: an answer after the give-up time is only counted."""
+        """End a call. An answer after the timeout is only counted in the metrics."""
         if call.ended:
             self._metrics.add("counter.late", result is Result.OK)
             return
--- a/ashlift/gatekeeper/jobs.py
+++ b/ashlift/gatekeeper/jobs.py
@@ -1,4 +1,4 @@
-"""What the core takes in and gives back, and the ports through which it acts. No input or output here."""
+"""Messages to the owner of the admission gateway, its answers, and the interfaces of its adapters. No I/O."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -18,9 +18,9 @@
     """How a job ended."""
 
     SERVED = "served"  # an execute node answered it
-    PASSED = "passed"  # it may pass; it asked for nothing more
-    REFUSED = "refused"  # not served; asking again is harmless
-    FAILED = "failed"  # not served, and nothing is promised
+    PASSED = "passed"  # admitted; the job asked only for admission
+    REFUSED = "refused"  # not run; can be retried safely
+    FAILED = "failed"  # not served; may have run
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,84 +30,82 @@
     verdict: Verdict
     body: bytes = b""
     retry_after_ms: float = 0.0
-    opening: Any = field(default=None, repr=False)  # of a body that is passed on as it arrives
-    cause: Any = None  # why the last claim failed, in the words of the adapters
+    opening: Any = field(default=None, repr=False)  # set if the body is forwarded as it arrives
+    cause: Any = None  # why the last attempt failed: a streams.faults.Fault, if known
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One request for the core, whichever front or record it came from.
+    """One request for admission, from the HTTP front or the rate limit service.
 
-    `cargo` is what an execute node is to be sent, known to the node adapter alone; a job without any asks
-    only whether it may pass.
+    `upstream_request` is the request to send to an execute node, and is used by the node adapter only. A job
+    without one asks only whether it is admitted.
     """
 
-    request_class: int  # class, as the settings number it
+    request_class: int  # index in the settings
     plan: int
     customer: str
-    time_left_ms: float  # counted from `came_ms`
+    time_left_ms: float  # until the client stops waiting, counted from `received_ms`
     received_ms: float
     reply: Callable[[Answer], None] = field(repr=False)
     upstream_request: Any = field(default=None, repr=False)
     units: float = 1.0
     gateway_count: int = 1
     retry: bool = False
-    streamed: bool = False  # its bodies are passed on as they arrive
-    number: int = -1  # given by the owner
+    streamed: bool = False  # bodies are forwarded as they arrive
+    number: int = -1  # assigned by the owner
     attempts: int = 0  # started so far
-    response_started: bool = (
-        False  # its answer's head has gone to the client: there is no other answer any more
-    )
-    cause: Any = field(default=None, repr=False)
+    response_started: bool = False  # a response is being forwarded: it is the final answer
+    cause: Any = field(default=None, repr=False)  # why the last attempt failed
 
 
 @dataclass(frozen=True, slots=True)
 class JobAbandoned:
-    """The client of this job is gone."""
+    """The client of this job has disconnected or has given up."""
 
     job: Job
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """How one claim ended; the body counts only where the result is OK."""
+    """How an attempt ended; `body` is valid only if the result is OK."""
 
     number: int
     attempt: int
     server: str
     result: Result
-    elapsed_ms: float  # of a streamed answer: to its head
+    elapsed_ms: float  # of a streamed response: until its head arrived
     body: bytes = field(default=b"", repr=False)
     cause: Any = None
 
 
 @dataclass(frozen=True, slots=True)
 class RequestBodyStarted:
-    """The first byte of this job's body is about to leave in this claim: it cannot be sent again."""
+    """The request body is about to be sent in this attempt, and cannot be sent again."""
 
     number: int
     attempt: int
 
 
-class Opening(Protocol):
-    """The head of an answer, and the body that comes behind it."""
+class PendingResponse(Protocol):
+    """A response whose head has arrived and whose body follows."""
 
-    def withdraw(self) -> None:
-        """Nobody waits for it any more."""
+    def discard(self) -> None:
+        """Stop receiving it: no client waits for it."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The head of this claim's answer has come; the claim ends when the body has."""
+    """The head of the response to this attempt has arrived; the attempt ends with the body."""
 
     number: int
     attempt: int
-    opening: Opening = field(repr=False)
+    opening: PendingResponse = field(repr=False)
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseDelivered:
-    """The body of this job's answer has gone to its client, to its end or not."""
+    """The response of this job has been written to its client, completely or not."""
 
     job: Job
     complete: bool
@@ -115,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A call of the operators' door; `reply` is given the door's answer, once."""
+    """A call of the management interface; `reply` is called once, with the response."""
 
     call: Any  # an `operations.calls.Call`
     reply: Callable[[Any], Any] = field(repr=False)
@@ -123,9 +121,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ManualDrainsChanged:
-    """Another process wrote which execute nodes are out by hand: ids and since when, Unix ms."""
+    """Another process has changed which execute nodes operators have drained."""
 
-    out: dict[str, float]
+    out: dict[str, float]  # id of each drained node, and since when in Unix ms
 
 
 Message = (
@@ -145,34 +143,34 @@
 
 
 class Inbox(Protocol):
-    """The queue through which everything reaches the owner."""
+    """The queue of messages to the owner."""
 
     def put(self, item: Message, /) -> Any:
-        """Append; never blocks."""
+        """Append a message without blocking."""
 
 
 class Nodes(Protocol):
-    """Carries claims to execute nodes. Each start ends in one ClaimEnded."""
+    """Runs attempts at execute nodes. Each `start` leads to one AttemptFinished."""
 
     def start(self, job: Job, attempt_index: int, server: str, timeout_ms: float) -> None:
-        """Begin a claim; returns at once."""
+        """Start an attempt without waiting for it."""
 
     def cancel(self, number: int, attempt_index: int) -> None:
-        """Close the claim's connection before returning."""
+        """Close the connection of the attempt before returning."""
 
 
 class Counter(Protocol):
-    """The shared quota counter. Each call ends in one CounterCallEnded, by the give-up time at the latest."""
+    """The shared quota counter. Each call leads to one CounterCallEnded, after its timeout at the latest."""
 
     def add(self, key: int, amount: float, ttl_ms: float) -> None:
-        """Begin a call; returns at once."""
+        """Start a call without waiting for it."""
 
 
 class Clock(Protocol):
-    """One clock for all times of the module, and timers by it."""
+    """The clock that all times come from, and its timers."""
 
     def now(self) -> float:
-        """Milliseconds."""
+        """Current time in milliseconds."""
 
     def call_later(self, delay_ms: float, callback: Callable[..., Any], *args: Any) -> Any:
-        """Call in so many ms; the returned timer has `close()`."""
+        """Call `callback` after a delay; the returned timer has `close()`."""
--- a/ashlift/gatekeeper/net/counter.py
+++ b/ashlift/gatekeeper/net/counter.py
@@ -1,4 +1,4 @@
-"""The shared quota counter on the platform: text lines, many calls on one connection, answers in order."""
+"""Client of the platform's quota counter: a text protocol with pipelined calls, answered in order."""
 
 import logging
 import math
@@ -17,9 +17,9 @@
 
 log = logging.getLogger("ashlift.counter")
 IO_TIMEOUT_S = 0.25
-MAX_IDLE_MS = 2_000.0  # the counter closes idle connections after 10 s or less: ours are given up before
+MAX_IDLE_MS = 2_000.0  # the counter closes idle connections itself, after 10 s or less
 MAX_LINE_BYTES = 256
-ANSWER_PREFIXES = (b"ok ", b"busy", b"error")  # with which answers begin
+ANSWER_PREFIXES = (b"ok ", b"busy", b"error")  # of all valid answers
 
 
 @dataclass(slots=True, eq=False)
@@ -29,7 +29,7 @@
 
 
 class TextCounter:
-    """Calls are queued, written together, and ended by their answer or their own timer."""
+    """Queues calls and writes them together; each ends with its answer or its timeout."""
 
     def __init__(
         self, address: tuple[str, int], timeout_ms: float, clock: Clock, inbox: Inbox, metrics: Metrics
@@ -42,14 +42,14 @@
         self._reconnect_policy = ReconnectPolicy(timeout_ms)
 
     def add(self, key: int, amount: float, ttl_ms: float) -> None:
-        number = f"{int(amount)}" if amount == int(amount) else f"{amount:.6f}"
-        call = _Call(key, line=f"bump {key} {number} {max(1, round(ttl_ms))}\r\n".encode())
+        amount_text = f"{int(amount)}" if amount == int(amount) else f"{amount:.6f}"
+        call = _Call(key, line=f"bump {key} {amount_text} {max(1, round(ttl_ms))}\r\n".encode())
         self._calls.begin(call, self._give_up)
         self._unsent.append(call)
         self._wake.set()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Call there from now on. What the old address owes may come: its connection then ends."""
+        """Use another address for new calls. Answers still due come on the old connection."""
         if address != self._address:
             self._address = address
             if self._connection is not None:
@@ -57,7 +57,7 @@
                 self._connection = None
 
     def run(self) -> None:
-        """Write for ever. A connect that does not come up holds nobody up: each call has its own timer."""
+        """Write queued calls forever. Calls time out by their own timers while a connect takes long."""
         while True:
             self._wake.wait()
             self._wake.clear()
@@ -65,7 +65,7 @@
                 self._write()
             except (OSError, gevent.Timeout) as error:
                 self._metrics.add("counter.broken")
-                log.debug("counter: %s", error)
+                log.debug("calls to the counter were not sent: %s", error)
                 self._fail_unsent()
 
     def _write(self) -> None:
@@ -82,13 +82,13 @@
         while connection is None or connection.closed:
             address = self._address
             connection = self._connection = self._connect()
-            if address != self._address:  # moved while the connection was coming up
+            if address != self._address:  # the address changed during the connect
                 connection.close()
         calls = []
         while self._unsent:
             call = self._unsent.popleft()
             if not call.ended:
-                call.written = True  # from here on it may have been added
+                call.written = True  # from here on the counter may have added the amount
                 calls.append(call)
         if connection.answered:
             self._reconnect_policy.reset()
@@ -107,12 +107,12 @@
             self._calls.end(self._unsent.popleft(), Result.CONNECT_FAILED)
 
     def _give_up(self, call: _Call) -> None:
-        """A call not written yet was never added; one that was may have been."""
+        """Time a call out. Only a call that was written may have been added to the counter."""
         self._calls.end(call, Result.TIMEOUT if call.written else Result.CONNECT_FAILED)
 
 
 class _CounterConnection:
-    """One connection, and the calls written to it whose answers are to come."""
+    """One connection, and the calls on it that wait for an answer."""
 
     def __init__(self, sock: socket.socket, clock: Clock, end: Any) -> None:
         self._sock, self._clock, self._end = sock, clock, end
@@ -123,7 +123,7 @@
         gevent.spawn(self._read)
 
     def overdue_ms(self, now: float) -> float:
-        """For how long the next answer has been waited for."""
+        """How long the oldest call has waited for its answer."""
         return now - self._pending[0].started_at if self._pending else 0.0
 
     def is_idle(self, now: float) -> bool:
@@ -139,7 +139,7 @@
             self.close()
 
     def retire(self) -> None:
-        """Nothing more is written here; the calls under way keep their chance of an answer, for a while."""
+        """Write no more calls; close after the last answer due, or after MAX_ANSWER_WAIT_MS."""
         self._retired = True
         if self._pending:
             self._timer = self._clock.call_later(MAX_ANSWER_WAIT_MS, self.close)
@@ -147,7 +147,7 @@
             self.close()
 
     def close(self) -> None:
-        """What was written and not answered may have been added."""
+        """Close the connection. Calls without an answer end as timeouts: the counter may have added them."""
         self.closed = True
         if self._timer is not None:
             self._timer.close()
@@ -156,8 +156,8 @@
             self._end(self._pending.popleft(), Result.TIMEOUT)
 
     def _read(self) -> None:
-        """Guards against answers matched with the wrong calls: behind one that cannot be read, nothing that
-        comes on this connection says which call it is for."""
+        """Match answers with calls, in order. Closes the connection at an answer that cannot be parsed, after
+        which later answers could be matched with the wrong calls."""
         unparsed = b""
         try:
             while len(unparsed) <= MAX_LINE_BYTES:
@@ -168,34 +168,36 @@
                 self._last_used = self._clock.now()
                 for line in lines:
                     if not self._pending:
-                        raise ValueError("an answer to no call")
+                        raise ValueError("answer without a call")
                     answer = read_answer(line)
                     self._end(self._pending.popleft(), *(answer or (Result.TIMEOUT, 0.0)))
                     self.answered = True
                     if answer is None:
-                        raise ValueError("an answer that cannot be read")
-                if unparsed and not any(word.startswith(unparsed[: len(word)]) for word in ANSWER_PREFIXES):
-                    raise ValueError("the start of an answer that cannot be read")
+                        raise ValueError("malformed answer")
+                if unparsed and not any(
+                    prefix.startswith(unparsed[: len(prefix)]) for prefix in ANSWER_PREFIXES
+                ):
+                    raise ValueError("malformed start of an answer")
                 if self._retired and not self._pending:
                     break
         except (OSError, ValueError) as error:
-            log.debug("counter connection ended: %s", error)
+            log.debug("closing the connection to the counter: %s", error)
         if not self.closed:
             self.close()
 
 
 def read_answer(line: bytes) -> tuple[Result, float] | None:
-    """What one answer line says; None: nothing clear, and it stays open whether the amount was added."""
+    """Parse an answer line; None if it is malformed, and it is unknown whether the amount was added."""
     match line.split():
         case [b"ok", total]:
             try:
-                level = float(total)
+                value = float(total)
             except ValueError:
                 return None
-            return (Result.OK, level) if math.isfinite(level) else None
+            return (Result.OK, value) if math.isfinite(value) else None
         case [b"busy"]:
             return Result.OVERLOADED, 0.0
         case [b"error", *_]:
-            return Result.CONNECT_FAILED, 0.0  # nothing added
+            return Result.CONNECT_FAILED, 0.0  # the amount was not added
         case _:
             return None
--- a/ashlift/gatekeeper/net/front/connection.py
+++ b/ashlift/gatekeeper/net/front/connection.py
@@ -101,7 +101,7 @@
     def _on_disconnect(self) -> None:
         """The client is gone: what is open here is not wanted any more."""
         if self._streamed_response is not None:
-            self._streamed_response.withdraw()  # wakes the writer, and the node's side ends
+            self._streamed_response.discard()  # wakes the writer, and the node's side ends
         if self._job is not None:
             self._front.metrics.add("clients.left")
             self._front.inbox.put(JobAbandoned(self._job))
@@ -278,7 +278,7 @@
             request, answer = item
             if self._disconnected or request is not self._current:
                 if getattr(answer, "opening", None) is not None:
-                    answer.opening.withdraw()  # type: ignore[union-attr]  # nobody takes it
+                    answer.opening.discard()  # type: ignore[union-attr]  # nobody takes it
                 continue  # it has its answer
             if isinstance(answer, bytes):
                 self._send(answer)
--- a/ashlift/gatekeeper/net/machine_list.py
+++ b/ashlift/gatekeeper/net/machine_list.py
@@ -1,4 +1,4 @@
-"""The machine list: a watch on discovery, and what it last said of each execute node."""
+"""The machine list: watches service discovery and keeps the latest entry of each execute node."""
 
 import json
 import logging
@@ -17,23 +17,21 @@
 from ashlift.gatekeeper.operations.handouts import HandOuts
 
 log = logging.getLogger("ashlift.machine_list")
-SILENCE_TIMEOUT_S = (
-    5.0  # without even an empty line, which come every 2 s: the watch is dead though nobody said so
-)
+SILENCE_TIMEOUT_S = 5.0  # discovery sends an empty line every 2 s
 CONNECT_TIMEOUT_S = 2.0
 BACKOFF_RANGE_S = (0.1, 3.0)  # first and longest pause before a new watch
-STABLE_WATCH_S = 1.0  # a watch that stood for so long was a good one: the next is begun soon
+STABLE_WATCH_S = 1.0  # a watch that lasted longer resets the pause
 WATCH_ERRORS = (OSError, gevent.Timeout, httptools.HttpParserError)
-MAX_LINE_BYTES = 4 << 20  # bytes of one unfinished line
+MAX_LINE_BYTES = 4 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """One execute node as last told, and as shown: out by hand it is draining, whatever discovery said."""
+    """An execute node. One that an operator has drained is shown as draining, whatever discovery reports."""
 
     address: tuple[str, int]
-    server: Server  # as shown to the module and the claims
-    reported: Server | None = None  # as discovery told it, where that differs
+    server: Server  # as the gateway and the attempts see it
+    reported: Server | None = None  # by discovery, if different
 
 
 def parse_address(text: str) -> tuple[str, int]:
@@ -44,7 +42,7 @@
 
 
 class MachineList:
-    """Keeps the list for the node adapter and tells the owner of changes."""
+    """Keeps the list for the node adapter and reports changes to the owner."""
 
     def __init__(
         self, discovery: tuple[str, int], zones: tuple[str, ...], inbox: Inbox, metrics: Metrics
@@ -57,13 +55,15 @@
         self.hands = HandOuts()
 
     def ready(self, name: str) -> Machine | None:
-        """The node, if new work may go to it."""
+        """Return the node if it takes new work."""
         machine = self.machines.get(name)
         return machine if machine is not None and machine.server.state is ServerState.READY else None
 
     def apply_update(self, update: dict[str, Any]) -> None:
-        """Take one message of discovery. The table changes here and now, ahead of the owner's queue, so that
-        a claim about to be written sees a drain that the module has not heard of."""
+        """Apply an update from discovery.
+
+        The list changes before the owner hears of it, so that an attempt that is about to be sent sees a drain.
+        """
         entries = [self._with_manual_drain(self._parse_entry(row)) for row in update["instances"]]
         index, complete = int(update["generation"]), bool(update.get("reset", False))
         if complete:
@@ -84,8 +84,10 @@
         return Machine(machine.address, shown, reported if shown is not reported else None)
 
     def hand(self, worker: str, out: bool, now: float) -> list[Server] | None:
-        """Take a node out by hand or put it back, here and now; what the module is to see anew. None where
-        the id is neither listed nor out: nobody can tell what it names."""
+        """Drain a node for an operator, or return it to service; returns the changed entries for the gateway.
+
+        None if the id is neither on the list nor drained.
+        """
         if worker not in self.machines and worker not in self.hands.out:
             return None
         if out:
@@ -95,7 +97,7 @@
         return self._refresh({worker})
 
     def adopt(self, out: dict[str, float], now: float) -> list[Server]:
-        """What another process wrote of nodes out by hand holds from now on."""
+        """Replace the manual drains by those that another process has stored; returns the changed entries."""
         drained, returned = self.hands.adopt(out, now)
         return self._refresh(drained | returned)
 
@@ -118,8 +120,7 @@
         state = ServerState(row["lifecycle"])
         zone = self._zones.index(row["zone"]) if row.get("zone") in self._zones else 0
         address = ("", 0) if state is ServerState.GONE else parse_address(row["hostPort"])
-        # Size is left at 1: the settings say that weights tell nothing. `startedAtMs` is Unix time, and so
-        # is the module's clock.
+        # Weights are ignored, as the settings prescribe. `startedAtMs` is Unix time, like UnixClock.
         server = Server(
             row["instanceId"],
             state,
@@ -130,7 +131,7 @@
         return Machine(address, server)
 
     def change_address(self, discovery: tuple[str, int]) -> None:
-        """Watch there from now on, at once. The list stays as it is until that address tells of changes."""
+        """Switch to another address at once. The list is kept until an update from there changes it."""
         if discovery != self._discovery:
             self._discovery = discovery
             self._address_changed.set()
@@ -138,7 +139,7 @@
                 self._watching.kill(block=False)
 
     def run(self) -> None:
-        """Watch for ever; one that ends or falls silent is begun anew, with growing pauses."""
+        """Watch forever; a watch that ends or goes silent is restarted with exponential backoff."""
         pause_s = BACKOFF_RANGE_S[0]
         while True:
             started_at = time.monotonic()
@@ -148,15 +149,13 @@
             self._metrics.add("machine_list.watches_ended")
             was_stable = self._address_changed.is_set() or time.monotonic() - started_at > STABLE_WATCH_S
             pause_s = BACKOFF_RANGE_S[0] if was_stable else min(BACKOFF_RANGE_S[1], 2 * pause_s)
-            self._address_changed.wait(
-                pause_s
-            )  # guards against a pause before the first watch at a new address
+            self._address_changed.wait(pause_s)  # a new address is watched without a pause
 
     def _watch(self) -> None:
         try:
             self._read_updates()
         except (*WATCH_ERRORS, ValueError, KeyError, TypeError) as error:
-            log.warning("watch ended: %s: %s", type(error).__name__, error)
+            log.warning("watch on discovery ended: %s: %s", type(error).__name__, error)
 
     def _read_updates(self) -> None:
         with gevent.Timeout(CONNECT_TIMEOUT_S):
@@ -174,7 +173,7 @@
                     return
                 parser.feed_data(data)
                 if reader.lines and parser.get_status_code() != 200:
-                    raise ValueError(f"discovery answers {parser.get_status_code()}")
+                    raise ValueError(f"discovery responded with status {parser.get_status_code()}")
                 lines, reader.lines = reader.lines, []
                 for line in lines:
                     if line.strip():
@@ -182,7 +181,7 @@
 
 
 class _LineSplitter:
-    """Cuts a chunked answer into lines."""
+    """Splits the body of a response into lines."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []
@@ -193,7 +192,7 @@
         *lines, self.rest = (self.rest + body).split(b"\n")
         self.lines += lines
         if len(self.rest) > MAX_LINE_BYTES:
-            raise ValueError("a line of the machine list does not end")
+            raise ValueError("line of the machine list is too long")
 
     def on_message_complete(self) -> None:
         self.ended = True
--- a/ashlift/gatekeeper/net/nodes.py
+++ b/ashlift/gatekeeper/net/nodes.py
@@ -1,4 +1,4 @@
-"""Claims on execute nodes: one HTTP exchange each, over connections that are kept and used again."""
+"""Attempts at execute nodes: one HTTP exchange each, over a pool of persistent connections."""
 
 import errno
 from collections import deque
@@ -19,30 +19,31 @@
 if TYPE_CHECKING:
     from ashlift.gatekeeper.streams.stream import Stream, StreamRegistry
 
-MAX_IDLE_PER_NODE = 64  # idle connections kept to one node
+MAX_IDLE_PER_NODE = 64  # connections
 SWEEP_INTERVAL_S = 1.0
-IDLE_TIMEOUT_FRACTION = (
-    0.6  # of the time after which a node closes an idle connection: ours goes well before that
-)
+# Idle connections are closed well before the node would close them: after this part of its idle timeout.
+IDLE_TIMEOUT_FRACTION = 0.6
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRequest:
-    """What of a job an execute node gets unchanged."""
+    """The part of a client's request that is sent to an execute node unchanged."""
 
     method: bytes
     target: bytes
     trace_id: bytes
     body: bytes = b""
-    stream: "Stream | None" = None  # of a job whose bodies are passed on as they arrive
+    stream: "Stream | None" = None  # set if the bodies are forwarded as they arrive
 
 
-# Node and address: guards against a connection to a node that has gone being used for a new one there.
+# Name and address: a connection to a node that is gone is not used for a new node at the same address.
 Endpoint = tuple[str, tuple[str, int]]
 
 
 @dataclass(slots=True, eq=False)
 class NodeConnection:
+    """A connection to an execute node."""
+
     sock: socket.socket
     endpoint: Endpoint
     idle_at: float = 0.0
@@ -50,34 +51,39 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One attempt to have a job served by an execute node."""
+
     job: Job
     index: int  # among the attempts of the job, from 0
     server: str
     timeout_ms: float
     sock: socket.socket | None = None
     cancelled: bool = False
-    written: bool = False  # its last byte is
-    elapsed_ms: float | None = None  # to the head of an answer that is streamed
-    began: float = 0.0  # ms
-    cause: Any = None  # why it failed, for the front's words
+    written: bool = False  # the request, completely
+    elapsed_ms: float | None = None  # until the head of a streamed response arrived
+    started_at: float = 0.0  # ms
+    cause: Any = None  # why it failed: a streams.faults.Fault, if known
 
     def close(self) -> None:
-        """Close its connection: whoever waits there wakes."""
+        """Close the connection, which wakes the greenlets that wait for it."""
         if self.sock is not None:
             self.sock.close()
 
 
 @dataclass(slots=True)
 class Limits:
-    """Bounds of the node connections."""
+    """Limits of the connections to nodes."""
 
     connect_timeout_ms: float
     node_idle_timeout_ms: float
-    max_connections: int  # open connections to all nodes together
+    max_connections: int  # to all nodes together
 
 
 class NodePool:
-    """Starts claims, each in a greenlet of its own, and owns every connection to a node."""
+    """Runs each attempt in a greenlet of its own, and owns all connections to nodes.
+
+    `long_response_bytes` limits the buffers of long responses if there is no `stream_registry`.
+    """
 
     def __init__(
         self,
@@ -94,10 +100,8 @@
         self._idle: dict[Endpoint, deque[NodeConnection]] = {}
         self._open_count = 0
         self._attempts: dict[tuple[int, int], Attempt] = {}
-        self.stream_registry = (
-            stream_registry  # where long answers get their places; made at the first where none is given
-        )
-        self._long_response_bytes = long_response_bytes  # the budget of such a desk
+        self.stream_registry = stream_registry  # None: created for the first long response
+        self._long_response_bytes = long_response_bytes
 
     def _long_response_registry(self) -> "StreamRegistry":
         if self.stream_registry is None:
@@ -121,18 +125,18 @@
         gevent.spawn(self._run, attempt)
 
     def cancel(self, number: int, attempt_index: int) -> None:
-        """Guards against two claims out at once: the connection is closed before this returns."""
+        """Close the connection of an attempt before returning, so that no two attempts of a job overlap."""
         attempt = self._attempts.get((number, attempt_index))
         if attempt is not None:
             attempt.cancelled = True
             attempt.close()
 
     def _run(self, attempt: Attempt) -> None:
-        began = attempt.began = self._clock.now()
+        started_at = attempt.started_at = self._clock.now()
         body = b""
         try:
             result, body = self._exchange(attempt)
-        except Exception as error:  # whatever breaks in one claim is that claim's end and no other's
+        except Exception as error:  # an error in one attempt must not affect others
             if attempt.cancelled:
                 result = Result.CANCELLED
             elif isinstance(error, (OSError, gevent.Timeout)):
@@ -145,10 +149,10 @@
                 result = Result.RESET
         finally:
             del self._attempts[attempt.job.number, attempt.index]
-        waited = self._clock.now() - began if attempt.elapsed_ms is None else attempt.elapsed_ms
+        elapsed_ms = self._clock.now() - started_at if attempt.elapsed_ms is None else attempt.elapsed_ms
         number = attempt.job.number
         self._inbox.put(
-            AttemptFinished(number, attempt.index, attempt.server, result, waited, body, attempt.cause)
+            AttemptFinished(number, attempt.index, attempt.server, result, elapsed_ms, body, attempt.cause)
         )
 
     def _exchange(self, attempt: Attempt) -> tuple[Result, bytes]:
@@ -160,8 +164,8 @@
         timer = gevent.Timeout(attempt.timeout_ms / 1000 if attempt.timeout_ms > 0 else None)
         timer.start()
         connection: NodeConnection | None = None
-        keep = False
-        began = self._clock.now()
+        reusable = False
+        started_at = self._clock.now()
         try:
             connection = self._take_idle((attempt.server, machine.address)) or self._connect(
                 attempt, machine.address
@@ -169,27 +173,26 @@
             if connection is None:
                 return Result.NOT_SENT, b""
             attempt.sock = connection.sock
-            # A drain told while the connection was coming up counts: looked at again before the first byte.
+            # Checked again before the first byte: the node may have started to drain during the connect.
             current_machine = self._machines.ready(attempt.server)
             if current_machine is None or current_machine.address != machine.address:
                 self._metrics.add("claims.withdrawn")
-                keep = True
+                reusable = True
                 return Result.NOT_SENT, b""
-            left = attempt.timeout_ms - (self._clock.now() - began)
+            time_left_ms = attempt.timeout_ms - (self._clock.now() - started_at)
             if attempt.job.upstream_request.stream is not None:
-                from ashlift.gatekeeper.net.stream_attempt import (
-                    StreamAttempt,  # loaded where there are streams
-                )
+                # Loaded only if streaming is enabled.
+                from ashlift.gatekeeper.net.stream_attempt import StreamAttempt
 
                 streaming = StreamAttempt(
                     attempt, connection.sock, timer, self._clock, self._inbox, self._metrics
                 )
-                result, keep = streaming.run(machine.address, left)
+                result, reusable = streaming.run(machine.address, time_left_ms)
                 return result, b""
-            connection.sock.sendall(self._render_request(attempt, machine.address, left))
+            connection.sock.sendall(self._render_request(attempt, machine.address, time_left_ms))
             attempt.written = True
             self._metrics.add(RELAYED)
-            result, body, keep = self._read_response(attempt, connection.sock, timer)
+            result, body, reusable = self._read_response(attempt, connection.sock, timer)
             return result, body
         except gevent.Timeout as timeout:
             if timeout is not timer:
@@ -199,9 +202,9 @@
             timer.close()
             attempt.sock = None
             if connection is not None:
-                self._keep_idle(connection) if keep and not attempt.cancelled else self._close(connection)
+                self._keep_idle(connection) if reusable and not attempt.cancelled else self._close(connection)
 
-    def _render_request(self, attempt: Attempt, address: tuple[str, int], left_ms: float) -> bytes:
+    def _render_request(self, attempt: Attempt, address: tuple[str, int], time_left_ms: float) -> bytes:
         upstream_request: UpstreamRequest = attempt.job.upstream_request
         length = (
             b"Content-Length: %d\r\n" % len(upstream_request.body)
@@ -214,7 +217,7 @@
             address[0].encode(),
             address[1],
             upstream_request.trace_id,
-            max(0.001, left_ms / 1000),
+            max(0.001, time_left_ms / 1000),
             length,
             upstream_request.body,
         )
@@ -222,28 +225,29 @@
     def _read_response(
         self, attempt: Attempt, sock: socket.socket, timer: gevent.Timeout
     ) -> tuple[Result, bytes, bool]:
-        """Result, body, and whether the connection may be used again. An answer too long to hold passes on
-        as it comes, and its body is not returned."""
+        """Return the result, the body, and whether the connection can be reused.
+
+        A response too long to buffer is forwarded as it arrives, and its body is not returned.
+        """
         response = HttpResponse()
         while not response.done:
             data = sock.recv(65536)
             if not data:
                 if response.connection_ended():
-                    break  # an answer that ends with its connection
+                    break
                 return Result.RESET, b"", False
             response.feed(data)
             if response.too_long_to_buffer:
-                from ashlift.gatekeeper.net.long_response import (
-                    forward_long_response,  # loaded with the first answer that needs it
-                )
-
-                # Guards against a node that looks slow for the length of its answer: what counts is its head.
-                attempt.elapsed_ms = self._clock.now() - attempt.began
-                stream_registry = self._long_response_registry()
-                result, keep = forward_long_response(
-                    attempt, sock, response, timer, stream_registry, self._inbox, self._metrics
+                # Loaded with the first long response.
+                from ashlift.gatekeeper.net.long_response import forward_long_response
+
+                # Measured to the head, so that long responses do not make a node look slow.
+                attempt.elapsed_ms = self._clock.now() - attempt.started_at
+                registry = self._long_response_registry()
+                result, reusable = forward_long_response(
+                    attempt, sock, response, timer, registry, self._inbox, self._metrics
                 )
-                return result, b"", keep
+                return result, b"", reusable
         if response.status == 200:
             return Result.OK, b"".join(response.parts), response.keep_alive
         if response.status in (503, 504) and response.never_ran:
@@ -253,10 +257,10 @@
     # ---- connections
 
     def _take_idle(self, endpoint: Endpoint) -> NodeConnection | None:
-        """The idle connection used last, if it still stands.
+        """Return the most recently used idle connection that is still open, or None.
 
-        Guards against writing to a connection that the node has closed meanwhile: that would be a reset, and
-        the job might have run. Such a connection is readable, with an end or an error in it.
+        Guards against writing to a connection that the node has closed: that would be a reset, after which it
+        is unknown whether the job has run. A closed connection has input: the end of the stream or an error.
         """
         connections = self._idle.get(endpoint)
         while connections:
@@ -306,7 +310,7 @@
         connection.sock.close()
 
     def close_stale_connections(self) -> None:
-        """Close what has stood idle long, or leads to a node that is not on the list (any more)."""
+        """Close connections that have been idle for long, and those to nodes not on the machine list."""
         current = {(name, machine.address) for name, machine in self._machines.machines.items()}
         for endpoint, connections in list(self._idle.items()):
             min_idle_at = self._clock.now() - IDLE_TIMEOUT_FRACTION * self._limits.node_idle_timeout_ms
@@ -316,7 +320,7 @@
                 del self._idle[endpoint]
 
     def run(self) -> None:
-        """Sweep for ever."""
+        """Close stale connections periodically, forever."""
         while True:
             gevent.sleep(SWEEP_INTERVAL_S)
             self.close_stale_connections()
--- a/ashlift/gatekeeper/owner.py
+++ b/ashlift/gatekeeper/owner.py
@@ -1,4 +1,4 @@
-"""The one greenlet that owns the decision module: messages in by the queue, actions out by the ports."""
+"""Runs the admission gateway in one greenlet: takes messages from a queue, performs the actions returned."""
 
 import logging
 from typing import TYPE_CHECKING, Any, assert_never
@@ -33,17 +33,17 @@
 
 
 class Owner:
-    """Feeds the Gateway in order and does what it says. Nothing else touches the Gateway."""
+    """Passes events to the Gateway in order and performs the actions returned. Nothing else uses it."""
 
     def __init__(
         self, gateway: Gateway, clock: Clock, metrics: Metrics, classes: tuple[str, ...] = ()
     ) -> None:
         self._gateway, self._clock, self._metrics = gateway, clock, metrics
-        self._classes = classes or tuple(str(kind) for kind in range(len(gateway.settings.classes)))
+        self._classes = classes or tuple(str(index) for index in range(len(gateway.settings.classes)))
         self._operator: Operator | None = None
         self.inbox: SimpleQueue[Message] = SimpleQueue()
-        self._jobs: dict[int, Job] = {}  # those that are owed an answer
-        self._timers: dict[int, Any] = {}  # kept alive until they ring
+        self._jobs: dict[int, Job] = {}  # by number; those without a final answer
+        self._timers: dict[int, Any] = {}  # by token; referenced until they fire
         self._next_number = 1
         self._nodes: Nodes | None = None
         self._counter: Counter | None = None
@@ -51,33 +51,34 @@
     def connect(
         self, nodes: Nodes | None, counter: Counter | None, operator: "Operator | None" = None
     ) -> None:
-        """Name the ports; they in turn were given the inbox. `operator` answers the door's calls."""
+        """Set the adapters that perform actions. `operator` handles calls of the management interface."""
         self._nodes, self._counter, self._operator = nodes, counter, operator
 
     @property
     def unanswered(self) -> int:
-        """Jobs taken and not answered yet, those still in the queue included."""
+        """Number of jobs without a final answer, including those still in the queue."""
         return len(self._jobs) + sum(isinstance(item, Job) for item in self.inbox.queue)
 
     def run(self) -> None:
-        """Take messages for ever."""
+        """Handle messages forever."""
         while True:
             self.handle(self.inbox.get())
 
     def close(self) -> None:
-        """Let no timer ring any more."""
+        """Cancel all timers."""
         for timer in self._timers.values():
             timer.close()
         self._timers.clear()
 
     def handle(self, message: Message) -> None:
-        """Handle one message. A fault of the module costs the job it struck an answer, not the others."""
+        """Handle one message. An exception in the gateway fails the job concerned and no other."""
         try:
             actions = self._handle_message(message)
         except Exception:
-            log.exception("the module failed on %s", type(message).__name__)
+            log.exception("admission gateway failed on a %s message", type(message).__name__)
             self._metrics.add("module.faults")
-            # What it had decided until then stands: its next step, above all, or housekeeping would end here.
+            # Actions returned before the exception are still performed: without the timer for the gateway's
+            # next periodic step, that step would never run again.
             actions = [*self._gateway.actions]
             if isinstance(message, Job | AttemptFinished):
                 actions.append(i.Fail(message.number))
@@ -94,7 +95,7 @@
                 return self._request_event(message)
             case JobAbandoned():
                 if self._jobs.pop(message.job.number, None) is None:
-                    return None  # answered while the news was in the queue
+                    return None  # answered while this message was in the queue
                 self._metrics.add("jobs.left")
                 return i.ClientDisconnected(message.job.number)
             case AttemptFinished():
@@ -121,7 +122,7 @@
         return message
 
     def _run_command(self, command: Command) -> i.Event | None:
-        """A call of the door: answered at once; what it changed of the nodes the module hears next."""
+        """Answer a call of the management interface; returns the node changes it made, for the gateway."""
         if self._operator is None:
             return None
         reply, changed = self._operator.call(command.call, self._clock.now(), self.gauges())
@@ -129,7 +130,7 @@
         return i.ServerList(tuple(changed)) if changed else None
 
     def gauges(self) -> Gauges:
-        """What stands now: jobs owed an answer, nodes listed, and those of them that are avoided."""
+        """Current numbers of unanswered jobs, of listed nodes, and of listed nodes that get no new work."""
         now, views = self._clock.now(), self._gateway.servers.values()
         avoided = sum(
             view.entry.state is not i.ServerState.READY or now < view.ejected_until for view in views
@@ -140,7 +141,7 @@
         job.number, self._next_number = self._next_number, self._next_number + 1
         self._jobs[job.number] = job
         self._metrics.add("jobs.taken")
-        # The client counts from when it sent: what the job lay unread is off its patience.
+        # The client's timeout runs from when it sent the request, so time spent unread counts against it.
         time_left_ms = max(0.0, job.time_left_ms - (self._clock.now() - job.received_ms))
         return i.Request(
             job.number,
@@ -168,10 +169,10 @@
         )
 
     def _start_response(self, message: ResponseStarted) -> i.Event | None:
-        """The answer begins: from here on the job has its one answer, and nothing is made again."""
+        """Start to forward a response: the final answer of the job, which is no longer retried."""
         job = self._jobs.get(message.number)
         if job is None or job.response_started:
-            message.opening.withdraw()
+            message.opening.discard()
             return None
         job.response_started = True
         job.reply(Answer(Verdict.SERVED, opening=message.opening))
@@ -184,8 +185,7 @@
             self._metrics.add(answered(verdict, self._classes[message.job.request_class]))
 
     def _send_answer(self, number: int, answer: Answer) -> None:
-        """Guards against a second final answer: the job is forgotten with its first, and one whose answer
-        flows has it already."""
+        """Send the final answer, unless the job has one or its response is being forwarded."""
         job = self._jobs.get(number)
         if job is not None and not job.response_started:
             del self._jobs[number]
@@ -227,6 +227,6 @@
             case i.Log():
                 log.info("%s", action.text)
             case i.Subscribe() | i.Probe():
-                pass  # the machine list is pushed here, and nodes may not be probed
+                pass  # the machine list arrives unasked, and nodes may not be probed
             case _:
                 assert_never(action)
--- a/ashlift/gatekeeper/streams/stream.py
+++ b/ashlift/gatekeeper/streams/stream.py
@@ -73,7 +73,7 @@
     head: Head
     stream: Stream
 
-    def withdraw(self) -> None:
+    def discard(self) -> None:
         """Nobody waits for it any more: its place is free."""
         self.stream.abort(Fault.WITHDRAWN)
         self.stream.close()
