--- a/ashlift/gatekeeper/net/__init__.py
+++ b/ashlift/gatekeeper/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol on sockets: jobs in, claims out, the machine list and the text counter."""
+"""Network adapters: the HTTP front, attempts at execute nodes, the machine list and the text counter."""
--- a/ashlift/gatekeeper/net/front/__init__.py
+++ b/ashlift/gatekeeper/net/front/__init__.py
@@ -1,8 +1,8 @@
-"""The platform's front: client connections, HTTP in, jobs to the owner's queue, answers back.
+"""The HTTP front: accepts client connections, puts jobs into the owner's queue and writes responses.
 
-`asked` (what one request is, and the job it makes), `reader` (bytes to requests), `answers` (answers to
-bytes): no sockets. `connection` is the life of one connection, `uploads` and `downloads` the streamed bodies
-on it, `listener` knows them all.
+`request` (a request and the job made from it), `reader` (parses requests) and `rendering` (renders
+responses) use no sockets. `connection` handles one client connection, `streaming` the streamed bodies on
+it, and `listener` accepts connections.
 """
 
 from ashlift.gatekeeper.net.front.listener import Front
--- a/ashlift/gatekeeper/net/front/connection.py
+++ b/ashlift/gatekeeper/net/front/connection.py
@@ -1,4 +1,4 @@
-"""The life of one client connection: this greenlet reads, a second one writes the answers in order."""
+"""A client connection: one greenlet reads requests, a second one writes the responses in order."""
 
 import contextlib
 import time
@@ -22,24 +22,20 @@
 from ashlift.gatekeeper.net.socket_state import has_no_input
 from ashlift.gatekeeper.operations.figures import answered
 
-MAX_PIPELINED_REQUESTS = 4  # requests read ahead on one connection: clients send one at a time
-FIRST_REQUEST_TIMEOUT_S = (
-    2.2  # a connection on which nothing was ever asked ends then: its sender is owed a word within 3 s
-)
-HEAD_TIMEOUT_S = (
-    2.5  # a request's head must be whole so long after its first byte: a client may take 2 s over it
-)
-BODY_TIMEOUT_S = 2.5  # and its body so long after the head: 64 KiB at 64 kB/s, and room to spare
-LINGER_MS = 1000.0  # the rest of a request that was answered unread is thrown away for so long
-MAX_LINGER_BYTES = 256 * 1024  # bytes, and up to so many
-WRITE_TIMEOUT_S = 3.0  # a client that takes no bytes for so long is gone
-MIN_SILENT_MS = 100.0  # while places are short: clients that mean to ask do so once they are connected
-MIN_PARTIAL_REQUEST_MS = 500.0  # and send their requests in one piece
-Response = Answer | HTTPStatus | BadRequestError | bytes  # bytes: a word in between, which answers nothing
+MAX_PIPELINED_REQUESTS = 4  # read ahead on one connection
+FIRST_REQUEST_TIMEOUT_S = 2.2  # clients must see an end within 3 s
+HEAD_TIMEOUT_S = 2.5  # from the first byte of a request; clients may take 2 s
+BODY_TIMEOUT_S = 2.5  # from the end of the head; 64 KiB at 64 kB/s take 1 s
+LINGER_MS = 1000.0  # for which unread input is discarded before the connection is closed
+MAX_LINGER_BYTES = 256 * 1024
+WRITE_TIMEOUT_S = 3.0
+MIN_SILENT_MS = 100.0  # a connection without a request is not evicted before
+MIN_PARTIAL_REQUEST_MS = 500.0  # a connection with an incomplete request is not evicted before
+Response = Answer | HTTPStatus | BadRequestError | bytes  # bytes: an interim response
 
 
 class FrontContext(Protocol):
-    """What a connection needs of the front that accepted it."""
+    """The parts of the front that its connections use."""
 
     names: Names
     ready: Callable[[], bool]
@@ -52,37 +48,34 @@
 
 
 class Connection:
-    """One client connection on which nothing is streamed."""
+    """A client connection whose requests are read completely before they are answered."""
 
     max_linger_bytes = MAX_LINGER_BYTES
 
     def __init__(self, front: FrontContext, sock: socket.socket) -> None:
         self._front, self._sock = front, sock
         self._reader = RequestReader(self._mark_idle, self._on_request, None)
-        self._pipelined: deque[ClientRequest] = deque()  # read ahead
+        self._pipelined: deque[ClientRequest] = deque()
         self._current: ClientRequest | None = None  # being answered
         self._job: Job | None = None
         self._responses: SimpleQueue[tuple[ClientRequest, Response] | None] = SimpleQueue()
         self._disconnected = False
-        self._discarding_input = False  # a request could not be read: nothing more is taken in here
-        self._discarded_bytes = 0  # bytes that came since
-        self._has_answered = False  # anything, yet
-        self._phase_started_at = (
-            front.clock.now()
-        )  # when it began to be idle, or the request that is being read began
+        self._discarding_input = False  # no further request is read
+        self._discarded_bytes = 0
+        self._has_answered = False  # any request
+        # When the connection became idle, or the request that is being read began.
+        self._phase_started_at = front.clock.now()
         front.idle[self] = None
-        self._linger_timer: Any = None  # the timer that ends a connection which is deaf
-        self._streamed_response: Any = None  # the Opening of an answer that passes on as it comes
-        self._head_complete_at: float | None = (
-            None  # when the head of the request that is being read was whole
-        )
+        self._linger_timer: Any = None  # closes the connection
+        self._streamed_response: Any = None  # the StreamedResponse that is being forwarded
+        self._head_complete_at: float | None = None  # of the request that is being read
         self._queue_not_full = Event()
         self._queue_not_full.set()
 
     # ---- reading
 
     def read(self) -> None:
-        """Read until the end of the connection."""
+        """Read requests until the connection ends."""
         writer = gevent.spawn(self._write)
         try:
             while self._read_once():
@@ -99,35 +92,39 @@
             self._sock.close()
 
     def _on_disconnect(self) -> None:
-        """The client is gone: what is open here is not wanted any more."""
+        """Abandon the job of a client that has disconnected."""
         if self._streamed_response is not None:
-            self._streamed_response.discard()  # wakes the writer, and the node's side ends
+            self._streamed_response.discard()  # wakes the writer and ends the attempt
         if self._job is not None:
             self._front.metrics.add("clients.left")
             self._front.inbox.put(JobAbandoned(self._job))
             self._finish_request()
 
     def _read_once(self) -> bool:
-        """Read once; whether to go on. One who never asks, or asks drop by drop, does not hold a place."""
-        since = self._phase_started_at
+        """Read once; returns whether to read on. A client that sends nothing, or slowly, times out."""
+        started_at = self._phase_started_at
         if self._reader.request is not None and not self._discarding_input:
-            most: float | None = HEAD_TIMEOUT_S if self._head_complete_at is None else BODY_TIMEOUT_S
-            since = since if self._head_complete_at is None else self._head_complete_at
+            timeout_s: float | None = HEAD_TIMEOUT_S if self._head_complete_at is None else BODY_TIMEOUT_S
+            started_at = started_at if self._head_complete_at is None else self._head_complete_at
         elif self._has_answered or self._current is not None:
-            most = None
+            timeout_s = None
         else:
-            most = FIRST_REQUEST_TIMEOUT_S
-        left = None if most is None else max(0.001, most - (self._front.clock.now() - since) / 1000)
+            timeout_s = FIRST_REQUEST_TIMEOUT_S
+        remaining_s = (
+            None
+            if timeout_s is None
+            else max(0.001, timeout_s - (self._front.clock.now() - started_at) / 1000)
+        )
         try:
-            with gevent.Timeout(left):
+            with gevent.Timeout(remaining_s):
                 data = self._sock.recv(65536)
         except gevent.Timeout:
             if not has_no_input(self._sock):
-                return True  # something came in the same turn of the event loop as the time-out
+                return True  # input arrived in the same iteration of the event loop as the timeout
             if self._reader.request is None:
                 self._front.metrics.add("clients.silent")
                 return False
-            # Behind what is still owed here: guards against an answer lost with the connection.
+            # Queued behind the responses due on this connection, which must not be lost.
             self._reject(BadRequestError(HTTPStatus.REQUEST_TIMEOUT))
             return True
         if not data:
@@ -137,8 +134,8 @@
             return self._discarded_bytes <= self.max_linger_bytes or self._current is not None
         try:
             self._reader.feed(data)
-        except BadRequestError as bad:
-            self._reject(bad)
+        except BadRequestError as error:
+            self._reject(error)
             return True
         request = self._reader.request
         if request is not None and request.head_complete and self._head_complete_at is None:
@@ -147,8 +144,10 @@
         return True
 
     def _send_continue(self, request: ClientRequest) -> None:
-        """Guards against a client that waits for leave to send its body: `100 Continue`, where nothing of the
-        body has come and nothing is owed here before it. A streamed body is asked for once a claim stands."""
+        """Send `100 Continue` to a client that waits for it, if no other response is due first.
+
+        For a streamed body it is sent once an attempt is connected.
+        """
         expects = request.headers.get(b"expect", b"").lower() == b"100-continue"
         if (
             expects
@@ -159,20 +158,20 @@
         ):
             self._send(CONTINUE)
 
-    def _reject(self, bad: BadRequestError) -> None:
-        """Answer what cannot be read once all before it is answered, and end; nothing after it is read."""
-        self._front.metrics.add(f"requests.bad_{int(bad.status)}")
+    def _reject(self, error: BadRequestError) -> None:
+        """Queue an error response behind the responses due, after which the connection is closed."""
+        self._front.metrics.add(f"requests.bad_{int(error.status)}")
         self._reader.request = None
         self._discarding_input = True
-        self._on_request(ClientRequest(error=bad, keep_alive=False))
+        self._on_request(ClientRequest(error=error, keep_alive=False))
 
-    # ---- one request after another
+    # ---- requests, one at a time
 
     def _on_request(self, request: ClientRequest) -> None:
         self._front.idle.pop(self, None)
-        # The loop noted when it woke: what this request lay unread since then is off the client's patience.
-        unread = max(0.0, time.time() - gevent.get_hub().loop.now())
-        request.received_ms = self._front.clock.now() - 1000 * unread
+        # The client's timeout includes the time for which the request was unread, since the loop woke up.
+        unread_s = max(0.0, time.time() - gevent.get_hub().loop.now())
+        request.received_ms = self._front.clock.now() - 1000 * unread_s
         if self._current is not None:
             self._pipelined.append(request)
             if len(self._pipelined) >= MAX_PIPELINED_REQUESTS:
@@ -191,12 +190,12 @@
                 self._job = job_from_request(
                     request, front.names, front.trace_ids, partial(self._reply, request)
                 )
-            except BadRequestError as bad:
-                front.metrics.add(f"requests.bad_{int(bad.status)}")
-                kind = request.headers.get(b"x-qos", b"")
-                if kind in front.names.classes:  # failed, as its client sees it
-                    front.metrics.add(answered(Verdict.FAILED, kind.decode("latin-1")))
-                self._responses.put((request, bad))
+            except BadRequestError as error:
+                front.metrics.add(f"requests.bad_{int(error.status)}")
+                class_name = request.headers.get(b"x-qos", b"")
+                if class_name in front.names.classes:  # a failure to the client
+                    front.metrics.add(answered(Verdict.FAILED, class_name.decode("latin-1")))
+                self._responses.put((request, error))
             else:
                 front.trace_ids.add(self._job.upstream_request.trace_id)
                 front.inbox.put(self._job)
@@ -211,7 +210,7 @@
             self._process(request)
 
     def _drop_pipelined(self) -> None:
-        """What was read ahead is not begun."""
+        """Drop the requests that were read ahead."""
         self._pipelined.clear()
         self._queue_not_full.set()
 
@@ -223,48 +222,47 @@
     # ---- idle
 
     def _mark_idle(self) -> None:
-        """From now on, unless an answer is owed here, this connection is the youngest of the idle ones."""
+        """Put this connection last among the idle ones, unless a response is due on it."""
         self._phase_started_at, self._head_complete_at = self._front.clock.now(), None
         self._front.idle.pop(self, None)
         if self._current is None and not self._discarding_input:
             self._front.idle[self] = None
 
     def can_evict(self, now: float) -> bool:
-        """Whether this idle connection may end to make room. Nothing must lie unread on it: the client has
-        asked then. A first request that is cut off has failed, so those who may be about to ask have time."""
-        young = 0.0 if self._has_answered else MIN_SILENT_MS
-        least = young if self._reader.request is None else MIN_PARTIAL_REQUEST_MS
-        return now - self._phase_started_at >= least and has_no_input(self._sock)
+        """Whether this idle connection may be closed to make room.
+
+        Not while it has unread input, nor right after it was accepted: a request is about to arrive then.
+        """
+        min_silent_ms = 0.0 if self._has_answered else MIN_SILENT_MS
+        min_idle_ms = min_silent_ms if self._reader.request is None else MIN_PARTIAL_REQUEST_MS
+        return now - self._phase_started_at >= min_idle_ms and has_no_input(self._sock)
 
     def evict(self) -> None:
-        """End it to make room."""
+        """Close this idle connection to make room."""
         self._front.idle.pop(self, None)
         self._shut(socket.SHUT_RDWR)
 
     def close_if_idle(self) -> None:
-        """End the connection if nothing is asked on it: its reader then sees the end.
-
-        One that was accepted just now is about to ask: it has a moment for that.
-        """
+        """Close the connection if it has no request and was not accepted just now."""
         if self._current is not None or self._reader.request is not None or not has_no_input(self._sock):
             return
         if self._has_answered or self._front.clock.now() - self._phase_started_at >= MIN_SILENT_MS:
             self._shut(socket.SHUT_RDWR)
 
     def abort_streams(self) -> None:
-        """The program ends: what goes on for longer than its drain ends here. Nothing does that is not
-        streamed."""
+        """End the streams that outlast the drain at shutdown. There are none on this kind of connection."""
 
     def _start_lingering(self) -> None:
-        """Guards against an answer that its client never sees: to close while the rest of a large request,
-        or another request, comes in would reset the connection, so that is read and thrown away for a while.
-        Guards against a request that is begun after the last answer, and dropped with the connection."""
+        """Close the connection for writing, and discard input for a while.
+
+        Closing a connection with unread input resets it, and the client may lose the last response.
+        """
         self._discarding_input = True
         self._shut(socket.SHUT_WR)
         self._linger_timer = self._front.clock.call_later(LINGER_MS, self._shut, socket.SHUT_RDWR)
 
     def _can_close(self) -> bool:
-        """Whether the front closes and nothing more has been asked here."""
+        """Whether the front is closing and no further request has arrived."""
         return self._front.closing and not self._pipelined and has_no_input(self._sock)
 
     def _shut(self, how: int) -> None:
@@ -278,40 +276,40 @@
             request, answer = item
             if self._disconnected or request is not self._current:
                 if getattr(answer, "opening", None) is not None:
-                    answer.opening.discard()  # type: ignore[union-attr]  # nobody takes it
-                continue  # it has its answer
+                    answer.opening.discard()  # type: ignore[union-attr]
+                continue  # the request has been answered
             if isinstance(answer, bytes):
                 self._send(answer)
                 continue
             keep_alive = request.keep_alive and request.body_complete and not self._can_close()
             keep_alive = self._deliver(request, answer, keep_alive)
-            self._discarding_input |= not request.body_complete  # the rest of its body is nobody's request
+            self._discarding_input |= not request.body_complete  # the rest of its body is no request
             self._finish_request()
             self._has_answered = True
             if self._disconnected:
-                continue  # nothing read ahead is begun for a client that has left
+                continue
             if not keep_alive:
                 self._drop_pipelined()
                 return self._start_lingering()
             self._process_next()
             if self._current is None:
                 self._mark_idle()
-                if self._front.closing:  # a drain began while the answer was on its way
+                if self._front.closing:  # since the response was begun
                     self.close_if_idle()
 
     def _deliver(self, request: ClientRequest, answer: Any, keep_alive: bool) -> bool:
-        """Write an answer; whether the connection goes on."""
+        """Write a response; returns whether the connection stays open."""
         opening = getattr(answer, "opening", None)
         if opening is not None:
             return self._forward_long_response(request, opening, keep_alive)
         return self._send(render(answer, keep_alive)) and keep_alive
 
     def _forward_long_response(self, request: ClientRequest, opening: Any, keep_alive: bool) -> bool:
-        """Write an answer that was too long to hold as it comes (`net/spill.py`); whether to go on."""
+        """Forward a response too long to buffer; returns whether the connection stays open."""
         from ashlift.gatekeeper.net.front.streaming import forward_response
         from ashlift.gatekeeper.streams.heads import Framing
 
-        # To a client of HTTP/1.0 a chunked body ends with the connection.
+        # To an HTTP/1.0 client, a body of unknown length ends with the connection.
         keep_alive = keep_alive and not (
             request.http_minor == 0 and opening.head.body.framing is Framing.CHUNKED
         )
--- a/ashlift/gatekeeper/net/front/listener.py
+++ b/ashlift/gatekeeper/net/front/listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections within their bounds, and knows every open one."""
+"""Accepts client connections up to a limit, and closes idle ones to make room."""
 
 import contextlib
 import errno
@@ -17,13 +17,12 @@
 if TYPE_CHECKING:
     from ashlift.gatekeeper.streams.stream import StreamRegistry
 
-RETRY_INTERVAL_S = 0.02  # when all places are taken by jobs, one is looked for so often
+RETRY_INTERVAL_S = 0.02  # between attempts to find an idle connection while the limit is reached
 BACKLOG = 1024
 
 
 def adopt_listener(descriptor: int) -> socket.socket:
-    """The listening socket behind an inherited descriptor. Guards against accepting on whatever else the
-    number may stand for: an IPv4 TCP socket that listens, or OSError."""
+    """Return the listening socket of an inherited descriptor; OSError if it is not an IPv4 TCP listener."""
     sock = socket.socket(fileno=descriptor)
     try:
         kind = sock.getsockopt(socket.SOL_SOCKET, socket.SO_TYPE)
@@ -31,13 +30,13 @@
         if sock.family != socket.AF_INET or kind != socket.SOCK_STREAM or not listening:
             raise OSError(errno.ENOTSOCK, f"descriptor {descriptor} is no listening TCP socket of IPv4")
     except OSError:
-        sock.detach()  # not ours to close
+        sock.detach()  # leave the descriptor open
         raise
     return sock
 
 
 class Front:
-    """Listens, and knows every open client connection. `desk` is None where nothing is streamed."""
+    """Accepts client connections and owns them. `stream_registry` is None if streaming is disabled."""
 
     def __init__(
         self,
@@ -53,12 +52,12 @@
         self.names, self.ready, self.clock, self.inbox, self.metrics = names, ready, clock, inbox, metrics
         self.closing = False
         self.trace_ids: set[bytes] = set()  # of open jobs
-        self.idle: dict[Connection, None] = {}  # connections that are owed nothing, the longest idle first
+        self.idle: dict[Connection, None] = {}  # without a request, the longest idle first
         self._max_connections, self._max_idle = max_connections, max_idle
         self._slot_freed = Event()
         self._connections: set[Connection] = set()
         self._create_connection: Callable[[socket.socket], Connection] = lambda sock: Connection(self, sock)
-        if stream_registry is not None:  # loaded only where the settings turn it on
+        if stream_registry is not None:  # loaded only if streaming is enabled
             from ashlift.gatekeeper.net.front.streaming import StreamConnection
 
             registry = stream_registry
@@ -69,9 +68,10 @@
         return len(self._connections)
 
     def listen(self, address: tuple[str, int], inherited: int | None = None) -> socket.socket:
-        """Bind and listen; or accept on the socket that descriptor `inherited` already is, which the
-        platform holds for this process and its successor alike. Raises OSError where that is no listening TCP
-        socket."""
+        """Bind and listen, or use the listening socket `inherited`, which a successor process may share.
+
+        Raises OSError if `inherited` is not a listening TCP socket.
+        """
         if inherited is not None:
             return adopt_listener(inherited)
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -81,11 +81,10 @@
         return sock
 
     def run(self, listener: socket.socket) -> None:
-        """Accept for ever, within the bound of connections."""
+        """Accept connections up to the limit, until the listener is closed."""
         while True:
             if len(self.idle) > self._max_idle:
-                # Guards against clients that are kept from asking by others who only stay: all that clients
-                # hold counts towards what they may hold.
+                # Idle connections must not use up the limit.
                 self._evict_idle_connection()
             while self.open_count >= self._max_connections:
                 self._evict_idle_connection()
@@ -95,14 +94,14 @@
                 sock, _ = listener.accept()
             except OSError as error:
                 if error.errno == errno.EBADF:
-                    return  # closed at the end
+                    return  # the listener was closed
                 self.metrics.add("clients.accept_failed")
-                gevent.sleep(0.01)  # out of descriptors: some come free soon
+                gevent.sleep(0.01)  # out of file descriptors
                 continue
             self._accept(sock)
 
     def accept_backlog(self, listener: socket.socket) -> None:
-        """Serve the clients that the kernel has accepted: to close the listener would reset them."""
+        """Serve the connections in the backlog, which closing the listener would reset."""
         listener.settimeout(0.0)
         with contextlib.suppress(OSError):  # there are no more
             while True:
@@ -117,8 +116,7 @@
         gevent.spawn(self._serve, connection)
 
     def _evict_idle_connection(self) -> None:
-        """Guards against places held by those who ask nothing while others wait: the longest idle connection
-        ends, if there is one that may."""
+        """Close the longest idle connection that can be evicted, if any."""
         now = self.clock.now()
         evictable = next((connection for connection in self.idle if connection.can_evict(now)), None)
         if evictable is not None:
@@ -134,22 +132,22 @@
             self._slot_freed.set()
 
     def standby(self, on: bool) -> None:
-        """Drain, or end the drain: while on, connections end after their answers, and those at rest now."""
+        """Start or end a drain: connections close after their response, and idle ones at once."""
         self.closing = on
         if on:
             self.close_idle()
 
     def close(self) -> None:
-        """From now on connections end between requests: those at rest now, the others with their answer."""
+        """Close idle connections, and the others after their response."""
         self.closing = True
         self.close_idle()
 
     def close_idle(self) -> None:
-        """End the connections on which nothing is asked."""
+        """Close the connections without a request."""
         for connection in list(self._connections):
             connection.close_if_idle()
 
     def abort_streams(self) -> None:
-        """End what the drain has not ended, so that its clients can tell."""
+        """End the streams that outlasted the drain, so that their clients see that they are incomplete."""
         for connection in list(self._connections):
             connection.abort_streams()
--- a/ashlift/gatekeeper/net/front/reader.py
+++ b/ashlift/gatekeeper/net/front/reader.py
@@ -1,4 +1,4 @@
-"""Turns the bytes of one client connection into requests. Knows no socket and no greenlet."""
+"""Parses the requests of a client connection. No sockets or greenlets."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -11,17 +11,16 @@
 if TYPE_CHECKING:
     from ashlift.gatekeeper.streams.stream import StreamPolicy
 
-MAX_HEAD_BYTES = 16 * 1024  # bytes of request line and headers
-MAX_BODY_BYTES = 64 * 1024  # of a body that is not streamed
-MAX_FRAMING_RATIO = (
-    16  # bytes of framing for each byte of a streamed body, beyond HEAD_MOST: tiny chunks, no more
-)
+MAX_HEAD_BYTES = 16 * 1024  # of request line and headers
+MAX_BODY_BYTES = 64 * 1024  # of a request that is not streamed
+MAX_FRAMING_RATIO = 16  # bytes of chunk framing per byte of a streamed body; permits tiny chunks
 
 
 class RequestReader:
-    """Calls `began` when a request begins and `arrived` when one may be answered.
+    """Calls `on_begin` when a request begins and `on_request` when it can be processed.
 
-    `terms` tells of a target whether its class streams; None where nothing does.
+    `policy` returns the stream policy of a target, or None if its class is not streamed. None: streaming
+    is disabled.
     """
 
     def __init__(
@@ -32,21 +31,23 @@
     ) -> None:
         self._on_begin, self._on_request, self._policy = on_begin, on_request, policy
         self.request: ClientRequest | None = None  # being read
-        self._bytes_fed = 0  # bytes since the last request's end
+        self._bytes_fed = 0  # since the end of the last request
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Take what came; raises BadRequestError, and then nothing more can be read."""
+        """Parse input; raises BadRequestError, after which the connection cannot be read any further."""
         self._bytes_fed += len(data)
         try:
             self._parser.feed_data(data)
         except BadRequestError:
             raise
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            # A callback's own BadRequestError comes wrapped by the parser.
+            # The parser wraps a BadRequestError raised in a callback.
             cause = error.__context__
-            bad = cause if isinstance(cause, BadRequestError) else BadRequestError(HTTPStatus.BAD_REQUEST)
-            raise bad from None
+            bad_request = (
+                cause if isinstance(cause, BadRequestError) else BadRequestError(HTTPStatus.BAD_REQUEST)
+            )
+            raise bad_request from None
         request = self.request
         if request is None:
             return
@@ -55,13 +56,13 @@
             raise BadRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def skip_body(self) -> None:
-        """The body of the request that is being read went past this reader: the next request follows."""
+        """The body of the current request was read by other means: expect the next request."""
         if self.request is not None:
             self.request.body_complete, self.request = True, None
         self._bytes_fed = 0
         self._parser = httptools.HttpRequestParser(self)
 
-    # httptools calls these
+    # Callbacks of httptools
 
     def on_message_begin(self) -> None:
         self.request = ClientRequest()
@@ -80,13 +81,13 @@
         if request.header_bytes > MAX_HEAD_BYTES:
             raise BadRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
         if request.head_complete:
-            return  # a trailer: guards against a plan or a name that is told behind the body
+            return  # trailers must not change the plan or the customer
         name, value = name.lower(), value.strip()
-        before = request.headers.get(name)
-        if before is not None:
+        previous = request.headers.get(name)
+        if previous is not None:
             if name in SINGLE_VALUE_HEADERS:
                 raise BadRequestError(HTTPStatus.BAD_REQUEST)
-            value = before + b", " + value
+            value = previous + b", " + value
         request.headers[name] = value
 
     def on_headers_complete(self) -> None:
@@ -94,9 +95,9 @@
         assert request is not None
         request.head_complete = True
         if self._policy is not None and (policy := self._policy(request.target)) is not None:
-            self._streamed(request, policy)
+            self._begin_streamed(request, policy)
 
-    def _streamed(self, request: ClientRequest, policy: "StreamPolicy") -> None:
+    def _begin_streamed(self, request: ClientRequest, policy: "StreamPolicy") -> None:
         from ashlift.gatekeeper.streams.heads import Body, Framing, FramingError, declared_body
 
         try:
--- a/ashlift/gatekeeper/net/front/request.py
+++ b/ashlift/gatekeeper/net/front/request.py
@@ -1,4 +1,4 @@
-"""One request as it comes off the wire, and the job that it makes."""
+"""A client's HTTP request, and the job made from it."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
     from ashlift.gatekeeper.streams.heads import Body
     from ashlift.gatekeeper.streams.stream import Stream, StreamPolicy
 
-# Headers that mean something here: repeated, nobody can tell which one holds.
+# Headers that may not be repeated.
 SINGLE_VALUE_HEADERS = {
     b"x-qos",
     b"api-plan",
@@ -26,7 +26,7 @@
 
 
 class BadRequestError(Exception):
-    """What a client sent cannot be taken; carries the status to answer with, and when to come back."""
+    """An invalid request; carries the status of the response, and after what time to retry."""
 
     def __init__(self, status: HTTPStatus, retry_after_ms: float = 0.0) -> None:
         super().__init__(status)
@@ -35,24 +35,24 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """One request; `wrong` is what its sender gets instead of an answer.
+    """One request; `error` is the response to one that is invalid.
 
-    A streamed one is told of when its head is whole, any other when its body is: `whole` says so.
+    The reader passes on a streamed request when its head is complete, any other when its body is.
     """
 
     target: bytes = b""
     method: bytes = b""
     headers: dict[bytes, bytes] = field(default_factory=dict)
-    body: list[bytes] = field(default_factory=list)  # what has come, or of a streamed one what lies here
-    size: int = 0  # of the body so far
-    header_bytes: int = 0  # of the headers
-    http_minor: int = 1  # of HTTP/1.x
+    body: list[bytes] = field(default_factory=list)  # received and, if streamed, not yet forwarded
+    size: int = 0  # bytes of the body received so far
+    header_bytes: int = 0
+    http_minor: int = 1  # x of HTTP/1.x
     keep_alive: bool = True
     body_complete: bool = False
     head_complete: bool = False
     received_ms: float = 0.0
     error: BadRequestError | None = None
-    policy: "StreamPolicy | None" = None  # of a class that streams
+    policy: "StreamPolicy | None" = None  # set if the class of the request is streamed
     framing: "Body | None" = None
     stream: "Stream | None" = None
 
@@ -60,37 +60,42 @@
 def job_from_request(
     request: ClientRequest, names: Names, trace_ids: set[bytes], reply: Callable[[Answer], None]
 ) -> Job:
-    """What a request asks of the core; raises BadRequestError. `traces` are those of open jobs."""
+    """Make a job from a request; raises BadRequestError. `trace_ids`: those of open jobs."""
     headers = request.headers
-    kind = names.classes.get(headers.get(b"x-qos", b""))
-    first = request.target.split(b"?", 1)[0].split(b"/", 2)[1:2]
-    if not first or first[0] not in names.classes:
+    request_class = names.classes.get(headers.get(b"x-qos", b""))
+    class_segment = request.target.split(b"?", 1)[0].split(b"/", 2)[1:2]
+    if not class_segment or class_segment[0] not in names.classes:
         raise BadRequestError(HTTPStatus.NOT_FOUND)
     plan, trace_id = names.plans.get(headers.get(b"api-plan", b"")), headers.get(b"x-trace-id", b"")
-    if kind is None or names.classes[first[0]] != kind or plan is None or not trace_id:
+    if (
+        request_class is None
+        or names.classes[class_segment[0]] != request_class
+        or plan is None
+        or not trace_id
+    ):
         raise BadRequestError(HTTPStatus.BAD_REQUEST)
     try:
         customer = customer_name(headers[b"api-customer"].decode())
         time_left_ms = float(headers[b"x-expires-in"]) * 1000
-        listed = headers.get(b"api-terms", b"").split(b",")
-        terms = dict(part.strip().split(b"=", 1) for part in listed if part)
+        terms_parts = headers.get(b"api-terms", b"").split(b",")
+        terms = dict(part.strip().split(b"=", 1) for part in terms_parts if part)
         units, spread = float(terms.get(b"units", 1)), int(terms.get(b"spread", 1))
         start = int(terms.get(b"first", 0))
     except (ValueError, KeyError):
         raise BadRequestError(HTTPStatus.BAD_REQUEST) from None
-    in_set = 1 <= spread <= names.group_size and 0 <= start < names.group_size
-    if not (0 <= time_left_ms < 1e9 and 0 < units <= names.max_units and in_set):
+    spread_valid = 1 <= spread <= names.group_size and 0 <= start < names.group_size
+    if not (0 <= time_left_ms < 1e9 and 0 < units <= names.max_units and spread_valid):
         raise BadRequestError(HTTPStatus.BAD_REQUEST)
     if trace_id in trace_ids:
-        # Guards against a second copy at the nodes while the first is out.
+        # Guards against running a request twice at the same time.
         raise BadRequestError(HTTPStatus.CONFLICT)
     stream = request.stream
-    if stream is not None:  # so long for the answer's head; an upload before it has its own limits
+    if stream is not None:  # the time limit is for the head of the response: the upload has its own
         time_left_ms = min(time_left_ms, stream.policy.settings.head)
     body = b"".join(request.body) if stream is None else b""
     upstream_request = UpstreamRequest(request.method, request.target, trace_id, body, stream)
     return Job(
-        kind,
+        request_class,
         plan,
         customer,
         time_left_ms,
--- a/ashlift/gatekeeper/net/front/streaming.py
+++ b/ashlift/gatekeeper/net/front/streaming.py
@@ -1,7 +1,7 @@
-"""A client connection on which bodies are passed on as they arrive, both ways.
+"""A client connection that forwards request and response bodies as they arrive.
 
-The reader's greenlet fills a request's body into its passage once a claim stands, the writer's drains the
-answer's. Each side is timed where it is waited for; whatever ends a passage ends both.
+The reading greenlet puts the request body into the stream's upload pipe once an attempt is connected; the
+writing greenlet writes the response body from its download pipe. A fault on either side ends the stream.
 """
 
 import logging
@@ -31,20 +31,20 @@
     from ashlift.gatekeeper.streams.stream import Stream
 
 log = logging.getLogger("ashlift.streams")
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: what is closed then is reset
+RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER with which closing a socket resets the connection
 FAULT_BY_STATUS = {HTTPStatus.REQUEST_ENTITY_TOO_LARGE: Fault.REQUEST_TOO_LONG}
 FAULT_BY_LAG = {Lag.STALLED: Fault.CLIENT_STALLED, Lag.SLOW: Fault.CLIENT_SLOW}
 
 
 def progress_monitor(policy: StreamPolicy) -> ProgressMonitor:
-    """One side's record by its class's settings."""
+    """Create a monitor with the limits of a stream's class."""
     return ProgressMonitor(policy.settings.stall, policy.settings.least_rate, policy.settings.rate_span)
 
 
 def forward_response(
     sock: socket.socket, http_minor: int, opening: StreamedResponse, keep_alive: bool
 ) -> Fault | None:
-    """Write an answer to a client of HTTP/1.`minor` as it comes; why it could not be written whole."""
+    """Write a response to the client as it arrives; returns the fault that cut it short, if any."""
     stream, head = opening.stream, opening.head
     data, framing = head.render(http_minor, keep_alive)
     sink = Sink(sock, progress_monitor(stream.policy))
@@ -53,8 +53,8 @@
         if stream.download is not None:
             sink.drain(stream.download, framing is Framing.CHUNKED)
         return None
-    except AbortedError as broken:
-        fault = broken.fault
+    except AbortedError as error:
+        fault = error.fault
     except LagError as lag:
         fault = FAULT_BY_LAG[lag.lag]
     except OSError:
@@ -65,8 +65,11 @@
 
 
 def _close_incomplete(sock: socket.socket, framing: Framing, fault: Fault) -> None:
-    """Guards against a client that takes what came for the whole: a body whose end is the connection's is
-    reset, as is one whose client takes nothing; the others lack their end visibly."""
+    """End an incomplete response so that the client can tell.
+
+    A connection whose end would end the body is reset, and so is one whose client does not read. In the other
+    cases the length or the last chunk is missing.
+    """
     try:
         if framing is Framing.CLOSE or fault in FAULT_BY_LAG.values():
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
@@ -78,17 +81,17 @@
 
 
 class StreamConnection(Connection):
-    """One client connection; classes that do not stream are served as on any other."""
+    """A client connection with streaming enabled; other classes are served as by Connection."""
 
     def __init__(self, front: FrontContext, sock: socket.socket, registry: StreamRegistry) -> None:
         super().__init__(front, sock)
         self._registry, self.max_linger_bytes = registry, registry.settings.linger_bytes
         self._reader = RequestReader(self._mark_idle, self._on_request, registry.policy_for)
-        self._uploads: deque[ClientRequest] = deque()  # whose bodies are to be carried, in order
+        self._uploads: deque[ClientRequest] = deque()  # with bodies to forward, in order
         self._total_timer: Any = None
         self._started_at = 0.0
 
-    # ---- a request's body
+    # ---- request bodies
 
     def _read_once(self) -> bool:
         return self._forward_upload(self._uploads.popleft()) if self._uploads else super()._read_once()
@@ -102,7 +105,7 @@
                     HTTPStatus.SERVICE_UNAVAILABLE, self._registry.retry_after_ms()
                 )
                 if request.framing.framing is not Framing.NONE:
-                    # Guards against a body that is collected while its answer waits behind others.
+                    # Do not buffer the body while the error waits behind other responses.
                     request.keep_alive, self._discarding_input = False, True
             else:
                 request.stream.headers = select_headers(
@@ -123,7 +126,7 @@
         super()._process(request)
 
     def _forward_upload(self, request: ClientRequest) -> bool:
-        """Pass a request's body on, once it is wanted; whether to read on behind it."""
+        """Forward a request body once an attempt is ready for it; returns whether to read on after it."""
         stream = request.stream
         assert stream is not None and stream.upload is not None and request.framing is not None
         stream.upload_wanted.wait()
@@ -141,9 +144,8 @@
                 source.fill_parsed(stream.upload, partial(self._parse, request))
             stream.upload.end()
         except AbortedError:
-            self._discarding_input |= (
-                not request.body_complete
-            )  # answered, or about to be: the rest of the body is thrown away
+            # The request has been answered, or is about to be: discard the rest of its body.
+            self._discarding_input |= not request.body_complete
         except LagError as lag:
             self._abort_job(request, FAULT_BY_LAG[lag.lag])
         except BadRequestError as bad:
@@ -154,21 +156,21 @@
         return True
 
     def _take_buffered_body(self, request: ClientRequest) -> bytes:
-        """What of the body came with the head."""
-        lying, request.body = b"".join(request.body), []
-        return lying
+        """Return and clear the part of the body that has been parsed but not forwarded."""
+        body, request.body = b"".join(request.body), []
+        return body
 
     def _parse(self, request: ClientRequest, view: memoryview) -> tuple[bytes, bool]:
-        """What of the bytes that came is this request's body, and whether that ends it."""
+        """Parse input; returns the part that is body of this request, and whether the body is complete."""
         try:
             self._reader.feed(view)
         except BadRequestError as bad:
             if not request.body_complete:
                 raise
-            self._reject(bad)  # what cannot be read came behind it
+            self._reject(bad)  # invalid input after the body
         return self._take_buffered_body(request), request.body_complete
 
-    # ---- an answer's body
+    # ---- response bodies
 
     def _deliver(self, request: ClientRequest, answer: Any, keep_alive: bool) -> bool:
         if request.stream is None:
@@ -176,13 +178,13 @@
         if getattr(answer, "opening", None) is None:
             fault = None
             if isinstance(answer, BadRequestError):
-                fault = request.stream.fault  # none: nothing failed, it could not be taken
+                fault = request.stream.fault  # None: the request was refused
             elif answer.verdict is Verdict.FAILED:
                 fault = answer.cause or Fault.HEAD_TIMEOUT
                 answer = self._error_response(fault)
             self._record_end(request, "failed" if fault is not None else "refused", fault)
             return super()._deliver(request, answer, keep_alive)
-        # To a client of HTTP/1.0 a chunked body ends with the connection.
+        # To an HTTP/1.0 client, a body of unknown length ends with the connection.
         keep_alive = keep_alive and not (
             request.http_minor == 0 and answer.opening.head.body.framing is Framing.CHUNKED
         )
@@ -190,9 +192,9 @@
         if self._job is not None:
             self._front.inbox.put(ResponseDelivered(self._job, fault is None))
         if not self._disconnected:
-            left = "left" if fault is Fault.CLIENT_DISCONNECTED else "failed"
-            self._record_end(request, "served" if fault is None else left, fault)
-        # The end may have been asked for while the answer flowed: nobody would close this connection then.
+            outcome = "left" if fault is Fault.CLIENT_DISCONNECTED else "failed"
+            self._record_end(request, "served" if fault is None else outcome, fault)
+        # A drain may have begun in the meantime, and did not close this connection.
         return keep_alive and fault is None and not self._can_close()
 
     def _forward_response(
@@ -200,10 +202,10 @@
     ) -> Fault | None:
         return forward_response(self._sock, request.http_minor, opening, keep_alive)
 
-    # ---- ends
+    # ---- end of a stream
 
     def _abort_job(self, request: ClientRequest, fault: Fault) -> None:
-        """End a streamed job from this side, with one answer where none has begun."""
+        """End a streamed job, with an error response unless a response has begun."""
         job, stream = self._job, request.stream
         self._discarding_input |= not request.body_complete
         if stream is None or request is not self._current or job is None:
@@ -211,8 +213,8 @@
                 stream.abort(fault)
             return
         if job.response_started:
-            return stream.abort(fault)  # the writer sees it, and cuts
-        self._front.inbox.put(JobAbandoned(job))  # ahead of the claim's end: nothing is made again
+            return stream.abort(fault)  # the writer closes the connection
+        self._front.inbox.put(JobAbandoned(job))  # before the attempt ends, so that it is not retried
         stream.abort(fault)
         if fault.value.status is not None:
             self._responses.put((request, self._error_response(fault)))
@@ -251,7 +253,7 @@
             current.stream.close()
 
     def _record_end(self, request: ClientRequest, how: str, fault: Fault | None) -> None:
-        """Each stream is counted once, and told of in one line."""
+        """Count the end of a stream, and log it."""
         stream: Stream | None = request.stream
         assert stream is not None
         why = fault.label if fault is not None else "-"
--- a/ashlift/gatekeeper/net/long_response.py
+++ b/ashlift/gatekeeper/net/long_response.py
@@ -1,9 +1,9 @@
-"""A node's answer on the platform's path that is too long to hold: passed on as it comes.
+"""Forwards a node's response that is too long to buffer as it arrives, for classes that are not streamed.
 
-Loaded with the first such answer. The claim's greenlet takes a place at the desk, tells the owner of the
-head (`Headed`, as a streamed claim does: from then on the job has its one answer and nothing is made again)
-and fills the body into the place's pipe, which the client's connection drains at its own pace. An answer
-that ends with its connection goes to the client in chunks, so that its end can be told.
+Loaded with the first such response. The greenlet of the attempt opens a stream, reports the head to the
+owner (ResponseStarted: the final answer of the job, after which nothing is retried) and fills the download
+pipe, which the client's connection drains. A response that ends with its connection is sent to the client
+in chunks, so that its end can be recognized.
 """
 
 import contextlib
@@ -28,9 +28,9 @@
 from ashlift.gatekeeper.streams.pump import LagError, Source
 from ashlift.gatekeeper.streams.stream import StreamedResponse, StreamPolicy, StreamRegistry
 
-# A node that is slow but gives is not cut off: it may stall for longer than a client waits for a first byte.
+# The stall limit is longer than clients wait for the first byte: a slow node is not cut off.
 LONG_RESPONSE_POLICY = StreamPolicy(StreamClass(stall=4_000.0), REQUEST_HEADERS, RESPONSE_HEADERS)
-UNTIL_CLOSE = 1 << 62  # bytes wanted of a body that ends with its connection
+UNTIL_CLOSE = 1 << 62  # bytes to read of a body that ends with its connection
 FAULT_BY_LAG = {Lag.STALLED: Fault.NODE_STALLED, Lag.SLOW: Fault.NODE_SLOW}
 
 
@@ -43,10 +43,10 @@
     inbox: Inbox,
     metrics: Metrics,
 ) -> tuple[Result, bool]:
-    """Pass the rest of a long answer on; the claim's result, and whether its connection may be used again.
+    """Forward a long response; returns the result of the attempt, and whether its connection can be reused.
 
-    `reply` holds the head and what came of the body so far; `timer` is the claim's, which ends here: the
-    body is timed by its pace. Without a place at the desk the claim fails: it may have run.
+    `response` holds the head and the body so far. `timer`, that of the attempt, is stopped:
+    from here on only stalls are timed. The attempt fails, and may have run, if no stream can be opened.
     """
     timer.close()  # type: ignore[attr-defined]
     stream = registry.open_stream(LONG_RESPONSE_POLICY, Body(Framing.NONE))
@@ -67,10 +67,9 @@
             metrics.add("claims.spoilt")
         download.abort(fault)
         return (Result.CANCELLED if attempt.cancelled else fault.value.result), False
-    keep = (
-        response.keep_alive if response.done else response.head_keep_alive
-    )  # a body of known length went by the parser
-    return Result.OK, keep and not response.ends_with_connection
+    # A body of known length was not read by the parser, which is then not done.
+    reusable = response.keep_alive if response.done else response.head_keep_alive
+    return Result.OK, reusable and not response.ends_with_connection
 
 
 def _fill(sock: object, response: HttpResponse, download: Pipe) -> None:
@@ -93,7 +92,7 @@
 
         source.fill_parsed(download, read)
     elif not response.done:
-        with contextlib.suppress(SourceEndedError):  # its end
+        with contextlib.suppress(SourceEndedError):  # the end of the body
             source.fill(download, UNTIL_CLOSE)
     download.end()
 
--- a/ashlift/gatekeeper/net/machine_list.py
+++ b/ashlift/gatekeeper/net/machine_list.py
@@ -62,7 +62,7 @@
     def apply_update(self, update: dict[str, Any]) -> None:
         """Apply an update from discovery.
 
-        The list changes before the owner hears of it, so that an attempt that is about to be sent sees a drain.
+        The list changes before the owner hears of it, so that an attempt about to be sent sees a drain.
         """
         entries = [self._with_manual_drain(self._parse_entry(row)) for row in update["instances"]]
         index, complete = int(update["generation"]), bool(update.get("reset", False))
--- a/ashlift/gatekeeper/net/stream_attempt.py
+++ b/ashlift/gatekeeper/net/stream_attempt.py
@@ -1,7 +1,7 @@
-"""One claim whose bodies are passed on as they arrive: the node's side of a passage.
+"""An attempt whose request and response bodies are forwarded as they arrive.
 
-This greenlet writes the head and reads the answer; a second one carries the request's body meanwhile, so
-that an answer that comes early is seen. Both end with the claim.
+The greenlet of the attempt writes the head of the request and reads the response. A second one writes the
+body meanwhile, so that a response sent before the end of the body is noticed. Both end with the attempt.
 """
 
 from collections.abc import Callable
@@ -35,11 +35,11 @@
 from ashlift.gatekeeper.streams.stream import Stream, StreamedResponse
 
 FAULT_BY_LAG = {Lag.STALLED: Fault.NODE_STALLED, Lag.SLOW: Fault.NODE_SLOW}
-MAX_FRAMING_RATIO = 16  # bytes of framing for each byte of a body, beyond HEAD_MOST: tiny chunks, no more
+MAX_FRAMING_RATIO = 16  # bytes of chunk framing per byte of the body; permits tiny chunks
 
 
 class FaultError(Exception):
-    """The claim fails; carries why."""
+    """The attempt fails; carries the fault."""
 
     def __init__(self, fault: Fault) -> None:
         super().__init__(fault.label)
@@ -47,19 +47,19 @@
 
 
 class StreamedResponseReader:
-    """Reads one answer's head, and its body where a parser must find the end. 1xx answers are passed over."""
+    """Parses the head of a response, and its body if that is chunked. 1xx responses are skipped."""
 
     def __init__(self, method: bytes, longest: int) -> None:
         self._method, self._longest = method, longest
         self.headers: Headers = []
         self.status = self.size = self._bytes_fed = 0
-        self.body: Body | None = None  # once the head is whole
+        self.body: Body | None = None  # set when the head is complete
         self.done = self.keep_alive = self.never_ran = self.exceeds_limit = False
         self._parts: list[bytes] = []
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Raises SpoiltAnswerError."""
+        """Parse input; raises MalformedResponseError."""
         self._bytes_fed += len(data)
         try:
             self._parser.feed_data(data)
@@ -68,23 +68,23 @@
             if not self.done:
                 raise MalformedResponseError(str(error)) from None
         if not self.done and self._bytes_fed - self.size > MAX_HEAD_BYTES + MAX_FRAMING_RATIO * self.size:
-            raise MalformedResponseError("no end")
+            raise MalformedResponseError("response head or framing over the size limit")
 
     def take_body(self) -> bytes:
-        """What of the body has been read since this was last asked."""
+        """Return the part of the body read since the last call."""
         taken, self._parts = b"".join(self._parts), []
         return taken
 
-    # httptools calls these
+    # Callbacks of httptools
 
     def on_message_begin(self) -> None:
         if self.done:
-            self.keep_alive = False  # something came behind it
+            self.keep_alive = False  # another message follows
         else:
             self.headers = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.body is None and not self.done:  # no trailers
+        if self.body is None and not self.done:  # ignores trailers
             self.headers.append((name.lower(), value.strip()))
 
     def on_headers_complete(self) -> None:
@@ -100,7 +100,7 @@
 
     def on_body(self, body: bytes) -> None:
         if self.done:
-            self.keep_alive = False  # of a HEAD's answer that has a body all the same
+            self.keep_alive = False  # the response to a HEAD request has a body, wrongly
             return
         self.size += len(body)
         self.exceeds_limit |= self.size > self._longest
@@ -112,7 +112,7 @@
 
 
 class StreamAttempt:
-    """One attempt to pass a job's bodies on. `timer` is the claim's, for all until its answer's head."""
+    """One attempt at a streamed job. `timer`: that of the attempt, which ends with the response head."""
 
     def __init__(
         self, attempt: Attempt, sock: Any, timer: Any, clock: Clock, inbox: Inbox, metrics: Metrics
@@ -123,18 +123,18 @@
         assert self._upstream_request.stream is not None
         self._stream: Stream = self._upstream_request.stream
         self._started_at = clock.now()
-        self._head_timer: Any = None  # the timer of the answer's head behind an upload
-        self._fault: Fault | None = None  # that another greenlet found
+        self._head_timer: Any = None  # limits the wait for the response after an upload
+        self._fault: Fault | None = None  # set by another greenlet
 
-    def run(self, address: tuple[str, int], left_ms: float) -> tuple[Result, bool]:
-        """Result, and whether the connection may be used again."""
+    def run(self, address: tuple[str, int], time_left_ms: float) -> tuple[Result, bool]:
+        """Run the attempt; returns its result, and whether the connection can be reused."""
         stream, sender = self._stream, None
         abort_callback = self._fail
         stream.abort_callbacks.add(abort_callback)
         try:
             if stream.fault is not None:
                 return Result.CANCELLED, False
-            self._sock.sendall(self._render_head(address, left_ms))
+            self._sock.sendall(self._render_head(address, time_left_ms))
             if stream.upload is None:
                 self._attempt.written = True
                 self._metrics.add(RELAYED)
@@ -152,7 +152,7 @@
             if sender is not None:
                 sender.kill()
 
-    def _render_head(self, address: tuple[str, int], left_ms: float) -> bytes:
+    def _render_head(self, address: tuple[str, int], time_left_ms: float) -> bytes:
         upstream_request, stream = self._upstream_request, self._stream
         host = b"%b:%d" % (address[0].encode(), address[1])
         framing = framing_header(stream.body)
@@ -163,24 +163,24 @@
             upstream_request.target,
             host,
             upstream_request.trace_id,
-            max(0.001, left_ms / 1000),
+            max(0.001, time_left_ms / 1000),
             render_headers(stream.headers),
             framing,
         )
 
-    # ---- the request's body
+    # ---- request body
 
     def _send_body(self, upload: Pipe) -> None:
-        """Pass the body on. Where the node takes no more, its answer may lie there: the reader sees to it."""
+        """Write the body. If the node stops reading it, the reading greenlet may find an early response."""
         policy = self._stream.policy.settings
         sink = Sink(self._sock, ProgressMonitor(policy.stall, policy.least_rate, policy.rate_span))
         self._stream.upload_wanted.set()
         try:
             first = upload.get()
             if first is not None:
-                # Ahead of the first byte: from here on the module knows that it cannot be sent again.
+                # Before the first byte is sent: from here on the gateway does not retry the request.
                 self._inbox.put(RequestBodyStarted(self._attempt.job.number, self._attempt.index))
-                self._timer.close()  # an upload has its own limits
+                self._timer.close()  # uploads have limits of their own
                 upload.push_front(first)
             sink.drain(upload, self._stream.body.framing is Framing.CHUNKED)
         except AbortedError as error:
@@ -198,12 +198,12 @@
             self._head_timer = self._clock.call_later(policy.head, self._fail, Fault.HEAD_TIMEOUT)
 
     def _fail(self, fault: Fault | None = None) -> None:
-        """End the claim from another greenlet."""
+        """End the attempt from another greenlet."""
         if self._fault is None:
             self._fault = fault or self._stream.fault
         self._attempt.close()
 
-    # ---- the answer
+    # ---- response
 
     def _read_head(self, response: StreamedResponseReader) -> None:
         while response.body is None:
@@ -219,20 +219,20 @@
         attempt, body, stream = self._attempt, response.body, self._stream
         assert body is not None
         attempt.elapsed_ms = self._clock.now() - self._started_at
-        early = stream.upload is not None and not attempt.written
+        responded_early = stream.upload is not None and not attempt.written
         if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             never_ran = response.never_ran and response.status in (503, 504)
             attempt.cause = Fault.NODE_ERROR
             return (
                 Result.OVERLOADED if never_ran else Result.ERROR
-            ), response.keep_alive and response.done and not early
+            ), response.keep_alive and response.done and not responded_early
         if body.framing is Framing.CLOSE:
-            raise MalformedResponseError("an answer that does not say where it ends")
+            raise MalformedResponseError("response without a length")
         if response.exceeds_limit:
-            # Another node would say the same: nothing is made again.
+            # Not retried: the response of another node would be as long.
             self._inbox.put(RequestBodyStarted(attempt.job.number, attempt.index))
             raise FaultError(Fault.RESPONSE_TOO_LONG)
-        if early:
+        if responded_early:
             stream.stop_upload(Fault.EARLY_RESPONSE)
         content_length = next((v for n, v in response.headers if n == b"content-length"), None)
         head = Head(
@@ -245,7 +245,7 @@
         opening = StreamedResponse(head, stream)
         self._inbox.put(ResponseStarted(attempt.job.number, attempt.index, opening))
         self._fill(response, download, body)
-        return Result.OK, response.keep_alive and not early
+        return Result.OK, response.keep_alive and not responded_early
 
     def _fill(self, response: StreamedResponseReader, download: Pipe, body: Body) -> None:
         policy = self._stream.policy.settings
@@ -267,7 +267,7 @@
         return read
 
     def _classify_failure(self, error: BaseException) -> Result:
-        """Name what broke, break the answer off where it flows, and say what the module is told."""
+        """Determine the fault, abort the response if it is being forwarded, and return the result."""
         attempt, fault = self._attempt, self._fault
         if fault is None and attempt.cancelled:
             fault = self._stream.fault or Fault.WITHDRAWN
@@ -291,5 +291,5 @@
             self._stream.download.abort(fault)
         if attempt.cancelled or fault.value.result is Result.CANCELLED:
             return Result.CANCELLED
-        ran = attempt.written or self._stream.download is not None
-        return fault.value.result if ran else Result.CONNECT_FAILED
+        may_have_run = attempt.written or self._stream.download is not None
+        return fault.value.result if may_have_run else Result.CONNECT_FAILED
