--- a/ashlift/gatekeeper/__init__.py
+++ b/ashlift/gatekeeper/__init__.py
@@ -1,1 +1,1 @@
-"""The gatekeeper in service: the decisions of `admission` on real sockets."""
+"""The gatekeeper process: runs the decisions of `admission` on real sockets."""
--- a/ashlift/gatekeeper/__main__.py
+++ b/ashlift/gatekeeper/__main__.py
@@ -1,4 +1,4 @@
-"""The real gatekeeper: wiring, signals and the end. `python -m ashlift.gatekeeper`."""
+"""The gatekeeper process: construction, signals and shutdown. `python -m ashlift.gatekeeper`."""
 
 import gc
 import logging
@@ -34,18 +34,18 @@
     from ashlift.gatekeeper.streams.stream import StreamRegistry
 
 log = logging.getLogger("ashlift")
-GRACE_S = 0.7  # after SIGTERM new connections and requests keep coming for about so long
-CUT_S = 0.3  # and streams that are cut then have so long to end
-DRAIN_S = 3.2  # then what is taken is answered, for as long as the longest deadline lasts
+GRACE_PERIOD_S = 0.7  # after SIGTERM, for which clients still send new requests
+DRAIN_TIMEOUT_S = 3.2  # after the grace period, for open requests; as long as the longest deadline
+ABORT_TIMEOUT_S = 0.3  # after the drain, for aborted streams
 
 
 class Gatekeeper:
-    """The parts of one gatekeeper, put together."""
+    """Constructs the parts of a gatekeeper, starts and stops them."""
 
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
         self.config, self.metrics, self.clock = config, Metrics(), clock or UnixClock()
-        numbered = config.names.classes
-        classes = tuple(name.decode() for name in sorted(numbered, key=lambda name: numbered[name]))
+        class_numbers = config.names.classes
+        classes = tuple(name.decode() for name in sorted(class_numbers, key=lambda name: class_numbers[name]))
         self.owner = Owner(Gateway(config.settings, config.seed), self.clock, self.metrics, classes)
         inbox = self.owner.inbox
         self.machines = MachineList(config.discovery, config.zones, inbox, self.metrics)
@@ -62,23 +62,25 @@
         self.counter: TextCounter | None = None
         self.ratelimit: RateLimitFront | None = None
         port: Counter | None = None
-        serving, asking = config.own.ratelimit.server, config.own.ratelimit.client
-        if serving.listen or asking.address:  # loaded only when on: gRPC takes 20 MB and threads of its own
+        rate_limit_server, rate_limit_client = config.own.ratelimit.server, config.own.ratelimit.client
+        if (
+            rate_limit_server.listen or rate_limit_client.address
+        ):  # loaded only if enabled: gRPC takes 20 MB and starts threads
             from ashlift.gatekeeper.ratelimit.bridge import Bridge
 
             bridge = Bridge()
-        if serving.listen:
+        if rate_limit_server.listen:
             from ashlift.gatekeeper.ratelimit import server
 
             self.ratelimit = server.RateLimitFront(
-                serving.domain, config.names, bridge, self.clock, inbox, self.metrics
+                rate_limit_server.domain, config.names, bridge, self.clock, inbox, self.metrics
             )
-        if asking.address and config.settings.counter_enabled:
+        if rate_limit_client.address and config.settings.counter_enabled:
             from ashlift.gatekeeper.ratelimit.client import GrpcCounter
 
             port = GrpcCounter(
-                asking.address,
-                asking.domain,
+                rate_limit_client.address,
+                rate_limit_client.domain,
                 config.settings.counter_timeout_ms,
                 bridge,
                 self.clock,
@@ -100,11 +102,11 @@
             self.metrics,
             self.stream_registry,
         )
-        # The operators' door, where the configuration names one; what is out by hand passes through TMPDIR.
+        # The management interface, if configured. Manual drains are stored in a file in TMPDIR.
         self.door = Door(inbox, self.metrics) if config.mgmt is not None else None
         folder = Path(tempfile.gettempdir())
         self.hands = HandStore(folder / f"ashlift-{config.name}.handouts.json", config.name)
-        # Where the socket is inherited a successor may run beside this process: they split the ceilings.
+        # With an inherited socket, a successor may run at the same time: the processes split the ceilings.
         self.marks = Marks(folder, config.name) if config.inherited_fd is not None else None
         self.operator = Operator(
             config.name,
@@ -123,7 +125,7 @@
         self._door: gevent.socket.socket | None = None
 
     def _create_stream_registry(self) -> "StreamRegistry | None":
-        """Where streams get their places, if the settings turn them on: nothing is loaded for them else."""
+        """Create the registry of streams if streaming is enabled; else its modules are not loaded."""
         streaming = self.config.own.streaming
         if not streaming.enabled:
             return None
@@ -141,8 +143,8 @@
         return stream_registry
 
     def start(self) -> tuple[str, int]:
-        """Listen and run; the address is told for where the port was left open."""
-        if self.door is not None:  # what a process before this one took out stays out
+        """Start listening and all greenlets; returns the address, which has the port chosen for port 0."""
+        if self.door is not None:  # manual drains made by earlier processes
             self.machines.adopt(self.hands.load(), self.clock.now())
         if self.config.known.get("instances"):
             self.machines.apply_update(self.config.known | {"reset": True})
@@ -154,14 +156,16 @@
         self._running = [gevent.spawn(part.run) for part in parts]
         self._running.append(gevent.spawn(self.front.run, self._listener))
         if self.marks is not None:
-            share = self.owner.inbox.put
+            inbox_put = self.owner.inbox.put
             self._running.append(
-                gevent.spawn(self.marks.run, lambda parts: share(ProcessCountChanged(parts)))
+                gevent.spawn(self.marks.run, lambda count: inbox_put(ProcessCountChanged(count)))
             )
         if self.door is not None and self._door is not None:
             self._running.append(gevent.spawn(self.door.run, self._door))
-            told = self.owner.inbox.put
-            self._running.append(gevent.spawn(self.hands.run, lambda out: told(ManualDrainsChanged(out))))
+            inbox_put = self.owner.inbox.put
+            self._running.append(
+                gevent.spawn(self.hands.run, lambda out: inbox_put(ManualDrainsChanged(out)))
+            )
         if self.ratelimit is not None:
             self.ratelimit_port = self.ratelimit.listen(self.config.own.ratelimit.server.listen)
         host, port = self._listener.getsockname()
@@ -169,13 +173,15 @@
         return host, port
 
     def reload(self) -> None:
-        """Take the addresses of discovery and counter from the file anew. Jobs, quotas and the machine list
-        stay; so do all settings where the file cannot be right."""
+        """Reload the addresses of discovery and of the counter from the settings file.
+
+        Jobs, quotas and the machine list are kept. If the file is invalid, all settings are kept.
+        """
         try:
             config = load_anew()
         except ConfigError as error:
             self.metrics.add("reloads.refused")
-            log.error("reload: %s; the settings stay", error)
+            log.error("reload: %s; keeping the current settings", error)
             return
         self.metrics.add("reloads")
         self.machines.change_address(config.discovery)
@@ -183,23 +189,23 @@
             self.counter.change_address(config.counter)
         log.info("reload: discovery %s:%d, counter %s", *config.discovery, config.counter)
 
-    def stop(self, grace_s: float = GRACE_S) -> None:
-        """Go on for the grace, for clients hear late of a restart; answer what is taken; then end."""
+    def stop(self, grace_s: float = GRACE_PERIOD_S) -> None:
+        """Serve new requests for the grace period, answer those that are open, and stop."""
         self.life.stopping()
         gevent.sleep(grace_s)
         if self._listener is not None:
-            if self.config.inherited_fd is None:  # else whoever shares the socket accepts them
+            if self.config.inherited_fd is None:  # else the successor accepts them
                 self.front.accept_backlog(self._listener)
             self._listener.close()
         self.front.close()
-        end = self.clock.now() + 1000 * DRAIN_S
+        end = self.clock.now() + 1000 * DRAIN_TIMEOUT_S
         if self.ratelimit is not None:
-            self.ratelimit.close(DRAIN_S)
+            self.ratelimit.close(DRAIN_TIMEOUT_S)
         while (self.front.open_count or self.owner.unanswered) and self.clock.now() < end:
             self.front.close_idle()
             gevent.sleep(0.02)
         self.front.abort_streams()
-        end = self.clock.now() + 1000 * CUT_S
+        end = self.clock.now() + 1000 * ABORT_TIMEOUT_S
         while self.front.open_count and self.clock.now() < end:
             gevent.sleep(0.02)
         gevent.killall(self._running)
@@ -211,7 +217,7 @@
 
 
 def main() -> int:
-    """Run one gatekeeper to its end; the exit code."""
+    """Run a gatekeeper until it is told to stop; returns the exit status."""
     try:
         config = load()
     except ConfigError as error:
@@ -220,28 +226,28 @@
     logs.set_up(config.own.logging)
     gatekeeper = Gatekeeper(config)
     gc.collect()
-    gc.freeze()  # what is loaded stays: collections look at jobs only
-    told = Event()
+    gc.freeze()  # excludes what is loaded so far from garbage collections
+    stop_requested = Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, told.set)
+        gevent.signal_handler(number, stop_requested.set)
     gevent.signal_handler(signal.SIGHUP, gatekeeper.reload)
     gevent.signal_handler(signal.SIGUSR1, gatekeeper.metrics.dump, "SIGUSR1")
     try:
         gatekeeper.start()
-    except (OSError, RuntimeError) as error:  # gRPC says it with the latter
-        where = f"GW_INHERITED_FD {config.inherited_fd}" if config.inherited_fd is not None else "GW_LISTEN"
-        print(f"ashlift: cannot listen: {where}: {error}", file=sys.stderr)
+    except (OSError, RuntimeError) as error:  # gRPC raises the latter
+        setting = f"GW_INHERITED_FD {config.inherited_fd}" if config.inherited_fd is not None else "GW_LISTEN"
+        print(f"ashlift: cannot listen: {setting}: {error}", file=sys.stderr)
         return 1
-    told.wait()
+    stop_requested.wait()
     gatekeeper.stop()
     gatekeeper.metrics.dump("exit")
     return 0
 
 
 def run() -> int:
-    """The daemon, or the command line if there are arguments. Returns the exit status."""
+    """Run the command line if there are arguments, else the daemon. Returns the exit status."""
     if len(sys.argv) > 1:
-        from ashlift.gatekeeper.cli import ashlift  # click: loaded where there is a command line to read
+        from ashlift.gatekeeper.cli import ashlift  # loads click, which the daemon does not need
 
         ashlift(prog_name="ashlift")
     return main()
--- a/ashlift/gatekeeper/clock.py
+++ b/ashlift/gatekeeper/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the real program, and gevent's timers."""
+"""The clock of the gatekeeper process, with timers of gevent."""
 
 import time
 from collections.abc import Callable
@@ -8,11 +8,10 @@
 
 
 class UnixClock:
-    """Unix time in ms that never steps: read from the wall once, then carried on by the monotonic clock.
+    """Unix time in ms that never steps: the wall clock at the start, continued by the monotonic clock.
 
-    Guards against gatekeepers that disagree on the time: names of counts are made of the module's time, so
-    a clock that began at each gatekeeper's own start would have every one of them count by itself. It also
-    makes a node's `startedAtMs` a time of this clock as it stands.
+    All gatekeepers must agree on the time, as the keys of the shared counter are derived from it. It is also
+    comparable with the `startedAtMs` of nodes.
     """
 
     def __init__(self) -> None:
--- a/ashlift/gatekeeper/metrics.py
+++ b/ashlift/gatekeeper/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of what the gatekeeper takes in, sends and answers."""
+"""Counters of the gatekeeper."""
 
 import sys
 from collections import Counter
@@ -6,7 +6,7 @@
 
 
 class Metrics:
-    """Plain counts by name; printed on SIGUSR1 and at exit."""
+    """Counts by name; printed on SIGUSR1 and at exit."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
--- a/ashlift/gatekeeper/streams/__init__.py
+++ b/ashlift/gatekeeper/streams/__init__.py
@@ -1,7 +1,6 @@
-"""Bodies passed on as they arrive, both ways, in bounded memory, whichever side is slower.
+"""Streaming: request and response bodies are forwarded as they arrive, in bounded memory.
 
-Pure, tested without sockets: `budget` (who may hold how many bytes), `pace` (who is waited for, and for how
-long still), `faults` (what may go wrong, and what follows), `heads` (which headers pass, and how a body is
-framed). Greenlets: `pipe` (bytes on their way), `passage` (one job's two bodies and the one fault that ends
-both). Sockets: `pump`. Loaded only where the settings turn streaming on.
+Without I/O: `budget` (memory of each stream), `progress` (detects slow peers), `faults` (why streams end)
+and `heads` (headers and body framing). With greenlets: `pipe` (transfers one body) and `stream` (the two
+bodies of a job). With sockets: `pump`. Loaded only if streaming is enabled, or for the first long response.
 """
--- a/ashlift/gatekeeper/streams/faults.py
+++ b/ashlift/gatekeeper/streams/faults.py
@@ -1,4 +1,4 @@
-"""What may go wrong with a stream, and what follows: one table for the code and the operators' page."""
+"""The faults that can end a stream, and their effects."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,17 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultEffects:
-    """What a fault leads to. `status` is what the client gets where the answer's head has not gone out (None:
-    nobody is there to read one); after it the answer is cut. `result` is what the module is told of the claim
-    once the request is written whole: before that, it never ran."""
+    """Effects of a fault."""
 
     name: str
-    status: HTTPStatus | None
-    result: Result
+    status: HTTPStatus | None  # of the response if none has begun, else that is cut short; None: no response
+    result: Result  # of the attempt if its request was written completely, else it was not run
 
 
 class Fault(Enum):
-    """Each has a stable name: in the log line, and in the counter `streams.failed.NAME`."""
+    """Why a stream ended. The labels are stable: they appear in the log and in `streams.failed.*` metrics."""
 
     CLIENT_DISCONNECTED = FaultEffects("client_left", None, Result.CANCELLED)
     CLIENT_STALLED = FaultEffects("client_stalled", HTTPStatus.REQUEST_TIMEOUT, Result.CANCELLED)
@@ -36,7 +34,7 @@
     TOTAL_TIMEOUT = FaultEffects("overtime", HTTPStatus.GATEWAY_TIMEOUT, Result.CANCELLED)
     SHUTDOWN = FaultEffects("shutdown", HTTPStatus.SERVICE_UNAVAILABLE, Result.CANCELLED)
     WITHDRAWN = FaultEffects("withdrawn", HTTPStatus.BAD_GATEWAY, Result.CANCELLED)
-    # Not failures: the body that came in is not wanted any more.
+    # Not failures: the rest of the request body is not needed.
     EARLY_RESPONSE = FaultEffects("early_answer", None, Result.OK)
     FINISHED = FaultEffects("answered", None, Result.CANCELLED)
 
@@ -46,7 +44,7 @@
 
 
 class AbortedError(Exception):
-    """A body was broken off; carries why."""
+    """The transfer of a body was aborted; carries the fault."""
 
     def __init__(self, fault: Fault) -> None:
         super().__init__(fault.label)
--- a/ashlift/gatekeeper/streams/heads.py
+++ b/ashlift/gatekeeper/streams/heads.py
@@ -1,7 +1,6 @@
-"""Heads of streamed messages: how a body is framed, which headers pass, and the bytes of a head. Pure.
+"""Heads of streamed messages: body framing, the headers to forward, and rendering. No I/O.
 
-Trailers are dropped on both legs: the fields they may hold are read from heads only, and a recipient may
-discard them (RFC 9110, section 6.5.1).
+Trailers are dropped in both directions, as a recipient may do (RFC 9110, section 6.5.1).
 """
 
 from collections.abc import Iterable
@@ -11,7 +10,8 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# What describes a body or how to ask for one: the settings can widen these, never by hop-by-hop headers.
+# Headers that are forwarded: those that describe a body or a request for one. The settings can add others,
+# except hop-by-hop headers.
 REQUEST_HEADERS = frozenset(
     {
         b"accept",
@@ -49,30 +49,30 @@
 
 
 class Framing(Enum):
-    """How the end of a body is told."""
+    """How the end of a body is marked."""
 
-    NONE = "none"  # there is no body
+    NONE = "none"  # no body
     LENGTH = "length"
     CHUNKED = "chunked"
-    CLOSE = "close"  # by the connection's end: nobody can tell whether it is whole
+    CLOSE = "close"  # by the end of the connection: a truncated body is not recognized
 
 
 @dataclass(frozen=True, slots=True)
 class Body:
-    """What a head says of the body behind it; `length` is that of Framing.LENGTH."""
+    """The framing of a body; `length` is valid for Framing.LENGTH."""
 
     framing: Framing
     length: int = 0
 
 
 class FramingError(Exception):
-    """A head that does not say where its body ends, or says it in two ways."""
+    """A head with an invalid or contradictory framing of the body."""
 
 
 def declared_body(headers: Headers) -> Body | None:
-    """The body that a head announces, by its own words (RFC 9112, section 6.3); None: it says nothing.
+    """Return the body that a head declares (RFC 9112, section 6.3), or None if it declares none.
 
-    The parser has refused doubled lengths before, and both ways at once in a request; not so in an answer.
+    Contradictions must be found here: the parser rejects them in requests, but not in all responses.
     """
     length: int | None = None
     chunked = False
@@ -93,24 +93,24 @@
 
 
 def response_body(method: bytes, status: int, headers: Headers) -> Body:
-    """How an answer's body ends. A HEAD's, a 204 and a 304 have none, whatever their heads say."""
+    """Return the body of a response. Those to HEAD, 204 and 304 have none, whatever their heads declare."""
     if method == b"HEAD" or status in (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED):
         return Body(Framing.NONE)
     return declared_body(headers) or Body(Framing.CLOSE)
 
 
 def select_headers(headers: Headers, allowed: frozenset[bytes]) -> Headers:
-    """Those that pass. Names are lower case."""
+    """Return the headers with allowed names. Names are in lower case."""
     return [(name, value) for name, value in headers if name in allowed]
 
 
 def render_headers(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """Header lines. The parser took these values off the wire one by one: none holds a line's end."""
+    """Render header lines. The values come from a parser and contain no line breaks."""
     return b"".join(b"%b: %b\r\n" % (name, value) for name, value in headers)
 
 
 def framing_header(body: Body) -> bytes:
-    """The header that tells where a body ends."""
+    """Render the header that declares a body."""
     if body.framing is Framing.CHUNKED:
         return b"Transfer-Encoding: chunked\r\n"
     return b"Content-Length: %d\r\n" % body.length if body.framing is Framing.LENGTH else b""
@@ -118,16 +118,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The head of a node's answer, as far as it passes on."""
+    """The forwarded part of the head of a node's response."""
 
     status: int
     headers: Headers
     body: Body
-    content_length: bytes | None = None  # the Content-Length of an answer that has no body: of a HEAD
+    content_length: bytes | None = None  # of a response to HEAD, which has no body
 
     def render(self, http_minor: int, keep_alive: bool) -> tuple[bytes, Framing]:
-        """The bytes for a client of HTTP/1.`minor`, and how the body goes to it: to one of HTTP/1.0 a chunked
-        body goes as it is and ends with the connection."""
+        """Render the head for a client of HTTP/1.`http_minor`; returns it and the framing of the body.
+
+        To an HTTP/1.0 client, a chunked body is sent without chunks and ends with the connection.
+        """
         framing = self.body.framing
         if framing is Framing.CHUNKED and http_minor == 0:
             framing, keep_alive = Framing.CLOSE, False
@@ -142,6 +144,11 @@
             length = b"Content-Length: %b\r\n" % self.content_length
         elif framing is Framing.NONE and self.status not in (204, 304):
             length = b"Content-Length: 0\r\n"
-        end = b"" if keep_alive else b"Connection: close\r\n"
-        first = b"HTTP/1.1 %d %b\r\n" % (self.status, phrase.encode())
-        return b"%b%b%b%b\r\n" % (first, render_headers(self.headers), length, end), framing
+        connection_header = b"" if keep_alive else b"Connection: close\r\n"
+        status_line = b"HTTP/1.1 %d %b\r\n" % (self.status, phrase.encode())
+        return b"%b%b%b%b\r\n" % (
+            status_line,
+            render_headers(self.headers),
+            length,
+            connection_header,
+        ), framing
--- a/ashlift/gatekeeper/streams/pipe.py
+++ b/ashlift/gatekeeper/streams/pipe.py
@@ -1,4 +1,4 @@
-"""Bytes on their way from one connection to another: one direction of one stream, held to its budget."""
+"""Transfers a body between the greenlets of two connections, in buffers from a common budget."""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,15 +8,15 @@
 from ashlift.gatekeeper.streams.budget import Budget, Share
 from ashlift.gatekeeper.streams.faults import AbortedError, Fault
 
-PEER_CHECK_INTERVAL_S = 0.05  # between two looks at a source that waits for room
+PEER_CHECK_INTERVAL_S = 0.05  # while the source waits for a buffer
 
 
 class SourceEndedError(Exception):
-    """The source ended before its body did."""
+    """The connection ended before the body was complete."""
 
 
 class Buffer:
-    """A leased buffer of `size` bytes; from `start` to `end` there is something to pass on."""
+    """A buffer of `size` bytes, which holds data from `start` to `end`."""
 
     __slots__ = ("end", "size", "start", "view")
 
@@ -25,12 +25,12 @@
 
 
 class BufferPool:
-    """The budget, and buffers that are used again: making one anew costs as much as filling it."""
+    """The budget of all pipes, and free buffers for reuse: allocating one costs as much as filling it."""
 
     def __init__(self, total: int, window: int, max_shares: int) -> None:
         self.budget, self.window = Budget(total, max_shares), window
         self._free: dict[int, list[Buffer]] = {}
-        self._free_bytes = 0  # bytes in free buffers
+        self._free_bytes = 0
         self.pipes: dict[Share, Pipe] = {}
 
     def take(self, size: int) -> Buffer:
@@ -42,23 +42,22 @@
         return free.pop()
 
     def recycle(self, buffer: Buffer) -> None:
-        """Guards against memory beyond the budget: free buffers and held bytes together stay within it."""
+        """Keep a buffer for reuse, if free and held buffers together stay within the budget."""
         if self._free_bytes + buffer.size + self.budget.held <= self.budget.total:
             self._free_bytes += buffer.size
             self._free.setdefault(buffer.size, []).append(buffer)
 
     def _trim(self, size: int) -> None:
-        """Let free buffers of other sizes go where a new one would not fit beside them."""
+        """Drop free buffers until free and held buffers together are within the budget."""
         for free in self._free.values():
             while free and self._free_bytes + self.budget.held > self.budget.total:
                 self._free_bytes -= free.pop().size
 
 
 class Pipe:
-    """A source's greenlet leases, fills and puts slices; a sink's greenlet gets them and gives them back.
+    """One direction of a stream: the source acquires and puts buffers, the sink gets and releases them.
 
-    Waits here have no limit of their own: the side that holds the other up is timed at its socket, and
-    `break_off` wakes both.
+    Waits have no timeouts: the slower peer is timed at its socket, and `abort` wakes both greenlets.
     """
 
     def __init__(self, pool: BufferPool) -> None:
@@ -68,28 +67,28 @@
         self._space_freed, self._data_added = Event(), Event()
         self.ended = False
         self.fault: Fault | None = None
-        # What an idle sink takes at once, without its greenlet: a switch costs more than the copy.
+        # Writes to an idle sink from the source's greenlet, which saves a switch of greenlets.
         self.write_directly: Callable[[memoryview], int] | None = None
-        self._idle = False  # the sink's greenlet waits for something to do
+        self._idle = False  # the sink waits for data
         self.put_bytes = self.got_bytes = 0
 
     @property
     def held(self) -> int:
-        """Bytes of the budget that are leased here."""
+        """Bytes of the budget that this pipe holds."""
         return self._share.held
 
     @property
     def untouched(self) -> bool:
-        """Whether nothing has been got yet."""
+        """Whether the sink has taken nothing yet."""
         return self.got_bytes == 0
 
-    # ---- the source's side
+    # ---- source
 
     def acquire(self, wanted_bytes: int, peer_closed: Callable[[], bool] | None = None) -> Buffer:
-        """A buffer for up to `want` bytes; waits for one. Raises BrokenOffError.
+        """Wait for a buffer for up to `wanted_bytes`. Raises AbortedError.
 
-        Nobody reads while it waits, and so nobody sees the source end: `gone` is asked now and then, and
-        EndedError raised where it says so.
+        The source does not read while it waits, and would miss the end of its connection: `peer_closed` is
+        called periodically, and SourceEndedError raised if it returns true.
         """
         while True:
             self._check()
@@ -102,8 +101,10 @@
                     raise SourceEndedError
 
     def put(self, buffer: Buffer, size: int) -> bool:
-        """Pass a leased buffer on with so many bytes in it. Whether all has gone and the buffer may be filled
-        again; else it is not the source's any more. Raises BrokenOffError."""
+        """Pass `size` bytes in a buffer to the sink. Raises AbortedError.
+
+        Returns whether all were written and the source may fill the buffer again; else the pipe keeps it.
+        """
         if self.fault is not None:
             self.release(buffer)
             self._check()
@@ -120,11 +121,11 @@
         return False
 
     def bytes_per_turn(self) -> int:
-        """Bytes after which a source lets others have the loop."""
+        """Bytes after which a source yields to the event loop."""
         return self._pool.budget.bytes_per_turn()
 
     def put_copy(self, data: bytes) -> None:
-        """Pass on bytes that have been read before there was a lease."""
+        """Pass bytes that were read earlier to the sink."""
         view = memoryview(data)
         while view:
             buffer = self.acquire(len(view))
@@ -135,15 +136,15 @@
                 self.release(buffer)
 
     def end(self) -> None:
-        """All is put."""
+        """Mark the body as complete."""
         self.ended = True
         self._data_added.set()
         self._unregister()
 
-    # ---- the sink's side
+    # ---- sink
 
     def get(self) -> Buffer | None:
-        """The next filled buffer, to be given back; None at the end. Raises BrokenOffError."""
+        """Wait for the next filled buffer, which the sink releases; None at the end. Raises AbortedError."""
         while not self._queue:
             self._check()
             if self.ended:
@@ -159,21 +160,21 @@
         return got
 
     def push_front(self, got: Buffer) -> None:
-        """Lay what was got last back in front."""
+        """Return the last buffer got to the front of the queue."""
         self.got_bytes -= got.end - got.start
         self._queue.appendleft(got)
 
     def release(self, buffer: Buffer) -> None:
-        """Give a buffer back, from either side."""
+        """Return a buffer to the pool."""
         for share in self._pool.budget.release(self._share, buffer.size):
             self._pool.pipes[share]._space_freed.set()
         self._pool.recycle(buffer)
         self._unregister()
 
-    # ---- either
+    # ---- both sides
 
     def abort(self, fault: Fault) -> None:
-        """Nothing more passes, and what lies here is dropped; the first fault counts."""
+        """End the transfer and drop queued buffers. Only the first fault is kept."""
         if self.fault is not None or (self.ended and not self._queue and not self.held):
             return
         self.fault = fault
@@ -189,6 +190,6 @@
             raise AbortedError(self.fault)
 
     def _unregister(self) -> None:
-        """Guards against memory that grows: the pool knows a pipe for as long as bytes may pass there."""
+        """Remove the pipe from the pool once it has ended and holds no buffers."""
         if (self.fault is not None or self.ended) and not self.held:
             self._pool.pipes.pop(self._share, None)
--- a/ashlift/gatekeeper/streams/progress.py
+++ b/ashlift/gatekeeper/streams/progress.py
@@ -1,7 +1,7 @@
-"""Whether one side of one direction keeps up: judged by the time for which it was waited for, and no other.
+"""Detects a peer that stalls or is too slow, by the time for which the gatekeeper waited for it.
 
-The clock of a side stands while the other side is what holds it up: nobody waits for it then. So a node whose
-client reads slowly is not a stalled node. No clock of its own: the waits are told. Times are milliseconds.
+Time in which the other peer holds up the stream does not count: a node whose client reads slowly is not
+stalled. Uses no clock: the caller records how long it waited.
 """
 
 import math
@@ -9,14 +9,14 @@
 
 
 class Lag(Enum):
-    """How a side fell behind."""
+    """How a peer fell behind."""
 
-    STALLED = "stalled"  # it moved nothing for the stall limit
-    SLOW = "slow"  # it moved less than the least mean rate over the span
+    STALLED = "stalled"  # no bytes for the stall limit
+    SLOW = "slow"  # fewer bytes over the span than the minimum rate requires
 
 
 class ProgressMonitor:
-    """One side's record. `stall` and `span` are ms, `least_rate` bytes a second (0: none is asked for)."""
+    """The progress of one peer in one direction. `least_rate`: bytes a second; 0: no minimum."""
 
     __slots__ = ("_bytes_moved", "_idle_ms", "_least_rate", "_rate_span_ms", "_stall_ms", "_waited_ms")
 
@@ -26,24 +26,24 @@
         self._bytes_moved = 0
 
     def max_wait_ms(self) -> float:
-        """For how many ms the side may be waited for until it must be judged; never below 1."""
-        spare = self._rate_span_ms - self._waited_ms if self._least_rate > 0 else math.inf
-        return max(1.0, min(self._stall_ms - self._idle_ms, spare))
+        """Return how long to wait before the next `record_wait`, at least 1 ms."""
+        rate_allowance_ms = self._rate_span_ms - self._waited_ms if self._least_rate > 0 else math.inf
+        return max(1.0, min(self._stall_ms - self._idle_ms, rate_allowance_ms))
 
     def record_bytes(self, size: int) -> None:
-        """It has moved so many bytes."""
+        """Record that the peer has sent or received so many bytes."""
         if size > 0:
             self._idle_ms = 0.0
             self._bytes_moved += size
 
     def record_wait(self, ms: float) -> Lag | None:
-        """It was waited for; what it moved meanwhile is told before. How it fell behind, if it did."""
+        """Record a wait, after the bytes moved during it; returns how the peer fell behind, if it did."""
         self._idle_ms += ms
         self._waited_ms += ms
         if self._idle_ms >= self._stall_ms:
             return Lag.STALLED
         if self._least_rate > 0 and self._waited_ms >= self._rate_span_ms:
-            short = self._bytes_moved < self._least_rate * self._waited_ms / 1000
+            too_slow = self._bytes_moved < self._least_rate * self._waited_ms / 1000
             self._waited_ms, self._bytes_moved = 0.0, 0
-            return Lag.SLOW if short else None
+            return Lag.SLOW if too_slow else None
         return None
--- a/ashlift/gatekeeper/streams/stream.py
+++ b/ashlift/gatekeeper/streams/stream.py
@@ -1,4 +1,4 @@
-"""One job's bodies, both ways, and the one fault that ends both; and the desk where all of them are known."""
+"""Streams: the two bodies of a job and the fault that ends both; the registry limits their number."""
 
 import random
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamPolicy:
-    """A class's settings, ready for use."""
+    """Stream settings of a class, with all the headers that are forwarded."""
 
     settings: StreamClass
     request_headers: frozenset[bytes]
@@ -22,19 +22,19 @@
 
 
 class Stream:
-    """What the front and the node adapter share of one streamed job.
+    """The state of a streamed job that the front and the node adapter share.
 
-    The front fills `upload`, the node adapter drains it; the node adapter fills `answer`, the front drains
-    it. Neither touches the other's socket: `break_off` calls what each has hung up in `hooks`.
+    The front fills `upload` and drains `download`; the node adapter drains `upload` and fills `download`.
+    Neither uses the socket of the other: `abort` calls the `abort_callbacks` of both.
     """
 
     def __init__(self, registry: "StreamRegistry", policy: StreamPolicy, body: Body) -> None:
         self._registry, self.policy, self.body = registry, policy, body
-        self.headers: Headers = []  # of the request, as far as they pass
+        self.headers: Headers = []  # of the request, that are forwarded
         self.upload = Pipe(registry.pool) if body.framing is not Framing.NONE else None
         self.download: Pipe | None = None
         self.fault: Fault | None = None
-        self.upload_wanted = Event()  # a claim stands: the body may come
+        self.upload_wanted = Event()  # an attempt is ready for the request body
         self.abort_callbacks: set[Callable[[], None]] = set()
         self._open = True
 
@@ -43,13 +43,13 @@
         return self.download
 
     def stop_upload(self, fault: Fault) -> None:
-        """The rest of the request's body is not wanted."""
+        """Discard the rest of the request body."""
         if self.upload is not None:
             self.upload.abort(fault)
         self.upload_wanted.set()
 
     def abort(self, fault: Fault) -> None:
-        """End it all; the first fault counts."""
+        """End both bodies. Only the first fault is kept."""
         if self.fault is None:
             self.fault = fault
         self.stop_upload(fault)
@@ -59,7 +59,7 @@
             abort_callback()
 
     def close(self) -> None:
-        """The job has ended, however it did: its place is free."""
+        """End the stream with its job, and remove it from the registry."""
         if self._open:
             self._open = False
             self.abort(Fault.FINISHED)
@@ -68,22 +68,22 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamedResponse:
-    """An answer that begins: its head, and the passage in which its body comes."""
+    """A response whose head has arrived, and the stream that its body follows in."""
 
     head: Head
     stream: Stream
 
     def discard(self) -> None:
-        """Nobody waits for it any more: its place is free."""
+        """End the stream of a response that no client waits for."""
         self.stream.abort(Fault.WITHDRAWN)
         self.stream.close()
 
 
 class StreamRegistry:
-    """Gives out places for streams, as many as the settings allow."""
+    """Opens streams, up to the number that the settings allow."""
 
     def __init__(self, settings: Streaming, class_numbers: dict[bytes, int]) -> None:
-        """`kinds` numbers the platform's classes; those that it does not name stay as they are."""
+        """`class_numbers`: numbers of the known classes. Stream settings of other classes are ignored."""
         self.settings = settings
         self.pool = BufferPool(settings.buffer_bytes, settings.stream_buffer_bytes, 2 * settings.most_streams)
         self.open_streams: set[Stream] = set()
@@ -92,7 +92,7 @@
             for stream_class in settings.classes
             if stream_class.name.encode() not in class_numbers
         ]
-        self._policy = {
+        self._policies = {
             stream_class.name.encode(): StreamPolicy(
                 stream_class,
                 REQUEST_HEADERS | {name.encode() for name in stream_class.request_headers},
@@ -103,13 +103,13 @@
         }
 
     def policy_for(self, target: bytes) -> StreamPolicy | None:
-        """The terms of the class that a request's target names, if that class streams."""
+        """Return the policy of the class named in a request target, or None if it is not streamed."""
         if not target.startswith(b"/"):
             return None
-        return self._policy.get(target[1:].split(b"?", 1)[0].split(b"/", 1)[0])
+        return self._policies.get(target[1:].split(b"?", 1)[0].split(b"/", 1)[0])
 
     def open_stream(self, policy: StreamPolicy, body: Body) -> Stream | None:
-        """A place for one more; None where all are taken."""
+        """Open a stream; None if the limit is reached."""
         if len(self.open_streams) >= self.settings.most_streams:
             return None
         stream = Stream(self, policy, body)
@@ -117,5 +117,5 @@
         return stream
 
     def retry_after_ms(self) -> float:
-        """When to come back, spread so that those turned away together do not come back together."""
+        """Return a time for Retry-After, with jitter so that rejected clients do not all retry at once."""
         return self.settings.retry_after * (1 + random.random())
--- a/tests/gatekeeper/test_stream_program.py
+++ b/tests/gatekeeper/test_stream_program.py
@@ -207,7 +207,7 @@
 def test_sigterm_lets_short_streams_end_and_cuts_the_others_so_that_it_shows(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("ashlift.gatekeeper.__main__.DRAIN_S", 0.6)
+    monkeypatch.setattr("ashlift.gatekeeper.__main__.DRAIN_TIMEOUT_S", 0.6)
     node = Peer(HEAD, b"x" * 50, 0.1, b"x" * 50)
     endless = Peer(HEAD, *(step for _ in range(90) for step in (b"x", 0.05)))
     for peer, size, counted in ((node, 100, "streams.served"), (endless, None, "streams.failed.shutdown")):
