--- a/tests/gatekeeper/standins.py
+++ b/tests/gatekeeper/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of this project's own for what a gatekeeper meets: a clock, a node, both kinds of counter."""
+"""Fakes of the clock, of an execute node and of both kinds of counter."""
 
 import threading
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class ManualClock:
-    """Time that stands still until the test moves it, so that two runs see the same times."""
+    """A clock that only the test advances."""
 
     def __init__(self) -> None:
         self.time = 1_900_000_000_000.0
@@ -47,7 +47,7 @@
 
 
 class Node:
-    """An execute node that serves all, at once unless told to wait, and notes the trace ids in order."""
+    """An execute node that serves every request once `go` is set, and records the trace ids in order."""
 
     def __init__(self) -> None:
         self.traces: list[str] = []
@@ -69,7 +69,7 @@
 
 
 class TextCounts:
-    """The platform's counter."""
+    """A fake of the platform's text counter."""
 
     def __init__(self) -> None:
         self.totals: dict[str, float] = {}
@@ -90,7 +90,7 @@
 
 
 class GrpcCounts(rls_pb2_grpc.RateLimitServiceServicer):  # type: ignore[misc]
-    """A rate limit service that counts by name, and can be told to be slow, over its limit or failing."""
+    """A fake rate limit service, which can be set to be slow, over its limit or failing."""
 
     def __init__(self) -> None:
         self.totals: dict[str, float] = {}
@@ -127,6 +127,6 @@
 
 
 def in_thread(call: Callable[..., Any], *args: Any, **kwargs: Any) -> Any:
-    """A blocking call of a gRPC client, while the loop goes on."""
+    """Make a blocking call of a gRPC client without blocking the event loop."""
     with gevent.Timeout(20):
         return gevent.get_hub().threadpool.apply(call, args, kwargs)
--- a/tests/gatekeeper/test_exchanges.py
+++ b/tests/gatekeeper/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Every recorded exchange, played against the program."""
+"""Replays every recorded exchange against a gatekeeper."""
 
 from pathlib import Path
 
--- a/tests/gatekeeper/test_front_end.py
+++ b/tests/gatekeeper/test_front_end.py
@@ -1,4 +1,4 @@
-"""Requests that meet the end of a gatekeeper: who was accepted is answered."""
+"""Requests that arrive during shutdown: those on accepted connections are answered."""
 
 from collections.abc import Iterator
 
@@ -21,7 +21,7 @@
 
 
 class RunningFront:
-    """A front that answers `/up`; `inbox`: what it asks of the owner."""
+    """A front that answers `/up`; `inbox` collects its messages to the owner."""
 
     def __init__(self) -> None:
         self.inbox: SimpleQueue[object] = SimpleQueue()
@@ -34,7 +34,7 @@
         return socket.create_connection(self.listener.getsockname())
 
     def end(self) -> None:
-        """As `Gatekeeper.stop` does it."""
+        """Shut down as Gatekeeper.stop does."""
         self.front.accept_backlog(self.listener)
         self.listener.close()
         self.front.close()
@@ -48,7 +48,7 @@
     front.running.kill()
 
 
-def test_a_request_that_lies_unread_at_the_end_is_answered(running: RunningFront) -> None:
+def test_a_request_that_is_unread_at_shutdown_is_answered(running: RunningFront) -> None:
     sock = running.connect()
     sock.sendall(UP)
     assert sock.recv(65536).startswith(b"HTTP/1.1 200 ")
@@ -57,14 +57,14 @@
     assert read_to_end(sock).startswith(b"HTTP/1.1 200 ")
 
 
-def test_a_connection_in_the_queue_of_the_listener_is_served(running: RunningFront) -> None:
+def test_a_connection_in_the_backlog_at_shutdown_is_served(running: RunningFront) -> None:
     sock = running.connect()
     send_unread(sock, UP)
     running.end()
     assert read_to_end(sock).startswith(b"HTTP/1.1 200 ")
 
 
-def test_a_connection_accepted_just_now_has_a_moment_to_ask(running: RunningFront) -> None:
+def test_a_connection_accepted_just_before_shutdown_may_send_a_request(running: RunningFront) -> None:
     sock = running.connect()
     while not running.front.open_count:
         gevent.sleep(TICK_S)
@@ -75,7 +75,9 @@
     assert read_to_end(sock).startswith(b"HTTP/1.1 200 ")
 
 
-def test_one_that_does_not_ask_is_ended(running: RunningFront, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_without_a_request_is_closed_at_shutdown(
+    running: RunningFront, monkeypatch: pytest.MonkeyPatch
+) -> None:
     sock = running.connect()
     while not running.front.open_count:
         gevent.sleep(TICK_S)
@@ -84,8 +86,8 @@
     assert read_to_end(sock) == b""
 
 
-def test_a_request_behind_the_last_answer_is_not_begun(running: RunningFront) -> None:
-    """It was begun and then dropped with the connection: a job that its client never hears of."""
+def test_a_request_after_the_last_response_is_not_processed(running: RunningFront) -> None:
+    """Guards against a job whose client never gets a response, as its connection closes."""
     sock = running.connect()
     sock.sendall(UP.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
     assert sock.recv(65536).startswith(b"HTTP/1.1 200 ")
--- a/tests/gatekeeper/test_parts.py
+++ b/tests/gatekeeper/test_parts.py
@@ -1,4 +1,4 @@
-"""What no exchange of bytes can show without luck: races, silences, settings, and the process itself."""
+"""Races, timeouts, settings and signals of the gatekeeper, which recorded exchanges do not cover."""
 
 import json
 import os
@@ -39,38 +39,44 @@
     return Job(0, 0, "aa", 900.0, 0.0, lambda answer: None, upstream_request, number=number)
 
 
-class Drained(MachineList):
-    """A list that tells of a drain while the claim's connection is coming up."""
+class DrainedDuringConnect(MachineList):
+    """A machine list that reports a drain during the connect of an attempt."""
 
-    looks = 0
+    lookups = 0
 
     def ready(self, name: str) -> Machine | None:
-        self.looks += 1
-        return super().ready(name) if self.looks == 1 else None
+        self.lookups += 1
+        return super().ready(name) if self.lookups == 1 else None
 
 
-def pool(kind: type[MachineList], node: Node, links: int = 8) -> tuple[NodePool, SimpleQueue[Any], Metrics]:
+def pool(
+    list_class: type[MachineList], node: Node, max_connections: int = 8
+) -> tuple[NodePool, SimpleQueue[Any], Metrics]:
     inbox: SimpleQueue[Any] = SimpleQueue()
-    machines, metrics = kind(("127.0.0.1", 9), (), inbox, Metrics()), Metrics()
+    machines, metrics = list_class(("127.0.0.1", 9), (), inbox, Metrics()), Metrics()
     machines.apply_update({"generation": 1, "instances": [instance("n1", node.address)]})
     inbox.get()
-    return NodePool(machines, Limits(2000.0, 15_000.0, links), UnixClock(), inbox, metrics), inbox, metrics
+    return (
+        NodePool(machines, Limits(2000.0, 15_000.0, max_connections), UnixClock(), inbox, metrics),
+        inbox,
+        metrics,
+    )
 
 
-def test_a_drain_told_before_the_first_byte_counts() -> None:
+def test_an_attempt_is_not_sent_to_a_node_that_starts_to_drain_during_the_connect() -> None:
     node = Node()
-    nodes, inbox, metrics = pool(Drained, node)
+    nodes, inbox, metrics = pool(DrainedDuringConnect, node)
     nodes.start(job(), 0, "n1", 900.0)
     assert inbox.get(timeout=10).result is Result.NOT_SENT
     assert metrics.counts["claims.withdrawn"] == 1 and node.traces == []
     node.server.stop()
 
 
-def test_connections_to_nodes_are_bounded() -> None:
+def test_connections_to_nodes_are_limited() -> None:
     silent = listen()
     node = Node()
     node.address = "{}:{}".format(*silent.getsockname())
-    nodes, inbox, _ = pool(MachineList, node, links=1)
+    nodes, inbox, _ = pool(MachineList, node, max_connections=1)
     nodes.start(job(1), 0, "n1", 20_000.0)
     nodes.start(job(2), 0, "n1", 20_000.0)
     refused = inbox.get(timeout=10)
@@ -111,7 +117,7 @@
     node.server.stop()
 
 
-def test_a_silent_watch_is_begun_anew(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_silent_watch_is_restarted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(machine_list, "SILENCE_TIMEOUT_S", 0.05)
     discovery = listen()
     watch = MachineList(discovery.getsockname(), (), SimpleQueue(), Metrics())
@@ -123,7 +129,7 @@
     discovery.close()
 
 
-def test_a_fault_of_the_module_fails_one_job_and_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_gateway_fails_one_job_and_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
     answers: list[Answer] = []
     owner = Owner(Gateway(config(NOWHERE, {}).settings, 1), ManualClock(), Metrics())
     broken = job()
@@ -135,18 +141,18 @@
     sound.reply = answers.append
     owner.handle(sound)
     assert [answer.verdict for answer in answers] == [Verdict.FAILED, Verdict.REFUSED]
-    assert list(owner._timers) == [0]  # the step that the module had asked for before it failed
+    assert list(owner._timers) == [0]  # the timer set before the exception is kept
 
 
-def test_what_a_job_lay_unread_is_off_its_patience() -> None:
+def test_the_time_left_of_a_job_excludes_the_time_it_was_unread() -> None:
     owner = Owner(Gateway(config(NOWHERE, {}).settings, 1), clock := ManualClock(), Metrics())
     late = job()
     late.received_ms, late.time_left_ms = clock.now() - 300.0, 900.0
     assert owner._request_event(late).time_left_ms == 600.0
 
 
-def test_all_gatekeepers_read_one_clock() -> None:
-    # Names of counts are made of it: two that start apart must agree, or each would count by itself.
+def test_clocks_of_gatekeepers_agree() -> None:
+    # The keys of the shared counter are derived from the clock.
     first = UnixClock()
     gevent.sleep(0.05)
     assert abs(first.now() - UnixClock().now()) < 20
@@ -167,12 +173,12 @@
         ("settings.FamilyInfo.MayCount", 1, "MayCount"),
     ],
 )
-def test_a_setting_that_cannot_be_right_names_its_key(path: str, value: Any, named: str) -> None:
+def test_an_invalid_setting_is_reported_with_its_key(path: str, value: Any, named: str) -> None:
     with pytest.raises((configuration.ConfigError, WireError), match=named):
         config(NOWHERE, {path: value})
 
 
-def test_the_platforms_run_loads_nothing_that_is_off() -> None:
+def test_modules_of_disabled_features_are_not_loaded() -> None:
     off = {"grpc", "lark", "msgspec", "click", "structlog"}
     off |= {"ashlift.gatekeeper.streams", "ashlift.gatekeeper.settings.schema"}
     loaded = f"import sys, ashlift.gatekeeper.__main__; sys.exit(', '.join({off!r} & set(sys.modules)) or 0)"
@@ -181,11 +187,16 @@
 
 
 def start(tmp_path: Path, node: Node, discovery: str = "127.0.0.1:9") -> "subprocess.Popen[str]":
-    facts = FACTS | {"Categories": [FACTS["Categories"][0] | {"Name": "availability-check"}]}
-    facts = facts | {"Plans": [FACTS["Plans"][0] | {"Name": "basic"}]}
+    platform_settings = FACTS | {"Categories": [FACTS["Categories"][0] | {"Name": "availability-check"}]}
+    platform_settings = platform_settings | {"Plans": [FACTS["Plans"][0] | {"Name": "basic"}]}
     known = {"generation": 1, "instances": [instance("n1", node.address)]}
-    found = {"settings": facts, "counter": "127.0.0.1:9", "known": known, "discovery": discovery}
-    (tmp_path / "config.json").write_text(json.dumps(found))
+    file_content = {
+        "settings": platform_settings,
+        "counter": "127.0.0.1:9",
+        "known": known,
+        "discovery": discovery,
+    }
+    (tmp_path / "config.json").write_text(json.dumps(file_content))
     with socket.socket() as free:
         free.bind(("127.77.0.1", 0))
         listen = f"127.77.0.1:{free.getsockname()[1]}"
@@ -194,7 +205,7 @@
     return subprocess.Popen(command, env=os.environ | env, stderr=subprocess.PIPE, text=True)
 
 
-def until(process: "subprocess.Popen[str]", text: str) -> str:
+def read_until(process: "subprocess.Popen[str]", text: str) -> str:
     assert process.stderr is not None
     for line in process.stderr:
         if text in line:
@@ -202,15 +213,15 @@
     raise AssertionError(f"ended before it said {text!r}")
 
 
-def test_sigterm_answers_what_is_taken_and_exits_with_0(tmp_path: Path) -> None:
+def test_sigterm_answers_open_requests_and_exits_with_0(tmp_path: Path) -> None:
     node = Node()
     node.go.clear()
     process = start(tmp_path, node)
     until_in_thread = gevent.get_hub().threadpool.apply
     with gevent.Timeout(30):
-        port = int(until_in_thread(until, (process, "listens")).rpartition(":")[2])
+        port = int(until_in_thread(read_until, (process, "listens")).rpartition(":")[2])
         process.send_signal(signal.SIGUSR1)
-        until_in_thread(until, (process, "counters (SIGUSR1)"))
+        until_in_thread(read_until, (process, "counters (SIGUSR1)"))
         client = socket.create_connection(("127.77.0.1", port))
         client.sendall(
             b"GET /availability-check HTTP/1.1\r\nX-Qos: availability-check\r\nX-Trace-Id: t1\r\n"
@@ -222,13 +233,13 @@
         gevent.sleep(0.2)
         node.go.set()
         assert client.recv(65536).startswith(b"HTTP/1.1 200 OK")
-        assert client.recv(1) == b""  # closed between requests
-        until_in_thread(until, (process, "answers.served 1"))
+        assert client.recv(1) == b""  # the connection is closed after the response
+        until_in_thread(read_until, (process, "answers.served 1"))
         assert until_in_thread(process.wait) == 0
     node.server.stop()
 
 
-def test_sighup_moves_discovery_and_keeps_the_settings_of_a_bad_file(tmp_path: Path) -> None:
+def test_sighup_changes_the_address_of_discovery_and_ignores_an_invalid_file(tmp_path: Path) -> None:
     node, first, second = Node(), listen(), listen()
     old, new = ("{}:{}".format(*sock.getsockname()) for sock in (first, second))
     process = start(tmp_path, node, old)
@@ -236,99 +247,109 @@
     path = tmp_path / "config.json"
     good = path.read_text()
     with gevent.Timeout(30):
-        until_in_thread(until, (process, "listens"))
+        until_in_thread(read_until, (process, "listens"))
         watch = first.accept()[0]
         for bad, named in (("{", "GW_CONFIG"), (good.replace(old, "nowhere"), "GW_DISCOVERY")):
             path.write_text(bad)
             process.send_signal(signal.SIGHUP)
-            assert named in until_in_thread(until, (process, "reload: "))
+            assert named in until_in_thread(read_until, (process, "reload: "))
         path.write_text(good.replace(old, new))
         process.send_signal(signal.SIGHUP)
         assert second.accept()[0].recv(9) == b"GET /disc"
         while watch.recv(4096):
-            pass  # the old watch ends
+            pass  # until the old watch ends
         process.send_signal(signal.SIGTERM)
-        until_in_thread(until, (process, "reloads 1"))
+        until_in_thread(read_until, (process, "reloads 1"))
         assert until_in_thread(process.wait) == 0
     node.server.stop()
 
 
-def test_new_connections_are_taken_for_a_while_after_sigterm() -> None:
+def test_new_connections_are_accepted_for_a_grace_period_after_sigterm() -> None:
     node = Node()
-    gate = Gatekeeper(config(NOWHERE | {"n1": node.address}, {}))
-    address = gate.start()
-    rest = socket.create_connection(address)
-    rest.sendall(b"GET /up HTTP/1.1\r\n\r\n")
-    assert rest.recv(65536).startswith(b"HTTP/1.1 200")
-    ending = gevent.spawn(gate.stop, 2.0)
+    gatekeeper = Gatekeeper(config(NOWHERE | {"n1": node.address}, {}))
+    address = gatekeeper.start()
+    open_client = socket.create_connection(address)
+    open_client.sendall(b"GET /up HTTP/1.1\r\n\r\n")
+    assert open_client.recv(65536).startswith(b"HTTP/1.1 200")
+    ending = gevent.spawn(gatekeeper.stop, 2.0)
     late = socket.create_connection(address)
     late.sendall(b"GET /up HTTP/1.1\r\n\r\n")
     with gevent.Timeout(30):
         assert late.recv(65536).startswith(b"HTTP/1.1 200")
-        assert rest.recv(1) == late.recv(1) == b""
+        assert open_client.recv(1) == late.recv(1) == b""
         ending.get()
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(address)
     node.server.stop()
 
 
-def ask(address: tuple[str, int], text: bytes = b"GET /up HTTP/1.1\r\n\r\n") -> Any:
+def connect_and_send(address: tuple[str, int], text: bytes = b"GET /up HTTP/1.1\r\n\r\n") -> Any:
     client = socket.create_connection(address)
     client.sendall(text)
     return client
 
 
-def test_places_are_taken_from_those_who_ask_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_are_evicted_at_the_connection_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection, "HEAD_TIMEOUT_S", 30.0)
     node = Node()
     node.go.clear()
-    gate = Gatekeeper(replace(config(NOWHERE | {"n1": node.address}, {}), client_links=3))
-    address = gate.start()
+    gatekeeper = Gatekeeper(replace(config(NOWHERE | {"n1": node.address}, {}), client_links=3))
+    address = gatekeeper.start()
     head = b"GET /availability-check HTTP/1.1\r\nX-Qos: availability-check\r\nX-Trace-Id: t1\r\n"
     with gevent.Timeout(30):
-        open_job = ask(address, head + b"Api-Plan: basic\r\nApi-Customer: 07\r\nX-Expires-In: 25\r\n\r\n")
+        open_job = connect_and_send(
+            address, head + b"Api-Plan: basic\r\nApi-Customer: 07\r\nX-Expires-In: 25\r\n\r\n"
+        )
         while not node.traces:
             gevent.sleep(0.005)
-        stayed = ask(address)
-        assert stayed.recv(65536).startswith(b"HTTP/1.1 200")
-        others = [socket.create_connection(address), ask(address, b"GET /u"), ask(address, head)]
-        for _ in range(4):  # a full house each time
-            others.append(ask(address))
-            assert others[-1].recv(65536).startswith(b"HTTP/1.1 200")
-        assert stayed.recv(1) == b"" and gate.front.open_count <= 3
+        idle_client = connect_and_send(address)
+        assert idle_client.recv(65536).startswith(b"HTTP/1.1 200")
+        other_clients = [
+            socket.create_connection(address),
+            connect_and_send(address, b"GET /u"),
+            connect_and_send(address, head),
+        ]
+        for _ in range(4):  # the limit is reached each time
+            other_clients.append(connect_and_send(address))
+            assert other_clients[-1].recv(65536).startswith(b"HTTP/1.1 200")
+        assert idle_client.recv(1) == b"" and gatekeeper.front.open_count <= 3
         node.go.set()
-        assert open_job.recv(65536).startswith(b"HTTP/1.1 200")  # a job's connection is never put out
-    gate.stop(0.0)
+        assert open_job.recv(65536).startswith(
+            b"HTTP/1.1 200"
+        )  # a connection with an open job is never evicted
+    gatekeeper.stop(0.0)
     node.server.stop()
 
 
-def test_few_who_only_stay_are_kept() -> None:
-    gate = Gatekeeper(replace(config(NOWHERE, {}), idle_links=2))
-    address = gate.start()
+def test_idle_connections_are_limited() -> None:
+    gatekeeper = Gatekeeper(replace(config(NOWHERE, {}), idle_links=2))
+    address = gatekeeper.start()
     with gevent.Timeout(30):
-        stayed = []
+        idle_client = []
         for _ in range(9):
-            stayed.append(ask(address))
-            assert stayed[-1].recv(65536).startswith(b"HTTP/1.1 200")
-        assert stayed[0].recv(1) == b""
-    assert gate.metrics.counts["clients.put_out"] >= 5
-    gate.stop(0.0)
+            idle_client.append(connect_and_send(address))
+            assert idle_client[-1].recv(65536).startswith(b"HTTP/1.1 200")
+        assert idle_client[0].recv(1) == b""
+    assert gatekeeper.metrics.counts["clients.put_out"] >= 5
+    gatekeeper.stop(0.0)
 
 
-@pytest.mark.parametrize(("text", "word"), [(b"", b""), (b"\r\n", b""), (b"GET /u", b"HTTP/1.1 408")])
-def test_who_asks_half_gets_a_word(monkeypatch: pytest.MonkeyPatch, text: bytes, word: bytes) -> None:
+@pytest.mark.parametrize(("text", "response"), [(b"", b""), (b"\r\n", b""), (b"GET /u", b"HTTP/1.1 408")])
+def test_an_incomplete_request_times_out(
+    monkeypatch: pytest.MonkeyPatch, text: bytes, response: bytes
+) -> None:
     monkeypatch.setattr(connection, "FIRST_REQUEST_TIMEOUT_S", 0.05)
     monkeypatch.setattr(connection, "HEAD_TIMEOUT_S", 0.05)
-    gate = Gatekeeper(config(NOWHERE, {}))
+    gatekeeper = Gatekeeper(config(NOWHERE, {}))
     with gevent.Timeout(30):
-        client = ask(gate.start(), text)
-        assert client.recv(12) == word
+        client = connect_and_send(gatekeeper.start(), text)
+        assert client.recv(12) == response
         while client.recv(65536):
-            pass  # the end comes
-    gate.stop(0.0)
+            pass  # until the connection is closed
+    gatekeeper.stop(0.0)
 
 
-def test_a_wrong_setting_ends_the_program_with_one_line(tmp_path: Path) -> None:
+def test_an_invalid_setting_ends_the_process_with_one_line(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_text('{"settings": 5}')
     env = os.environ | {"GW_CONFIG": str(tmp_path / "config.json")}
     command = [sys.executable, "-m", "ashlift.gatekeeper"]
--- a/tests/gatekeeper/test_spill.py
+++ b/tests/gatekeeper/test_spill.py
@@ -1,4 +1,4 @@
-"""Answers too long to hold on the platform's path: passed on as they come, in bounded memory."""
+"""Responses too long to buffer are forwarded as they arrive, in bounded memory."""
 
 from typing import Any
 
@@ -23,8 +23,8 @@
 )
 
 
-class Taken:
-    """A client's side of one answer, off httptools."""
+class ParsedResponse:
+    """A response as the client receives it."""
 
     def __init__(self) -> None:
         self.body, self.done = bytearray(), False
@@ -40,17 +40,17 @@
         self.done = True
 
 
-def take(client: socket.socket) -> Taken:
-    taken = Taken()
-    parser = httptools.HttpResponseParser(taken)
+def read_response(client: socket.socket) -> ParsedResponse:
+    parsed = ParsedResponse()
+    parser = httptools.HttpResponseParser(parsed)
     with gevent.Timeout(20):
-        while not taken.done:
+        while not parsed.done:
             data = client.recv(1 << 20)
             if not data:
-                parser.feed_data(b"")  # the end of one that ends with the connection
+                parser.feed_data(b"")  # a response that ends with the connection
                 break
             parser.feed_data(data)
-    return taken
+    return parsed
 
 
 def serve_once(node: socket.socket, answer: bytes) -> None:
@@ -62,30 +62,30 @@
     sock.close()
 
 
-def gatekeeper(node: socket.socket) -> tuple[Gatekeeper, tuple[str, int]]:
+def start_gatekeeper(node: socket.socket) -> tuple[Gatekeeper, tuple[str, int]]:
     address = "{}:{}".format(*node.getsockname())
-    gate = Gatekeeper(config({"d": "127.0.0.1:9", "k": "127.0.0.1:9", "n1": address}, {}))
-    return gate, gate.start()
+    gatekeeper = Gatekeeper(config({"d": "127.0.0.1:9", "k": "127.0.0.1:9", "n1": address}, {}))
+    return gatekeeper, gatekeeper.start()
 
 
-def test_a_long_answer_that_ends_with_its_connection_goes_on_in_chunks() -> None:
+def test_a_long_response_that_ends_with_its_connection_is_forwarded_in_chunks() -> None:
     node = listen()
-    gate, front = gatekeeper(node)
+    gatekeeper, front = start_gatekeeper(node)
     body = bytes(range(256)) * (2 * MAX_BUFFERED_BYTES // 256 + 7)
     serving = gevent.spawn(serve_once, node, b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\n" + body)
     with socket.create_connection(front) as client:
         client.sendall(JOB % (1, b"t1"))
-        taken = take(client)
-    assert taken.done and bytes(taken.body) == body and taken.headers[b"transfer-encoding"] == b"chunked"
-    assert gate.metrics.counts["spill.served"] == 1 and gate.metrics.counts["answers.served"] == 1
+        parsed = read_response(client)
+    assert parsed.done and bytes(parsed.body) == body and parsed.headers[b"transfer-encoding"] == b"chunked"
+    assert gatekeeper.metrics.counts["spill.served"] == 1 and gatekeeper.metrics.counts["answers.served"] == 1
     serving.get()
-    gate.stop(0.0)
+    gatekeeper.stop(0.0)
     node.close()
 
 
-def test_to_a_client_of_http_1_0_a_long_answer_ends_with_the_connection() -> None:
+def test_a_long_response_to_an_http_1_0_client_ends_with_the_connection() -> None:
     node = listen()
-    gate, front = gatekeeper(node)
+    gatekeeper, front = start_gatekeeper(node)
     body = b"x" * (MAX_BUFFERED_BYTES + 1)
     serving = gevent.spawn(
         serve_once,
@@ -95,30 +95,28 @@
     )
     with socket.create_connection(front) as client:
         client.sendall(JOB % (0, b"t1"))
-        taken = take(client)
+        parsed = read_response(client)
         assert client.recv(1) == b""
-    assert bytes(taken.body) == body and b"transfer-encoding" not in taken.headers
+    assert bytes(parsed.body) == body and b"transfer-encoding" not in parsed.headers
     serving.get()
-    gate.stop(0.0)
+    gatekeeper.stop(0.0)
     node.close()
 
 
-def test_short_answers_load_nothing_of_streams() -> None:
+def test_short_responses_use_no_stream_registry() -> None:
     node = listen()
-    gate, front = gatekeeper(node)
+    gatekeeper, front = start_gatekeeper(node)
     serving = gevent.spawn(serve_once, node, b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
     with socket.create_connection(front) as client:
         client.sendall(JOB % (1, b"t1"))
-        assert bytes(take(client).body) == b"ok"
+        assert bytes(read_response(client).body) == b"ok"
     serving.get()
-    gate.stop(0.0)
+    gatekeeper.stop(0.0)
     node.close()
-    assert (
-        gate.nodes.stream_registry is None and "spill.begun" not in gate.metrics.counts
-    )  # no budget was made
+    assert gatekeeper.nodes.stream_registry is None and "spill.begun" not in gatekeeper.metrics.counts
 
 
-def test_a_node_is_judged_by_the_head_of_a_long_answer_not_its_length() -> None:
+def test_the_elapsed_time_of_a_long_response_ends_with_its_head() -> None:
     node, inbox = listen(), SimpleQueue[Any]()
     machines = MachineList(("127.0.0.1", 9), (), inbox, Metrics())
     machines.apply_update(
@@ -138,16 +136,16 @@
     )
     headed = inbox.get(timeout=10)
     assert isinstance(headed, ResponseStarted)
-    gevent.sleep(0.3)  # the rest comes late: the node is no slower for it
+    gevent.sleep(0.3)  # must not count towards the elapsed time
     sock.sendall(b"q" * (MAX_BUFFERED_BYTES - 1))
     ended = inbox.get(timeout=10)
     assert isinstance(ended, AttemptFinished) and ended.result is Result.OK and ended.elapsed_ms < 250
-    opening: Any = headed.opening  # a streams' Opening
-    answer, got = opening.stream.download, 0
+    opening: Any = headed.opening  # a streams.stream.StreamedResponse
+    answer, received_bytes = opening.stream.download, 0
     assert answer is not None
     while (part := answer.get()) is not None:
-        got += part.end - part.start
+        received_bytes += part.end - part.start
         answer.release(part)
-    assert got == 2 * MAX_BUFFERED_BYTES
+    assert received_bytes == 2 * MAX_BUFFERED_BYTES
     sock.close()
     node.close()
--- a/tests/gatekeeper/test_stream_program.py
+++ b/tests/gatekeeper/test_stream_program.py
@@ -1,4 +1,4 @@
-"""The program with peers that stall, lag, lie and leave while bodies flow."""
+"""Streaming through a gatekeeper, with peers that stall, are slow, send invalid data or disconnect."""
 
 import itertools
 import json
@@ -24,14 +24,11 @@
 OWN = "(streaming (enabled true) (class availability-check (head 200ms) {}))"
 
 
-# ---- the program, with peers that misbehave
-
-
-class Peer:
+class ScriptedNode:
     """A node that answers each connection with a script: bytes to send, seconds to wait, or `close`."""
 
     def __init__(self, *script: bytes | float | str) -> None:
-        self.script, self.closed_after = script, Event()
+        self.script, self.client_closed = script, Event()
         self.server = StreamServer(("127.0.0.1", 0), self._serve)
         self.server.start()
         self.address = "{}:{}".format(*self.server.address)
@@ -53,55 +50,55 @@
                 pass
         except OSError:
             pass
-        self.closed_after.set()
+        self.client_closed.set()
         sock.close()
 
 
-def gate_before(
-    node: Peer, more: str = "(stall 200ms)", changes: dict[str, Any] | None = None
+def start_gatekeeper(
+    node: ScriptedNode, extra: str = "(stall 200ms)", changes: dict[str, Any] | None = None
 ) -> tuple[Gatekeeper, tuple[str, int]]:
-    found = {"settings.Limits.TryLimit": 1, **(changes or {})}
-    gate = Gatekeeper(config(NOWHERE | {"n1": node.address}, found, OWN.format(more)))
-    return gate, gate.start()
+    settings_changes = {"settings.Limits.TryLimit": 1, **(changes or {})}
+    gatekeeper = Gatekeeper(config(NOWHERE | {"n1": node.address}, settings_changes, OWN.format(extra)))
+    return gatekeeper, gatekeeper.start()
 
 
-def client(address: tuple[str, int], more: bytes = b"", method: bytes = b"GET", small: bool = False) -> Any:
+def client(address: tuple[str, int], extra: bytes = b"", method: bytes = b"GET", small: bool = False) -> Any:
     sock = socket.socket()
-    if small:  # loopback's large windows and segments would hide that a client takes little
+    if small:  # the large buffers of the loopback would hide that the client does not read
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     sock.connect(address)
     sock.sendall(
         method + b" /availability-check/x HTTP/1.1\r\nX-Trace-Id: t%d\r\nX-Qos: availability-check\r\n"
-        b"Api-Plan: basic\r\nApi-Customer: 07\r\nX-Expires-In: 20\r\n%b\r\n" % (next(numbers), more)
+        b"Api-Plan: basic\r\nApi-Customer: 07\r\nX-Expires-In: 20\r\n%b\r\n" % (next(numbers), extra)
     )
     return sock
 
 
-def rest_of(sock: Any) -> tuple[bytes, bool]:
-    """All that comes, and whether it ended in good order."""
-    got = b""
+def read_all(sock: Any) -> tuple[bytes, bool]:
+    """Read to the end; returns the data, and whether the connection was closed without a reset."""
+    body_size = b""
     try:
-        while more := sock.recv(65536):
-            got += more
+        while extra := sock.recv(65536):
+            body_size += extra
     except ConnectionError:
-        return got, False
-    return got, True
+        return body_size, False
+    return body_size, True
 
 
-def at_rest(gate: Gatekeeper) -> bool:
-    """Nothing of any stream is left."""
-    registry = gate.stream_registry
+def is_idle(gatekeeper: Gatekeeper) -> bool:
+    """Whether no stream, buffer or job is open."""
+    registry = gatekeeper.stream_registry
     assert registry is not None
     return (
         not registry.open_streams
         and registry.pool.budget.held == 0
         and not registry.pool.pipes
-        and not gate.owner.unanswered
+        and not gatekeeper.owner.unanswered
     )
 
 
-def until(true: Any) -> None:
-    while not true():
+def wait_until(condition: Any) -> None:
+    while not condition():
         gevent.sleep(0.005)
 
 
@@ -109,7 +106,7 @@
 
 
 @pytest.mark.parametrize(
-    ("script", "status", "got", "why"),
+    ("script", "status", "body_size", "label"),
     [
         ((30.0,), b"504", 0, "head_late"),
         ((HEAD, b"x" * 50, 30.0), b"200", 50, "node_stalled"),
@@ -120,77 +117,77 @@
         ((b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",), b"502", 0, "node_error"),
     ],
 )
-def test_whatever_a_node_does_there_is_one_final_answer(
-    script: Any, status: bytes, got: int, why: str
+def test_each_fault_of_a_node_gives_one_response(
+    script: Any, status: bytes, body_size: int, label: str
 ) -> None:
-    node = Peer(*script)
-    gate, address = gate_before(node)
+    node = ScriptedNode(*script)
+    gatekeeper, address = start_gatekeeper(node)
     with gevent.Timeout(30):
         sock = client(address, b"Connection: close\r\n")
-        answer, _ = rest_of(sock)
+        answer, _ = read_all(sock)
         assert answer.startswith(b"HTTP/1.1 " + status) and answer.count(b"HTTP/1.1") == 1
-        assert len(answer.partition(b"\r\n\r\n")[2]) == got
-        until(lambda: at_rest(gate))
-    assert gate.metrics.counts[f"streams.failed.{why}"] == 1
-    assert sum(n for key, n in gate.metrics.counts.items() if key.startswith("streams.")) == 1
-    assert gate.metrics.counts["answers.failed"] == 1
-    gate.stop(0.0)
+        assert len(answer.partition(b"\r\n\r\n")[2]) == body_size
+        wait_until(lambda: is_idle(gatekeeper))
+    assert gatekeeper.metrics.counts[f"streams.failed.{label}"] == 1
+    assert sum(n for key, n in gatekeeper.metrics.counts.items() if key.startswith("streams.")) == 1
+    assert gatekeeper.metrics.counts["answers.failed"] == 1
+    gatekeeper.stop(0.0)
     node.server.stop()
 
 
-def test_a_client_that_stalls_while_it_writes_gets_408_and_the_node_an_end() -> None:
-    node = Peer()
-    gate, address = gate_before(node)
+def test_a_client_that_stalls_in_its_upload_gets_408_and_the_attempt_ends() -> None:
+    node = ScriptedNode()
+    gatekeeper, address = start_gatekeeper(node)
     with gevent.Timeout(30):
         sock = client(address, b"Content-Length: 100\r\n", b"POST")
         sock.sendall(b"x" * 50)
-        answer, _ = rest_of(sock)
+        answer, _ = read_all(sock)
         assert answer.startswith(b"HTTP/1.1 408") and answer.count(b"HTTP/1.1") == 1
-        node.closed_after.wait()
-        until(lambda: at_rest(gate))
-    assert gate.metrics.counts["streams.failed.client_stalled"] == 1
-    gate.stop(0.0)
+        node.client_closed.wait()
+        wait_until(lambda: is_idle(gatekeeper))
+    assert gatekeeper.metrics.counts["streams.failed.client_stalled"] == 1
+    gatekeeper.stop(0.0)
     node.server.stop()
 
 
-def test_a_client_that_takes_nothing_is_reset_and_the_node_is_let_go() -> None:
-    node = Peer(b"HTTP/1.1 200 OK\r\nContent-Length: 99000000\r\n\r\n", *[b"x" * 1_000_000] * 99)
-    gate, address = gate_before(node)
+def test_a_client_that_does_not_read_is_reset_and_the_attempt_ends() -> None:
+    node = ScriptedNode(b"HTTP/1.1 200 OK\r\nContent-Length: 99000000\r\n\r\n", *[b"x" * 1_000_000] * 99)
+    gatekeeper, address = start_gatekeeper(node)
     with gevent.Timeout(30):
         sock = client(address, small=True)
-        until(lambda: gate.metrics.counts["streams.failed.client_stalled"])
-        assert rest_of(sock)[1] is False
-        node.closed_after.wait()
-        until(lambda: at_rest(gate))
-    gate.stop(0.0)
+        wait_until(lambda: gatekeeper.metrics.counts["streams.failed.client_stalled"])
+        assert read_all(sock)[1] is False
+        node.client_closed.wait()
+        wait_until(lambda: is_idle(gatekeeper))
+    gatekeeper.stop(0.0)
     node.server.stop()
 
 
-def test_a_client_that_leaves_while_the_node_holds_its_body_up_ends_the_nodes_leg_at_once() -> None:
-    node = Peer(30.0)  # takes nothing
-    gate, address = gate_before(node, "(stall 20s)")
+def test_a_client_that_disconnects_from_a_stalled_upload_ends_the_attempt_at_once() -> None:
+    node = ScriptedNode(30.0)  # does not read
+    gatekeeper, address = start_gatekeeper(node, "(stall 20s)")
     with gevent.Timeout(30):
         sock = client(address, b"Content-Length: 90000000\r\n", b"POST")
         sock.settimeout(0.2)
         with pytest.raises(OSError):
-            sock.sendall(b"x" * 90_000_000)  # until all between here and the node is full
+            sock.sendall(b"x" * 90_000_000)  # until all buffers up to the node are full
         began = time.monotonic()
-        # Its end in good order would stand behind its unsent bytes, where nobody can see it.
+        # Reset, as a regular end would wait behind the unsent bytes.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         sock.close()
-        until(lambda: at_rest(gate))
-        assert time.monotonic() - began < 5.0  # 0.1 s on an idle machine; far below the stall limit
-    assert gate.metrics.counts["streams.left"] == 1
-    gate.stop(0.0)
+        wait_until(lambda: is_idle(gatekeeper))
+        assert time.monotonic() - began < 5.0  # far below the stall limit
+    assert gatekeeper.metrics.counts["streams.left"] == 1
+    gatekeeper.stop(0.0)
     node.server.stop()
 
 
-def test_an_upload_ends_in_overtime_however_alive_it_is() -> None:
-    node = Peer()
-    gate, address = gate_before(node, "(stall 200ms) (total 500ms)")
+def test_an_upload_ends_at_the_total_time_limit_even_if_it_makes_progress() -> None:
+    node = ScriptedNode()
+    gatekeeper, address = start_gatekeeper(node, "(stall 200ms) (total 500ms)")
     with gevent.Timeout(30):
         sock = client(address, b"Content-Length: 9000\r\n", b"POST")
-        answer = gevent.spawn(rest_of, sock)
+        answer = gevent.spawn(read_all, sock)
         while not answer.ready():
             gevent.sleep(0.05)
             try:
@@ -198,74 +195,74 @@
             except OSError:
                 break
         assert answer.get()[0].startswith(b"HTTP/1.1 504")
-        until(lambda: at_rest(gate))
-    assert gate.metrics.counts["streams.failed.overtime"] == 1
-    gate.stop(0.0)
+        wait_until(lambda: is_idle(gatekeeper))
+    assert gatekeeper.metrics.counts["streams.failed.overtime"] == 1
+    gatekeeper.stop(0.0)
     node.server.stop()
 
 
-def test_sigterm_lets_short_streams_end_and_cuts_the_others_so_that_it_shows(
+def test_sigterm_waits_for_short_streams_and_visibly_truncates_the_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("ashlift.gatekeeper.__main__.DRAIN_TIMEOUT_S", 0.6)
-    node = Peer(HEAD, b"x" * 50, 0.1, b"x" * 50)
-    endless = Peer(HEAD, *(step for _ in range(90) for step in (b"x", 0.05)))
+    node = ScriptedNode(HEAD, b"x" * 50, 0.1, b"x" * 50)
+    endless = ScriptedNode(HEAD, *(step for _ in range(90) for step in (b"x", 0.05)))
     for peer, size, counted in ((node, 100, "streams.served"), (endless, None, "streams.failed.shutdown")):
-        gate, address = gate_before(peer)
+        gatekeeper, address = start_gatekeeper(peer)
         with gevent.Timeout(30):
             sock = client(address)
-            answer = gevent.spawn(rest_of, sock)
-            until(lambda gate=gate: gate.metrics.counts["claims.sent"])
+            answer = gevent.spawn(read_all, sock)
+            wait_until(lambda gatekeeper=gatekeeper: gatekeeper.metrics.counts["claims.sent"])
             gevent.sleep(0.05)
-            gate.stop(0.0)
-            got = len(answer.get()[0].partition(b"\r\n\r\n")[2])
-            assert got == size if size else 0 < got < 100
-        assert gate.metrics.counts[counted] == 1 and gate.owner.unanswered == 0
+            gatekeeper.stop(0.0)
+            body_size = len(answer.get()[0].partition(b"\r\n\r\n")[2])
+            assert body_size == size if size else 0 < body_size < 100
+        assert gatekeeper.metrics.counts[counted] == 1 and gatekeeper.owner.unanswered == 0
         peer.server.stop()
 
 
-def test_a_stream_of_a_firm_beyond_its_ceiling_is_refused_before_its_body() -> None:
-    node = Peer(HEAD, b"x" * 100)
+def test_a_stream_of_a_customer_over_its_ceiling_is_refused_before_its_body() -> None:
+    node = ScriptedNode(HEAD, b"x" * 100)
     plan = {"settings.Plans.0.CeilingRate": 0.001, "settings.Plans.0.HardBurst": 1.0}
-    gate, address = gate_before(node, changes=plan)
+    gatekeeper, address = start_gatekeeper(node, changes=plan)
     with gevent.Timeout(30):
         sock = client(address, b"Content-Length: 100000000\r\n", b"POST")
         assert sock.recv(65536).startswith(b"HTTP/1.1 429")
-        until(lambda: at_rest(gate))
-    assert gate.metrics.counts["claims.sent"] == 0 and gate.metrics.counts["streams.refused"] == 1
-    gate.stop(0.0)
+        wait_until(lambda: is_idle(gatekeeper))
+    assert gatekeeper.metrics.counts["claims.sent"] == 0 and gatekeeper.metrics.counts["streams.refused"] == 1
+    gatekeeper.stop(0.0)
     node.server.stop()
 
 
-def test_a_body_that_is_turned_away_behind_an_answer_is_not_collected() -> None:
-    node = Peer(HEAD, b"x" * 50, 0.4, b"x" * 50)
-    gate, address = gate_before(node, "(stall 5s)) (most-streams 1) (class other")
+def test_the_body_of_a_rejected_stream_is_not_buffered_behind_a_response() -> None:
+    node = ScriptedNode(HEAD, b"x" * 50, 0.4, b"x" * 50)
+    gatekeeper, address = start_gatekeeper(node, "(stall 5s)) (most-streams 1) (class other")
     with gevent.Timeout(30):
         sock = client(address)
-        until(lambda: gate.metrics.counts["claims.sent"])
+        wait_until(lambda: gatekeeper.metrics.counts["claims.sent"])
         sock.sendall(
             b"POST /availability-check/x HTTP/1.1\r\nX-Trace-Id: b\r\nContent-Length: 2000000\r\n\r\n"
             + b"x" * 2_000_000
         )
-        until(lambda: gate.metrics.counts["streams.turned_away"])
-        (connection,) = gate.front._connections
+        wait_until(lambda: gatekeeper.metrics.counts["streams.turned_away"])
+        (connection,) = gatekeeper.front._connections
         read = connection._reader.request
         assert read is not None and read.size < 200_000
-        assert rest_of(sock)[0].count(b"HTTP/1.1 503") == 1
-        until(lambda: at_rest(gate))
-    gate.stop(0.0)
+        assert read_all(sock)[0].count(b"HTTP/1.1 503") == 1
+        wait_until(lambda: is_idle(gatekeeper))
+    gatekeeper.stop(0.0)
     node.server.stop()
 
 
-def test_clients_that_leave_at_any_moment_leave_nothing_behind() -> None:
+def test_clients_that_disconnect_at_any_time_leak_no_streams() -> None:
     chance = random.Random(5)
-    node = Peer(HEAD, b"x" * 30, 0.02, b"x" * 30, 0.02, b"x" * 40)
-    gate, address = gate_before(node)
+    node = ScriptedNode(HEAD, b"x" * 30, 0.02, b"x" * 30, 0.02, b"x" * 40)
+    gatekeeper, address = start_gatekeeper(node)
     with gevent.Timeout(60):
         for _ in range(40):
             upload = chance.random() < 0.5
-            more, method = (b"Content-Length: 90000\r\n", b"POST") if upload else (b"", b"GET")
-            sock = client(address, more, method)
+            extra, method = (b"Content-Length: 90000\r\n", b"POST") if upload else (b"", b"GET")
+            sock = client(address, extra, method)
             gevent.sleep(chance.choice((0, 0.001, 0.01, 0.03, 0.06)))
             if upload:
                 sock.sendall(b"x" * chance.randrange(1, 89_000))
@@ -273,8 +270,8 @@
             if chance.random() < 0.5:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
-        until(lambda: at_rest(gate) and not gate.front.open_count)
-    counts = gate.metrics.counts
+        wait_until(lambda: is_idle(gatekeeper) and not gatekeeper.front.open_count)
+    counts = gatekeeper.metrics.counts
     assert (
         counts["streams.left"]
         + counts["streams.served"]
@@ -282,29 +279,28 @@
         + sum(n for key, n in counts.items() if key.startswith("streams.failed."))
         == counts["jobs.taken"]
     )
-    assert not gate.nodes._attempts
-    gate.stop(0.0)
+    assert not gatekeeper.nodes._attempts
+    gatekeeper.stop(0.0)
     node.server.stop()
 
 
-# ---- what is told
-
-
-def test_the_end_of_a_stream_is_one_event_with_its_trace(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_end_of_a_stream_is_logged_as_one_event_with_its_trace_id(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     root = logging.getLogger()
     before = (root.handlers[:], root.level)
-    node = Peer(HEAD, b"x" * 100)
+    node = ScriptedNode(HEAD, b"x" * 100)
     try:
         logs.set_up(Logging(form="json"))
-        gate, address = gate_before(node)
+        gatekeeper, address = start_gatekeeper(node)
         with gevent.Timeout(30):
             sock = client(address, b"Connection: close\r\n")
-            rest_of(sock)
-            gate.stop(0.0)
+            read_all(sock)
+            gatekeeper.stop(0.0)
     finally:
         root.handlers[:], root.level = before
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
-    (ended,) = (line for line in lines if line["event"] == "stream.ended")
-    assert (ended["how"], ended["reason"], ended["up"], ended["down"]) == ("served", "-", 0, 100)
-    assert ended["trace"].startswith("t") and ended["logger"] == "ashlift.streams"
+    (event,) = (line for line in lines if line["event"] == "stream.ended")
+    assert (event["how"], event["reason"], event["up"], event["down"]) == ("served", "-", 0, 100)
+    assert event["trace"].startswith("t") and event["logger"] == "ashlift.streams"
     node.server.stop()
--- a/tests/gatekeeper/test_streams.py
+++ b/tests/gatekeeper/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams: the pure parts over any sequence of events, and any body in any cuts through a pipe."""
+"""Parts of the streaming: budget, progress, framing, and transfers through a pipe."""
 
 import itertools
 import random
@@ -37,22 +37,22 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.integers(2, 12), st.lists(st.tuples(st.integers(0, 11), st.integers(0, 1 << 19), st.booleans())))
-def test_the_budget_stays_within_its_bound_and_ends_at_zero(
+def test_the_budget_stays_within_its_total_and_ends_at_zero(
     count: int, events: list[tuple[int, int, bool]]
 ) -> None:
     total = (count + 3) * LEAST_LEASE
     budget = Budget(total, count)
     shares = [Share(window=8 * LEAST_LEASE) for _ in range(count)]
     leases: dict[Share, list[int]] = {share: [] for share in shares}
-    for at, wanted_bytes, gives in events:
+    for at, wanted_bytes, releases in events:
         share = shares[at % count]
-        if gives and leases[share]:
+        if releases and leases[share]:
             budget.release(share, leases[share].pop())
         elif size := budget.acquire(share, wanted_bytes):
             assert size <= max(wanted_bytes, LEAST_LEASE)
             leases[share].append(size)
         else:
-            assert share.held > 0  # one that holds nothing always gets something
+            assert share.held > 0  # a share that holds nothing is always granted bytes
         assert sum(share.held for share in shares) == budget.held <= total
         assert all(share.held <= share.window for share in shares)
     for share in shares:
@@ -62,7 +62,7 @@
     assert all(budget.acquire(share, 1) for share in shares)
 
 
-def test_slow_readers_cannot_fill_the_budget_together() -> None:
+def test_slow_readers_cannot_use_up_the_budget_together() -> None:
     budget = Budget(64 * LEAST_LEASE, 8)
     greedy = [Share(64 * LEAST_LEASE) for _ in range(4)]
     for _ in range(100):
@@ -70,11 +70,11 @@
             budget.acquire(share, 4 * LEAST_LEASE)
     held = [share.held for share in greedy]
     late = Share(64 * LEAST_LEASE)
-    assert budget.acquire(late, 4 * LEAST_LEASE) >= 2 * LEAST_LEASE  # and not the least alone
+    assert budget.acquire(late, 4 * LEAST_LEASE) >= 2 * LEAST_LEASE  # more than the reserved bytes
     assert max(held) <= 2 * min(held)  # fair shares
 
 
-def test_a_share_stops_at_the_high_watermark_and_goes_on_at_the_low_one() -> None:
+def test_a_share_stops_at_the_high_watermark_and_resumes_at_the_low_one() -> None:
     budget, share = Budget(1 << 20, 2), Share(8 * LEAST_LEASE)
     while budget.acquire(share, LEAST_LEASE):
         pass
@@ -92,11 +92,11 @@
         Budget(8 * LEAST_LEASE, 8)
 
 
-# ---- the pace
+# ---- progress
 
 
 @given(st.lists(st.tuples(st.floats(0, 500), st.integers(0, 1000))), st.integers(50, 1000))
-def test_a_side_is_stalled_exactly_when_it_moved_nothing_for_the_limit(
+def test_a_peer_is_stalled_exactly_when_it_moved_no_bytes_for_the_limit(
     waits: list[tuple[float, int]], stall: int
 ) -> None:
     monitor, idle = ProgressMonitor(stall), 0.0
@@ -110,9 +110,9 @@
         assert monitor.max_wait_ms() == max(1.0, stall - idle)
 
 
-def test_the_least_rate_counts_the_time_of_waiting_alone() -> None:
+def test_the_minimum_rate_counts_only_the_time_waited() -> None:
     monitor = ProgressMonitor(1_000, least_rate=1_000, rate_span_ms=2_000)
-    for _ in range(10):  # 100 bytes in each 100 ms that it was waited for: just enough
+    for _ in range(10):  # 100 bytes in 100 ms of waiting: exactly the minimum rate
         monitor.record_bytes(100)
         assert monitor.record_wait(100) is None
     for _ in range(9):
@@ -135,7 +135,7 @@
         ([(b"transfer-encoding", b"Chunked")], Body(Framing.CHUNKED)),
     ],
 )
-def test_a_head_tells_where_its_body_ends(headers: Any, body: Body | None) -> None:
+def test_the_framing_of_a_body_is_read_from_its_head(headers: Any, body: Body | None) -> None:
     assert declared_body(headers) == body
 
 
@@ -148,15 +148,15 @@
         [(b"transfer-encoding", b"gzip, chunked")],
     ],
 )
-def test_a_head_that_says_it_in_two_ways_is_refused(headers: Any) -> None:
+def test_invalid_or_contradictory_framing_is_rejected(headers: Any) -> None:
     with pytest.raises(FramingError):
         declared_body(headers)
 
 
-# ---- any body in any cuts, through real sockets
+# ---- transfers through real sockets
 
 
-def both() -> tuple[Any, Any]:
+def socket_pair() -> tuple[Any, Any]:
     listener = listen()
     one = socket.create_connection(listener.getsockname())
     other, _ = listener.accept()
@@ -164,8 +164,8 @@
     return one, other
 
 
-class Chunks:
-    """Reads a chunked answer back, as a client would."""
+class ChunkedReader:
+    """Parses a chunked response."""
 
     def __init__(self) -> None:
         self.body, self.done = b"", False
@@ -178,8 +178,8 @@
         self.done = True
 
 
-def encoded(body: bytes, sizes: list[int]) -> bytes:
-    """The body in chunks of these sizes and one for the rest, with extensions and a trailer."""
+def encode_chunks(body: bytes, sizes: list[int]) -> bytes:
+    """Encode a body in chunks of these sizes and one for the rest, with extensions and a trailer."""
     out, rest, sizes = b"", body, [*sizes, len(body) + 1]
     while rest:
         part, rest = rest[: sizes[0]], rest[sizes.pop(0) :]
@@ -195,15 +195,15 @@
     st.booleans(),
     st.integers(0, 99),
 )
-def test_any_body_in_any_cuts_arrives_byte_for_byte(
+def test_any_body_arrives_unchanged_however_it_is_split(
     body: bytes, cuts: list[int], chunks: list[int] | None, chunked: bool, seed: int
 ) -> None:
-    """Through a pipe whose window is far smaller, while source and sink take turns at being slow."""
+    """The window of the pipe is far smaller than the body, and source and sink are slow at random."""
     chance, pool = random.Random(seed), BufferPool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)
-    source, near = both()
-    far, sink = both()
-    pipe, got = Pipe(pool), b""
-    wire = body if chunks is None else encoded(body, chunks)
+    source, near = socket_pair()
+    far, sink = socket_pair()
+    pipe, received = Pipe(pool), b""
+    wire = body if chunks is None else encode_chunks(body, chunks)
 
     def write() -> None:
         rest, sizes = wire, [*cuts, len(wire) + 1]
@@ -234,52 +234,54 @@
     with gevent.Timeout(20):
         running = [gevent.spawn(part) for part in (write, carry, drain)]
         while more := sink.recv(chance.randrange(1, 20_000)):
-            got += more
+            received += more
             assert pool.budget.held <= pool.budget.total
         gevent.joinall(running, raise_error=True)
     for sock in (source, near, far, sink):
         sock.close()
     if chunked:
-        read = Chunks()
-        read.parser.feed_data(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + got)
+        read = ChunkedReader()
+        read.parser.feed_data(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + received)
         assert read.done
-        got = read.body
-    assert got == body
+        received = read.body
+    assert received == body
     assert pool.budget.held == 0 and not pool.pipes
 
 
-def test_the_clock_of_a_source_stands_while_its_sink_is_what_holds_it_up() -> None:
-    """A slow but living client is no stalled node: the sink rests for ten stall limits of the source."""
-    source, near = both()
+def test_a_source_is_not_stalled_while_its_sink_is_slow() -> None:
+    """The sink pauses for ten times the stall limit of the source."""
+    source, near = socket_pair()
     pipe = Pipe(BufferPool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4))
     source.sendall(b"x" * 60_000)
     with gevent.Timeout(20):
         filling = gevent.spawn(pump.Source(near, ProgressMonitor(100)).fill, pipe, 60_000)
         gevent.sleep(1.0)
         assert not filling.ready() and 0 < pipe.held <= 2 * LEAST_LEASE
-        got = 0
-        while got < 60_000:
+        received = 0
+        while received < 60_000:
             part = pipe.get()
             assert part is not None
-            got += part.end - part.start
+            received += part.end - part.start
             pipe.release(part)
         filling.get()
-        # And one that is waited for is judged.
+        # A source that is waited for does time out.
         late = gevent.spawn(pump.Source(near, ProgressMonitor(100)).fill, pipe, 1)
         with pytest.raises(pump.LagError, match="stalled"):
             late.get()
     assert pipe.held == 0
 
 
-def test_two_sides_that_rest_in_turn_are_both_alive(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Together they rest for far longer than the source's limit; the source alone never does. The rests
-    are on a clock of the test's own, so that a busy machine adds nothing to them."""
+def test_peers_that_pause_in_turn_are_not_stalled(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Together they pause for longer than the source's stall limit, the source alone does not.
+
+    Uses a manual clock, so that a busy machine does not prolong the pauses.
+    """
     now, full = [0.0], Event()
     monkeypatch.setattr(pump, "time", SimpleNamespace(monotonic=lambda: now[0]))
-    source, near = both()
-    pipe, got = Pipe(BufferPool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)), 0
+    source, near = socket_pair()
+    pipe, received = Pipe(BufferPool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)), 0
 
-    def peer_closed() -> bool:  # asked while there is no room to read
+    def peer_closed() -> bool:  # called while there is no buffer to read into
         full.set()
         return False
 
@@ -287,21 +289,21 @@
         filling = gevent.spawn(pump.Source(near, ProgressMonitor(250), peer_closed).fill, pipe, 60_000)
         for bytes_per_turn in range(1, 4):
             gevent.sleep(0.02)
-            now[0] += 0.02  # the source's rest
+            now[0] += 0.02  # pause of the source
             full.clear()
             source.sendall(b"x" * 20_000)
             full.wait()
-            now[0] += 0.4  # the sink's, behind a full window
-            while got < 20_000 * bytes_per_turn:
+            now[0] += 0.4  # pause of the sink, with a full window
+            while received < 20_000 * bytes_per_turn:
                 part = pipe.get()
                 assert part is not None
-                got += part.end - part.start
+                received += part.end - part.start
                 pipe.release(part)
         filling.get()
     assert pipe.held == 0
 
 
-def test_a_broken_pipe_gives_all_back_and_wakes_both_sides() -> None:
+def test_an_aborted_pipe_releases_all_buffers_and_wakes_both_sides() -> None:
     pool = BufferPool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)
     pipe, ends = Pipe(pool), []
 
@@ -314,18 +316,18 @@
 
     held = gevent.spawn(source)
     gevent.sleep(0)
-    kept = pipe.get()  # in the sink's hand
-    assert kept is not None and pool.budget.held > 0
+    buffer_in_use = pipe.get()  # held by the sink
+    assert buffer_in_use is not None and pool.budget.held > 0
     pipe.abort(Fault.NODE_RESET)
     pipe.abort(Fault.CLIENT_DISCONNECTED)
     held.join(5)
-    pipe.release(kept)
+    pipe.release(buffer_in_use)
     assert ends == ["node_reset"] and pool.budget.held == 0 and not pool.pipes
     with pytest.raises(Exception, match="node_reset"):
         pipe.get()
 
 
-def test_a_desk_gives_each_place_once() -> None:
+def test_a_stream_registry_limits_the_number_of_open_streams() -> None:
     own = config(NOWHERE, {}, OWN.format("")).own.streaming
     registry = StreamRegistry(replace(own, most_streams=2), {b"availability-check": 0})
     policy = registry.policy_for(b"/availability-check/x?y")
@@ -341,11 +343,11 @@
     assert StreamRegistry(Streaming(classes=own.classes), {}).unknown_classes == ["availability-check"]
 
 
-# ---- the module
+# ---- the admission gateway
 
 
-def test_a_spent_body_is_not_sent_again_and_its_failure_is_told_as_one() -> None:
-    for spent, result, told in (
+def test_a_request_whose_body_was_sent_is_not_retried() -> None:
+    for body_sent, result, expected_action in (
         (False, i.Result.RESET, i.Send),
         (True, i.Result.RESET, i.Fail),
         (True, i.Result.CONNECT_FAILED, i.Refuse),
@@ -353,13 +355,15 @@
         driver = Driver()
         number, actions = driver.ask(streamed=True)
         server = sends(actions)[0].server
-        if spent:
+        if body_sent:
             driver.do(i.StreamStarted(number, 0, request_body_sent=True))
         after = driver.end(number, server, result)
-        assert [type(action) for action in after if isinstance(action, i.Send | i.Fail | i.Refuse)] == [told]
+        assert [type(action) for action in after if isinstance(action, i.Send | i.Fail | i.Refuse)] == [
+            expected_action
+        ]
 
 
-def test_a_flowing_body_takes_no_core_and_has_no_deadline() -> None:
+def test_a_forwarded_response_is_not_in_flight_and_has_no_deadline() -> None:
     driver = Driver()
     number, actions = driver.ask(streamed=True)
     server = sends(actions)[0].server
