--- a/tests/gatekeeper/test_stream_program.py
+++ b/tests/gatekeeper/test_stream_program.py
@@ -55,34 +55,38 @@
 
 
 def start_gatekeeper(
-    node: ScriptedNode, extra: str = "(stall 200ms)", changes: dict[str, Any] | None = None
+    node: ScriptedNode, stream_settings: str = "(stall 200ms)", changes: dict[str, Any] | None = None
 ) -> tuple[Gatekeeper, tuple[str, int]]:
     settings_changes = {"settings.Limits.TryLimit": 1, **(changes or {})}
-    gatekeeper = Gatekeeper(config(NOWHERE | {"n1": node.address}, settings_changes, OWN.format(extra)))
+    gatekeeper = Gatekeeper(
+        config(NOWHERE | {"n1": node.address}, settings_changes, OWN.format(stream_settings))
+    )
     return gatekeeper, gatekeeper.start()
 
 
-def client(address: tuple[str, int], extra: bytes = b"", method: bytes = b"GET", small: bool = False) -> Any:
+def client(
+    address: tuple[str, int], headers: bytes = b"", method: bytes = b"GET", small: bool = False
+) -> Any:
     sock = socket.socket()
     if small:  # the large buffers of the loopback would hide that the client does not read
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     sock.connect(address)
     sock.sendall(
         method + b" /availability-check/x HTTP/1.1\r\nX-Trace-Id: t%d\r\nX-Qos: availability-check\r\n"
-        b"Api-Plan: basic\r\nApi-Customer: 07\r\nX-Expires-In: 20\r\n%b\r\n" % (next(numbers), extra)
+        b"Api-Plan: basic\r\nApi-Customer: 07\r\nX-Expires-In: 20\r\n%b\r\n" % (next(numbers), headers)
     )
     return sock
 
 
 def read_all(sock: Any) -> tuple[bytes, bool]:
     """Read to the end; returns the data, and whether the connection was closed without a reset."""
-    body_size = b""
+    data = b""
     try:
-        while extra := sock.recv(65536):
-            body_size += extra
+        while chunk := sock.recv(65536):
+            data += chunk
     except ConnectionError:
-        return body_size, False
-    return body_size, True
+        return data, False
+    return data, True
 
 
 def is_idle(gatekeeper: Gatekeeper) -> bool:
@@ -261,8 +265,8 @@
     with gevent.Timeout(60):
         for _ in range(40):
             upload = chance.random() < 0.5
-            extra, method = (b"Content-Length: 90000\r\n", b"POST") if upload else (b"", b"GET")
-            sock = client(address, extra, method)
+            headers, method = (b"Content-Length: 90000\r\n", b"POST") if upload else (b"", b"GET")
+            sock = client(address, headers, method)
             gevent.sleep(chance.choice((0, 0.001, 0.01, 0.03, 0.06)))
             if upload:
                 sock.sendall(b"x" * chance.randrange(1, 89_000))
--- a/tests/proxy/test_answers.py
+++ b/tests/proxy/test_answers.py
@@ -431,7 +431,7 @@
     "an answer that was cut is passed on": (
         ConnectionPool._read_response,
         "    return None\n            response.feed",
-        "    response.status, response.done = response.code, True\n"
+        "    response.status, response.done = response.head_status, True\n"
         "                break\n            response.feed",
         check_behaviour("short"),
     ),
