--- a/tests/gatekeeper/test_parts.py
+++ b/tests/gatekeeper/test_parts.py
@@ -325,11 +325,11 @@
     gatekeeper = Gatekeeper(replace(config(NOWHERE, {}), idle_links=2))
     address = gatekeeper.start()
     with gevent.Timeout(30):
-        idle_client = []
+        idle_clients = []
         for _ in range(9):
-            idle_client.append(connect_and_send(address))
-            assert idle_client[-1].recv(65536).startswith(b"HTTP/1.1 200")
-        assert idle_client[0].recv(1) == b""
+            idle_clients.append(connect_and_send(address))
+            assert idle_clients[-1].recv(65536).startswith(b"HTTP/1.1 200")
+        assert idle_clients[0].recv(1) == b""
     assert gatekeeper.metrics.counts["clients.put_out"] >= 5
     gatekeeper.stop(0.0)
 
