--- a/ashlift/gatekeeper/net/front/listener.py
+++ b/ashlift/gatekeeper/net/front/listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections within their bounds, and knows every open one."""
+"""Accepts client connections up to a limit, and closes idle ones to make room."""
 
 import contextlib
 import errno
@@ -15,15 +15,14 @@
 from ashlift.gatekeeper.net.front.connection import Connection
 
 if TYPE_CHECKING:
-    from ashlift.gatekeeper.streams.passage import Desk
+    from ashlift.gatekeeper.streams.stream import StreamRegistry
 
-FULL_S = 0.02  # when all places are taken by jobs, one is looked for so often
+RETRY_INTERVAL_S = 0.02  # between attempts to find an idle connection while the limit is reached
 BACKLOG = 1024
 
 
-def adopt(descriptor: int) -> socket.socket:
-    """The listening socket behind an inherited descriptor. Guards against accepting on whatever else the
-    number may stand for: an IPv4 TCP socket that listens, or OSError."""
+def adopt_listener(descriptor: int) -> socket.socket:
+    """Return the listening socket of an inherited descriptor; OSError if it is not an IPv4 TCP listener."""
     sock = socket.socket(fileno=descriptor)
     try:
         kind = sock.getsockopt(socket.SOL_SOCKET, socket.SO_TYPE)
@@ -31,49 +30,50 @@
         if sock.family != socket.AF_INET or kind != socket.SOCK_STREAM or not listening:
             raise OSError(errno.ENOTSOCK, f"descriptor {descriptor} is no listening TCP socket of IPv4")
     except OSError:
-        sock.detach()  # not ours to close
+        sock.detach()  # leave the descriptor open
         raise
     return sock
 
 
 class Front:
-    """Listens, and knows every open client connection. `desk` is None where nothing is streamed."""
+    """Accepts client connections and owns them. `stream_registry` is None if streaming is disabled."""
 
     def __init__(
         self,
         names: Names,
-        most: int,
-        idle_most: int,
+        max_connections: int,
+        max_idle: int,
         ready: Callable[[], bool],
         clock: Clock,
         inbox: Inbox,
         metrics: Metrics,
-        desk: "Desk | None" = None,
+        stream_registry: "StreamRegistry | None" = None,
     ) -> None:
         self.names, self.ready, self.clock, self.inbox, self.metrics = names, ready, clock, inbox, metrics
         self.closing = False
-        self.traces: set[bytes] = set()  # of open jobs
-        self.idle: dict[Connection, None] = {}  # connections that are owed nothing, the longest idle first
-        self._most, self._idle_most = most, idle_most
-        self._freed = Event()
+        self.trace_ids: set[bytes] = set()  # of open jobs
+        self.idle: dict[Connection, None] = {}  # without a request, the longest idle first
+        self._max_connections, self._max_idle = max_connections, max_idle
+        self._slot_freed = Event()
         self._connections: set[Connection] = set()
-        self._new: Callable[[socket.socket], Connection] = lambda sock: Connection(self, sock)
-        if desk is not None:  # loaded only where the settings turn it on
+        self._create_connection: Callable[[socket.socket], Connection] = lambda sock: Connection(self, sock)
+        if stream_registry is not None:  # loaded only if streaming is enabled
             from ashlift.gatekeeper.net.front.streaming import StreamConnection
 
-            here = desk
-            self._new = lambda sock: StreamConnection(self, sock, here)
+            registry = stream_registry
+            self._create_connection = lambda sock: StreamConnection(self, sock, registry)
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         return len(self._connections)
 
     def listen(self, address: tuple[str, int], inherited: int | None = None) -> socket.socket:
-        """Bind and listen; or accept on the socket that descriptor `inherited` already is, which the
-        platform holds for this process and its successor alike. Raises OSError where that is no listening TCP
-        socket."""
+        """Bind and listen, or use the listening socket `inherited`, which a successor process may share.
+
+        Raises OSError if `inherited` is not a listening TCP socket.
+        """
         if inherited is not None:
-            return adopt(inherited)
+            return adopt_listener(inherited)
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(address)
@@ -81,28 +81,27 @@
         return sock
 
     def run(self, listener: socket.socket) -> None:
-        """Accept for ever, within the bound of connections."""
+        """Accept connections up to the limit, until the listener is closed."""
         while True:
-            if len(self.idle) > self._idle_most:
-                # Guards against clients that are kept from asking by others who only stay: all that clients
-                # hold counts towards what they may hold.
-                self._put_one_out()
-            while self.open >= self._most:
-                self._put_one_out()
-                self._freed.clear()
-                self._freed.wait(FULL_S)
+            if len(self.idle) > self._max_idle:
+                # Idle connections must not use up the limit.
+                self._evict_idle_connection()
+            while self.open_count >= self._max_connections:
+                self._evict_idle_connection()
+                self._slot_freed.clear()
+                self._slot_freed.wait(RETRY_INTERVAL_S)
             try:
                 sock, _ = listener.accept()
             except OSError as error:
                 if error.errno == errno.EBADF:
-                    return  # closed at the end
+                    return  # the listener was closed
                 self.metrics.add("clients.accept_failed")
-                gevent.sleep(0.01)  # out of descriptors: some come free soon
+                gevent.sleep(0.01)  # out of file descriptors
                 continue
             self._accept(sock)
 
     def accept_backlog(self, listener: socket.socket) -> None:
-        """Serve the clients that the kernel has accepted: to close the listener would reset them."""
+        """Serve the connections in the backlog, which closing the listener would reset."""
         listener.settimeout(0.0)
         with contextlib.suppress(OSError):  # there are no more
             while True:
@@ -112,18 +111,17 @@
     def _accept(self, sock: socket.socket) -> None:
         self.metrics.add("clients.accepted")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection = self._new(sock)
+        connection = self._create_connection(sock)
         self._connections.add(connection)
         gevent.spawn(self._serve, connection)
 
-    def _put_one_out(self) -> None:
-        """Guards against places held by those who ask nothing while others wait: the longest idle connection
-        ends, if there is one that may."""
+    def _evict_idle_connection(self) -> None:
+        """Close the longest idle connection that can be evicted, if any."""
         now = self.clock.now()
-        spare = next((connection for connection in self.idle if connection.spare(now)), None)
-        if spare is not None:
+        evictable = next((connection for connection in self.idle if connection.can_evict(now)), None)
+        if evictable is not None:
             self.metrics.add("clients.put_out")
-            spare.put_out()
+            evictable.evict()
 
     def _serve(self, connection: Connection) -> None:
         try:
@@ -131,25 +129,25 @@
         finally:
             self._connections.discard(connection)
             self.idle.pop(connection, None)
-            self._freed.set()
+            self._slot_freed.set()
 
     def standby(self, on: bool) -> None:
-        """Drain, or end the drain: while on, connections end after their answers, and those at rest now."""
+        """Start or end a drain: connections close after their response, and idle ones at once."""
         self.closing = on
         if on:
-            self.rest()
+            self.close_idle()
 
     def close(self) -> None:
-        """From now on connections end between requests: those at rest now, the others with their answer."""
+        """Close idle connections, and the others after their response."""
         self.closing = True
-        self.rest()
+        self.close_idle()
 
-    def rest(self) -> None:
-        """End the connections on which nothing is asked."""
+    def close_idle(self) -> None:
+        """Close the connections without a request."""
         for connection in list(self._connections):
-            connection.rest()
+            connection.close_if_idle()
 
-    def cut(self) -> None:
-        """End what the drain has not ended, so that its clients can tell."""
+    def abort_streams(self) -> None:
+        """End the streams that outlasted the drain, so that their clients see that they are incomplete."""
         for connection in list(self._connections):
-            connection.cut()
+            connection.abort_streams()
--- a/ashlift/gatekeeper/net/front/reader.py
+++ b/ashlift/gatekeeper/net/front/reader.py
@@ -1,4 +1,4 @@
-"""Turns the bytes of one client connection into requests. Knows no socket and no greenlet."""
+"""Parses the requests of a client connection. No sockets or greenlets."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -6,125 +6,128 @@
 
 import httptools
 
-from ashlift.gatekeeper.net.front.asked import ONCE, Asked, BadRequestError
+from ashlift.gatekeeper.net.front.request import SINGLE_VALUE_HEADERS, BadRequestError, ClientRequest
 
 if TYPE_CHECKING:
-    from ashlift.gatekeeper.streams.passage import Terms
+    from ashlift.gatekeeper.streams.stream import StreamPolicy
 
-HEAD_MOST = 16 * 1024  # bytes of request line and headers
-BODY_MOST = 64 * 1024  # of a body that is not streamed
-CHUNK_COST = 16  # bytes of framing for each byte of a streamed body, beyond HEAD_MOST: tiny chunks, no more
+MAX_HEAD_BYTES = 16 * 1024  # of request line and headers
+MAX_BODY_BYTES = 64 * 1024  # of a request that is not streamed
+MAX_FRAMING_RATIO = 16  # bytes of chunk framing per byte of a streamed body; permits tiny chunks
 
 
 class RequestReader:
-    """Calls `began` when a request begins and `arrived` when one may be answered.
+    """Calls `on_begin` when a request begins and `on_request` when it can be processed.
 
-    `terms` tells of a target whether its class streams; None where nothing does.
+    `policy` returns the stream policy of a target, or None if its class is not streamed. None: streaming
+    is disabled.
     """
 
     def __init__(
         self,
-        began: Callable[[], None],
-        arrived: Callable[[Asked], None],
-        terms: "Callable[[bytes], Terms | None] | None",
+        on_begin: Callable[[], None],
+        on_request: Callable[[ClientRequest], None],
+        policy: "Callable[[bytes], StreamPolicy | None] | None",
     ) -> None:
-        self._began, self._arrived, self._terms = began, arrived, terms
-        self.asked: Asked | None = None  # being read
-        self._fed = 0  # bytes since the last request's end
+        self._on_begin, self._on_request, self._policy = on_begin, on_request, policy
+        self.request: ClientRequest | None = None  # being read
+        self._bytes_fed = 0  # since the end of the last request
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Take what came; raises BadRequestError, and then nothing more can be read."""
-        self._fed += len(data)
+        """Parse input; raises BadRequestError, after which the connection cannot be read any further."""
+        self._bytes_fed += len(data)
         try:
             self._parser.feed_data(data)
         except BadRequestError:
             raise
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            # A callback's own BadRequestError comes wrapped by the parser.
+            # The parser wraps a BadRequestError raised in a callback.
             cause = error.__context__
-            bad = cause if isinstance(cause, BadRequestError) else BadRequestError(HTTPStatus.BAD_REQUEST)
-            raise bad from None
-        asked = self.asked
-        if asked is None:
+            bad_request = (
+                cause if isinstance(cause, BadRequestError) else BadRequestError(HTTPStatus.BAD_REQUEST)
+            )
+            raise bad_request from None
+        request = self.request
+        if request is None:
             return
-        spare = 0 if asked.terms is None else CHUNK_COST * asked.size
-        if self._fed - asked.size > HEAD_MOST + spare:
+        allowed_framing = 0 if request.policy is None else MAX_FRAMING_RATIO * request.size
+        if self._bytes_fed - request.size > MAX_HEAD_BYTES + allowed_framing:
             raise BadRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
-    def pass_over(self) -> None:
-        """The body of the request that is being read went past this reader: the next request follows."""
-        if self.asked is not None:
-            self.asked.whole, self.asked = True, None
-        self._fed = 0
+    def skip_body(self) -> None:
+        """The body of the current request was read by other means: expect the next request."""
+        if self.request is not None:
+            self.request.body_complete, self.request = True, None
+        self._bytes_fed = 0
         self._parser = httptools.HttpRequestParser(self)
 
-    # httptools calls these
+    # Callbacks of httptools
 
     def on_message_begin(self) -> None:
-        self.asked = Asked()
-        self._began()
+        self.request = ClientRequest()
+        self._on_begin()
 
     def on_url(self, url: bytes) -> None:
-        assert self.asked is not None
-        self.asked.target += url
-        if len(self.asked.target) > HEAD_MOST:
+        assert self.request is not None
+        self.request.target += url
+        if len(self.request.target) > MAX_HEAD_BYTES:
             raise BadRequestError(HTTPStatus.REQUEST_URI_TOO_LONG)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        asked = self.asked
-        assert asked is not None
-        asked.head += len(name) + len(value)
-        if asked.head > HEAD_MOST:
+        request = self.request
+        assert request is not None
+        request.header_bytes += len(name) + len(value)
+        if request.header_bytes > MAX_HEAD_BYTES:
             raise BadRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
-        if asked.headed:
-            return  # a trailer: guards against a plan or a name that is told behind the body
+        if request.head_complete:
+            return  # trailers must not change the plan or the customer
         name, value = name.lower(), value.strip()
-        before = asked.headers.get(name)
-        if before is not None:
-            if name in ONCE:
+        previous = request.headers.get(name)
+        if previous is not None:
+            if name in SINGLE_VALUE_HEADERS:
                 raise BadRequestError(HTTPStatus.BAD_REQUEST)
-            value = before + b", " + value
-        asked.headers[name] = value
+            value = previous + b", " + value
+        request.headers[name] = value
 
     def on_headers_complete(self) -> None:
-        asked = self.asked
-        assert asked is not None
-        asked.headed = True
-        if self._terms is not None and (terms := self._terms(asked.target)) is not None:
-            self._streamed(asked, terms)
+        request = self.request
+        assert request is not None
+        request.head_complete = True
+        if self._policy is not None and (policy := self._policy(request.target)) is not None:
+            self._begin_streamed(request, policy)
 
-    def _streamed(self, asked: Asked, terms: "Terms") -> None:
-        from ashlift.gatekeeper.streams.heads import Body, Framing, FramingError, body_of
+    def _begin_streamed(self, request: ClientRequest, policy: "StreamPolicy") -> None:
+        from ashlift.gatekeeper.streams.heads import Body, Framing, FramingError, declared_body
 
         try:
-            asked.framing = body_of([*asked.headers.items()]) or Body(Framing.NONE)
+            request.framing = declared_body([*request.headers.items()]) or Body(Framing.NONE)
         except FramingError:
             raise BadRequestError(HTTPStatus.BAD_REQUEST) from None
-        if asked.framing.length > terms.set.longest:
+        if request.framing.length > policy.settings.longest:
             raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
-        if asked.headers.get(b"expect", b"100-continue").lower() != b"100-continue":
+        if request.headers.get(b"expect", b"100-continue").lower() != b"100-continue":
             raise BadRequestError(HTTPStatus.EXPECTATION_FAILED)
-        asked.terms = terms
-        asked.minor = int(self._parser.get_http_version()[-1:] or 1)
-        self._tell(asked)
+        request.policy = policy
+        request.http_minor = int(self._parser.get_http_version()[-1:] or 1)
+        self._emit(request)
 
     def on_body(self, body: bytes) -> None:
-        asked = self.asked
-        assert asked is not None
-        asked.body.append(body)
-        asked.size += len(body)
-        if asked.size > (BODY_MOST if asked.terms is None else asked.terms.set.longest):
+        request = self.request
+        assert request is not None
+        request.body.append(body)
+        request.size += len(body)
+        if request.size > (MAX_BODY_BYTES if request.policy is None else request.policy.settings.longest):
             raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def on_message_complete(self) -> None:
-        asked, self.asked, self._fed = self.asked, None, 0
-        assert asked is not None
-        asked.whole = True
-        if asked.terms is None:
-            self._tell(asked)
-
-    def _tell(self, asked: Asked) -> None:
-        asked.method, asked.keep = self._parser.get_method(), self._parser.should_keep_alive()
-        asked.minor = int(self._parser.get_http_version()[-1:] or 1)
-        self._arrived(asked)
+        request, self.request, self._bytes_fed = self.request, None, 0
+        assert request is not None
+        request.body_complete = True
+        if request.policy is None:
+            self._emit(request)
+
+    def _emit(self, request: ClientRequest) -> None:
+        request.method, request.keep_alive = self._parser.get_method(), self._parser.should_keep_alive()
+        request.http_minor = int(self._parser.get_http_version()[-1:] or 1)
+        self._on_request(request)
--- a/ashlift/gatekeeper/net/front/streaming.py
+++ b/ashlift/gatekeeper/net/front/streaming.py
@@ -1,7 +1,7 @@
-"""A client connection on which bodies are passed on as they arrive, both ways.
+"""A client connection that forwards request and response bodies as they arrive.
 
-The reader's greenlet fills a request's body into its passage once a claim stands, the writer's drains the
-answer's. Each side is timed where it is waited for; whatever ends a passage ends both.
+The reading greenlet puts the request body into the stream's upload pipe once an attempt is connected; the
+writing greenlet writes the response body from its download pipe. A fault on either side ends the stream.
 """
 
 import logging
@@ -14,59 +14,64 @@
 from gevent import socket
 
 from ashlift.gatekeeper import logs
-from ashlift.gatekeeper.jobs import Delivered, Left, Verdict
-from ashlift.gatekeeper.net.front.answers import CONTINUE
-from ashlift.gatekeeper.net.front.asked import Asked, BadRequestError
-from ashlift.gatekeeper.net.front.connection import Connection, Owner
+from ashlift.gatekeeper.jobs import JobAbandoned, ResponseDelivered, Verdict
+from ashlift.gatekeeper.net.front.connection import Connection, FrontContext
 from ashlift.gatekeeper.net.front.reader import RequestReader
-from ashlift.gatekeeper.net.links import hung_up
-from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
-from ashlift.gatekeeper.streams.heads import Framing, passing
-from ashlift.gatekeeper.streams.pace import Lag, Pace
-from ashlift.gatekeeper.streams.passage import Desk, Opening, Terms
-from ashlift.gatekeeper.streams.pipe import EndedError
+from ashlift.gatekeeper.net.front.rendering import CONTINUE
+from ashlift.gatekeeper.net.front.request import BadRequestError, ClientRequest
+from ashlift.gatekeeper.net.socket_state import peer_has_closed
+from ashlift.gatekeeper.streams.faults import AbortedError, Fault
+from ashlift.gatekeeper.streams.heads import Framing, select_headers
+from ashlift.gatekeeper.streams.pipe import SourceEndedError
+from ashlift.gatekeeper.streams.progress import Lag, ProgressMonitor
 from ashlift.gatekeeper.streams.pump import LagError, Sink, Source
+from ashlift.gatekeeper.streams.stream import StreamedResponse, StreamPolicy, StreamRegistry
 
 if TYPE_CHECKING:
-    from ashlift.gatekeeper.streams.passage import Passage
+    from ashlift.gatekeeper.streams.stream import Stream
 
 log = logging.getLogger("ashlift.streams")
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: what is closed then is reset
-SPOILT = {HTTPStatus.REQUEST_ENTITY_TOO_LARGE: Fault.REQUEST_TOO_LONG}
-LAG = {Lag.STALLED: Fault.CLIENT_STALLED, Lag.SLOW: Fault.CLIENT_SLOW}
+RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER with which closing a socket resets the connection
+FAULT_BY_STATUS = {HTTPStatus.REQUEST_ENTITY_TOO_LARGE: Fault.REQUEST_TOO_LONG}
+FAULT_BY_LAG = {Lag.STALLED: Fault.CLIENT_STALLED, Lag.SLOW: Fault.CLIENT_SLOW}
 
 
-def pace_of(terms: Terms) -> Pace:
-    """One side's record by its class's settings."""
-    return Pace(terms.set.stall, terms.set.least_rate, terms.set.rate_span)
+def progress_monitor(policy: StreamPolicy) -> ProgressMonitor:
+    """Create a monitor with the limits of a stream's class."""
+    return ProgressMonitor(policy.settings.stall, policy.settings.least_rate, policy.settings.rate_span)
 
 
-def flow(sock: socket.socket, minor: int, opening: Opening, keep: bool) -> Fault | None:
-    """Write an answer to a client of HTTP/1.`minor` as it comes; why it could not be written whole."""
-    passage, head = opening.passage, opening.head
-    data, framing = head.render(minor, keep)
-    sink = Sink(sock, pace_of(passage.terms))
+def forward_response(
+    sock: socket.socket, http_minor: int, opening: StreamedResponse, keep_alive: bool
+) -> Fault | None:
+    """Write a response to the client as it arrives; returns the fault that cut it short, if any."""
+    stream, head = opening.stream, opening.head
+    data, framing = head.render(http_minor, keep_alive)
+    sink = Sink(sock, progress_monitor(stream.policy))
     try:
         sink.write(data)
-        if passage.answer is not None:
-            sink.drain(passage.answer, framing is Framing.CHUNKED)
+        if stream.download is not None:
+            sink.drain(stream.download, framing is Framing.CHUNKED)
         return None
-    except BrokenOffError as broken:
-        fault = broken.fault
+    except AbortedError as error:
+        fault = error.fault
     except LagError as lag:
-        fault = LAG[lag.lag]
+        fault = FAULT_BY_LAG[lag.lag]
     except OSError:
-        fault = Fault.CLIENT_LEFT
-    passage.break_off(fault)
-    _break_off(sock, framing, fault)
+        fault = Fault.CLIENT_DISCONNECTED
+    stream.abort(fault)
+    _close_incomplete(sock, framing, fault)
     return fault
 
 
-def _break_off(sock: socket.socket, framing: Framing, fault: Fault) -> None:
-    """Guards against a client that takes what came for the whole: a body whose end is the connection's is
-    reset, as is one whose client takes nothing; the others lack their end visibly."""
+def _close_incomplete(sock: socket.socket, framing: Framing, fault: Fault) -> None:
+    """End an incomplete response so that the client can tell.
+
+    A connection whose end would end the body is reset, and so is one whose client does not read. In the other
+    cases the length or the last chunk is missing.
+    """
     try:
-        if framing is Framing.CLOSE or fault in LAG.values():
+        if framing is Framing.CLOSE or fault in FAULT_BY_LAG.values():
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             sock.close()
         else:
@@ -76,180 +81,191 @@
 
 
 class StreamConnection(Connection):
-    """One client connection; classes that do not stream are served as on any other."""
+    """A client connection with streaming enabled; other classes are served as by Connection."""
 
-    def __init__(self, front: Owner, sock: socket.socket, desk: Desk) -> None:
+    def __init__(self, front: FrontContext, sock: socket.socket, registry: StreamRegistry) -> None:
         super().__init__(front, sock)
-        self._desk, self.linger_most = desk, desk.settings.linger_bytes
-        self._reader = RequestReader(self._begin_idle, self._arrived, desk.terms)
-        self._uploads: deque[Asked] = deque()  # whose bodies are to be carried, in order
-        self._overtime: Any = None
-        self._began = 0.0
+        self._registry, self.max_linger_bytes = registry, registry.settings.linger_bytes
+        self._reader = RequestReader(self._mark_idle, self._on_request, registry.policy_for)
+        self._uploads: deque[ClientRequest] = deque()  # with bodies to forward, in order
+        self._total_timer: Any = None
+        self._started_at = 0.0
 
-    # ---- a request's body
+    # ---- request bodies
 
-    def _step(self) -> bool:
-        return self._carry(self._uploads.popleft()) if self._uploads else super()._step()
+    def _read_once(self) -> bool:
+        return self._forward_upload(self._uploads.popleft()) if self._uploads else super()._read_once()
 
-    def _arrived(self, asked: Asked) -> None:
-        if asked.terms is not None and asked.framing is not None and asked.wrong is None:
-            asked.passage = self._desk.take(asked.terms, asked.framing)
-            if asked.passage is None:
+    def _on_request(self, request: ClientRequest) -> None:
+        if request.policy is not None and request.framing is not None and request.error is None:
+            request.stream = self._registry.open_stream(request.policy, request.framing)
+            if request.stream is None:
                 self._front.metrics.add("streams.turned_away")
-                asked.wrong = BadRequestError(HTTPStatus.SERVICE_UNAVAILABLE, self._desk.advice_ms())
-                if asked.framing.framing is not Framing.NONE:
-                    # Guards against a body that is collected while its answer waits behind others.
-                    asked.keep, self._deaf = False, True
+                request.error = BadRequestError(
+                    HTTPStatus.SERVICE_UNAVAILABLE, self._registry.retry_after_ms()
+                )
+                if request.framing.framing is not Framing.NONE:
+                    # Do not buffer the body while the error waits behind other responses.
+                    request.keep_alive, self._discarding_input = False, True
             else:
-                asked.passage.headers = passing([*asked.headers.items()], asked.terms.request_headers)
-                if asked.framing.framing is not Framing.NONE:
-                    self._uploads.append(asked)
-        super()._arrived(asked)
-
-    def _begin(self, asked: Asked) -> None:
-        if asked.passage is not None:
-            self._began = self._front.clock.now()
-            total = asked.passage.terms.set.total
+                request.stream.headers = select_headers(
+                    [*request.headers.items()], request.policy.request_headers
+                )
+                if request.framing.framing is not Framing.NONE:
+                    self._uploads.append(request)
+        super()._on_request(request)
+
+    def _process(self, request: ClientRequest) -> None:
+        if request.stream is not None:
+            self._started_at = self._front.clock.now()
+            total = request.stream.policy.settings.total
             if total > 0:
-                self._overtime = self._front.clock.later(total, self._give_up, asked, Fault.OVERTIME)
-        super()._begin(asked)
-
-    def _carry(self, asked: Asked) -> bool:
-        """Pass a request's body on, once it is wanted; whether to read on behind it."""
-        passage = asked.passage
-        assert passage is not None and passage.upload is not None and asked.framing is not None
-        passage.wanted.wait()
-        source = Source(self._sock, pace_of(passage.terms), partial(hung_up, self._sock))
+                self._total_timer = self._front.clock.call_later(
+                    total, self._abort_job, request, Fault.TOTAL_TIMEOUT
+                )
+        super()._process(request)
+
+    def _forward_upload(self, request: ClientRequest) -> bool:
+        """Forward a request body once an attempt is ready for it; returns whether to read on after it."""
+        stream = request.stream
+        assert stream is not None and stream.upload is not None and request.framing is not None
+        stream.upload_wanted.wait()
+        source = Source(self._sock, progress_monitor(stream.policy), partial(peer_has_closed, self._sock))
         try:
-            if passage.upload.fault is not None:
-                raise BrokenOffError(passage.upload.fault)
-            if not asked.size and b"expect" in asked.headers and not asked.whole:
-                self._out.put((asked, CONTINUE))
-            passage.upload.put_copy(self._lying(asked))
-            if not asked.whole and asked.framing.framing is Framing.LENGTH:
-                source.fill(passage.upload, asked.framing.length - asked.size)
-                self._reader.pass_over()
-            elif not asked.whole:
-                source.fill_parsed(passage.upload, partial(self._parse, asked))
-            passage.upload.end()
-        except BrokenOffError:
-            self._deaf |= not asked.whole  # answered, or about to be: the rest of the body is thrown away
+            if stream.upload.fault is not None:
+                raise AbortedError(stream.upload.fault)
+            if not request.size and b"expect" in request.headers and not request.body_complete:
+                self._responses.put((request, CONTINUE))
+            stream.upload.put_copy(self._take_buffered_body(request))
+            if not request.body_complete and request.framing.framing is Framing.LENGTH:
+                source.fill(stream.upload, request.framing.length - request.size)
+                self._reader.skip_body()
+            elif not request.body_complete:
+                source.fill_parsed(stream.upload, partial(self._parse, request))
+            stream.upload.end()
+        except AbortedError:
+            # The request has been answered, or is about to be: discard the rest of its body.
+            self._discarding_input |= not request.body_complete
         except LagError as lag:
-            self._give_up(asked, LAG[lag.lag])
+            self._abort_job(request, FAULT_BY_LAG[lag.lag])
         except BadRequestError as bad:
             self._front.metrics.add(f"requests.bad_{int(bad.status)}")
-            self._give_up(asked, SPOILT.get(bad.status, Fault.CLIENT_SPOILT))
-        except (EndedError, OSError):
+            self._abort_job(request, FAULT_BY_STATUS.get(bad.status, Fault.CLIENT_MALFORMED))
+        except (SourceEndedError, OSError):
             return False
         return True
 
-    def _lying(self, asked: Asked) -> bytes:
-        """What of the body came with the head."""
-        lying, asked.body = b"".join(asked.body), []
-        return lying
+    def _take_buffered_body(self, request: ClientRequest) -> bytes:
+        """Return and clear the part of the body that has been parsed but not forwarded."""
+        body, request.body = b"".join(request.body), []
+        return body
 
-    def _parse(self, asked: Asked, view: memoryview) -> tuple[bytes, bool]:
-        """What of the bytes that came is this request's body, and whether that ends it."""
+    def _parse(self, request: ClientRequest, view: memoryview) -> tuple[bytes, bool]:
+        """Parse input; returns the part that is body of this request, and whether the body is complete."""
         try:
             self._reader.feed(view)
         except BadRequestError as bad:
-            if not asked.whole:
+            if not request.body_complete:
                 raise
-            self._refuse(bad)  # what cannot be read came behind it
-        return self._lying(asked), asked.whole
+            self._reject(bad)  # invalid input after the body
+        return self._take_buffered_body(request), request.body_complete
 
-    # ---- an answer's body
+    # ---- response bodies
 
-    def _deliver(self, asked: Asked, answer: Any, keep: bool) -> bool:
-        if asked.passage is None:
-            return super()._deliver(asked, answer, keep)
+    def _deliver(self, request: ClientRequest, answer: Any, keep_alive: bool) -> bool:
+        if request.stream is None:
+            return super()._deliver(request, answer, keep_alive)
         if getattr(answer, "opening", None) is None:
             fault = None
             if isinstance(answer, BadRequestError):
-                fault = asked.passage.fault  # none: nothing failed, it could not be taken
+                fault = request.stream.fault  # None: the request was refused
             elif answer.verdict is Verdict.FAILED:
-                fault = answer.cause or Fault.HEAD_LATE
-                answer = self._word(fault)
-            self._tell(asked, "failed" if fault is not None else "refused", fault)
-            return super()._deliver(asked, answer, keep)
-        # To a client of HTTP/1.0 a chunked body ends with the connection.
-        keep = keep and not (asked.minor == 0 and answer.opening.head.body.framing is Framing.CHUNKED)
-        fault = self._flow(asked, answer.opening, keep)
+                fault = answer.cause or Fault.HEAD_TIMEOUT
+                answer = self._error_response(fault)
+            self._record_end(request, "failed" if fault is not None else "refused", fault)
+            return super()._deliver(request, answer, keep_alive)
+        # To an HTTP/1.0 client, a body of unknown length ends with the connection.
+        keep_alive = keep_alive and not (
+            request.http_minor == 0 and answer.opening.head.body.framing is Framing.CHUNKED
+        )
+        fault = self._forward_response(request, answer.opening, keep_alive)
         if self._job is not None:
-            self._front.inbox.put(Delivered(self._job, fault is None))
-        if not self._gone:
-            left = "left" if fault is Fault.CLIENT_LEFT else "failed"
-            self._tell(asked, "served" if fault is None else left, fault)
-        # The end may have been asked for while the answer flowed: nobody would close this connection then.
-        return keep and fault is None and not self._may_end()
-
-    def _flow(self, asked: Asked, opening: Opening, keep: bool) -> Fault | None:
-        return flow(self._sock, asked.minor, opening, keep)
-
-    # ---- ends
-
-    def _give_up(self, asked: Asked, fault: Fault) -> None:
-        """End a streamed job from this side, with one answer where none has begun."""
-        job, passage = self._job, asked.passage
-        self._deaf |= not asked.whole
-        if passage is None or asked is not self._current or job is None:
-            if passage is not None:
-                passage.break_off(fault)
+            self._front.inbox.put(ResponseDelivered(self._job, fault is None))
+        if not self._disconnected:
+            outcome = "left" if fault is Fault.CLIENT_DISCONNECTED else "failed"
+            self._record_end(request, "served" if fault is None else outcome, fault)
+        # A drain may have begun in the meantime, and did not close this connection.
+        return keep_alive and fault is None and not self._can_close()
+
+    def _forward_response(
+        self, request: ClientRequest, opening: StreamedResponse, keep_alive: bool
+    ) -> Fault | None:
+        return forward_response(self._sock, request.http_minor, opening, keep_alive)
+
+    # ---- end of a stream
+
+    def _abort_job(self, request: ClientRequest, fault: Fault) -> None:
+        """End a streamed job, with an error response unless a response has begun."""
+        job, stream = self._job, request.stream
+        self._discarding_input |= not request.body_complete
+        if stream is None or request is not self._current or job is None:
+            if stream is not None:
+                stream.abort(fault)
             return
-        if job.flowing:
-            return passage.break_off(fault)  # the writer sees it, and cuts
-        self._front.inbox.put(Left(job))  # ahead of the claim's end: nothing is made again
-        passage.break_off(fault)
+        if job.response_started:
+            return stream.abort(fault)  # the writer closes the connection
+        self._front.inbox.put(JobAbandoned(job))  # before the attempt ends, so that it is not retried
+        stream.abort(fault)
         if fault.value.status is not None:
-            self._out.put((asked, self._word(fault)))
+            self._responses.put((request, self._error_response(fault)))
 
-    def _word(self, fault: Fault) -> BadRequestError:
+    def _error_response(self, fault: Fault) -> BadRequestError:
         status = fault.value.status or HTTPStatus.BAD_GATEWAY
-        return BadRequestError(status, self._desk.advice_ms() if fault is Fault.SHUTDOWN else 0.0)
+        return BadRequestError(status, self._registry.retry_after_ms() if fault is Fault.SHUTDOWN else 0.0)
 
-    def cut(self) -> None:
-        if self._current is not None and self._current.passage is not None:
-            self._give_up(self._current, Fault.SHUTDOWN)
+    def abort_streams(self) -> None:
+        if self._current is not None and self._current.stream is not None:
+            self._abort_job(self._current, Fault.SHUTDOWN)
 
-    def _left(self) -> None:
+    def _on_disconnect(self) -> None:
         current = self._current
-        if current is not None and current.passage is not None:
+        if current is not None and current.stream is not None:
             if self._job is not None:
-                self._tell(current, "left", Fault.CLIENT_LEFT)
+                self._record_end(current, "left", Fault.CLIENT_DISCONNECTED)
                 self._shut(socket.SHUT_RDWR)  # wakes a writer that waits for the client
-            current.passage.break_off(Fault.CLIENT_LEFT)
-        super()._left()
-        self._drop_waiting()
+            current.stream.abort(Fault.CLIENT_DISCONNECTED)
+        super()._on_disconnect()
+        self._drop_pipelined()
 
-    def _drop_waiting(self) -> None:
-        for asked in self._waiting:
-            if asked.passage is not None:
-                asked.passage.close()
-        super()._drop_waiting()
+    def _drop_pipelined(self) -> None:
+        for request in self._pipelined:
+            if request.stream is not None:
+                request.stream.close()
+        super()._drop_pipelined()
 
-    def _done(self) -> None:
+    def _finish_request(self) -> None:
         current = self._current
-        super()._done()
-        if current is not None and current.passage is not None:
-            if self._overtime is not None:
-                self._overtime.close()
-                self._overtime = None
-            current.passage.close()
-
-    def _tell(self, asked: Asked, how: str, fault: Fault | None) -> None:
-        """Each stream is counted once, and told of in one line."""
-        passage: Passage | None = asked.passage
-        assert passage is not None
+        super()._finish_request()
+        if current is not None and current.stream is not None:
+            if self._total_timer is not None:
+                self._total_timer.close()
+                self._total_timer = None
+            current.stream.close()
+
+    def _record_end(self, request: ClientRequest, how: str, fault: Fault | None) -> None:
+        """Count the end of a stream, and log it."""
+        stream: Stream | None = request.stream
+        assert stream is not None
         why = fault.label if fault is not None else "-"
         self._front.metrics.add(f"streams.failed.{why}" if how == "failed" else f"streams.{how}")
         logs.tell(
             log,
             logging.INFO,
             "stream.ended",
-            trace=asked.headers.get(b"x-trace-id", b"").decode("latin-1"),
+            trace=request.headers.get(b"x-trace-id", b"").decode("latin-1"),
             how=how,
             reason=why,
-            up=passage.upload.got_bytes if passage.upload is not None else 0,
-            down=passage.answer.got_bytes if passage.answer is not None else 0,
-            ms=round(self._front.clock.now() - self._began),
+            up=stream.upload.got_bytes if stream.upload is not None else 0,
+            down=stream.download.got_bytes if stream.download is not None else 0,
+            ms=round(self._front.clock.now() - self._started_at),
         )
--- a/ashlift/gatekeeper/net/nodes.py
+++ b/ashlift/gatekeeper/net/nodes.py
@@ -1,4 +1,4 @@
-"""Claims on execute nodes: one HTTP exchange each, over connections that are kept and used again."""
+"""Attempts at execute nodes: one HTTP exchange each, over a pool of persistent connections."""
 
 import errno
 from collections import deque
@@ -9,73 +9,81 @@
 from gevent import socket
 
 from ashlift.gatekeeper.admission.interface import Result
-from ashlift.gatekeeper.jobs import ClaimEnded, Clock, Inbox, Job
+from ashlift.gatekeeper.jobs import AttemptFinished, Clock, Inbox, Job
 from ashlift.gatekeeper.metrics import Metrics
-from ashlift.gatekeeper.net.links import quiet
+from ashlift.gatekeeper.net.http_response import HttpResponse, MalformedResponseError
 from ashlift.gatekeeper.net.machine_list import MachineList
-from ashlift.gatekeeper.net.replies import Reply, SpoiltAnswerError
+from ashlift.gatekeeper.net.socket_state import has_no_input
 from ashlift.gatekeeper.operations.figures import RELAYED
 
 if TYPE_CHECKING:
-    from ashlift.gatekeeper.streams.passage import Desk, Passage
+    from ashlift.gatekeeper.streams.stream import Stream, StreamRegistry
 
-IDLE_EACH = 64  # idle connections kept to one node
-SWEEP_S = 1.0
-IDLE_SHARE = 0.6  # of the time after which a node closes an idle connection: ours goes well before that
+MAX_IDLE_PER_NODE = 64  # connections
+SWEEP_INTERVAL_S = 1.0
+# Idle connections are closed well before the node would close them: after this part of its idle timeout.
+IDLE_TIMEOUT_FRACTION = 0.6
 
 
 @dataclass(frozen=True, slots=True)
-class Cargo:
-    """What of a job an execute node gets unchanged."""
+class UpstreamRequest:
+    """The part of a client's request that is sent to an execute node unchanged."""
 
     method: bytes
     target: bytes
-    trace: bytes
+    trace_id: bytes
     body: bytes = b""
-    passage: "Passage | None" = None  # of a job whose bodies are passed on as they arrive
+    stream: "Stream | None" = None  # set if the bodies are forwarded as they arrive
 
 
-# Node and address: guards against a connection to a node that has gone being used for a new one there.
-End = tuple[str, tuple[str, int]]
+# Name and address: a connection to a node that is gone is not used for a new node at the same address.
+Endpoint = tuple[str, tuple[str, int]]
 
 
 @dataclass(slots=True, eq=False)
-class Link:
+class NodeConnection:
+    """A connection to an execute node."""
+
     sock: socket.socket
-    end: End
+    endpoint: Endpoint
     idle_at: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
-class Claim:
+class Attempt:
+    """One attempt to have a job served by an execute node."""
+
     job: Job
-    attempt: int
+    index: int  # among the attempts of the job, from 0
     server: str
     timeout_ms: float
     sock: socket.socket | None = None
     cancelled: bool = False
-    written: bool = False  # its last byte is
-    waited_ms: float | None = None  # to the head of an answer that is streamed
-    began: float = 0.0  # ms
-    cause: Any = None  # why it failed, for the front's words
+    written: bool = False  # the request, completely
+    elapsed_ms: float | None = None  # until the head of a streamed response arrived
+    started_at: float = 0.0  # ms
+    cause: Any = None  # why it failed: a streams.faults.Fault, if known
 
-    def end(self) -> None:
-        """Close its connection: whoever waits there wakes."""
+    def close(self) -> None:
+        """Close the connection, which wakes the greenlets that wait for it."""
         if self.sock is not None:
             self.sock.close()
 
 
 @dataclass(slots=True)
 class Limits:
-    """Bounds of the node connections."""
+    """Limits of the connections to nodes."""
 
-    dial_ms: float
-    idle_ms: float
-    links: int  # open connections to all nodes together
+    connect_timeout_ms: float
+    node_idle_timeout_ms: float
+    max_connections: int  # to all nodes together
 
 
 class NodePool:
-    """Starts claims, each in a greenlet of its own, and owns every connection to a node."""
+    """Runs each attempt in a greenlet of its own, and owns all connections to nodes.
+
+    `long_response_bytes` limits the buffers of long responses if there is no `stream_registry`.
+    """
 
     def __init__(
         self,
@@ -84,208 +92,235 @@
         clock: Clock,
         inbox: Inbox,
         metrics: Metrics,
-        desk: "Desk | None" = None,
-        spill_bytes: int = 8 << 20,
+        stream_registry: "StreamRegistry | None" = None,
+        long_response_bytes: int = 8 << 20,
     ) -> None:
         self._machines, self._limits, self._clock = machines, limits, clock
         self._inbox, self._metrics = inbox, metrics
-        self._idle: dict[End, deque[Link]] = {}
-        self._open = 0
-        self._claims: dict[tuple[int, int], Claim] = {}
-        self.desk = desk  # where long answers get their places; made at the first where none is given
-        self._spill_bytes = spill_bytes  # the budget of such a desk
-
-    def _spill_desk(self) -> "Desk":
-        if self.desk is None:
+        self._idle: dict[Endpoint, deque[NodeConnection]] = {}
+        self._open_count = 0
+        self._attempts: dict[tuple[int, int], Attempt] = {}
+        self.stream_registry = stream_registry  # None: created for the first long response
+        self._long_response_bytes = long_response_bytes
+
+    def _long_response_registry(self) -> "StreamRegistry":
+        if self.stream_registry is None:
             from ashlift.gatekeeper.settings.model import Streaming
-            from ashlift.gatekeeper.streams.passage import Desk
-
-            most = self._spill_bytes
-            self.desk = Desk(
-                Streaming(enabled=True, buffer_bytes=most, stream_buffer_bytes=min(256 << 10, most // 8)), {}
+            from ashlift.gatekeeper.streams.stream import StreamRegistry
+
+            budget_bytes = self._long_response_bytes
+            self.stream_registry = StreamRegistry(
+                Streaming(
+                    enabled=True,
+                    buffer_bytes=budget_bytes,
+                    stream_buffer_bytes=min(256 << 10, budget_bytes // 8),
+                ),
+                {},
             )
-        return self.desk
-
-    def start(self, job: Job, attempt: int, server: str, timeout_ms: float) -> None:
-        claim = Claim(job, attempt, server, timeout_ms)
-        self._claims[job.number, attempt] = claim
-        gevent.spawn(self._run, claim)
-
-    def cancel(self, number: int, attempt: int) -> None:
-        """Guards against two claims out at once: the connection is closed before this returns."""
-        claim = self._claims.get((number, attempt))
-        if claim is not None:
-            claim.cancelled = True
-            claim.end()
-
-    def _run(self, claim: Claim) -> None:
-        began = claim.began = self._clock.now()
+        return self.stream_registry
+
+    def start(self, job: Job, attempt_index: int, server: str, timeout_ms: float) -> None:
+        attempt = Attempt(job, attempt_index, server, timeout_ms)
+        self._attempts[job.number, attempt_index] = attempt
+        gevent.spawn(self._run, attempt)
+
+    def cancel(self, number: int, attempt_index: int) -> None:
+        """Close the connection of an attempt before returning, so that no two attempts of a job overlap."""
+        attempt = self._attempts.get((number, attempt_index))
+        if attempt is not None:
+            attempt.cancelled = True
+            attempt.close()
+
+    def _run(self, attempt: Attempt) -> None:
+        started_at = attempt.started_at = self._clock.now()
         body = b""
         try:
-            result, body = self._exchange(claim)
-        except Exception as error:  # whatever breaks in one claim is that claim's end and no other's
-            if claim.cancelled:
+            result, body = self._exchange(attempt)
+        except Exception as error:  # an error in one attempt must not affect others
+            if attempt.cancelled:
                 result = Result.CANCELLED
             elif isinstance(error, (OSError, gevent.Timeout)):
-                result = Result.RESET if claim.written else Result.CONNECT_FAILED
-            elif isinstance(error, SpoiltAnswerError):
+                result = Result.RESET if attempt.written else Result.CONNECT_FAILED
+            elif isinstance(error, MalformedResponseError):
                 self._metrics.add("claims.spoilt")
                 result = Result.RESET
             else:
                 self._metrics.add("claims.faults")
                 result = Result.RESET
         finally:
-            del self._claims[claim.job.number, claim.attempt]
-        waited = self._clock.now() - began if claim.waited_ms is None else claim.waited_ms
-        number = claim.job.number
-        self._inbox.put(ClaimEnded(number, claim.attempt, claim.server, result, waited, body, claim.cause))
-
-    def _exchange(self, claim: Claim) -> tuple[Result, bytes]:
-        machine = self._machines.ready(claim.server)
-        if claim.cancelled:
+            del self._attempts[attempt.job.number, attempt.index]
+        elapsed_ms = self._clock.now() - started_at if attempt.elapsed_ms is None else attempt.elapsed_ms
+        number = attempt.job.number
+        self._inbox.put(
+            AttemptFinished(number, attempt.index, attempt.server, result, elapsed_ms, body, attempt.cause)
+        )
+
+    def _exchange(self, attempt: Attempt) -> tuple[Result, bytes]:
+        machine = self._machines.ready(attempt.server)
+        if attempt.cancelled:
             return Result.CANCELLED, b""
-        if machine is None or (claim.timeout_ms < 0):
+        if machine is None or (attempt.timeout_ms < 0):
             return Result.NOT_SENT, b""
-        timer = gevent.Timeout(claim.timeout_ms / 1000 if claim.timeout_ms > 0 else None)
+        timer = gevent.Timeout(attempt.timeout_ms / 1000 if attempt.timeout_ms > 0 else None)
         timer.start()
-        link: Link | None = None
-        keep = False
-        began = self._clock.now()
+        connection: NodeConnection | None = None
+        reusable = False
+        started_at = self._clock.now()
         try:
-            link = self._take((claim.server, machine.address)) or self._dial(claim, machine.address)
-            if link is None:
+            connection = self._take_idle((attempt.server, machine.address)) or self._connect(
+                attempt, machine.address
+            )
+            if connection is None:
                 return Result.NOT_SENT, b""
-            claim.sock = link.sock
-            # A drain told while the connection was coming up counts: looked at again before the first byte.
-            still = self._machines.ready(claim.server)
-            if still is None or still.address != machine.address:
+            attempt.sock = connection.sock
+            # Checked again before the first byte: the node may have started to drain during the connect.
+            current_machine = self._machines.ready(attempt.server)
+            if current_machine is None or current_machine.address != machine.address:
                 self._metrics.add("claims.withdrawn")
-                keep = True
+                reusable = True
                 return Result.NOT_SENT, b""
-            left = claim.timeout_ms - (self._clock.now() - began)
-            if claim.job.cargo.passage is not None:
-                from ashlift.gatekeeper.net.stream_claim import StreamClaim  # loaded where there are streams
-
-                streaming = StreamClaim(claim, link.sock, timer, self._clock, self._inbox, self._metrics)
-                result, keep = streaming.run(machine.address, left)
+            time_left_ms = attempt.timeout_ms - (self._clock.now() - started_at)
+            if attempt.job.upstream_request.stream is not None:
+                # Loaded only if streaming is enabled.
+                from ashlift.gatekeeper.net.stream_attempt import StreamAttempt
+
+                streaming = StreamAttempt(
+                    attempt, connection.sock, timer, self._clock, self._inbox, self._metrics
+                )
+                result, reusable = streaming.run(machine.address, time_left_ms)
                 return result, b""
-            link.sock.sendall(self._request(claim, machine.address, left))
-            claim.written = True
+            connection.sock.sendall(self._render_request(attempt, machine.address, time_left_ms))
+            attempt.written = True
             self._metrics.add(RELAYED)
-            result, body, keep = self._read(claim, link.sock, timer)
+            result, body, reusable = self._read_response(attempt, connection.sock, timer)
             return result, body
-        except gevent.Timeout as over:
-            if over is not timer:
+        except gevent.Timeout as timeout:
+            if timeout is not timer:
                 raise
-            return (Result.TIMEOUT if claim.written else Result.CONNECT_FAILED), b""
+            return (Result.TIMEOUT if attempt.written else Result.CONNECT_FAILED), b""
         finally:
             timer.close()
-            claim.sock = None
-            if link is not None:
-                self._give(link) if keep and not claim.cancelled else self._close(link)
-
-    def _request(self, claim: Claim, address: tuple[str, int], left_ms: float) -> bytes:
-        cargo: Cargo = claim.job.cargo
-        length = b"Content-Length: %d\r\n" % len(cargo.body) if cargo.body or cargo.method != b"GET" else b""
+            attempt.sock = None
+            if connection is not None:
+                self._keep_idle(connection) if reusable and not attempt.cancelled else self._close(connection)
+
+    def _render_request(self, attempt: Attempt, address: tuple[str, int], time_left_ms: float) -> bytes:
+        upstream_request: UpstreamRequest = attempt.job.upstream_request
+        length = (
+            b"Content-Length: %d\r\n" % len(upstream_request.body)
+            if upstream_request.body or upstream_request.method != b"GET"
+            else b""
+        )
         return b"%b %b HTTP/1.1\r\nHost: %b:%d\r\nX-Trace-Id: %b\r\nX-Expires-In: %.3f\r\n%b\r\n%b" % (
-            cargo.method,
-            cargo.target,
+            upstream_request.method,
+            upstream_request.target,
             address[0].encode(),
             address[1],
-            cargo.trace,
-            max(0.001, left_ms / 1000),
+            upstream_request.trace_id,
+            max(0.001, time_left_ms / 1000),
             length,
-            cargo.body,
+            upstream_request.body,
         )
 
-    def _read(self, claim: Claim, sock: socket.socket, timer: gevent.Timeout) -> tuple[Result, bytes, bool]:
-        """Result, body, and whether the connection may be used again. An answer too long to hold passes on
-        as it comes, and its body is not returned."""
-        reply = Reply()
-        while not reply.done:
+    def _read_response(
+        self, attempt: Attempt, sock: socket.socket, timer: gevent.Timeout
+    ) -> tuple[Result, bytes, bool]:
+        """Return the result, the body, and whether the connection can be reused.
+
+        A response too long to buffer is forwarded as it arrives, and its body is not returned.
+        """
+        response = HttpResponse()
+        while not response.done:
             data = sock.recv(65536)
             if not data:
-                if reply.ended():
-                    break  # an answer that ends with its connection
+                if response.connection_ended():
+                    break
                 return Result.RESET, b"", False
-            reply.feed(data)
-            if reply.long:
-                from ashlift.gatekeeper.net.spill import pass_on  # loaded with the first answer that needs it
-
-                # Guards against a node that looks slow for the length of its answer: what counts is its head.
-                claim.waited_ms = self._clock.now() - claim.began
-                desk = self._spill_desk()
-                result, keep = pass_on(claim, sock, reply, timer, desk, self._inbox, self._metrics)
-                return result, b"", keep
-        if reply.status == 200:
-            return Result.OK, b"".join(reply.parts), reply.keep
-        if reply.status in (503, 504) and reply.never_ran:
-            return Result.OVERLOADED, b"", reply.keep
-        return Result.ERROR, b"", reply.keep
+            response.feed(data)
+            if response.too_long_to_buffer:
+                # Loaded with the first long response.
+                from ashlift.gatekeeper.net.long_response import forward_long_response
+
+                # Measured to the head, so that long responses do not make a node look slow.
+                attempt.elapsed_ms = self._clock.now() - attempt.started_at
+                registry = self._long_response_registry()
+                result, reusable = forward_long_response(
+                    attempt, sock, response, timer, registry, self._inbox, self._metrics
+                )
+                return result, b"", reusable
+        if response.status == 200:
+            return Result.OK, b"".join(response.parts), response.keep_alive
+        if response.status in (503, 504) and response.never_ran:
+            return Result.OVERLOADED, b"", response.keep_alive
+        return Result.ERROR, b"", response.keep_alive
 
     # ---- connections
 
-    def _take(self, end: End) -> Link | None:
-        """The idle connection used last, if it still stands.
+    def _take_idle(self, endpoint: Endpoint) -> NodeConnection | None:
+        """Return the most recently used idle connection that is still open, or None.
 
-        Guards against writing to a connection that the node has closed meanwhile: that would be a reset, and
-        the job might have run. Such a connection is readable, with an end or an error in it.
+        Guards against writing to a connection that the node has closed: that would be a reset, after which it
+        is unknown whether the job has run. A closed connection has input: the end of the stream or an error.
         """
-        links = self._idle.get(end)
-        while links:
-            link = links.pop()
-            if self._clock.now() - link.idle_at < IDLE_SHARE * self._limits.idle_ms and quiet(link.sock):
-                return link
-            self._close(link)
+        connections = self._idle.get(endpoint)
+        while connections:
+            connection = connections.pop()
+            if (
+                self._clock.now() - connection.idle_at
+                < IDLE_TIMEOUT_FRACTION * self._limits.node_idle_timeout_ms
+                and has_no_input(connection.sock)
+            ):
+                return connection
+            self._close(connection)
         return None
 
-    def _dial(self, claim: Claim, address: tuple[str, int]) -> Link | None:
-        if self._open >= self._limits.links and not self._drop_oldest():
+    def _connect(self, attempt: Attempt, address: tuple[str, int]) -> NodeConnection | None:
+        if self._open_count >= self._limits.max_connections and not self._close_oldest_idle():
             self._metrics.add("nodes.no_room")
             return None
-        self._open += 1
+        self._open_count += 1
         self._metrics.add("nodes.dialled")
-        sock = claim.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        link = Link(sock, (claim.server, address))
+        sock = attempt.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        connection = NodeConnection(sock, (attempt.server, address))
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            with gevent.Timeout(self._limits.dial_ms / 1000, OSError(errno.ETIMEDOUT, "dial")):
+            with gevent.Timeout(self._limits.connect_timeout_ms / 1000, OSError(errno.ETIMEDOUT, "dial")):
                 sock.connect(address)
         except BaseException:
-            self._close(link)
+            self._close(connection)
             raise
-        return link
+        return connection
 
-    def _drop_oldest(self) -> bool:
-        idle = [links for links in self._idle.values() if links]
+    def _close_oldest_idle(self) -> bool:
+        idle = [connections for connections in self._idle.values() if connections]
         if not idle:
             return False
-        self._close(min(idle, key=lambda links: links[0].idle_at).popleft())
+        self._close(min(idle, key=lambda connections: connections[0].idle_at).popleft())
         return True
 
-    def _give(self, link: Link) -> None:
-        links = self._idle.setdefault(link.end, deque())
-        link.idle_at = self._clock.now()
-        links.append(link)
-        if len(links) > IDLE_EACH:
-            self._close(links.popleft())
-
-    def _close(self, link: Link) -> None:
-        self._open -= 1
-        link.sock.close()
-
-    def sweep(self) -> None:
-        """Close what has stood idle long, or leads to a node that is not on the list (any more)."""
-        wanted = {(name, machine.address) for name, machine in self._machines.machines.items()}
-        for end, links in list(self._idle.items()):
-            oldest = self._clock.now() - IDLE_SHARE * self._limits.idle_ms
-            while links and (links[0].idle_at < oldest or end not in wanted):
-                self._close(links.popleft())
-            if not links:
-                del self._idle[end]
+    def _keep_idle(self, connection: NodeConnection) -> None:
+        connections = self._idle.setdefault(connection.endpoint, deque())
+        connection.idle_at = self._clock.now()
+        connections.append(connection)
+        if len(connections) > MAX_IDLE_PER_NODE:
+            self._close(connections.popleft())
+
+    def _close(self, connection: NodeConnection) -> None:
+        self._open_count -= 1
+        connection.sock.close()
+
+    def close_stale_connections(self) -> None:
+        """Close connections that have been idle for long, and those to nodes not on the machine list."""
+        current = {(name, machine.address) for name, machine in self._machines.machines.items()}
+        for endpoint, connections in list(self._idle.items()):
+            min_idle_at = self._clock.now() - IDLE_TIMEOUT_FRACTION * self._limits.node_idle_timeout_ms
+            while connections and (connections[0].idle_at < min_idle_at or endpoint not in current):
+                self._close(connections.popleft())
+            if not connections:
+                del self._idle[endpoint]
 
     def run(self) -> None:
-        """Sweep for ever."""
+        """Close stale connections periodically, forever."""
         while True:
-            gevent.sleep(SWEEP_S)
-            self.sweep()
+            gevent.sleep(SWEEP_INTERVAL_S)
+            self.close_stale_connections()
--- a/ashlift/proxy/client_connection.py
+++ b/ashlift/proxy/client_connection.py
@@ -10,7 +10,7 @@
 
 from ashlift.config.object_schema import ClientLimits
 from ashlift.events import WARNING, log_event
-from ashlift.gatekeeper.net.links import hung_up
+from ashlift.gatekeeper.net.socket_state import peer_has_closed
 from ashlift.invariants import Invariant, monitor
 from ashlift.proxy import events
 from ashlift.proxy.request_counters import RequestEnd
@@ -149,7 +149,7 @@
     def _read_request(self, limits: ClientLimits) -> ClientRequest | None:
         """The next request, or None if the connection is to be closed."""
         reader = self._reader
-        if reader.complete and hung_up(self._sock):
+        if reader.complete and peer_has_closed(self._sock):
             return None  # the client no longer waits for its pipelined requests
         waiting_since = time.monotonic()
         continue_sent = False
@@ -246,7 +246,7 @@
 
     def _check(self) -> None:
         self._readable.stop()
-        if hung_up(self._sock):
+        if peer_has_closed(self._sock):
             self._context.client_disconnected = True
             self._context.wake.set()
         elif self._timer is None:
--- a/ashlift/proxy/upstream.py
+++ b/ashlift/proxy/upstream.py
@@ -11,7 +11,7 @@
 import gevent
 from gevent import socket
 
-from ashlift.gatekeeper.net.replies import SpoiltAnswerError as MalformedResponseError
+from ashlift.gatekeeper.net.http_response import MalformedResponseError
 from ashlift.proxy.attempts import AttemptOutcome, AttemptResult
 from ashlift.proxy.idle_timeout_estimator import IdleTimeoutEstimator
 from ashlift.proxy.responses import ATTEMPT_ID_HEADER, KEEP_ALIVE_HEADER, WorkerResponse
@@ -142,12 +142,12 @@
                 response.feed(data)
             if response.header(ATTEMPT_ID_HEADER) == attempt_id:
                 break
-            if not response.keep or stray_response:
+            if not response.keep_alive or stray_response:
                 return None
             stray_response = True
         if not (response.is_valid() or response.not_run):
             return None
-        if not stray_response and response.keep and not response.to_close:
+        if not stray_response and response.keep_alive and not response.ends_with_connection:
             connection.reusable_seconds = _keep_alive_seconds(response)
         return response
 
--- a/tests/gatekeeper/test_front_end.py
+++ b/tests/gatekeeper/test_front_end.py
@@ -1,4 +1,4 @@
-"""Requests that meet the end of a gatekeeper: who was accepted is answered."""
+"""Requests that arrive during shutdown: those on accepted connections are answered."""
 
 from collections.abc import Iterator
 
@@ -8,7 +8,7 @@
 from gevent.queue import SimpleQueue
 
 from ashlift.gatekeeper.clock import UnixClock
-from ashlift.gatekeeper.jobs import Left
+from ashlift.gatekeeper.jobs import JobAbandoned
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.front import connection
 from ashlift.gatekeeper.net.front.listener import Front
@@ -21,7 +21,7 @@
 
 
 class RunningFront:
-    """A front that answers `/up`; `inbox`: what it asks of the owner."""
+    """A front that answers `/up`; `inbox` collects its messages to the owner."""
 
     def __init__(self) -> None:
         self.inbox: SimpleQueue[object] = SimpleQueue()
@@ -34,7 +34,7 @@
         return socket.create_connection(self.listener.getsockname())
 
     def end(self) -> None:
-        """As `Gatekeeper.stop` does it."""
+        """Shut down as Gatekeeper.stop does."""
         self.front.accept_backlog(self.listener)
         self.listener.close()
         self.front.close()
@@ -48,7 +48,7 @@
     front.running.kill()
 
 
-def test_a_request_that_lies_unread_at_the_end_is_answered(running: RunningFront) -> None:
+def test_a_request_that_is_unread_at_shutdown_is_answered(running: RunningFront) -> None:
     sock = running.connect()
     sock.sendall(UP)
     assert sock.recv(65536).startswith(b"HTTP/1.1 200 ")
@@ -57,39 +57,41 @@
     assert read_to_end(sock).startswith(b"HTTP/1.1 200 ")
 
 
-def test_a_connection_in_the_queue_of_the_listener_is_served(running: RunningFront) -> None:
+def test_a_connection_in_the_backlog_at_shutdown_is_served(running: RunningFront) -> None:
     sock = running.connect()
     send_unread(sock, UP)
     running.end()
     assert read_to_end(sock).startswith(b"HTTP/1.1 200 ")
 
 
-def test_a_connection_accepted_just_now_has_a_moment_to_ask(running: RunningFront) -> None:
+def test_a_connection_accepted_just_before_shutdown_may_send_a_request(running: RunningFront) -> None:
     sock = running.connect()
-    while not running.front.open:
+    while not running.front.open_count:
         gevent.sleep(TICK_S)
     running.end()
     gevent.sleep(TICK_S)
-    running.front.rest()
+    running.front.close_idle()
     sock.sendall(UP)
     assert read_to_end(sock).startswith(b"HTTP/1.1 200 ")
 
 
-def test_one_that_does_not_ask_is_ended(running: RunningFront, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_without_a_request_is_closed_at_shutdown(
+    running: RunningFront, monkeypatch: pytest.MonkeyPatch
+) -> None:
     sock = running.connect()
-    while not running.front.open:
+    while not running.front.open_count:
         gevent.sleep(TICK_S)
-    monkeypatch.setattr(connection, "SPARE_SILENT_MS", 0.0)
+    monkeypatch.setattr(connection, "MIN_SILENT_MS", 0.0)
     running.end()
     assert read_to_end(sock) == b""
 
 
-def test_a_request_behind_the_last_answer_is_not_begun(running: RunningFront) -> None:
-    """It was begun and then dropped with the connection: a job that its client never hears of."""
+def test_a_request_after_the_last_response_is_not_processed(running: RunningFront) -> None:
+    """Guards against a job whose client never gets a response, as its connection closes."""
     sock = running.connect()
     sock.sendall(UP.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
     assert sock.recv(65536).startswith(b"HTTP/1.1 200 ")
     sock.sendall(b"GET /availability-check HTTP/1.1\r\nX-Trace-Id: t\r\nX-Qos: gold\r\n\r\n")
     assert read_to_end(sock) == b""
-    assert not any(isinstance(event, Left) for event in running.inbox.queue)
+    assert not any(isinstance(event, JobAbandoned) for event in running.inbox.queue)
     assert running.inbox.empty()
--- a/tests/proxy/test_responses.py
+++ b/tests/proxy/test_responses.py
@@ -432,7 +432,7 @@
     "truncated response relayed": (
         ConnectionPool._read_response,
         "    return None\n            response.feed",
-        "    response.status, response.done = response.code, True\n"
+        "    response.status, response.done = response.head_status, True\n"
         "                break\n            response.feed",
         check_behaviour("short"),
     ),
