--- a/ashlift/gatekeeper/__main__.py
+++ b/ashlift/gatekeeper/__main__.py
@@ -22,11 +22,11 @@
 from ashlift.gatekeeper.net.front import Front
 from ashlift.gatekeeper.net.machine_list import MachineList
 from ashlift.gatekeeper.net.nodes import Limits, NodePool
-from ashlift.gatekeeper.operations.door import Door
-from ashlift.gatekeeper.operations.life import Life
-from ashlift.gatekeeper.operations.operator import Operator
-from ashlift.gatekeeper.operations.siblings import Marks
-from ashlift.gatekeeper.operations.store import HandStore
+from ashlift.gatekeeper.operations.admin_handler import AdminHandler
+from ashlift.gatekeeper.operations.admin_server import AdminServer
+from ashlift.gatekeeper.operations.lifecycle import Lifecycle
+from ashlift.gatekeeper.operations.maintenance_file import MaintenanceFile
+from ashlift.gatekeeper.operations.process_count import LivenessFiles
 from ashlift.gatekeeper.owner import Owner
 
 if TYPE_CHECKING:
@@ -89,7 +89,7 @@
             port = self.counter = TextCounter(
                 config.counter, config.settings.counter_timeout_ms, self.clock, inbox, self.metrics
             )
-        self.life = Life()
+        self.life = Lifecycle()
         self.front = Front(
             config.names,
             config.client_links,
@@ -101,12 +101,12 @@
             self.desk,
         )
         # The operators' door, where the configuration names one; what is out by hand passes through TMPDIR.
-        self.door = Door(inbox, self.metrics) if config.mgmt is not None else None
+        self.door = AdminServer(inbox, self.metrics) if config.mgmt is not None else None
         folder = Path(tempfile.gettempdir())
-        self.hands = HandStore(folder / f"ashlift-{config.name}.handouts.json", config.name)
+        self.hands = MaintenanceFile(folder / f"ashlift-{config.name}.handouts.json", config.name)
         # Where the socket is inherited a successor may run beside this process: they split the ceilings.
-        self.marks = Marks(folder, config.name) if config.inherited_fd is not None else None
-        self.operator = Operator(
+        self.marks = LivenessFiles(folder, config.name) if config.inherited_fd is not None else None
+        self.operator = AdminHandler(
             config.name,
             classes,
             self.life,
@@ -131,7 +131,7 @@
 
         desk = Desk(streaming, self.config.names.classes)
         for name in desk.unknown:
-            logs.tell(
+            logs.log_event(
                 log,
                 logging.WARNING,
                 "streaming.class_unknown",
@@ -217,7 +217,7 @@
     except ConfigError as error:
         print(error if isinstance(error, OwnSettingsError) else f"ashlift: {error}", file=sys.stderr)
         return 2
-    logs.set_up(config.own.logging)
+    logs.configure(config.own.logging)
     gatekeeper = Gatekeeper(config)
     gc.collect()
     gc.freeze()  # what is loaded stays: collections look at jobs only
--- a/ashlift/gatekeeper/jobs.py
+++ b/ashlift/gatekeeper/jobs.py
@@ -115,7 +115,7 @@
 class Command:
     """A call of the operators' door; `reply` is given the door's answer, once."""
 
-    call: Any  # an `operations.calls.Call`
+    call: Any  # an `operations.admin_request.AdminRequest`
     reply: Callable[[Any], Any] = field(repr=False)
 
 
--- a/ashlift/gatekeeper/logs.py
+++ b/ashlift/gatekeeper/logs.py
@@ -1,4 +1,4 @@
-"""The log: events with stable names and fields, plain by the standard library, or by structlog where set."""
+"""Structured logging: events with fixed names and fields, as plain text or, if configured, by structlog."""
 
 import logging
 import sys
@@ -10,7 +10,7 @@
 
 
 class Event:
-    """One event: its stable name and its fields. As plain text, `name key=value ...`."""
+    """A log event: its name and its fields. As plain text, `name key=value ...`."""
 
     __slots__ = ("fields", "name")
 
@@ -21,14 +21,14 @@
         return " ".join([self.name, *(f"{key}={value}" for key, value in self.fields.items())])
 
 
-def tell(log: logging.Logger, level: int, name: str, /, **fields: Any) -> None:
-    """Write an event; what concerns a job carries its trace id as `trace`."""
+def log_event(log: logging.Logger, level: int, name: str, /, **fields: Any) -> None:
+    """Logs an event. Events about a job have its trace id in the field `trace`."""
     if log.isEnabledFor(level):
         log.log(level, "%s", Event(name, fields))
 
 
-def set_up(settings: Logging) -> None:
-    """Turn the log on, on standard error, in the form that the settings name."""
+def configure(settings: Logging) -> None:
+    """Configures the root logger to write to standard error in the configured format."""
     handler = logging.StreamHandler(sys.stderr)
     if settings.form == "plain":
         handler.setFormatter(logging.Formatter("%(name)s: %(message)s"))
@@ -41,13 +41,13 @@
     import structlog
     from structlog.typing import EventDict, WrappedLogger
 
-    def unpack(_: WrappedLogger, __: str, found: EventDict) -> EventDict:
-        """An Event's name and fields in place of their text."""
-        args = found.pop("positional_args", ())
+    def unpack(_: WrappedLogger, __: str, entry: EventDict) -> EventDict:
+        """Replaces the text of an Event by its name and fields."""
+        args = entry.pop("positional_args", ())
         if isinstance(args, tuple) and len(args) == 1 and isinstance(args[0], Event):
-            found["event"] = args[0].name
-            found.update(args[0].fields)
-        return found
+            entry["event"] = args[0].name
+            entry.update(args[0].fields)
+        return entry
 
     renderer: Any = (
         structlog.processors.JSONRenderer()
--- a/ashlift/gatekeeper/net/front/connection.py
+++ b/ashlift/gatekeeper/net/front/connection.py
@@ -20,7 +20,7 @@
 from ashlift.gatekeeper.net.front.asked import Asked, BadRequestError, job_of
 from ashlift.gatekeeper.net.front.reader import RequestReader
 from ashlift.gatekeeper.net.links import quiet
-from ashlift.gatekeeper.operations.figures import answered
+from ashlift.gatekeeper.operations.statsd_metrics import outcome_counter
 
 WAITING_MOST = 4  # requests read ahead on one connection: clients send one at a time
 SILENT_S = 2.2  # a connection on which nothing was ever asked ends then: its sender is owed a word within 3 s
@@ -179,7 +179,7 @@
                 front.metrics.add(f"requests.bad_{int(bad.status)}")
                 kind = asked.headers.get(b"x-qos", b"")
                 if kind in front.names.classes:  # failed, as its client sees it
-                    front.metrics.add(answered(Verdict.FAILED, kind.decode("latin-1")))
+                    front.metrics.add(outcome_counter(Verdict.FAILED, kind.decode("latin-1")))
                 self._out.put((asked, bad))
             else:
                 front.traces.add(self._job.cargo.trace)
--- a/ashlift/gatekeeper/net/front/streaming.py
+++ b/ashlift/gatekeeper/net/front/streaming.py
@@ -242,7 +242,7 @@
         assert passage is not None
         why = fault.label if fault is not None else "-"
         self._front.metrics.add(f"streams.failed.{why}" if how == "failed" else f"streams.{how}")
-        logs.tell(
+        logs.log_event(
             log,
             logging.INFO,
             "stream.ended",
--- a/ashlift/gatekeeper/net/machine_list.py
+++ b/ashlift/gatekeeper/net/machine_list.py
@@ -14,7 +14,7 @@
 from ashlift.gatekeeper.admission.interface import Server, ServerList, ServerState
 from ashlift.gatekeeper.jobs import Inbox
 from ashlift.gatekeeper.metrics import Metrics
-from ashlift.gatekeeper.operations.handouts import HandOuts
+from ashlift.gatekeeper.operations.maintenance import MaintenanceSet
 
 log = logging.getLogger("ashlift.machine_list")
 SILENT_S = 5.0  # without even an empty line, which come every 2 s: the watch is dead though nobody said so
@@ -52,7 +52,7 @@
         self._watching: gevent.Greenlet[..., None] | None = None
         self._moved = Event()
         self.machines: dict[str, Machine] = {}
-        self.hands = HandOuts()
+        self.hands = MaintenanceSet()
 
     def ready(self, name: str) -> Machine | None:
         """The node, if new work may go to it."""
@@ -71,34 +71,34 @@
                 self.machines.pop(machine.server.name, None)
             else:
                 self.machines[machine.server.name] = machine
-        self.hands.forget(set(self.machines))
+        self.hands.forget_unlisted(set(self.machines))
         self._index = index
         self._metrics.add("machine_list.news")
         self._inbox.put(ServerList(tuple(machine.server for machine in entries), complete))
 
     def _shown(self, machine: Machine) -> Machine:
         told = machine.told or machine.server
-        shown = self.hands.shown(told)
+        shown = self.hands.effective(told)
         return Machine(machine.address, shown, told if shown is not told else None)
 
-    def hand(self, worker: str, out: bool, now: float) -> list[Server] | None:
+    def set_maintenance(self, worker: str, entered: bool, now: float) -> list[Server] | None:
         """Take a node out by hand or put it back, here and now; what the module is to see anew. None where
         the id is neither listed nor out: nobody can tell what it names."""
-        if worker not in self.machines and worker not in self.hands.out:
+        if worker not in self.machines and worker not in self.hands.entered:
             return None
-        if out:
+        if entered:
             self.hands.enter(worker, now)
         else:
             self.hands.exit(worker, now)
         return self._show_anew({worker})
 
-    def adopt(self, out: dict[str, float], now: float) -> list[Server]:
+    def adopt(self, entered: dict[str, float], now: float) -> list[Server]:
         """What another process wrote of nodes out by hand holds from now on."""
-        went, came = self.hands.adopt(out, now)
+        went, came = self.hands.adopt(entered, now)
         return self._show_anew(went | came)
 
-    def out_by_hand(self) -> dict[str, float]:
-        return dict(self.hands.out)
+    def in_maintenance(self) -> dict[str, float]:
+        return dict(self.hands.entered)
 
     def listed(self) -> bool:
         return bool(self.machines)
--- a/ashlift/gatekeeper/net/nodes.py
+++ b/ashlift/gatekeeper/net/nodes.py
@@ -14,7 +14,7 @@
 from ashlift.gatekeeper.net.links import quiet
 from ashlift.gatekeeper.net.machine_list import MachineList
 from ashlift.gatekeeper.net.replies import Reply, SpoiltAnswerError
-from ashlift.gatekeeper.operations.figures import RELAYED
+from ashlift.gatekeeper.operations.statsd_metrics import RELAYED_COUNTER
 
 if TYPE_CHECKING:
     from ashlift.gatekeeper.streams.passage import Desk, Passage
@@ -171,7 +171,7 @@
                 return result, b""
             link.sock.sendall(self._request(claim, machine.address, left))
             claim.written = True
-            self._metrics.add(RELAYED)
+            self._metrics.add(RELAYED_COUNTER)
             result, body, keep = self._read(claim, link.sock, timer)
             return result, body
         except gevent.Timeout as over:
--- a/ashlift/gatekeeper/net/stream_claim.py
+++ b/ashlift/gatekeeper/net/stream_claim.py
@@ -16,7 +16,7 @@
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.nodes import Cargo, Claim
 from ashlift.gatekeeper.net.replies import HEAD_MOST, SpoiltAnswerError
-from ashlift.gatekeeper.operations.figures import RELAYED
+from ashlift.gatekeeper.operations.statsd_metrics import RELAYED_COUNTER
 from ashlift.gatekeeper.streams.faults import BrokenOffError, Fault
 from ashlift.gatekeeper.streams.heads import (
     Body,
@@ -137,7 +137,7 @@
             self._sock.sendall(self._head(address, left_ms))
             if passage.upload is None:
                 self._claim.written = True
-                self._metrics.add(RELAYED)
+                self._metrics.add(RELAYED_COUNTER)
             else:
                 carrier = gevent.spawn(self._carry, passage.upload)
             reply = StreamReply(self._cargo.method, passage.terms.set.longest)
@@ -192,7 +192,7 @@
             pass
         else:
             self._claim.written = True
-            self._metrics.add(RELAYED)
+            self._metrics.add(RELAYED_COUNTER)
             self._timer.close()
             self._began = self._clock.now()
             self._late = self._clock.later(terms.head, self._stop, Fault.HEAD_LATE)
--- a/ashlift/gatekeeper/operations/__init__.py
+++ b/ashlift/gatekeeper/operations/__init__.py
@@ -1,6 +1,7 @@
-"""The operators' door and what it works on: calls, figures, workers out by hand, the process's phase.
+"""The admin HTTP port: node maintenance, standby, status and metrics.
 
-`calls` (what a call asks), `figures` (the statsd lines), `handouts` (workers out by hand and the file that
-hands them to a successor), `life` (serving, standby, stopping): no input or output. `store` reads and writes
-that file, `door` is the door's sockets. The door reaches the owner's queue only.
+Without I/O: `admin_request` (parses requests), `admin_handler` (executes them), `statsd_metrics`,
+`maintenance` (nodes taken out of rotation by operators), `lifecycle` (serving, standby, stopping).
+With I/O: `admin_server` (sockets), `maintenance_file` and `process_count` (files that the processes of one
+gatekeeper share).
 """
--- a/ashlift/gatekeeper/owner.py
+++ b/ashlift/gatekeeper/owner.py
@@ -24,10 +24,10 @@
     Verdict,
 )
 from ashlift.gatekeeper.metrics import Metrics
-from ashlift.gatekeeper.operations.figures import Gauges, answered
+from ashlift.gatekeeper.operations.statsd_metrics import Gauges, outcome_counter
 
 if TYPE_CHECKING:
-    from ashlift.gatekeeper.operations.operator import Operator
+    from ashlift.gatekeeper.operations.admin_handler import AdminHandler
 
 log = logging.getLogger("ashlift.owner")
 
@@ -40,7 +40,7 @@
     ) -> None:
         self._gateway, self._clock, self._metrics = gateway, clock, metrics
         self._classes = classes or tuple(str(kind) for kind in range(len(gateway.settings.classes)))
-        self._operator: Operator | None = None
+        self._operator: AdminHandler | None = None
         self.inbox: SimpleQueue[Message] = SimpleQueue()
         self._jobs: dict[int, Job] = {}  # those that are owed an answer
         self._timers: dict[int, Any] = {}  # kept alive until they ring
@@ -49,7 +49,7 @@
         self._counter: Counter | None = None
 
     def connect(
-        self, nodes: Nodes | None, counter: Counter | None, operator: "Operator | None" = None
+        self, nodes: Nodes | None, counter: Counter | None, operator: "AdminHandler | None" = None
     ) -> None:
         """Name the ports; they in turn were given the inbox. `operator` answers the door's calls."""
         self._nodes, self._counter, self._operator = nodes, counter, operator
@@ -124,7 +124,7 @@
         """A call of the door: answered at once; what it changed of the nodes the module hears next."""
         if self._operator is None:
             return None
-        said, changed = self._operator.call(command.call, self._clock.now(), self.gauges())
+        said, changed = self._operator.handle(command.call, self._clock.now(), self.gauges())
         command.reply(said)
         return i.ServerList(tuple(changed)) if changed else None
 
@@ -179,7 +179,7 @@
         if self._jobs.pop(delivered.job.number, None) is not None:
             verdict = Verdict.SERVED if delivered.whole else Verdict.FAILED
             self._metrics.add(f"answers.{verdict.value}")
-            self._metrics.add(answered(verdict, self._classes[delivered.job.kind]))
+            self._metrics.add(outcome_counter(verdict, self._classes[delivered.job.kind]))
 
     def _answer(self, number: int, answer: Answer) -> None:
         """Guards against a second final answer: the job is forgotten with its first, and one whose answer
@@ -188,7 +188,7 @@
         if job is not None and not job.flowing:
             del self._jobs[number]
             self._metrics.add(f"answers.{answer.verdict.value}")
-            self._metrics.add(answered(answer.verdict, self._classes[job.kind]))
+            self._metrics.add(outcome_counter(answer.verdict, self._classes[job.kind]))
             job.reply(answer)
 
     def _failed(self, number: int) -> Answer:
--- a/tests/gatekeeper/test_operations.py
+++ b/tests/gatekeeper/test_operations.py
@@ -15,12 +15,12 @@
 from ashlift.gatekeeper.admission.interface import Server, ServerState
 from ashlift.gatekeeper.jobs import Verdict
 from ashlift.gatekeeper.net.front.listener import adopt
-from ashlift.gatekeeper.operations.calls import Call, CallError, Kind, route
-from ashlift.gatekeeper.operations.figures import Gauges, answered, lines
-from ashlift.gatekeeper.operations.handouts import HandOuts, StateError, decode, encode
-from ashlift.gatekeeper.operations.life import Life, PhaseError
-from ashlift.gatekeeper.operations.siblings import alive
-from ashlift.gatekeeper.operations.store import HandStore
+from ashlift.gatekeeper.operations.admin_request import AdminRequest, RequestError, RequestKind, parse_request
+from ashlift.gatekeeper.operations.lifecycle import Lifecycle, PhaseError
+from ashlift.gatekeeper.operations.maintenance import MaintenanceFileError, MaintenanceSet, decode, encode
+from ashlift.gatekeeper.operations.maintenance_file import MaintenanceFile
+from ashlift.gatekeeper.operations.process_count import count_alive
+from ashlift.gatekeeper.operations.statsd_metrics import Gauges, format_metrics, outcome_counter
 from tests.gatekeeper.play import config, instance, listen
 from tests.gatekeeper.standins import Node
 from tests.gatekeeper.test_wirehost import FACTS
@@ -73,17 +73,17 @@
 @pytest.mark.parametrize(
     ("method", "target", "kind", "worker"),
     [
-        (b"GET", b"/status", Kind.STATUS, ""),
-        (b"HEAD", b"/status?x=1", Kind.STATUS, ""),
-        (b"GET", b"/status/metrics", Kind.METRICS, ""),
-        (b"POST", b"/standby", Kind.STANDBY, ""),
-        (b"POST", b"/active", Kind.ACTIVE, ""),
-        (b"POST", b"/maintenance/enter/s-5be2", Kind.ENTER, "s-5be2"),
-        (b"POST", b"/maintenance/exit/s%2D5", Kind.EXIT, "s-5"),
+        (b"GET", b"/status", RequestKind.STATUS, ""),
+        (b"HEAD", b"/status?x=1", RequestKind.STATUS, ""),
+        (b"GET", b"/status/metrics", RequestKind.METRICS, ""),
+        (b"POST", b"/standby", RequestKind.STANDBY, ""),
+        (b"POST", b"/active", RequestKind.ACTIVE, ""),
+        (b"POST", b"/maintenance/enter/s-5be2", RequestKind.ENTER, "s-5be2"),
+        (b"POST", b"/maintenance/exit/s%2D5", RequestKind.EXIT, "s-5"),
     ],
 )
-def test_each_call_is_routed(method: bytes, target: bytes, kind: Kind, worker: str) -> None:
-    assert route(method, target) == Call(kind, worker)
+def test_each_call_is_routed(method: bytes, target: bytes, kind: RequestKind, worker: str) -> None:
+    assert parse_request(method, target) == AdminRequest(kind, worker)
 
 
 @pytest.mark.parametrize(
@@ -102,14 +102,14 @@
     ],
 )
 def test_a_call_that_is_not_taken_gets_its_4xx(method: bytes, target: bytes, status: int) -> None:
-    with pytest.raises(CallError) as raised:
-        route(method, target)
+    with pytest.raises(RequestError) as raised:
+        parse_request(method, target)
     assert raised.value.status == status
     assert raised.value.allow or status != 405
 
 
 def test_every_count_of_every_class_is_told_from_0() -> None:
-    told = lines({"svc.fulfilled.b": 3, "svc.relayed": 5}, ["a", "b:c"], Gauges(4, 12, 2)).decode()
+    told = format_metrics({"svc.fulfilled.b": 3, "svc.relayed": 5}, ["a", "b:c"], Gauges(4, 12, 2)).decode()
     assert told.splitlines() == [
         "svc.fulfilled.a:0|c",
         "svc.throttled.a:0|c",
@@ -122,33 +122,39 @@
         "svc.registry_entries:12|g",
         "svc.out_of_rotation:2|g",
     ]
-    assert answered(Verdict.PASSED, "b") == "svc.fulfilled.b"
-    assert answered(Verdict.REFUSED, "b") == "svc.throttled.b"
+    assert outcome_counter(Verdict.PASSED, "b") == "svc.fulfilled.b"
+    assert outcome_counter(Verdict.REFUSED, "b") == "svc.throttled.b"
 
 
 def test_a_node_out_by_hand_is_draining_until_one_call_puts_it_back() -> None:
-    hands, told = HandOuts(), Server("s1", ready_at_ms=100.0)
+    hands, told = MaintenanceSet(), Server("s1", ready_at_ms=100.0)
     assert hands.enter("s1", 1000.0) and not hands.enter("s1", 1500.0)  # twice is once
-    assert hands.shown(told).state is ServerState.DRAINING
-    assert hands.shown(replace(told, state=ServerState.GONE)).state is ServerState.GONE
+    assert hands.effective(told).state is ServerState.DRAINING
+    assert hands.effective(replace(told, state=ServerState.GONE)).state is ServerState.GONE
     assert hands.exit("s1", 2000.0) and not hands.exit("s1", 2500.0)
-    back = hands.shown(told)
+    back = hands.effective(told)
     assert back.state is ServerState.READY and back.ready_at_ms == 2000.0  # cold from its return
-    assert hands.shown(replace(told, ready_at_ms=3000.0)).ready_at_ms == 3000.0  # a later start told counts
-    assert hands.shown(told).ready_at_ms == 100.0 and not hands.back
+    assert (
+        hands.effective(replace(told, ready_at_ms=3000.0)).ready_at_ms == 3000.0
+    )  # a later start told counts
+    assert hands.effective(told).ready_at_ms == 100.0 and not hands.left
 
 
 def test_what_another_process_wrote_is_adopted() -> None:
-    hands = HandOuts()
+    hands = MaintenanceSet()
     hands.enter("s1", 1.0)
     went, came = hands.adopt({"s2": 5.0}, 10.0)
-    assert (went, came) == ({"s2"}, {"s1"}) and hands.out == {"s2": 5.0} and hands.back == {"s1": 10.0}
+    assert (went, came) == ({"s2"}, {"s1"}) and hands.entered == {"s2": 5.0} and hands.left == {"s1": 10.0}
 
 
 def test_a_process_does_not_take_its_own_write_for_news(tmp_path: Path) -> None:
-    mine, other = HandStore(tmp_path / "h.json", "g1"), HandStore(tmp_path / "h.json", "g1")
+    mine, other = MaintenanceFile(tmp_path / "h.json", "g1"), MaintenanceFile(tmp_path / "h.json", "g1")
     mine.save({"s1": 5.0}, 9.0)
-    assert mine.news() is None and other.news() == {"s1": 5.0} and other.news() is None
+    assert (
+        mine.load_if_changed() is None
+        and other.load_if_changed() == {"s1": 5.0}
+        and other.load_if_changed() is None
+    )
 
 
 @pytest.mark.parametrize(
@@ -163,13 +169,13 @@
     ],
 )
 def test_a_file_that_cannot_be_taken_says_why(data: bytes, why: str) -> None:
-    with pytest.raises(StateError, match=why):
+    with pytest.raises(MaintenanceFileError, match=why):
         decode(data, "g1")
     assert decode(encode("g1", {"s1": 5.0}, 9.0), "g1") == {"s1": 5.0}
 
 
 def test_stopping_is_undone_by_nothing() -> None:
-    life = Life()
+    life = Lifecycle()
     assert life.ready(True) and not life.ready(False)
     assert life.standby() and not life.standby() and not life.ready(True)
     assert life.active() and life.ready(True)
@@ -400,7 +406,7 @@
 
 
 def test_a_mark_not_touched_for_a_second_is_of_a_process_that_is_gone() -> None:
-    assert alive([100.0, 99.5, 98.9], 100.0) == 2 and alive([], 100.0) == 1
+    assert count_alive([100.0, 99.5, 98.9], 100.0) == 2 and count_alive([], 100.0) == 1
 
 
 def test_two_processes_side_by_side_split_the_ceilings(kept: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/gatekeeper/test_stream_program.py
+++ b/tests/gatekeeper/test_stream_program.py
@@ -290,7 +290,7 @@
     before = (root.handlers[:], root.level)
     node = Peer(HEAD, b"x" * 100)
     try:
-        logs.set_up(Logging(form="json"))
+        logs.configure(Logging(form="json"))
         gate, address = gate_before(node)
         with gevent.Timeout(30):
             sock = client(address, b"Connection: close\r\n")
