--- a/ashlift/gatekeeper/__main__.py
+++ b/ashlift/gatekeeper/__main__.py
@@ -15,7 +15,7 @@
 from ashlift.gatekeeper.admission.control import Gateway
 from ashlift.gatekeeper.admission.interface import ProcessCountChanged
 from ashlift.gatekeeper.clock import UnixClock
-from ashlift.gatekeeper.config import Config, ConfigError, OwnSettingsError, load, load_anew
+from ashlift.gatekeeper.config import Config, ConfigError, FeatureSettingsError, load, reload_config
 from ashlift.gatekeeper.jobs import Clock, Counter, HandsWritten
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.counter import TextCounter
@@ -30,7 +30,7 @@
 from ashlift.gatekeeper.owner import Owner
 
 if TYPE_CHECKING:
-    from ashlift.gatekeeper.ratelimit.server import RateLimitFront
+    from ashlift.gatekeeper.ratelimit.server import RateLimitService
     from ashlift.gatekeeper.streams.passage import Desk
 
 log = logging.getLogger("ashlift")
@@ -44,7 +44,7 @@
 
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
         self.config, self.metrics, self.clock = config, Metrics(), clock or UnixClock()
-        numbered = config.names.classes
+        numbered = config.request_schema.classes
         classes = tuple(name.decode() for name in sorted(numbered, key=lambda name: numbered[name]))
         self.owner = Owner(Gateway(config.settings, config.seed), self.clock, self.metrics, classes)
         inbox = self.owner.inbox
@@ -52,17 +52,17 @@
         self.desk = self._new_desk()
         self.nodes = NodePool(
             self.machines,
-            Limits(config.dial_ms, config.idle_ms, config.node_links),
+            Limits(config.connect_timeout_ms, config.idle_timeout_ms, config.max_node_connections),
             self.clock,
             inbox,
             self.metrics,
             self.desk,
-            config.spill_bytes,
+            config.response_buffer_bytes,
         )
         self.counter: TextCounter | None = None
-        self.ratelimit: RateLimitFront | None = None
+        self.ratelimit: RateLimitService | None = None
         port: Counter | None = None
-        serving, asking = config.own.ratelimit.server, config.own.ratelimit.client
+        serving, asking = config.features.ratelimit.server, config.features.ratelimit.client
         if serving.listen or asking.address:  # loaded only when on: gRPC takes 20 MB and threads of its own
             from ashlift.gatekeeper.ratelimit.bridge import Bridge
 
@@ -70,8 +70,8 @@
         if serving.listen:
             from ashlift.gatekeeper.ratelimit import server
 
-            self.ratelimit = server.RateLimitFront(
-                serving.domain, config.names, bridge, self.clock, inbox, self.metrics
+            self.ratelimit = server.RateLimitService(
+                serving.domain, config.request_schema, bridge, self.clock, inbox, self.metrics
             )
         if asking.address and config.settings.counter_enabled:
             from ashlift.gatekeeper.ratelimit.client import GrpcCounter
@@ -91,9 +91,9 @@
             )
         self.life = Lifecycle()
         self.front = Front(
-            config.names,
-            config.client_links,
-            config.idle_links,
+            config.request_schema,
+            config.max_client_connections,
+            config.max_idle_connections,
             lambda: self.life.up(self.machines.listed()),
             self.clock,
             inbox,
@@ -101,7 +101,7 @@
             self.desk,
         )
         # The operators' door, where the configuration names one; what is out by hand passes through TMPDIR.
-        self.door = AdminServer(inbox, self.metrics) if config.mgmt is not None else None
+        self.door = AdminServer(inbox, self.metrics) if config.admin_address is not None else None
         folder = Path(tempfile.gettempdir())
         self.hands = MaintenanceFile(folder / f"ashlift-{config.name}.handouts.json", config.name)
         # Where the socket is inherited a successor may run beside this process: they split the ceilings.
@@ -124,12 +124,12 @@
 
     def _new_desk(self) -> "Desk | None":
         """Where streams get their places, if the settings turn them on: nothing is loaded for them else."""
-        streaming = self.config.own.streaming
+        streaming = self.config.features.streaming
         if not streaming.enabled:
             return None
         from ashlift.gatekeeper.streams.passage import Desk
 
-        desk = Desk(streaming, self.config.names.classes)
+        desk = Desk(streaming, self.config.request_schema.classes)
         for name in desk.unknown:
             logs.log_event(
                 log,
@@ -144,11 +144,11 @@
         """Listen and run; the address is told for where the port was left open."""
         if self.door is not None:  # what a process before this one took out stays out
             self.machines.adopt(self.hands.load(), self.clock.now())
-        if self.config.known.get("instances"):
-            self.machines.take(self.config.known | {"reset": True})
+        if self.config.known_machines.get("instances"):
+            self.machines.take(self.config.known_machines | {"reset": True})
         self._listener = self.front.listen(self.config.listen, self.config.inherited_fd)
-        if self.door is not None and self.config.mgmt is not None:
-            self._door = self.door.listen(self.config.mgmt)
+        if self.door is not None and self.config.admin_address is not None:
+            self._door = self.door.listen(self.config.admin_address)
             self.door_address = self._door.getsockname()
         parts = [part for part in (self.owner, self.machines, self.nodes, self.counter) if part is not None]
         self._running = [gevent.spawn(part.run) for part in parts]
@@ -163,7 +163,7 @@
             told = self.owner.inbox.put
             self._running.append(gevent.spawn(self.hands.run, lambda out: told(HandsWritten(out))))
         if self.ratelimit is not None:
-            self.ratelimit_port = self.ratelimit.listen(self.config.own.ratelimit.server.listen)
+            self.ratelimit_port = self.ratelimit.listen(self.config.features.ratelimit.server.listen)
         host, port = self._listener.getsockname()
         log.info("%s listens on %s:%d", self.config.name, host, port)
         return host, port
@@ -172,7 +172,7 @@
         """Take the addresses of discovery and counter from the file anew. Jobs, quotas and the machine list
         stay; so do all settings where the file cannot be right."""
         try:
-            config = load_anew()
+            config = reload_config()
         except ConfigError as error:
             self.metrics.add("reloads.refused")
             log.error("reload: %s; the settings stay", error)
@@ -215,9 +215,9 @@
     try:
         config = load()
     except ConfigError as error:
-        print(error if isinstance(error, OwnSettingsError) else f"ashlift: {error}", file=sys.stderr)
+        print(error if isinstance(error, FeatureSettingsError) else f"ashlift: {error}", file=sys.stderr)
         return 2
-    logs.configure(config.own.logging)
+    logs.configure(config.features.logging)
     gatekeeper = Gatekeeper(config)
     gc.collect()
     gc.freeze()  # what is loaded stays: collections look at jobs only
--- a/ashlift/gatekeeper/cli.py
+++ b/ashlift/gatekeeper/cli.py
@@ -8,8 +8,8 @@
 import click
 
 from ashlift import __version__
-from ashlift.gatekeeper.settings.model import OwnSettings
-from ashlift.gatekeeper.settings.reader import SettingsError, Spot
+from ashlift.gatekeeper.settings.model import FeatureSettings
+from ashlift.gatekeeper.settings.reader import Position, SettingsError
 from ashlift.gatekeeper.settings.schema import Loaded, Slot, load, nearest, show, slots, walk
 
 SHIPPED = Path(__file__).parents[2] / "deploy" / "ashlift.sexp"
@@ -72,8 +72,8 @@
 @click.argument("file", type=FILE, envvar="GW_SETTINGS", required=False)
 def show_all(file: Path | None) -> None:
     """The values in force with FILE (or the file that GW_SETTINGS names), and where each comes from."""
-    found = _load(file) if file is not None else Loaded(OwnSettings(), "", {})
-    values = walk(found.settings, OwnSettings)
+    found = _load(file) if file is not None else Loaded(FeatureSettings(), "", {})
+    values = walk(found.settings, FeatureSettings)
     rows = [(key, show(slot, value), _origin(found, key)) for key, slot, value in values]
     wide = [max(len(row[at]) for row in rows) for at in (0, 1)]
     for key, value, origin in rows:
@@ -81,15 +81,15 @@
 
 
 def _origin(found: Loaded, key: str) -> str:
-    spot: Spot | None = found.set.get(key)
-    return f"{found.name}:{spot.line}" if spot is not None else "default"
+    position: Position | None = found.set.get(key)
+    return f"{found.name}:{position.line}" if position is not None else "default"
 
 
 @settings_group.command()
 @click.argument("key")
 def explain(key: str) -> None:
     """What KEY means: its type, unit, bounds and default. A class's own settings: streaming.class.stall."""
-    model: type[Any] | None = OwnSettings
+    model: type[Any] | None = FeatureSettings
     slot: Slot | None = None
     steps = key.split(".")
     for at, step in enumerate(steps):
--- a/ashlift/gatekeeper/config.py
+++ b/ashlift/gatekeeper/config.py
@@ -10,32 +10,34 @@
 from ashlift.gatekeeper.admission.interface import Settings
 from ashlift.gatekeeper.admission.wirehost import WireError, number, read_settings, rows, table
 from ashlift.gatekeeper.net.machine_list import parse_address
-from ashlift.gatekeeper.settings.model import OwnSettings
+from ashlift.gatekeeper.settings.model import FeatureSettings
 
-RESERVE = 40  # descriptors kept for the list, the counter, the gRPC front, files and the runtime
-IDLE_SHARE = 0.125  # of all descriptors: client connections on which nothing is open
-NODE_SHARE = 0.35  # of the other descriptors: connections to execute nodes; the rest is for clients
-SPILL_SHARE = 8  # of the memory: at most so small a part holds answers that pass on as they come
-SPILL_BYTES = (1 << 20, 8 << 20)  # least and most of that
+RESERVED_DESCRIPTORS = 40  # descriptors kept for the list, the counter, the gRPC front, files and the runtime
+IDLE_CONNECTION_SHARE = 0.125  # of all descriptors: client connections on which nothing is open
+NODE_CONNECTION_SHARE = (
+    0.35  # of the other descriptors: connections to execute nodes; the rest is for clients
+)
+RESPONSE_BUFFER_DIVISOR = 8  # of the memory: at most so small a part holds answers that pass on as they come
+RESPONSE_BUFFER_BYTES = (1 << 20, 8 << 20)  # least and most of that
 
 
 class ConfigError(Exception):
     """A setting that cannot be right; the text names the key."""
 
 
-class OwnSettingsError(ConfigError):
+class FeatureSettingsError(ConfigError):
     """Faults of our own settings file: a line each, `FILE:LINE:COL: key: what is wrong`."""
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
+class RequestSchema:
     """What the platform's front must know of the settings to read a request."""
 
     classes: dict[bytes, int]
     plans: dict[bytes, int]
     max_units: float
-    group_size: int
-    give_up_ms: tuple[float, ...]
+    gateway_count: int
+    client_timeouts_ms: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,18 +50,20 @@
     counter: tuple[str, int] | None
     seed: int
     settings: Settings
-    names: Names
+    request_schema: RequestSchema
     zones: tuple[str, ...]
-    idle_ms: float
-    dial_ms: float
-    client_links: int
-    idle_links: int
-    node_links: int
-    known: dict[str, Any] = field(default_factory=dict)
-    own: OwnSettings = OwnSettings()
+    idle_timeout_ms: float
+    connect_timeout_ms: float
+    max_client_connections: int
+    max_idle_connections: int
+    max_node_connections: int
+    known_machines: dict[str, Any] = field(default_factory=dict)
+    features: FeatureSettings = FeatureSettings()
     inherited_fd: int | None = None  # the clients' listening socket, held by the platform: nothing is bound
-    mgmt: tuple[str, int] | None = None  # the operators' door; none where not named
-    spill_bytes: int = SPILL_BYTES[1]  # for answers that pass on as they come, where streams are not set
+    admin_address: tuple[str, int] | None = None  # the operators' door; none where not named
+    response_buffer_bytes: int = RESPONSE_BUFFER_BYTES[
+        1
+    ]  # for answers that pass on as they come, where streams are not set
 
 
 def _address(where: str, value: object) -> tuple[str, int]:
@@ -85,14 +89,14 @@
     return {str(name).encode(): at for at, name in enumerate(names)}
 
 
-def customer_name(text: str) -> str:
+def normalize_customer(text: str) -> str:
     """One spelling of a firm's name, so that both fronts and all gatekeepers count it under the same."""
     if not 1 <= len(text) <= 16 or not text.isalnum():
         raise ValueError("not up to 16 hex digits")
     return f"{int(text, 16):016x}"
 
 
-def load_own(env: Mapping[str, str]) -> OwnSettings:
+def load_feature_settings(env: Mapping[str, str]) -> FeatureSettings:
     """Our own settings: of the file that GW_SETTINGS names. With none named all is off, and nothing that
     reads such files is loaded: the platform's memory is short."""
     if env.get("GW_RATELIMIT"):
@@ -102,14 +106,14 @@
         )
     path = env.get("GW_SETTINGS")
     if not path:
-        return OwnSettings()
+        return FeatureSettings()
     from ashlift.gatekeeper.settings.reader import SettingsError
     from ashlift.gatekeeper.settings.schema import load as load_file
 
     try:
         return load_file(Path(path)).settings
     except SettingsError as error:
-        raise OwnSettingsError(str(error)) from None
+        raise FeatureSettingsError(str(error)) from None
 
 
 def load(env: Mapping[str, str] = os.environ) -> Config:
@@ -130,7 +134,7 @@
         raise ConfigError(str(error)) from None
 
 
-def load_anew(env: Mapping[str, str] = os.environ) -> Config:
+def reload_config(env: Mapping[str, str] = os.environ) -> Config:
     """Read the file again, as SIGHUP asks. Guards against a move that is not seen: what the environment said
     of discovery at the start holds no longer, the file does."""
     return load({key: value for key, value in env.items() if key != "GW_DISCOVERY"})
@@ -138,10 +142,10 @@
 
 def read(found: dict[str, Any], env: Mapping[str, str]) -> Config:
     """Check what the JSON file holds; the environment goes first."""
-    own = load_own(env)
+    features = load_feature_settings(env)
     facts = table(found, "settings")
     settings = read_settings(facts)
-    grpc_counter = own.ratelimit.client.address
+    grpc_counter = features.ratelimit.client.address
     counter = found.get("counter")
     if settings.counter_enabled and not counter and not grpc_counter:
         raise ConfigError("counter is missing, though setting FamilyInfo.MayCount is true")
@@ -150,16 +154,23 @@
     except ValueError:
         raise ConfigError(f"seed is not a hex number: {found.get('seed')!r}") from None
     limits = table(found, "limits") if "limits" in found else {}
-    sockets = int(number(limits, "limits.", "sockets", 2 * RESERVE)) if "sockets" in limits else 1024
+    sockets = (
+        int(number(limits, "limits.", "sockets", 2 * RESERVED_DESCRIPTORS)) if "sockets" in limits else 1024
+    )
     memory = number(limits, "limits.", "memory_mb", 16.0) if "memory_mb" in limits else 192.0
     inherited = _descriptor("GW_INHERITED_FD", env.get("GW_INHERITED_FD"))
     if inherited is not None:
         # Guards against two processes over the limits of one: a successor starts beside this one with the
         # same limits, and the platform counts both together.
-        sockets, memory = max(2 * RESERVE, sockets // 2), memory / 2
-    spill = int(min(SPILL_BYTES[1], max(SPILL_BYTES[0], memory * (1 << 20) / SPILL_SHARE)))
+        sockets, memory = max(2 * RESERVED_DESCRIPTORS, sockets // 2), memory / 2
+    response_buffer = int(
+        min(
+            RESPONSE_BUFFER_BYTES[1],
+            max(RESPONSE_BUFFER_BYTES[0], memory * (1 << 20) / RESPONSE_BUFFER_DIVISOR),
+        )
+    )
     site = table(facts, "Limits")
-    nodes = int(NODE_SHARE * (sockets - RESERVE))
+    nodes = int(NODE_CONNECTION_SHARE * (sockets - RESERVED_DESCRIPTORS))
     known = found.get("known") or {}
     if not isinstance(known, dict):
         raise ConfigError("known is not a table")
@@ -170,7 +181,7 @@
         counter=_address("counter", counter) if settings.counter_enabled and not grpc_counter else None,
         seed=seed,
         settings=settings,
-        names=Names(
+        request_schema=RequestSchema(
             _names(rows(facts, "Categories"), "Categories"),
             _names(rows(facts, "Plans"), "Plans"),
             settings.max_request_units,
@@ -178,14 +189,18 @@
             tuple(one.client_timeout_ms for one in settings.classes),
         ),
         zones=tuple(str(zone) for zone in facts.get("Zones") or ()),
-        idle_ms=number(site, "Limits.", "IdleCloseMs", 1.0) if "IdleCloseMs" in site else 15_000.0,
-        dial_ms=number(site, "Limits.", "DialTimeoutMs", 1.0) if "DialTimeoutMs" in site else 250.0,
-        idle_links=int(IDLE_SHARE * sockets),
-        client_links=sockets - RESERVE - nodes,
-        node_links=nodes,
-        known=known,
-        own=own,
+        idle_timeout_ms=number(site, "Limits.", "IdleCloseMs", 1.0) if "IdleCloseMs" in site else 15_000.0,
+        connect_timeout_ms=number(site, "Limits.", "DialTimeoutMs", 1.0)
+        if "DialTimeoutMs" in site
+        else 250.0,
+        max_idle_connections=int(IDLE_CONNECTION_SHARE * sockets),
+        max_client_connections=sockets - RESERVED_DESCRIPTORS - nodes,
+        max_node_connections=nodes,
+        known_machines=known,
+        features=features,
         inherited_fd=inherited,
-        spill_bytes=spill,
-        mgmt=_address("GW_MGMT", mgmt) if (mgmt := env.get("GW_MGMT") or found.get("mgmt")) else None,
+        response_buffer_bytes=response_buffer,
+        admin_address=_address("GW_MGMT", mgmt)
+        if (mgmt := env.get("GW_MGMT") or found.get("mgmt"))
+        else None,
     )
--- a/ashlift/gatekeeper/net/front/asked.py
+++ b/ashlift/gatekeeper/net/front/asked.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from ashlift.gatekeeper.config import Names, customer_name
+from ashlift.gatekeeper.config import RequestSchema, normalize_customer
 from ashlift.gatekeeper.jobs import Answer, Job
 from ashlift.gatekeeper.net.nodes import Cargo
 
@@ -49,7 +49,7 @@
     passage: "Passage | None" = None
 
 
-def job_of(asked: Asked, names: Names, traces: set[bytes], reply: Callable[[Answer], None]) -> Job:
+def job_of(asked: Asked, names: RequestSchema, traces: set[bytes], reply: Callable[[Answer], None]) -> Job:
     """What a request asks of the core; raises BadRequestError. `traces` are those of open jobs."""
     headers = asked.headers
     kind = names.classes.get(headers.get(b"x-qos", b""))
@@ -60,7 +60,7 @@
     if kind is None or names.classes[first[0]] != kind or plan is None or not trace:
         raise BadRequestError(HTTPStatus.BAD_REQUEST)
     try:
-        customer = customer_name(headers[b"api-customer"].decode())
+        customer = normalize_customer(headers[b"api-customer"].decode())
         patience = float(headers[b"x-expires-in"]) * 1000
         listed = headers.get(b"api-terms", b"").split(b",")
         terms = dict(part.strip().split(b"=", 1) for part in listed if part)
@@ -68,7 +68,7 @@
         start = int(terms.get(b"first", 0))
     except (ValueError, KeyError):
         raise BadRequestError(HTTPStatus.BAD_REQUEST) from None
-    in_set = 1 <= spread <= names.group_size and 0 <= start < names.group_size
+    in_set = 1 <= spread <= names.gateway_count and 0 <= start < names.gateway_count
     if not (0 <= patience < 1e9 and 0 < units <= names.max_units and in_set):
         raise BadRequestError(HTTPStatus.BAD_REQUEST)
     if trace in traces:
--- a/ashlift/gatekeeper/net/front/connection.py
+++ b/ashlift/gatekeeper/net/front/connection.py
@@ -13,7 +13,7 @@
 from gevent.event import Event
 from gevent.queue import SimpleQueue
 
-from ashlift.gatekeeper.config import Names
+from ashlift.gatekeeper.config import RequestSchema
 from ashlift.gatekeeper.jobs import Answer, Clock, Delivered, Inbox, Job, Left, Verdict
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.front.answers import CONTINUE, render
@@ -37,7 +37,7 @@
 class Owner(Protocol):
     """What a connection needs of the front that accepted it."""
 
-    names: Names
+    names: RequestSchema
     ready: Callable[[], bool]
     clock: Clock
     inbox: Inbox
--- a/ashlift/gatekeeper/net/front/listener.py
+++ b/ashlift/gatekeeper/net/front/listener.py
@@ -9,7 +9,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from ashlift.gatekeeper.config import Names
+from ashlift.gatekeeper.config import RequestSchema
 from ashlift.gatekeeper.jobs import Clock, Inbox
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.front.connection import Connection
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        names: Names,
+        names: RequestSchema,
         most: int,
         idle_most: int,
         ready: Callable[[], bool],
--- a/ashlift/gatekeeper/ratelimit/client.py
+++ b/ashlift/gatekeeper/ratelimit/client.py
@@ -65,7 +65,7 @@
         self._since = min(self._since, now)
         call = _Call(name)
         self._calls.begin(call, self._give_up)
-        request = ask(self._domain, name, round(amount), expire_ms)
+        request = build_request(self._domain, name, round(amount), expire_ms)
         call.future = self._stub.ShouldRateLimit.future(request, timeout=self._calls.timeout_ms / 1000)
         call.future.add_done_callback(lambda done: self._bridge.post(self._done, call, done))
 
@@ -88,7 +88,7 @@
             self._calls.end(call, read_error(done.code(), done.details() or ""))
 
 
-def ask(domain: str, name: int, amount: int, expire_ms: float) -> rls_pb2.RateLimitRequest:
+def build_request(domain: str, name: int, amount: int, expire_ms: float) -> rls_pb2.RateLimitRequest:
     """One call: the count's name, the life that a new one is to have, and a limit that no total reaches."""
     request = rls_pb2.RateLimitRequest(domain=domain)
     one = request.descriptors.add()
--- a/ashlift/gatekeeper/ratelimit/server.py
+++ b/ashlift/gatekeeper/ratelimit/server.py
@@ -16,7 +16,7 @@
 from envoy.extensions.common.ratelimit.v3 import ratelimit_pb2
 from envoy.service.ratelimit.v3 import rls_pb2, rls_pb2_grpc
 
-from ashlift.gatekeeper.config import Names, customer_name
+from ashlift.gatekeeper.config import RequestSchema, normalize_customer
 from ashlift.gatekeeper.jobs import Answer, Clock, Inbox, Job, Left, Verdict
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.ratelimit.bridge import Bridge
@@ -40,13 +40,13 @@
         waiting.set_result(answer)
 
 
-class RateLimitFront(rls_pb2_grpc.RateLimitServiceServicer):  # type: ignore[misc]
+class RateLimitService(rls_pb2_grpc.RateLimitServiceServicer):  # type: ignore[misc]
     """Turns calls into jobs, and answers into responses, in gRPC's threads."""
 
     def __init__(
-        self, domain: str, names: Names, bridge: Bridge, clock: Clock, inbox: Inbox, metrics: Metrics
+        self, domain: str, schema: RequestSchema, bridge: Bridge, clock: Clock, inbox: Inbox, metrics: Metrics
     ) -> None:
-        self._domain, self._names, self._bridge, self._clock = domain, names, bridge, clock
+        self._domain, self._schema, self._bridge, self._clock = domain, schema, bridge, clock
         self._inbox, self._metrics = inbox, metrics
         self._server: grpc.Server | None = None
 
@@ -152,22 +152,22 @@
             raise AskError(f"{where}.limit: quotas come with the plan")
         if is_negative(one):
             raise AskError(f"{where}.is_negative_hits: units are not given back")
-        plan = self._names.plans.get(entries.get("plan", "").encode())
+        plan = self._schema.plans.get(entries.get("plan", "").encode())
         if plan is None:
             raise AskError(f"{where}.entries plan: missing or not known: {entries.get('plan')!r}")
-        kind = self._names.classes.get(entries["class"].encode()) if "class" in entries else 0
+        kind = self._schema.classes.get(entries["class"].encode()) if "class" in entries else 0
         if kind is None:
             raise AskError(f"{where}.entries class: not known: {entries['class']!r}")
         try:
-            firm = customer_name(entries.get("firm", ""))
+            firm = normalize_customer(entries.get("firm", ""))
         except ValueError:
             raise AskError(f"{where}.entries firm: missing or not 16 hex digits") from None
         # Its calls may come to any gatekeeper, unless told otherwise.
-        spread = entries.get("spread", str(self._names.group_size))
-        if not (spread.isascii() and spread.isdigit() and 1 <= int(spread) <= self._names.group_size):
-            raise AskError(f"{where}.entries spread: not from 1 to {self._names.group_size}: {spread!r}")
+        spread = entries.get("spread", str(self._schema.gateway_count))
+        if not (spread.isascii() and spread.isdigit() and 1 <= int(spread) <= self._schema.gateway_count):
+            raise AskError(f"{where}.entries spread: not from 1 to {self._schema.gateway_count}: {spread!r}")
         units = one.hits_addend.value if one.HasField("hits_addend") else shared
-        give_up_ms = self._names.give_up_ms[kind]
+        give_up_ms = self._schema.client_timeouts_ms[kind]
         patience = give_up_ms if left_s is None else min(give_up_ms, 1000 * left_s)
         answer: Future[Answer] = Future()
         answers.append(answer)
--- a/ashlift/gatekeeper/settings/model.py
+++ b/ashlift/gatekeeper/settings/model.py
@@ -22,7 +22,7 @@
 
 
 KIB, MIB, GIB = 1 << 10, 1 << 20, 1 << 30
-LEAST_LEASE = 4 * KIB  # bytes that each direction of a stream may always hold
+MIN_LEASE_BYTES = 4 * KIB  # bytes that each direction of a stream may always hold
 
 Flag = Annotated[bool, About("true or false")]
 
@@ -83,7 +83,7 @@
         8 * MIB
     )
     stream_buffer_bytes: Annotated[
-        int, About("bytes that one direction of one stream holds at most", "bytes", 2 * LEAST_LEASE)
+        int, About("bytes that one direction of one stream holds at most", "bytes", 2 * MIN_LEASE_BYTES)
     ] = 256 * KIB
     most_streams: Annotated[
         int, About("streamed jobs at once; beyond them the answer is 503", "", 1, 100_000)
@@ -145,7 +145,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnSettings:
+class FeatureSettings:
     """All that a settings file may say; what it leaves out is off or as here."""
 
     streaming: Streaming = Streaming()
--- a/ashlift/gatekeeper/settings/reader.py
+++ b/ashlift/gatekeeper/settings/reader.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spot:
+class Position:
     """Where something stands in a file; both count from 1."""
 
     line: int
@@ -36,16 +36,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class Problem:
     """One thing that is wrong, where it stands and what it concerns (dotted; empty: the form itself)."""
 
-    spot: Spot
+    position: Position
     key: str
     what: str
 
-    def tell(self, name: str) -> str:
+    def format(self, name: str) -> str:
         """The one line that an operator gets."""
-        where = f"{name}:{self.spot.line}:{self.spot.column}: "
+        where = f"{name}:{self.position.line}:{self.position.column}: "
         return where + (f"{self.key}: {self.what}" if self.key else self.what)
 
 
@@ -58,36 +58,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class Atom:
     """One value as written; `text` has its quotes taken off."""
 
     text: str
     quoted: bool
-    spot: Spot
+    position: Position
 
 
 @dataclass(frozen=True, slots=True)
-class Items:
-    """One list; `spot` is that of its opening bracket."""
+class ListNode:
+    """One list; `position` is that of its opening bracket."""
 
-    items: "tuple[Word | Items, ...]"
-    spot: Spot
+    items: "tuple[Atom | ListNode, ...]"
+    position: Position
 
 
-class _Build(Transformer[Token, Items]):
-    def start(self, children: list[Any]) -> Items:
-        only: Items = children[0]
+class _Build(Transformer[Token, ListNode]):
+    def start(self, children: list[Any]) -> ListNode:
+        only: ListNode = children[0]
         return only
 
-    def list(self, children: list[Any]) -> Items:
+    def list(self, children: list[Any]) -> ListNode:
         # The brackets are kept by their tokens alone; the first child of a rule with positions is they.
         opening, *items, _ = children
-        return Items(tuple(items), Spot(opening.line, opening.column))
+        return ListNode(tuple(items), Position(opening.line, opening.column))
 
-    def WORD(self, token: Token) -> Word:  # noqa: N802
-        return Word(str(token), False, Spot(token.line or 1, token.column or 1))
+    def WORD(self, token: Token) -> Atom:  # noqa: N802
+        return Atom(str(token), False, Position(token.line or 1, token.column or 1))
 
-    def TEXT(self, token: Token) -> Word:  # noqa: N802
+    def TEXT(self, token: Token) -> Atom:  # noqa: N802
         inner = str(token)[1:-1]
         out, skip = [], False
         for sign in inner:
@@ -96,7 +96,7 @@
                 skip = False
             else:
                 skip = True
-        return Word("".join(out), True, Spot(token.line or 1, token.column or 1))
+        return Atom("".join(out), True, Position(token.line or 1, token.column or 1))
 
 
 @cache
@@ -104,28 +104,28 @@
     return Lark(GRAMMAR, parser="lalr", keep_all_tokens=True, propagate_positions=True)
 
 
-def read(text: str) -> Items | Fault:
+def parse(text: str) -> ListNode | Problem:
     """The one list that a file holds, or what is wrong with its form."""
     deep = 0
     for part in re.sub(r'"(\\.|[^"\\])*"|;[^\n]*', "", text):  # brackets within text or remarks are not lists
         deep += (part == "(") - (part == ")")
         if deep > DEEPEST:
-            return Fault(Spot(1, 1), "", f"lists more than {DEEPEST} deep")
+            return Problem(Position(1, 1), "", f"lists more than {DEEPEST} deep")
     try:
         return _Build().transform(_parser().parse(text))
     except UnexpectedToken as bad:
         if bad.token.type == "$END":
-            return Fault(_end(text), "", "the file ends within a list: a ) is missing")
+            return Problem(_end(text), "", "the file ends within a list: a ) is missing")
         what = f"unexpected {str(bad.token)!r}"
         if bad.token.type in ("RPAR", "LPAR") and bad.expected == {"$END"}:
             what = "more than the one list (ashlift ...), or a ) too many"
-        return Fault(Spot(bad.line, bad.column), "", what)
+        return Problem(Position(bad.line, bad.column), "", what)
     except UnexpectedCharacters as bad:
-        return Fault(Spot(bad.line, bad.column), "", f"cannot be read from here on: {bad.char!r}")
+        return Problem(Position(bad.line, bad.column), "", f"cannot be read from here on: {bad.char!r}")
     except UnexpectedEOF:
-        return Fault(_end(text), "", "the file ends within a list")
+        return Problem(_end(text), "", "the file ends within a list")
 
 
-def _end(text: str) -> Spot:
+def _end(text: str) -> Position:
     lines = text.split("\n")
-    return Spot(len(lines), len(lines[-1]) + 1)
+    return Position(len(lines), len(lines[-1]) + 1)
--- a/ashlift/gatekeeper/settings/schema.py
+++ b/ashlift/gatekeeper/settings/schema.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from ashlift.gatekeeper.settings.model import LEAST_LEASE, About, OwnSettings
-from ashlift.gatekeeper.settings.reader import Fault, Items, SettingsError, Spot, Word, read
+from ashlift.gatekeeper.settings.model import MIN_LEASE_BYTES, About, FeatureSettings
+from ashlift.gatekeeper.settings.reader import Atom, ListNode, Position, Problem, SettingsError, parse
 
 SIZES: dict[str, float] = {
     "B": 1,
@@ -87,78 +87,80 @@
     """Walks a read file beside the model; `set` says where each value came from."""
 
     def __init__(self) -> None:
-        self.faults: list[Fault] = []
-        self.set: dict[str, Spot] = {}
+        self.faults: list[Problem] = []
+        self.set: dict[str, Position] = {}
 
-    def table(self, model: type[Any], items: tuple[Word | Items, ...], path: str) -> Any:
+    def table(self, model: type[Any], items: tuple[Atom | ListNode, ...], path: str) -> Any:
         known = slots(model)
         found: dict[str, Any] = {}
-        spots: dict[str, Spot] = {}
+        spots: dict[str, Position] = {}
         for item in items:
-            key = item.items[0] if isinstance(item, Items) and item.items else item
-            if not isinstance(item, Items) or not isinstance(key, Word):
-                self._tell(item.spot, path, "a setting is written (key value)")
+            key = item.items[0] if isinstance(item, ListNode) and item.items else item
+            if not isinstance(item, ListNode) or not isinstance(key, Atom):
+                self._tell(item.position, path, "a setting is written (key value)")
                 continue
             here, slot = f"{path}.{key.text}" if path else key.text, known.get(key.text)
             if slot is None:
-                self._tell(key.spot, here, "unknown key" + nearest(key.text, known))
+                self._tell(key.position, here, "unknown key" + nearest(key.text, known))
                 continue
             if slot.rows is not None:
                 self._row(slot, item, found, here)
                 continue
             if slot.field in found:
                 at = spots[slot.field]
-                self._tell(key.spot, here, f"given twice; it stands at line {at.line} already")
+                self._tell(key.position, here, f"given twice; it stands at line {at.line} already")
                 continue
-            spots[slot.field], self.set[here] = key.spot, key.spot
+            spots[slot.field], self.set[here] = key.position, key.position
             found[slot.field] = self._value(slot, item, here)
         return model(**{name: value for name, value in found.items() if value is not None})
 
-    def _row(self, slot: Slot, item: Items, found: dict[str, Any], here: str) -> None:
+    def _row(self, slot: Slot, item: ListNode, found: dict[str, Any], here: str) -> None:
         name = item.items[1] if len(item.items) > 1 else None
-        if not isinstance(name, Word) or not name.text:
-            return self._tell(item.spot, here, "must have a name: (class NAME ...)")
+        if not isinstance(name, Atom) or not name.text:
+            return self._tell(item.position, here, "must have a name: (class NAME ...)")
         row = self.table(slot.rows, item.items[2:], f"{here} {name.text}")  # type: ignore[arg-type]
         rows = found.setdefault(slot.field, ())
         if any(one.name == name.text for one in rows):
-            return self._tell(name.spot, f"{here} {name.text}", "given twice")
-        self.set[f"{here} {name.text}"] = name.spot
+            return self._tell(name.position, f"{here} {name.text}", "given twice")
+        self.set[f"{here} {name.text}"] = name.position
         found[slot.field] = (*rows, dataclasses.replace(row, name=name.text))
 
-    def _value(self, slot: Slot, item: Items, here: str) -> Any:
+    def _value(self, slot: Slot, item: ListNode, here: str) -> Any:
         if slot.table is not None:
             return self.table(slot.table, item.items[1:], here)
         values = item.items[1:]
-        nested = next((value for value in values if isinstance(value, Items)), None)
+        nested = next((value for value in values if isinstance(value, ListNode)), None)
         if nested is not None:
-            return self._tell(nested.spot, here, "takes no list")
-        words = typing.cast(tuple[Word, ...], values)
+            return self._tell(nested.position, here, "takes no list")
+        words = typing.cast(tuple[Atom, ...], values)
         if typing.get_origin(slot.kind) is tuple:
             return self._headers(words, here)
         if len(words) != 1:
-            spot = words[1].spot if len(words) > 1 else item.spot
-            return self._tell(spot, here, f"takes one value, not {len(words)}")
+            position = words[1].position if len(words) > 1 else item.position
+            return self._tell(position, here, f"takes one value, not {len(words)}")
         try:
             return convert(slot, words[0])
         except ValueError as wrong:
-            return self._tell(words[0].spot, here, str(wrong))
+            return self._tell(words[0].position, here, str(wrong))
 
-    def _headers(self, words: tuple[Word, ...], here: str) -> tuple[str, ...]:
+    def _headers(self, words: tuple[Atom, ...], here: str) -> tuple[str, ...]:
         out = []
         for word in words:
             if not HEADER.match(word.text):
-                self._tell(word.spot, here, f"not a header's name: {word.text!r}")
+                self._tell(word.position, here, f"not a header's name: {word.text!r}")
             elif word.text.lower() in HOP_BY_HOP:
-                self._tell(word.spot, here, f"{word.text} speaks of one connection and is never passed on")
+                self._tell(
+                    word.position, here, f"{word.text} speaks of one connection and is never passed on"
+                )
             else:
                 out.append(word.text.lower())
         return tuple(out)
 
-    def _tell(self, spot: Spot, key: str, what: str) -> None:
-        self.faults.append(Fault(spot, key, what))
+    def _tell(self, position: Position, key: str, what: str) -> None:
+        self.faults.append(Problem(position, key, what))
 
 
-def convert(slot: Slot, word: Word) -> Any:
+def convert(slot: Slot, word: Atom) -> Any:
     """One value by its type, unit and bounds; ValueError tells what it should be."""
     about, text = slot.about, word.text
     value: Any = text
@@ -228,40 +230,42 @@
 class Loaded:
     """The settings of a file, and where each key that it names stands."""
 
-    settings: OwnSettings
+    settings: FeatureSettings
     name: str
-    set: dict[str, Spot]
+    set: dict[str, Position]
 
 
 def check(text: str, name: str) -> Loaded:
     """Read and check a file's text; raises SettingsError with every fault, in the file's order."""
-    form = read(text)
-    if isinstance(form, Fault):
-        raise SettingsError([form.tell(name)])
+    form = parse(text)
+    if isinstance(form, Problem):
+        raise SettingsError([form.format(name)])
     first = form.items[0] if form.items else None
-    if not isinstance(first, Word) or first.text != "ashlift":
-        raise SettingsError([Fault(form.spot, "", "a settings file begins with (ashlift").tell(name)])
+    if not isinstance(first, Atom) or first.text != "ashlift":
+        raise SettingsError([Problem(form.position, "", "a settings file begins with (ashlift").format(name)])
     walk = _Check()
-    settings = walk.table(OwnSettings, form.items[1:], "")
+    settings = walk.table(FeatureSettings, form.items[1:], "")
     if not walk.faults:
         walk.faults += _together(settings, walk.set)
     if walk.faults:
-        walk.faults.sort(key=lambda fault: (fault.spot.line, fault.spot.column))
-        raise SettingsError([fault.tell(name) for fault in walk.faults])
+        walk.faults.sort(key=lambda fault: (fault.position.line, fault.position.column))
+        raise SettingsError([fault.format(name) for fault in walk.faults])
     return Loaded(settings, name, walk.set)
 
 
-def _together(settings: OwnSettings, places: dict[str, Spot]) -> Iterator[Fault]:
+def _together(settings: FeatureSettings, places: dict[str, Position]) -> Iterator[Problem]:
     """What no single value shows."""
     streaming, limits = settings.streaming, settings.ratelimit
-    least = 2 * streaming.most_streams * LEAST_LEASE
-    if least + 2 * LEAST_LEASE > streaming.buffer_bytes:
-        spot = places.get("streaming.buffer-bytes") or places.get("streaming.most-streams") or Spot(1, 1)
-        yield Fault(
-            spot,
+    least = 2 * streaming.most_streams * MIN_LEASE_BYTES
+    if least + 2 * MIN_LEASE_BYTES > streaming.buffer_bytes:
+        position = (
+            places.get("streaming.buffer-bytes") or places.get("streaming.most-streams") or Position(1, 1)
+        )
+        yield Problem(
+            position,
             "streaming.buffer-bytes",
-            f"too small for most-streams {streaming.most_streams}: each holds {2 * LEAST_LEASE} "
-            f"bytes at least, so {least + 2 * LEAST_LEASE} are needed",
+            f"too small for most-streams {streaming.most_streams}: each holds {2 * MIN_LEASE_BYTES} "
+            f"bytes at least, so {least + 2 * MIN_LEASE_BYTES} are needed",
         )
     for key, address, domain in (
         ("server", limits.server.listen, limits.server.domain),
@@ -269,7 +273,7 @@
     ):
         if address and not domain:
             here = f"ratelimit.{key}.domain"
-            yield Fault(places.get(here, Spot(1, 1)), here, "empty, though the address is given")
+            yield Problem(places.get(here, Position(1, 1)), here, "empty, though the address is given")
 
 
 def load(path: Path) -> Loaded:
--- a/ashlift/gatekeeper/streams/budget.py
+++ b/ashlift/gatekeeper/streams/budget.py
@@ -1,6 +1,6 @@
 """Who may hold how many bytes: one budget for all streams, and a window for each. No sockets, no clock.
 
-Every direction of a stream (a `Share`) always may hold LEAST_LEASE bytes, which are set aside for it. Beyond
+Every direction of a stream (a `Share`) always may hold MIN_LEASE_BYTES, which are set aside for it. Beyond
 that it draws on what is common, by a dynamic threshold: its part there is at most what is free there. With n
 greedy shares each then holds 1 / (n + 1) of it and as much stays free, so that who comes later finds room at
 once and slow readers cannot fill the budget together (Choudhury and Hahne, "Dynamic Queue Length Thresholds
@@ -9,7 +9,7 @@
 
 from collections import deque
 
-from ashlift.gatekeeper.settings.model import LEAST_LEASE
+from ashlift.gatekeeper.settings.model import MIN_LEASE_BYTES
 
 TURN = 1 << 20  # bytes that all busy shares together move in one turn of the loop: small jobs wait no longer
 LEAST_SLICE = 16 << 10  # of a bulk stream, however many are busy: smaller ones cost more than they spare
@@ -27,13 +27,13 @@
 
 
 class Budget:
-    """Grants and takes back bytes. All figures are bytes; grants are powers of two from LEAST_LEASE on."""
+    """Grants and takes back bytes. All in bytes; grants are powers of two from MIN_LEASE_BYTES on."""
 
     def __init__(self, total: int, most_shares: int) -> None:
-        """Raises ValueError where `total` does not hold LEAST_LEASE for each share and one more."""
+        """Raises ValueError where `total` does not hold MIN_LEASE_BYTES for each share and one more."""
         self.total = total
-        self._common = total - most_shares * LEAST_LEASE
-        if self._common < LEAST_LEASE:
+        self._common = total - most_shares * MIN_LEASE_BYTES
+        if self._common < MIN_LEASE_BYTES:
             raise ValueError(f"{total} bytes are too few for {most_shares} shares")
         self.held = self._common_held = self.busy = 0
         self.peak = 0
@@ -41,7 +41,7 @@
 
     def limit(self, share: Share) -> int:
         """What it may hold now: its high watermark. Half of it is the low one."""
-        return LEAST_LEASE + max(0, min(share.window - LEAST_LEASE, self._common - self._common_held))
+        return MIN_LEASE_BYTES + max(0, min(share.window - MIN_LEASE_BYTES, self._common - self._common_held))
 
     def turn(self) -> int:
         """Bytes that one busy share moves before it lets the others have the loop."""
@@ -55,12 +55,12 @@
 
     def ask(self, share: Share, want: int) -> int:
         """Bytes granted, at most as many as fit `want` bytes; 0: none now, and the share stands in line until
-        `give` names it. A share that holds nothing is always granted LEAST_LEASE at the least."""
+        `give` names it. A share that holds nothing is always granted MIN_LEASE_BYTES at the least."""
         size = 0
         if self.may_go(share):
             most = min(self.limit(share) - share.held, self.turn(), share.window // 2)
-            size = _power(min(max(want, LEAST_LEASE), most))
-        if size < LEAST_LEASE or self.held + size > self.total:
+            size = _power(min(max(want, MIN_LEASE_BYTES), most))
+        if size < MIN_LEASE_BYTES or self.held + size > self.total:
             # The latter only while streams that have ended still give back what they held.
             share.stopped = True
             if not share.waiting:
@@ -96,11 +96,11 @@
         before = share.held
         share.held += size
         self.held += size
-        self._common_held += max(0, share.held - LEAST_LEASE) - max(0, before - LEAST_LEASE)
+        self._common_held += max(0, share.held - MIN_LEASE_BYTES) - max(0, before - MIN_LEASE_BYTES)
         self.busy += (share.held > 0) - (before > 0)
         self.peak = max(self.peak, self.held)
 
 
 def _power(size: int) -> int:
-    """The largest power of two that is not above it; 0 below LEAST_LEASE."""
-    return 1 << (size.bit_length() - 1) if size >= LEAST_LEASE else 0
+    """The largest power of two that is not above it; 0 below MIN_LEASE_BYTES."""
+    return 1 << (size.bit_length() - 1) if size >= MIN_LEASE_BYTES else 0
--- a/ashlift/lab/scenario_file.py
+++ b/ashlift/lab/scenario_file.py
@@ -22,8 +22,8 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from ashlift.gatekeeper.settings.reader import Fault as SyntaxFault
-from ashlift.gatekeeper.settings.reader import Items, Spot, Word, read
+from ashlift.gatekeeper.settings.reader import Atom, ListNode, Position, parse
+from ashlift.gatekeeper.settings.reader import Problem as SyntaxProblem
 from ashlift.lab.link_faults import (
     Direction,
     LinkFault,
@@ -51,7 +51,7 @@
 MIN_LINK_FAULT_ARGUMENTS: Final = 4
 MIN_SIDES: Final = 2
 
-Item = Word | Items
+Item = Atom | ListNode
 
 
 @dataclass
@@ -65,18 +65,18 @@
 
 def load_scenario(text: str, name: str = "scenario") -> Scenario:
     """Return the scenario of a file's text. Raises ScenarioError with `name`, line, column and key."""
-    top = read(text)
-    if isinstance(top, SyntaxFault):
-        raise ScenarioError(top.tell(name))
+    top = parse(text)
+    if isinstance(top, SyntaxProblem):
+        raise ScenarioError(top.format(name))
     try:
         return _scenario(top)
     except ScenarioError as error:
         raise ScenarioError(f"{name}:{error}") from None
 
 
-def _scenario(top: Items) -> Scenario:
-    if not top.items or not isinstance(top.items[0], Word) or top.items[0].text != "scenario":
-        raise _error(top.spot, "", "wants (scenario ...)")
+def _scenario(top: ListNode) -> Scenario:
+    if not top.items or not isinstance(top.items[0], Atom) or top.items[0].text != "scenario":
+        raise _error(top.position, "", "wants (scenario ...)")
     contents = _Contents()
     faults: list[Item] = []
     for item in top.items[1:]:
@@ -84,35 +84,35 @@
         if key == "faults":
             faults += arguments
         else:
-            _read_entry(contents, key, arguments, item.spot)
+            _read_entry(contents, key, arguments, item.position)
     if "gatekeepers" not in contents.values:
-        raise _error(top.spot, "gatekeepers", "is missing")
-    ends = _build(top.spot, contents).link_ends()
+        raise _error(top.position, "gatekeepers", "is missing")
+    ends = _build(top.position, contents).link_ends()
     for fault in faults:
         _read_fault(contents, fault, ends)
-    return _build(top.spot, contents)
+    return _build(top.position, contents)
 
 
-def _build(spot: Spot, contents: _Contents) -> Scenario:
+def _build(position: Position, contents: _Contents) -> Scenario:
     actions = {name: tuple(values) for name, values in contents.actions.items()}
     try:
         return Scenario(**contents.values, **actions, faults=tuple(contents.faults))  # type: ignore[arg-type]
     except ScenarioError as error:
-        raise _error(spot, "", str(error)) from None
+        raise _error(position, "", str(error)) from None
 
 
-def _read_entry(contents: _Contents, key: str, arguments: list[Item], spot: Spot) -> None:
+def _read_entry(contents: _Contents, key: str, arguments: list[Item], position: Position) -> None:
     if key == "arrivals":
-        _read_arrivals(contents, arguments, spot)
+        _read_arrivals(contents, arguments, position)
     elif key in NUMBER_KEYS or key in TIME_KEYS or key == "name":
-        if len(arguments) != 1 or not isinstance(arguments[0], Word):
-            raise _error(spot, key, "wants one value")
+        if len(arguments) != 1 or not isinstance(arguments[0], Atom):
+            raise _error(position, key, "wants one value")
         contents.values[FIELD_NAMES.get(key, key)] = _value(key, arguments[0])
     else:
-        raise _error(spot, key, "no such key in a scenario")
+        raise _error(position, key, "no such key in a scenario")
 
 
-def _value(key: str, word: Word) -> object:
+def _value(key: str, word: Atom) -> object:
     if key == "name":
         return word.text
     if key in TIME_KEYS:
@@ -120,31 +120,31 @@
     try:
         number = NUMBER_KEYS[key](word.text)
     except ValueError:
-        raise _error(word.spot, key, f"wants a number, has {word.text!r}") from None
+        raise _error(word.position, key, f"wants a number, has {word.text!r}") from None
     if number < 0:
-        raise _error(word.spot, key, "wants 0 or more")
+        raise _error(word.position, key, "wants 0 or more")
     return number
 
 
 def _seconds(item: Item, key: str) -> float:
     """Return `3s`, `500ms` or `2.5` in seconds."""
-    match = re.fullmatch(r"(\d+(?:\.\d+)?)(ms|s)?", item.text) if isinstance(item, Word) else None
+    match = re.fullmatch(r"(\d+(?:\.\d+)?)(ms|s)?", item.text) if isinstance(item, Atom) else None
     if match is None:
-        raise _error(item.spot, key, "wants a time: 3s, 500ms or 2.5")
+        raise _error(item.position, key, "wants a time: 3s, 500ms or 2.5")
     return float(match[1]) / (1000.0 if match[2] == "ms" else 1.0)
 
 
-def _read_arrivals(contents: _Contents, arguments: list[Item], spot: Spot) -> None:
+def _read_arrivals(contents: _Contents, arguments: list[Item], position: Position) -> None:
     argument = arguments[0] if len(arguments) == 1 else None
-    if isinstance(argument, Word) and argument.text == "poisson":
+    if isinstance(argument, Atom) and argument.text == "poisson":
         return
-    if isinstance(argument, Items):
+    if isinstance(argument, ListNode):
         key, rates = _entry(argument)
         if key == "ramp" and len(rates) == 2:
             contents.values["rate"] = _value("rate", _require_word(rates[0]))
             contents.values["ramp_to"] = _value("rate", _require_word(rates[1]))
             return
-    raise _error(spot, "arrivals", "wants poisson or (ramp FROM TO), in jobs a second each firm")
+    raise _error(position, "arrivals", "wants poisson or (ramp FROM TO), in jobs a second each firm")
 
 
 # ---- faults
@@ -152,14 +152,14 @@
     key, arguments = _entry(item)
     where = f"faults.{key}"
     if key in ACTION_FIELDS:
-        action = _process_action(key, arguments, item.spot, ends)
+        action = _process_action(key, arguments, item.position, ends)
         contents.actions.setdefault(ACTION_FIELDS[key], []).append(action)
         return
     if key != "partition" and key not in LINK_FAULT_KEYS:
         known = "partition, cut, drop, delay, duplicate, reorder, kill, term, restart, pause"
-        raise _error(item.spot, where, f"no such fault: {known}")
+        raise _error(item.position, where, f"no such fault: {known}")
     if len(arguments) < MIN_LINK_FAULT_ARGUMENTS:
-        raise _error(item.spot, where, "wants FROM UNTIL and what it is between")
+        raise _error(item.position, where, "wants FROM UNTIL and what it is between")
     started_ms = _seconds(arguments[0], where) * 1000
     ended_ms = _seconds(arguments[1], where) * 1000
     try:
@@ -167,18 +167,20 @@
             fault = partition_fault(_sides(arguments[2:], where, ends), started_ms, ended_ms)
         else:
             directions = _directions(key, arguments, where, ends)
-            state = _link_state(key, arguments, item.spot)
+            state = _link_state(key, arguments, item.position)
             fault = LinkFault(directions, started_ms, ended_ms, state)
     except LinkFaultError as error:
-        raise _error(item.spot, where, str(error)) from None
+        raise _error(item.position, where, str(error)) from None
     contents.faults.append(fault)
 
 
-def _process_action(key: str, arguments: list[Item], spot: Spot, ends: list[str]) -> tuple[float, ...]:
+def _process_action(
+    key: str, arguments: list[Item], position: Position, ends: list[str]
+) -> tuple[float, ...]:
     """Return the gatekeeper and its times."""
     where = f"faults.{key}"
     if len(arguments) != (3 if key == "pause" else 2):
-        raise _error(spot, where, "wants G AT" + (" UNTIL" if key == "pause" else ""))
+        raise _error(position, where, "wants G AT" + (" UNTIL" if key == "pause" else ""))
     gatekeeper = _gatekeeper(arguments[0], where, ends)
     return (gatekeeper, *(_seconds(argument, where) for argument in arguments[1:]))
 
@@ -191,15 +193,15 @@
     return frozenset({Direction(source, target), Direction(target, source)})
 
 
-def _link_state(key: str, arguments: list[Item], spot: Spot) -> LinkState:
+def _link_state(key: str, arguments: list[Item], position: Position) -> LinkState:
     where = f"faults.{key}"
     if key == "delay":
         if len(arguments) not in (5, 6):
-            raise _error(spot, where, "wants FROM UNTIL A B MS [JITTER]")
+            raise _error(position, where, "wants FROM UNTIL A B MS [JITTER]")
         jitter_ms = _seconds(arguments[5], where) * 1000 if len(arguments) == 6 else 0.0
         return LinkState(LinkStateKind.DELAY, _seconds(arguments[4], where) * 1000, jitter_ms)
     if len(arguments) != MIN_LINK_FAULT_ARGUMENTS:
-        raise _error(spot, where, "wants FROM UNTIL A B")
+        raise _error(position, where, "wants FROM UNTIL A B")
     return LinkState(LinkStateKind(key))
 
 
@@ -207,65 +209,65 @@
     sides: list[set[str]] = []
     has_rest = False
     for argument in arguments:
-        if isinstance(argument, Word) and argument.text == "rest":
+        if isinstance(argument, Atom) and argument.text == "rest":
             has_rest = True
-        elif isinstance(argument, Items):
+        elif isinstance(argument, ListNode):
             sides.append(_side(argument, where, ends))
         else:
-            raise _error(argument.spot, where, "a side is (END ...) or rest")
+            raise _error(argument.position, where, "a side is (END ...) or rest")
     if has_rest:
         sides.append(set(ends) - set().union(*sides))
     if len(sides) < MIN_SIDES:
-        raise _error(arguments[0].spot, where, "wants two sides at least")
+        raise _error(arguments[0].position, where, "wants two sides at least")
     return sides
 
 
-def _side(side: Items, where: str, ends: list[str]) -> set[str]:
+def _side(side: ListNode, where: str, ends: list[str]) -> set[str]:
     names: set[str] = set()
     for item in side.items:
         for name in _expand_range(_require_word(item), where):
-            names.add(_end(Word(name, False, item.spot), where, ends))
+            names.add(_end(Atom(name, False, item.position), where, ends))
     return names
 
 
-def _expand_range(word: Word, where: str) -> list[str]:
+def _expand_range(word: Atom, where: str) -> list[str]:
     match = re.fullmatch(r"([gn])(\d+)-\1?(\d+)", word.text)
     if match is None:
         return [word.text]
     first = int(match[2])
     last = int(match[3])
     if first > last:
-        raise _error(word.spot, where, f"{word.text}: a range runs upwards")
+        raise _error(word.position, where, f"{word.text}: a range runs upwards")
     return [f"{match[1]}{number}" for number in range(first, last + 1)]
 
 
 def _end(item: Item, where: str, ends: list[str]) -> str:
     word = _require_word(item)
     if word.text not in ends:
-        raise _error(word.spot, where, f"{word.text}: no such end in this scenario")
+        raise _error(word.position, where, f"{word.text}: no such end in this scenario")
     return word.text
 
 
 def _gatekeeper(item: Item, where: str, ends: list[str]) -> int:
     match = re.fullmatch(r"g(\d+)", _end(item, where, ends))
     if match is None:
-        raise _error(item.spot, where, "wants a gatekeeper: g0, g1, ...")
+        raise _error(item.position, where, "wants a gatekeeper: g0, g1, ...")
     return int(match[1])
 
 
 # ---- items
 def _entry(item: Item) -> tuple[str, list[Item]]:
     """Return the key and the arguments of `(key value ...)`."""
-    if not isinstance(item, Items) or not item.items or not isinstance(item.items[0], Word):
-        raise _error(item.spot, "", "wants (key value ...)")
+    if not isinstance(item, ListNode) or not item.items or not isinstance(item.items[0], Atom):
+        raise _error(item.position, "", "wants (key value ...)")
     return item.items[0].text, list(item.items[1:])
 
 
-def _require_word(item: Item) -> Word:
-    if not isinstance(item, Word):
-        raise _error(item.spot, "", "wants a word here, not a list")
+def _require_word(item: Item) -> Atom:
+    if not isinstance(item, Atom):
+        raise _error(item.position, "", "wants a word here, not a list")
     return item
 
 
-def _error(spot: Spot, key: str, problem: str) -> ScenarioError:
-    return ScenarioError(SyntaxFault(spot, key, problem).tell("").removeprefix(":"))
+def _error(position: Position, key: str, problem: str) -> ScenarioError:
+    return ScenarioError(SyntaxProblem(position, key, problem).format("").removeprefix(":"))
--- a/tests/gatekeeper/play.py
+++ b/tests/gatekeeper/play.py
@@ -63,7 +63,7 @@
             at = at[int(step)] if isinstance(at, list) else at[step]
         at[int(last) if isinstance(at, list) else last] = value
     ours = check(f"(ashlift {own})", "own").settings
-    return replace(read(found, {}), listen=("127.0.0.1", 0), own=ours)
+    return replace(read(found, {}), listen=("127.0.0.1", 0), features=ours)
 
 
 def instance(name: str, address: str, state: str = "ready") -> dict[str, Any]:
--- a/tests/gatekeeper/test_front_end.py
+++ b/tests/gatekeeper/test_front_end.py
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         self.inbox: SimpleQueue[object] = SimpleQueue()
-        names = config({"d": "127.0.0.1:9", "k": "127.0.0.1:9", "n1": "127.0.0.1:9"}, {}).names
+        names = config({"d": "127.0.0.1:9", "k": "127.0.0.1:9", "n1": "127.0.0.1:9"}, {}).request_schema
         self.front = Front(names, 100, 100, lambda: True, UnixClock(), self.inbox, Metrics())
         self.listener = self.front.listen(("127.0.0.1", 0))
         self.running = gevent.spawn(self.front.run, self.listener)
--- a/tests/gatekeeper/test_operations.py
+++ b/tests/gatekeeper/test_operations.py
@@ -233,7 +233,7 @@
 
 
 def gatekeeper(node: Node) -> Gatekeeper:
-    gate = Gatekeeper(replace(config(NOWHERE | {"n1": node.address}, {}), mgmt=("127.0.0.1", 0)))
+    gate = Gatekeeper(replace(config(NOWHERE | {"n1": node.address}, {}), admin_address=("127.0.0.1", 0)))
     gate.start()
     return gate
 
@@ -400,9 +400,14 @@
         "limits": {"sockets": 384, "memory_mb": 32},
     }
     alone, beside = (configuration.read(found, env) for env in ({}, {"GW_INHERITED_FD": "7"}))
-    assert alone.client_links + alone.node_links == 384 - configuration.RESERVE
-    assert beside.client_links + beside.node_links == 192 - configuration.RESERVE
-    assert alone.spill_bytes == 4 << 20 and beside.spill_bytes == 2 << 20
+    assert (
+        alone.max_client_connections + alone.max_node_connections == 384 - configuration.RESERVED_DESCRIPTORS
+    )
+    assert (
+        beside.max_client_connections + beside.max_node_connections
+        == 192 - configuration.RESERVED_DESCRIPTORS
+    )
+    assert alone.response_buffer_bytes == 4 << 20 and beside.response_buffer_bytes == 2 << 20
 
 
 def test_a_mark_not_touched_for_a_second_is_of_a_process_that_is_gone() -> None:
--- a/tests/gatekeeper/test_parts.py
+++ b/tests/gatekeeper/test_parts.py
@@ -282,7 +282,7 @@
     monkeypatch.setattr(connection, "HALF_S", 30.0)
     node = Node()
     node.go.clear()
-    gate = Gatekeeper(replace(config(NOWHERE | {"n1": node.address}, {}), client_links=3))
+    gate = Gatekeeper(replace(config(NOWHERE | {"n1": node.address}, {}), max_client_connections=3))
     address = gate.start()
     head = b"GET /availability-check HTTP/1.1\r\nX-Qos: availability-check\r\nX-Trace-Id: t1\r\n"
     with gevent.Timeout(30):
@@ -303,7 +303,7 @@
 
 
 def test_few_who_only_stay_are_kept() -> None:
-    gate = Gatekeeper(replace(config(NOWHERE, {}), idle_links=2))
+    gate = Gatekeeper(replace(config(NOWHERE, {}), max_idle_connections=2))
     address = gate.start()
     with gevent.Timeout(30):
         stayed = []
--- a/tests/gatekeeper/test_ratelimit.py
+++ b/tests/gatekeeper/test_ratelimit.py
@@ -16,9 +16,9 @@
 from ashlift.gatekeeper.clock import UnixClock
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.ratelimit.bridge import Bridge
-from ashlift.gatekeeper.ratelimit.client import GrpcCounter, ask, read_error, read_response
+from ashlift.gatekeeper.ratelimit.client import GrpcCounter, build_request, read_error, read_response
 from ashlift.gatekeeper.ratelimit.messages import is_negative
-from ashlift.gatekeeper.settings.model import OwnSettings, RateLimit, RateLimitClient, RateLimitServer
+from ashlift.gatekeeper.settings.model import FeatureSettings, RateLimit, RateLimitClient, RateLimitServer
 from tests.gatekeeper.play import config, instance
 from tests.gatekeeper.standins import GrpcCounts, ManualClock, Node, TextCounts, in_thread
 
@@ -58,7 +58,7 @@
             }
             found = config({"d": "127.0.0.1:9", "k": counts.address, "n1": self.node.address}, changes)
             limits = RateLimit(RateLimitServer("127.0.0.1:0"), RateLimitClient(grpc_address, "counts"))
-            gate = Gatekeeper(replace(found, own=OwnSettings(ratelimit=limits)), self.clocks[me])
+            gate = Gatekeeper(replace(found, features=FeatureSettings(ratelimit=limits)), self.clocks[me])
             self.gates.append(gate)
             self.clients.append(socket.create_connection(gate.start()))
         self.traces = 0
@@ -338,7 +338,7 @@
     counts = GrpcCounts()
     told = [one_call(counts.address, amount) for amount in (1001.0, -1.0, 0.0)]
     assert [(one.result, one.total) for one in told] == [(Result.OK, total) for total in (1001, 1000, 1000)]
-    asked = [ask("d", 1, amount, 9.0).descriptors[0] for amount in (-1, 0, 1)]
+    asked = [build_request("d", 1, amount, 9.0).descriptors[0] for amount in (-1, 0, 1)]
     assert [is_negative(one) for one in asked] == [True, False, False]
     counts.limitless = True
     assert one_call(counts.address).result is Result.TIMEOUT  # no total: no room read
--- a/tests/gatekeeper/test_settings.py
+++ b/tests/gatekeeper/test_settings.py
@@ -12,8 +12,8 @@
 
 from ashlift.gatekeeper import config as configuration
 from ashlift.gatekeeper.cli import SHIPPED, ashlift
-from ashlift.gatekeeper.settings.model import MIB, OwnSettings, StreamClass, Streaming
-from ashlift.gatekeeper.settings.reader import Fault, Items, SettingsError, Word, read
+from ashlift.gatekeeper.settings.model import MIB, FeatureSettings, StreamClass, Streaming
+from ashlift.gatekeeper.settings.reader import Atom, ListNode, Problem, SettingsError, parse
 from ashlift.gatekeeper.settings.schema import check, show, slots, walk
 
 
@@ -33,7 +33,7 @@
     first, second = streaming.classes
     assert first == StreamClass("report", 3_000.0, 250.0, 8192.0, total=0.0, answer_headers=("x-a", "x-b"))
     assert second.name == "two words"
-    assert check("(ashlift)", "f").settings == OwnSettings()
+    assert check("(ashlift)", "f").settings == FeatureSettings()
 
 
 def test_all_faults_of_a_file_are_told_each_with_its_place_and_key() -> None:
@@ -90,8 +90,8 @@
 
 @given(st.text(alphabet='()" ;\\\nab1', max_size=60))
 def test_any_text_is_read_or_told_of(text: str) -> None:
-    form = read(text)
-    assert isinstance(form, Items | Fault)
+    form = parse(text)
+    assert isinstance(form, ListNode | Problem)
 
 
 @given(st.recursive(st.text(alphabet='ab"\\ ;(', max_size=5), lambda inner: st.lists(inner, max_size=4)))
@@ -102,22 +102,24 @@
             return "(" + " ".join(map(write, node)) + ")"
         return '"' + str(node).replace("\\", "\\\\").replace('"', '\\"') + '"'
 
-    def back(node: Word | Items) -> object:
-        return [back(item) for item in node.items] if isinstance(node, Items) else node.text
+    def back(node: Atom | ListNode) -> object:
+        return [back(item) for item in node.items] if isinstance(node, ListNode) else node.text
 
-    form = read(write([tree]))
-    assert isinstance(form, Items) and back(form) == [tree]
+    form = parse(write([tree]))
+    assert isinstance(form, ListNode) and back(form) == [tree]
 
 
 def test_each_value_is_shown_as_a_file_would_have_it() -> None:
-    for key, slot, value in walk(OwnSettings(streaming=Streaming(classes=(StreamClass("r"),))), OwnSettings):
+    for key, slot, value in walk(
+        FeatureSettings(streaming=Streaming(classes=(StreamClass("r"),))), FeatureSettings
+    ):
         *steps, last = key.split(".")
         if value == ():
             continue
         text = f"({last} {show(slot, value)})"
         for step in reversed(steps):
             text = f"({step} {text})"
-        again = {k: v for k, _, v in walk(check(f"(ashlift {text})", "f").settings, OwnSettings)}
+        again = {k: v for k, _, v in walk(check(f"(ashlift {text})", "f").settings, FeatureSettings)}
         assert again[key] == value, text
 
 
@@ -128,7 +130,7 @@
             if inner := slot.table or slot.rows:
                 look(inner)
 
-    look(OwnSettings)
+    look(FeatureSettings)
 
 
 def run(*words: str) -> tuple[int, str]:
@@ -153,8 +155,8 @@
 
 def test_the_old_files_variable_says_where_to() -> None:
     with pytest.raises(configuration.ConfigError, match=r"GW_RATELIMIT.*GW_SETTINGS"):
-        configuration.load_own({"GW_RATELIMIT": "x"})
-    assert configuration.load_own({}) == OwnSettings()
+        configuration.load_feature_settings({"GW_RATELIMIT": "x"})
+    assert configuration.load_feature_settings({}) == FeatureSettings()
 
 
 def test_a_faulty_file_ends_the_program_with_its_lines_alone(tmp_path: Path) -> None:
--- a/tests/gatekeeper/test_streams.py
+++ b/tests/gatekeeper/test_streams.py
@@ -16,7 +16,7 @@
 
 from ashlift.gatekeeper.admission import interface as i
 from ashlift.gatekeeper.net.stream_claim import StreamReply
-from ashlift.gatekeeper.settings.model import LEAST_LEASE, Streaming
+from ashlift.gatekeeper.settings.model import MIN_LEASE_BYTES, Streaming
 from ashlift.gatekeeper.streams import pump
 from ashlift.gatekeeper.streams.budget import Budget, Share
 from ashlift.gatekeeper.streams.faults import Fault
@@ -40,16 +40,16 @@
 def test_the_budget_stays_within_its_bound_and_ends_at_zero(
     count: int, events: list[tuple[int, int, bool]]
 ) -> None:
-    total = (count + 3) * LEAST_LEASE
+    total = (count + 3) * MIN_LEASE_BYTES
     budget = Budget(total, count)
-    shares = [Share(window=8 * LEAST_LEASE) for _ in range(count)]
+    shares = [Share(window=8 * MIN_LEASE_BYTES) for _ in range(count)]
     leases: dict[Share, list[int]] = {share: [] for share in shares}
     for at, want, gives in events:
         share = shares[at % count]
         if gives and leases[share]:
             budget.give(share, leases[share].pop())
         elif size := budget.ask(share, want):
-            assert size <= max(want, LEAST_LEASE)
+            assert size <= max(want, MIN_LEASE_BYTES)
             leases[share].append(size)
         else:
             assert share.held > 0  # one that holds nothing always gets something
@@ -63,33 +63,33 @@
 
 
 def test_slow_readers_cannot_fill_the_budget_together() -> None:
-    budget = Budget(64 * LEAST_LEASE, 8)
-    greedy = [Share(64 * LEAST_LEASE) for _ in range(4)]
+    budget = Budget(64 * MIN_LEASE_BYTES, 8)
+    greedy = [Share(64 * MIN_LEASE_BYTES) for _ in range(4)]
     for _ in range(100):
         for share in greedy:
-            budget.ask(share, 4 * LEAST_LEASE)
+            budget.ask(share, 4 * MIN_LEASE_BYTES)
     held = [share.held for share in greedy]
-    late = Share(64 * LEAST_LEASE)
-    assert budget.ask(late, 4 * LEAST_LEASE) >= 2 * LEAST_LEASE  # and not the least alone
+    late = Share(64 * MIN_LEASE_BYTES)
+    assert budget.ask(late, 4 * MIN_LEASE_BYTES) >= 2 * MIN_LEASE_BYTES  # and not the least alone
     assert max(held) <= 2 * min(held)  # fair shares
 
 
 def test_a_share_stops_at_the_high_watermark_and_goes_on_at_the_low_one() -> None:
-    budget, share = Budget(1 << 20, 2), Share(8 * LEAST_LEASE)
-    while budget.ask(share, LEAST_LEASE):
+    budget, share = Budget(1 << 20, 2), Share(8 * MIN_LEASE_BYTES)
+    while budget.ask(share, MIN_LEASE_BYTES):
         pass
-    assert share.held == 8 * LEAST_LEASE
-    assert budget.give(share, LEAST_LEASE) == [] and budget.ask(share, LEAST_LEASE) == 0
-    while share.held > 5 * LEAST_LEASE:
-        assert budget.give(share, LEAST_LEASE) == []
-    assert budget.give(share, LEAST_LEASE) == [share] and budget.ask(share, LEAST_LEASE)
+    assert share.held == 8 * MIN_LEASE_BYTES
+    assert budget.give(share, MIN_LEASE_BYTES) == [] and budget.ask(share, MIN_LEASE_BYTES) == 0
+    while share.held > 5 * MIN_LEASE_BYTES:
+        assert budget.give(share, MIN_LEASE_BYTES) == []
+    assert budget.give(share, MIN_LEASE_BYTES) == [share] and budget.ask(share, MIN_LEASE_BYTES)
     with pytest.raises(ValueError, match="given back"):
         budget.give(share, 1 << 20)
 
 
 def test_a_budget_too_small_for_its_shares_is_refused() -> None:
     with pytest.raises(ValueError, match="too few"):
-        Budget(8 * LEAST_LEASE, 8)
+        Budget(8 * MIN_LEASE_BYTES, 8)
 
 
 # ---- the pace
@@ -199,7 +199,7 @@
     body: bytes, cuts: list[int], chunks: list[int] | None, chunked: bool, seed: int
 ) -> None:
     """Through a pipe whose window is far smaller, while source and sink take turns at being slow."""
-    chance, pool = random.Random(seed), Pool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)
+    chance, pool = random.Random(seed), Pool(16 * MIN_LEASE_BYTES, 2 * MIN_LEASE_BYTES, 4)
     source, near = both()
     far, sink = both()
     pipe, got = Pipe(pool), b""
@@ -251,12 +251,12 @@
 def test_the_clock_of_a_source_stands_while_its_sink_is_what_holds_it_up() -> None:
     """A slow but living client is no stalled node: the sink rests for ten stall limits of the source."""
     source, near = both()
-    pipe = Pipe(Pool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4))
+    pipe = Pipe(Pool(16 * MIN_LEASE_BYTES, 2 * MIN_LEASE_BYTES, 4))
     source.sendall(b"x" * 60_000)
     with gevent.Timeout(20):
         filling = gevent.spawn(pump.Source(near, Pace(100)).fill, pipe, 60_000)
         gevent.sleep(1.0)
-        assert not filling.ready() and 0 < pipe.held <= 2 * LEAST_LEASE
+        assert not filling.ready() and 0 < pipe.held <= 2 * MIN_LEASE_BYTES
         got = 0
         while got < 60_000:
             part = pipe.get()
@@ -277,7 +277,7 @@
     now, full = [0.0], Event()
     monkeypatch.setattr(pump, "time", SimpleNamespace(monotonic=lambda: now[0]))
     source, near = both()
-    pipe, got = Pipe(Pool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)), 0
+    pipe, got = Pipe(Pool(16 * MIN_LEASE_BYTES, 2 * MIN_LEASE_BYTES, 4)), 0
 
     def gone() -> bool:  # asked while there is no room to read
         full.set()
@@ -302,13 +302,13 @@
 
 
 def test_a_broken_pipe_gives_all_back_and_wakes_both_sides() -> None:
-    pool = Pool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)
+    pool = Pool(16 * MIN_LEASE_BYTES, 2 * MIN_LEASE_BYTES, 4)
     pipe, ends = Pipe(pool), []
 
     def source() -> None:
         try:
             while True:
-                pipe.put(pipe.lease(LEAST_LEASE), 5)
+                pipe.put(pipe.lease(MIN_LEASE_BYTES), 5)
         except Exception as error:
             ends.append(str(error))
 
@@ -326,7 +326,7 @@
 
 
 def test_a_desk_gives_each_place_once() -> None:
-    own = config(NOWHERE, {}, OWN.format("")).own.streaming
+    own = config(NOWHERE, {}, OWN.format("")).features.streaming
     desk = Desk(replace(own, most_streams=2), {b"availability-check": 0})
     terms = desk.terms(b"/availability-check/x?y")
     assert terms is not None and desk.terms(b"/other") is None and desk.terms(b"*") is None
