--- a/ashlift/gatekeeper/cli.py
+++ b/ashlift/gatekeeper/cli.py
@@ -10,7 +10,15 @@
 from ashlift import __version__
 from ashlift.gatekeeper.settings.model import FeatureSettings
 from ashlift.gatekeeper.settings.reader import Position, SettingsError
-from ashlift.gatekeeper.settings.schema import Loaded, Slot, load, nearest, show, slots, walk
+from ashlift.gatekeeper.settings.schema import (
+    LoadedSettings,
+    Setting,
+    format_value,
+    iterate_settings,
+    load_settings,
+    settings_of,
+    suggest_name,
+)
 
 SHIPPED = Path(__file__).parents[2] / "deploy" / "ashlift.sexp"
 FILE = click.Path(dir_okay=False, path_type=Path)
@@ -51,9 +59,9 @@
     """Check, show and explain the settings files."""
 
 
-def _load(path: Path) -> Loaded:
+def _load(path: Path) -> LoadedSettings:
     try:
-        return load(path)
+        return load_settings(path)
     except SettingsError as error:
         for line in error.lines:
             click.echo(line, err=True)
@@ -65,24 +73,24 @@
 def check(file: Path) -> None:
     """Check FILE; every fault is one line FILE:LINE:COL: key: what is wrong. Exits with 2 if there is one."""
     found = _load(file)
-    click.echo(f"{file}: good; {len(found.set)} settings")
+    click.echo(f"{file}: good; {len(found.positions)} settings")
 
 
 @settings_group.command("show")
 @click.argument("file", type=FILE, envvar="GW_SETTINGS", required=False)
 def show_all(file: Path | None) -> None:
     """The values in force with FILE (or the file that GW_SETTINGS names), and where each comes from."""
-    found = _load(file) if file is not None else Loaded(FeatureSettings(), "", {})
-    values = walk(found.settings, FeatureSettings)
-    rows = [(key, show(slot, value), _origin(found, key)) for key, slot, value in values]
+    found = _load(file) if file is not None else LoadedSettings(FeatureSettings(), "", {})
+    values = iterate_settings(found.settings, FeatureSettings)
+    rows = [(key, format_value(setting, value), _origin(found, key)) for key, setting, value in values]
     wide = [max(len(row[at]) for row in rows) for at in (0, 1)]
     for key, value, origin in rows:
         click.echo(f"{key:{wide[0]}}  {value:{wide[1]}}  {origin}")
 
 
-def _origin(found: Loaded, key: str) -> str:
-    position: Position | None = found.set.get(key)
-    return f"{found.name}:{position.line}" if position is not None else "default"
+def _origin(found: LoadedSettings, key: str) -> str:
+    position: Position | None = found.positions.get(key)
+    return f"{found.file_name}:{position.line}" if position is not None else "default"
 
 
 @settings_group.command()
@@ -90,44 +98,46 @@
 def explain(key: str) -> None:
     """What KEY means: its type, unit, bounds and default. A class's own settings: streaming.class.stall."""
     model: type[Any] | None = FeatureSettings
-    slot: Slot | None = None
+    setting: Setting | None = None
     steps = key.split(".")
     for at, step in enumerate(steps):
-        known = slots(model) if model is not None else {}
-        slot = known.get(step)
-        if slot is None:
-            advice = nearest(step, known) if known else ""
+        known = settings_of(model) if model is not None else {}
+        setting = known.get(step)
+        if setting is None:
+            advice = suggest_name(step, known) if known else ""
             raise click.UsageError(f"no setting {'.'.join(steps[: at + 1])}{advice}")
-        model = slot.table or slot.rows
-    assert slot is not None
-    click.echo(f"{key}: {slot.about.text}")
+        model = setting.nested_model or setting.row_model
+    assert setting is not None
+    click.echo(f"{key}: {setting.info.description}")
     if model is not None:
-        for name, inner in slots(model).items():
-            click.echo(f"  {name:22} {inner.about.text}")
+        for name, inner in settings_of(model).items():
+            click.echo(f"  {name:22} {inner.info.description}")
         return
-    click.echo(f"  type     {_type(slot)}")
+    click.echo(f"  type     {_type(setting)}")
     bounds = [
-        f"at {word} {show(slot, limit)}"
-        for word, limit in (("least", slot.about.least), ("most", slot.about.most))
+        f"at {word} {format_value(setting, limit)}"
+        for word, limit in (("least", setting.info.minimum), ("most", setting.info.maximum))
         if limit is not None
     ]
     if bounds:
         click.echo(f"  bounds   {', '.join(bounds)}")
-    click.echo(f"  default  {show(slot, slot.default)}")
+    click.echo(f"  default  {format_value(setting, setting.default)}")
 
 
-def _type(slot: Slot) -> str:
+def _type(setting: Setting) -> str:
     unit = {
         "bytes": "bytes, as in 256KiB",
         "rate": "bytes a second, as in 8KiB/s",
         "time": "a time, as in 250ms or 2s",
         "address": "host:port",
-    }.get(slot.about.unit)
+    }.get(setting.info.unit)
     if unit:
         return unit
     names = {bool: "true or false", int: "a whole number", float: "a number", str: "text"}
-    literal = getattr(slot.kind, "__args__", ())
-    return names.get(slot.kind) or ("one or more names" if ... in literal else ", ".join(map(str, literal)))
+    literal = getattr(setting.value_type, "__args__", ())
+    return names.get(setting.value_type) or (
+        "one or more names" if ... in literal else ", ".join(map(str, literal))
+    )
 
 
 @ashlift.group("lab")
--- a/ashlift/gatekeeper/config.py
+++ b/ashlift/gatekeeper/config.py
@@ -108,10 +108,10 @@
     if not path:
         return FeatureSettings()
     from ashlift.gatekeeper.settings.reader import SettingsError
-    from ashlift.gatekeeper.settings.schema import load as load_file
+    from ashlift.gatekeeper.settings.schema import load_settings
 
     try:
-        return load_file(Path(path)).settings
+        return load_settings(Path(path)).settings
     except SettingsError as error:
         raise FeatureSettingsError(str(error)) from None
 
--- a/ashlift/gatekeeper/settings/__init__.py
+++ b/ashlift/gatekeeper/settings/__init__.py
@@ -1,5 +1,5 @@
-"""Our own settings: what is off on the platform and turned on in a file of S-expressions.
+"""Settings of the optional features, read from a file of S-expressions. All are off by default.
 
-`model` holds the typed settings and their defaults and needs no library: the platform's run loads no more.
-`reader` (lark) turns a file into lists with positions, `schema` (msgspec) into the model, all faults told.
+`model` has the typed settings and their defaults, without third-party libraries, and is always loaded. Only
+when a settings file is named are `reader` (parser; lark) and `schema` (validation; msgspec) loaded.
 """
--- a/ashlift/gatekeeper/settings/model.py
+++ b/ashlift/gatekeeper/settings/model.py
@@ -1,6 +1,6 @@
-"""The typed settings, their units, bounds, defaults and meanings. Plain dataclasses: nothing to load.
+"""The typed settings with their units, bounds, defaults and descriptions. Standard library only.
 
-A field's annotation carries an `About`; `schema.py` reads it to check a file, and `explain` to print it.
+Fields are annotated with a `SettingInfo`, by which `schema.py` validates files and `settings explain` prints.
 """
 
 from dataclasses import dataclass, field
@@ -8,40 +8,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class About:
-    """What a person must know of one setting.
+class SettingInfo:
+    """Documentation and bounds of a setting.
 
-    `unit` is "bytes", "time" (milliseconds in the program, written with a unit in a file), "rate" (bytes a
-    second) or "" for plain numbers and words; `least` and `most` bound it in the program's unit.
+    `unit` is "bytes", "time" (milliseconds in memory), "rate" (bytes a second), "address" (host:port) or ""
+    (plain numbers and words). In a file, sizes, times and rates are written with a unit. `minimum` and
+    `maximum` are in the unit used in memory.
     """
 
-    text: str
+    description: str
     unit: str = ""
-    least: float | None = None
-    most: float | None = None
+    minimum: float | None = None
+    maximum: float | None = None
 
 
 KIB, MIB, GIB = 1 << 10, 1 << 20, 1 << 30
-MIN_LEASE_BYTES = 4 * KIB  # bytes that each direction of a stream may always hold
+MIN_LEASE_BYTES = 4 * KIB  # that each direction of a stream may always buffer
 
-Flag = Annotated[bool, About("true or false")]
+Flag = Annotated[bool, SettingInfo("true or false")]
 
 
 @dataclass(frozen=True, slots=True)
 class StreamClass:
-    """How the bodies of one class of requests are passed on."""
+    """How the bodies of one class of requests are streamed."""
 
-    name: Annotated[str, About("the class, as the platform's settings name it")] = ""
+    name: Annotated[str, SettingInfo("name of the class in the platform's settings")] = ""
     head: Annotated[
         float,
-        About(
-            "longest wait for the answer's head once the request is written whole", "time", 1.0, 3_600_000.0
+        SettingInfo(
+            "time limit for the head of the response, from the end of the request", "time", 1.0, 3_600_000.0
         ),
     ] = 3_000.0
     stall: Annotated[
         float,
-        About(
-            "longest time for which the side that is waited for moves no byte, in each direction by itself",
+        SettingInfo(
+            "time limit without any byte from or to the peer that is waited for, for each direction by itself",
             "time",
             10.0,
             3_600_000.0,
@@ -49,84 +50,94 @@
     ] = 2_000.0
     least_rate: Annotated[
         float,
-        About(
-            "bytes a second that the side that is waited for moves at least, as a "
-            "mean over rate-span of waiting; 0: no limit",
+        SettingInfo(
+            "minimum average rate of the peer that is waited for, over rate-span of waiting; 0: no limit",
             "rate",
             0.0,
         ),
     ] = 0.0
     rate_span: Annotated[
-        float, About("the waiting over which least-rate is taken", "time", 100.0, 3_600_000.0)
+        float, SettingInfo("time of waiting over which least-rate is averaged", "time", 100.0, 3_600_000.0)
     ] = 10_000.0
     total: Annotated[
         float,
-        About(
-            "longest time of one job from its head to its last byte; 0: no limit", "time", 0.0, 86_400_000.0
+        SettingInfo(
+            "time limit for a request, from its head to the last byte of its response; 0: no limit",
+            "time",
+            0.0,
+            86_400_000.0,
         ),
     ] = 3_600_000.0
-    longest: Annotated[int, About("longest body, each way", "bytes", 0)] = 4 * GIB
+    longest: Annotated[int, SettingInfo("maximum size of a body, in each direction", "bytes", 0)] = 4 * GIB
     request_headers: Annotated[
-        tuple[str, ...], About("headers of a request that an execute node gets besides the usual ones")
+        tuple[str, ...],
+        SettingInfo("request headers that are forwarded to execute nodes, besides the usual ones"),
     ] = ()
     answer_headers: Annotated[
-        tuple[str, ...], About("headers of an answer that a client gets besides the usual ones")
+        tuple[str, ...], SettingInfo("response headers that are forwarded to clients, besides the usual ones")
     ] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Streaming:
-    """Bodies passed on as they arrive."""
+    """Streaming of request and response bodies as they arrive."""
 
-    enabled: Annotated[bool, About("whether bodies are streamed at all")] = False
-    buffer_bytes: Annotated[int, About("bytes that all streams together hold at most", "bytes", 64 * KIB)] = (
-        8 * MIB
-    )
+    enabled: Annotated[bool, SettingInfo("whether bodies are streamed")] = False
+    buffer_bytes: Annotated[
+        int, SettingInfo("maximum number of bytes buffered by all streams together", "bytes", 64 * KIB)
+    ] = 8 * MIB
     stream_buffer_bytes: Annotated[
-        int, About("bytes that one direction of one stream holds at most", "bytes", 2 * MIN_LEASE_BYTES)
+        int,
+        SettingInfo(
+            "maximum number of bytes buffered by one direction of a stream", "bytes", 2 * MIN_LEASE_BYTES
+        ),
     ] = 256 * KIB
     most_streams: Annotated[
-        int, About("streamed jobs at once; beyond them the answer is 503", "", 1, 100_000)
+        int, SettingInfo("maximum number of concurrent streams; further requests get 503", "", 1, 100_000)
     ] = 200
     retry_after: Annotated[
         float,
-        About("advice to who is turned away for most-streams; drawn from this to twice as much", "time", 1.0),
+        SettingInfo(
+            "minimum Retry-After of requests rejected for most-streams; drawn at random up to twice this",
+            "time",
+            1.0,
+        ),
     ] = 1_000.0
     linger_bytes: Annotated[
         int,
-        About(
-            "bytes of a request that are thrown away, within a second, after an "
-            "answer that did not wait for them",
+        SettingInfo(
+            "maximum number of bytes of a request that are discarded, within a second, after a response "
+            "that was sent before the request's end",
             "bytes",
             0,
         ),
     ] = 64 * MIB
-    classes: Annotated[tuple[StreamClass, ...], About("one for each class that streams")] = field(
-        default=(), metadata={"key": "class"}
-    )
+    classes: Annotated[
+        tuple[StreamClass, ...], SettingInfo("one for each class whose bodies are streamed")
+    ] = field(default=(), metadata={"key": "class"})
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimitServer:
-    """Envoy's gRPC rate limit service, for others."""
+    """Envoy's gRPC rate limit service, offered to other programs."""
 
-    listen: Annotated[str, About("host:port of the service; empty: off", "address")] = ""
-    domain: Annotated[str, About("the domain that it answers for")] = "availability-lookup"
+    listen: Annotated[str, SettingInfo("host:port to listen on; empty: off", "address")] = ""
+    domain: Annotated[str, SettingInfo("rate limit domain that is served")] = "availability-lookup"
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimitClient:
-    """A gRPC rate limit service that keeps the quota counts."""
+    """A gRPC rate limit service that is used as the shared quota counter."""
 
     address: Annotated[
-        str, About("host:port of the service; empty: the platform's text counter", "address")
+        str, SettingInfo("host:port of the service; empty: the platform's text counter", "address")
     ] = ""
-    domain: Annotated[str, About("the domain of the counts there")] = "availability-counts"
+    domain: Annotated[str, SettingInfo("rate limit domain of the counters")] = "availability-counts"
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """Both sides of the gRPC rate limit service."""
+    """Server and client of the gRPC rate limit protocol."""
 
     server: RateLimitServer = RateLimitServer()
     client: RateLimitClient = RateLimitClient()
@@ -134,19 +145,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Logging:
-    """The log on standard error."""
+    """Logging to standard error."""
 
     form: Annotated[
-        Literal["plain", "key-value", "json"], About("plain lines, key=value for a terminal, or JSON lines")
+        Literal["plain", "key-value", "json"],
+        SettingInfo("format of the log lines: plain text, key=value pairs or JSON"),
     ] = "plain"
-    level: Annotated[Literal["debug", "info", "warning", "error"], About("least level that is written")] = (
-        "info"
-    )
+    level: Annotated[
+        Literal["debug", "info", "warning", "error"], SettingInfo("minimum level that is logged")
+    ] = "info"
 
 
 @dataclass(frozen=True, slots=True)
 class FeatureSettings:
-    """All that a settings file may say; what it leaves out is off or as here."""
+    """All settings of a settings file, with their defaults."""
 
     streaming: Streaming = Streaming()
     ratelimit: RateLimit = RateLimit()
--- a/ashlift/gatekeeper/settings/reader.py
+++ b/ashlift/gatekeeper/settings/reader.py
@@ -1,7 +1,6 @@
-"""Reads S-expressions into lists that know where they stand. The grammar is lark's; nothing is checked here
-but the form.
+"""Parses S-expressions into atoms and lists with their positions. Only the syntax is checked.
 
-    (name value ... (name value ...))     names and values are bare words or "text"; `;` begins a remark
+(name value ... (name value ...))     names and values are bare words or "text"; `;` starts a comment
 """
 
 import re
@@ -12,7 +11,7 @@
 from lark import Lark, Token, Transformer
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedToken
 
-DEEPEST = 32  # lists within lists: guards against a file that only exhausts the stack
+MAX_DEPTH = 32  # of nested lists, so that a file cannot exhaust the stack
 
 GRAMMAR = r"""
     start: list
@@ -29,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Where something stands in a file; both count from 1."""
+    """A position in a file; line and column count from 1."""
 
     line: int
     column: int
@@ -37,20 +36,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong, where it stands and what it concerns (dotted; empty: the form itself)."""
+    """An error in a file. `key` is the dotted key that it concerns, empty for syntax errors."""
 
     position: Position
     key: str
-    what: str
+    message: str
 
     def format(self, name: str) -> str:
-        """The one line that an operator gets."""
+        """One line for operators: FILE:LINE:COLUMN: key: message."""
         where = f"{name}:{self.position.line}:{self.position.column}: "
-        return where + (f"{self.key}: {self.what}" if self.key else self.what)
+        return where + (f"{self.key}: {self.message}" if self.key else self.message)
 
 
 class SettingsError(Exception):
-    """A file that cannot be used; `lines` holds one line for each fault."""
+    """A settings file is invalid; `lines` has one line for each problem."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("\n".join(lines))
@@ -59,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Atom:
-    """One value as written; `text` has its quotes taken off."""
+    """A word or quoted string; `text` is without quotes and escapes."""
 
     text: str
     quoted: bool
@@ -68,19 +67,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ListNode:
-    """One list; `position` is that of its opening bracket."""
+    """A list; `position` is that of its opening parenthesis."""
 
     items: "tuple[Atom | ListNode, ...]"
     position: Position
 
 
-class _Build(Transformer[Token, ListNode]):
+class _TreeBuilder(Transformer[Token, ListNode]):
     def start(self, children: list[Any]) -> ListNode:
         only: ListNode = children[0]
         return only
 
     def list(self, children: list[Any]) -> ListNode:
-        # The brackets are kept by their tokens alone; the first child of a rule with positions is they.
         opening, *items, _ = children
         return ListNode(tuple(items), Position(opening.line, opening.column))
 
@@ -88,15 +86,15 @@
         return Atom(str(token), False, Position(token.line or 1, token.column or 1))
 
     def TEXT(self, token: Token) -> Atom:  # noqa: N802
-        inner = str(token)[1:-1]
-        out, skip = [], False
-        for sign in inner:
-            if skip or sign != "\\":
-                out.append({"n": "\n", "t": "\t"}.get(sign, sign) if skip else sign)
-                skip = False
+        quoted = str(token)[1:-1]
+        characters, escaped = [], False
+        for character in quoted:
+            if escaped or character != "\\":
+                characters.append({"n": "\n", "t": "\t"}.get(character, character) if escaped else character)
+                escaped = False
             else:
-                skip = True
-        return Atom("".join(out), True, Position(token.line or 1, token.column or 1))
+                escaped = True
+        return Atom("".join(characters), True, Position(token.line or 1, token.column or 1))
 
 
 @cache
@@ -105,25 +103,25 @@
 
 
 def parse(text: str) -> ListNode | Problem:
-    """The one list that a file holds, or what is wrong with its form."""
-    deep = 0
-    for part in re.sub(r'"(\\.|[^"\\])*"|;[^\n]*', "", text):  # brackets within text or remarks are not lists
-        deep += (part == "(") - (part == ")")
-        if deep > DEEPEST:
-            return Problem(Position(1, 1), "", f"lists more than {DEEPEST} deep")
+    """Parses a file with exactly one list."""
+    depth = 0
+    for character in re.sub(r'"(\\.|[^"\\])*"|;[^\n]*', "", text):  # without strings and comments
+        depth += (character == "(") - (character == ")")
+        if depth > MAX_DEPTH:
+            return Problem(Position(1, 1), "", f"lists nested more than {MAX_DEPTH} deep")
     try:
-        return _Build().transform(_parser().parse(text))
-    except UnexpectedToken as bad:
-        if bad.token.type == "$END":
-            return Problem(_end(text), "", "the file ends within a list: a ) is missing")
-        what = f"unexpected {str(bad.token)!r}"
-        if bad.token.type in ("RPAR", "LPAR") and bad.expected == {"$END"}:
-            what = "more than the one list (ashlift ...), or a ) too many"
-        return Problem(Position(bad.line, bad.column), "", what)
-    except UnexpectedCharacters as bad:
-        return Problem(Position(bad.line, bad.column), "", f"cannot be read from here on: {bad.char!r}")
+        return _TreeBuilder().transform(_parser().parse(text))
+    except UnexpectedToken as error:
+        if error.token.type == "$END":
+            return Problem(_end(text), "", "unexpected end of file: missing )")
+        message = f"unexpected {str(error.token)!r}"
+        if error.token.type in ("RPAR", "LPAR") and error.expected == {"$END"}:
+            message = "expected one list only"
+        return Problem(Position(error.line, error.column), "", message)
+    except UnexpectedCharacters as error:
+        return Problem(Position(error.line, error.column), "", f"unexpected character {error.char!r}")
     except UnexpectedEOF:
-        return Problem(_end(text), "", "the file ends within a list")
+        return Problem(_end(text), "", "unexpected end of file")
 
 
 def _end(text: str) -> Position:
--- a/tests/gatekeeper/play.py
+++ b/tests/gatekeeper/play.py
@@ -31,7 +31,7 @@
 
 from ashlift.gatekeeper.__main__ import Gatekeeper
 from ashlift.gatekeeper.config import Config, read
-from ashlift.gatekeeper.settings.schema import check
+from ashlift.gatekeeper.settings.schema import parse_settings
 from tests.gatekeeper.test_wirehost import FACTS
 
 WAIT_S = 10.0
@@ -62,7 +62,7 @@
         for step in steps:
             at = at[int(step)] if isinstance(at, list) else at[step]
         at[int(last) if isinstance(at, list) else last] = value
-    ours = check(f"(ashlift {own})", "own").settings
+    ours = parse_settings(f"(ashlift {own})", "own").settings
     return replace(read(found, {}), listen=("127.0.0.1", 0), features=ours)
 
 
--- a/tests/gatekeeper/test_lab_scenario_file.py
+++ b/tests/gatekeeper/test_lab_scenario_file.py
@@ -42,7 +42,7 @@
         ("(scenario (gatekeepers 2) (faults (kill g0)))", "s:1:35: faults.kill: wants G AT"),
         ("(scenario (gatekeepers 2) (faults (restart g2 1s)))", "s:1:44: faults.restart: g2: no such end"),
         ("(scenario (seed 1))", "s:1:1: gatekeepers: is missing"),
-        ("(scenario (gatekeepers 2)", "s:1:26: the file ends within a list"),
+        ("(scenario (gatekeepers 2)", "s:1:26: unexpected end of file: missing )"),
     ],
 )
 def test_an_error_in_a_scenario_is_reported_by_line_column_and_key(text: str, message: str) -> None:
--- a/tests/gatekeeper/test_settings.py
+++ b/tests/gatekeeper/test_settings.py
@@ -14,12 +14,12 @@
 from ashlift.gatekeeper.cli import SHIPPED, ashlift
 from ashlift.gatekeeper.settings.model import MIB, FeatureSettings, StreamClass, Streaming
 from ashlift.gatekeeper.settings.reader import Atom, ListNode, Problem, SettingsError, parse
-from ashlift.gatekeeper.settings.schema import check, show, slots, walk
+from ashlift.gatekeeper.settings.schema import format_value, iterate_settings, parse_settings, settings_of
 
 
 def faults(text: str) -> list[str]:
     with pytest.raises(SettingsError) as caught:
-        check(text, "f")
+        parse_settings(text, "f")
     return caught.value.lines
 
 
@@ -28,12 +28,12 @@
       (streaming (enabled true) (buffer-bytes 8MiB) (most-streams 7)
         (class report (head 3s) (stall 250ms) (least-rate 8KiB/s) (total 0) (answer-headers X-A x-b))
         (class "two words")))"""
-    streaming = check(text, "f").settings.streaming
+    streaming = parse_settings(text, "f").settings.streaming
     assert (streaming.enabled, streaming.buffer_bytes, streaming.most_streams) == (True, 8 * MIB, 7)
     first, second = streaming.classes
     assert first == StreamClass("report", 3_000.0, 250.0, 8192.0, total=0.0, answer_headers=("x-a", "x-b"))
     assert second.name == "two words"
-    assert check("(ashlift)", "f").settings == FeatureSettings()
+    assert parse_settings("(ashlift)", "f").settings == FeatureSettings()
 
 
 def test_all_faults_of_a_file_are_told_each_with_its_place_and_key() -> None:
@@ -46,20 +46,20 @@
   (logging (form xml)) (ratelimit (server (listen nowhere))))"""
     assert faults(text) == [
         "f:2:4: streeming: unknown key; did you mean streaming?",
-        "f:3:23: streaming.enabled: neither true nor false: 'yes'",
+        "f:3:23: streaming.enabled: expected true or false, got 'yes'",
         "f:3:42: streaming.buffer-bytes: not a number with a unit (B, KiB, MiB, GiB, kB, MB, GB): '8Mib'",
         "f:3:62: streaming.most-streams: 0 is out of range: at least 1",
-        "f:4:6: streaming.most-streams: given twice; it stands at line 3 already",
-        "f:4:23: streaming.enabled: given twice; it stands at line 3 already",
+        "f:4:6: streaming.most-streams: duplicate key; first given at line 3",
+        "f:4:23: streaming.enabled: duplicate key; first given at line 3",
         "f:5:21: streaming.class r.stall: not a number with a unit (ms, s, min, h): '1'",
         "f:5:44: streaming.class r.answer-headers: "
-        "Connection speaks of one connection and is never passed on",
-        "f:5:55: streaming.class r.answer-headers: not a header's name: 'b@d'",
-        "f:6:12: streaming.class r: given twice",
-        "f:6:23: streaming.class r.head: takes one value, not 2",
-        "f:6:28: streaming.class: must have a name: (class NAME ...)",
-        "f:6:40: streaming: a setting is written (key value)",
-        "f:7:18: logging.form: one of plain, key-value, json, not 'xml'",
+        "Connection is a hop-by-hop header, which is never forwarded",
+        "f:5:55: streaming.class r.answer-headers: not a header name: 'b@d'",
+        "f:6:12: streaming.class r: duplicate name",
+        "f:6:23: streaming.class r.head: expected one value, got 2",
+        "f:6:28: streaming.class: expected a name: (class NAME ...)",
+        "f:6:40: streaming: expected a setting: (key value)",
+        "f:7:18: logging.form: expected one of plain, key-value, json, got 'xml'",
         "f:7:51: ratelimit.server.listen: not host:port: 'nowhere'",
     ]
 
@@ -67,20 +67,20 @@
 @pytest.mark.parametrize(
     ("text", "told"),
     [
-        ("(ashlift (a b)", "f:1:15: the file ends within a list: a ) is missing"),
-        ("(ashlift))", "f:1:10: more than the one list (ashlift ...), or a ) too many"),
-        ('(ashlift\n "x', "f:2:2: cannot be read from here on: '\"'"),
-        ("", "f:1:1: the file ends within a list: a ) is missing"),
-        ("(other)", "f:1:1: a settings file begins with (ashlift"),
-        ("(ashlift " + "(" * 40, "f:1:1: lists more than 32 deep"),
+        ("(ashlift (a b)", "f:1:15: unexpected end of file: missing )"),
+        ("(ashlift))", "f:1:10: expected one list only"),
+        ('(ashlift\n "x', "f:2:2: unexpected character '\"'"),
+        ("", "f:1:1: unexpected end of file: missing )"),
+        ("(other)", "f:1:1: expected (ashlift ...)"),
+        ("(ashlift " + "(" * 40, "f:1:1: lists nested more than 32 deep"),
         (
             "(ashlift (streaming (most-streams 200) (buffer-bytes 1MiB)))",
             "f:1:41: streaming.buffer-bytes: too small for most-streams 200: "
-            "each holds 8192 bytes at least, so 1646592 are needed",
+            "each needs 8192 bytes, so at least 1646592 are needed",
         ),
         (
             '(ashlift (ratelimit (server (listen 127.0.0.1:1) (domain ""))))',
-            "f:1:51: ratelimit.server.domain: empty, though the address is given",
+            "f:1:51: ratelimit.server.domain: must not be empty if the address is given",
         ),
     ],
 )
@@ -110,24 +110,29 @@
 
 
 def test_each_value_is_shown_as_a_file_would_have_it() -> None:
-    for key, slot, value in walk(
+    for key, setting, value in iterate_settings(
         FeatureSettings(streaming=Streaming(classes=(StreamClass("r"),))), FeatureSettings
     ):
         *steps, last = key.split(".")
         if value == ():
             continue
-        text = f"({last} {show(slot, value)})"
+        text = f"({last} {format_value(setting, value)})"
         for step in reversed(steps):
             text = f"({step} {text})"
-        again = {k: v for k, _, v in walk(check(f"(ashlift {text})", "f").settings, FeatureSettings)}
+        again = {
+            k: v
+            for k, _, v in iterate_settings(
+                parse_settings(f"(ashlift {text})", "f").settings, FeatureSettings
+            )
+        }
         assert again[key] == value, text
 
 
 def test_every_setting_says_what_it_means() -> None:
     def look(model: type) -> None:
-        for slot in slots(model).values():
-            assert len(slot.about.text) > 10 or slot.kind is bool, slot.key
-            if inner := slot.table or slot.rows:
+        for setting in settings_of(model).values():
+            assert len(setting.info.description) > 10 or setting.value_type is bool, setting.key
+            if inner := setting.nested_model or setting.row_model:
                 look(inner)
 
     look(FeatureSettings)
@@ -143,7 +148,9 @@
     bad = tmp_path / "bad.sexp"
     bad.write_text("(ashlift (a b)\n (streaming (enabled 1)))")
     code, out = run("settings", "check", str(bad))
-    assert code == 2 and out.splitlines()[1] == f"{bad}:2:22: streaming.enabled: neither true nor false: '1'"
+    assert (
+        code == 2 and out.splitlines()[1] == f"{bad}:2:22: streaming.enabled: expected true or false, got '1'"
+    )
     code, out = run("settings", "show", str(SHIPPED))
     assert code == 0 and f"8MiB                 {SHIPPED}:5" in out and "retry-after" in out
     code, out = run("settings", "explain", "streaming.class.stall")
