--- a/ashlift/gatekeeper/cli.py
+++ b/ashlift/gatekeeper/cli.py
@@ -1,4 +1,4 @@
-"""The command line. `python -m ashlift` without a word runs the gatekeeper and loads none of this."""
+"""The command line. Not loaded by `python -m ashlift` without arguments, which runs the gatekeeper."""
 
 import os
 import sys
@@ -20,14 +20,14 @@
     suggest_name,
 )
 
-SHIPPED = Path(__file__).parents[2] / "deploy" / "ashlift.sexp"
+DEFAULT_SETTINGS_FILE = Path(__file__).parents[2] / "deploy" / "ashlift.sexp"
 FILE = click.Path(dir_okay=False, path_type=Path)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 @click.version_option(__version__, prog_name="ashlift")
 def ashlift() -> None:
-    """A rate-limiting gatekeeper, run as a fleet before shared execute nodes.
+    """A rate-limiting gateway that runs as a fleet in front of shared execute nodes.
 
     Shell completion: eval "$(_ASHLIFT_COMPLETE=bash_source ashlift)", or zsh_source, or fish_source.
     """
@@ -39,16 +39,16 @@
     type=FILE,
     envvar="GW_SETTINGS",
     show_envvar=True,
-    help="Our own settings; the checkout's deploy/ashlift.sexp if none is named.",
+    help="Settings file of the optional features; by default the checkout's deploy/ashlift.sexp.",
 )
 def serve(settings: Path | None) -> None:
     """Run one gatekeeper until SIGTERM.
 
-    GW_CONFIG names the platform's JSON file; GW_NAME, GW_LISTEN and GW_DISCOVERY go before what it says.
+    GW_CONFIG names the platform's JSON file; GW_NAME, GW_LISTEN and GW_DISCOVERY take precedence over it.
     """
-    from ashlift.gatekeeper.__main__ import main  # the daemon's parts: no other command needs them
+    from ashlift.gatekeeper.__main__ import main  # not needed by other commands
 
-    path = settings or (SHIPPED if SHIPPED.exists() else None)
+    path = settings or (DEFAULT_SETTINGS_FILE if DEFAULT_SETTINGS_FILE.exists() else None)
     if path is not None:
         os.environ["GW_SETTINGS"] = str(path)
     sys.exit(main())
@@ -71,41 +71,41 @@
 @settings_group.command()
 @click.argument("file", type=FILE)
 def check(file: Path) -> None:
-    """Check FILE; every fault is one line FILE:LINE:COL: key: what is wrong. Exits with 2 if there is one."""
-    found = _load(file)
-    click.echo(f"{file}: good; {len(found.positions)} settings")
+    """Check FILE; prints each problem as FILE:LINE:COL: key: message. Exits with 2 if there is any."""
+    loaded = _load(file)
+    click.echo(f"{file}: good; {len(loaded.positions)} settings")
 
 
 @settings_group.command("show")
 @click.argument("file", type=FILE, envvar="GW_SETTINGS", required=False)
-def show_all(file: Path | None) -> None:
-    """The values in force with FILE (or the file that GW_SETTINGS names), and where each comes from."""
-    found = _load(file) if file is not None else LoadedSettings(FeatureSettings(), "", {})
-    values = iterate_settings(found.settings, FeatureSettings)
-    rows = [(key, format_value(setting, value), _origin(found, key)) for key, setting, value in values]
-    wide = [max(len(row[at]) for row in rows) for at in (0, 1)]
+def show_effective(file: Path | None) -> None:
+    """Show the effective values with FILE (or the file that GW_SETTINGS names), and where each is set."""
+    loaded = _load(file) if file is not None else LoadedSettings(FeatureSettings(), "", {})
+    values = iterate_settings(loaded.settings, FeatureSettings)
+    rows = [(key, format_value(setting, value), _origin(loaded, key)) for key, setting, value in values]
+    widths = [max(len(row[column]) for row in rows) for column in (0, 1)]
     for key, value, origin in rows:
-        click.echo(f"{key:{wide[0]}}  {value:{wide[1]}}  {origin}")
+        click.echo(f"{key:{widths[0]}}  {value:{widths[1]}}  {origin}")
 
 
-def _origin(found: LoadedSettings, key: str) -> str:
-    position: Position | None = found.positions.get(key)
-    return f"{found.file_name}:{position.line}" if position is not None else "default"
+def _origin(loaded: LoadedSettings, key: str) -> str:
+    position: Position | None = loaded.positions.get(key)
+    return f"{loaded.file_name}:{position.line}" if position is not None else "default"
 
 
 @settings_group.command()
 @click.argument("key")
 def explain(key: str) -> None:
-    """What KEY means: its type, unit, bounds and default. A class's own settings: streaming.class.stall."""
+    """Explain KEY: its meaning, type, bounds and default. Settings of a class: streaming.class.stall."""
     model: type[Any] | None = FeatureSettings
     setting: Setting | None = None
     steps = key.split(".")
-    for at, step in enumerate(steps):
+    for index, step in enumerate(steps):
         known = settings_of(model) if model is not None else {}
         setting = known.get(step)
         if setting is None:
-            advice = suggest_name(step, known) if known else ""
-            raise click.UsageError(f"no setting {'.'.join(steps[: at + 1])}{advice}")
+            suggestion = suggest_name(step, known) if known else ""
+            raise click.UsageError(f"no setting {'.'.join(steps[: index + 1])}{suggestion}")
         model = setting.nested_model or setting.row_model
     assert setting is not None
     click.echo(f"{key}: {setting.info.description}")
@@ -142,22 +142,22 @@
 
 @ashlift.group("lab")
 def lab_group() -> None:
-    """Our own installation of several gatekeepers, faults between them, and a checker (ashlift_lab)."""
+    """Test runs of several gatekeepers with injected faults, and a checker of their histories."""
 
 
-def _moments(text: str, parts: int) -> tuple[tuple[Any, ...], ...]:
-    """ "1@2.5" or "1@1-3", comma-separated: a gatekeeper's number, then seconds."""
-    found: list[tuple[Any, ...]] = []
+def _parse_times(text: str, times_each: int) -> tuple[tuple[Any, ...], ...]:
+    """Parses "1@2.5" or "1@1-3", comma-separated: the number of a gatekeeper and seconds."""
+    parsed: list[tuple[Any, ...]] = []
     for item in filter(None, text.split(",")):
         try:
-            who, _, when = item.partition("@")
-            times = [float(part) for part in when.split("-")]
-            if len(times) != parts:
+            number, _, seconds = item.partition("@")
+            times = [float(part) for part in seconds.split("-")]
+            if len(times) != times_each:
                 raise ValueError
-            found.append((int(who), *times))
+            parsed.append((int(number), *times))
         except ValueError:
-            raise click.BadParameter(f"{item!r}: wants G@S" + ("-S" if parts == 2 else "")) from None
-    return tuple(found)
+            raise click.BadParameter(f"{item!r}: expected G@S" + ("-S" if times_each == 2 else "")) from None
+    return tuple(parsed)
 
 
 @lab_group.command("run")
@@ -165,18 +165,20 @@
 @click.option("--gatekeepers", type=click.IntRange(1, 9), default=3, show_default=True)
 @click.option("--nodes", type=click.IntRange(1, 60), default=4, show_default=True)
 @click.option("--seconds", type=click.FloatRange(0.5, 120), default=5.0, show_default=True)
-@click.option("--seed", type=int, default=None, help="The scenario's own, or 1.")
+@click.option("--seed", type=int, default=None, help="By default the scenario's, or 1.")
 @click.option(
     "--work-ms",
     type=click.FloatRange(0, 10_000),
     default=2.0,
     show_default=True,
-    help="A node's time for a job.",
+    help="Time that a node takes for a job.",
 )
-@click.option("--kill", default="", help="Gatekeepers killed: G@S, comma-separated, as 1@2.5.")
-@click.option("--cut-counter", default="", help="Gatekeepers cut from the counter: G@FROM-TO, as 2@1-3.")
-@click.option("--restart", default="", help="Gatekeepers started anew where they are gone: G@S, as 1@4.")
-@click.option("--pause", default="", help="Gatekeepers stopped by SIGSTOP and woken: G@FROM-TO, as 0@1-3.")
+@click.option("--kill", default="", help="Gatekeepers to kill: G@S, comma-separated, as 1@2.5.")
+@click.option(
+    "--cut-counter", default="", help="Gatekeepers to disconnect from the counter: G@FROM-TO, as 2@1-3."
+)
+@click.option("--restart", default="", help="Killed gatekeepers to restart: G@S, as 1@4.")
+@click.option("--pause", default="", help="Gatekeepers to pause with SIGSTOP: G@FROM-TO, as 0@1-3.")
 @click.option("--history", type=FILE, default=Path("lab-history.jsonl"), show_default=True)
 @click.option("--results", type=FILE, default=Path("lab-results.sqlite"), show_default=True)
 @click.option("--report", "report_to", type=FILE, default=None, help="Write the run's HTML report here.")
@@ -184,7 +186,7 @@
     "--allowed",
     type=click.FloatRange(min=0),
     default=None,
-    help="Units beyond a firm's bucket the checker lets pass; the scenario's, or twice the burst.",
+    help="Units beyond a customer's token bucket to accept; by default the scenario's, or twice the burst.",
 )
 def lab_run(
     scenario: Path | None,
@@ -202,11 +204,12 @@
     report_to: Path | None,
     allowed: float | None,
 ) -> None:
-    """Run real gatekeeper processes before our stand-ins, with faults, check the history they made and
-    keep it in the results. A SCENARIO file (S-expressions: ashlift/lab/scenario_file.py) takes the options'
-    place."""
+    """Run gatekeeper processes against simulated nodes with faults, check the recorded history and store it.
+
+    A SCENARIO file (S-expressions: ashlift/lab/scenario_file.py) replaces the options.
+    """
     import dataclasses
-    import time as clock
+    import time
 
     from ashlift.lab.checker import check_history
     from ashlift.lab.gatekeeper_process import LabError
@@ -227,15 +230,15 @@
                 nodes,
                 seconds,
                 work_ms=work_ms,
-                kills=_moments(kill, 1),
-                restarts=_moments(restart, 1),
-                pauses=_moments(pause, 2),
-                counter_cuts=_moments(cut_counter, 2),
+                kills=_parse_times(kill, 1),
+                restarts=_parse_times(restart, 1),
+                pauses=_parse_times(pause, 2),
+                counter_cuts=_parse_times(cut_counter, 2),
             )
             text = repr(plan)
         if seed is not None:
             plan = dataclasses.replace(plan, seed=seed)
-        began = clock.strftime("%Y-%m-%dT%H:%M:%S")
+        started = time.strftime("%Y-%m-%dT%H:%M:%S")
         with open(history, "w", encoding="utf-8") as out:
             run = Run(plan, out, _progress(plan.seconds))
             click.echo(
@@ -259,7 +262,7 @@
         verdicts,
         RunDescription(
             name=plan.name,
-            began=began,
+            began=started,
             commit=current_commit(),
             seed=plan.seed,
             scenario=text,
@@ -274,21 +277,21 @@
 
 @lab_group.command("system")
 @click.argument("scene", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--seed", type=int, default=None, help="The scene's own, if not said.")
+@click.option("--seed", type=int, default=None, help="By default the scene's.")
 @click.option(
     "--until",
     type=click.FloatRange(min=1),
     default=None,
-    help="End after so many seconds of the scene; later events are left out.",
+    help="End after this many seconds of the scene; later events are skipped.",
 )
 @click.option("--results", type=FILE, default=Path("lab-results.sqlite"), show_default=True)
 @click.option("--report", type=FILE, default=None, help="Write the run's HTML report here.")
-@click.option("--keep", is_flag=True, help="Leave the folder of settings, disks and logs.")
+@click.option("--keep", is_flag=True, help="Keep the folder of settings, disks and logs.")
 def lab_system(
     scene: Path, seed: int | None, until: float | None, results: Path, report: Path | None, keep: bool
 ) -> None:
-    """Play a SCENE of the whole system (ashlift/simulation/scenario.py) as real processes on loopback."""
-    from ashlift.lab.system import commands  # the system's libraries are loaded by the lab alone
+    """Run a SCENE of the whole system (ashlift/simulation/scenario.py) with real processes on loopback."""
+    from ashlift.lab.system import commands  # heavy imports that only the lab needs
 
     sys.exit(commands.run_on_processes(scene, seed, until, results, report, keep))
 
@@ -300,7 +303,7 @@
 @click.option("--seconds", type=click.FloatRange(19, 120), default=30.0, show_default=True)
 @click.option("--keep-failed", type=click.Path(file_okay=False, path_type=Path), default=None)
 def lab_soak(first: int, seeds: int, proxies: int, seconds: float, keep_failed: Path | None) -> None:
-    """Play random, overlapping faults on real processes, for many seeds, with fatal invariants."""
+    """Inject random, overlapping faults into real processes, for many seeds; any broken invariant fails."""
     from ashlift.lab.system import soak
 
     sys.exit(soak.run_soak(first, seeds, proxies, seconds, keep_failed))
@@ -309,25 +312,25 @@
 @lab_group.command("sim")
 @click.argument("scene", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.option("--seeds", type=click.IntRange(1, 1000), default=1, show_default=True)
-@click.option("--first", type=int, default=None, help="The first seed; the scene's own, if not said.")
-@click.option("--results", type=FILE, default=None, help="Keep each run here.")
-@click.option("--shrink", is_flag=True, help="Shorten and print what fails.")
+@click.option("--first", type=int, default=None, help="The first seed; by default the scene's.")
+@click.option("--results", type=FILE, default=None, help="Store each run here.")
+@click.option("--shrink", is_flag=True, help="Minimize and print failing scenes.")
 def lab_sim(scene: Path, seeds: int, first: int | None, results: Path | None, shrink: bool) -> None:
-    """Play a SCENE of the whole system on simulated time, with many seeds."""
+    """Run a SCENE of the whole system in simulated time, with many seeds."""
     from ashlift.lab.system import commands
 
     sys.exit(commands.run_simulated(scene, seeds, first, results, shrink))
 
 
 def _progress(seconds: float) -> Any:
-    def tell(t: float, sent: int, done: int) -> None:
-        click.echo(f"\r  {t:5.1f} / {seconds:g} s  jobs sent {sent}, done {done}", nl=False, err=True)
+    def report(elapsed_s: float, sent: int, done: int) -> None:
+        click.echo(f"\r  {elapsed_s:5.1f} / {seconds:g} s  jobs sent {sent}, done {done}", nl=False, err=True)
 
-    return tell
+    return report
 
 
 def _results(path: Path) -> Any:
-    from ashlift.lab.results import Results  # hdrhistogram is loaded by the lab alone
+    from ashlift.lab.results import Results  # imports hdrhistogram, which only the lab needs
 
     return Results(path)
 
@@ -339,10 +342,10 @@
     click.echo(f"report: {path.resolve()}")
 
 
-RESULTS = click.option("--results", type=FILE, default=Path("lab-results.sqlite"), show_default=True)
+RESULTS_OPTION = click.option("--results", type=FILE, default=Path("lab-results.sqlite"), show_default=True)
 
 
-def _kept(results: Path) -> Any:
+def _existing_results(results: Path) -> Any:
     if not results.exists():
         raise click.ClickException(f"{results}: no results here; `ashlift lab run` makes them")
     return _results(results)
@@ -358,10 +361,10 @@
 
 
 @lab_group.command("list")
-@RESULTS
+@RESULTS_OPTION
 def lab_list(results: Path) -> None:
-    """The kept runs: id, name, when, commit, seed, jobs, share admitted, p99, verdict."""
-    store = _kept(results)
+    """List the stored runs: id, name, start, commit, seed, jobs, share admitted, p99, verdict."""
+    store = _existing_results(results)
     for number in store.run_ids():
         one = store.summary(number)
         click.echo(
@@ -373,10 +376,10 @@
 
 @lab_group.command("show")
 @click.argument("number", metavar="ID", type=int)
-@RESULTS
+@RESULTS_OPTION
 def lab_show(number: int, results: Path) -> None:
-    """One kept run: its scenario, verdicts, faults, process events and seconds."""
-    store = _kept(results)
+    """Show a stored run: its scenario, verdicts, faults, process events and figures by second."""
+    store = _existing_results(results)
     one = _summary(store, number)
     detail = store.detail(number)
     click.echo(f"run {one.id}: {one.name}, seed {one.seed}, commit {one.commit}, began {one.began}")
@@ -399,32 +402,34 @@
 @lab_group.command("compare")
 @click.argument("first", metavar="A")
 @click.argument("second", metavar="B")
-@RESULTS
+@RESULTS_OPTION
 def lab_compare(first: str, second: str, results: Path) -> None:
-    """Kept runs side by side, with B over A. A and B are each a run, or several as 3-7: then least, median
-    and most are told, and whether the two spreads meet."""
+    """Compare stored runs: the ratio of B to A. A and B are each a run, or several as 3-7.
+
+    For several runs, prints minimum, median and maximum, and whether the two ranges overlap.
+    """
     from ashlift.lab.run_comparison import compare_runs
 
-    store = _kept(results)
-    groups = [[_summary(store, number) for number in _numbers(text)] for text in (first, second)]
+    store = _existing_results(results)
+    groups = [[_summary(store, number) for number in _parse_run_range(text)] for text in (first, second)]
     for line in compare_runs(*groups):
         click.echo(line)
 
 
-def _numbers(text: str) -> range:
+def _parse_run_range(text: str) -> range:
     begin, _, end = text.partition("-")
     if not begin.isdigit() or not (end or "0").isdigit() or (end and int(end) < int(begin)):
-        raise click.BadParameter(f"{text!r}: wants a run as 3, or several as 3-7")
+        raise click.BadParameter(f"{text!r}: expected a run as 3, or several as 3-7")
     return range(int(begin), int(end or begin) + 1)
 
 
 @lab_group.command("report")
 @click.argument("number", metavar="ID", type=int)
-@RESULTS
-@click.option("--out", type=FILE, default=None, help="Where the page goes; lab-report-ID.html if unsaid.")
+@RESULTS_OPTION
+@click.option("--out", type=FILE, default=None, help="The file to write; lab-report-ID.html by default.")
 def lab_report(number: int, results: Path, out: Path | None) -> None:
-    """One self-contained HTML page of a kept run, with its charts."""
-    store = _kept(results)
+    """Write a self-contained HTML report of a stored run, with charts."""
+    store = _existing_results(results)
     _summary(store, number)
     _write_report(store, number, out or Path(f"lab-report-{number}.html"))
 
@@ -436,13 +441,11 @@
     type=click.FloatRange(min=0),
     default=0.0,
     show_default=True,
-    help="Units a firm may be served beyond its token bucket: the stated bound for the faults.",
+    help="Units that a customer may be served beyond its token bucket, as a bound for the faults.",
 )
 def lab_check(history: Path, allowed: float) -> None:
-    """Check a recorded HISTORY (JSON lines): one verdict line an invariant; exits with 1 on any breach."""
-    from ashlift.lab.checker import (
-        check_history,  # the lab is never loaded by the daemon or the other commands
-    )
+    """Check a HISTORY (JSON lines): one verdict line for each invariant. Exits with 1 on a breach."""
+    from ashlift.lab.checker import check_history
     from ashlift.lab.history import HistoryError, read_history
 
     try:
--- a/ashlift/gatekeeper/config.py
+++ b/ashlift/gatekeeper/config.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults."""
+"""Reads the configuration from the environment and the platform's JSON file, with validation and defaults."""
 
 import json
 import os
@@ -12,37 +12,35 @@
 from ashlift.gatekeeper.net.machine_list import parse_address
 from ashlift.gatekeeper.settings.model import FeatureSettings
 
-RESERVED_DESCRIPTORS = 40  # descriptors kept for the list, the counter, the gRPC front, files and the runtime
-IDLE_CONNECTION_SHARE = 0.125  # of all descriptors: client connections on which nothing is open
-NODE_CONNECTION_SHARE = (
-    0.35  # of the other descriptors: connections to execute nodes; the rest is for clients
-)
-RESPONSE_BUFFER_DIVISOR = 8  # of the memory: at most so small a part holds answers that pass on as they come
-RESPONSE_BUFFER_BYTES = (1 << 20, 8 << 20)  # least and most of that
+RESERVED_DESCRIPTORS = 40  # for the machine list, the counter, the gRPC service, files and the runtime
+IDLE_CONNECTION_SHARE = 0.125  # of all descriptors, for idle client connections
+NODE_CONNECTION_SHARE = 0.35  # of the unreserved descriptors, for execute nodes; clients have the rest
+RESPONSE_BUFFER_DIVISOR = 8  # of the memory limit: gives the response buffer, within RESPONSE_BUFFER_BYTES
+RESPONSE_BUFFER_BYTES = (1 << 20, 8 << 20)  # minimum and maximum
 
 
 class ConfigError(Exception):
-    """A setting that cannot be right; the text names the key."""
+    """A setting is invalid; the message names the key."""
 
 
 class FeatureSettingsError(ConfigError):
-    """Faults of our own settings file: a line each, `FILE:LINE:COL: key: what is wrong`."""
+    """The settings file is invalid; one line for each problem, `FILE:LINE:COL: key: message`."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestSchema:
-    """What the platform's front must know of the settings to read a request."""
+    """Names and limits from the settings by which requests are validated."""
 
-    classes: dict[bytes, int]
-    plans: dict[bytes, int]
+    classes: dict[bytes, int]  # index by name
+    plans: dict[bytes, int]  # index by name
     max_units: float
     gateway_count: int
-    client_timeouts_ms: tuple[float, ...]
+    client_timeouts_ms: tuple[float, ...]  # by class
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that the program goes by."""
+    """The validated configuration of a gatekeeper."""
 
     name: str
     listen: tuple[str, int]
@@ -59,11 +57,9 @@
     max_node_connections: int
     known_machines: dict[str, Any] = field(default_factory=dict)
     features: FeatureSettings = FeatureSettings()
-    inherited_fd: int | None = None  # the clients' listening socket, held by the platform: nothing is bound
-    admin_address: tuple[str, int] | None = None  # the operators' door; none where not named
-    response_buffer_bytes: int = RESPONSE_BUFFER_BYTES[
-        1
-    ]  # for answers that pass on as they come, where streams are not set
+    inherited_fd: int | None = None  # listening socket opened by the platform; otherwise `listen` is bound
+    admin_address: tuple[str, int] | None = None  # None: no admin port
+    response_buffer_bytes: int = RESPONSE_BUFFER_BYTES[1]  # for responses streamed without stream settings
 
 
 def _address(where: str, value: object) -> tuple[str, int]:
@@ -77,32 +73,36 @@
     if not value:
         return None
     if not value.isdigit() or int(value) < 3:
-        raise ConfigError(f"{where}: not the number of an open descriptor above 2: {value!r}")
+        raise ConfigError(f"{where}: not a file descriptor number above 2: {value!r}")
     return int(value)
 
 
-def _names(found: list[dict[str, Any]], where: str) -> dict[bytes, int]:
-    names = [row.get("Name") for row in found]
-    for at, name in enumerate(names):
-        if not isinstance(name, str) or not name or names.index(name) != at:
-            raise ConfigError(f"setting {where}[{at}].Name is missing, not text or given twice: {name!r}")
-    return {str(name).encode(): at for at, name in enumerate(names)}
+def _index_by_name(entries: list[dict[str, Any]], where: str) -> dict[bytes, int]:
+    names = [entry.get("Name") for entry in entries]
+    for index, name in enumerate(names):
+        if not isinstance(name, str) or not name or names.index(name) != index:
+            raise ConfigError(
+                f"setting {where}[{index}].Name is missing, not a string or a duplicate: {name!r}"
+            )
+    return {str(name).encode(): index for index, name in enumerate(names)}
 
 
 def normalize_customer(text: str) -> str:
-    """One spelling of a firm's name, so that both fronts and all gatekeepers count it under the same."""
+    """Normalizes a customer's hexadecimal id, so that HTTP and gRPC requests are counted under one key."""
     if not 1 <= len(text) <= 16 or not text.isalnum():
-        raise ValueError("not up to 16 hex digits")
+        raise ValueError("not 1 to 16 hexadecimal digits")
     return f"{int(text, 16):016x}"
 
 
 def load_feature_settings(env: Mapping[str, str]) -> FeatureSettings:
-    """Our own settings: of the file that GW_SETTINGS names. With none named all is off, and nothing that
-    reads such files is loaded: the platform's memory is short."""
+    """Loads the settings file that GW_SETTINGS names; without it, all features are off.
+
+    The parser's libraries are imported only if needed, to save memory.
+    """
     if env.get("GW_RATELIMIT"):
         raise ConfigError(
-            "GW_RATELIMIT is not read any more: write (ratelimit ...) into the file that "
-            "GW_SETTINGS names; deploy/ashlift.sexp shows the form"
+            "GW_RATELIMIT is no longer supported: add (ratelimit ...) to the file that GW_SETTINGS names, "
+            "as in deploy/ashlift.sexp"
         )
     path = env.get("GW_SETTINGS")
     if not path:
@@ -117,7 +117,7 @@
 
 
 def load(env: Mapping[str, str] = os.environ) -> Config:
-    """Read GW_* and the JSON file that GW_CONFIG names."""
+    """Reads the GW_* variables and the JSON file that GW_CONFIG names; raises ConfigError."""
     path = env.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG is not set")
@@ -135,16 +135,15 @@
 
 
 def reload_config(env: Mapping[str, str] = os.environ) -> Config:
-    """Read the file again, as SIGHUP asks. Guards against a move that is not seen: what the environment said
-    of discovery at the start holds no longer, the file does."""
+    """Reads the file again after SIGHUP, without GW_DISCOVERY: it would hide a new address in the file."""
     return load({key: value for key, value in env.items() if key != "GW_DISCOVERY"})
 
 
 def read(found: dict[str, Any], env: Mapping[str, str]) -> Config:
-    """Check what the JSON file holds; the environment goes first."""
+    """Validates the content of the JSON file; environment variables take precedence."""
     features = load_feature_settings(env)
-    facts = table(found, "settings")
-    settings = read_settings(facts)
+    platform = table(found, "settings")
+    settings = read_settings(platform)
     grpc_counter = features.ratelimit.client.address
     counter = found.get("counter")
     if settings.counter_enabled and not counter and not grpc_counter:
@@ -160,8 +159,7 @@
     memory = number(limits, "limits.", "memory_mb", 16.0) if "memory_mb" in limits else 192.0
     inherited = _descriptor("GW_INHERITED_FD", env.get("GW_INHERITED_FD"))
     if inherited is not None:
-        # Guards against two processes over the limits of one: a successor starts beside this one with the
-        # same limits, and the platform counts both together.
+        # During an upgrade two processes share the limits of one.
         sockets, memory = max(2 * RESERVED_DESCRIPTORS, sockets // 2), memory / 2
     response_buffer = int(
         min(
@@ -169,11 +167,11 @@
             max(RESPONSE_BUFFER_BYTES[0], memory * (1 << 20) / RESPONSE_BUFFER_DIVISOR),
         )
     )
-    site = table(facts, "Limits")
-    nodes = int(NODE_CONNECTION_SHARE * (sockets - RESERVED_DESCRIPTORS))
+    platform_limits = table(platform, "Limits")
+    max_node_connections = int(NODE_CONNECTION_SHARE * (sockets - RESERVED_DESCRIPTORS))
     known = found.get("known") or {}
     if not isinstance(known, dict):
-        raise ConfigError("known is not a table")
+        raise ConfigError("known is not a JSON object")
     return Config(
         name=str(env.get("GW_NAME") or found.get("name") or "gatekeeper"),
         listen=_address("GW_LISTEN", env.get("GW_LISTEN") or found.get("listen")),
@@ -182,20 +180,22 @@
         seed=seed,
         settings=settings,
         request_schema=RequestSchema(
-            _names(rows(facts, "Categories"), "Categories"),
-            _names(rows(facts, "Plans"), "Plans"),
+            _index_by_name(rows(platform, "Categories"), "Categories"),
+            _index_by_name(rows(platform, "Plans"), "Plans"),
             settings.max_request_units,
             settings.gateway_count,
-            tuple(one.client_timeout_ms for one in settings.classes),
+            tuple(request_class.client_timeout_ms for request_class in settings.classes),
         ),
-        zones=tuple(str(zone) for zone in facts.get("Zones") or ()),
-        idle_timeout_ms=number(site, "Limits.", "IdleCloseMs", 1.0) if "IdleCloseMs" in site else 15_000.0,
-        connect_timeout_ms=number(site, "Limits.", "DialTimeoutMs", 1.0)
-        if "DialTimeoutMs" in site
+        zones=tuple(str(zone) for zone in platform.get("Zones") or ()),
+        idle_timeout_ms=number(platform_limits, "Limits.", "IdleCloseMs", 1.0)
+        if "IdleCloseMs" in platform_limits
+        else 15_000.0,
+        connect_timeout_ms=number(platform_limits, "Limits.", "DialTimeoutMs", 1.0)
+        if "DialTimeoutMs" in platform_limits
         else 250.0,
         max_idle_connections=int(IDLE_CONNECTION_SHARE * sockets),
-        max_client_connections=sockets - RESERVED_DESCRIPTORS - nodes,
-        max_node_connections=nodes,
+        max_client_connections=sockets - RESERVED_DESCRIPTORS - max_node_connections,
+        max_node_connections=max_node_connections,
         known_machines=known,
         features=features,
         inherited_fd=inherited,
--- a/ashlift/gatekeeper/ratelimit/__init__.py
+++ b/ashlift/gatekeeper/ratelimit/__init__.py
@@ -1,4 +1,4 @@
-"""Envoy's gRPC rate limit protocol: a front for others, and a client in the text counter's place.
+"""Envoy's gRPC rate limit protocol: a service for other programs, and a client used as the quota counter.
 
-Nothing here is loaded unless its file under deploy/ turns it on: the platform runs without gRPC.
+Loaded only if the settings turn it on: by default the gatekeeper runs without gRPC.
 """
--- a/ashlift/gatekeeper/ratelimit/bridge.py
+++ b/ashlift/gatekeeper/ratelimit/bridge.py
@@ -1,4 +1,4 @@
-"""The way from gRPC's threads into gevent's loop."""
+"""Passes calls from gRPC's threads to the gevent loop."""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,11 +8,10 @@
 
 
 class Bridge:
-    """Runs calls in the loop that were posted by other threads.
+    """Runs functions in the gevent loop that other threads post.
 
-    Guards against touching gevent from a thread that is not the loop's: its queues and events are not safe
-    for that, only an async watcher is. gRPC's own gevent mode needs the whole program monkey patched for a
-    server, and took 1.43 ms of CPU for a call with both its ends against 0.75 ms of the threads.
+    gevent's queues and events are not thread-safe; only async watchers are. gRPC's gevent mode is not
+    used: it needs a monkey-patched program and takes more CPU time than gRPC's threads.
     """
 
     def __init__(self) -> None:
@@ -20,12 +19,12 @@
         self._watcher = gevent.get_hub().loop.async_()
         self._watcher.start(self._drain)
 
-    def post(self, call: Callable[..., Any], *args: Any) -> None:
-        """Safe from any thread; the call must not block."""
-        self._posted.append((call, args))
+    def post(self, function: Callable[..., Any], *args: Any) -> None:
+        """Thread-safe. The function must not block."""
+        self._posted.append((function, args))
         self._watcher.send()
 
     def _drain(self) -> None:
         while self._posted:
-            call, args = self._posted.popleft()
-            call(*args)
+            function, args = self._posted.popleft()
+            function(*args)
--- a/ashlift/gatekeeper/ratelimit/client.py
+++ b/ashlift/gatekeeper/ratelimit/client.py
@@ -1,4 +1,4 @@
-"""A quota counter kept behind a gRPC rate limit service, in the text counter's place."""
+"""A quota counter whose counts are kept by a gRPC rate limit service; replaces the text counter."""
 
 import math
 from dataclasses import dataclass
@@ -16,15 +16,15 @@
 from ashlift.gatekeeper.ratelimit.bridge import Bridge
 from ashlift.gatekeeper.ratelimit.messages import set_hits
 
-MOST = 9_999_999  # no total is higher: the limit asked for, so that what is left tells the total
+MAX_TOTAL = 9_999_999  # sent as the limit, above any total, so that the response's remainder gives the total
 OPTIONS = [
-    ("grpc.enable_retries", 0),  # a call sent twice may be added twice
-    ("grpc.use_local_subchannel_pool", 1),  # a new channel is to have a connection of its own
+    ("grpc.enable_retries", 0),  # a retried call could be counted twice
+    ("grpc.use_local_subchannel_pool", 1),  # a new channel opens a new connection
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 250),
     ("grpc.max_reconnect_backoff_ms", 1000),
 ]
-NOT_SENT = "failed to connect to all addresses"  # gRPC's own words where no connection came up
+CONNECT_FAILED_DETAILS = "failed to connect to all addresses"  # start of gRPC's error message
 
 
 @dataclass(slots=True, eq=False)
@@ -33,7 +33,7 @@
 
 
 class GrpcCounter:
-    """One call of the service for each call of the counter; ended by its answer or its own timer."""
+    """Sends one RPC for each counter call, which ends with the response or on its own timer."""
 
     def __init__(
         self,
@@ -52,59 +52,58 @@
 
     def _open(self) -> None:
         self._channel = grpc.insecure_channel(self._address, options=OPTIONS)
-        self._channel.subscribe(lambda state: None, try_to_connect=True)  # up before the first call
+        self._channel.subscribe(lambda state: None, try_to_connect=True)  # connect before the first call
         self._stub = rls_pb2_grpc.RateLimitServiceStub(self._channel)
-        self._heard, self._since = False, math.inf  # since when calls have gone unanswered
+        self._answered, self._unanswered_since = False, math.inf  # state of the current channel
 
     def add(self, name: int, amount: float, expire_ms: float) -> None:
         now = self._clock.now()
-        if self._patience.is_over(now - self._since, self._heard):
+        if self._patience.is_over(now - self._unanswered_since, self._answered):
             self._metrics.add("counter.overdue")
-            self._channel.close()  # what is under way may have been added: its own timers say so
+            self._channel.close()  # calls in flight end by their timers: they may have been counted
             self._open()
-        self._since = min(self._since, now)
+        self._unanswered_since = min(self._unanswered_since, now)
         call = _Call(name)
-        self._calls.begin(call, self._give_up)
+        self._calls.begin(call, self._on_timeout)
         request = build_request(self._domain, name, round(amount), expire_ms)
         call.future = self._stub.ShouldRateLimit.future(request, timeout=self._calls.timeout_ms / 1000)
-        call.future.add_done_callback(lambda done: self._bridge.post(self._done, call, done))
+        call.future.add_done_callback(lambda future: self._bridge.post(self._on_done, call, future))
 
     def close(self) -> None:
         self._channel.close()
 
-    def _give_up(self, call: _Call) -> None:
+    def _on_timeout(self, call: _Call) -> None:
         self._calls.end(call, Result.TIMEOUT)
         call.future.cancel()
 
-    def _done(self, call: _Call, done: Any) -> None:
-        if done.cancelled():
+    def _on_done(self, call: _Call, future: Any) -> None:
+        if future.cancelled():
             return
-        if done.code() is not grpc.StatusCode.DEADLINE_EXCEEDED:
-            self._heard, self._since = True, math.inf
+        if future.code() is not grpc.StatusCode.DEADLINE_EXCEEDED:
+            self._answered, self._unanswered_since = True, math.inf
             self._patience.heard()
-        if done.code() is grpc.StatusCode.OK:
-            self._calls.end(call, *read_response(done.result()))
+        if future.code() is grpc.StatusCode.OK:
+            self._calls.end(call, *read_response(future.result()))
         else:
-            self._calls.end(call, read_error(done.code(), done.details() or ""))
+            self._calls.end(call, read_error(future.code(), future.details() or ""))
 
 
 def build_request(domain: str, name: int, amount: int, expire_ms: float) -> rls_pb2.RateLimitRequest:
-    """One call: the count's name, the life that a new one is to have, and a limit that no total reaches."""
+    """A request that adds to the count `name`; `expire_ms` is the lifetime of the count if it is new."""
     request = rls_pb2.RateLimitRequest(domain=domain)
-    one = request.descriptors.add()
-    one.entries.add(key="count", value=str(name))
-    one.entries.add(key="life_ms", value=str(max(1, round(expire_ms))))
+    descriptor = request.descriptors.add()
+    descriptor.entries.add(key="count", value=str(name))
+    descriptor.entries.add(key="life_ms", value=str(max(1, round(expire_ms))))
     override = ratelimit_pb2.RateLimitDescriptor.RateLimitOverride
-    one.limit.CopyFrom(override(requests_per_unit=MOST, unit=ratelimit_unit_pb2.HOUR))
-    set_hits(one, amount)
+    descriptor.limit.CopyFrom(override(requests_per_unit=MAX_TOTAL, unit=ratelimit_unit_pb2.HOUR))
+    set_hits(descriptor, amount)
     return request
 
 
 def read_response(response: rls_pb2.RateLimitResponse) -> tuple[Result, float, bool]:
-    """Result, total, and whether it is over its limit.
+    """The result, the total, and whether a limit of the service is exceeded.
 
-    Guards against reading room into an answer that tells of none: over its limit, the service's own limit
-    bounds what is left, and without a limit there is no total at all.
+    There is no valid total if the service's own limit is exceeded, and none in a response without the limit.
     """
     codes = [response.overall_code, *(status.code for status in response.statuses)]
     if rls_pb2.RateLimitResponse.OVER_LIMIT in codes:
@@ -119,9 +118,9 @@
 
 
 def read_error(code: grpc.StatusCode, details: str) -> Result:
-    """What a failed call leaves behind; wherever that is in doubt, it may have been added."""
+    """The result of a failed call; TIMEOUT (it may have been counted) unless it certainly was not."""
     if code is grpc.StatusCode.RESOURCE_EXHAUSTED:
         return Result.OVERLOADED
-    if code is grpc.StatusCode.UNAVAILABLE and details.startswith(NOT_SENT):
+    if code is grpc.StatusCode.UNAVAILABLE and details.startswith(CONNECT_FAILED_DETAILS):
         return Result.CONNECT_FAILED
     return Result.TIMEOUT
--- a/ashlift/gatekeeper/settings/model.py
+++ b/ashlift/gatekeeper/settings/model.py
@@ -42,7 +42,7 @@
     stall: Annotated[
         float,
         SettingInfo(
-            "time limit without any byte from or to the peer that is waited for, for each direction by itself",
+            "time limit without any byte from or to the peer that is waited for, in each direction",
             "time",
             10.0,
             3_600_000.0,
--- a/ashlift/gatekeeper/settings/schema.py
+++ b/ashlift/gatekeeper/settings/schema.py
@@ -220,7 +220,7 @@
     if isinstance(value, bool):
         return "true" if value else "false"
     if setting.info.unit in ("bytes", "rate") and isinstance(value, int | float):
-        unit, size = max(
+        largest_unit, factor = max(
             (
                 (unit, size)
                 for unit, size in SIZES.items()
@@ -229,7 +229,7 @@
             key=lambda pair: pair[1],
             default=("B", 1),
         )
-        return f"{value / size:.15g}{unit}" + ("/s" if setting.info.unit == "rate" else "")
+        return f"{value / factor:.15g}{largest_unit}" + ("/s" if setting.info.unit == "rate" else "")
     if setting.info.unit == "time" and isinstance(value, int | float):
         return f"{value / 1000:.15g}s" if value >= 1000 else f"{value:.15g}ms"
     if isinstance(value, tuple):
--- a/tests/gatekeeper/test_settings.py
+++ b/tests/gatekeeper/test_settings.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from ashlift.gatekeeper import config as configuration
-from ashlift.gatekeeper.cli import SHIPPED, ashlift
+from ashlift.gatekeeper.cli import DEFAULT_SETTINGS_FILE, ashlift
 from ashlift.gatekeeper.settings.model import MIB, FeatureSettings, StreamClass, Streaming
 from ashlift.gatekeeper.settings.reader import Atom, ListNode, Problem, SettingsError, parse
 from ashlift.gatekeeper.settings.schema import format_value, iterate_settings, parse_settings, settings_of
@@ -144,15 +144,18 @@
 
 
 def test_the_command_line_checks_shows_and_explains(tmp_path: Path) -> None:
-    assert run("settings", "check", str(SHIPPED)) == (0, f"{SHIPPED}: good; 19 settings\n")
+    assert run("settings", "check", str(DEFAULT_SETTINGS_FILE)) == (
+        0,
+        f"{DEFAULT_SETTINGS_FILE}: good; 19 settings\n",
+    )
     bad = tmp_path / "bad.sexp"
     bad.write_text("(ashlift (a b)\n (streaming (enabled 1)))")
     code, out = run("settings", "check", str(bad))
     assert (
         code == 2 and out.splitlines()[1] == f"{bad}:2:22: streaming.enabled: expected true or false, got '1'"
     )
-    code, out = run("settings", "show", str(SHIPPED))
-    assert code == 0 and f"8MiB                 {SHIPPED}:5" in out and "retry-after" in out
+    code, out = run("settings", "show", str(DEFAULT_SETTINGS_FILE))
+    assert code == 0 and f"8MiB                 {DEFAULT_SETTINGS_FILE}:5" in out and "retry-after" in out
     code, out = run("settings", "explain", "streaming.class.stall")
     assert code == 0 and "at least 10ms" in out and "default  2s" in out
     code, out = run("settings", "explain", "streaming.clas")
