--- a/tests/gatekeeper/helpers.py
+++ b/tests/gatekeeper/helpers.py
@@ -1,4 +1,4 @@
-"""A settings builder and a driver that checks what every rule demands of any gateway's actions."""
+"""Settings and a driver for tests of a single admission gateway."""
 
 from dataclasses import dataclass, field, replace
 
@@ -30,7 +30,7 @@
 
 @dataclass
 class Driver:
-    """Feeds one gateway and keeps its actions in lists by kind."""
+    """Sends events to one gateway, keeps its actions and runs its timers on a manual clock."""
 
     settings: i.Settings = BASE
     seed: int = 1
@@ -45,7 +45,7 @@
         self.boot()
 
     def boot(self) -> None:
-        """Start, or start again: nothing is kept."""
+        """Starts the gateway, or restarts it without its state."""
         self.gateway = Gateway(self.settings, self.seed)
         self.timers.clear()
         entries = tuple(i.Server(f"s{n}", cell=n % 2, zone=n % 3) for n in range(self.servers))
@@ -60,7 +60,7 @@
         return actions
 
     def run(self, ms: float) -> list[i.Action]:
-        """Let time pass, ringing the timers that fall due."""
+        """Advances time and sends the timers that expire."""
         end, out = self.now + ms, []
         while self.timers and min(self.timers)[0] <= end:
             due = min(self.timers)
--- a/tests/gatekeeper/test_ratelimit.py
+++ b/tests/gatekeeper/test_ratelimit.py
@@ -1,4 +1,4 @@
-"""The gRPC rate limit service, both ways, on loopback."""
+"""The gRPC rate limit service and the gRPC counter, over loopback."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import replace
@@ -39,7 +39,7 @@
 
 
 class Loopback:
-    """Gatekeepers on one counter, with a node, under a clock of the test's."""
+    """Gatekeepers with a shared counter, a node and a manual clock."""
 
     def __init__(self, counts: TextCounts | GrpcCounts, size: int = 2, **settings: Any) -> None:
         self.counts: Any = counts
@@ -72,8 +72,10 @@
         self.counts.stop()
 
     def advance(self, ms: float) -> None:
-        """Move time, and wait until all that follows from it is done: one gatekeeper after the other, for the
-        order in which two of them reach the counter would be luck."""
+        """Advances time and waits until all events are processed.
+
+        One gatekeeper after the other, so that the order of their counter calls is fixed.
+        """
         for clock, gate in zip(self.clocks, self.gates, strict=True):
             clock.advance(ms)
             with gevent.Timeout(20):
@@ -86,10 +88,10 @@
         ended = ("ok", "full", "timeout", "connect_failed", "over_limit")
         return counts["counter.calls"] != sum(counts[f"counter.{end}"] for end in ended)
 
-    def http(self, at: int, firm: int, plan: str, spread: int = 2) -> str:
-        """One job of the platform's; its status and advice."""
+    def http(self, gatekeeper: int, firm: int, plan: str, spread: int = 2) -> str:
+        """Sends an HTTP request; returns the status and the Retry-After value."""
         self.traces += 1
-        self.clients[at].sendall(
+        self.clients[gatekeeper].sendall(
             (
                 "GET /availability-check/x HTTP/1.1\r\nX-Qos: availability-check\r\nX-Expires-In: 9\r\n"
                 f"X-Trace-Id: {plan}.{firm}.{self.traces}\r\nApi-Plan: {plan}\r\n"
@@ -98,9 +100,9 @@
             ).encode()
         )
         with gevent.Timeout(20):
-            head, _, _ = self.clients[at].recv(65536).decode().partition("\r\n\r\n")
-        advice = head.partition("Retry-After: ")[2]
-        return f"{head.split()[1]} {advice}".strip()
+            head, _, _ = self.clients[gatekeeper].recv(65536).decode().partition("\r\n\r\n")
+        retry_after = head.partition("Retry-After: ")[2]
+        return f"{head.split()[1]} {retry_after}".strip()
 
     def grpc(
         self,
@@ -109,12 +111,12 @@
         domain: str = "availability-lookup",
         hits: int = 0,
     ) -> Any:
-        """One call of a real client to our service."""
+        """Calls the gRPC service with a real client."""
         request = rls_pb2.RateLimitRequest(domain=domain, hits_addend=hits)
         for entries in descriptors:
-            one = request.descriptors.add()
+            descriptor = request.descriptors.add()
             for key, value in entries.items():
-                one.entries.add(key=key, value=value)
+                descriptor.entries.add(key=key, value=value)
         with grpc.insecure_channel(f"127.0.0.1:{self.gates[0].ratelimit_port}") as channel:
             stub = rls_pb2_grpc.RateLimitServiceStub(channel)
             return in_thread(stub.ShouldRateLimit, request, timeout=timeout)
@@ -129,12 +131,12 @@
         return made[-1]
 
     yield make
-    for one in made:
-        one.close()
+    for run in made:
+        run.close()
 
 
 def busy_minute(run: Loopback) -> dict[str, list[str]]:
-    """A premier firm at ten times its quota and a basic one near its own, unevenly over two gatekeepers."""
+    """A premier customer at ten times its quota and a basic one near its quota, over two gatekeepers."""
     answers: dict[str, list[str]] = {"premier": [], "basic": []}
     run.advance(4_000)
     for step in range(150):
@@ -145,13 +147,13 @@
     return answers
 
 
-def store_least(sends: list[int]) -> float:
-    """How low the premier firm's ceiling store came, if it was sent on at these steps of 20 ms."""
-    store, least, before = PREMIER["HardBurst"], PREMIER["HardBurst"], 0
+def lowest_ceiling_level(sends: list[int]) -> float:
+    """The lowest level of the premier ceiling's token bucket for requests at these steps of 20 ms."""
+    level, lowest, previous = PREMIER["HardBurst"], PREMIER["HardBurst"], 0
     for step in sends:
-        store = min(PREMIER["HardBurst"], store + PREMIER["CeilingRate"] * (step - before) * 0.02) - 1
-        least, before = min(least, store), step
-    return float(least)
+        level = min(PREMIER["HardBurst"], level + PREMIER["CeilingRate"] * (step - previous) * 0.02) - 1
+        lowest, previous = min(lowest, level), step
+    return float(lowest)
 
 
 def test_both_counters_give_the_same_ceilings_and_final_answers(loopback: Callable[..., Loopback]) -> None:
@@ -163,10 +165,10 @@
     premier = answers[0]["premier"]
     assert premier.count("200") > 20 and premier.count("429 0.200") > 60
     sends = [step for step, answer in enumerate(premier) if answer == "200"]
-    assert store_least(sends) >= -PREMIER["CeilingSlack"]
+    assert lowest_ceiling_level(sends) >= -PREMIER["CeilingSlack"]
 
 
-def test_a_slow_service_holds_no_job_up(loopback: Callable[..., Loopback]) -> None:
+def test_a_slow_counter_service_does_not_delay_a_request(loopback: Callable[..., Loopback]) -> None:
     run = loopback(GrpcCounts(), **{"settings.FamilyInfo.CounterTimeoutMs": 30})
     run.counts.go.clear()
     client = gevent.spawn(run.http, 0, 7, "basic")
@@ -177,15 +179,17 @@
     run.counts.go.set()
 
 
-def test_over_limit_is_no_room_for_a_premier_firm_near_its_ceiling(loopback: Callable[..., Loopback]) -> None:
+def test_over_limit_of_the_counter_service_refuses_a_premier_customer_near_its_ceiling(
+    loopback: Callable[..., Loopback],
+) -> None:
     run = loopback(GrpcCounts())
     run.advance(4_000)
     while run.http(0, 7, "premier") == "200":
         run.advance(20)
     run.advance(4_000)
-    run.advance(1_500)  # what was read last is too old by now: the next job waits for a count
+    run.advance(1_500)  # the last total has expired: the next request waits for the counter
     run.counts.over = True
-    assert run.http(0, 7, "premier") == "429 0.200"  # its own counts would let it in
+    assert run.http(0, 7, "premier") == "429 0.200"  # the local count alone would admit it
     run.advance(1_000)
     assert run.http(0, 7, "premier") == "429 0.200"
     run.counts.over = False
@@ -196,18 +200,20 @@
 FIRM = {"firm": "0000000000000007", "plan": "premier"}
 
 
-def test_the_service_shares_quota_and_ceiling_with_the_platform(loopback: Callable[..., Loopback]) -> None:
+def test_grpc_and_http_requests_share_quota_and_ceiling(loopback: Callable[..., Loopback]) -> None:
     run = loopback(TextCounts(), 1)
     run.advance(600)
-    mine = FIRM | {"spread": "1"}
+    descriptor = FIRM | {"spread": "1"}
     assert [run.http(0, 7, "premier", 1) for _ in range(3)] == ["200"] * 3
-    codes = [run.grpc(mine).overall_code for _ in range(4)]
-    assert codes == [OK, OK, OK, OVER]  # 0.65 s of the ceiling's ten a second are spent
+    codes = [run.grpc(descriptor).overall_code for _ in range(4)]
+    assert codes == [OK, OK, OK, OVER]  # the ceiling admits 10 a second, for 0.65 s
     assert run.http(0, 7, "premier", 1) == "429 0.200"
-    over = run.grpc(mine)
+    over = run.grpc(descriptor)
     assert over.statuses[0].code == OVER and over.statuses[0].duration_until_reset.ToMilliseconds() == 200
-    assert [(one.key, one.value) for one in over.response_headers_to_add] == [("retry-after", "0.200")]
-    assert len(run.node.traces) == 3  # what only asks is sent nowhere
+    assert [(header.key, header.value) for header in over.response_headers_to_add] == [
+        ("retry-after", "0.200")
+    ]
+    assert len(run.node.traces) == 3  # requests of the gRPC service are not sent to nodes
 
 
 def test_units_and_several_descriptors(loopback: Callable[..., Loopback]) -> None:
@@ -232,7 +238,7 @@
         ([FIRM | {"class": "odd"}], "availability-lookup", "class"),
     ],
 )
-def test_what_cannot_be_right_names_the_field(
+def test_an_invalid_request_is_rejected_with_the_field(
     loopback: Callable[..., Loopback], descriptors: list[dict[str, str]], domain: str, named: str
 ) -> None:
     run = loopback(TextCounts(), 1)
@@ -242,11 +248,11 @@
     assert run.gates[0].metrics.counts["jobs.taken"] == 0
 
 
-def test_a_call_whose_deadline_passes_is_given_up(loopback: Callable[..., Loopback]) -> None:
+def test_a_call_ends_at_its_deadline(loopback: Callable[..., Loopback]) -> None:
     run = loopback(GrpcCounts(), 1)
-    run.counts.go.clear()  # the call is held for a count that does not come
+    run.counts.go.clear()  # the call waits for a counter that does not respond
     with pytest.raises(grpc.RpcError) as caught:
-        run.grpc(FIRM, timeout=1.0)  # long enough to arrive on a full machine
+        run.grpc(FIRM, timeout=1.0)  # long enough to arrive on a busy machine
     assert caught.value.code() is grpc.StatusCode.DEADLINE_EXCEEDED
     metrics = run.gates[0].metrics.counts
     with gevent.Timeout(20):
@@ -254,14 +260,14 @@
             gevent.sleep(0.001)
 
 
-def test_a_caller_that_goes_away_is_told_to_the_module(loopback: Callable[..., Loopback]) -> None:
+def test_a_cancelled_call_ends_its_job(loopback: Callable[..., Loopback]) -> None:
     run = loopback(GrpcCounts(), 1)
     run.counts.go.clear()
     metrics = run.gates[0].metrics.counts
     request = rls_pb2.RateLimitRequest(domain="availability-lookup")
-    one = request.descriptors.add()
+    descriptor = request.descriptors.add()
     for key, value in FIRM.items():
-        one.entries.add(key=key, value=value)
+        descriptor.entries.add(key=key, value=value)
     with grpc.insecure_channel(f"127.0.0.1:{run.gates[0].ratelimit_port}") as channel, gevent.Timeout(20):
         call = rls_pb2_grpc.RateLimitServiceStub(channel).ShouldRateLimit.future(request, timeout=30)
         while not metrics["counter.calls"]:
@@ -272,16 +278,16 @@
     assert metrics["answers.passed"] == 0
 
 
-# ---- the client alone
+# ---- the counter client
 
 
-def one_call(address: str, amount: float = 5.0, timeout_ms: float = 10_000.0) -> CounterCallEnded:
+def call_counter(address: str, amount: float = 5.0, timeout_ms: float = 10_000.0) -> CounterCallEnded:
     inbox: SimpleQueue[Any] = SimpleQueue()
     counter = GrpcCounter(address, "counts", timeout_ms, Bridge(), UnixClock(), inbox, Metrics())
     try:
         counter.add(77, amount, 4000.0)
-        counted: CounterCallEnded = inbox.get(timeout=20)
-        return counted
+        ended: CounterCallEnded = inbox.get(timeout=20)
+        return ended
     finally:
         counter.close()
 
@@ -297,32 +303,34 @@
         (grpc.StatusCode.ABORTED, Result.TIMEOUT),
     ],
 )
-def test_a_failed_call_is_doubtful_unless_it_is_clear(code: grpc.StatusCode, result: Result) -> None:
+def test_a_failed_counter_call_may_have_been_counted_unless_it_was_rejected(
+    code: grpc.StatusCode, result: Result
+) -> None:
     counts = GrpcCounts()
     counts.error = code
-    assert one_call(counts.address).result is result
+    assert call_counter(counts.address).result is result
     counts.stop()
 
 
-def test_a_service_that_refuses_connections_added_nothing() -> None:
+def test_a_refused_connection_counts_nothing() -> None:
     with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))  # bound and not listening: refused, and taken by nobody else
-        assert one_call("{}:{}".format(*free.getsockname())).result is Result.CONNECT_FAILED
+        free.bind(("127.0.0.1", 0))  # bound but not listening, so that connections are refused
+        assert call_counter("{}:{}".format(*free.getsockname())).result is Result.CONNECT_FAILED
     assert read_error(grpc.StatusCode.UNAVAILABLE, "Socket closed") is Result.TIMEOUT
 
 
-def test_a_silent_service_is_given_up_and_may_have_added() -> None:
+def test_a_counter_call_without_response_times_out() -> None:
     counts = GrpcCounts()
     counts.go.clear()
-    assert one_call(counts.address, timeout_ms=30.0).result is Result.TIMEOUT
+    assert call_counter(counts.address, timeout_ms=30.0).result is Result.TIMEOUT
     counts.stop()
 
 
-def test_a_silent_service_is_called_on_a_new_connection() -> None:
+def test_an_unresponsive_service_is_called_on_a_new_connection() -> None:
     counts, inbox, metrics, clock = GrpcCounts(), SimpleQueue[Any](), Metrics(), ManualClock()
     counts.go.clear()
     counter = GrpcCounter(counts.address, "counts", 5_000.0, Bridge(), clock, inbox, metrics)
-    for number in range(4):  # given up at 5, 10, 15 and 20 s; overdue at 15 s
+    for number in range(4):  # time-outs at 5, 10, 15 and 20 s; overdue at 15 s
         counter.add(number, 1.0, 4000.0)
         clock.advance(5_001.0)
         assert inbox.get(timeout=20).result is Result.TIMEOUT
@@ -334,23 +342,25 @@
     counts.stop()
 
 
-def test_totals_go_up_down_and_are_read() -> None:
+def test_the_counter_adds_subtracts_and_reads() -> None:
     counts = GrpcCounts()
-    told = [one_call(counts.address, amount) for amount in (1001.0, -1.0, 0.0)]
-    assert [(one.result, one.total) for one in told] == [(Result.OK, total) for total in (1001, 1000, 1000)]
-    asked = [build_request("d", 1, amount, 9.0).descriptors[0] for amount in (-1, 0, 1)]
-    assert [is_negative(one) for one in asked] == [True, False, False]
+    calls = [call_counter(counts.address, amount) for amount in (1001.0, -1.0, 0.0)]
+    assert [(call.result, call.total) for call in calls] == [
+        (Result.OK, total) for total in (1001, 1000, 1000)
+    ]
+    descriptors = [build_request("d", 1, amount, 9.0).descriptors[0] for amount in (-1, 0, 1)]
+    assert [is_negative(descriptor) for descriptor in descriptors] == [True, False, False]
     counts.limitless = True
-    assert one_call(counts.address).result is Result.TIMEOUT  # no total: no room read
+    assert call_counter(counts.address).result is Result.TIMEOUT  # without a limit there is no total
     counts.limitless, counts.over = False, True
-    assert one_call(counts.address).limit_exceeded
+    assert call_counter(counts.address).limit_exceeded
     counts.stop()
 
 
-def test_an_answer_of_nonsense_is_not_room() -> None:
-    odd = rls_pb2.RateLimitResponse(overall_code=OK)
-    assert read_response(odd)[0] is Result.TIMEOUT
-    odd.statuses.add(code=OK, limit_remaining=5).current_limit.requests_per_unit = 3
-    assert read_response(odd)[0] is Result.TIMEOUT
-    odd.statuses[0].code = OVER
-    assert read_response(odd) == (Result.OK, 0.0, True)
+def test_an_inconsistent_response_has_no_total() -> None:
+    response = rls_pb2.RateLimitResponse(overall_code=OK)
+    assert read_response(response)[0] is Result.TIMEOUT
+    response.statuses.add(code=OK, limit_remaining=5).current_limit.requests_per_unit = 3
+    assert read_response(response)[0] is Result.TIMEOUT
+    response.statuses[0].code = OVER
+    assert read_response(response) == (Result.OK, 0.0, True)
--- a/tests/gatekeeper/test_settings.py
+++ b/tests/gatekeeper/test_settings.py
@@ -1,4 +1,4 @@
-"""Our settings: every fault of a file told with its place, and the command line that checks and explains."""
+"""The settings file: problems are reported with their positions; the settings commands."""
 
 import os
 import subprocess
@@ -17,7 +17,7 @@
 from ashlift.gatekeeper.settings.schema import format_value, iterate_settings, parse_settings, settings_of
 
 
-def faults(text: str) -> list[str]:
+def problems(text: str) -> list[str]:
     with pytest.raises(SettingsError) as caught:
         parse_settings(text, "f")
     return caught.value.lines
@@ -36,7 +36,7 @@
     assert parse_settings("(ashlift)", "f").settings == FeatureSettings()
 
 
-def test_all_faults_of_a_file_are_told_each_with_its_place_and_key() -> None:
+def test_all_problems_of_a_file_are_reported_with_position_and_key() -> None:
     text = """(ashlift
   (streeming (enabled true))
   (streaming (enabled yes) (buffer-bytes 8Mib) (most-streams 0)
@@ -44,7 +44,7 @@
     (class r (stall 1) (answer-headers X-A Connection b@d))
     (class r (head 3s 4s)) (class (x)) word)
   (logging (form xml)) (ratelimit (server (listen nowhere))))"""
-    assert faults(text) == [
+    assert problems(text) == [
         "f:2:4: streeming: unknown key; did you mean streaming?",
         "f:3:23: streaming.enabled: expected true or false, got 'yes'",
         "f:3:42: streaming.buffer-bytes: not a number with a unit (B, KiB, MiB, GiB, kB, MB, GB): '8Mib'",
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected"),
     [
         ("(ashlift (a b)", "f:1:15: unexpected end of file: missing )"),
         ("(ashlift))", "f:1:10: expected one list only"),
@@ -84,32 +84,34 @@
         ),
     ],
 )
-def test_a_form_that_cannot_be_right_is_told_with_its_place(text: str, told: str) -> None:
-    assert faults(text) == [told]
+def test_a_syntax_error_or_invalid_combination_is_reported_with_its_position(
+    text: str, expected: str
+) -> None:
+    assert problems(text) == [expected]
 
 
 @given(st.text(alphabet='()" ;\\\nab1', max_size=60))
-def test_any_text_is_read_or_told_of(text: str) -> None:
-    form = parse(text)
-    assert isinstance(form, ListNode | Problem)
+def test_any_text_is_parsed_or_reported_as_a_problem(text: str) -> None:
+    root = parse(text)
+    assert isinstance(root, ListNode | Problem)
 
 
 @given(st.recursive(st.text(alphabet='ab"\\ ;(', max_size=5), lambda inner: st.lists(inner, max_size=4)))
-@example([["(" * 40, "; " + "(" * 33]])  # brackets in text are no lists: once told "too deep"
-def test_what_is_written_is_read_back(tree: object) -> None:
+@example([["(" * 40, "; " + "(" * 33]])  # parentheses in text do not count as nesting
+def test_written_expressions_are_parsed_back(tree: object) -> None:
     def write(node: object) -> str:
         if isinstance(node, list):
             return "(" + " ".join(map(write, node)) + ")"
         return '"' + str(node).replace("\\", "\\\\").replace('"', '\\"') + '"'
 
-    def back(node: Atom | ListNode) -> object:
-        return [back(item) for item in node.items] if isinstance(node, ListNode) else node.text
+    def unwrap(node: Atom | ListNode) -> object:
+        return [unwrap(item) for item in node.items] if isinstance(node, ListNode) else node.text
 
-    form = parse(write([tree]))
-    assert isinstance(form, ListNode) and back(form) == [tree]
+    root = parse(write([tree]))
+    assert isinstance(root, ListNode) and unwrap(root) == [tree]
 
 
-def test_each_value_is_shown_as_a_file_would_have_it() -> None:
+def test_formatted_values_can_be_parsed_back() -> None:
     for key, setting, value in iterate_settings(
         FeatureSettings(streaming=Streaming(classes=(StreamClass("r"),))), FeatureSettings
     ):
@@ -128,14 +130,14 @@
         assert again[key] == value, text
 
 
-def test_every_setting_says_what_it_means() -> None:
-    def look(model: type) -> None:
+def test_every_setting_has_a_description() -> None:
+    def check(model: type) -> None:
         for setting in settings_of(model).values():
             assert len(setting.info.description) > 10 or setting.value_type is bool, setting.key
             if inner := setting.nested_model or setting.row_model:
-                look(inner)
+                check(inner)
 
-    look(FeatureSettings)
+    check(FeatureSettings)
 
 
 def run(*words: str) -> tuple[int, str]:
@@ -143,7 +145,7 @@
     return result.exit_code, result.output
 
 
-def test_the_command_line_checks_shows_and_explains(tmp_path: Path) -> None:
+def test_the_command_line_checks_shows_and_explains_settings(tmp_path: Path) -> None:
     assert run("settings", "check", str(DEFAULT_SETTINGS_FILE)) == (
         0,
         f"{DEFAULT_SETTINGS_FILE}: good; 19 settings\n",
@@ -163,19 +165,22 @@
     assert run("--help")[0] == 0 and run("--version")[1].startswith("ashlift, version 0.")
 
 
-def test_the_old_files_variable_says_where_to() -> None:
+def test_the_unsupported_variable_is_reported_with_its_replacement() -> None:
     with pytest.raises(configuration.ConfigError, match=r"GW_RATELIMIT.*GW_SETTINGS"):
         configuration.load_feature_settings({"GW_RATELIMIT": "x"})
     assert configuration.load_feature_settings({}) == FeatureSettings()
 
 
-def test_a_faulty_file_ends_the_program_with_its_lines_alone(tmp_path: Path) -> None:
-    own, platform = tmp_path / "own.sexp", tmp_path / "config.json"
-    own.write_text("(ashlift (a b)\n (c d))")
+def test_an_invalid_file_ends_the_program_with_one_line_for_each_problem(tmp_path: Path) -> None:
+    settings, platform = tmp_path / "own.sexp", tmp_path / "config.json"
+    settings.write_text("(ashlift (a b)\n (c d))")
     platform.write_text('{"settings": {}}')
-    env = os.environ | {"GW_CONFIG": str(platform), "GW_SETTINGS": str(own)}
+    env = os.environ | {"GW_CONFIG": str(platform), "GW_SETTINGS": str(settings)}
     for words in ([], ["serve"]):
         command = [sys.executable, "-m", "ashlift.gatekeeper", *words]
         ended = subprocess.run(command, env=env, capture_output=True, text=True, check=False)
         assert ended.returncode == 2
-        assert [line.split(" ")[0] for line in ended.stderr.splitlines()] == [f"{own}:1:11:", f"{own}:2:3:"]
+        assert [line.split(" ")[0] for line in ended.stderr.splitlines()] == [
+            f"{settings}:1:11:",
+            f"{settings}:2:3:",
+        ]
