--- a/ashlift/gatekeeper/cli.py
+++ b/ashlift/gatekeeper/cli.py
@@ -115,8 +115,8 @@
         return
     click.echo(f"  type     {_type(setting)}")
     bounds = [
-        f"at {word} {format_value(setting, limit)}"
-        for word, limit in (("least", setting.info.minimum), ("most", setting.info.maximum))
+        f"at {side} {format_value(setting, limit)}"
+        for side, limit in (("least", setting.info.minimum), ("most", setting.info.maximum))
         if limit is not None
     ]
     if bounds:
--- a/ashlift/gatekeeper/settings/schema.py
+++ b/ashlift/gatekeeper/settings/schema.py
@@ -106,70 +106,70 @@
             if not isinstance(item, ListNode) or not isinstance(key, Atom):
                 self._report(item.position, path, "expected a setting: (key value)")
                 continue
-            here, setting = f"{path}.{key.text}" if path else key.text, known.get(key.text)
+            key_path, setting = f"{path}.{key.text}" if path else key.text, known.get(key.text)
             if setting is None:
-                self._report(key.position, here, "unknown key" + suggest_name(key.text, known))
+                self._report(key.position, key_path, "unknown key" + suggest_name(key.text, known))
                 continue
             if setting.row_model is not None:
-                self._row(setting, item, found, here)
+                self._row(setting, item, found, key_path)
                 continue
             if setting.field in found:
                 first = key_positions[setting.field]
-                self._report(key.position, here, f"duplicate key; first given at line {first.line}")
+                self._report(key.position, key_path, f"duplicate key; first given at line {first.line}")
                 continue
-            key_positions[setting.field], self.positions[here] = key.position, key.position
-            found[setting.field] = self._value(setting, item, here)
+            key_positions[setting.field], self.positions[key_path] = key.position, key.position
+            found[setting.field] = self._value(setting, item, key_path)
         return model(**{name: value for name, value in found.items() if value is not None})
 
-    def _row(self, setting: Setting, item: ListNode, found: dict[str, Any], here: str) -> None:
+    def _row(self, setting: Setting, item: ListNode, found: dict[str, Any], key_path: str) -> None:
         name = item.items[1] if len(item.items) > 1 else None
         if not isinstance(name, Atom) or not name.text:
-            return self._report(item.position, here, "expected a name: (class NAME ...)")
-        row = self.build(setting.row_model, item.items[2:], f"{here} {name.text}")  # type: ignore[arg-type]
+            return self._report(item.position, key_path, "expected a name: (class NAME ...)")
+        row = self.build(setting.row_model, item.items[2:], f"{key_path} {name.text}")  # type: ignore[arg-type]
         rows = found.setdefault(setting.field, ())
         if any(one.name == name.text for one in rows):
-            return self._report(name.position, f"{here} {name.text}", "duplicate name")
-        self.positions[f"{here} {name.text}"] = name.position
+            return self._report(name.position, f"{key_path} {name.text}", "duplicate name")
+        self.positions[f"{key_path} {name.text}"] = name.position
         found[setting.field] = (*rows, dataclasses.replace(row, name=name.text))
 
-    def _value(self, setting: Setting, item: ListNode, here: str) -> Any:
+    def _value(self, setting: Setting, item: ListNode, key_path: str) -> Any:
         if setting.nested_model is not None:
-            return self.build(setting.nested_model, item.items[1:], here)
+            return self.build(setting.nested_model, item.items[1:], key_path)
         values = item.items[1:]
         nested = next((value for value in values if isinstance(value, ListNode)), None)
         if nested is not None:
-            return self._report(nested.position, here, "expected a value, not a list")
-        words = typing.cast(tuple[Atom, ...], values)
+            return self._report(nested.position, key_path, "expected a value, not a list")
+        atoms = typing.cast(tuple[Atom, ...], values)
         if typing.get_origin(setting.value_type) is tuple:
-            return self._headers(words, here)
-        if len(words) != 1:
-            position = words[1].position if len(words) > 1 else item.position
-            return self._report(position, here, f"expected one value, got {len(words)}")
+            return self._headers(atoms, key_path)
+        if len(atoms) != 1:
+            position = atoms[1].position if len(atoms) > 1 else item.position
+            return self._report(position, key_path, f"expected one value, got {len(atoms)}")
         try:
-            return parse_value(setting, words[0])
+            return parse_value(setting, atoms[0])
         except ValueError as error:
-            return self._report(words[0].position, here, str(error))
+            return self._report(atoms[0].position, key_path, str(error))
 
-    def _headers(self, words: tuple[Atom, ...], here: str) -> tuple[str, ...]:
+    def _headers(self, atoms: tuple[Atom, ...], key_path: str) -> tuple[str, ...]:
         out = []
-        for word in words:
-            if not HEADER_NAME.match(word.text):
-                self._report(word.position, here, f"not a header name: {word.text!r}")
-            elif word.text.lower() in HOP_BY_HOP:
+        for atom in atoms:
+            if not HEADER_NAME.match(atom.text):
+                self._report(atom.position, key_path, f"not a header name: {atom.text!r}")
+            elif atom.text.lower() in HOP_BY_HOP:
                 self._report(
-                    word.position, here, f"{word.text} is a hop-by-hop header, which is never forwarded"
+                    atom.position, key_path, f"{atom.text} is a hop-by-hop header, which is never forwarded"
                 )
             else:
-                out.append(word.text.lower())
+                out.append(atom.text.lower())
         return tuple(out)
 
     def _report(self, position: Position, key: str, message: str) -> None:
         self.problems.append(Problem(position, key, message))
 
 
-def parse_value(setting: Setting, word: Atom) -> Any:
+def parse_value(setting: Setting, atom: Atom) -> Any:
     """Parses a value by the setting's type, unit and bounds; raises ValueError with the reason."""
-    info, text = setting.info, word.text
+    info, text = setting.info, atom.text
     value: Any = text
     if setting.value_type in (int, float):
         match = NUMBER.match(text)
@@ -183,7 +183,7 @@
         exact = float(match[1]) * units[unit]
         value = int(exact) if setting.value_type is int and exact == int(exact) else exact
     elif setting.value_type is bool:
-        value = {"true": True, "false": False}.get(text, text) if not word.quoted else text
+        value = {"true": True, "false": False}.get(text, text) if not atom.quoted else text
     try:
         value = msgspec.convert(value, setting.value_type)
     except msgspec.ValidationError as error:
@@ -285,9 +285,9 @@
         ("client", limits.client.address, limits.client.domain),
     ):
         if address and not domain:
-            here = f"ratelimit.{key}.domain"
+            key_path = f"ratelimit.{key}.domain"
             yield Problem(
-                positions.get(here, Position(1, 1)), here, "must not be empty if the address is given"
+                positions.get(key_path, Position(1, 1)), key_path, "must not be empty if the address is given"
             )
 
 
@@ -303,11 +303,11 @@
 def iterate_settings(value: Any, model: type[Any], path: str = "") -> Iterator[tuple[str, Setting, Any]]:
     """All settings with their dotted keys and values."""
     for key, setting in settings_of(model).items():
-        here, current = f"{path}.{key}" if path else key, getattr(value, setting.field)
+        key_path, current = f"{path}.{key}" if path else key, getattr(value, setting.field)
         if setting.nested_model is not None:
-            yield from iterate_settings(current, setting.nested_model, here)
+            yield from iterate_settings(current, setting.nested_model, key_path)
         elif setting.row_model is not None:
             for row in current:
-                yield from iterate_settings(row, setting.row_model, f"{here} {row.name}")
+                yield from iterate_settings(row, setting.row_model, f"{key_path} {row.name}")
         elif not (key == "name" and path):
-            yield here, setting, current
+            yield key_path, setting, current
