--- a/ashlift/gatekeeper/__main__.py
+++ b/ashlift/gatekeeper/__main__.py
@@ -15,22 +15,22 @@
 from ashlift.gatekeeper.admission.control import Gateway
 from ashlift.gatekeeper.admission.interface import ProcessCountChanged
 from ashlift.gatekeeper.clock import UnixClock
-from ashlift.gatekeeper.config import Config, ConfigError, OwnSettingsError, load, load_anew
+from ashlift.gatekeeper.config import Config, ConfigError, FeatureSettingsError, load, reload_config
 from ashlift.gatekeeper.jobs import Clock, Counter, ManualDrainsChanged
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.counter import TextCounter
 from ashlift.gatekeeper.net.front import Front
 from ashlift.gatekeeper.net.machine_list import MachineList
 from ashlift.gatekeeper.net.nodes import Limits, NodePool
-from ashlift.gatekeeper.operations.door import Door
-from ashlift.gatekeeper.operations.life import Life
-from ashlift.gatekeeper.operations.operator import Operator
-from ashlift.gatekeeper.operations.siblings import Marks
-from ashlift.gatekeeper.operations.store import HandStore
+from ashlift.gatekeeper.operations.admin_handler import AdminHandler
+from ashlift.gatekeeper.operations.admin_server import AdminServer
+from ashlift.gatekeeper.operations.lifecycle import Lifecycle
+from ashlift.gatekeeper.operations.maintenance_file import MaintenanceFile
+from ashlift.gatekeeper.operations.process_count import LivenessFiles
 from ashlift.gatekeeper.owner import Owner
 
 if TYPE_CHECKING:
-    from ashlift.gatekeeper.ratelimit.server import RateLimitFront
+    from ashlift.gatekeeper.ratelimit.server import RateLimitService
     from ashlift.gatekeeper.streams.stream import StreamRegistry
 
 log = logging.getLogger("ashlift")
@@ -44,7 +44,7 @@
 
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
         self.config, self.metrics, self.clock = config, Metrics(), clock or UnixClock()
-        class_numbers = config.names.classes
+        class_numbers = config.request_schema.classes
         classes = tuple(name.decode() for name in sorted(class_numbers, key=lambda name: class_numbers[name]))
         self.owner = Owner(Gateway(config.settings, config.seed), self.clock, self.metrics, classes)
         inbox = self.owner.inbox
@@ -52,17 +52,20 @@
         self.stream_registry = self._create_stream_registry()
         self.nodes = NodePool(
             self.machines,
-            Limits(config.dial_ms, config.idle_ms, config.node_links),
+            Limits(config.connect_timeout_ms, config.idle_timeout_ms, config.max_node_connections),
             self.clock,
             inbox,
             self.metrics,
             self.stream_registry,
-            config.spill_bytes,
+            config.response_buffer_bytes,
         )
         self.counter: TextCounter | None = None
-        self.ratelimit: RateLimitFront | None = None
+        self.ratelimit: RateLimitService | None = None
         port: Counter | None = None
-        rate_limit_server, rate_limit_client = config.own.ratelimit.server, config.own.ratelimit.client
+        rate_limit_server, rate_limit_client = (
+            config.features.ratelimit.server,
+            config.features.ratelimit.client,
+        )
         if (
             rate_limit_server.listen or rate_limit_client.address
         ):  # loaded only if enabled: gRPC takes 20 MB and starts threads
@@ -72,8 +75,8 @@
         if rate_limit_server.listen:
             from ashlift.gatekeeper.ratelimit import server
 
-            self.ratelimit = server.RateLimitFront(
-                rate_limit_server.domain, config.names, bridge, self.clock, inbox, self.metrics
+            self.ratelimit = server.RateLimitService(
+                rate_limit_server.domain, config.request_schema, bridge, self.clock, inbox, self.metrics
             )
         if rate_limit_client.address and config.settings.counter_enabled:
             from ashlift.gatekeeper.ratelimit.client import GrpcCounter
@@ -91,11 +94,11 @@
             port = self.counter = TextCounter(
                 config.counter, config.settings.counter_timeout_ms, self.clock, inbox, self.metrics
             )
-        self.life = Life()
+        self.life = Lifecycle()
         self.front = Front(
-            config.names,
-            config.client_links,
-            config.idle_links,
+            config.request_schema,
+            config.max_client_connections,
+            config.max_idle_connections,
             lambda: self.life.up(self.machines.listed()),
             self.clock,
             inbox,
@@ -103,12 +106,12 @@
             self.stream_registry,
         )
         # The management interface, if configured. Manual drains are stored in a file in TMPDIR.
-        self.door = Door(inbox, self.metrics) if config.mgmt is not None else None
+        self.door = AdminServer(inbox, self.metrics) if config.admin_address is not None else None
         folder = Path(tempfile.gettempdir())
-        self.hands = HandStore(folder / f"ashlift-{config.name}.handouts.json", config.name)
+        self.hands = MaintenanceFile(folder / f"ashlift-{config.name}.handouts.json", config.name)
         # With an inherited socket, a successor may run at the same time: the processes split the ceilings.
-        self.marks = Marks(folder, config.name) if config.inherited_fd is not None else None
-        self.operator = Operator(
+        self.marks = LivenessFiles(folder, config.name) if config.inherited_fd is not None else None
+        self.operator = AdminHandler(
             config.name,
             classes,
             self.life,
@@ -126,14 +129,14 @@
 
     def _create_stream_registry(self) -> "StreamRegistry | None":
         """Create the registry of streams if streaming is enabled; else its modules are not loaded."""
-        streaming = self.config.own.streaming
+        streaming = self.config.features.streaming
         if not streaming.enabled:
             return None
         from ashlift.gatekeeper.streams.stream import StreamRegistry
 
-        stream_registry = StreamRegistry(streaming, self.config.names.classes)
+        stream_registry = StreamRegistry(streaming, self.config.request_schema.classes)
         for name in stream_registry.unknown_classes:
-            logs.tell(
+            logs.log_event(
                 log,
                 logging.WARNING,
                 "streaming.class_unknown",
@@ -146,11 +149,11 @@
         """Start listening and all greenlets; returns the address, which has the port chosen for port 0."""
         if self.door is not None:  # manual drains made by earlier processes
             self.machines.adopt(self.hands.load(), self.clock.now())
-        if self.config.known.get("instances"):
-            self.machines.apply_update(self.config.known | {"reset": True})
+        if self.config.known_machines.get("instances"):
+            self.machines.apply_update(self.config.known_machines | {"reset": True})
         self._listener = self.front.listen(self.config.listen, self.config.inherited_fd)
-        if self.door is not None and self.config.mgmt is not None:
-            self._door = self.door.listen(self.config.mgmt)
+        if self.door is not None and self.config.admin_address is not None:
+            self._door = self.door.listen(self.config.admin_address)
             self.door_address = self._door.getsockname()
         parts = [part for part in (self.owner, self.machines, self.nodes, self.counter) if part is not None]
         self._running = [gevent.spawn(part.run) for part in parts]
@@ -167,7 +170,7 @@
                 gevent.spawn(self.hands.run, lambda out: inbox_put(ManualDrainsChanged(out)))
             )
         if self.ratelimit is not None:
-            self.ratelimit_port = self.ratelimit.listen(self.config.own.ratelimit.server.listen)
+            self.ratelimit_port = self.ratelimit.listen(self.config.features.ratelimit.server.listen)
         host, port = self._listener.getsockname()
         log.info("%s listens on %s:%d", self.config.name, host, port)
         return host, port
@@ -178,7 +181,7 @@
         Jobs, quotas and the machine list are kept. If the file is invalid, all settings are kept.
         """
         try:
-            config = load_anew()
+            config = reload_config()
         except ConfigError as error:
             self.metrics.add("reloads.refused")
             log.error("reload: %s; keeping the current settings", error)
@@ -221,9 +224,9 @@
     try:
         config = load()
     except ConfigError as error:
-        print(error if isinstance(error, OwnSettingsError) else f"ashlift: {error}", file=sys.stderr)
+        print(error if isinstance(error, FeatureSettingsError) else f"ashlift: {error}", file=sys.stderr)
         return 2
-    logs.set_up(config.own.logging)
+    logs.configure(config.features.logging)
     gatekeeper = Gatekeeper(config)
     gc.collect()
     gc.freeze()  # excludes what is loaded so far from garbage collections
--- a/ashlift/gatekeeper/jobs.py
+++ b/ashlift/gatekeeper/jobs.py
@@ -115,7 +115,7 @@
 class Command:
     """A call of the management interface; `reply` is called once, with the response."""
 
-    call: Any  # an `operations.calls.Call`
+    call: Any  # an `operations.admin_request.AdminRequest`
     reply: Callable[[Any], Any] = field(repr=False)
 
 
--- a/ashlift/gatekeeper/net/front/connection.py
+++ b/ashlift/gatekeeper/net/front/connection.py
@@ -13,14 +13,14 @@
 from gevent.event import Event
 from gevent.queue import SimpleQueue
 
-from ashlift.gatekeeper.config import Names
+from ashlift.gatekeeper.config import RequestSchema
 from ashlift.gatekeeper.jobs import Answer, Clock, Inbox, Job, JobAbandoned, ResponseDelivered, Verdict
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.front.reader import RequestReader
 from ashlift.gatekeeper.net.front.rendering import CONTINUE, render
 from ashlift.gatekeeper.net.front.request import BadRequestError, ClientRequest, job_from_request
 from ashlift.gatekeeper.net.socket_state import has_no_input
-from ashlift.gatekeeper.operations.figures import answered
+from ashlift.gatekeeper.operations.statsd_metrics import outcome_counter
 
 MAX_PIPELINED_REQUESTS = 4  # read ahead on one connection
 FIRST_REQUEST_TIMEOUT_S = 2.2  # clients must see an end within 3 s
@@ -37,7 +37,7 @@
 class FrontContext(Protocol):
     """The parts of the front that its connections use."""
 
-    names: Names
+    names: RequestSchema
     ready: Callable[[], bool]
     clock: Clock
     inbox: Inbox
@@ -194,7 +194,7 @@
                 front.metrics.add(f"requests.bad_{int(error.status)}")
                 class_name = request.headers.get(b"x-qos", b"")
                 if class_name in front.names.classes:  # a failure to the client
-                    front.metrics.add(answered(Verdict.FAILED, class_name.decode("latin-1")))
+                    front.metrics.add(outcome_counter(Verdict.FAILED, class_name.decode("latin-1")))
                 self._responses.put((request, error))
             else:
                 front.trace_ids.add(self._job.upstream_request.trace_id)
--- a/ashlift/gatekeeper/net/front/request.py
+++ b/ashlift/gatekeeper/net/front/request.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
-from ashlift.gatekeeper.config import Names, customer_name
+from ashlift.gatekeeper.config import RequestSchema, normalize_customer
 from ashlift.gatekeeper.jobs import Answer, Job
 from ashlift.gatekeeper.net.nodes import UpstreamRequest
 
@@ -58,7 +58,7 @@
 
 
 def job_from_request(
-    request: ClientRequest, names: Names, trace_ids: set[bytes], reply: Callable[[Answer], None]
+    request: ClientRequest, names: RequestSchema, trace_ids: set[bytes], reply: Callable[[Answer], None]
 ) -> Job:
     """Make a job from a request; raises BadRequestError. `trace_ids`: those of open jobs."""
     headers = request.headers
@@ -75,7 +75,7 @@
     ):
         raise BadRequestError(HTTPStatus.BAD_REQUEST)
     try:
-        customer = customer_name(headers[b"api-customer"].decode())
+        customer = normalize_customer(headers[b"api-customer"].decode())
         time_left_ms = float(headers[b"x-expires-in"]) * 1000
         terms_parts = headers.get(b"api-terms", b"").split(b",")
         terms = dict(part.strip().split(b"=", 1) for part in terms_parts if part)
@@ -83,7 +83,7 @@
         start = int(terms.get(b"first", 0))
     except (ValueError, KeyError):
         raise BadRequestError(HTTPStatus.BAD_REQUEST) from None
-    spread_valid = 1 <= spread <= names.group_size and 0 <= start < names.group_size
+    spread_valid = 1 <= spread <= names.gateway_count and 0 <= start < names.gateway_count
     if not (0 <= time_left_ms < 1e9 and 0 < units <= names.max_units and spread_valid):
         raise BadRequestError(HTTPStatus.BAD_REQUEST)
     if trace_id in trace_ids:
--- a/ashlift/gatekeeper/net/machine_list.py
+++ b/ashlift/gatekeeper/net/machine_list.py
@@ -14,7 +14,7 @@
 from ashlift.gatekeeper.admission.interface import Server, ServerList, ServerState
 from ashlift.gatekeeper.jobs import Inbox
 from ashlift.gatekeeper.metrics import Metrics
-from ashlift.gatekeeper.operations.handouts import HandOuts
+from ashlift.gatekeeper.operations.maintenance import MaintenanceSet
 
 log = logging.getLogger("ashlift.machine_list")
 SILENCE_TIMEOUT_S = 5.0  # discovery sends an empty line every 2 s
@@ -52,7 +52,7 @@
         self._watching: gevent.Greenlet[..., None] | None = None
         self._address_changed = Event()
         self.machines: dict[str, Machine] = {}
-        self.hands = HandOuts()
+        self.hands = MaintenanceSet()
 
     def ready(self, name: str) -> Machine | None:
         """Return the node if it takes new work."""
@@ -73,36 +73,36 @@
                 self.machines.pop(machine.server.name, None)
             else:
                 self.machines[machine.server.name] = machine
-        self.hands.forget(set(self.machines))
+        self.hands.forget_unlisted(set(self.machines))
         self._index = index
         self._metrics.add("machine_list.news")
         self._inbox.put(ServerList(tuple(machine.server for machine in entries), complete))
 
     def _with_manual_drain(self, machine: Machine) -> Machine:
         reported = machine.reported or machine.server
-        shown = self.hands.shown(reported)
+        shown = self.hands.effective(reported)
         return Machine(machine.address, shown, reported if shown is not reported else None)
 
-    def hand(self, worker: str, out: bool, now: float) -> list[Server] | None:
+    def set_maintenance(self, worker: str, entered: bool, now: float) -> list[Server] | None:
         """Drain a node for an operator, or return it to service; returns the changed entries for the gateway.
 
         None if the id is neither on the list nor drained.
         """
-        if worker not in self.machines and worker not in self.hands.out:
+        if worker not in self.machines and worker not in self.hands.entered:
             return None
-        if out:
+        if entered:
             self.hands.enter(worker, now)
         else:
             self.hands.exit(worker, now)
         return self._refresh({worker})
 
-    def adopt(self, out: dict[str, float], now: float) -> list[Server]:
+    def adopt(self, entered: dict[str, float], now: float) -> list[Server]:
         """Replace the manual drains by those that another process has stored; returns the changed entries."""
-        drained, returned = self.hands.adopt(out, now)
+        drained, returned = self.hands.adopt(entered, now)
         return self._refresh(drained | returned)
 
-    def out_by_hand(self) -> dict[str, float]:
-        return dict(self.hands.out)
+    def in_maintenance(self) -> dict[str, float]:
+        return dict(self.hands.entered)
 
     def listed(self) -> bool:
         return bool(self.machines)
--- a/ashlift/gatekeeper/net/nodes.py
+++ b/ashlift/gatekeeper/net/nodes.py
@@ -14,7 +14,7 @@
 from ashlift.gatekeeper.net.http_response import HttpResponse, MalformedResponseError
 from ashlift.gatekeeper.net.machine_list import MachineList
 from ashlift.gatekeeper.net.socket_state import has_no_input
-from ashlift.gatekeeper.operations.figures import RELAYED
+from ashlift.gatekeeper.operations.statsd_metrics import RELAYED_COUNTER
 
 if TYPE_CHECKING:
     from ashlift.gatekeeper.streams.stream import Stream, StreamRegistry
@@ -191,7 +191,7 @@
                 return result, b""
             connection.sock.sendall(self._render_request(attempt, machine.address, time_left_ms))
             attempt.written = True
-            self._metrics.add(RELAYED)
+            self._metrics.add(RELAYED_COUNTER)
             result, body, reusable = self._read_response(attempt, connection.sock, timer)
             return result, body
         except gevent.Timeout as timeout:
--- a/ashlift/gatekeeper/net/stream_attempt.py
+++ b/ashlift/gatekeeper/net/stream_attempt.py
@@ -16,7 +16,7 @@
 from ashlift.gatekeeper.metrics import Metrics
 from ashlift.gatekeeper.net.http_response import MAX_HEAD_BYTES, MalformedResponseError
 from ashlift.gatekeeper.net.nodes import Attempt, UpstreamRequest
-from ashlift.gatekeeper.operations.figures import RELAYED
+from ashlift.gatekeeper.operations.statsd_metrics import RELAYED_COUNTER
 from ashlift.gatekeeper.streams.faults import AbortedError, Fault
 from ashlift.gatekeeper.streams.heads import (
     Body,
@@ -137,7 +137,7 @@
             self._sock.sendall(self._render_head(address, time_left_ms))
             if stream.upload is None:
                 self._attempt.written = True
-                self._metrics.add(RELAYED)
+                self._metrics.add(RELAYED_COUNTER)
             else:
                 sender = gevent.spawn(self._send_body, stream.upload)
             response = StreamedResponseReader(self._upstream_request.method, stream.policy.settings.longest)
@@ -192,7 +192,7 @@
             pass
         else:
             self._attempt.written = True
-            self._metrics.add(RELAYED)
+            self._metrics.add(RELAYED_COUNTER)
             self._timer.close()
             self._started_at = self._clock.now()
             self._head_timer = self._clock.call_later(policy.head, self._fail, Fault.HEAD_TIMEOUT)
--- a/ashlift/gatekeeper/owner.py
+++ b/ashlift/gatekeeper/owner.py
@@ -24,10 +24,10 @@
     Verdict,
 )
 from ashlift.gatekeeper.metrics import Metrics
-from ashlift.gatekeeper.operations.figures import Gauges, answered
+from ashlift.gatekeeper.operations.statsd_metrics import Gauges, outcome_counter
 
 if TYPE_CHECKING:
-    from ashlift.gatekeeper.operations.operator import Operator
+    from ashlift.gatekeeper.operations.admin_handler import AdminHandler
 
 log = logging.getLogger("ashlift.owner")
 
@@ -40,7 +40,7 @@
     ) -> None:
         self._gateway, self._clock, self._metrics = gateway, clock, metrics
         self._classes = classes or tuple(str(index) for index in range(len(gateway.settings.classes)))
-        self._operator: Operator | None = None
+        self._operator: AdminHandler | None = None
         self.inbox: SimpleQueue[Message] = SimpleQueue()
         self._jobs: dict[int, Job] = {}  # by number; those without a final answer
         self._timers: dict[int, Any] = {}  # by token; referenced until they fire
@@ -49,7 +49,7 @@
         self._counter: Counter | None = None
 
     def connect(
-        self, nodes: Nodes | None, counter: Counter | None, operator: "Operator | None" = None
+        self, nodes: Nodes | None, counter: Counter | None, operator: "AdminHandler | None" = None
     ) -> None:
         """Set the adapters that perform actions. `operator` handles calls of the management interface."""
         self._nodes, self._counter, self._operator = nodes, counter, operator
@@ -125,7 +125,7 @@
         """Answer a call of the management interface; returns the node changes it made, for the gateway."""
         if self._operator is None:
             return None
-        reply, changed = self._operator.call(command.call, self._clock.now(), self.gauges())
+        reply, changed = self._operator.handle(command.call, self._clock.now(), self.gauges())
         command.reply(reply)
         return i.ServerList(tuple(changed)) if changed else None
 
@@ -182,7 +182,7 @@
         if self._jobs.pop(message.job.number, None) is not None:
             verdict = Verdict.SERVED if message.complete else Verdict.FAILED
             self._metrics.add(f"answers.{verdict.value}")
-            self._metrics.add(answered(verdict, self._classes[message.job.request_class]))
+            self._metrics.add(outcome_counter(verdict, self._classes[message.job.request_class]))
 
     def _send_answer(self, number: int, answer: Answer) -> None:
         """Send the final answer, unless the job has one or its response is being forwarded."""
@@ -190,7 +190,7 @@
         if job is not None and not job.response_started:
             del self._jobs[number]
             self._metrics.add(f"answers.{answer.verdict.value}")
-            self._metrics.add(answered(answer.verdict, self._classes[job.request_class]))
+            self._metrics.add(outcome_counter(answer.verdict, self._classes[job.request_class]))
             job.reply(answer)
 
     def _failure_answer(self, number: int) -> Answer:
--- a/ashlift/gatekeeper/streams/budget.py
+++ b/ashlift/gatekeeper/streams/budget.py
@@ -1,6 +1,6 @@
 """The memory budget of all streams, with a window for each direction of a stream. No sockets, no clock.
 
-LEAST_LEASE bytes are reserved for each direction of a stream (a `Share`). Beyond that, shares draw on a
+MIN_LEASE_BYTES are reserved for each direction of a stream (a `Share`). Beyond that, shares draw on a
 common pool with a dynamic threshold: each may hold at most as much of it as is free. With n busy shares,
 each holds 1 / (n + 1) of the pool and as much stays free, so that a new share finds room at once and slow
 readers cannot use up the budget together (Choudhury and Hahne, "Dynamic Queue Length Thresholds for
@@ -9,7 +9,7 @@
 
 from collections import deque
 
-from ashlift.gatekeeper.settings.model import LEAST_LEASE
+from ashlift.gatekeeper.settings.model import MIN_LEASE_BYTES
 
 BYTES_PER_TURN = 1 << 20  # of all busy shares in one iteration of the event loop; limits the delay of others
 MIN_BYTES_PER_TURN = 16 << 10  # of one share
@@ -27,13 +27,13 @@
 
 
 class Budget:
-    """Grants bytes to shares. Grants are powers of two of at least LEAST_LEASE bytes."""
+    """Grants bytes to shares. Grants are powers of two of at least MIN_LEASE_BYTES."""
 
     def __init__(self, total: int, max_shares: int) -> None:
-        """Raises ValueError if `total` is less than LEAST_LEASE bytes for each share and one more."""
+        """Raises ValueError if `total` is less than MIN_LEASE_BYTES for each share and one more."""
         self.total = total
-        self._shared = total - max_shares * LEAST_LEASE
-        if self._shared < LEAST_LEASE:
+        self._shared = total - max_shares * MIN_LEASE_BYTES
+        if self._shared < MIN_LEASE_BYTES:
             raise ValueError(f"{total} bytes are too few for {max_shares} shares")
         self.held = self._shared_held = self.busy = 0
         self.peak = 0
@@ -41,7 +41,7 @@
 
     def limit(self, share: Share) -> int:
         """Return the high watermark of a share: the bytes that it may hold now. The low one is half of it."""
-        return LEAST_LEASE + max(0, min(share.window - LEAST_LEASE, self._shared - self._shared_held))
+        return MIN_LEASE_BYTES + max(0, min(share.window - MIN_LEASE_BYTES, self._shared - self._shared_held))
 
     def bytes_per_turn(self) -> int:
         """Return how many bytes a busy share may move before it yields to the event loop."""
@@ -57,13 +57,13 @@
         """Grant bytes, not more than `wanted_bytes` need, and return how many.
 
         0: none are available, and the share waits until `release` returns it. A share that holds nothing is
-        always granted at least LEAST_LEASE bytes.
+        always granted at least MIN_LEASE_BYTES.
         """
         size = 0
         if self.can_resume(share):
             max_size = min(self.limit(share) - share.held, self.bytes_per_turn(), share.window // 2)
-            size = _floor_power_of_two(min(max(wanted_bytes, LEAST_LEASE), max_size))
-        if size < LEAST_LEASE or self.held + size > self.total:
+            size = _floor_power_of_two(min(max(wanted_bytes, MIN_LEASE_BYTES), max_size))
+        if size < MIN_LEASE_BYTES or self.held + size > self.total:
             # The total is reached only while streams that have ended still hold buffers.
             share.stopped = True
             if not share.waiting:
@@ -102,11 +102,11 @@
         before = share.held
         share.held += size
         self.held += size
-        self._shared_held += max(0, share.held - LEAST_LEASE) - max(0, before - LEAST_LEASE)
+        self._shared_held += max(0, share.held - MIN_LEASE_BYTES) - max(0, before - MIN_LEASE_BYTES)
         self.busy += (share.held > 0) - (before > 0)
         self.peak = max(self.peak, self.held)
 
 
 def _floor_power_of_two(size: int) -> int:
-    """Round down to a power of two; 0 if below LEAST_LEASE."""
-    return 1 << (size.bit_length() - 1) if size >= LEAST_LEASE else 0
+    """Round down to a power of two; 0 if below MIN_LEASE_BYTES."""
+    return 1 << (size.bit_length() - 1) if size >= MIN_LEASE_BYTES else 0
--- a/tests/gatekeeper/test_parts.py
+++ b/tests/gatekeeper/test_parts.py
@@ -293,7 +293,7 @@
     monkeypatch.setattr(connection, "HEAD_TIMEOUT_S", 30.0)
     node = Node()
     node.go.clear()
-    gatekeeper = Gatekeeper(replace(config(NOWHERE | {"n1": node.address}, {}), client_links=3))
+    gatekeeper = Gatekeeper(replace(config(NOWHERE | {"n1": node.address}, {}), max_client_connections=3))
     address = gatekeeper.start()
     head = b"GET /availability-check HTTP/1.1\r\nX-Qos: availability-check\r\nX-Trace-Id: t1\r\n"
     with gevent.Timeout(30):
@@ -322,7 +322,7 @@
 
 
 def test_idle_connections_are_limited() -> None:
-    gatekeeper = Gatekeeper(replace(config(NOWHERE, {}), idle_links=2))
+    gatekeeper = Gatekeeper(replace(config(NOWHERE, {}), max_idle_connections=2))
     address = gatekeeper.start()
     with gevent.Timeout(30):
         idle_clients = []
--- a/tests/gatekeeper/test_stream_program.py
+++ b/tests/gatekeeper/test_stream_program.py
@@ -295,7 +295,7 @@
     before = (root.handlers[:], root.level)
     node = ScriptedNode(HEAD, b"x" * 100)
     try:
-        logs.set_up(Logging(form="json"))
+        logs.configure(Logging(form="json"))
         gatekeeper, address = start_gatekeeper(node)
         with gevent.Timeout(30):
             sock = client(address, b"Connection: close\r\n")
--- a/tests/gatekeeper/test_streams.py
+++ b/tests/gatekeeper/test_streams.py
@@ -16,7 +16,7 @@
 
 from ashlift.gatekeeper.admission import interface as i
 from ashlift.gatekeeper.net.stream_attempt import StreamedResponseReader
-from ashlift.gatekeeper.settings.model import LEAST_LEASE, Streaming
+from ashlift.gatekeeper.settings.model import MIN_LEASE_BYTES, Streaming
 from ashlift.gatekeeper.streams import pump
 from ashlift.gatekeeper.streams.budget import Budget, Share
 from ashlift.gatekeeper.streams.faults import Fault
@@ -40,16 +40,16 @@
 def test_the_budget_stays_within_its_total_and_ends_at_zero(
     count: int, events: list[tuple[int, int, bool]]
 ) -> None:
-    total = (count + 3) * LEAST_LEASE
+    total = (count + 3) * MIN_LEASE_BYTES
     budget = Budget(total, count)
-    shares = [Share(window=8 * LEAST_LEASE) for _ in range(count)]
+    shares = [Share(window=8 * MIN_LEASE_BYTES) for _ in range(count)]
     leases: dict[Share, list[int]] = {share: [] for share in shares}
     for at, wanted_bytes, releases in events:
         share = shares[at % count]
         if releases and leases[share]:
             budget.release(share, leases[share].pop())
         elif size := budget.acquire(share, wanted_bytes):
-            assert size <= max(wanted_bytes, LEAST_LEASE)
+            assert size <= max(wanted_bytes, MIN_LEASE_BYTES)
             leases[share].append(size)
         else:
             assert share.held > 0  # a share that holds nothing is always granted bytes
@@ -63,33 +63,33 @@
 
 
 def test_slow_readers_cannot_use_up_the_budget_together() -> None:
-    budget = Budget(64 * LEAST_LEASE, 8)
-    greedy = [Share(64 * LEAST_LEASE) for _ in range(4)]
+    budget = Budget(64 * MIN_LEASE_BYTES, 8)
+    greedy = [Share(64 * MIN_LEASE_BYTES) for _ in range(4)]
     for _ in range(100):
         for share in greedy:
-            budget.acquire(share, 4 * LEAST_LEASE)
+            budget.acquire(share, 4 * MIN_LEASE_BYTES)
     held = [share.held for share in greedy]
-    late = Share(64 * LEAST_LEASE)
-    assert budget.acquire(late, 4 * LEAST_LEASE) >= 2 * LEAST_LEASE  # more than the reserved bytes
+    late = Share(64 * MIN_LEASE_BYTES)
+    assert budget.acquire(late, 4 * MIN_LEASE_BYTES) >= 2 * MIN_LEASE_BYTES  # more than the reserved bytes
     assert max(held) <= 2 * min(held)  # fair shares
 
 
 def test_a_share_stops_at_the_high_watermark_and_resumes_at_the_low_one() -> None:
-    budget, share = Budget(1 << 20, 2), Share(8 * LEAST_LEASE)
-    while budget.acquire(share, LEAST_LEASE):
+    budget, share = Budget(1 << 20, 2), Share(8 * MIN_LEASE_BYTES)
+    while budget.acquire(share, MIN_LEASE_BYTES):
         pass
-    assert share.held == 8 * LEAST_LEASE
-    assert budget.release(share, LEAST_LEASE) == [] and budget.acquire(share, LEAST_LEASE) == 0
-    while share.held > 5 * LEAST_LEASE:
-        assert budget.release(share, LEAST_LEASE) == []
-    assert budget.release(share, LEAST_LEASE) == [share] and budget.acquire(share, LEAST_LEASE)
+    assert share.held == 8 * MIN_LEASE_BYTES
+    assert budget.release(share, MIN_LEASE_BYTES) == [] and budget.acquire(share, MIN_LEASE_BYTES) == 0
+    while share.held > 5 * MIN_LEASE_BYTES:
+        assert budget.release(share, MIN_LEASE_BYTES) == []
+    assert budget.release(share, MIN_LEASE_BYTES) == [share] and budget.acquire(share, MIN_LEASE_BYTES)
     with pytest.raises(ValueError, match="given back"):
         budget.release(share, 1 << 20)
 
 
 def test_a_budget_too_small_for_its_shares_is_refused() -> None:
     with pytest.raises(ValueError, match="too few"):
-        Budget(8 * LEAST_LEASE, 8)
+        Budget(8 * MIN_LEASE_BYTES, 8)
 
 
 # ---- progress
@@ -199,7 +199,7 @@
     body: bytes, cuts: list[int], chunks: list[int] | None, chunked: bool, seed: int
 ) -> None:
     """The window of the pipe is far smaller than the body, and source and sink are slow at random."""
-    chance, pool = random.Random(seed), BufferPool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)
+    chance, pool = random.Random(seed), BufferPool(16 * MIN_LEASE_BYTES, 2 * MIN_LEASE_BYTES, 4)
     source, near = socket_pair()
     far, sink = socket_pair()
     pipe, received = Pipe(pool), b""
@@ -251,12 +251,12 @@
 def test_a_source_is_not_stalled_while_its_sink_is_slow() -> None:
     """The sink pauses for ten times the stall limit of the source."""
     source, near = socket_pair()
-    pipe = Pipe(BufferPool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4))
+    pipe = Pipe(BufferPool(16 * MIN_LEASE_BYTES, 2 * MIN_LEASE_BYTES, 4))
     source.sendall(b"x" * 60_000)
     with gevent.Timeout(20):
         filling = gevent.spawn(pump.Source(near, ProgressMonitor(100)).fill, pipe, 60_000)
         gevent.sleep(1.0)
-        assert not filling.ready() and 0 < pipe.held <= 2 * LEAST_LEASE
+        assert not filling.ready() and 0 < pipe.held <= 2 * MIN_LEASE_BYTES
         received = 0
         while received < 60_000:
             part = pipe.get()
@@ -279,7 +279,7 @@
     now, full = [0.0], Event()
     monkeypatch.setattr(pump, "time", SimpleNamespace(monotonic=lambda: now[0]))
     source, near = socket_pair()
-    pipe, received = Pipe(BufferPool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)), 0
+    pipe, received = Pipe(BufferPool(16 * MIN_LEASE_BYTES, 2 * MIN_LEASE_BYTES, 4)), 0
 
     def peer_closed() -> bool:  # called while there is no buffer to read into
         full.set()
@@ -304,13 +304,13 @@
 
 
 def test_an_aborted_pipe_releases_all_buffers_and_wakes_both_sides() -> None:
-    pool = BufferPool(16 * LEAST_LEASE, 2 * LEAST_LEASE, 4)
+    pool = BufferPool(16 * MIN_LEASE_BYTES, 2 * MIN_LEASE_BYTES, 4)
     pipe, ends = Pipe(pool), []
 
     def source() -> None:
         try:
             while True:
-                pipe.put(pipe.acquire(LEAST_LEASE), 5)
+                pipe.put(pipe.acquire(MIN_LEASE_BYTES), 5)
         except Exception as error:
             ends.append(str(error))
 
@@ -328,7 +328,7 @@
 
 
 def test_a_stream_registry_limits_the_number_of_open_streams() -> None:
-    own = config(NOWHERE, {}, OWN.format("")).own.streaming
+    own = config(NOWHERE, {}, OWN.format("")).features.streaming
     registry = StreamRegistry(replace(own, most_streams=2), {b"availability-check": 0})
     policy = registry.policy_for(b"/availability-check/x?y")
     assert policy is not None and registry.policy_for(b"/other") is None and registry.policy_for(b"*") is None
