--- a/ashlift/lab/system/http_clients.py
+++ b/ashlift/lab/system/http_clients.py
@@ -124,7 +124,7 @@
             seal = headers.get(b"x-server-seal", b"").decode()
             request.seal = answer_fingerprint(seal, b"".join(answer.parts))
         retry_after = headers.get(b"retry-after", b"")
-        self.receive_answer(operation, request, answer.status, float(retry_after) if retry_after else None)
+        self.receive_response(operation, request, answer.status, float(retry_after) if retry_after else None)
 
     def _handle_failure(self, operation: ClientOperation, request: Request, failure: Failure) -> None:
         if failure.reason == FailureReason.UNREACHABLE:
@@ -133,4 +133,4 @@
             request.ended = self.loop.now
             operation.finished = True
         else:
-            self.receive_answer(operation, request, 0, None)
+            self.receive_response(operation, request, 0, None)
--- a/ashlift/lab/system/saved_runs.py
+++ b/ashlift/lab/system/saved_runs.py
@@ -68,7 +68,7 @@
 def _faults(history: History) -> Iterator[RecordedFault]:
     """Faults of the same span, to a tenth of a second, are one."""
     machines_by_span: dict[tuple[float, float], list[str]] = {}
-    for machine, intervals in [*sorted(history.faults.items()), (UNSETTLED_CORE, history.core_unsettled)]:
+    for machine, intervals in [*sorted(history.faults.items()), (UNSETTLED_CORE, history.core_unstable)]:
         for interval in intervals:
             ended = min(interval.ended, history.end)
             if ended - interval.started > MIN_FAULT_SECONDS:
--- a/ashlift/lab/system/soak_scenario.py
+++ b/ashlift/lab/system/soak_scenario.py
@@ -12,10 +12,10 @@
 
 from ashlift.lab.system.supported_scenarios import unsupported_parts
 from ashlift.simulation.plan import Plan
-from ashlift.simulation.random_faults import CALM_SECONDS, FIRST_EVENT_SECONDS, random_scenario
+from ashlift.simulation.random_faults import FAULT_FREE_SECONDS, FIRST_EVENT_SECONDS, random_scenario
 from ashlift.simulation.scenario import Scenario, ScenarioEvent
 
-MIN_SECONDS: Final = FIRST_EVENT_SECONDS + CALM_SECONDS + 4.0
+MIN_SECONDS: Final = FIRST_EVENT_SECONDS + FAULT_FREE_SECONDS + 4.0
 ROLLING_RESTARTS: Final = 2  # that overlap
 RELOADS: Final = 3  # SIGHUP to every program
 BASE_RATE: Final = 30.0  # requests a second
@@ -37,7 +37,7 @@
     drawn = random_scenario(seed, proxies, seconds)
     rng = random.Random(f"soak {seed}")
     plan = evolve(drawn.plan, rate=BASE_RATE + RATE_PER_PROXY * proxies, quota=QUOTA, homes=rng.choice(HOMES))
-    calm_at = seconds - CALM_SECONDS
+    calm_at = seconds - FAULT_FREE_SECONDS
     added = [
         *_rolling_restarts(rng, plan, calm_at),
         *_core_restarts(rng, plan, calm_at),
--- a/ashlift/lab/system/worker_servers.py
+++ b/ashlift/lab/system/worker_servers.py
@@ -96,7 +96,7 @@
         served.arrival = arrival
         request.arrivals.append(arrival)
 
-    def send_answer(
+    def send_response(
         self,
         worker: Worker,  # noqa: ARG002  (the connection knows it)
         attempt: WorkerAttempt,
--- a/ashlift/simulation/__main__.py
+++ b/ashlift/simulation/__main__.py
@@ -19,7 +19,7 @@
 
 from attrs import frozen
 
-from ashlift.simulation import explore, random_replica_worlds, recording, worst_days
+from ashlift.simulation import explore, random_replica_worlds, recording, severe_faults
 from ashlift.simulation.catch_up_figures import catch_up_table
 from ashlift.simulation.checkers.rules import explain
 from ashlift.simulation.checkers.violation import Violation
@@ -92,7 +92,7 @@
             yield Play(random_scenario(seed, options.edge, options.until), seed)
     if options.worst:
         for seed in _seeds(options):
-            yield Play(worst_days.random_scenario(seed), seed)
+            yield Play(severe_faults.random_scenario(seed), seed)
     for path in options.scenes:
         for scenario in read_scenarios(path):
             first = scenario.plan.seed if options.first is None else options.first
--- a/ashlift/simulation/base_world.py
+++ b/ashlift/simulation/base_world.py
@@ -4,8 +4,8 @@
 from typing import Final
 
 from ashlift.config.settings import Bounds
-from ashlift.simulation.busy_operators import BusyOperator
 from ashlift.simulation.clients import ClientPopulation, RequestPattern
+from ashlift.simulation.continuous_operators import ContinuousOperator
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.fault_recorder import FaultRecorder
 from ashlift.simulation.operators import Operator
@@ -88,12 +88,12 @@
             self.operators[name].start()
         return self.operators[name]
 
-    def add_busy_operators(self, count: int, until: float, preferred: list[str]) -> None:
+    def add_continuous_operators(self, count: int, until: float, preferred: list[str]) -> None:
         """Start operators with a command under way until then, at the `preferred` registries first."""
         zones = list(ZONES)
         for number in range(count):
             machine = self._add_operator_machine(f"caller-{len(self.net.machines)}-{number}")
-            operator = BusyOperator(self.loop, self.net, machine, self.history, self.core)
+            operator = ContinuousOperator(self.loop, self.net, machine, self.history, self.core)
             operator.zone = zones[number] if number < len(zones) else None
             operator.preferred = preferred
             operator.until = until
--- a/ashlift/simulation/checkers/checked_history.py
+++ b/ashlift/simulation/checkers/checked_history.py
@@ -26,20 +26,20 @@
             change for change in self.changes if change.valid and not change.rejected_status
         ]
 
-    def core_was_settled(self, start: float, end: float) -> bool:
+    def core_was_stable(self, start: float, end: float) -> bool:
         """Whether the core had a connected majority that did not change in this span."""
-        return not any(interval.overlaps(start, end) for interval in self.history.core_unsettled)
+        return not any(interval.overlaps(start, end) for interval in self.history.core_unstable)
 
     def was_healthy(self, machine: str, start: float, end: float) -> bool:
         """Whether the machine had no fault in this span."""
         return not any(interval.overlaps(start, end) for interval in self.history.faults.get(machine, ()))
 
-    def was_in_touch(self, machine: str, at: float) -> bool:
+    def was_in_contact(self, machine: str, at: float) -> bool:
         """Whether the machine was in touch at that moment."""
         start = at - self.bounds.contact
-        return self.was_healthy(machine, start, at) and self.core_was_settled(start, at)
+        return self.was_healthy(machine, start, at) and self.core_was_stable(start, at)
 
-    def must_know(self, machine: str, at: float, acknowledged: float, bound: float) -> bool:
+    def must_have_applied(self, machine: str, at: float, acknowledged: float, bound: float) -> bool:
         """Whether the machine must act at `at` on what was acknowledged `bound` seconds before.
 
         It must when it is in touch. While the core is unsettled without a lasting loss of its majority, the
@@ -47,9 +47,9 @@
         """
         if at <= acknowledged + bound:
             return False
-        if self.was_in_touch(machine, at):
+        if self.was_in_contact(machine, at):
             return True
-        majority_was_lost = any(interval.ended > interval.started for interval in self.history.core_unsettled)
+        majority_was_lost = any(interval.ended > interval.started for interval in self.history.core_unstable)
         return (
             not majority_was_lost
             and self.was_healthy(machine, at - self.bounds.contact, at)
--- a/ashlift/simulation/checkers/configuration_checks.py
+++ b/ashlift/simulation/checkers/configuration_checks.py
@@ -72,7 +72,7 @@
     request = observation.request
     newest_version = max(observation.versions)
     for change in acknowledged:
-        if newest_version < change.version and checked.must_know(
+        if newest_version < change.version and checked.must_have_applied(
             request.proxy, request.sent, change.acknowledged, checked.bounds.config_apply
         ):
             description = (
@@ -167,7 +167,7 @@
     return removals[-1] if removals else None
 
 
-def check_readings(checked: CheckedHistory) -> Iterator[Violation]:
+def check_configuration_reads(checked: CheckedHistory) -> Iterator[Violation]:
     """CONFIG, LOST: a read is no older than what was acknowledged or read before, and is as it was sent."""
     acknowledged = sorted(
         (change for change in checked.possible_changes if change.acknowledged < math.inf),
@@ -188,7 +188,7 @@
 ) -> Iterator[Violation]:
     for change in acknowledged:
         if change.acknowledged < reading.started and change.version > reading.version:
-            rule = "LOST" if reading.started > checked.history.closing_fault_at else "CONFIG"
+            rule = "LOST" if reading.started > checked.history.final_fault_at else "CONFIG"
             description = (
                 f"read version {reading.version}, and {change.describe()} "
                 f"was acknowledged at {change.acknowledged:.3f}"
@@ -211,7 +211,9 @@
     """CONFIG: one order of all the operators' calls explains every answer."""
     history = checked.history
     calls = [
-        Call(change.sent, change.ended, change.as_write(), _answer_of(change), operator=change.operator)
+        Call(
+            change.sent, change.ended, change.as_write(), _outcome_of_change(change), operator=change.operator
+        )
         for change in checked.changes
         if change.valid and change.rejected_status in (0, CONFLICT_STATUS)
     ]
@@ -239,7 +241,7 @@
         yield Violation("CONFIG", unexplained.ended, f"no order of all calls explains {unexplained}")
 
 
-def _answer_of(change: ConfigurationChange) -> str | None:
+def _outcome_of_change(change: ConfigurationChange) -> str | None:
     if change.rejected_status:
         return CONFLICT
     return ACKNOWLEDGED if change.acknowledged < math.inf else IN_DOUBT
@@ -257,7 +259,7 @@
             yield Violation("CONFIG", resend.ended, description)
 
 
-def check_evacuations_kept(checked: CheckedHistory) -> Iterator[Violation]:
+def check_evacuations_persisted(checked: CheckedHistory) -> Iterator[Violation]:
     """LOST: evacuations that were acknowledged are in force, and those that were ended are not."""
     for reading in checked.history.readings:
         if reading.entries is None:
--- a/ashlift/simulation/checkers/departure_checks.py
+++ b/ashlift/simulation/checkers/departure_checks.py
@@ -19,7 +19,7 @@
             if (
                 arrival.rejection_status == MISDIRECTED_STATUS
                 or arrival.at <= acknowledged + checked.bounds.drain
-                or not checked.was_in_touch(arrival.proxy, arrival.at)
+                or not checked.was_in_contact(arrival.proxy, arrival.at)
             ):
                 continue
             description = (
@@ -39,7 +39,9 @@
             last = _last_evacuation(checked, zone, arrival.at)
             if arrival.rejection_status == MISDIRECTED_STATUS or last is None or not last.evacuated:
                 continue
-            if checked.must_know(arrival.proxy, arrival.at, last.acknowledged, checked.bounds.evacuation):
+            if checked.must_have_applied(
+                arrival.proxy, arrival.at, last.acknowledged, checked.bounds.evacuation
+            ):
                 description = (
                     f"{request.describe()} reached {arrival.worker} in {zone}, whose evacuation "
                     f"was acknowledged at {last.acknowledged:.3f}"
--- a/ashlift/simulation/checkers/request_checks.py
+++ b/ashlift/simulation/checkers/request_checks.py
@@ -56,7 +56,7 @@
         request
         for request in checked.history.requests
         if request.status in DENIAL_STATUSES
-        and checked.was_in_touch(request.proxy, request.ended)
+        and checked.was_in_contact(request.proxy, request.ended)
         and not any(
             explains_denial(change.table, request)
             for change in checked.possibly_in_force(request.received, request.ended)
@@ -112,7 +112,7 @@
                 yield Violation("HOME", arrival.at, description)
 
 
-def check_proxies_named(checked: CheckedHistory) -> Iterator[Violation]:
+def check_lookup_regions(checked: CheckedHistory) -> Iterator[Violation]:
     """HOME: the directory sends a client to proxies of its own region, or of its route's home regions.
 
     The users' rule allows 1 in 20 outside, and any number after an unplanned fault; this allows none ever.
--- a/ashlift/simulation/checkers/response_checks.py
+++ b/ashlift/simulation/checkers/response_checks.py
@@ -8,14 +8,14 @@
 from ashlift.simulation.checkers.violation import Violation
 from ashlift.simulation.history import HOST, Request
 
-MIN_REQUESTS_FOR_SHARE: Final = 20  # fewer tell nothing of a share
-RECOVERED_SHARE: Final = 0.25
-LATEST_EXCUSED_SECONDS: Final = 3.0  # after a SIGTERM: what is sent later may not be broken off
-LAST_PART_OF_GRACE: Final = 5 / 6  # from which what is still at work may be broken off
+MIN_REQUESTS_FOR_SUCCESS_RATE: Final = 20  # fewer tell nothing of a share
+RECOVERED_SUCCESS_RATE: Final = 0.25
+EXCUSED_AFTER_SIGTERM_SECONDS: Final = 3.0  # after a SIGTERM: what is sent later may not be broken off
+EXCUSED_GRACE_FRACTION: Final = 5 / 6  # from which what is still at work may be broken off
 MIN_LATER_ROUTES_RATIO: Final = 0.25  # of the success share of the first routes
 
 
-def check_answers_unmixed(checked: CheckedHistory) -> Iterator[Violation]:
+def check_responses_match_requests(checked: CheckedHistory) -> Iterator[Violation]:
     """MIXED: a success is the one that a worker gave to this request, where seals are recorded."""
     for request in checked.history.requests:
         if request.seal is None or not _succeeded(request):
@@ -44,7 +44,7 @@
             yield Violation("UNASKED", run.at, description)
 
 
-def check_complete_answers(checked: CheckedHistory) -> Iterator[Violation]:
+def check_complete_responses(checked: CheckedHistory) -> Iterator[Violation]:
     """LOST: a proxy that read a request does not break its connection off without an answer."""
     for request in checked.history.requests:
         if not request.connection_broken or math.isinf(request.received):
@@ -66,12 +66,12 @@
         for interval in history.faults.get(request.proxy, ())
     ):
         return True
-    if not checked.core_was_settled(start, request.ended):
+    if not checked.core_was_stable(start, request.ended):
         return True
     if (
         terminations
-        and request.sent <= terminations[-1] + LATEST_EXCUSED_SECONDS
-        and request.ended > terminations[-1] + LAST_PART_OF_GRACE * checked.bounds.grace
+        and request.sent <= terminations[-1] + EXCUSED_AFTER_SIGTERM_SECONDS
+        and request.ended > terminations[-1] + EXCUSED_GRACE_FRACTION * checked.bounds.grace
         and any(arrival.ran for arrival in request.arrivals)
     ):
         return True
@@ -81,25 +81,25 @@
 def check_recovery(checked: CheckedHistory) -> Iterator[Violation]:
     """RECOVER: where a quarter was served before the closing fault, a quarter is once all is back."""
     history = checked.history
-    if math.isinf(history.closing_fault_at):
+    if math.isinf(history.final_fault_at):
         return
     fault_ends = [
         interval.ended
         for intervals in history.faults.values()
         for interval in intervals
-        if interval.started >= history.closing_fault_at and not math.isinf(interval.ended)
+        if interval.started >= history.final_fault_at and not math.isinf(interval.ended)
     ]
-    all_back_at = max(fault_ends, default=history.closing_fault_at)
+    all_back_at = max(fault_ends, default=history.final_fault_at)
     recovered_at = all_back_at + checked.bounds.recovery
-    before = [request for request in history.requests if request.ended < history.closing_fault_at]
+    before = [request for request in history.requests if request.ended < history.final_fault_at]
     after = [
         request for request in history.requests if request.sent > recovered_at and request.ended < math.inf
     ]
-    if len(before) < MIN_REQUESTS_FOR_SHARE or len(after) < MIN_REQUESTS_FOR_SHARE:
+    if len(before) < MIN_REQUESTS_FOR_SUCCESS_RATE or len(after) < MIN_REQUESTS_FOR_SUCCESS_RATE:
         return
-    if _success_share(before) >= RECOVERED_SHARE > _success_share(after):
+    if _success_rate(before) >= RECOVERED_SUCCESS_RATE > _success_rate(after):
         description = (
-            f"{_success_share(after):.3f} of {len(after)} requests served after all was back "
+            f"{_success_rate(after):.3f} of {len(after)} requests served after all was back "
             f"at {all_back_at:.3f}; the first is {after[0].describe()}"
         )
         yield Violation("RECOVER", after[0].ended, description)
@@ -110,10 +110,13 @@
     if not checked.possible_changes:
         return
     on_first_routes, on_later_routes = _by_age_of_route(checked)
-    if len(on_later_routes) < MIN_REQUESTS_FOR_SHARE or len(on_first_routes) < MIN_REQUESTS_FOR_SHARE:
+    if (
+        len(on_later_routes) < MIN_REQUESTS_FOR_SUCCESS_RATE
+        or len(on_first_routes) < MIN_REQUESTS_FOR_SUCCESS_RATE
+    ):
         return
-    first_share = _success_share(on_first_routes)
-    later_share = _success_share(on_later_routes)
+    first_share = _success_rate(on_first_routes)
+    later_share = _success_rate(on_later_routes)
     if later_share < first_share * MIN_LATER_ROUTES_RATIO:
         last = on_later_routes[-1]
         description = (
@@ -130,7 +133,7 @@
     on_first_routes: list[Request] = []
     on_later_routes: list[Request] = []
     for request in checked.history.requests:
-        if math.isinf(request.ended) or not checked.was_in_touch(request.proxy, request.ended):
+        if math.isinf(request.ended) or not checked.was_in_contact(request.proxy, request.ended):
             continue
         if first_table.find_route(HOST, request.path) is not None:
             on_first_routes.append(request)
@@ -149,5 +152,5 @@
     return 200 <= request.status < 300
 
 
-def _success_share(requests: list[Request]) -> float:
+def _success_rate(requests: list[Request]) -> float:
     return sum(map(_succeeded, requests)) / max(1, len(requests))
--- a/ashlift/simulation/checkers/rules.py
+++ b/ashlift/simulation/checkers/rules.py
@@ -7,9 +7,9 @@
 from ashlift.simulation.checkers.checked_history import CheckedHistory
 from ashlift.simulation.checkers.configuration_checks import (
     check_configuration_in_force,
-    check_evacuations_kept,
+    check_configuration_reads,
+    check_evacuations_persisted,
     check_linearizability,
-    check_readings,
     check_resends,
     check_revoked_keys,
 )
@@ -19,18 +19,18 @@
     check_at_most_once,
     check_denial_share,
     check_home_regions,
+    check_lookup_regions,
     check_no_busy_loop,
     check_no_denial_after_acknowledgement,
-    check_proxies_named,
     check_rejected_never_ran,
     check_routing,
 )
 from ashlift.simulation.checkers.response_checks import (
-    check_answers_unmixed,
-    check_complete_answers,
+    check_complete_responses,
     check_later_routes_served,
     check_only_sent_requests_run,
     check_recovery,
+    check_responses_match_requests,
 )
 from ashlift.simulation.checkers.violation import Violation, earliest
 from ashlift.simulation.history import History
@@ -39,7 +39,7 @@
 
 # Of two violations of a rule at one moment, the one of the checker that comes first here is reported.
 CHECKERS: Final[tuple[Checker, ...]] = (
-    check_answers_unmixed,
+    check_responses_match_requests,
     check_only_sent_requests_run,
     check_at_most_once,
     check_rejected_never_ran,
@@ -49,11 +49,11 @@
     check_configuration_in_force,
     check_later_routes_served,
     check_revoked_keys,
-    check_readings,
+    check_configuration_reads,
     check_linearizability,
     check_resends,
-    check_evacuations_kept,
-    check_complete_answers,
+    check_evacuations_persisted,
+    check_complete_responses,
     check_recovery,
     check_draining,
     check_evacuated_zones,
@@ -61,7 +61,7 @@
     check_rate_limits,
     check_slow_start,
     check_home_regions,
-    check_proxies_named,
+    check_lookup_regions,
     check_no_busy_loop,
 )
 
--- a/ashlift/simulation/clients.py
+++ b/ashlift/simulation/clients.py
@@ -166,7 +166,7 @@
         else:
             operation.finished = True
 
-    def receive_answer(
+    def receive_response(
         self, operation: ClientOperation, request: Request, status: int, retry_after: float | None
     ) -> None:
         """The proxy's answer has come; `status` 0: the connection ended without one."""
@@ -229,7 +229,7 @@
         net = as_simulated(clients.net)
         if net.is_connected(clients.machine.link_name, self._proxy.machine.link_name):
             clients.loop.call_later(
-                self._delay, clients.receive_answer, self._operation, self._request, status, retry_after
+                self._delay, clients.receive_response, self._operation, self._request, status, retry_after
             )
 
     def _give_up(self) -> None:
@@ -241,4 +241,4 @@
         self._operation.finished = True
         proxy_request = self._proxy.requests.get(request)
         if proxy_request is not None:
-            self._proxy.deliver(proxy_request.hang_up, ())
+            self._proxy.deliver(proxy_request.client_disconnected, ())
--- a/ashlift/simulation/busy_operators.py
+++ b/ashlift/simulation/continuous_operators.py
@@ -16,7 +16,7 @@
 EDITS = ("look=desk", "look=fleet", "bill=desk", "bill=bill", "r+{new}=fleet", "q:t1=150", "q:t2=90")
 
 
-class BusyOperator(Operator):
+class ContinuousOperator(Operator):
     """`zone`: the one that it alone evacuates and restores; `preferred`: registries that it asks first."""
 
     zone: str | None = None
--- a/ashlift/simulation/expectations.py
+++ b/ashlift/simulation/expectations.py
@@ -25,14 +25,14 @@
             "acked": self._answered,
             "refused": self._answered,
             "one": self._one_acknowledged,
-            "swift": self._answered_within,
+            "swift": self._completed_within,
             "evacuated": self._evacuated,
             "served": self._served,
             "sure": self._served_with_key,
             "crew": self._workers_known,
             "edit": self._edit_outcome,
             "told": self._edit_status,
-            "alike": self._routes_alike,
+            "alike": self._routes_equal,
             "leader": self._leader,
             "idle": self._arrivals,
             "busy": self._arrivals,
@@ -89,7 +89,7 @@
     def _changes_of_version(self, version: int) -> list[ConfigurationChange]:
         return [change for change in self._world.history.changes if change.version == version]
 
-    def _answered_within(self, arguments: EventArguments) -> str:
+    def _completed_within(self, arguments: EventArguments) -> str:
         """The first order sent since then, and long enough ago, that took longer to be answered."""
         start = self._take_count_start()
         bound = float(arguments.words[1])
@@ -123,10 +123,10 @@
         status = self._world.history.route_edits[edit_id].status
         return "" if status == int(expected) else str(status)
 
-    def _routes_alike(self, _arguments: EventArguments) -> str:
+    def _routes_equal(self, _arguments: EventArguments) -> str:
         """All proxies hold the same routes, byte for byte, and they are those agreed on."""
         agreed = _routes_as_bytes(
-            RoutingTable.from_entries(route_edits.agreed_entries(self._world.configstores()))
+            RoutingTable.from_entries(route_edits.committed_entries(self._world.configstores()))
         )
         different = []
         for proxy in self._world.proxies():
--- a/ashlift/simulation/failover_figures.py
+++ b/ashlift/simulation/failover_figures.py
@@ -19,10 +19,10 @@
 from ashlift.simulation.world import World
 
 EARLIEST_FAULT_SECONDS: Final = 7.0
-USUAL_SECONDS: Final = 1.5  # before the fault, to know the usual share of served operations
+BASELINE_SECONDS: Final = 1.5  # before the fault, to know the usual share of served operations
 WINDOW_SECONDS: Final = 0.5  # the share is counted in windows of this length
 WINDOW_STEP_SECONDS: Final = 0.05
-SERVED_AGAIN_RATIO: Final = 0.9  # of the usual share
+RECOVERED_RATIO: Final = 0.9  # of the usual share
 OBSERVED_SECONDS: Final = 6.0  # from the fault on
 CLIENT_TIMEOUT_SECONDS: Final = 3.0
 REQUESTS_PER_SECOND: Final = 80.0
@@ -65,11 +65,11 @@
 class FailoverTimes:
     """Seconds from a fault until all is served again, and until a command sent with it is acknowledged."""
 
-    served_again: float
+    recovery_seconds: float
     acknowledged: float
 
 
-def served_again_after(operations: list[ClientOperation], fault_at: float) -> float:
+def recovery_seconds_after(operations: list[ClientOperation], fault_at: float) -> float:
     """Return the seconds from the fault until all later windows have 0.9 of the usual share served.
 
     It is infinite where that does not come within `OBSERVED_SECONDS`.
@@ -80,12 +80,12 @@
         served = [served for at, served in by_start if start <= at < end]
         return sum(served) / len(served) if served else 1.0
 
-    usual_share = served_share(fault_at - USUAL_SECONDS, fault_at)
+    usual_share = served_share(fault_at - BASELINE_SECONDS, fault_at)
     window_count = round((OBSERVED_SECONDS - WINDOW_SECONDS) / WINDOW_STEP_SECONDS)
     last_bad_window = -1
     for window in range(window_count):
         start = fault_at + window * WINDOW_STEP_SECONDS
-        if served_share(start, start + WINDOW_SECONDS) < SERVED_AGAIN_RATIO * usual_share:
+        if served_share(start, start + WINDOW_SECONDS) < RECOVERED_RATIO * usual_share:
             last_bad_window = window
     if last_bad_window == window_count - 1:
         return math.inf
@@ -108,7 +108,7 @@
     world.run(fault_at + OBSERVED_SECONDS + CLIENT_TIMEOUT_SECONDS)
     acknowledged = min(change.acknowledged for change in world.history.changes if change.version == 2)
     operations = [operation for population in world.client_populations for operation in population.operations]
-    return FailoverTimes(served_again_after(operations, fault_at), acknowledged - fault_at)
+    return FailoverTimes(recovery_seconds_after(operations, fault_at), acknowledged - fault_at)
 
 
 def _resolve(world: World, word: str, leader: str, lost_machine: str) -> list[str]:
@@ -143,6 +143,6 @@
         measured = pool.starmap(measure_failover, tasks, chunksize=1)
     for number, name in enumerate(FAULTS):
         times = measured[number * len(seeds) : (number + 1) * len(seeds)]
-        served_again = Spread([one.served_again for one in times])
+        recovery_seconds = Spread([one.recovery_seconds for one in times])
         acknowledged = Spread([one.acknowledged for one in times])
-        yield f"| {name} | {served_again} | {acknowledged} |"
+        yield f"| {name} | {recovery_seconds} | {acknowledged} |"
--- a/ashlift/simulation/fault_actions.py
+++ b/ashlift/simulation/fault_actions.py
@@ -100,4 +100,4 @@
         self._world.net.machines[name].wall_clock_skew = float(skew)
 
     def _closing(self, _arguments: EventArguments) -> None:
-        self._world.history.closing_fault_at = self._world.loop.now
+        self._world.history.final_fault_at = self._world.loop.now
--- a/ashlift/simulation/fault_recorder.py
+++ b/ashlift/simulation/fault_recorder.py
@@ -46,7 +46,7 @@
     def core_changed(self) -> None:
         """The core is unsettled now, and stays so while it has no connected majority."""
         now = self.now()
-        intervals = self.history.core_unsettled
+        intervals = self.history.core_unstable
         if intervals and math.isinf(intervals[-1].ended):
             intervals[-1].ended = now
         intervals.append(FaultInterval(now, now if self._connected_majority() else math.inf))
--- a/ashlift/simulation/history.py
+++ b/ashlift/simulation/history.py
@@ -217,8 +217,8 @@
         self.route_edits: dict[str, Any] = {}  # by id, of `ashlift.simulation.route_edits`
         self.faults: dict[str, list[FaultInterval]] = {}  # by machine
         self.terminations: dict[str, list[float]] = {}  # machine -> when faults started that were a SIGTERM
-        self.core_unsettled: list[FaultInterval] = []
-        self.closing_fault_at = math.inf
+        self.core_unstable: list[FaultInterval] = []
+        self.final_fault_at = math.inf
         self.end = 0.0
 
     def add_request(
--- a/ashlift/simulation/load_actions.py
+++ b/ashlift/simulation/load_actions.py
@@ -73,7 +73,7 @@
         value = float(arguments.words[1])
         match arguments.word:
             case "sick":
-                worker.lost_answer_share = value
+                worker.lost_response_share = value
             case "grey":
                 worker.failure_share = value
             case "forget":
--- a/ashlift/simulation/network.py
+++ b/ashlift/simulation/network.py
@@ -32,11 +32,11 @@
         self.loss_rate = 0.0
         self.aborted_write_rate = 0.0
         self.extra_delay: dict[str, float] = {}  # by machine, for each message from or to it
-        self.delivers_late = False  # bytes that a link held up arrive even if their sender has closed
+        self.delivers_after_close = False  # bytes that a link held up arrive even if their sender has closed
         self.zone_delay = 0.0005
         self.region_delay = 0.02
         self.observer = Observer()
-        self._held_up: dict[tuple[str, str], list[tuple[float, Connection, Callable[[], None]]]] = {}
+        self._undelivered: dict[tuple[str, str], list[tuple[float, Connection, Callable[[], None]]]] = {}
 
     # ---- links
     def delay(self, source: Machine, destination: Machine) -> float:
@@ -56,9 +56,9 @@
     def unblock(self, source: str, destination: str) -> None:
         """Let bytes through again; those held up go on where their connection still stands."""
         self.blocked_links.discard((source, destination))
-        for since, connection, deliver in self._held_up.pop((source, destination), []):
+        for since, connection, deliver in self._undelivered.pop((source, destination), []):
             timed_out = self.loop.now - since >= UNACKNOWLEDGED_TIMEOUT_SECONDS
-            if self.delivers_late or not (timed_out or connection.closed):
+            if self.delivers_after_close or not (timed_out or connection.closed):
                 connection.unacknowledged_since = None
                 self.loop.call_later(self.loop.rng.uniform(0.0, MAX_REDELIVERY_DELAY_SECONDS), deliver)
             else:
@@ -162,28 +162,30 @@
             return
         exchange = _Exchange(self, call, connection, future)
         call.caller.call_later(timeout, exchange.time_out)
-        self.carry_request(connection, call.caller.machine, exchange.deliver_request)
+        self.transmit_request(connection, call.caller.machine, exchange.deliver_request)
 
-    def carry_request(self, connection: Connection, source: Machine, deliver: Callable[[], None]) -> None:
+    def transmit_request(self, connection: Connection, source: Machine, deliver: Callable[[], None]) -> None:
         """Carry a request to the connection's target; `deliver` runs as it arrives."""
         destination = connection.target.machine
-        if self._is_lost_or_held_up(connection, source, destination, deliver):
+        if self._is_lost_or_blocked(connection, source, destination, deliver):
             return
         arrival = self.loop.now + self.delay(source, destination)
         arrival = connection.last_request_arrival = max(arrival, connection.last_request_arrival)
         self.loop.call_later(arrival - self.loop.now, deliver)
 
-    def carry_answer(self, connection: Connection, destination: Machine, deliver: Callable[[], None]) -> None:
+    def transmit_response(
+        self, connection: Connection, destination: Machine, deliver: Callable[[], None]
+    ) -> None:
         """Carry an answer back from the connection's target; `deliver` runs as it arrives."""
         source = connection.target.machine
-        if self._is_lost_or_held_up(connection, source, destination, deliver):
+        if self._is_lost_or_blocked(connection, source, destination, deliver):
             return
         arrival = self.loop.now + self.delay(source, destination)
         connection.unacknowledged_since = None
         arrival = connection.last_answer_arrival = max(arrival, connection.last_answer_arrival)
         self.loop.call_later(arrival - self.loop.now, deliver)
 
-    def _is_lost_or_held_up(
+    def _is_lost_or_blocked(
         self, connection: Connection, source: Machine, destination: Machine, deliver: Callable[[], None]
     ) -> bool:
         if self.loss_rate and self.loop.rng.random() < self.loss_rate:
@@ -192,7 +194,7 @@
         if not self.blocked_links or link not in self.blocked_links:
             return False
         connection.unacknowledged_since = connection.unacknowledged_since or self.loop.now
-        self._held_up.setdefault(link, []).append((self.loop.now, connection, deliver))
+        self._undelivered.setdefault(link, []).append((self.loop.now, connection, deliver))
         return True
 
 
@@ -220,7 +222,7 @@
         """The request has arrived at the target's machine."""
         connection = self._connection
         target = connection.target
-        if connection.closed and not self._network.delivers_late:
+        if connection.closed and not self._network.delivers_after_close:
             return
         if not target.machine.powered:
             connection.unacknowledged_since = connection.unacknowledged_since or self._network.loop.now
@@ -237,15 +239,15 @@
         target.earliest_send_time = self._connection.last_answer_at + target.machine.clock_offset
         handler = target.handlers.get(self._call.method)
         if handler is None:
-            self._send_answer(Failure(FailureReason.NOT_FOUND, self._call.method))
+            self._send_response(Failure(FailureReason.NOT_FOUND, self._call.method))
             return
         answer = handler(self._call.body)
         if isinstance(answer, Generator):
-            target.spawn(answer, self._send_answer)
+            target.spawn(answer, self._send_response)
         else:
-            self._send_answer(answer)
+            self._send_response(answer)
 
-    def _send_answer(self, answer: Any) -> None:
+    def _send_response(self, answer: Any) -> None:
         connection = self._connection
         target = connection.target
         if target.up and target.incarnation == connection.target_incarnation:
@@ -253,9 +255,9 @@
             self._network.observer.answered(caller, target, self._call.method, answer)
             connection.last_answer_at = self._network.loop.now
             self._answer = answer
-            self._network.carry_answer(connection, caller.machine, self._deliver_answer)
+            self._network.transmit_response(connection, caller.machine, self._deliver_response)
 
-    def _deliver_answer(self) -> None:
+    def _deliver_response(self) -> None:
         caller = self._call.caller
         if caller.incarnation == self._caller_incarnation and not self._connection.closed:
             caller.deliver(self._receive, ())
--- a/ashlift/simulation/operator_actions.py
+++ b/ashlift/simulation/operator_actions.py
@@ -95,7 +95,9 @@
 
     def _orders(self, arguments: EventArguments) -> None:
         count, until, *machines = arguments.words
-        self._world.add_busy_operators(int(count), float(until), resolve_machines(self._world, machines))
+        self._world.add_continuous_operators(
+            int(count), float(until), resolve_machines(self._world, machines)
+        )
 
     def _seeds(self, arguments: EventArguments) -> None:
         self._world.seeds = arguments.words
--- a/ashlift/simulation/operators.py
+++ b/ashlift/simulation/operators.py
@@ -42,7 +42,9 @@
         shuffled = self.loop.rng.sample(self.registries, len(self.registries))
         return ([first] if first else []) + [name for name in shuffled if name != first]
 
-    def _send_until_answered(self, command: dict[str, Any], first: str | None, once: bool = False) -> Task:
+    def _send_until_final_status(
+        self, command: dict[str, Any], first: str | None, once: bool = False
+    ) -> Task:
         """Returns the status of the clear answer; with `once`, None if the first call got none."""
         backoff = INITIAL_BACKOFF_SECONDS
         registries = self._registry_order(first)
@@ -85,7 +87,7 @@
         self.spawn(self._send_change(change, first))
 
     def _send_change(self, change: ConfigurationChange, first: str | None) -> Task:
-        status = yield from self._send_until_answered(change.as_command(), first)
+        status = yield from self._send_until_final_status(change.as_command(), first)
         change.ended = self.loop.now
         if status == 200:
             change.acknowledged = self.loop.now
@@ -120,6 +122,6 @@
         evacuation = EvacuationChange(zone, evacuated, self.loop.now)
         self.history.evacuations.append(evacuation)
         command = {"kind": "evacuate" if evacuated else "restore", "if_match": None, "body": zone}
-        status = yield from self._send_until_answered(command, first, once)
+        status = yield from self._send_until_final_status(command, first, once)
         if status == 200:
             evacuation.acknowledged = self.loop.now
--- a/ashlift/simulation/proxy_process.py
+++ b/ashlift/simulation/proxy_process.py
@@ -33,16 +33,16 @@
 TIMER_SLACK_SECONDS: Final = 1e-6  # timers run just after what they wait for
 DRAIN_POLL_SECONDS: Final = 0.02
 
-AnswerCallback = Callable[[int, float | None], None]  # status, 0 for a reset; seconds to retry after
+ResponseCallback = Callable[[int, float | None], None]  # status, 0 for a reset; seconds to retry after
 
 
 class ProxyRequest:
     """One client's request at the proxy."""
 
-    def __init__(self, proxy: "ProxyProcess", request: Request, on_answer: AnswerCallback) -> None:
+    def __init__(self, proxy: "ProxyProcess", request: Request, on_response: ResponseCallback) -> None:
         self.proxy = proxy
         self.request = request
-        self.on_answer = on_answer
+        self.on_response = on_response
         self.admitted: AdmittedRequest | None = None
         self.closed = False
         self._progress: RequestProgress[WorkerAttempt] | None = None
@@ -78,7 +78,7 @@
         self._progress = RequestProgress(proxy.router, decision)
         self._follow(self._progress, self._progress.first_step(now))
 
-    def hang_up(self) -> None:
+    def client_disconnected(self) -> None:
         """The client has closed its connection."""
         if not self.closed:
             self._answer(0, "gone", None)
@@ -129,9 +129,9 @@
             for attempt in self._progress.close(proxy.clock()):
                 self._cancel(attempt)
         answer = cause or str(status)
-        proxy.answer_counts[answer] = proxy.answer_counts.get(answer, 0) + 1
+        proxy.response_counts[answer] = proxy.response_counts.get(answer, 0) + 1
         self.request.cause = cause
-        self.on_answer(status, retry_after)
+        self.on_response(status, retry_after)
 
     def _cancel(self, attempt: WorkerAttempt) -> None:
         attempt.cancelled = True
@@ -156,7 +156,7 @@
         super().__init__(loop, net, machine, KIND)
         self.settings = settings
         self.transport = transport
-        self.answer_counts: dict[str, int] = {}  # by cause or status, over all incarnations
+        self.response_counts: dict[str, int] = {}  # by cause or status, over all incarnations
         self.requests: dict[Request, ProxyRequest] = {}
 
     def on_start(self) -> None:
@@ -179,7 +179,7 @@
             return
         for request in requests.values():
             request.closed = True
-            request.on_answer(0, None)
+            request.on_response(0, None)
 
     def _watch_registry(self) -> Task:
         while True:
@@ -212,11 +212,11 @@
             yield DRAIN_POLL_SECONDS
         self.kill()
 
-    def receive_request(self, request: Request, remaining: float, on_answer: AnswerCallback) -> None:
+    def receive_request(self, request: Request, remaining: float, on_response: ResponseCallback) -> None:
         """A client's request has come completely; `remaining`: seconds that the client waits."""
         request.proxy = self.name
         request.proxy_incarnation = self.incarnation
-        proxy_request = self.requests[request] = ProxyRequest(self, request, on_answer)
+        proxy_request = self.requests[request] = ProxyRequest(self, request, on_response)
         proxy_request.start(remaining)
 
     # ---- connections to workers, as `ashlift.proxy.upstream` has them
--- a/ashlift/simulation/random_faults.py
+++ b/ashlift/simulation/random_faults.py
@@ -7,7 +7,7 @@
 from ashlift.simulation.plan import Plan
 from ashlift.simulation.scenario import Scenario, ScenarioEvent
 
-CALM_SECONDS: Final = 9.0  # at the end: all faults are over, and what was acknowledged is read back
+FAULT_FREE_SECONDS: Final = 9.0  # at the end: all faults are over, and what was acknowledged is read back
 FIRST_EVENT_SECONDS: Final = 6.0
 CORE_RETURN_SECONDS: Final = 4.0  # a core machine counts as lost so long after its fault
 READ_BACK_SECONDS: Final = 1.5  # before the end
@@ -40,12 +40,12 @@
         self._core = [f"core-{number + 1}" for number in range(self._plan.core)]
         self._proxies = [f"edge-{number + 1}" for number in range(proxies)]
         self._version = 1
-        self._core_free_at = 0.0  # no core machine is lost from then on
+        self._next_core_fault_at = 0.0  # no core machine is lost from then on
         self._evacuated: list[str] = []
 
     def scenario(self) -> Scenario:
         """Draw the events."""
-        drawers: list[Callable[[float], list[str]]] = [
+        event_generators: list[Callable[[float], list[str]]] = [
             self._change,
             self._evacuation,
             self._core_fault,
@@ -53,17 +53,17 @@
             self._worker_event,
         ]
         weights = [3, 1, 3, 4, 3]
-        calm_at = self._plan.until - CALM_SECONDS
+        faults_end_at = self._plan.until - FAULT_FREE_SECONDS
         events: list[ScenarioEvent] = []
         at = FIRST_EVENT_SECONDS
-        while at < calm_at:
-            draw = self._rng.choices(drawers, weights)[0]
+        while at < faults_end_at:
+            draw = self._rng.choices(event_generators, weights)[0]
             events.append(ScenarioEvent(round(at, 2), tuple(draw(at))))
             at += self._rng.expovariate(1.0)
         if self._rng.random() < 0.3:
             events.append(ScenarioEvent(round(at, 2), ("hot", "t1", "10")))
-        events.append(ScenarioEvent(calm_at, ("join",)))
-        events.append(ScenarioEvent(calm_at, ("start", "*")))
+        events.append(ScenarioEvent(faults_end_at, ("join",)))
+        events.append(ScenarioEvent(faults_end_at, ("start", "*")))
         events.append(ScenarioEvent(self._plan.until - READ_BACK_SECONDS, ("read",)))
         ordered = sorted(events, key=lambda event: event.at)
         return Scenario(f"by chance {self._plan.seed}", self._plan, tuple(ordered))
@@ -94,10 +94,10 @@
 
     def _core_fault(self, at: float) -> list[str]:
         """One core machine at a time, with some seconds for its return."""
-        if at < self._core_free_at:
+        if at < self._next_core_fault_at:
             return self._change(at)
         seconds = self._rng.uniform(0.3, 3.0)
-        self._core_free_at = at + seconds + CORE_RETURN_SECONDS
+        self._next_core_fault_at = at + seconds + CORE_RETURN_SECONDS
         machine = self._rng.choice([*self._core, "leader"])
         others = [name for name in self._core if name != machine]
         duration = ["for", f"{seconds:.2f}"]
--- a/ashlift/simulation/recorder.py
+++ b/ashlift/simulation/recorder.py
@@ -218,7 +218,7 @@
     def _machines(self, history: History) -> None:
         for machine, intervals in history.faults.items():
             self.add("machines", machine, _spans(intervals), history.terminations.get(machine, []))
-        self.add("machines", _spans(history.core_unsettled), history.closing_fault_at, history.end)
+        self.add("machines", _spans(history.core_unstable), history.final_fault_at, history.end)
 
 
 def _spans(intervals: list[FaultInterval]) -> list[list[float]]:
--- a/ashlift/simulation/recording.py
+++ b/ashlift/simulation/recording.py
@@ -22,7 +22,7 @@
 
 from attrs import define
 
-from ashlift.simulation import random_faults, worst_days
+from ashlift.simulation import random_faults, severe_faults
 from ashlift.simulation.network import as_simulated
 from ashlift.simulation.plan import Plan
 from ashlift.simulation.recorder import SECTIONS, Recorder, Summary
@@ -57,7 +57,7 @@
     for seed in range(1, CHANCE_DAYS + 1):
         yield Source(f"chance {seed}", lambda seed=seed: random_faults.random_scenario(seed), seed)  # type: ignore[misc]
     for seed in range(1, WORST_DAYS + 1):
-        yield Source(f"worst {seed}", lambda seed=seed: worst_days.random_scenario(seed), seed)  # type: ignore[misc]
+        yield Source(f"worst {seed}", lambda seed=seed: severe_faults.random_scenario(seed), seed)  # type: ignore[misc]
     for pattern in SCENARIO_FILES:
         for path in sorted(scenarios.glob(pattern)):
             for number in range(len(read_scenarios(path))):
--- a/ashlift/simulation/registry_process.py
+++ b/ashlift/simulation/registry_process.py
@@ -176,7 +176,7 @@
         while True:
             sent = self.clock()
             wait = LOCAL_STORE_WATCH_SECONDS if watches_own else LONG_POLL_SECONDS
-            ip = self.name if watches_own else self._store_client.next_other_store()
+            ip = self.name if watches_own else self._store_client.next_remote_store()
             body = codec.encode_watch_request(config.version, wait, config.wanted_fragment())
             answer: Any = Failure(FailureReason.UNREACHABLE, "there is no other store")
             if ip is not None:
--- a/ashlift/simulation/route_edits.py
+++ b/ashlift/simulation/route_edits.py
@@ -36,7 +36,7 @@
     status: int = 0
     acknowledged: float = float("inf")
 
-    def receive_answer(self, answer: Any, now: float) -> None:
+    def receive_response(self, answer: Any, now: float) -> None:
         """Note what a registry answered: a status and a value, or a failure."""
         if isinstance(answer, tuple):
             self.status = answer[0]
@@ -85,12 +85,12 @@
 
     def call() -> Task:
         answer = yield operator.call(registry, registry_process.KIND, method, body, CALL_TIMEOUT_SECONDS)
-        record.receive_answer(answer, operator.loop.now)
+        record.receive_response(answer, operator.loop.now)
 
     operator.spawn(call())
 
 
-def agreed_entries(stores: list[ConfigstoreProcess]) -> Mapping[str, Any]:
+def committed_entries(stores: list[ConfigstoreProcess]) -> Mapping[str, Any]:
     """Return the newest map known to be committed."""
     snapshots = [store.replica.committed_state.snapshot for store in stores if store.replica]
     if not snapshots:
@@ -101,7 +101,7 @@
 
 def outcome_in(edit_id: str, stores: list[ConfigstoreProcess]) -> str:
     """Return what the agreed map says of an edit; `waits`, or `unknown` where no store holds it either."""
-    record = outcome_of(agreed_entries(stores), edit_id)
+    record = outcome_of(committed_entries(stores), edit_id)
     if record:
         return str(record["outcome"])
     is_pending = any(store.pending_edits and edit_id in store.pending_edits.pending.edits for store in stores)
--- a/ashlift/simulation/scenario_player.py
+++ b/ashlift/simulation/scenario_player.py
@@ -67,7 +67,9 @@
             self._play_events()
             world = self.world
             if world.history.route_edits:
-                route_edits.record_outcomes(world.history, route_edits.agreed_entries(world.configstores()))
+                route_edits.record_outcomes(
+                    world.history, route_edits.committed_entries(world.configstores())
+                )
             return first_violation(world.history, world.bounds) or self.failed_expectation
 
     def _play_events(self) -> None:
--- a/ashlift/simulation/worst_days.py
+++ b/ashlift/simulation/severe_faults.py
@@ -13,9 +13,9 @@
 
 from ashlift.simulation.plan import Plan
 from ashlift.simulation.random_faults import (
-    CALM_SECONDS,
     CORE_RETURN_SECONDS,
     EVACUATED_ZONES,
+    FAULT_FREE_SECONDS,
     FIRST_EVENT_SECONDS,
     READ_BACK_SECONDS,
     SERVICES,
@@ -24,7 +24,7 @@
 from ashlift.simulation.scenario import Scenario, ScenarioEvent
 
 OPERATOR_TIMEOUT_SECONDS: Final = 6.0  # after which an operator gives up an evacuation, or its end
-LONG_CUT_SECONDS: Final = 21.0  # outlasts every lease
+LONG_PARTITION_SECONDS: Final = 21.0  # outlasts every lease
 VERSION_PLACEHOLDER: Final = "#"
 
 DrawnEvent = tuple[float, list[str]]  # when, and the words of a line
@@ -32,10 +32,10 @@
 
 def random_scenario(seed: int) -> Scenario:
     """Return the worst day of a seed."""
-    return _WorstDay(seed).scenario()
+    return _SevereFaults(seed).scenario()
 
 
-class _WorstDay:
+class _SevereFaults:
     """Draws one scenario. The order of the draws is part of what a seed means."""
 
     def __init__(self, seed: int, proxies: int = 7, until: float = 60.0) -> None:
@@ -51,10 +51,10 @@
         )
         self._core = [f"core-{number + 1}" for number in range(self._plan.core)]
         self._proxies = [f"edge-{number + 1}" for number in range(proxies)]
-        self._core_free_at = 0.0  # no core machine is lost from then on
+        self._next_core_fault_at = 0.0  # no core machine is lost from then on
         self._zones = rng.sample(EVACUATED_ZONES, len(EVACUATED_ZONES))  # each is evacuated once
         self._evacuated: list[tuple[float, str]] = []  # since when, zone
-        self._drawers: list[tuple[int, Callable[[float], Iterator[DrawnEvent]]]] = [
+        self._event_generators: list[tuple[int, Callable[[float], Iterator[DrawnEvent]]]] = [
             (3, self._single_change),
             (2, self._racing_changes),
             (1, self._evacuation),
@@ -70,22 +70,24 @@
 
     def scenario(self) -> Scenario:
         """Draw the events."""
-        calm_at = self._plan.until - CALM_SECONDS
-        drawn = self._draw_until(calm_at)
-        events = [ScenarioEvent(round(at, 3), tuple(words)) for at, words in _numbered(drawn) if at < calm_at]
+        faults_end_at = self._plan.until - FAULT_FREE_SECONDS
+        drawn = self._draw_until(faults_end_at)
+        events = [
+            ScenarioEvent(round(at, 3), tuple(words)) for at, words in _numbered(drawn) if at < faults_end_at
+        ]
         for words in (("join",), ("start", "*"), ("disk", "well", "*")):
-            events.append(ScenarioEvent(calm_at, words))
+            events.append(ScenarioEvent(faults_end_at, words))
         events.append(ScenarioEvent(self._plan.until - READ_BACK_SECONDS, ("read",)))
         ordered = sorted(events, key=lambda event: event.at)
         return Scenario(f"worst {self._plan.seed}", self._plan, tuple(ordered))
 
     def _draw_until(self, end: float) -> list[DrawnEvent]:
         rng = self._rng
-        weights, drawers = zip(*self._drawers, strict=True)
+        weights, event_generators = zip(*self._event_generators, strict=True)
         drawn: list[DrawnEvent] = []
         at = FIRST_EVENT_SECONDS
         while at < end:
-            draw = rng.choices(drawers, weights)[0]
+            draw = rng.choices(event_generators, weights)[0]
             for _ in range(rng.choice([1, 1, 1, 3])):  # one, or the same kind three times over
                 drawn += draw(at)
                 at += rng.choice([0.05, 0.4, 1.5, 3.0])
@@ -140,13 +142,13 @@
     def _core_fault(self, at: float) -> Iterator[DrawnEvent]:
         """One core machine is lost, and something meets it as it returns."""
         rng = self._rng
-        if at < self._core_free_at:
+        if at < self._next_core_fault_at:
             yield from self._single_change(at)
             return
         machine = rng.choice([*self._core, "leader", "leader"])
         is_cut = rng.random() < 0.5
-        seconds = LONG_CUT_SECONDS if is_cut and rng.random() < 0.4 else rng.uniform(0.3, 5.0)
-        self._core_free_at = at + seconds + CORE_RETURN_SECONDS
+        seconds = LONG_PARTITION_SECONDS if is_cut and rng.random() < 0.4 else rng.uniform(0.3, 5.0)
+        self._next_core_fault_at = at + seconds + CORE_RETURN_SECONDS
         duration = ["for", f"{seconds:.2f}"]
         if is_cut:
             yield at, self._cut_of_core_machine(machine, duration)
@@ -210,11 +212,11 @@
 
     def _disk_fault(self, at: float) -> Iterator[DrawnEvent]:
         rng = self._rng
-        if at < self._core_free_at:
+        if at < self._next_core_fault_at:
             yield from self._single_change(at)
             return
         seconds = rng.uniform(0.5, 6.0)
-        self._core_free_at = at + seconds + CORE_RETURN_SECONDS
+        self._next_core_fault_at = at + seconds + CORE_RETURN_SECONDS
         machine = rng.choice([*self._core, "leader"])
         fault = rng.choice([["hang", machine], ["refuse", machine], ["slow", machine, "0.6"]])
         yield at, ["disk", *fault, "for", f"{seconds:.2f}"]
@@ -224,7 +226,7 @@
     def _proxy_fault(self, at: float) -> Iterator[DrawnEvent]:
         rng = self._rng
         proxies = rng.sample(self._proxies, rng.choice([1, 1, 2, max(1, len(self._proxies) // 3)]))
-        seconds = LONG_CUT_SECONDS if rng.random() < 0.25 else rng.uniform(0.3, 7.0)
+        seconds = LONG_PARTITION_SECONDS if rng.random() < 0.25 else rng.uniform(0.3, 7.0)
         duration = ["for", f"{seconds:.2f}"]
         words = rng.choice(
             [
--- a/ashlift/simulation/simulated_store_client.py
+++ b/ashlift/simulation/simulated_store_client.py
@@ -31,7 +31,7 @@
         by_distance = registry.registries_by_distance(identity.zone, identity.region, self._process.clock())
         return [ip for ip in by_distance if ip in members]
 
-    def next_other_store(self) -> str | None:
+    def next_remote_store(self) -> str | None:
         """Return another machine's store, a different one each time."""
         others = [ip for ip in self.stores() if ip != self._process.name]
         self._watch_number += 1
--- a/ashlift/simulation/worker.py
+++ b/ashlift/simulation/worker.py
@@ -63,7 +63,7 @@
         self.latency = latency
         self.state = "ready"
         self.warm_at = loop.now
-        self.lost_answer_share = 0.0
+        self.lost_response_share = 0.0
         self.failure_share = 0.0
         self.broken_connection_share = 0.0
         self.connection_idle_timeout = math.inf
@@ -88,7 +88,7 @@
         self._queue = deque()
         if not silently:
             for attempt in attempts:
-                self.pool.send_answer(self, attempt, AttemptOutcome(AttemptResult.CONNECTION_LOST))
+                self.pool.send_response(self, attempt, AttemptOutcome(AttemptResult.CONNECTION_LOST))
         self.pool.release_address(self)
 
     # ---- requests
@@ -104,7 +104,7 @@
     def _reject(self, attempt: WorkerAttempt) -> None:
         self.pool.record_arrival(self, attempt, False, 503)
         outcome = AttemptOutcome(AttemptResult.NOT_RUN, worker_response(503))
-        self.pool.send_answer(self, attempt, outcome)
+        self.pool.send_response(self, attempt, outcome)
 
     def _run(self, attempt: WorkerAttempt, remaining: float) -> None:
         rng = self.loop.rng
@@ -116,7 +116,7 @@
             self.call_later(remaining, self._finish, attempt, 504)
             return
         status = 500 if self.failure_share and rng.random() < self.failure_share else 200
-        is_lost = bool(self.lost_answer_share) and rng.random() < self.lost_answer_share
+        is_lost = bool(self.lost_response_share) and rng.random() < self.lost_response_share
         self.call_later(duration, self._finish, attempt, 0 if is_lost else status)
 
     def _finish(self, attempt: WorkerAttempt, status: int) -> None:
@@ -126,10 +126,10 @@
         del self._running[attempt]
         share = self.broken_connection_share
         if status == 200 and share and self.loop.rng.random() < share:
-            self.pool.send_answer(self, attempt, AttemptOutcome(AttemptResult.CONNECTION_LOST))
+            self.pool.send_response(self, attempt, AttemptOutcome(AttemptResult.CONNECTION_LOST))
         elif status:
             outcome = AttemptOutcome(AttemptResult.RESPONSE, worker_response(status), 0.0)
-            self.pool.send_answer(self, attempt, outcome)
+            self.pool.send_response(self, attempt, outcome)
         self._start_queued()
 
     def connection_closed(self, attempt: WorkerAttempt) -> None:
--- a/ashlift/simulation/worker_pool.py
+++ b/ashlift/simulation/worker_pool.py
@@ -93,7 +93,7 @@
         )
         proxy_request.request.arrivals.append(arrival)
 
-    def send_answer(self, worker: Worker, attempt: WorkerAttempt, outcome: AttemptOutcome) -> None:
+    def send_response(self, worker: Worker, attempt: WorkerAttempt, outcome: AttemptOutcome) -> None:
         """Carry a worker's answer, or the reset of its connection, to the proxy that asked."""
         proxy = attempt.proxy_request.proxy
         net = as_simulated(self.net)
@@ -179,7 +179,7 @@
         if target.id != worker_id:
             self.record_arrival(target, attempt, False, MISDIRECTED_STATUS)
             response = worker_response(MISDIRECTED_STATUS)
-            self.send_answer(target, attempt, AttemptOutcome(AttemptResult.NOT_RUN, response))
+            self.send_response(target, attempt, AttemptOutcome(AttemptResult.NOT_RUN, response))
             return
         target.receive(attempt, max(MIN_REMAINING_SECONDS, attempt.remaining))
 
--- a/ashlift/simulation/world.py
+++ b/ashlift/simulation/world.py
@@ -48,7 +48,7 @@
         loop = EventLoop(plan.seed)
         super().__init__(plan, core, edge, loop, SimulatedNetwork(loop))
         self.net.loss_rate = plan.loss
-        self.net.delivers_late = bool(plan.late)
+        self.net.delivers_after_close = bool(plan.late)
         zones = list(ZONES)
         for number, name in enumerate(self.core):
             self._add_core_machine(name, zones[number % len(zones)])
@@ -206,11 +206,11 @@
                     process.shut_down()
                 else:
                     process.kill()
-                self._restart_once_ended(process)
+                self._restart_after_exit(process)
 
-    def _restart_once_ended(self, process: Process) -> None:
+    def _restart_after_exit(self, process: Process) -> None:
         if process.up:
-            self.loop.call_later(TERMINATION_POLL_SECONDS, self._restart_once_ended, process)
+            self.loop.call_later(TERMINATION_POLL_SECONDS, self._restart_after_exit, process)
         else:
             self.loop.call_later(RESTART_SECONDS, self._restart, process)
 
@@ -303,7 +303,7 @@
                     self.net.block(source, destination)
                     if both_ways:
                         self.net.block(destination, source)
-        self._note_links({*sources, *destinations})
+        self._record_link_change({*sources, *destinations})
 
     def unblock_links(self, sources: list[str] | None = None, destinations: list[str] | None = None) -> None:
         """Unblock the links between these machines, or all."""
@@ -315,9 +315,9 @@
         ]
         for source, destination in unblocked:
             self.net.unblock(source, destination)
-        self._note_links({name for link in unblocked for name in link})
+        self._record_link_change({name for link in unblocked for name in link})
 
-    def _note_links(self, machines: set[str]) -> None:
+    def _record_link_change(self, machines: set[str]) -> None:
         self.links_changed(machines, {name for link in self.net.blocked_links for name in link})
 
     def set_loss_rate(self, loss_rate: float) -> None:
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -245,7 +245,7 @@
 
 
 def recovered(builder: HistoryBuilder, bad: bool) -> None:
-    builder.history.closing_fault_at = 20.0
+    builder.history.final_fault_at = 20.0
     builder.history.begin_fault("core-1", 20.0)
     builder.history.end_faults("core-1", 21.0)
     for number in range(30):
--- a/tests/simulation/test_system_scenarios.py
+++ b/tests/simulation/test_system_scenarios.py
@@ -5,9 +5,9 @@
 
 from ward import each, raises, test
 
-from ashlift.simulation import worst_days
+from ashlift.simulation import severe_faults
 from ashlift.simulation.clients import ClientOperation, RequestPattern
-from ashlift.simulation.failover_figures import measure_failover, served_again_after
+from ashlift.simulation.failover_figures import measure_failover, recovery_seconds_after
 from ashlift.simulation.random_faults import random_scenario
 from ashlift.simulation.scenario import ScenarioEvent, parse_scenarios, read_scenarios
 from ashlift.simulation.scenario_player import ScenarioPlayer
@@ -52,7 +52,7 @@
 
 @test("worst days by chance, seed {seed}: every trouble of the simulator, in pairs and repeated")
 def _(seed: int = each(3, 111)) -> None:
-    play = ScenarioPlayer(worst_days.random_scenario(seed), seed)
+    play = ScenarioPlayer(severe_faults.random_scenario(seed), seed)
     found = play.run()
     assert found is None, str(found)
     assert sum(one.acknowledged < inf for one in play.world.history.changes) > 5, "too little was ordered"
@@ -85,13 +85,13 @@
 def _() -> None:
     times = measure_failover(["power leader"], 3)
     assert 0.3 < times.acknowledged < 3.0
-    assert times.served_again < 2.0
+    assert times.recovery_seconds < 2.0
     pattern = RequestPattern("/x", True, "k", 1.0)
     operations = [
         ClientOperation(pattern, 10.0 + number / 100 + pattern.timeout, served=not 300 <= number < 400)
         for number in range(-200, 900)
     ]
-    assert 3.9 < served_again_after(operations, 10.0) < 4.0
-    assert served_again_after(operations, 12.0) < 2.0
+    assert 3.9 < recovery_seconds_after(operations, 10.0) < 4.0
+    assert recovery_seconds_after(operations, 12.0) < 2.0
     lost = [ClientOperation(pattern, one.deadline, served=one.deadline < 14.0) for one in operations]
-    assert served_again_after(lost, 10.5) == inf
+    assert recovery_seconds_after(lost, 10.5) == inf
