--- a/ashlift/simulation/base_world.py
+++ b/ashlift/simulation/base_world.py
@@ -1,4 +1,4 @@
-"""What a world of simulated programs and one of processes share: workers, clients and operators."""
+"""Base class of the simulated world and the world of real processes: workers, clients and operators."""
 
 from abc import abstractmethod
 from typing import Final
@@ -13,7 +13,7 @@
 from ashlift.simulation.process import Machine, Network
 from ashlift.simulation.worker_pool import WorkerPool
 
-RESTART_SECONDS: Final = 0.5  # a process that has ended is started again after so long
+RESTART_SECONDS: Final = 0.5  # from the end of a process to its next start
 HEARTBEAT_SECONDS: Final = 1.5
 TRAFFIC_START_SECONDS: Final = 5.0
 CORE: Final = "core"
@@ -31,7 +31,7 @@
         self.loop = loop
         self.net = net
         self.bounds = Bounds(revocation_strict=True)
-        self.load = 1.0  # a factor of the plan's rate
+        self.load = 1.0  # multiplies the plan's request rate
         self.zones = dict(ZONES)
         self.seeds = self.core[:SEED_COUNT]
         self.client_populations: list[ClientPopulation] = []
@@ -40,14 +40,14 @@
 
     @abstractmethod
     def new_worker_pool(self) -> WorkerPool:
-        """Return the pool that this world's workers are in."""
+        """Return an empty pool for the workers of this world."""
 
     def now(self) -> float:
-        """Return the time of the loop."""
+        """Return the seconds since the start of the run."""
         return self.loop.now
 
     def populate(self) -> None:
-        """Start workers in turn, the second of a service in z2; then clients, and later their load."""
+        """Start the workers of each service, spread over the zones, then the clients and their traffic."""
         self.history.proxy_regions = {name: self.net.machines[name].region for name in self.edge}
         zones = list(ZONES)
         for route in ROUTES.values():
@@ -60,7 +60,7 @@
         self.loop.call_later(TRAFFIC_START_SECONDS, self._start_traffic)
 
     def load_share(self) -> float:
-        """The part of each request pattern's rate that one client population asks."""
+        """Return the share of each request pattern's rate that one client population sends."""
         return self.load / len(self.client_populations)
 
     def _start_traffic(self) -> None:
@@ -89,7 +89,7 @@
         return self.operators[name]
 
     def add_continuous_operators(self, count: int, until: float, preferred: list[str]) -> None:
-        """Start operators with a command under way until then, at the `preferred` registries first."""
+        """Start operators that send commands without pause until then, to `preferred` registries first."""
         zones = list(ZONES)
         for number in range(count):
             machine = self._add_operator_machine(f"caller-{len(self.net.machines)}-{number}")
--- a/ashlift/simulation/clients.py
+++ b/ashlift/simulation/clients.py
@@ -86,11 +86,11 @@
         while True:
             for registry in by_distance[:REGISTRIES_ASKED]:
                 body = (self.machine.zone, self.machine.region)
-                answer = yield self.call(
+                response = yield self.call(
                     registry, registry_process.KIND, RegistryMethod.LOOKUP, body, LOOKUP_TIMEOUT_SECONDS
                 )
-                if isinstance(answer, tuple) and answer[0] == 200:
-                    self.proxies = [address.partition(":")[0] for address in answer[1]]
+                if isinstance(response, tuple) and response[0] == 200:
+                    self.proxies = [address.partition(":")[0] for address in response[1]]
                     break
             yield LOOKUP_INTERVAL_SECONDS
 
@@ -222,9 +222,9 @@
 
     def _hand_over(self, remaining: float) -> None:
         if math.isinf(self._request.ended):
-            self._proxy.receive_request(self._request, remaining, self._answer)
+            self._proxy.receive_request(self._request, remaining, self._respond)
 
-    def _answer(self, status: int, retry_after: float | None) -> None:
+    def _respond(self, status: int, retry_after: float | None) -> None:
         clients = self._clients
         net = as_simulated(clients.net)
         if net.is_connected(clients.machine.link_name, self._proxy.machine.link_name):
--- a/ashlift/simulation/configstore_process.py
+++ b/ashlift/simulation/configstore_process.py
@@ -1,6 +1,6 @@
-"""The configuration store as a simulated process: the real replica, as `ashlift.configstore.server` runs it.
+"""The configuration store as a simulated process: runs the real replica as `ashlift.configstore.server` does.
 
-A machine's `disk` holds the replica's `vote` and `state` and the pending edits as they are durable.
+The machine's `disk` holds the durable `vote` and `state` of the replica and the pending edits.
 """
 
 import enum
@@ -48,12 +48,12 @@
 from ashlift.simulation.process import Condition, Machine, Process, Task
 
 KIND: Final = "configstore"
-DISK_WRITE_SECONDS: Final = (0.002, 0.012)  # a durable write takes between these
+DISK_WRITE_SECONDS: Final = (0.002, 0.012)  # shortest and longest durable write
 HANGING_DISK_POLL_SECONDS: Final = 0.02
 
 
 class InterruptedWrite(enum.Enum):
-    """What a write has come to in the middle of which the process ends."""
+    """What is on the disk after the process ended during a write."""
 
     COMPLETE = enum.auto()
     NOTHING_WRITTEN = enum.auto()
@@ -64,13 +64,13 @@
 
 
 class SimulatedRecordStorage:
-    """The records of pending edits on a simulated disk."""
+    """Stores the records of pending edits on a simulated disk."""
 
     def __init__(self, disk: dict[str, Any]) -> None:
         self._disk = disk
 
     def read(self) -> dict[str, bytes] | Failure | None:
-        """Return all records, None if there were never any."""
+        """Return all records, or None if none were ever written."""
         records: dict[str, bytes] | None = self._disk.get(PENDING_EDIT_STORAGE)
         return records
 
@@ -81,7 +81,7 @@
 
 
 class ConfigstoreProcess(Process):
-    """A configuration store on a core machine. While a durable write lasts, the process does nothing else."""
+    """A configuration store on a core machine. A durable write blocks the whole process."""
 
     def __init__(
         self, loop: EventLoop, net: SimulatedNetwork, machine: Machine, seeds: Callable[[], list[str]]
@@ -91,8 +91,8 @@
         self.seeds = seeds
         self.replica: Replica | None = None
         self.pending_edits: PendingEditStorage | None = None
-        self._may_bootstrap = True  # at the first start
-        self._write: PersistState | None = None  # under way
+        self._may_bootstrap = True  # only at the first start
+        self._write: PersistState | None = None  # in progress
         self._deferred_by_write: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.handlers = {method: self._replica_handler(method) for method in METHODS}
         self.handlers |= {
@@ -103,7 +103,7 @@
         }
 
     def on_start(self) -> None:
-        """Start the replica with what the disk holds."""
+        """Start the replica from the state on the disk."""
         disk = self.machine.disk
         self.replica = Replica(
             self.name,
@@ -129,7 +129,7 @@
         self._tick()
 
     def on_killed(self, _silently: bool) -> None:
-        """A write under way may be complete, not begun, or half done: the state without the vote."""
+        """Finish a write in progress completely, not at all, or for the state without the vote."""
         write, self._write = self._write, None
         self.replica = None
         if write is not None:
@@ -141,14 +141,14 @@
             as_simulated(self.net).observer.stored(self)
 
     def deliver(self, action: Callable[..., None], args: tuple[Any, ...]) -> None:
-        """Run the action now, or once the write is done and the process is thawed."""
+        """Run the action now, or after the write in progress, or after `thaw` if the process is frozen."""
         if self._write is not None and not self.frozen and action != self._finish_write:
             self._deferred_by_write.append((action, args))
         else:
             super().deliver(action, args)
 
     def shut_down(self) -> None:
-        """SIGTERM: hand leadership over, and end."""
+        """Handle SIGTERM: transfer leadership, and end."""
         self.handle_event(ShutdownRequested())
 
     # ---- the replica
@@ -181,7 +181,7 @@
 
     def _perform_one(self, effect: Effect) -> None:
         match effect:
-            case SendRequest():  # requests and replies leave once all effects are done, a write too
+            case SendRequest():  # requests and replies are sent after all effects, durable writes included
                 self.call_later(0.0, self.spawn, self._send_request(effect, self.clock()))
             case SendReply():
                 self.call_later(0.0, effect.reply_to.set, effect.body)
@@ -225,13 +225,13 @@
         return handle
 
     def _await_reply(self, make_event: Callable[[Any], Any], timeout: float) -> Task:
-        """Let the replica handle an event that it replies to; returns the reply."""
+        """Let the replica handle an event, and return its reply or a Failure after the timeout."""
         reply = Future()
         self.call_later(timeout, reply.set, Failure(FailureReason.OUTCOME_UNKNOWN, f"{timeout:g} s"))
         self.handle_event(make_event(reply))
         return (yield reply)
 
-    # ---- requests of registries, as `configstore.request_handlers` serves them
+    # ---- requests from registries, as `configstore.request_handlers` serves them
     def _handle_submit(self, body: Any) -> Task:
         request = requests.decode_submit(body)
         if isinstance(request, Failure):
@@ -263,7 +263,7 @@
     def _ask_leader(
         self, method: str, body: dict[str, Any], make_event: Callable[[Any], Any], timeout: float
     ) -> Task:
-        """Let the leader answer, this replica or another one; retry for a while where there is none."""
+        """Return the leader's response; without a leader, retry for up to `LEADER_WAIT_SECONDS`."""
         deadline = self.clock() + LEADER_WAIT_SECONDS
         response: Any = NO_LEADER
         while self.replica is not None:
--- a/ashlift/simulation/continuous_operators.py
+++ b/ashlift/simulation/continuous_operators.py
@@ -72,8 +72,8 @@
         sent = self.loop.now
         registry = self._first_registry()
         command = change.as_command()
-        answer: Any = yield self.call(
+        response: Any = yield self.call(
             registry, registry_process.KIND, RegistryMethod.OPERATOR_COMMAND, command, CALL_TIMEOUT_SECONDS
         )
-        status = answer[0] if isinstance(answer, tuple) else 0
+        status = response[0] if isinstance(response, tuple) else 0
         self.history.resends.append(Resend(change, registry, sent, self.loop.now, status))
--- a/ashlift/simulation/event_loop.py
+++ b/ashlift/simulation/event_loop.py
@@ -1,4 +1,4 @@
-"""Simulated time: one heap of events, and the only source of randomness. All times are in seconds."""
+"""Discrete-event loop: simulated time, the event heap and the run's random source. Times are in seconds."""
 
 import heapq
 import random
@@ -7,16 +7,16 @@
 
 
 class EventOwner(Protocol):
-    """What the loop needs of the process that an event belongs to."""
+    """The process that an event belongs to, as the loop uses it."""
 
     incarnation: int
 
     def deliver(self, action: Callable[..., None], args: tuple[Any, ...]) -> None:
-        """Run the action now, or once the process can run again."""
+        """Run the action now, or later if the process is suspended."""
 
 
 class EventLoop:
-    """Events in the order of time; of two at one moment that comes first which was added first."""
+    """Runs events in the order of time, and events of the same time in the order of scheduling."""
 
     def __init__(self, seed: int) -> None:
         self.now = 0.0
@@ -35,14 +35,14 @@
     ) -> None:
         """Run the action in the process after the delay.
 
-        It is dropped once this incarnation of the process has ended, and waits while the process is frozen.
+        The action is dropped if this incarnation of the process has ended, and deferred while it is frozen.
         """
         self._sequence += 1
         event = (self.now + delay, self._sequence, process, process.incarnation, action, args)
         heapq.heappush(self._heap, event)
 
     def run(self, until: float) -> None:
-        """Run all events up to that time, which is `now` afterwards."""
+        """Run all events up to that time, and set `now` to it."""
         heap = self._heap
         while heap and heap[0][0] <= until:
             self.now, _, process, incarnation, action, args = heapq.heappop(heap)
@@ -55,7 +55,7 @@
 
 
 class Future:
-    """A value to come, that one task of one process waits for."""
+    """A value that will be set later. At most one task waits for it."""
 
     __slots__ = ("callback", "done", "value")
 
@@ -65,7 +65,7 @@
         self.callback: Callable[[Any], None] | None = None
 
     def set(self, value: Any) -> None:
-        """Set the value; only the first one counts."""
+        """Set the value; later calls have no effect."""
         if not self.done:
             self.done = True
             self.value = value
@@ -73,7 +73,7 @@
                 self.callback(value)
 
     def forward_to(self, other: "Future") -> None:
-        """Set `other` as soon as this one is set."""
+        """Set `other` to the value of this future as soon as it is set."""
         if self.done:
             other.set(self.value)
         else:
--- a/ashlift/simulation/expectations.py
+++ b/ashlift/simulation/expectations.py
@@ -73,10 +73,10 @@
             as_expected = all(change.acknowledged < math.inf for change in changes)
         else:
             as_expected = all(change.rejected_status for change in changes)
-        answers = (
+        responses = (
             f"{change.describe()}: {change.rejected_status or change.acknowledged}" for change in changes
         )
-        return "" if as_expected else ", ".join(answers)
+        return "" if as_expected else ", ".join(responses)
 
     def _one_acknowledged(self, arguments: EventArguments) -> str:
         writes = {
--- a/ashlift/simulation/network.py
+++ b/ashlift/simulation/network.py
@@ -1,4 +1,4 @@
-"""Simulated links between machines, and calls on them. All times are in seconds."""
+"""Simulated network: links between machines, connections and remote calls. All times are in seconds."""
 
 from collections.abc import Callable, Generator
 from typing import Any, Final
@@ -13,16 +13,16 @@
 
 UNACKNOWLEDGED_TIMEOUT_SECONDS: Final = UNACKNOWLEDGED_TIMEOUT_MS / 1000
 SAME_ZONE_DELAY_SECONDS: Final = 0.0002
-MAX_JITTER: Final = 0.3  # of a delay
-MAX_REDELIVERY_DELAY_SECONDS: Final = 0.3  # of bytes that a blocked link held up
+MAX_JITTER: Final = 0.3  # as a share of the delay
+MAX_REDELIVERY_DELAY_SECONDS: Final = 0.3  # for retransmission after a link is unblocked
 NO_TARGET_DELAY_SECONDS: Final = 0.001
 
 
 class SimulatedNetwork:
     """Links between machines.
 
-    Links have a delay. They lose messages (`loss_rate`), are blocked one way or both ways, and abort calls in
-    the middle of being written (`aborted_write_rate`), which ends their connection.
+    Links delay messages, drop them (`loss_rate`), and may be blocked in one or both directions. With
+    `aborted_write_rate` a call is aborted while it is being written, which closes its connection.
     """
 
     def __init__(self, loop: EventLoop) -> None:
@@ -31,8 +31,8 @@
         self.blocked_links: set[tuple[str, str]] = set()  # from, to
         self.loss_rate = 0.0
         self.aborted_write_rate = 0.0
-        self.extra_delay: dict[str, float] = {}  # by machine, for each message from or to it
-        self.delivers_after_close = False  # bytes that a link held up arrive even if their sender has closed
+        self.extra_delay: dict[str, float] = {}  # by machine, added to each message from or to it
+        self.delivers_after_close = False  # messages on blocked links arrive even after the sender closed
         self.zone_delay = 0.0005
         self.region_delay = 0.02
         self.observer = Observer()
@@ -40,7 +40,7 @@
 
     # ---- links
     def delay(self, source: Machine, destination: Machine) -> float:
-        """Draw the time that a message takes."""
+        """Return a random delay for one message."""
         base = SAME_ZONE_DELAY_SECONDS if source.zone == destination.zone else self.zone_delay
         if source.region != destination.region:
             base = self.region_delay
@@ -50,11 +50,11 @@
         return extra + base * (1.0 + MAX_JITTER * self.loop.rng.random())
 
     def block(self, source: str, destination: str) -> None:
-        """Let nothing through in this direction."""
+        """Block messages in this direction."""
         self.blocked_links.add((source, destination))
 
     def unblock(self, source: str, destination: str) -> None:
-        """Let bytes through again; those held up go on where their connection still stands."""
+        """Unblock the link, and deliver what it held on connections that have not timed out or closed."""
         self.blocked_links.discard((source, destination))
         for since, connection, deliver in self._undelivered.pop((source, destination), []):
             timed_out = self.loop.now - since >= UNACKNOWLEDGED_TIMEOUT_SECONDS
@@ -65,7 +65,7 @@
                 self.close(connection)
 
     def is_connected(self, one: str, other: str) -> bool:
-        """Whether messages get through in both directions."""
+        """Whether the link is open in both directions."""
         return not self.blocked_links or (
             (one, other) not in self.blocked_links and (other, one) not in self.blocked_links
         )
@@ -79,14 +79,14 @@
         connection.pending.clear()
 
     def close_connection(self, process: Process, machine: str, kind: str) -> None:
-        """Close the process's own connection to that program."""
+        """Close the process's connection to that program, if there is one."""
         target = self.machines[machine].processes.get(kind)
         connection = process.connections.pop(target, None) if target else None
         if connection is not None:
             self.close(connection)
 
     def reset_connections(self, process: Process) -> None:
-        """The process was killed and its machine stands: tell whoever is connected with it."""
+        """Reset the connections to a process that was killed while its machine still runs."""
         for machine in self.machines.values():
             for other in machine.processes.values():
                 connection = other.connections.get(process)
@@ -95,13 +95,13 @@
 
     # ---- calls
     def call(self, call: RpcCall) -> Future:
-        """Send the call on the connection that there is, or on a new one; see `Network.call`."""
+        """Send the call on the open connection, or on a new one; see `Network.call`."""
         self.observer.called(call.caller, call.machine, call.kind, call.method, call.body)
         future = Future()
         machine = self.machines.get(call.machine)
         target = machine.processes.get(call.kind) if machine else None
         if target is None:
-            failure = Failure(FailureReason.UNREACHABLE, "nobody is there")
+            failure = Failure(FailureReason.UNREACHABLE, "no such program on the machine")
             call.caller.call_later(NO_TARGET_DELAY_SECONDS, future.set, failure)
             return future
         connection = self._usable_connection(call.caller, target)
@@ -133,7 +133,7 @@
 
         def connected() -> None:
             if not target.up:
-                future.set(Failure(FailureReason.UNREACHABLE, "refused"))
+                future.set(Failure(FailureReason.UNREACHABLE, "connection refused"))
                 return
             connection = Connection(target, self.loop.now)
             caller.connections[target] = connection
@@ -142,7 +142,7 @@
         caller.call_later(round_trip, connected)
 
     def _wait_to_write(self, call: RpcCall, connection: Connection, future: Future) -> None:
-        """Another call is still being written on the connection: this one waits for its turn."""
+        """Wait until another call has been written on the connection, then send this one."""
         wait = connection.write_blocked_until - self.loop.now
         if call.timeout <= wait:
             failure = Failure(FailureReason.UNREACHABLE, call.method)
@@ -165,7 +165,7 @@
         self.transmit_request(connection, call.caller.machine, exchange.deliver_request)
 
     def transmit_request(self, connection: Connection, source: Machine, deliver: Callable[[], None]) -> None:
-        """Carry a request to the connection's target; `deliver` runs as it arrives."""
+        """Send a request to the connection's target; `deliver` runs when it arrives."""
         destination = connection.target.machine
         if self._is_lost_or_blocked(connection, source, destination, deliver):
             return
@@ -176,7 +176,7 @@
     def transmit_response(
         self, connection: Connection, destination: Machine, deliver: Callable[[], None]
     ) -> None:
-        """Carry an answer back from the connection's target; `deliver` runs as it arrives."""
+        """Send a response back from the connection's target; `deliver` runs when it arrives."""
         source = connection.target.machine
         if self._is_lost_or_blocked(connection, source, destination, deliver):
             return
@@ -199,9 +199,9 @@
 
 
 class _Exchange:
-    """One call on a connection, and the way of its answer."""
+    """One call on a connection, with its response."""
 
-    __slots__ = ("_answer", "_call", "_caller_incarnation", "_connection", "_future", "_network")
+    __slots__ = ("_response", "_call", "_caller_incarnation", "_connection", "_future", "_network")
 
     def __init__(
         self, network: SimulatedNetwork, call: RpcCall, connection: Connection, future: Future
@@ -211,15 +211,15 @@
         self._connection = connection
         self._future = future
         self._caller_incarnation = call.caller.incarnation
-        self._answer: Any = None
+        self._response: Any = None
 
     def time_out(self) -> None:
-        """The caller waits no longer."""
+        """Fail the call after its timeout."""
         self._connection.pending.pop(self._future, None)
         self._future.set(Failure(FailureReason.OUTCOME_UNKNOWN, self._call.method))
 
     def deliver_request(self) -> None:
-        """The request has arrived at the target's machine."""
+        """Handle the arrival of the request at the target's machine."""
         connection = self._connection
         target = connection.target
         if connection.closed and not self._network.delivers_after_close:
@@ -241,20 +241,20 @@
         if handler is None:
             self._send_response(Failure(FailureReason.NOT_FOUND, self._call.method))
             return
-        answer = handler(self._call.body)
-        if isinstance(answer, Generator):
-            target.spawn(answer, self._send_response)
+        response = handler(self._call.body)
+        if isinstance(response, Generator):
+            target.spawn(response, self._send_response)
         else:
-            self._send_response(answer)
+            self._send_response(response)
 
-    def _send_response(self, answer: Any) -> None:
+    def _send_response(self, response: Any) -> None:
         connection = self._connection
         target = connection.target
         if target.up and target.incarnation == connection.target_incarnation:
             caller = self._call.caller
-            self._network.observer.answered(caller, target, self._call.method, answer)
+            self._network.observer.answered(caller, target, self._call.method, response)
             connection.last_answer_at = self._network.loop.now
-            self._answer = answer
+            self._response = response
             self._network.transmit_response(connection, caller.machine, self._deliver_response)
 
     def _deliver_response(self) -> None:
@@ -265,10 +265,10 @@
     def _receive(self) -> None:
         self._network.observer.received(self._call.caller, self._connection.target, self._call.method)
         self._connection.pending.pop(self._future, None)
-        self._future.set(self._answer)
+        self._future.set(self._response)
 
 
 def as_simulated(network: Network) -> SimulatedNetwork:
-    """Return the network as a simulated one, for what exists on simulated time alone."""
+    """Return the network as `SimulatedNetwork`, for features that real sockets do not have."""
     assert isinstance(network, SimulatedNetwork)
     return network
--- a/ashlift/simulation/operators.py
+++ b/ashlift/simulation/operators.py
@@ -52,9 +52,9 @@
         if isinstance(command["body"], dict):
             timeout += CALL_TIMEOUT_SECONDS_PER_OBJECT * len(command["body"].get("Objects", ()))
         while True:
-            answer = yield from self._send_following_redirects(registries[0], command, timeout)
-            if isinstance(answer, tuple) and answer[0] in FINAL_STATUSES:
-                return answer[0]
+            response = yield from self._send_following_redirects(registries[0], command, timeout)
+            if isinstance(response, tuple) and response[0] in FINAL_STATUSES:
+                return response[0]
             if once:
                 return None
             registries = registries[1:] or self._registry_order(None)
@@ -69,15 +69,15 @@
                 evacuated = command["kind"] == "evacuate"
                 evacuation_call = EvacuationCall(command["body"], evacuated, sent, sent + timeout, self.name)
                 self.history.evacuation_calls.append(evacuation_call)
-            answer = yield self.call(
+            response = yield self.call(
                 registry, registry_process.KIND, RegistryMethod.OPERATOR_COMMAND, command, timeout
             )
-            if evacuation_call is not None and isinstance(answer, tuple) and answer[0] == 200:
+            if evacuation_call is not None and isinstance(response, tuple) and response[0] == 200:
                 evacuation_call.ended = self.loop.now
             timeout -= self.loop.now - sent
-            if not isinstance(answer, tuple) or answer[0] != REDIRECT_STATUS:
+            if not isinstance(response, tuple) or response[0] != REDIRECT_STATUS:
                 break
-        return answer
+        return response
 
     # ---- configurations
     def send_change(self, change: ConfigurationChange, first: str | None = None) -> None:
@@ -102,11 +102,11 @@
         registries = self._registry_order(first)
         while True:
             started = self.loop.now
-            answer = yield self.call(
+            response = yield self.call(
                 registries[0], registry_process.KIND, RegistryMethod.READ_CONFIG, None, CALL_TIMEOUT_SECONDS
             )
-            if isinstance(answer, tuple) and answer[0] in (200, 404):
-                body, entries = answer[1]
+            if isinstance(response, tuple) and response[0] in (200, 404):
+                body, entries = response[1]
                 version = int(body.get("ConfigVersion", "0"), 16)
                 self.history.readings.append(Reading(started, self.loop.now, version, body, entries))
                 return
--- a/ashlift/simulation/process.py
+++ b/ashlift/simulation/process.py
@@ -12,10 +12,10 @@
 
 
 class Machine:
-    """A place for programs, with a steady clock. Its `disk` outlives a loss of power."""
+    """A host for programs, with a monotonic clock. Its `disk` survives a loss of power."""
 
     def __init__(self, name: str, zone: str, region: str, clock_offset: float, link_name: str = "") -> None:
-        """`link_name`: the name under which its links are blocked, if several machines share one."""
+        """`link_name`: the name for blocking links, where several machines share it."""
         self.name = name
         self.zone = zone
         self.region = region
@@ -24,14 +24,14 @@
         self.powered = True
         self.wall_clock_skew = 0.0
         self.disk: dict[str, Any] = {}
-        self.disk_delay = 0.0  # in addition to the usual time of a write
+        self.disk_delay = 0.0  # added to the duration of each write
         self.disk_hangs = False
         self.disk_fails = False
         self.processes: dict[str, Process] = {}
 
 
 class Connection:
-    """From one incarnation of a process to one incarnation of another."""
+    """A connection from one incarnation of a process to one incarnation of another."""
 
     __slots__ = (
         "closed",
@@ -49,20 +49,20 @@
         self.target = target
         self.target_incarnation = target.incarnation
         self.closed = False
-        self.last_answer_at = now  # or when it came up: what is read next was not sent before
+        self.last_answer_at = now  # initially when it was established; the next request is not older
         self.unacknowledged_since: float | None = None
-        self.write_blocked_until = 0.0  # a call is being written until then, and is aborted
-        # When the newest bytes arrive in either direction: bytes keep their order.
+        self.write_blocked_until = 0.0  # until then a call that will be aborted occupies the connection
+        # Arrival times of the latest message in each direction: later messages must not overtake it.
         self.last_request_arrival = 0.0
         self.last_answer_arrival = 0.0
-        self.pending: dict[Future, None] = {}  # of calls without an answer, in their order
+        self.pending: dict[Future, None] = {}  # calls without a response, in the order of sending
 
 
 @define(eq=False, slots=True)
 class RpcCall:
-    """A call of one process to the program `kind` on a machine.
+    """A remote call of one process to the program `kind` on a machine.
 
-    `timeout` is for the whole call, `connect_timeout` the most of it for the connection to come up.
+    `timeout` limits the whole call, `connect_timeout` the establishing of a connection; both in seconds.
     """
 
     caller: "Process"
@@ -75,7 +75,7 @@
 
 
 class Network(Protocol):
-    """What processes need of the network that carries their calls.
+    """The network as processes use it.
 
     `SimulatedNetwork` implements it on simulated time, and the lab on real sockets.
     """
@@ -83,30 +83,30 @@
     machines: dict[str, Machine]
 
     def call(self, call: RpcCall) -> Future:
-        """Return the answer to come, or a Failure: UNREACHABLE (not sent) or OUTCOME_UNKNOWN (in doubt)."""
+        """Return a future of the response or of a Failure: UNREACHABLE (not sent) or OUTCOME_UNKNOWN."""
         ...
 
     def reset_connections(self, process: "Process") -> None:
-        """Tell whoever is connected with this process that it has ended."""
+        """Reset the connections of other processes to this one, which has ended."""
         ...
 
 
 class Condition:
-    """Wakes all tasks of one process that wait for it."""
+    """Condition variable for the tasks of one process."""
 
     def __init__(self, process: "Process") -> None:
         self._process = process
         self._waiting: list[Future] = []
 
     def wait(self, timeout: float) -> Future:
-        """Return a future that is True on the next `notify_all`, False after the timeout."""
+        """Return a future that becomes True on the next `notify_all`, or False after the timeout."""
         future = Future()
         self._waiting.append(future)
         self._process.call_later(max(0.0, timeout), future.set, False)
         return future
 
     def notify_all(self) -> None:
-        """Wake all who wait now."""
+        """Wake all tasks that are waiting now."""
         waiting, self._waiting = self._waiting, []
         for future in waiting:
             if not future.done:
@@ -116,8 +116,8 @@
 class Process:
     """A program on a machine.
 
-    `handlers` are the methods that others may call; a handler returns its answer, or a task that does.
-    `incarnation` changes with each start and each end.
+    `handlers` are the methods that other processes may call; each returns its response or a task that does.
+    `incarnation` is incremented by each start and each end.
     """
 
     def __init__(self, loop: EventLoop, net: Network, machine: Machine, kind: str) -> None:
@@ -129,7 +129,7 @@
         self.up = False
         self.frozen = False
         self.handlers: dict[str, Callable[[Any], Any]] = {}
-        # By this machine's clock: the request that a handler starts with was not sent before.
+        # On this machine's clock: the request that a handler is called with was not sent before this time.
         self.earliest_send_time = 0.0
         self.connections: dict[Process, Connection] = {}
         self._deferred: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
@@ -137,15 +137,15 @@
 
     @property
     def name(self) -> str:
-        """The name of its machine."""
+        """The name of the process's machine."""
         return self.machine.name
 
     def clock(self) -> float:
-        """Return the time of this machine's steady clock."""
+        """Return the time of this machine's monotonic clock."""
         return self.loop.now + self.machine.clock_offset
 
     def start(self) -> None:
-        """Start it, unless it runs or its machine has no power."""
+        """Start the process, unless it runs or its machine has no power."""
         if not self.up and self.machine.powered:
             self.incarnation += 1
             self.up = True
@@ -155,11 +155,11 @@
             self.on_start()
 
     def on_start(self) -> None:
-        """Start what the program does."""
+        """Start the program's tasks."""
         raise NotImplementedError
 
     def kill(self, silently: bool = False) -> None:
-        """End it at once. Others see their connections reset, unless the power is gone (`silently`)."""
+        """End the process at once. Its peers see a reset, unless the machine lost power (`silently`)."""
         if self.up:
             self.up = False
             self.frozen = False
@@ -169,14 +169,14 @@
                 self.net.reset_connections(self)
 
     def on_killed(self, silently: bool) -> None:
-        """Do what happens to the program's surroundings without its doing."""
+        """Apply the effects that the end has outside the process, on its disk or its peers."""
 
     def freeze(self) -> None:
-        """Stop it as SIGSTOP does."""
+        """Suspend the process as SIGSTOP does."""
         self.frozen = self.up
 
     def thaw(self) -> None:
-        """Continue it: timers and bytes that are due come first or last, either may be."""
+        """Resume the process; deferred actions run in their order or in reverse, at random."""
         if self.frozen:
             self.frozen = False
             incarnation = self.incarnation
@@ -188,18 +188,18 @@
                     self.deliver(action, args)
 
     def deliver(self, action: Callable[..., None], args: tuple[Any, ...]) -> None:
-        """Run the action now, or once the process is thawed."""
+        """Run the action now, or after `thaw` if the process is frozen."""
         if self.frozen:
             self._deferred.append((action, args))
         else:
             action(*args)
 
     def call_later(self, delay: float, action: Callable[..., None], *args: Any) -> None:
-        """Run the action after the delay, if this incarnation still runs."""
+        """Run the action after the delay in seconds, if this incarnation still runs."""
         self.loop.call_process_later(self, delay, action, *args)
 
     def spawn(self, task: Task, on_done: Callable[[Any], None] | None = None) -> None:
-        """Run a task: it yields seconds to sleep, or a Future whose value it gets."""
+        """Run a task, which yields seconds to sleep or a Future whose value is sent back to it."""
         incarnation = self.incarnation
 
         def resume(value: Any) -> None:
--- a/ashlift/simulation/proxy_process.py
+++ b/ashlift/simulation/proxy_process.py
@@ -1,4 +1,4 @@
-"""The proxy as a simulated process: its real cores, in the way that `ashlift.proxy` runs them.
+"""The proxy as a simulated process: runs the real routing code as `ashlift.proxy` does.
 
 A `ProxyRequest` does what `ashlift.proxy.request_handler` does, and a `ProxyProcess` what
 `ashlift.proxy.registry_poller` and `ashlift.proxy.upstream` do with sockets.
@@ -29,11 +29,11 @@
 from ashlift.simulation.worker_attempts import WorkerAttempt, WorkerTransport
 
 KIND: Final = "proxy"
-SCHEDULING_DELAY_SECONDS: Final = 0.001  # what is tried again without waiting takes at least this
-TIMER_SLACK_SECONDS: Final = 1e-6  # timers run just after what they wait for
+SCHEDULING_DELAY_SECONDS: Final = 0.001  # before an immediate retry, so that simulated time advances
+TIMER_SLACK_SECONDS: Final = 1e-6  # timers run just after the time that they wait for
 DRAIN_POLL_SECONDS: Final = 0.02
 
-ResponseCallback = Callable[[int, float | None], None]  # status, 0 for a reset; seconds to retry after
+ResponseCallback = Callable[[int, float | None], None]  # status (0: reset), retry-after in seconds
 
 
 class ProxyRequest:
@@ -48,17 +48,17 @@
         self._progress: RequestProgress[WorkerAttempt] | None = None
         self._received_at = 0.0
         self._deadline = 0.0
-        self._timer_number = 0  # of the newest timer; older ones are void
+        self._timer_number = 0  # of the latest timer; earlier timers are ignored
 
     def start(self, remaining: float) -> None:
-        """The request has been read; `remaining`: seconds that the client waits."""
+        """Handle a request that was read completely; `remaining`: seconds until the client times out."""
         self.request.received = self.proxy.loop.now
         self._received_at = self.proxy.clock()
         self._deadline = self.proxy.clock() + remaining
         self.admit()
 
     def admit(self) -> None:
-        """Ask the router, which may want to wait for a newer configuration."""
+        """Ask the router for admission; the router may defer it until a newer configuration arrives."""
         proxy = self.proxy
         if self.closed or self.admitted is not None:
             return
@@ -79,12 +79,12 @@
         self._follow(self._progress, self._progress.first_step(now))
 
     def client_disconnected(self) -> None:
-        """The client has closed its connection."""
+        """Cancel the request: the client has closed its connection."""
         if not self.closed:
-            self._answer(0, "gone", None)
+            self._respond(0, "gone", None)
 
     def attempt_ended(self, attempt: WorkerAttempt, outcome: AttemptOutcome) -> None:
-        """The outcome of an attempt has come."""
+        """Handle the outcome of an attempt."""
         progress = self._progress
         assert progress is not None
         progress.attempt_ended(self.proxy.clock(), attempt, outcome)
@@ -102,7 +102,7 @@
         if isinstance(step, WorkerState):
             self._start_attempt(progress, step)
         elif isinstance(step, WorkerResponse):
-            self._answer(step.status, "", None)
+            self._respond(step.status, "", None)
             return
         elif isinstance(step, Rejection):
             self._reject(step)
@@ -119,24 +119,24 @@
         self.proxy.start_exchange(attempt)
 
     def _reject(self, rejection: Rejection) -> None:
-        self._answer(rejection.status, rejection.reason.value, rejection.retry_after)
+        self._respond(rejection.status, rejection.reason.value, rejection.retry_after)
 
-    def _answer(self, status: int, cause: str, retry_after: float | None) -> None:
+    def _respond(self, status: int, cause: str, retry_after: float | None) -> None:
         self.closed = True
         proxy = self.proxy
         proxy.requests.pop(self.request, None)
         if self._progress is not None:
             for attempt in self._progress.close(proxy.clock()):
                 self._cancel(attempt)
-        answer = cause or str(status)
-        proxy.response_counts[answer] = proxy.response_counts.get(answer, 0) + 1
+        outcome = cause or str(status)
+        proxy.response_counts[outcome] = proxy.response_counts.get(outcome, 0) + 1
         self.request.cause = cause
         self.on_response(status, retry_after)
 
     def _cancel(self, attempt: WorkerAttempt) -> None:
         attempt.cancelled = True
         self.proxy.transport.close(attempt)
-        # Its connection is closed: the outcome comes at once.
+        # The proxy closed the connection itself, so it knows the outcome at once.
         result = AttemptResult.CONNECTION_LOST if attempt.sent else AttemptResult.CONNECT_FAILED
         self.proxy.call_later(0.0, attempt.finish, AttemptOutcome(result))
 
@@ -160,20 +160,20 @@
         self.requests: dict[Request, ProxyRequest] = {}
 
     def on_start(self) -> None:
-        """Start with empty cores, and watch the registry."""
+        """Start with an empty router, and poll the registry."""
         settings = self.settings()
         rng = random.Random(self.loop.rng.getrandbits(64))
         self.router = RequestRouter(settings, rng, self.clock())
         self.registry_client = RegistryClient(settings, self.router, f"{rng.getrandbits(32):08x}", rng)
         self.requests = {}
         self.waiting_for_configuration: list[ProxyRequest] = []
-        self._idle_since: dict[str, list[float]] = {}  # by worker, of each kept connection
+        self._idle_since: dict[str, list[float]] = {}  # by worker: since when each idle connection is unused
         self._idle_ages = IdleTimeoutEstimator()
         self._open_connections: dict[str, int] = {}  # by worker
         self.spawn(self._watch_registry())
 
     def on_killed(self, silently: bool) -> None:
-        """Clients see their connections reset."""
+        """Reset the connections of clients."""
         requests, self.requests = self.requests, {}
         if silently:
             return
@@ -186,10 +186,10 @@
             pull = self.registry_client.next_request(self.clock())
             if pull is not None:
                 timeout = LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS
-                answer: Any = yield self.call(
+                response: Any = yield self.call(
                     pull.registry_ip, registry_process.KIND, "pull", pull.body, timeout, pull.connect_timeout
                 )
-                if self.registry_client.handle_response(pull, self.clock(), answer):
+                if self.registry_client.handle_response(pull, self.clock(), response):
                     self._reconsider_waiting()
                     continue
             yield RETRY_PAUSE_SECONDS
@@ -200,7 +200,7 @@
             request.admit()
 
     def shut_down(self) -> None:
-        """SIGTERM: end once all requests are answered, or most of the grace period is over."""
+        """Handle SIGTERM: end when all requests are answered or most of the grace period is over."""
         self.router.draining = True
         self.spawn(self._drain())
 
@@ -213,22 +213,22 @@
         self.kill()
 
     def receive_request(self, request: Request, remaining: float, on_response: ResponseCallback) -> None:
-        """A client's request has come completely; `remaining`: seconds that the client waits."""
+        """Accept a client's complete request; `remaining`: seconds until the client times out."""
         request.proxy = self.name
         request.proxy_incarnation = self.incarnation
         proxy_request = self.requests[request] = ProxyRequest(self, request, on_response)
         proxy_request.start(remaining)
 
-    # ---- connections to workers, as `ashlift.proxy.upstream` has them
+    # ---- connections to workers, as `ashlift.proxy.upstream` manages them
     def start_exchange(self, attempt: WorkerAttempt) -> None:
-        """Send the attempt on a kept connection, or on a new one."""
+        """Send the attempt on an idle connection, or on a new one."""
         worker_id = attempt.worker.record.id
         if self._take_idle_connection(attempt):
             self.call_later(max(0.0, attempt.remaining), self._time_out, attempt)
             self.transport.send(attempt, True, 0.0)
             return
         open_count = self._open_connections.get(worker_id, 0)
-        self._open_connections[worker_id] = open_count + 1  # released with the outcome
+        self._open_connections[worker_id] = open_count + 1  # until `release_connection`
         if open_count >= self.router.max_connections(attempt.worker):
             attempt.proxy_request.request.pool_exhausted_count += 1
             outcome = AttemptOutcome(AttemptResult.CONNECTION_LIMIT_REACHED)
@@ -239,7 +239,7 @@
         self.transport.send(attempt, False, connect_timeout)
 
     def _take_idle_connection(self, attempt: WorkerAttempt) -> bool:
-        """Whether there is a kept connection that is not too old; older ones are closed."""
+        """Take an idle connection that is not too old, and close older ones; whether there is one."""
         worker_id = attempt.worker.record.id
         now = self.clock()
         admitted = attempt.proxy_request.admitted
@@ -254,7 +254,7 @@
         return False
 
     def connection_was_reset(self, attempt: WorkerAttempt) -> None:
-        """The kept connection of the attempt was reset: its worker had dropped it."""
+        """End the attempt: the worker had dropped its idle connection, which was reset."""
         waited = self.loop.now - attempt.started
         is_idle_reset = self._idle_ages.record_reset(self.clock(), attempt.idle_seconds, waited)
         attempt.finish(AttemptOutcome(AttemptResult.CONNECTION_LOST, None, waited, is_idle_reset))
@@ -264,7 +264,7 @@
         attempt.finish(AttemptOutcome(result, None, attempt.remaining))
 
     def release_connection(self, worker_id: str, keep: bool) -> None:
-        """The connection of an attempt is free: keep it for another one, or close it."""
+        """Return an attempt's connection to the pool of idle ones, or close it."""
         idle_since = self._idle_since.setdefault(worker_id, [])
         if keep and len(idle_since) < MAX_IDLE_PER_WORKER:
             idle_since.append(self.clock())
--- a/ashlift/simulation/registry_process.py
+++ b/ashlift/simulation/registry_process.py
@@ -1,4 +1,4 @@
-"""The registry as a simulated process: the real registry, with the loops and handlers of its program."""
+"""The registry as a simulated process: runs the real registry with the loops and handlers of its program."""
 
 from collections.abc import Callable
 from typing import Any, Final
@@ -55,7 +55,7 @@
         zones: dict[str, str],
         heartbeat_interval: float,
     ) -> None:
-        """`seeds`: read at each start; `zones`: their regions."""
+        """`seeds`: read at each start; `zones`: the region of each zone."""
         super().__init__(loop, net, machine, KIND)
         self.seeds = seeds
         self.zones = zones
@@ -73,7 +73,7 @@
         }
 
     def on_start(self) -> None:
-        """Start with an empty registry, and follow stores and other registries."""
+        """Start with an empty registry, and replicate from stores and peer registries."""
         machine = self.machine
         identity = RegistryIdentity(
             machine.name,
@@ -94,7 +94,7 @@
         self.spawn(self._tick())
 
     def notify_waiting(self) -> None:
-        """Wake the handlers that wait for a change, if there was one."""
+        """Wake the waiting handlers if the registry has changed."""
         if self._notified_count != self.registry.change_count:
             self._notified_count = self.registry.change_count
             self._changed.notify_all()
@@ -151,13 +151,13 @@
             sent = self.clock()
             body = codec.encode_swap_request(registry.peers.swap_request(ip, is_first))
             timeout = LONG_POLL_SECONDS + RESPONSE_TIMEOUT_SECONDS
-            answer = yield self.call(ip, KIND, "swap", body, timeout)
+            response = yield self.call(ip, KIND, "swap", body, timeout)
             if ip not in self._swapping_with:
                 return
-            if not isinstance(answer, Failure):
-                answer = codec.decode_swap_response(answer, self.clock())
-            if isinstance(answer, Failure):
-                if answer.reason == FailureReason.OUTCOME_UNKNOWN:
+            if not isinstance(response, Failure):
+                response = codec.decode_swap_response(response, self.clock())
+            if isinstance(response, Failure):
+                if response.reason == FailureReason.OUTCOME_UNKNOWN:
                     self.net.close_connection(self, ip, KIND)
                 is_first = True
                 yield backoff
@@ -165,39 +165,39 @@
                 continue
             is_first = False
             backoff = INITIAL_BACKOFF_SECONDS
-            registry.receive_swap_response(ip, answer, sent)
+            registry.receive_swap_response(ip, response, sent)
             self.notify_waiting()
             yield BATCHING_DELAY_SECONDS
 
     def _watch_stores(self) -> Task:
-        """Watch the own store, or another one in turn while that has nothing new."""
+        """Watch the local store, alternating with another store while the local one has no news."""
         config = self.registry.operator_config
-        watches_own = True
+        watches_local = True
         while True:
             sent = self.clock()
-            wait = LOCAL_STORE_WATCH_SECONDS if watches_own else LONG_POLL_SECONDS
-            ip = self.name if watches_own else self._store_client.next_remote_store()
+            wait = LOCAL_STORE_WATCH_SECONDS if watches_local else LONG_POLL_SECONDS
+            ip = self.name if watches_local else self._store_client.next_remote_store()
             body = codec.encode_watch_request(config.version, wait, config.wanted_fragment())
-            answer: Any = Failure(FailureReason.UNREACHABLE, "there is no other store")
+            response: Any = Failure(FailureReason.UNREACHABLE, "there is no other store")
             if ip is not None:
-                answer = yield self.call(
+                response = yield self.call(
                     ip, configstore_process.KIND, "watch", body, wait + WATCH_GRACE_SECONDS
                 )
             now = self.clock()
             is_fresh = False
-            failed = isinstance(answer, Failure)
-            if watches_own:
-                timed_out = failed and answer.reason == FailureReason.OUTCOME_UNKNOWN
-                self._store_client.own_store_hangs = timed_out
-            self._store_client.observe(answer)
+            failed = isinstance(response, Failure)
+            if watches_local:
+                timed_out = failed and response.reason == FailureReason.OUTCOME_UNKNOWN
+                self._store_client.local_store_hangs = timed_out
+            self._store_client.observe(response)
             if not failed:
-                is_fresh = config.receive_watch_response(answer, sent)
+                is_fresh = config.receive_watch_response(response, sent)
                 self.notify_waiting()
-            watches_own = is_fresh or not watches_own
+            watches_local = is_fresh or not watches_local
             if not is_fresh:
                 yield max(0.0, sent + INITIAL_BACKOFF_SECONDS - now)
 
-    # ---- HTTP requests, as `ashlift.registry.api` handles them: a status and a value
+    # ---- HTTP requests, as `ashlift.registry.api` handles them; handlers return a status and a value
     def _handle_heartbeat(self, body: tuple[str, dict[str, Any]]) -> Any:
         worker_id, fields = body
         now = self.clock()
@@ -225,25 +225,25 @@
         return 200, target
 
     def _handle_lookup(self, locality: tuple[str, str]) -> Any:
-        answer = self.registry.lookup(HOST, Locality(*locality), self.clock())
-        return (503, None) if isinstance(answer, Failure) else (200, answer.addresses)
+        response = self.registry.lookup(HOST, Locality(*locality), self.clock())
+        return (503, None) if isinstance(response, Failure) else (200, response.addresses)
 
     def _handle_command(self, command: dict[str, Any]) -> Task:
         sent_since = self.earliest_send_time if command["kind"] in ("evacuate", "restore") else None
         if sent_since is not None and self.clock() - sent_since > MAX_REQUEST_AGE_SECONDS:
             return REDIRECT_STATUS, None
-        answer = yield from self._store_client.submit(command, sent_since)
-        if not isinstance(answer, Failure):
-            return answer["status"], answer.get("reason")
-        if sent_since is not None and answer.reason == FailureReason.EXPIRED:
+        response = yield from self._store_client.submit(command, sent_since)
+        if not isinstance(response, Failure):
+            return response["status"], response.get("reason")
+        if sent_since is not None and response.reason == FailureReason.EXPIRED:
             return REDIRECT_STATUS, None
-        return 503, answer.reason
+        return 503, response.reason
 
     def _handle_read_config(self, _: Any) -> Task:
-        answer = yield from self._store_client.read()
-        if isinstance(answer, Failure):
-            return 503, answer.reason
-        entries = answer["objects"]
+        response = yield from self._store_client.read()
+        if isinstance(response, Failure):
+            return 503, response.reason
+        entries = response["objects"]
         if not entries.get("Version"):
             return 404, ({}, entries)
         return 200, (export_configuration(entries), entries)
--- a/ashlift/simulation/route_edit_service.py
+++ b/ashlift/simulation/route_edit_service.py
@@ -36,11 +36,11 @@
         edit = decode_request(entries, name, request, self._timestamp(name, {}), self._process.name)
         assert isinstance(edit, RouteEdit)
         command = {"kind": "edit", "if_match": None, "body": {"edit": encode_edit(edit)}}
-        answer = yield from self._store_client.submit(command)
-        if not isinstance(answer, Failure):
-            return answer["status"], answer
+        response = yield from self._store_client.submit(command)
+        if not isinstance(response, Failure):
+            return response["status"], response
         pending_edits, _ = yield from self._pending_edits([])
-        may_have_run = answer.reason not in NOT_EXECUTED_REASONS
+        may_have_run = response.reason not in NOT_EXECUTED_REASONS
         pending = prepare_pending(entries, pending_edits, edit, may_have_run)
         if isinstance(pending, RouteChanged):
             return 409, pending.encode()
@@ -62,13 +62,13 @@
         decision["stamp"] = [*self._timestamp(edit.route, pending_edits)]
         version = self._registry.operator_config.values.get("Version")
         command = {"kind": request["word"], "if_match": version, "body": decision}
-        answer = yield from self._store_client.submit(command)
-        return (503, {}) if isinstance(answer, Failure) else (answer["status"], answer)
+        response = yield from self._store_client.submit(command)
+        return (503, {}) if isinstance(response, Failure) else (response["status"], response)
 
     def _pending_edits(self, added: list[dict[str, Any]]) -> Task:
         """Leave edits at all stores; returns all pending edits, and the stores that answered."""
         ips = dict.fromkeys([self._process.name, *self._store_client.stores()])
-        answers = {
+        responses = {
             ip: self._process.call(
                 ip, configstore_process.KIND, "drafts", {"add": added}, PENDING_EDITS_TIMEOUT_SECONDS
             )
@@ -76,11 +76,11 @@
         }
         pending_edits: dict[str, RouteEdit] = {}
         holders = []
-        for ip, future in answers.items():
-            answer = yield future
-            if not isinstance(answer, Failure):
+        for ip, future in responses.items():
+            response = yield future
+            if not isinstance(response, Failure):
                 holders.append(ip)
-                pending_edits = join_edits(pending_edits, decode_edits(answer["edits"]))
+                pending_edits = join_edits(pending_edits, decode_edits(response["edits"]))
         return pending_edits, holders
 
     def _timestamp(self, route: str, pending_edits: dict[str, RouteEdit]) -> HybridTimestamp:
--- a/ashlift/simulation/route_edits.py
+++ b/ashlift/simulation/route_edits.py
@@ -36,11 +36,11 @@
     status: int = 0
     acknowledged: float = float("inf")
 
-    def receive_response(self, answer: Any, now: float) -> None:
+    def receive_response(self, response: Any, now: float) -> None:
         """Note what a registry answered: a status and a value, or a failure."""
-        if isinstance(answer, tuple):
-            self.status = answer[0]
-            if answer[0] == 200 and answer[1]["outcome"] == Outcome.APPLIED:
+        if isinstance(response, tuple):
+            self.status = response[0]
+            if response[0] == 200 and response[1]["outcome"] == Outcome.APPLIED:
                 self.acknowledged = now
 
 
@@ -84,8 +84,8 @@
     record.status = 0
 
     def call() -> Task:
-        answer = yield operator.call(registry, registry_process.KIND, method, body, CALL_TIMEOUT_SECONDS)
-        record.receive_response(answer, operator.loop.now)
+        response = yield operator.call(registry, registry_process.KIND, method, body, CALL_TIMEOUT_SECONDS)
+        record.receive_response(response, operator.loop.now)
 
     operator.spawn(call())
 
--- a/ashlift/simulation/simulated_store_client.py
+++ b/ashlift/simulation/simulated_store_client.py
@@ -21,7 +21,7 @@
         self._registry = registry
         self._position = StorePosition()
         self._watch_number = 0
-        self.own_store_hangs = False
+        self.local_store_hangs = False
 
     def stores(self) -> list[str]:
         """Return the core machines that have a store, by distance."""
@@ -37,9 +37,9 @@
         self._watch_number += 1
         return others[self._watch_number % len(others)] if others else None
 
-    def observe(self, answer: Any) -> None:
+    def observe(self, response: Any) -> None:
         """Note the position that a store's answer to `watch` tells."""
-        self._position.observe(answer)
+        self._position.observe(response)
 
     def submit(self, command: dict[str, Any], sent_since: float | None = None) -> Task:
         """Submit a command; `sent_since`: it was not sent before, and is void a time-out after."""
@@ -61,14 +61,14 @@
     def ask(self, method: str, body: Callable[[], dict[str, Any]], deadline: float) -> Task:
         """Call the method of one store after the other; `body` is made anew for each call."""
         process = self._process
-        stores = stores_to_try(process.name, self.stores(), self.own_store_hangs)
+        stores = stores_to_try(process.name, self.stores(), self.local_store_hangs)
         request = OperatorRequest(stores, process.clock(), deadline)
-        answers: list[tuple[str, Any]] = []
+        responses: list[tuple[str, Any]] = []
         wake_up = Future()
 
         def call(ip: str) -> Task:
-            answer = yield from self._call_with_position(ip, method, body, deadline)
-            answers.append((ip, answer))
+            response = yield from self._call_with_position(ip, method, body, deadline)
+            responses.append((ip, response))
             wake_up.set(None)
 
         while wait := request.wait_seconds(process.clock()):
@@ -76,12 +76,12 @@
             if ip is not None:
                 process.spawn(call(ip))
                 continue
-            if not answers:
+            if not responses:
                 wake_up = Future()
                 process.call_later(wait, wake_up.set, None)
                 yield wake_up
-            while answers:
-                request.record_response(*answers.pop(0), process.clock())
+            while responses:
+                request.record_response(*responses.pop(0), process.clock())
         return request.outcome
 
     def _call_with_position(
@@ -89,13 +89,15 @@
     ) -> Task:
         """Call once, and again with the store's position if the known one is too old."""
         process = self._process
-        answer = yield process.call(ip, configstore_process.KIND, method, body(), deadline - process.clock())
-        if isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
+        response = yield process.call(
+            ip, configstore_process.KIND, method, body(), deadline - process.clock()
+        )
+        if isinstance(response, Failure) and response.reason == FailureReason.EXPIRED:
             remaining = deadline - process.clock()
             self.observe(
                 (yield process.call(ip, configstore_process.KIND, "watch", POSITION_REQUEST, remaining))
             )
-            answer = yield process.call(
+            response = yield process.call(
                 ip, configstore_process.KIND, method, body(), deadline - process.clock()
             )
-        return answer
+        return response
--- a/ashlift/simulation/worker.py
+++ b/ashlift/simulation/worker.py
@@ -81,7 +81,7 @@
         self.record.warmups.append((self.loop.now, self.warm_at))
 
     def on_killed(self, silently: bool) -> None:
-        """Proxies see their connections reset."""
+        """Reset the connections of proxies, and release the address."""
         self.record.ended = self.loop.now
         attempts = [*self._running, *(attempt for attempt, _ in self._queue)]
         self._running = {}
@@ -175,14 +175,14 @@
         for registry in registries:
             state = self.state
             body = self._heartbeat()
-            answer = yield self.call(
+            response = yield self.call(
                 registry, registry_process.KIND, RegistryMethod.HEARTBEAT, body, CALL_TIMEOUT_SECONDS
             )
-            if isinstance(answer, tuple) and answer[0] == 200:
+            if isinstance(response, tuple) and response[0] == 200:
                 if state == "draining" and self.record.draining_acknowledged == math.inf:
                     self.record.draining_acknowledged = self.loop.now
                     self.record.draining_registry = registry
-                return answer[1].rpartition(":")[0]
+                return response[1].rpartition(":")[0]
         return None
 
     def _send_heartbeats(self) -> Task:
@@ -209,9 +209,9 @@
 
     def _deregister(self, target: str | None) -> Task:
         for registry in [*([target] if target else []), *self.pool.registries]:
-            answer = yield self.call(
+            response = yield self.call(
                 registry, registry_process.KIND, RegistryMethod.DEREGISTER, self.id, CALL_TIMEOUT_SECONDS
             )
-            if isinstance(answer, tuple) and answer[0] == 200:
+            if isinstance(response, tuple) and response[0] == 200:
                 self.record.deregistered = self.loop.now
                 break
--- a/ashlift/simulation/world.py
+++ b/ashlift/simulation/world.py
@@ -1,4 +1,4 @@
-"""A world of simulated programs: machines in zones, their programs, and faults of both."""
+"""The simulated cluster: machines in zones, the programs on them, and fault injection for both."""
 
 from collections.abc import Iterable
 from typing import Final, TypeVar
@@ -25,7 +25,7 @@
 PROXY_PORTS: Final = (7600, 7615)
 CLIENT_PORT: Final = 80
 READINESS_PORT: Final = 81
-# The programs that the words of scenarios stand for.
+# Process kinds by the program names of scenario files.
 PROGRAMS: Final = {
     "configstore": [configstore_process.KIND],
     "registry": [registry_process.KIND],
@@ -38,7 +38,7 @@
 
 
 class World(BaseWorld):
-    """The programs of all machines on simulated time."""
+    """All machines with their programs, on simulated time."""
 
     net: SimulatedNetwork
 
@@ -100,11 +100,11 @@
         return evolve(settings, seeds=tuple((seed, registry_process.CONTROL_PORT) for seed in self.seeds))
 
     def run(self, until: float) -> None:
-        """Let everything happen up to that time."""
+        """Run all events up to that time, in seconds since the start."""
         self.loop.run(until)
         self.history.end = until
 
-    # ---- looking at the programs
+    # ---- program state
     def _process(self, machine: str, kind: str, process_type: type[AnyProcess]) -> AnyProcess:
         process = self.net.machines[machine].processes[kind]
         assert isinstance(process, process_type)
@@ -131,7 +131,7 @@
         return [self._process(name, proxy_process.KIND, ProxyProcess) for name in self.edge]
 
     def leader(self) -> str | None:
-        """Return the machine of the newest of those stores that believe that they lead."""
+        """Return the machine of the store that leads in the highest term; None if no store is leader."""
         leaders = [
             (process.replica.leader_role.term, process.name)
             for process in self.configstores()
@@ -140,7 +140,7 @@
         return max(leaders)[1] if leaders else None
 
     def has_leader(self) -> bool:
-        """Whether a store leads and has committed in its term."""
+        """Whether there is a leader that has committed an entry in its term."""
         leader = self.leader()
         if leader is None:
             return False
@@ -148,7 +148,7 @@
         return bool(replica and replica.leader_role and replica.leader_role.commit_index)
 
     def versions(self) -> dict[str, int]:
-        """Return the configuration version of each running proxy, 0 where it has none."""
+        """Return the configuration version of each running proxy, 0 for a proxy without a configuration."""
         versions = {}
         for proxy in self.proxies():
             if proxy.up:
@@ -157,7 +157,7 @@
         return versions
 
     def known_workers(self) -> dict[str, dict[str, bool]]:
-        """Return what each running proxy knows of workers: whether they are ready."""
+        """Return the workers that each running proxy knows, and whether it considers them ready."""
         return {
             proxy.name: {name: worker.ready for name, worker in proxy.router.cluster.workers.items()}
             for proxy in self.proxies()
@@ -183,9 +183,9 @@
             if (process := self.net.machines[name].processes.get(kind))
         ]
 
-    # ---- faults of programs
+    # ---- process faults
     def kill(self, programs: str, machines: list[str], restart_seconds: float = RESTART_SECONDS) -> None:
-        """Kill programs, and start them again after some seconds."""
+        """Kill programs, and start them again after `restart_seconds`."""
         for process in self._processes(programs, machines):
             if process.up:
                 self.begin_fault(process.name)
@@ -198,7 +198,7 @@
             self.end_faults(process.name)
 
     def terminate(self, programs: str, machines: list[str]) -> None:
-        """SIGTERM: programs leave in order, and are started again."""
+        """Send SIGTERM: programs shut down gracefully, and are started again after their exit."""
         for process in self._processes(programs, machines):
             if process.up:
                 self.begin_fault(process.name, termination=True)
@@ -215,7 +215,7 @@
             self.loop.call_later(RESTART_SECONDS, self._restart, process)
 
     def freeze(self, programs: str, machines: list[str], seconds: float) -> None:
-        """SIGSTOP, and SIGCONT after some seconds."""
+        """Suspend programs as SIGSTOP does, and resume them after some seconds."""
         for process in self._processes(programs, machines):
             if process.up and not process.frozen:
                 process.freeze()
@@ -227,9 +227,9 @@
             process.thaw()
             self.end_faults(process.name)
 
-    # ---- faults of machines and disks
+    # ---- machine and disk faults
     def power_off(self, machines: list[str], seconds: float | None = None, wipe: bool = False) -> None:
-        """Take the power away, and the disk's content too (`wipe`); None: until `power_on`."""
+        """Cut the power for some seconds, or until `power_on` if None; `wipe` also erases the disks."""
         for name in machines:
             machine = self.net.machines[name]
             self.begin_fault(name)
@@ -242,7 +242,7 @@
                 self.loop.call_later(seconds, self.power_on, [name])
 
     def power_on(self, machines: list[str]) -> None:
-        """Start machines and all their programs; the steady clock begins anew."""
+        """Start machines and all their programs; the monotonic clock of a machine gets a new offset."""
         for name in machines:
             machine = self.net.machines[name]
             if not machine.powered:
@@ -252,7 +252,7 @@
                 self.loop.call_later(self.loop.rng.uniform(0.05, BOOT_SECONDS), self._restart, process)
 
     def corrupt_disks(self, machines: list[str]) -> None:
-        """Let nothing be read from the disks after the next start."""
+        """Corrupt the stored state: the next start of the store cannot read it."""
         for name in machines:
             failure = Failure(FailureReason.INVALID, "torn")
             self.net.machines[name].disk.update(vote=failure, state=failure)
@@ -260,22 +260,22 @@
     def set_disk_fault(
         self, machines: list[str], hangs: bool = False, fails: bool = False, delay: float = 0.0
     ) -> None:
-        """Let writes hang, fail, or take longer; with none of these the disks work again."""
+        """Make writes hang, fail or take `delay` seconds longer; without arguments, repair the disks."""
         is_faulty = hangs or fails or delay > 0.0
         for name in machines:
             machine = self.net.machines[name]
             machine.disk_hangs = hangs
             machine.disk_fails = fails
             machine.disk_delay = delay
-            # Not by `begin_fault`: the core is not unsettled by it.
+            # Not `self.begin_fault`, which would also mark the core as unstable.
             if is_faulty:
                 self.history.begin_fault(name, self.loop.now)
             else:
                 self.history.end_faults(name, self.loop.now)
 
-    # ---- faults of links
+    # ---- network faults
     def reset_connections(self, machines: list[str]) -> None:
-        """Break all connections of these machines; whoever had one is told."""
+        """Reset all connections of these machines; their peers see the reset."""
         for name in machines:
             for process in self.net.machines[name].processes.values():
                 self.net.reset_connections(process)
@@ -285,7 +285,7 @@
             self.end_faults(name)
 
     def slow_down(self, machines: list[str], extra_delay: float, seconds: float) -> None:
-        """Let each message from or to these machines take longer for some seconds."""
+        """Delay each message from or to these machines by `extra_delay` seconds, for some seconds."""
         for name in machines:
             self.net.extra_delay[name] = extra_delay
             self.begin_fault(name)
@@ -296,7 +296,7 @@
         self.end_faults(machine)
 
     def block_links(self, sources: list[str], destinations: list[str], both_ways: bool = True) -> None:
-        """Let nothing through from these machines to those, or between them."""
+        """Block the links from sources to destinations, and by default those in the other direction."""
         for source in sources:
             for destination in destinations:
                 if source != destination:
@@ -306,7 +306,7 @@
         self._record_link_change({*sources, *destinations})
 
     def unblock_links(self, sources: list[str] | None = None, destinations: list[str] | None = None) -> None:
-        """Unblock the links between these machines, or all."""
+        """Unblock the links between these machines in both directions, or all links."""
         between = {(source, destination) for source in sources or () for destination in destinations or ()}
         unblocked = [
             link
@@ -321,7 +321,7 @@
         self.links_changed(machines, {name for link in self.net.blocked_links for name in link})
 
     def set_loss_rate(self, loss_rate: float) -> None:
-        """Lose this share of messages."""
+        """Drop this share of all messages; 0 ends the fault."""
         self.net.loss_rate = loss_rate
         for name in [*self.core, *self.edge]:
             if loss_rate:
@@ -331,4 +331,4 @@
         self.core_changed()
 
     def apply_seeds(self) -> None:
-        """Nothing to do: programs read `seeds` as they start."""
+        """Do nothing: programs read `seeds` when they start."""
