--- a/ashlift/simulation/checkers/__init__.py
+++ b/ashlift/simulation/checkers/__init__.py
@@ -1,1 +1,1 @@
-"""Checkers of the users' rules: each reads a `CheckedHistory` and yields the violations that it finds."""
+"""Checkers of the service's rules: each reads a `CheckedHistory` and yields the violations that it finds."""
--- a/ashlift/simulation/checkers/checked_history.py
+++ b/ashlift/simulation/checkers/checked_history.py
@@ -1,7 +1,7 @@
-"""A history with the bounds that the rules set, and what the checkers ask of both.
+"""A recorded history with the configured bounds, and the queries that the checkers share.
 
-"In touch" is the users' term: a machine without a fault, while the core was settled, for `Bounds.contact`
-seconds. Bounds come from the settings and are in seconds.
+A machine is "in contact" if for the last `Bounds.contact` seconds it had no fault and the core was stable: a
+connected majority that did not change. Bounds are in seconds.
 """
 
 from collections.abc import Iterator
@@ -14,8 +14,8 @@
 class CheckedHistory:
     """One history with its bounds.
 
-    `changes` are all configuration changes by version; `possible_changes` those of them that may be in force:
-    all but the invalid ones and those that were clearly rejected.
+    `changes` are all configuration changes by version; `possible_changes` those that may have taken effect:
+    all except invalid and rejected ones.
     """
 
     def __init__(self, history: History, bounds: Bounds) -> None:
@@ -27,23 +27,23 @@
         ]
 
     def core_was_stable(self, start: float, end: float) -> bool:
-        """Whether the core had a connected majority that did not change in this span."""
+        """Whether the core had an unchanged connected majority during this span."""
         return not any(interval.overlaps(start, end) for interval in self.history.core_unstable)
 
     def was_healthy(self, machine: str, start: float, end: float) -> bool:
-        """Whether the machine had no fault in this span."""
+        """Whether the machine had no fault during this span."""
         return not any(interval.overlaps(start, end) for interval in self.history.faults.get(machine, ()))
 
     def was_in_contact(self, machine: str, at: float) -> bool:
-        """Whether the machine was in touch at that moment."""
+        """Whether the machine was in contact at that time."""
         start = at - self.bounds.contact
         return self.was_healthy(machine, start, at) and self.core_was_stable(start, at)
 
     def must_have_applied(self, machine: str, at: float, acknowledged: float, bound: float) -> bool:
-        """Whether the machine must act at `at` on what was acknowledged `bound` seconds before.
+        """Whether a change acknowledged at `acknowledged` must have taken effect on the machine by `at`.
 
-        It must when it is in touch. While the core is unsettled without a lasting loss of its majority, the
-        bound is stretched, but by `Bounds.max_stretch` at most.
+        A machine in contact must apply it within `bound` seconds. While the core is unstable, but has never
+        lost its majority, the bound is extended by up to `Bounds.max_stretch`.
         """
         if at <= acknowledged + bound:
             return False
@@ -57,14 +57,14 @@
         )
 
     def runs(self) -> Iterator[tuple[Request, Arrival]]:
-        """Each arrival that ran, with its request."""
+        """Yield each arrival that ran, with its request."""
         for request in self.history.requests:
             for arrival in request.arrivals:
                 if arrival.ran:
                     yield request, arrival
 
     def possibly_in_force(self, start: float, end: float) -> list[ConfigurationChange]:
-        """Changes that may be in force at some moment of this span."""
+        """Return the changes that may be in force at some time during this span."""
         apply_bound = self.bounds.config_apply + self.bounds.max_stretch
         applied_before = [
             change for change in self.possible_changes if change.acknowledged + apply_bound < start
@@ -78,7 +78,7 @@
 
 
 def allows_run(table: RoutingTable, request: Request, arrival: Arrival) -> bool:
-    """Whether the configuration lets the request run at this service for this tenant."""
+    """Whether the configuration allows the request to run at this service for this tenant."""
     route = table.find_route(HOST, request.path)
     if route is None or arrival.service not in [name for name, _ in route.traffic_split]:
         return False
@@ -89,7 +89,7 @@
 
 
 def explains_denial(table: RoutingTable, request: Request) -> bool:
-    """Whether the configuration is a reason for the request's status, which is 401, 403 or 404."""
+    """Whether the configuration explains the request's status, which is 401, 403 or 404."""
     route = table.find_route(HOST, request.path)
     if route is None or request.status == 404:
         return route is None and request.status == 404
@@ -97,7 +97,7 @@
 
 
 def allows_region(table: RoutingTable, request: Request, region: str) -> bool:
-    """Whether the home regions of the route and of the tenant, where they are set, include this one."""
+    """Whether the home regions of the route and of the tenant, where set, include this region."""
     route = table.find_route(HOST, request.path)
     tenant = table.find_tenant(request.key)
     if route is None:
--- a/ashlift/simulation/checkers/configuration_checks.py
+++ b/ashlift/simulation/checkers/configuration_checks.py
@@ -1,4 +1,4 @@
-"""Rules for the configuration: it takes effect in time, does not go back, and is never lost."""
+"""Rules for the configuration: changes take effect in time, are never lost, and versions only increase."""
 
 import math
 from collections import defaultdict
@@ -23,17 +23,17 @@
 
 @frozen
 class Observation:
-    """What a request shows of the configuration in force at its proxy: the versions that explain it."""
+    """Evidence of the configuration in force at a proxy: the versions that explain a request's outcome."""
 
     request: Request
     at: float
     versions: list[int]
     description: str
-    ran: bool  # a worker saw it; otherwise it is a denial
+    ran: bool  # whether a worker ran the request; otherwise the proxy denied it
 
 
 def check_configuration_in_force(checked: CheckedHistory) -> Iterator[Violation]:
-    """CONFIG: no proxy acts on a version that is too old, went back, lost its race or never was in force."""
+    """CONFIG: no proxy acts on a version that is outdated, conflicting, downgraded or was never in force."""
     observations = [
         observation
         for request in checked.history.requests
@@ -46,7 +46,7 @@
         elif observation.ran:
             description = (
                 f"{observation.request.describe()} {observation.description}, "
-                "as no version that may be in force says"
+                "which no version that may be in force allows"
             )
             yield Violation("CONFIG", observation.at, description)
     explained = [observation for observation in observations if observation.versions]
@@ -68,7 +68,7 @@
 def _stale(
     checked: CheckedHistory, observation: Observation, acknowledged: list[ConfigurationChange]
 ) -> Iterator[Violation]:
-    """What explains the observation is older than a change that the proxy must know."""
+    """All versions that explain the observation are older than a change that the proxy must have applied."""
     request = observation.request
     newest_version = max(observation.versions)
     for change in acknowledged:
@@ -76,14 +76,14 @@
             request.proxy, request.sent, change.acknowledged, checked.bounds.config_apply
         ):
             description = (
-                f"{request.describe()} {observation.description}, as only version {newest_version} says, "
-                f"and {change.describe()} was acknowledged at {change.acknowledged:.3f}"
+                f"{request.describe()} {observation.description}, as version {newest_version} at most allows, "
+                f"but {change.describe()} was acknowledged at {change.acknowledged:.3f}"
             )
             yield Violation("CONFIG", observation.at, description)
 
 
 def _downgrades(checked: CheckedHistory, observations: list[Observation]) -> Iterator[Violation]:
-    """An incarnation of a proxy acts on an older version than it did before."""
+    """An incarnation of a proxy acts on an older version than before."""
     effects = _observed_effects(checked, observations)
     for observation in observations:
         request = observation.request
@@ -93,8 +93,8 @@
                 break
             if newest_version < version:
                 description = (
-                    f"{request.describe()} {observation.description}: back from version {version}, "
-                    f"which had an effect there at {effect_at:.3f}, to {newest_version}"
+                    f"{request.describe()} {observation.description}: downgrade from version {version}, "
+                    f"which was in effect there at {effect_at:.3f}, to {newest_version}"
                 )
                 yield Violation("CONFIG", observation.at, description)
                 break
@@ -103,7 +103,7 @@
 def _observed_effects(
     checked: CheckedHistory, observations: list[Observation]
 ) -> dict[tuple[str, int], list[tuple[float, int]]]:
-    """When each incarnation of a proxy acted on which version at least, in the order of time."""
+    """For each incarnation of a proxy: times and the lowest version that it acted on, ordered by time."""
     first_version = checked.possible_changes[0].version if checked.possible_changes else 0
     effects: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(list)
     for observation in observations:
@@ -117,22 +117,22 @@
 
 
 def _conflicting_changes(checked: CheckedHistory) -> Iterator[Violation]:
-    """An invalid change was acknowledged, or two different ones on the same base."""
+    """An invalid change was acknowledged, or two different changes on the same base version."""
     first_on_base: dict[int, ConfigurationChange] = {}
     for change in sorted(checked.changes, key=lambda change: change.acknowledged):
         if math.isinf(change.acknowledged):
             continue
         if not change.valid:
-            description = f"{change.describe()} is invalid and was acknowledged"
+            description = f"{change.describe()} is invalid but was acknowledged"
             yield Violation("CONFIG", change.acknowledged, description)
         other = first_on_base.setdefault(change.base, change)
-        if other is not change and other.as_write() != change.as_write():  # equal ones are resends
+        if other is not change and other.as_write() != change.as_write():  # an equal change is a resend
             description = f"{change.describe()} and {other.describe()}: both acknowledged"
             yield Violation("CONFIG", change.acknowledged, description)
 
 
 def check_revoked_keys(checked: CheckedHistory) -> Iterator[Violation]:
-    """CONFIG, for proxies in touch or not: no request runs with a key that was removed `revoke` s before."""
+    """CONFIG, in contact or not: no request runs with a key whose removal was acknowledged `revoke` s ago."""
     changes_with_key: dict[str, list[ConfigurationChange]] = {}
     for request, run in checked.runs():
         key = request.key
@@ -148,8 +148,8 @@
         ):
             continue
         description = (
-            f"{request.describe()} ran at {run.worker}, and {removal.describe()} without "
-            f"its key was acknowledged at {removal.acknowledged:.3f}"
+            f"{request.describe()} ran at {run.worker}, but {removal.describe()}, which removes its key, "
+            f"was acknowledged at {removal.acknowledged:.3f}"
         )
         yield Violation("CONFIG", run.at, description)
 
@@ -157,7 +157,7 @@
 def _acknowledged_removal(
     checked: CheckedHistory, request: Request, changes_with_key: list[ConfigurationChange]
 ) -> ConfigurationChange | None:
-    """The newest change without the request's key that must be in force since before it was sent."""
+    """The newest change without the request's key that must have been in force when it was sent."""
     limit = request.sent - checked.bounds.revoke
     removals = [
         change
@@ -168,7 +168,7 @@
 
 
 def check_configuration_reads(checked: CheckedHistory) -> Iterator[Violation]:
-    """CONFIG, LOST: a read is no older than what was acknowledged or read before, and is as it was sent."""
+    """CONFIG, LOST: a read returns a version as it was sent, not older than those acknowledged or read."""
     acknowledged = sorted(
         (change for change in checked.possible_changes if change.acknowledged < math.inf),
         key=lambda change: change.acknowledged,
@@ -190,7 +190,7 @@
         if change.acknowledged < reading.started and change.version > reading.version:
             rule = "LOST" if reading.started > checked.history.final_fault_at else "CONFIG"
             description = (
-                f"read version {reading.version}, and {change.describe()} "
+                f"read version {reading.version}, but {change.describe()} "
                 f"was acknowledged at {change.acknowledged:.3f}"
             )
             yield Violation(rule, reading.ended, description)
@@ -201,10 +201,10 @@
     of_version = [change for change in checked.changes if change.version == reading.version]
     equal = [change for change in of_version if dict(reading.body) == change.body]
     if reading.version and not equal:
-        description = f"what is read as version {reading.version} is not what was sent"
+        description = f"the content read as version {reading.version} differs from what was sent"
         yield Violation("CONFIG", reading.ended, description)
     if equal and all(change.rejected_status or not change.valid for change in equal):
-        yield Violation("CONFIG", reading.ended, f"{equal[0].describe()} was refused and is in force")
+        yield Violation("CONFIG", reading.ended, f"{equal[0].describe()} was rejected but is in force")
 
 
 def check_linearizability(checked: CheckedHistory) -> Iterator[Violation]:
@@ -238,7 +238,9 @@
     ]
     unexplained = find_unexplained_call(calls)
     if unexplained is not None:
-        yield Violation("CONFIG", unexplained.ended, f"no order of all calls explains {unexplained}")
+        yield Violation(
+            "CONFIG", unexplained.ended, f"not linearizable: no order of all calls explains {unexplained}"
+        )
 
 
 def _outcome_of_change(change: ConfigurationChange) -> str | None:
@@ -248,7 +250,7 @@
 
 
 def check_resends(checked: CheckedHistory) -> Iterator[Violation]:
-    """CONFIG: an acknowledged change that is sent again, however late, is not rejected."""
+    """CONFIG: a resend of an acknowledged change is never rejected."""
     for resend in checked.history.resends:
         change = resend.change
         if change.acknowledged < resend.sent and 400 <= resend.status < 500:
@@ -260,7 +262,7 @@
 
 
 def check_evacuations_persisted(checked: CheckedHistory) -> Iterator[Violation]:
-    """LOST: evacuations that were acknowledged are in force, and those that were ended are not."""
+    """LOST: acknowledged evacuations are in force, and ended ones are not."""
     for reading in checked.history.readings:
         if reading.entries is None:
             continue
@@ -271,7 +273,7 @@
         for zone, last in last_by_zone.items():
             in_force = f"Evacuations/{zone}" in reading.entries
             if last.acknowledged < reading.started and in_force != last.evacuated:
-                state = "is gone" if last.evacuated else "is still in force"
+                state = "is missing" if last.evacuated else "is still in force"
                 description = (
                     f"the evacuation of {zone}, last acknowledged at {last.acknowledged:.3f}, {state}"
                 )
--- a/ashlift/simulation/checkers/departure_checks.py
+++ b/ashlift/simulation/checkers/departure_checks.py
@@ -1,4 +1,4 @@
-"""Rules for workers and zones that are to get no more requests: draining and evacuation."""
+"""Rules for workers and zones that must receive no more requests: draining and evacuation."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -11,7 +11,7 @@
 
 
 def check_draining(checked: CheckedHistory) -> Iterator[Violation]:
-    """DRAIN: nothing reaches a worker `Bounds.drain` s after any machine acknowledged its draining."""
+    """DRAIN: no request reaches a worker later than `Bounds.drain` s after its draining was acknowledged."""
     for request in checked.history.requests:
         for arrival in request.arrivals:
             worker = checked.history.workers[arrival.worker]
@@ -23,14 +23,14 @@
             ):
                 continue
             description = (
-                f"{request.describe()} reached {arrival.worker}, and {worker.draining_registry} "
-                f"acknowledged at {acknowledged:.3f} that it leaves"
+                f"{request.describe()} reached {arrival.worker}, but {worker.draining_registry} "
+                f"acknowledged its draining at {acknowledged:.3f}"
             )
             yield Violation("DRAIN", arrival.at, description)
 
 
 def check_evacuated_zones(checked: CheckedHistory) -> Iterator[Violation]:
-    """EVAC: nothing reaches a zone `Bounds.evacuation` s after its evacuation was acknowledged."""
+    """EVAC: no request reaches a zone `Bounds.evacuation` s after its evacuation was acknowledged."""
     if not checked.history.evacuations:
         return
     for request in checked.history.requests:
--- a/ashlift/simulation/checkers/limit_checks.py
+++ b/ashlift/simulation/checkers/limit_checks.py
@@ -1,4 +1,4 @@
-"""Rules for sums over all proxies: retry budget, rate limits, and slow start of workers."""
+"""Rules for totals over all proxies: retry budget, rate limits, and slow start of workers."""
 
 import math
 from collections import defaultdict
@@ -17,14 +17,14 @@
 
 @frozen
 class Event:
-    """A request, or a retry of it, at a worker."""
+    """An arrival of a request or of a retry at a worker."""
 
     at: float
     request: Request
 
 
 def check_retry_budget(checked: CheckedHistory) -> Iterator[Violation]:
-    """BUDGET: retries at a service stay within the ratio of its requests and the slack."""
+    """BUDGET: retries at a service stay within the retry budget ratio of its requests plus the slack."""
     requests: dict[str, list[float]] = defaultdict(list)
     retries: dict[str, list[Event]] = defaultdict(list)
     for request in checked.history.requests:
@@ -53,14 +53,14 @@
         if count > bounds.retry_budget_ratio * request_count + bounds.retry_slack:
             description = (
                 f"{count} retries at {service} within {window:g} s, for {request_count} requests; "
-                f"the last of {retry.request.describe()} by {retry.request.proxy}"
+                f"the last for {retry.request.describe()} by {retry.request.proxy}"
             )
             yield Violation("BUDGET", retry.at, description)
             break
 
 
 def _windows(events: list[Event], length: float) -> Iterator[tuple[Event, list[Event]]]:
-    """Each event in the order of time, with those of the window that ends at it, itself included."""
+    """Yield each event in the order of time, with the events of the window that ends with it."""
     ordered = sorted(events, key=lambda event: event.at)
     first = 0
     for last, event in enumerate(ordered):
@@ -70,7 +70,7 @@
 
 
 def _service_of(checked: CheckedHistory, request: Request) -> str:
-    """Where the request goes by the newest configuration acknowledged before it was sent."""
+    """The service of the first arrival, or else by the newest configuration acknowledged before sending."""
     if request.arrivals:
         return request.arrivals[0].service
     for change in reversed(checked.possible_changes):
@@ -81,7 +81,7 @@
 
 
 def check_rate_limits(checked: CheckedHistory) -> Iterator[Violation]:
-    """QUOTA: a tenant's requests that run stay within its rate, its burst and the overrun."""
+    """QUOTA: the requests of a tenant that run stay within its rate limit, burst and allowed overrun."""
     runs: dict[str, list[Event]] = defaultdict(list)
     for request, run in checked.runs():
         if run.tenant:
@@ -93,7 +93,7 @@
 
 
 def _rate_limit_violation(checked: CheckedHistory, tenant: str, runs: list[Event]) -> Violation | None:
-    """The first run too many, with the worst count of all windows."""
+    """The first run over the limit, described with the highest count of any window."""
     bounds = checked.bounds
     window = bounds.quota_window
     worst_count = 0
@@ -107,20 +107,24 @@
         if count > allowed:
             worst_count = max(worst_count, count)
             description = (
-                f"{tenant} within {window:g} s, {allowed:g} allowed, "
-                f"the first too many {run.request.describe()}"
+                f"{tenant} within {window:g} s, limit {allowed:g}, "
+                f"the first over the limit {run.request.describe()}"
             )
             first = first or Violation("QUOTA", run.at, description)
-    return None if first is None else evolve(first, description=f"up to {worst_count} of {first.description}")
+    return (
+        None
+        if first is None
+        else evolve(first, description=f"up to {worst_count} runs of {first.description}")
+    )
 
 
 def _sent_since(events: list[Event], start: float) -> int:
-    """How many were also sent after that: the others may have waited on their way."""
+    """Count the events whose request was sent after `start`; earlier requests may have been delayed."""
     return sum(event.request.sent > start for event in events)
 
 
 def _highest_limit(checked: CheckedHistory, tenant: str, start: float, end: float) -> tuple[float, float]:
-    """The highest rate and burst that may be in force in the span: a lower limit takes effect late."""
+    """The highest rate and burst that may be in force in the span, as a lower limit takes time to apply."""
     bounds = checked.bounds
     apply_bound = bounds.config_apply + bounds.max_stretch + bounds.quota_window
     oldest_version = max(
@@ -137,7 +141,7 @@
 
 
 def check_slow_start(checked: CheckedHistory) -> Iterator[Violation]:
-    """FAILBACK: a worker that warms up gets no more than its service's warm-up rate allows in a second."""
+    """FAILBACK: a worker in slow start receives at most its service's warm-up rate in any second."""
     workers = checked.history.workers
     arrivals: dict[str, list[Event]] = defaultdict(list)
     for request in checked.history.requests:
@@ -164,7 +168,7 @@
         count = _sent_since(in_window, arrival.at - WARMUP_WINDOW_SECONDS)
         if count > allowed:
             description = (
-                f"{count} at {worker}, which warms up, within a second, {allowed:g} allowed; "
+                f"{count} requests within 1 s at {worker}, which is warming up, limit {allowed:g}; "
                 f"the last {arrival.request.describe()} by {arrival.request.proxy}"
             )
             yield Violation("FAILBACK", arrival.at, description)
--- a/ashlift/simulation/checkers/response_checks.py
+++ b/ashlift/simulation/checkers/response_checks.py
@@ -1,4 +1,4 @@
-"""Rules for what clients get: the worker's own answers, complete, on all routes, and again after a loss."""
+"""Rules for responses: unaltered, complete, on all routes, and available again after an outage."""
 
 import math
 from collections.abc import Iterator
@@ -8,15 +8,15 @@
 from ashlift.simulation.checkers.violation import Violation
 from ashlift.simulation.history import HOST, Request
 
-MIN_REQUESTS_FOR_SUCCESS_RATE: Final = 20  # fewer tell nothing of a share
+MIN_REQUESTS_FOR_SUCCESS_RATE: Final = 20  # for a meaningful rate
 RECOVERED_SUCCESS_RATE: Final = 0.25
-EXCUSED_AFTER_SIGTERM_SECONDS: Final = 3.0  # after a SIGTERM: what is sent later may not be broken off
-EXCUSED_GRACE_FRACTION: Final = 5 / 6  # from which what is still at work may be broken off
-MIN_LATER_ROUTES_RATIO: Final = 0.25  # of the success share of the first routes
+EXCUSED_AFTER_SIGTERM_SECONDS: Final = 3.0  # requests sent later after the SIGTERM must complete
+EXCUSED_GRACE_FRACTION: Final = 5 / 6  # after this part of the grace period running requests may be aborted
+MIN_LATER_ROUTES_RATIO: Final = 0.25  # of the success rate on the first routes
 
 
 def check_responses_match_requests(checked: CheckedHistory) -> Iterator[Violation]:
-    """MIXED: a success is the one that a worker gave to this request, where seals are recorded."""
+    """MIXED: a successful response is one that a worker sent for this request, where seals are recorded."""
     for request in checked.history.requests:
         if request.seal is None or not _succeeded(request):
             continue
@@ -25,14 +25,14 @@
             for arrival in request.arrivals
             if arrival.ran
         ):
-            description = f"{request.describe()} got {request.status}, which no worker gave it so"
+            description = f"{request.describe()} got {request.status}, a response that no worker sent for it"
             yield Violation("MIXED", request.ended, description)
 
 
 def check_only_sent_requests_run(checked: CheckedHistory) -> Iterator[Violation]:
-    """UNASKED: workers run what clients sent, for the tenant that holds the key."""
+    """UNASKED: workers run only requests that clients sent, for the tenant that holds the key."""
     for arrival in checked.history.unexpected_arrivals:
-        description = f"{arrival.description} at {arrival.worker}: no client sent it so"
+        description = f"{arrival.description} at {arrival.worker}: sent by no client"
         yield Violation("UNASKED", arrival.at, description)
     tables = [(change.sent, change.table) for change in checked.changes if change.valid]
     for request, run in checked.runs():
@@ -40,24 +40,26 @@
             continue
         tenants = [table.find_tenant(request.key) for sent, table in tables if sent <= run.at]
         if not any(tenant is not None and tenant.name == run.tenant for tenant in tenants):
-            description = f"{request.describe()} ran at {run.worker} for {run.tenant}, who never held its key"
+            description = (
+                f"{request.describe()} ran at {run.worker} for {run.tenant}, which never held its key"
+            )
             yield Violation("UNASKED", run.at, description)
 
 
 def check_complete_responses(checked: CheckedHistory) -> Iterator[Violation]:
-    """LOST: a proxy that read a request does not break its connection off without an answer."""
+    """LOST: a proxy that has read a request does not close its connection without a complete response."""
     for request in checked.history.requests:
         if not request.connection_broken or math.isinf(request.received):
             continue
         if not request.arrivals and request.ended <= request.received + checked.bounds.loss_slack:
             continue
         if not _break_is_excused(checked, request):
-            description = f"{request.describe()} was read, and its connection ended without an answer"
+            description = f"{request.describe()} was read, but its connection ended without a response"
             yield Violation("LOST", request.ended, description)
 
 
 def _break_is_excused(checked: CheckedHistory, request: Request) -> bool:
-    """Whether a fault, a termination whose grace is nearly over, or the worker is to blame."""
+    """Whether a fault, the end of the grace period after a SIGTERM, or a worker's end explains the break."""
     history = checked.history
     start = request.sent - checked.bounds.contact
     terminations = [at for at in history.terminations.get(request.proxy, ()) if start <= at <= request.ended]
@@ -79,7 +81,7 @@
 
 
 def check_recovery(checked: CheckedHistory) -> Iterator[Violation]:
-    """RECOVER: where a quarter was served before the closing fault, a quarter is once all is back."""
+    """RECOVER: if a quarter of requests succeeded before the final fault, a quarter does after recovery."""
     history = checked.history
     if math.isinf(history.final_fault_at):
         return
@@ -89,8 +91,8 @@
         for interval in intervals
         if interval.started >= history.final_fault_at and not math.isinf(interval.ended)
     ]
-    all_back_at = max(fault_ends, default=history.final_fault_at)
-    recovered_at = all_back_at + checked.bounds.recovery
+    faults_ended_at = max(fault_ends, default=history.final_fault_at)
+    recovered_at = faults_ended_at + checked.bounds.recovery
     before = [request for request in history.requests if request.ended < history.final_fault_at]
     after = [
         request for request in history.requests if request.sent > recovered_at and request.ended < math.inf
@@ -99,14 +101,14 @@
         return
     if _success_rate(before) >= RECOVERED_SUCCESS_RATE > _success_rate(after):
         description = (
-            f"{_success_rate(after):.3f} of {len(after)} requests served after all was back "
-            f"at {all_back_at:.3f}; the first is {after[0].describe()}"
+            f"{_success_rate(after):.3f} of {len(after)} requests succeeded after the last fault ended "
+            f"at {faults_ended_at:.3f}; the first is {after[0].describe()}"
         )
         yield Violation("RECOVER", after[0].ended, description)
 
 
 def check_later_routes_served(checked: CheckedHistory) -> Iterator[Violation]:
-    """CONFIG: routes that were added later are served at least a quarter as often as the first ones."""
+    """CONFIG: the success rate on routes added later is at least a quarter of that on the first routes."""
     if not checked.possible_changes:
         return
     on_first_routes, on_later_routes = _by_age_of_route(checked)
@@ -115,19 +117,19 @@
         or len(on_first_routes) < MIN_REQUESTS_FOR_SUCCESS_RATE
     ):
         return
-    first_share = _success_rate(on_first_routes)
-    later_share = _success_rate(on_later_routes)
-    if later_share < first_share * MIN_LATER_ROUTES_RATIO:
+    first_rate = _success_rate(on_first_routes)
+    later_rate = _success_rate(on_later_routes)
+    if later_rate < first_rate * MIN_LATER_ROUTES_RATIO:
         last = on_later_routes[-1]
         description = (
-            f"{later_share:.3f} of {len(on_later_routes)} requests on later routes served, "
-            f"{first_share:.3f} on the first; the last {last.describe()}"
+            f"{later_rate:.3f} of {len(on_later_routes)} requests on routes added later succeeded, "
+            f"{first_rate:.3f} on the first routes; the last {last.describe()}"
         )
         yield Violation("CONFIG", last.ended, description)
 
 
 def _by_age_of_route(checked: CheckedHistory) -> tuple[list[Request], list[Request]]:
-    """Ended requests at proxies in touch: those on routes of the first version, and those on later ones."""
+    """Completed requests at proxies in contact: on routes of the first version, and on routes added later."""
     first_table = checked.possible_changes[0].table
     later_changes = checked.possible_changes[1:]
     on_first_routes: list[Request] = []
--- a/ashlift/simulation/checkers/rules.py
+++ b/ashlift/simulation/checkers/rules.py
@@ -1,4 +1,4 @@
-"""All rules with their texts and checkers, and the verdict on a history, of a simulated or of a real run."""
+"""All rules with their texts and checkers, and their verdict on the history of a simulated or real run."""
 
 from collections.abc import Callable, Iterator
 from typing import Final
@@ -37,7 +37,7 @@
 
 Checker = Callable[[CheckedHistory], Iterator[Violation]]
 
-# Of two violations of a rule at one moment, the one of the checker that comes first here is reported.
+# Of violations of the same rule at the same time, the one of the earlier checker is reported.
 CHECKERS: Final[tuple[Checker, ...]] = (
     check_responses_match_requests,
     check_only_sent_requests_run,
@@ -65,7 +65,7 @@
     check_no_busy_loop,
 )
 
-# The users' names of the rules, and their words.
+# The rules by name, with the texts that reports print.
 RULE_TEXTS: Final = {
     "MIXED": "a success is the worker's own: its seal, its whole body, and the answer to this request",
     "UNASKED": "a worker runs only what a client sent, as it was sent, for the tenant that holds the key",
@@ -88,7 +88,7 @@
 
 
 def check_rules(history: History, bounds: Bounds) -> dict[str, Violation | None]:
-    """Return the first violation of each rule, None where the rule was kept."""
+    """Return the first violation of each rule, None for a rule without a violation."""
     checked = CheckedHistory(history, bounds)
     verdicts: dict[str, Violation | None] = dict.fromkeys(RULE_TEXTS)
     for checker in CHECKERS:
@@ -100,10 +100,10 @@
 
 
 def first_violation(history: History, bounds: Bounds) -> Violation | None:
-    """Return the first violation of any rule."""
+    """Return the earliest violation of any rule, None if there is none."""
     return earliest(violation for violation in check_rules(history, bounds).values() if violation is not None)
 
 
 def explain(violation: Violation) -> str:
-    """Return the violation and the text of its rule."""
+    """Return the violation with the text of its rule on a second line."""
     return f"{violation}\n  {violation.rule}: {RULE_TEXTS[violation.rule]}"
--- a/ashlift/simulation/checkers/violation.py
+++ b/ashlift/simulation/checkers/violation.py
@@ -1,4 +1,4 @@
-"""A violation of a rule, as checkers yield it."""
+"""Violations of rules, as checkers yield them."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 @frozen
 class Violation:
-    """`rule` is the users' name of the rule; `at` is in seconds on the world's clock."""
+    """A violation of `rule`, a key of `RULE_TEXTS`; `at` is in seconds since the start of the run."""
 
     rule: str
     at: float
@@ -18,5 +18,5 @@
 
 
 def earliest(violations: Iterable[Violation]) -> Violation | None:
-    """Return the violation that happened first; of several at one moment the first of them."""
+    """Return the violation with the lowest time, the first of several with the same time."""
     return min(violations, key=lambda violation: violation.at, default=None)
