--- a/ashlift/simulation/checkers/configuration_checks.py
+++ b/ashlift/simulation/checkers/configuration_checks.py
@@ -76,7 +76,8 @@
             request.proxy, request.sent, change.acknowledged, checked.bounds.config_apply
         ):
             description = (
-                f"{request.describe()} {observation.description}, as version {newest_version} at most allows, "
+                f"{request.describe()} {observation.description}, "
+                f"which no version newer than {newest_version} allows, "
                 f"but {change.describe()} was acknowledged at {change.acknowledged:.3f}"
             )
             yield Violation("CONFIG", observation.at, description)
--- a/ashlift/simulation/expectations.py
+++ b/ashlift/simulation/expectations.py
@@ -1,4 +1,4 @@
-"""What scenarios expect of a world at a time: each check returns what is wrong, or an empty text."""
+"""The `expect` events of scenarios: each check returns a description of the problem, or an empty string."""
 
 import math
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 class Expectations:
     """Checks of a world, by the word after `expect`.
 
-    Some count what happened since the last such check, or since `mark`.
+    `served`, `swift`, `idle` and `busy` count from the last of these checks, or from `mark`.
     """
 
     def __init__(self, world: World) -> None:
@@ -39,11 +39,11 @@
         }
 
     def mark(self) -> None:
-        """Count from now on."""
+        """Restart the counting of the checks that count."""
         self._counted_since = self._world.loop.now
 
     def check(self, arguments: EventArguments) -> str:
-        """Return what is wrong, or an empty text. Raises ValueError for an unknown word."""
+        """Return the problem, or an empty string. Raises ValueError for an unknown check."""
         if arguments.words[0] not in self._checks:
             raise ValueError(" ".join(arguments.words))
         return self._checks[arguments.words[0]](arguments)
@@ -65,10 +65,10 @@
         return ", ".join(wrong)
 
     def _answered(self, arguments: EventArguments) -> str:
-        """`acked` or `refused`: every change of that version has this answer."""
+        """`acked` or `refused`: all changes of the version were acknowledged, or all were rejected."""
         changes = self._changes_of_version(int(arguments.words[1]))
         if not changes:
-            return "it was never sent"
+            return "no change of this version was sent"
         if arguments.words[0] == "acked":
             as_expected = all(change.acknowledged < math.inf for change in changes)
         else:
@@ -90,20 +90,20 @@
         return [change for change in self._world.history.changes if change.version == version]
 
     def _completed_within(self, arguments: EventArguments) -> str:
-        """The first order sent since then, and long enough ago, that took longer to be answered."""
+        """The first command since the last check that was not acknowledged or rejected within the bound."""
         start = self._take_count_start()
         bound = float(arguments.words[1])
         history = self._world.history
-        orders = [(change.sent, change.ended, change.describe()) for change in history.changes]
-        orders += [
+        commands = [(change.sent, change.ended, change.describe()) for change in history.changes]
+        commands += [
             (evacuation.sent, evacuation.acknowledged, f"{evacuation.zone} {evacuation.evacuated}")
             for evacuation in history.evacuations
         ]
-        due = [order for order in orders if start <= order[0] < self._world.loop.now - bound]
+        due = [command for command in commands if start <= command[0] < self._world.loop.now - bound]
         for sent, answered, description in due:
             if answered - sent > bound:
                 return f"{description} of {sent:.2f}: {answered:.2f}"
-        return "" if due else "no orders"
+        return "" if due else "no command was sent long enough ago"
 
     def _evacuated(self, arguments: EventArguments) -> str:
         acknowledged = any(
@@ -111,7 +111,7 @@
             for evacuation in self._world.history.evacuations
             if evacuation.zone == arguments.words[1]
         )
-        return "" if acknowledged else "not yet"
+        return "" if acknowledged else "not acknowledged"
 
     def _edit_outcome(self, arguments: EventArguments) -> str:
         _, edit_id, expected = arguments.words
@@ -124,7 +124,7 @@
         return "" if status == int(expected) else str(status)
 
     def _routes_equal(self, _arguments: EventArguments) -> str:
-        """All proxies hold the same routes, byte for byte, and they are those agreed on."""
+        """All running proxies have exactly the committed routes."""
         agreed = _routes_as_bytes(
             RoutingTable.from_entries(route_edits.committed_entries(self._world.configstores()))
         )
@@ -133,10 +133,10 @@
             table = proxy.router.cluster.configuration.routing_table
             if proxy.up and (table is None or _routes_as_bytes(table) != agreed):
                 different.append(proxy.name)
-        return f"others at {', '.join(different)}" if different else ""
+        return f"different routes at {', '.join(different)}" if different else ""
 
     def _leader(self, _arguments: EventArguments) -> str:
-        return "" if self._world.has_leader() else "nobody leads"
+        return "" if self._world.has_leader() else "no leader with a committed entry"
 
     # ---- clients and workers
     def _served(self, arguments: EventArguments) -> str:
@@ -158,7 +158,7 @@
         ]
 
     def _arrivals(self, arguments: EventArguments) -> str:
-        """`idle` or `busy`: whether the worker got requests since the last such check."""
+        """`idle` or `busy`: whether the worker received requests since the last check."""
         start = self._take_count_start()
         expected, worker = arguments.words
         count = sum(
@@ -169,7 +169,7 @@
         return "" if bool(count) == (expected == "busy") else f"{count} requests"
 
     def _workers_known(self, _arguments: EventArguments) -> str:
-        """All proxies know the workers that run, and no others."""
+        """All running proxies know the running workers and their state, and no others."""
         running = {
             name: worker.state == "ready"
             for name, worker in self._world.worker_pool.workers.items()
@@ -179,7 +179,7 @@
             missing = sorted(name for name in running if name not in known)
             wrong = sorted(name for name in known if known[name] != running.get(name, False))
             if missing or wrong:
-                return f"{proxy} lacks {missing}, and wrongly has {wrong}"
+                return f"{proxy}: missing {missing}, wrong {wrong}"
         return ""
 
 
--- a/ashlift/simulation/fault_actions.py
+++ b/ashlift/simulation/fault_actions.py
@@ -1,4 +1,4 @@
-"""Events of scenarios that are faults of machines, links, disks and clocks."""
+"""Fault events of scenarios: processes, machines, links, disks and clocks."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 
 
 class FaultActions:
-    """Injects faults into a world. `actions` are the methods by the first word of an event."""
+    """Injects faults into a world. `actions` maps the first word of an event to its method."""
 
     def __init__(self, world: World) -> None:
         self._world = world
--- a/ashlift/simulation/load_actions.py
+++ b/ashlift/simulation/load_actions.py
@@ -1,4 +1,4 @@
-"""Events of scenarios that change what clients ask, and which workers there are and how they answer."""
+"""Load events of scenarios: the rate of client requests, and workers and their faults."""
 
 import math
 from collections.abc import Callable
@@ -9,11 +9,11 @@
 from ashlift.simulation.worker import Worker
 from ashlift.simulation.world import World
 
-POLL_SECONDS = 0.001  # between two looks whether a version is acknowledged
+POLL_SECONDS = 0.001  # between checks whether a version was acknowledged
 
 
 class LoadActions:
-    """Acts on the clients and workers of a world. `actions` are the methods by the first word of an event."""
+    """Performs load events in a world. `actions` maps the first word of an event to its method."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -49,7 +49,7 @@
         self._ask_after(key, float(rate), int(arguments.options.get("after", 0)))
 
     def _ask_after(self, key: str, rate: float, version: int) -> None:
-        """Clients start to ask; with a version, once their operator has seen it acknowledged."""
+        """Start requests with this key, if a version is given only after it was acknowledged."""
         world = self._world
         if version and not any(
             change.version == version and change.acknowledged < math.inf for change in world.history.changes
--- a/ashlift/simulation/operator_actions.py
+++ b/ashlift/simulation/operator_actions.py
@@ -1,4 +1,4 @@
-"""Events of scenarios that operators cause: configurations, evacuations, edits of routes, seeds."""
+"""Operator events of scenarios: configuration changes, evacuations, route edits, seeds."""
 
 import math
 from collections.abc import Callable
@@ -21,9 +21,9 @@
 
 
 class OperatorActions:
-    """Lets operators act in a world. `actions` are the methods by the first word of an event.
+    """Performs operator events in a world. `actions` maps the first word of an event to its method.
 
-    Each version's body is remembered, as the words of a change say only what differs from its base.
+    Keeps the body of each version, because an event describes a change only by its difference from the base.
     """
 
     def __init__(self, world: World) -> None:
@@ -43,7 +43,7 @@
         }
 
     def send_first_configuration(self) -> None:
-        """Let the operator send version 1 a little after the start."""
+        """Schedule the first configuration, version 1."""
         first = configuration_change(FIRST_VERSION, 0, DEFAULT_OPERATOR, self._bodies[FIRST_VERSION], 0.0)
         operator = self._world.operator(DEFAULT_OPERATOR)
         self._world.loop.call_later(FIRST_CONFIGURATION_SECONDS, operator.send_change, first, None)
@@ -55,7 +55,7 @@
         operator = self._operator(arguments)
         version = int(arguments.words[0])
         base = self._base_version(arguments.options.get("on", "newest"))
-        base_body = self._bodies.get(base, self._bodies[FIRST_VERSION])  # the base may not have been sent yet
+        base_body = self._bodies.get(base, self._bodies[FIRST_VERSION])  # the base may not exist yet
         body = self._bodies[version] = edit_configuration(base_body, version, arguments.words[1:])
         configuration = configuration_change(version, base, operator.name.rpartition("-")[2], body, 0.0)
         if arguments.word == "patch":
--- a/ashlift/simulation/random_faults.py
+++ b/ashlift/simulation/random_faults.py
@@ -1,4 +1,4 @@
-"""Scenarios drawn from a seed: faults, operators' changes, and what befalls workers."""
+"""Random scenarios by seed: faults, configuration changes, evacuations and worker events."""
 
 import random
 from collections.abc import Callable
@@ -7,25 +7,25 @@
 from ashlift.simulation.plan import Plan
 from ashlift.simulation.scenario import Scenario, ScenarioEvent
 
-FAULT_FREE_SECONDS: Final = 9.0  # at the end: all faults are over, and what was acknowledged is read back
+FAULT_FREE_SECONDS: Final = 9.0  # at the end, to recover and read back acknowledged changes
 FIRST_EVENT_SECONDS: Final = 6.0
-CORE_RETURN_SECONDS: Final = 4.0  # a core machine counts as lost so long after its fault
-READ_BACK_SECONDS: Final = 1.5  # before the end
+CORE_RETURN_SECONDS: Final = 4.0  # after the end of a fault, until a core machine counts as available
+READ_BACK_SECONDS: Final = 1.5  # before the end of the scenario
 ZONES: Final = ["z1", "z2", "z3", "z4", "z5", "z6"]
 EVACUATED_ZONES: Final = ZONES[:5]
 SERVICES: Final = ["fleet", "desk", "bill"]
 
 
 def random_scenario(seed: int, proxies: int = 11, until: float = 30.0) -> Scenario:
-    """Return the scenario of a seed.
+    """Return the random scenario of a seed.
 
-    No more than a minority of the core is away at a time, except when all of it is killed.
+    At most a minority of the core is unavailable at a time, except when all of it is killed.
     """
     return _RandomFaults(seed, proxies, until).scenario()
 
 
 class _RandomFaults:
-    """Draws one scenario. The order of the draws is part of what a seed means."""
+    """Generates one scenario. Reordering random calls changes the scenario of every seed."""
 
     def __init__(self, seed: int, proxies: int, until: float) -> None:
         self._rng = rng = random.Random(seed)
@@ -40,11 +40,11 @@
         self._core = [f"core-{number + 1}" for number in range(self._plan.core)]
         self._proxies = [f"edge-{number + 1}" for number in range(proxies)]
         self._version = 1
-        self._next_core_fault_at = 0.0  # no core machine is lost from then on
+        self._next_core_fault_at = 0.0  # earliest time of the next core fault
         self._evacuated: list[str] = []
 
     def scenario(self) -> Scenario:
-        """Draw the events."""
+        """Generate the events."""
         event_generators: list[Callable[[float], list[str]]] = [
             self._change,
             self._evacuation,
@@ -57,8 +57,8 @@
         events: list[ScenarioEvent] = []
         at = FIRST_EVENT_SECONDS
         while at < faults_end_at:
-            draw = self._rng.choices(event_generators, weights)[0]
-            events.append(ScenarioEvent(round(at, 2), tuple(draw(at))))
+            generate = self._rng.choices(event_generators, weights)[0]
+            events.append(ScenarioEvent(round(at, 2), tuple(generate(at))))
             at += self._rng.expovariate(1.0)
         if self._rng.random() < 0.3:
             events.append(ScenarioEvent(round(at, 2), ("hot", "t1", "10")))
@@ -93,7 +93,7 @@
         return ["evacuate", self._evacuated[-1]]
 
     def _core_fault(self, at: float) -> list[str]:
-        """One core machine at a time, with some seconds for its return."""
+        """A fault of one core machine, or a change while another core machine recovers."""
         if at < self._next_core_fault_at:
             return self._change(at)
         seconds = self._rng.uniform(0.3, 3.0)
--- a/ashlift/simulation/scenario.py
+++ b/ashlift/simulation/scenario.py
@@ -1,37 +1,66 @@
-"""Scenarios: small text files, a line for each event.
-
-# title                     one file may hold several scenarios
-core 5 | edge 11 | rate 60 | seed 1 | workers 6 | quota 200 | homes r1 ...      what is built (world.Plan)
-until 20
-at 3.0 cut core-1 | core-2 core-3 [for 2]     both ways; `oneway A | B`: none from A to B; `join`: all
-at 4 kill PROGRAMS WHO [for 1] | freeze PROGRAMS WHO [for 2] | term PROGRAMS WHO
-                                 PROGRAMS: configstore, registry, proxy, core (the first two), all
-                                 WHO: names of machines, `*`, `leader`, `others`; `kill proxy edge-1 for 2`
-at 4 power WHO [for 2] | wipe WHO [for 2] | start WHO | spoil WHO      machines; spoil: the disk reads no more
-at 4 disk hang WHO [for 2] | disk refuse WHO [for 2] | disk slow WHO 0.8 [for 2] (s more a write)
-at 4 closing                     what comes now is the closing fault
-at 5 loss 0.05 | load 3 | hot t1 5      calls that get no answer; clients' rate, of all, and of one tenant
-at 5 torn 0.05                   calls that are given up in the middle of being written
-at 5 ask KEY 4 [after 2]         clients with this key ask so often a second; once version 2 is acknowledged
-at 5 put|patch 2 [on 1] [by B] [at core-2] look=desk k-t1-a ...  the operator (configurations.py); on the
-                                 newest not refused if left out, `on acked`: on the newest acknowledged
-at 5 evacuate z1 [at core-2] [once] | restore z1 | read    once: given up after one call
-at 5 orders 8 40 [core-2 ...]    so many operators, each with an order under way until 40, there
-at 5 reset WHO | slow 0.3 WHO for 20      its connections break; each message from or to it takes so much more
-at 5 add fleet z1 [cold 3] [as fleet-2] | crash fleet-1 | drain fleet-1 | chill fleet-1 3 | sick fleet-1 0.2
-at 5 grey fleet-1 0.3 | forget fleet-1 0.3    share of 500; s of rest after which a connection is forgotten
-at 5 break fleet-1 0.2           share of requests that run, and whose connection breaks then
-at 5 seeds core-4 core-5
-at 5 edit ID hold=bill|r+NAME=SERVICE|r-NAME at core-2 [by B]     one route; clock core-4 3
-at 5 confirm|reject ID [over] at core-2 [by B]                    the operator's word on it
-at 8 expect WHAT                 version N everywhere|at PROXY | acked N | refused N | served S (share since
-                                 the last) | crew (all know the workers) | evacuated z1 | leader | runs N
-                                 | idle WORKER (nothing since the last `expect` of its kind, or `mark`)
-                                 | busy WORKER | told ID STATUS | edit ID in-force|lost|rejected|waits
-                                 | alike (all proxies hold the routes agreed on, byte for byte)
-                                 | busy WORKER | sure KEY S (share served of all wanted with it)
-                                 | one N (one order of that version is acknowledged, by whoever sent it)
-                                 | swift S (every order since the last had its clear answer within so long)
+"""Scenarios: text files with the plan of a world and one event a line.
+
+A file may hold several scenarios; each begins with its title (`# title`). Plan lines set a field of
+`plan.Plan`: `core 5`, `edge 11`, `rate 60`, `homes r1`, `until 20`. Event lines begin with `at` and
+the time in seconds. Options in brackets may be left out; `for 2` is a duration in seconds.
+
+MACHINES are names, `*` (all machines that run the programs), `leader`, `others` (all of the core except the
+leader), `core` or `edge`. PROGRAMS are `configstore`, `registry`, `proxy`, `core` (the first two) or `all`.
+
+Network faults:
+    cut A B | C D [for 2]          block all links between two groups of machines, in both directions
+    oneway A | B [for 2]           block the links from the first group to the second
+    join                           unblock all links
+    loss 0.05                      drop this share of all messages
+    torn 0.05                      abort this share of calls while they are written
+    reset MACHINES                 reset all connections of these machines
+    slow 0.3 MACHINES [for 20]     delay each message from or to these machines by so many seconds
+Process, machine and disk faults:
+    kill PROGRAMS MACHINES [for 1]                 restart after so many seconds
+    freeze PROGRAMS MACHINES [for 2]               suspend as SIGSTOP does
+    term PROGRAMS MACHINES                         send SIGTERM
+    power MACHINES [for 2]                         cut the power
+    wipe MACHINES [for 2]                          cut the power and erase the disks
+    start MACHINES                                 power on, and start programs that do not run
+    spoil MACHINES                                 corrupt the stored state
+    disk hang|refuse|well MACHINES [for 2]         writes hang, fail, or work again
+    disk slow MACHINES 0.8 [for 2]                 writes take so many seconds longer
+    clock core-4 3                                 skew the wall clock by so many seconds
+    closing                                        the faults that follow are the final fault
+Clients and workers:
+    load 3 | hot t1 5              multiply the plan's request rate, or the rate of one tenant
+    ask KEY 4 [after 2]            send 4 requests a second with this key, once version 2 is acknowledged
+    add fleet z1 [cold 3] [as fleet-2]   start a worker, in slow start for 3 s, at the address of another
+    crash|drain fleet-1            end a worker at once, or after draining
+    chill fleet-1 3                put a worker into slow start for so many seconds
+    sick fleet-1 0.2               lose this share of its responses
+    grey fleet-1 0.3               answer this share of requests with 500
+    break fleet-1 0.2              break the connection of this share of requests after they have run
+    forget fleet-1 0.3             drop connections that were idle for so many seconds, without closing them
+Operators:
+    put|patch 2 [on 1] [by B] [at core-2] look=desk k-t1-a ...
+                                   send version 2, with words of `configurations.edit_configuration`; its base
+                                   is the newest version not rejected, with `on acked` the newest acknowledged
+    evacuate|restore z1 [at core-2] [once]         `once`: do not retry
+    read                           read the configuration
+    orders 8 40 [core-2 ...]       start 8 operators that send commands until 40 s, to these machines first
+    seeds core-4 core-5            replace the seed list
+    edit ID hold=bill|r+NAME=SERVICE|r-NAME at core-2 [by B]     edit one route
+    confirm|reject ID [over] at core-2 [by B]      decide on a pending edit
+Expectations (`expect ...`); [*] counts since the last [*] or since `mark`:
+    version N [at PROXY]           all running proxies, or this one, have this version
+    acked N | refused N            all changes of this version were acknowledged, or rejected
+    one N                          exactly one of different changes of this version was acknowledged
+    served S                       share of operations that succeeded [*]
+    sure KEY S                     share of all operations with this key that succeeded
+    swift S                        each command was answered within so many seconds [*]
+    crew                           all proxies know the workers that run, and no others
+    evacuated z1                   an evacuation of the zone was acknowledged
+    leader                         there is a leader that has committed an entry in its term
+    idle|busy WORKER               the worker received no requests, or some [*]
+    told ID STATUS                 status of the last response to an edit
+    edit ID in-force|lost|rejected|waits           outcome of an edit
+    alike                          all proxies have the committed routes
 """
 
 from pathlib import Path
@@ -43,7 +72,7 @@
 
 @define(frozen=True)
 class ScenarioEvent:
-    """What happens at a time, as the words of its line."""
+    """An event at a time in seconds, as the words of its line."""
 
     at: float
     words: tuple[str, ...]
@@ -54,19 +83,19 @@
 
 @define(frozen=True)
 class Scenario:
-    """What is built, and what happens then, in the order of time."""
+    """The plan of a world and the events in it, ordered by time."""
 
     title: str
     plan: Plan
     events: tuple[ScenarioEvent, ...]
 
     def shortened(self, until: float) -> "Scenario":
-        """Return the scenario with its end at `until` seconds at the latest, without later events."""
+        """Return the scenario without what comes after `until` seconds."""
         plan = evolve(self.plan, until=min(until, self.plan.until))
         return evolve(self, plan=plan, events=tuple(event for event in self.events if event.at <= until))
 
     def to_text(self) -> str:
-        """Return the scenario as a file has it."""
+        """Return the scenario in the file format."""
         defaults = Plan()
         lines = [f"# {self.title}"]
         for attribute in fields(Plan):
@@ -77,7 +106,7 @@
 
 
 def parse_scenarios(text: str) -> list[Scenario]:
-    """Return the scenarios of a text. Raises ValueError for a line that has no meaning."""
+    """Return the scenarios of a text. Raises ValueError for an invalid line."""
     parsed: list[tuple[str, Plan, list[ScenarioEvent]]] = []
     for line in text.splitlines():
         if line.startswith("# "):
@@ -98,7 +127,7 @@
 
 
 def _set_plan_field(plan: Plan, words: list[str]) -> bool:
-    """Set the field that the first word names; whether there is one."""
+    """Set the field named by the first word; returns whether there is such a field."""
     name, *values = words
     types = {attribute.name: attribute.type for attribute in fields(Plan)}
     if name not in types:
@@ -109,5 +138,5 @@
 
 
 def read_scenarios(path: str | Path) -> list[Scenario]:
-    """Return the scenarios of a file. Raises ValueError for a line that has no meaning."""
+    """Return the scenarios of a file. Raises ValueError for an invalid line."""
     return parse_scenarios(Path(path).read_text())
--- a/ashlift/simulation/scenario_player.py
+++ b/ashlift/simulation/scenario_player.py
@@ -1,4 +1,4 @@
-"""Plays a scenario in a world, and judges what came of it."""
+"""Runs a scenario in a world and checks its expectations and all rules."""
 
 import gc
 from collections.abc import Callable, Iterator
@@ -19,13 +19,13 @@
 from ashlift.simulation.scenario import Scenario, ScenarioEvent
 from ashlift.simulation.world import World
 
-# Collecting garbage takes a fifth of the time at the usual thresholds, and finds little.
+# Fewer collections than by default: a run creates many objects and little garbage in cycles.
 GARBAGE_COLLECTION_THRESHOLDS: Final = (200_000, 50, 1000)
 
 
 @define(frozen=True)
 class FailedExpectation:
-    """An `expect` that did not hold."""
+    """An `expect` event that failed."""
 
     at: float
     description: str
@@ -35,7 +35,7 @@
 
 
 class ScenarioPlayer:
-    """Plays one scenario with one seed."""
+    """Runs one scenario with one seed."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         make_world: Callable[[Plan], World] = World,
         on_event: Callable[[ScenarioEvent], None] | None = None,
     ) -> None:
-        """`seed`: in place of the scenario's own; `on_event` is called before each event."""
+        """`seed` overrides that of the scenario; `on_event` is called before each event."""
         self.scenario = scenario
         self._on_event = on_event
         self.world = make_world(scenario.plan if seed is None else evolve(scenario.plan, seed=seed))
@@ -59,9 +59,9 @@
         operator_actions.send_first_configuration()
 
     def run(self) -> Violation | FailedExpectation | None:
-        """Play it to its end or its first failed expectation.
+        """Run to the end or the first failed expectation.
 
-        Returns the first violation, or else that expectation.
+        Returns the first violation of a rule, or else the failed expectation, or None.
         """
         with _rare_garbage_collection():
             self._play_events()
@@ -84,7 +84,7 @@
         world.run(max(world.plan.until, world.loop.now))
 
     def perform(self, words: list[str]) -> None:
-        """Let happen now what the words of an event say. Raises ValueError for an unknown event."""
+        """Perform an event now. Raises ValueError for an unknown one."""
         arguments = parse_arguments(words)
         if arguments.word == "mark":
             self._expectations.mark()
--- a/ashlift/simulation/severe_faults.py
+++ b/ashlift/simulation/severe_faults.py
@@ -1,10 +1,9 @@
-"""Worst days: scenarios drawn from a seed with every fault that the simulator knows.
+"""Random scenarios by seed with every kind of fault that the simulator has, also overlapping and repeated.
 
-Beside what `random_faults` draws: cuts that outlast every lease, disks that hang, fail or are slow, the whole
-core without power in the middle, a disk lost right after an acknowledgement, changes that meet a machine as
-it returns, two operators at once there, new seeds while those are cut off, workers that leave or forget
-connections; alone, in pairs at close times and repeated. One core machine is lost at a time at most, with
-`CORE_RETURN_SECONDS` for its return, as the settings say.
+In addition to `random_faults`: partitions longer than every lease, disk faults, power loss of the whole core,
+loss of a disk right after an acknowledgement, changes sent to a machine that is just recovering, concurrent
+operators, changes of the seed list, and workers that drop idle connections. At most one core machine fails at
+a time, and it has `CORE_RETURN_SECONDS` to recover.
 """
 
 import random
@@ -23,20 +22,20 @@
 )
 from ashlift.simulation.scenario import Scenario, ScenarioEvent
 
-OPERATOR_TIMEOUT_SECONDS: Final = 6.0  # after which an operator gives up an evacuation, or its end
-LONG_PARTITION_SECONDS: Final = 21.0  # outlasts every lease
+OPERATOR_TIMEOUT_SECONDS: Final = 6.0  # from an evacuation to its end, so that they do not race
+LONG_PARTITION_SECONDS: Final = 21.0  # longer than every lease
 VERSION_PLACEHOLDER: Final = "#"
 
-DrawnEvent = tuple[float, list[str]]  # when, and the words of a line
+TimedEvent = tuple[float, list[str]]  # time in seconds, words
 
 
 def random_scenario(seed: int) -> Scenario:
-    """Return the worst day of a seed."""
+    """Return the random scenario of a seed."""
     return _SevereFaults(seed).scenario()
 
 
 class _SevereFaults:
-    """Draws one scenario. The order of the draws is part of what a seed means."""
+    """Generates one scenario. Reordering random calls changes the scenario of every seed."""
 
     def __init__(self, seed: int, proxies: int = 7, until: float = 60.0) -> None:
         self._rng = rng = random.Random(f"worst {seed}")
@@ -51,10 +50,10 @@
         )
         self._core = [f"core-{number + 1}" for number in range(self._plan.core)]
         self._proxies = [f"edge-{number + 1}" for number in range(proxies)]
-        self._next_core_fault_at = 0.0  # no core machine is lost from then on
-        self._zones = rng.sample(EVACUATED_ZONES, len(EVACUATED_ZONES))  # each is evacuated once
-        self._evacuated: list[tuple[float, str]] = []  # since when, zone
-        self._event_generators: list[tuple[int, Callable[[float], Iterator[DrawnEvent]]]] = [
+        self._next_core_fault_at = 0.0  # earliest time of the next core fault
+        self._zones = rng.sample(EVACUATED_ZONES, len(EVACUATED_ZONES))  # each is evacuated at most once
+        self._evacuated: list[tuple[float, str]] = []  # time of the evacuation, zone
+        self._event_generators: list[tuple[int, Callable[[float], Iterator[TimedEvent]]]] = [
             (3, self._single_change),
             (2, self._racing_changes),
             (1, self._evacuation),
@@ -69,11 +68,13 @@
         ]
 
     def scenario(self) -> Scenario:
-        """Draw the events."""
+        """Generate the events."""
         faults_end_at = self._plan.until - FAULT_FREE_SECONDS
-        drawn = self._draw_until(faults_end_at)
+        generated = self._generate_until(faults_end_at)
         events = [
-            ScenarioEvent(round(at, 3), tuple(words)) for at, words in _numbered(drawn) if at < faults_end_at
+            ScenarioEvent(round(at, 3), tuple(words))
+            for at, words in _numbered(generated)
+            if at < faults_end_at
         ]
         for words in (("join",), ("start", "*"), ("disk", "well", "*")):
             events.append(ScenarioEvent(faults_end_at, words))
@@ -81,22 +82,22 @@
         ordered = sorted(events, key=lambda event: event.at)
         return Scenario(f"worst {self._plan.seed}", self._plan, tuple(ordered))
 
-    def _draw_until(self, end: float) -> list[DrawnEvent]:
+    def _generate_until(self, end: float) -> list[TimedEvent]:
         rng = self._rng
         weights, event_generators = zip(*self._event_generators, strict=True)
-        drawn: list[DrawnEvent] = []
+        generated: list[TimedEvent] = []
         at = FIRST_EVENT_SECONDS
         while at < end:
-            draw = rng.choices(event_generators, weights)[0]
-            for _ in range(rng.choice([1, 1, 1, 3])):  # one, or the same kind three times over
-                drawn += draw(at)
+            generate = rng.choices(event_generators, weights)[0]
+            for _ in range(rng.choice([1, 1, 1, 3])):  # one event, or three of the same kind
+                generated += generate(at)
                 at += rng.choice([0.05, 0.4, 1.5, 3.0])
             at += rng.expovariate(0.8)
-        return drawn
+        return generated
 
     # ---- operators
-    def _change(self, at: float, *options: str) -> DrawnEvent:
-        """A change of a version that `_numbered` puts in for its placeholder."""
+    def _change(self, at: float, *options: str) -> TimedEvent:
+        """A change with a placeholder for its version, which `_numbered` replaces."""
         rng = self._rng
         words = rng.choice(
             [
@@ -111,12 +112,12 @@
         )
         return at, [rng.choice(["put", "patch"]), VERSION_PLACEHOLDER, *options, *words]
 
-    def _single_change(self, at: float) -> Iterator[DrawnEvent]:
+    def _single_change(self, at: float) -> Iterator[TimedEvent]:
         options = ["at", self._rng.choice(self._core)] if self._rng.random() < 0.5 else []
         yield self._change(at, *options)
 
-    def _racing_changes(self, at: float, machine: str = "") -> Iterator[DrawnEvent]:
-        """Two operators at once, both on what was acknowledged last."""
+    def _racing_changes(self, at: float, machine: str = "") -> Iterator[TimedEvent]:
+        """Two concurrent changes by different operators, both based on the last acknowledged version."""
         for name in ("A", "B"):
             options = []
             if self._rng.random() < 0.7:
@@ -124,14 +125,14 @@
             sent = at + self._rng.uniform(0.0, 0.05)
             yield self._change(sent, "on", "acked", "by", name, *options)
 
-    def _burst_of_changes(self, at: float) -> Iterator[DrawnEvent]:
-        """Each on the one before, acknowledged or not; some by a second operator."""
+    def _burst_of_changes(self, at: float) -> Iterator[TimedEvent]:
+        """Changes each based on the previous one, acknowledged or not; some by a second operator."""
         gap = self._rng.choice([0.05, 0.15, 0.3])
         for number in range(self._rng.randint(5, 15)):
             yield self._change(at + number * gap, "by", self._rng.choice(["A", "A", "B"]))
 
-    def _evacuation(self, at: float) -> Iterator[DrawnEvent]:
-        """An evacuation, or its end once its operator is no more at it: of two at once either may win."""
+    def _evacuation(self, at: float) -> Iterator[TimedEvent]:
+        """An evacuation, or the end of one whose operator no longer retries it."""
         if self._evacuated and at - self._evacuated[0][0] > OPERATOR_TIMEOUT_SECONDS:
             yield at, ["restore", self._evacuated.pop(0)[1]]
         elif self._zones:
@@ -139,8 +140,8 @@
             yield at, ["evacuate", self._evacuated[-1][1]]
 
     # ---- the core
-    def _core_fault(self, at: float) -> Iterator[DrawnEvent]:
-        """One core machine is lost, and something meets it as it returns."""
+    def _core_fault(self, at: float) -> Iterator[TimedEvent]:
+        """A fault of one core machine, and an event while it recovers."""
         rng = self._rng
         if at < self._next_core_fault_at:
             yield from self._single_change(at)
@@ -153,7 +154,7 @@
         if is_cut:
             yield at, self._cut_of_core_machine(machine, duration)
         else:
-            if rng.random() < 0.4:  # right after it was sent, so near its acknowledgement
+            if rng.random() < 0.4:  # shortly before the fault, near the acknowledgement
                 yield self._change(at - rng.uniform(0.005, 0.4))
             yield at, self._loss_of_core_machine(machine, duration)
         yield from self._return_of_core_machine(at, seconds, machine, is_cut)
@@ -180,8 +181,8 @@
 
     def _return_of_core_machine(
         self, lost_at: float, seconds: float, machine: str, was_cut: bool
-    ) -> Iterator[DrawnEvent]:
-        """A change, two at once, or a worker's draining meet the machine as it returns; or nothing does."""
+    ) -> Iterator[TimedEvent]:
+        """A change, two concurrent ones or a worker's draining while the machine recovers, or nothing."""
         returns_at = lost_at + seconds + self._rng.uniform(0.0, 0.8)
         first_asked = machine if machine != "leader" else self._rng.choice(self._core)
         match self._rng.choice(["alone", "meet", "race", "drain", "cut"]):
@@ -194,7 +195,7 @@
             case "cut" if was_cut:
                 yield self._change(lost_at + 0.5, "at", first_asked)
 
-    def _whole_core(self, at: float) -> Iterator[DrawnEvent]:
+    def _whole_core(self, at: float) -> Iterator[TimedEvent]:
         duration = ["for", f"{self._rng.uniform(0.4, 1.5):.2f}"]
         if self._rng.random() < 0.6:
             yield self._change(at - self._rng.uniform(0.005, 0.4))
@@ -210,7 +211,7 @@
         )
         yield at, words
 
-    def _disk_fault(self, at: float) -> Iterator[DrawnEvent]:
+    def _disk_fault(self, at: float) -> Iterator[TimedEvent]:
         rng = self._rng
         if at < self._next_core_fault_at:
             yield from self._single_change(at)
@@ -223,7 +224,7 @@
         yield self._change(at + 0.2)
 
     # ---- proxies, clients and workers
-    def _proxy_fault(self, at: float) -> Iterator[DrawnEvent]:
+    def _proxy_fault(self, at: float) -> Iterator[TimedEvent]:
         rng = self._rng
         proxies = rng.sample(self._proxies, rng.choice([1, 1, 2, max(1, len(self._proxies) // 3)]))
         seconds = LONG_PARTITION_SECONDS if rng.random() < 0.25 else rng.uniform(0.3, 7.0)
@@ -243,8 +244,8 @@
         )
         yield at, words
 
-    def _load_or_clock(self, at: float) -> Iterator[DrawnEvent]:
-        """A hot tenant or twice the clients for a while, or a clock that is off."""
+    def _load_or_clock(self, at: float) -> Iterator[TimedEvent]:
+        """A high rate of one tenant or twice the load for 5 s, or a skewed wall clock."""
         match self._rng.choice(["hot", "load", "clock"]):
             case "hot":
                 yield at, ["hot", "t1", "10"]
@@ -260,7 +261,7 @@
         service = self._rng.choice(SERVICES)
         return f"{service}-{self._rng.randint(1, self._plan.workers)}"
 
-    def _worker_event(self, at: float) -> Iterator[DrawnEvent]:
+    def _worker_event(self, at: float) -> Iterator[TimedEvent]:
         rng = self._rng
         worker = self._any_worker()
         service = worker.partition("-")[0]
@@ -276,15 +277,15 @@
         )
         yield at, words
 
-    def _new_seeds(self, at: float) -> Iterator[DrawnEvent]:
+    def _new_seeds(self, at: float) -> Iterator[TimedEvent]:
         yield at, ["seeds", *self._rng.sample(self._core, 3)]
         if self._rng.random() < 0.5:
             yield at + 0.1, ["kill", "proxy", *self._rng.sample(self._proxies, 2)]
 
 
-def _numbered(drawn: list[DrawnEvent]) -> Iterator[DrawnEvent]:
-    """The events in the order of time, with versions that count up in place of the placeholder."""
+def _numbered(generated: list[TimedEvent]) -> Iterator[TimedEvent]:
+    """Yield the events ordered by time, with increasing versions in place of the placeholders."""
     version = 1
-    for at, words in sorted(drawn, key=lambda event: event[0]):
+    for at, words in sorted(generated, key=lambda event: event[0]):
         version += words[0] in ("put", "patch")
         yield at, [word.replace(VERSION_PLACEHOLDER, str(version)) for word in words]
--- a/ashlift/simulation/shrinking.py
+++ b/ashlift/simulation/shrinking.py
@@ -1,4 +1,4 @@
-"""Shortens a scenario that fails, as delta debugging does: leaves out what the failure does not need."""
+"""Shrinks a failing scenario by delta debugging: removes events that the failure does not need."""
 
 from typing import Final
 
@@ -12,7 +12,7 @@
 
 
 def shrink(scenario: Scenario, seed: int, max_plays: int = MAX_PLAYS) -> Scenario:
-    """Return the scenario without events that are not needed to break the same rule."""
+    """Return the scenario without events that are not needed to violate the same rule."""
     scenario = evolve(scenario, plan=evolve(scenario.plan, seed=seed))
     failure = _failure_of(scenario)
     if failure is None:
@@ -38,10 +38,10 @@
 
 
 def _failure_of(scenario: Scenario) -> str | None:
-    """The rule that it breaks, `expect` for an expectation; None: it passes, or makes no sense."""
+    """The violated rule, or `expect` for an expectation; None if it passes or cannot be run."""
     try:
         result = ScenarioPlayer(scenario).run()
-    except (KeyError, ValueError):  # an event needs one that was left out
+    except (KeyError, ValueError):  # an event depends on a removed one
         return None
     if result is None:
         return None
