--- a/ashlift/simulation/__main__.py
+++ b/ashlift/simulation/__main__.py
@@ -1,14 +1,14 @@
-"""`python -m ashlift.simulation SCENE... [--seeds N] [--first SEED] [--shrink]`: plays scenario files.
+"""`python -m ashlift.simulation SCENE... [--seeds N] [--first SEED] [--shrink]`: runs scenario files.
 
-`python -m ashlift.simulation --chance|--worst [--seeds N]`: random faults, `worst` with every fault there is.
-Prints the first violation of each that fails, and with `--shrink` the shortest scenario found that still
-fails; the exit status is 1 then.
+`python -m ashlift.simulation --chance|--worst [--seeds N]`: random scenarios, `--worst` with every kind of
+fault. Prints the first violation of each scenario that fails, and with `--shrink` a shortened scenario that
+still fails; the exit status is then 1.
 
-`python -m ashlift.simulation explore [CASE...] [--most N] [--cells N]`: all ways of a few replicas of the
-store. `python -m ashlift.simulation members SIZE... [--seeds N] [--turnover SHARE]`: many of them in long
-random worlds. `python -m ashlift.simulation record [--check]`: records what is played, or compares it with
-the record. `python -m ashlift.simulation --figures failover|repair|catching [--seeds N] [--jobs N]`: a table,
-least, median, most.
+`python -m ashlift.simulation explore [CASE...] [--most N] [--cells N]`: model-checks a few store replicas.
+`python -m ashlift.simulation members SIZE... [--seeds N] [--turnover SHARE]`: runs many replicas in random
+worlds. `python -m ashlift.simulation record [--check]`: records histories, or compares runs with the recorded
+ones. `python -m ashlift.simulation --figures failover|repair|catching [--seeds N] [--jobs N]`: prints a table
+of minimum, median and maximum.
 """
 
 import argparse
@@ -30,7 +30,7 @@
 from ashlift.simulation.scenario_player import ScenarioPlayer
 from ashlift.simulation.shrinking import shrink
 
-Table = Callable[[range, int], Iterator[str]]  # of seeds and jobs
+Table = Callable[[range, int], Iterator[str]]  # from seeds and the number of processes
 
 SUBCOMMANDS: Final[dict[str, Callable[[list[str]], int]]] = {
     "explore": explore.main,
@@ -46,7 +46,7 @@
 
 @frozen
 class Play:
-    """A scenario and the seed to play it with."""
+    """A scenario and the seed to run it with."""
 
     scenario: Scenario
     seed: int
@@ -68,16 +68,16 @@
     parser = argparse.ArgumentParser(
         prog="python -m ashlift.simulation", description=__doc__.splitlines()[0] if __doc__ else ""
     )
-    parser.add_argument("scenes", nargs="*", metavar="SCENE", help="files of scenarios")
+    parser.add_argument("scenes", nargs="*", metavar="SCENE", help="scenario files")
     parser.add_argument("--chance", action="store_true", help="random faults instead of a file")
-    parser.add_argument("--worst", action="store_true", help="random worst days")
+    parser.add_argument("--worst", action="store_true", help="random scenarios with every kind of fault")
     parser.add_argument("--figures", choices=list(FIGURE_TABLES), help="print a table of times")
-    parser.add_argument("--seeds", type=int, default=1, help="how many seeds")
-    parser.add_argument("--jobs", type=int, default=1, help="processes that measure figures")
+    parser.add_argument("--seeds", type=int, default=1, help="number of seeds")
+    parser.add_argument("--jobs", type=int, default=1, help="number of processes that measure")
     parser.add_argument("--first", type=int, default=None, help="the first seed")
     parser.add_argument("--edge", type=int, default=11, help="proxies in random faults")
-    parser.add_argument("--until", type=float, default=30.0, help="s of random faults")
-    parser.add_argument("--shrink", action="store_true", help="shorten what fails")
+    parser.add_argument("--until", type=float, default=30.0, help="duration of random scenarios in seconds")
+    parser.add_argument("--shrink", action="store_true", help="shorten failing scenarios")
     return parser
 
 
@@ -101,7 +101,7 @@
 
 
 def _passes(play: Play, shorten: bool) -> bool:
-    """Play it and print what came of it."""
+    """Run the scenario and print its result."""
     started = time.perf_counter()
     player = ScenarioPlayer(play.scenario, play.seed)
     failure = player.run()
--- a/ashlift/simulation/clients.py
+++ b/ashlift/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Clients with API keys: what they ask, how they choose a proxy, and when they try again."""
+"""Simulated clients: request patterns, lookup and choice of proxies, retries."""
 
 import math
 from collections.abc import Callable
@@ -18,15 +18,15 @@
 LOOKUP_INTERVAL_SECONDS = 1.0
 LOOKUP_TIMEOUT_SECONDS = 1.0
 REGISTRIES_ASKED = 3
-HOP_SECONDS = 0.001  # from a client to a proxy of its zone, one way
+HOP_SECONDS = 0.001  # one-way delay between a client and a proxy of its zone
 PROXY_AVOIDANCE_SECONDS = 2.0  # after a failure
 NO_PROXY_RETRY_SECONDS = 0.3
-IDLE_POLL_SECONDS = 0.2  # while the rate is 0
+IDLE_POLL_SECONDS = 0.2  # between checks of the rate while it is 0
 
 
 @define(slots=True)
 class RequestPattern:
-    """What clients ask again and again.
+    """A kind of request that clients send at a rate.
 
     `rate`: operations a second over all zones; `timeout`: seconds for an operation with all its attempts.
     """
@@ -40,7 +40,7 @@
 
 @define(eq=False, slots=True)
 class ClientOperation:
-    """One thing that a client wants, over all its attempts."""
+    """One operation of a client, with all its attempts."""
 
     pattern: RequestPattern
     deadline: float
@@ -50,12 +50,12 @@
 
     @property
     def started(self) -> float:
-        """When the client began."""
+        """When the operation was started."""
         return self.deadline - self.pattern.timeout
 
 
 class ClientPopulation(Process):
-    """The clients of one zone, who share the newest answer of /lookup."""
+    """The clients of one zone, which share the latest lookup result."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         registries: list[str],
         rate_share: Callable[[], float],
     ) -> None:
-        """`rate_share`: the part of each pattern's rate that these clients ask."""
+        """`rate_share`: the share of each pattern's rate that these clients send."""
         super().__init__(loop, net, machine, "clients")
         self.history = history
         self.registries = registries
@@ -77,7 +77,7 @@
         self._avoided_until: dict[str, float] = {}  # by proxy
 
     def on_start(self) -> None:
-        """Look the proxies up, again and again."""
+        """Start the periodic lookup of proxies."""
         self.spawn(self._look_up_proxies())
 
     def _look_up_proxies(self) -> Task:
@@ -100,7 +100,7 @@
 
     # ---- operations
     def add_pattern(self, pattern: RequestPattern) -> None:
-        """Ask this from now on."""
+        """Start to send requests of this pattern."""
         self.patterns.append(pattern)
         self._schedule_next(pattern)
 
@@ -120,7 +120,7 @@
         self._schedule_next(pattern)
 
     def attempt(self, operation: ClientOperation) -> None:
-        """Send a request for the operation to a random proxy, unless it has used up its attempts or time."""
+        """Send a request for the operation to a random proxy, if it has attempts and time left."""
         now = self.loop.now
         if operation.attempts >= MAX_ATTEMPTS or now >= operation.deadline:
             operation.finished = True
@@ -140,7 +140,7 @@
         self.send_request(operation, request)
 
     def send_request(self, operation: ClientOperation, request: Request) -> None:
-        """Carry the request to its proxy."""
+        """Send the request to its proxy."""
         net = as_simulated(self.net)
         machine = net.machines[request.proxy]
         proxy = machine.processes[proxy_process.KIND]
@@ -156,9 +156,9 @@
             exchange = _ProxyExchange(self, operation, request, proxy, delay)
             self.loop.call_later(delay, exchange.arrive)
 
-    # ---- outcomes of an attempt
+    # ---- outcomes of attempts
     def fail_attempt(self, operation: ClientOperation, request: Request, unread: bool) -> None:
-        """There was no connection (`unread`), or it broke without an answer."""
+        """Handle a failed connection; `unread`: the proxy cannot have read the request."""
         request.ended = self.loop.now
         self._avoided_until[request.proxy] = self.loop.now + PROXY_AVOIDANCE_SECONDS
         if unread or operation.pattern.idempotent:
@@ -169,7 +169,7 @@
     def receive_response(
         self, operation: ClientOperation, request: Request, status: int, retry_after: float | None
     ) -> None:
-        """The proxy's answer has come; `status` 0: the connection ended without one."""
+        """Handle the proxy's response; `status` 0: the connection ended without one."""
         if not math.isinf(request.ended):
             return
         now = self.loop.now
@@ -191,7 +191,7 @@
 
 
 class _ProxyExchange:
-    """A request on its way to a proxy that ran when it was sent, and the answer's way back."""
+    """A request in transit to a running proxy, and the response to it."""
 
     __slots__ = ("_clients", "_delay", "_operation", "_proxy", "_proxy_incarnation", "_request")
 
@@ -211,7 +211,7 @@
         self._delay = delay
 
     def arrive(self) -> None:
-        """The request has come to the proxy's machine."""
+        """Handle the arrival of the request at the proxy's machine."""
         proxy = self._proxy
         if not proxy.up or proxy.incarnation != self._proxy_incarnation:
             self._clients.fail_attempt(self._operation, self._request, True)
@@ -233,7 +233,7 @@
             )
 
     def _give_up(self) -> None:
-        """The client's time is over: it closes the connection."""
+        """Close the connection after the client's timeout."""
         request = self._request
         if not math.isinf(request.ended):
             return
--- a/ashlift/simulation/configurations.py
+++ b/ashlift/simulation/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations that operators send: the first one, changes of it by words, and the PATCH between two."""
+"""Configurations that operators send: the first one, edits of it by words, and patches between two."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 def first_configuration(plan: Plan) -> dict[str, Any]:
-    """Return version 1: the routes and services of `ROUTES`, and the plan's tenants."""
+    """Return version 1, with the routes and services of `ROUTES` and the plan's tenants."""
     objects = [_object("Routes", name, _route_specification(name, plan)) for name in ROUTES]
     for route in ROUTES.values():
         specification = {
@@ -65,11 +65,11 @@
 
 
 def edit_configuration(body: Mapping[str, Any], version: int, words: list[str]) -> dict[str, Any]:
-    """Return a configuration changed by words.
+    """Return a configuration edited by words.
 
-    `look=desk` sends the route there; `r+NAME=SERVICE` and `r-NAME` add and withdraw a route, `k+TENANT=KEY`
-    and `k-KEY` a key, `t+TENANT=RATE` (with the keys TENANT-a, TENANT-b) and `t-TENANT` a tenant;
-    `q:TENANT=RATE` sets its rate and burst. Raises ValueError for any other word.
+    `look=desk` changes the service of a route; `r+NAME=SERVICE` and `r-NAME` add and remove a route,
+    `k+TENANT=KEY` and `k-KEY` an API key, `t+TENANT=RATE` (with the keys TENANT-a, TENANT-b) and `t-TENANT` a
+    tenant; `q:TENANT=RATE` sets the rate and burst of a tenant. Raises ValueError for any other word.
     """
     objects = _objects_by_key(body)
     for word in words:
@@ -130,7 +130,7 @@
 
 
 def patch_between(old: Mapping[str, Any], new: Mapping[str, Any]) -> dict[str, Any]:
-    """Return the PATCH that makes `new` of `old`."""
+    """Return the PATCH body that changes `old` into `new`."""
     old_objects = {(item["ObjectType"], item["Metadata"].get("Name", "")): item for item in old["Objects"]}
     new_objects = {(item["ObjectType"], item["Metadata"].get("Name", "")): item for item in new["Objects"]}
     withdraw: dict[str, list[str]] = {}
@@ -143,9 +143,9 @@
 def configuration_change(
     version: int, base: int, operator: str, body: dict[str, Any], sent: float
 ) -> ConfigurationChange:
-    """Return the record of a configuration that an operator sends, with the table built of it."""
+    """Return the record of a configuration that an operator sends, with its routing table."""
     entries = operator_config.load_configuration(body)
-    if isinstance(entries, list):  # of faults
+    if isinstance(entries, list):  # validation errors
         empty_table = RoutingTable.from_entries({})
         return ConfigurationChange(version, base, operator, sent, body, {}, empty_table, valid=False)
     table = RoutingTable.from_entries(entries)
--- a/ashlift/simulation/continuous_operators.py
+++ b/ashlift/simulation/continuous_operators.py
@@ -1,4 +1,4 @@
-"""Operators who always have a command under way at some core machine, and resend what was accepted."""
+"""Operators that send commands one after the other, and sometimes resend accepted ones."""
 
 from typing import Any
 
@@ -9,15 +9,15 @@
 from ashlift.simulation.process import Task
 from ashlift.simulation.registry_methods import RegistryMethod
 
-PAUSE_SECONDS = (0.4, 1.6)  # between two commands
-RESEND_SHARE = 0.4  # of changes, as soon as they are accepted
-RESENT_CHANGES = 6  # one of so many last changes is sent again
-MAX_VERSION_STEP = 3  # above the base: two operators may pick the same version
+PAUSE_SECONDS = (0.4, 1.6)  # shortest and longest pause between commands
+RESEND_SHARE = 0.4  # of changes, right after they were accepted
+RESENT_CHANGES = 6  # a later resend picks one of the latest accepted changes
+MAX_VERSION_STEP = 3  # above the base; small, so that operators pick conflicting versions
 EDITS = ("look=desk", "look=fleet", "bill=desk", "bill=bill", "r+{new}=fleet", "q:t1=150", "q:t2=90")
 
 
 class ContinuousOperator(Operator):
-    """`zone`: the one that it alone evacuates and restores; `preferred`: registries that it asks first."""
+    """`zone`: evacuated and restored by this operator only; `preferred`: registries to call first."""
 
     zone: str | None = None
     preferred: list[str] = []
@@ -48,7 +48,7 @@
             yield rng.uniform(*PAUSE_SECONDS)
 
     def _change(self, patch: bool) -> Task:
-        """Change what is read just before; others may do the same."""
+        """Read the configuration and send a change of it, possibly concurrent with other operators."""
         rng = self.loop.rng
         yield from self._read_configuration(self._first_registry())
         base = self.history.readings[-1]
@@ -68,7 +68,7 @@
                 yield from self._resend(change)
 
     def _resend(self, change: ConfigurationChange) -> Task:
-        """Call once with what was accepted."""
+        """Send an accepted change once more, without retries."""
         sent = self.loop.now
         registry = self._first_registry()
         command = change.as_command()
--- a/ashlift/simulation/event_arguments.py
+++ b/ashlift/simulation/event_arguments.py
@@ -1,4 +1,4 @@
-"""The words of a scenario's event, with options and names of machines taken apart."""
+"""Parses the words of a scenario event into options, machines and other arguments."""
 
 from typing import Final
 
@@ -11,7 +11,7 @@
 
 @frozen
 class EventArguments:
-    """The first word, the words that follow, and the options (`for 2`) taken out of them."""
+    """The first word of an event, the following words, and the options (such as `for 2`) among them."""
 
     word: str
     words: list[str]
@@ -19,17 +19,17 @@
 
     @property
     def duration(self) -> float | None:
-        """How long it lasts, in seconds; None where the event does not say."""
+        """The duration in seconds, None if the event has none."""
         return float(self.options["for"]) if "for" in self.options else None
 
     @property
     def machine(self) -> str | None:
-        """The machine that a call goes to first."""
+        """The machine to call first, None if the event names none."""
         return self.options.get("at")
 
 
 def parse_arguments(event_words: list[str]) -> EventArguments:
-    """Return the words of an event, the options apart."""
+    """Separate the options of an event from its other words."""
     word, *rest = event_words
     words: list[str] = []
     options: dict[str, str] = {}
@@ -45,11 +45,13 @@
 
 
 def resolve_machines(world: World, words: list[str], programs: str = "all") -> list[str]:
-    """Return the names of machines that the words stand for: names, `*`, `leader`, `others`, `edge`, `core`.
+    """Return the machines that the words name: names, `*`, `leader`, `others`, `edge` or `core`.
 
-    `*` stands for all machines that have these programs.
+    `*` stands for all machines that run these programs, `others` for all core machines except the leader.
     """
-    leader = world.leader() if {"leader", "others"} & {*words} else None  # on processes this asks registries
+    leader = (
+        world.leader() if {"leader", "others"} & {*words} else None
+    )  # a world of real processes queries registries
     with_programs = {
         "proxy": world.edge,
         "configstore": world.core,
--- a/ashlift/simulation/failover_figures.py
+++ b/ashlift/simulation/failover_figures.py
@@ -1,7 +1,7 @@
-"""Figures of failover on simulated time, over seeds: how long until all is served again after a fault.
+"""Failover times in the simulator over many seeds: from a fault to normal service and to a committed change.
 
-Every seed draws other times, delays of links, places of workers and choices of operators. The fault lasts to
-the end unless its words say otherwise.
+The seed determines the times, link delays, worker zones and operators' choices. A fault lasts until the end
+unless its event has a duration.
 """
 
 import math
@@ -19,16 +19,16 @@
 from ashlift.simulation.world import World
 
 EARLIEST_FAULT_SECONDS: Final = 7.0
-BASELINE_SECONDS: Final = 1.5  # before the fault, to know the usual share of served operations
-WINDOW_SECONDS: Final = 0.5  # the share is counted in windows of this length
+BASELINE_SECONDS: Final = 1.5  # before the fault, to measure the normal success rate
+WINDOW_SECONDS: Final = 0.5  # the success rate is measured in windows of this length
 WINDOW_STEP_SECONDS: Final = 0.05
-RECOVERED_RATIO: Final = 0.9  # of the usual share
-OBSERVED_SECONDS: Final = 6.0  # from the fault on
+RECOVERED_RATIO: Final = 0.9  # of the normal success rate
+OBSERVED_SECONDS: Final = 6.0  # after the fault
 CLIENT_TIMEOUT_SECONDS: Final = 3.0
 REQUESTS_PER_SECOND: Final = 80.0
 FOLLOWER_PREFIX: Final = "follower-"
 
-# The words of each fault's events; ZONE and REGION stand for all that is in one of them.
+# Scenario events by fault; ZONE and REGION stand for all machines and workers in one of them.
 FAULTS: Final = {
     "nothing (the change's own time)": [],
     "leader killed, back after 0.7 s": ["kill configstore leader"],
@@ -63,29 +63,29 @@
 
 @frozen
 class FailoverTimes:
-    """Seconds from a fault until all is served again, and until a command sent with it is acknowledged."""
+    """Seconds from a fault until normal service, and until a change sent with it was acknowledged."""
 
     recovery_seconds: float
     acknowledged: float
 
 
 def recovery_seconds_after(operations: list[ClientOperation], fault_at: float) -> float:
-    """Return the seconds from the fault until all later windows have 0.9 of the usual share served.
+    """Return the seconds from the fault until the success rate stays above `RECOVERED_RATIO` of normal.
 
-    It is infinite where that does not come within `OBSERVED_SECONDS`.
+    The result is infinite if that is not reached within `OBSERVED_SECONDS`.
     """
     by_start = sorted((operation.started, operation.served) for operation in operations)
 
-    def served_share(start: float, end: float) -> float:
+    def success_rate(start: float, end: float) -> float:
         served = [served for at, served in by_start if start <= at < end]
         return sum(served) / len(served) if served else 1.0
 
-    usual_share = served_share(fault_at - BASELINE_SECONDS, fault_at)
+    normal_rate = success_rate(fault_at - BASELINE_SECONDS, fault_at)
     window_count = round((OBSERVED_SECONDS - WINDOW_SECONDS) / WINDOW_STEP_SECONDS)
     last_bad_window = -1
     for window in range(window_count):
         start = fault_at + window * WINDOW_STEP_SECONDS
-        if served_share(start, start + WINDOW_SECONDS) < RECOVERED_RATIO * usual_share:
+        if success_rate(start, start + WINDOW_SECONDS) < RECOVERED_RATIO * normal_rate:
             last_bad_window = window
     if last_bad_window == window_count - 1:
         return math.inf
@@ -93,7 +93,7 @@
 
 
 def measure_failover(fault: list[str], seed: int) -> FailoverTimes:
-    """Play a fault and a command that is sent with it."""
+    """Simulate a fault and a configuration change that is sent at the same time."""
     plan = Plan(seed=seed, rate=REQUESTS_PER_SECOND)
     player = ScenarioPlayer(Scenario("figures", plan, ()), seed)
     world = player.world
@@ -112,7 +112,7 @@
 
 
 def _resolve(world: World, word: str, leader: str, lost_machine: str) -> list[str]:
-    """Return the machines that a word of a fault stands for; workers of a lost zone or region are killed."""
+    """Return the machines that a word of a fault stands for; kill the workers of a lost zone or region."""
     followers = [name for name in world.core if name != leader]
     if word.startswith(FOLLOWER_PREFIX):
         return [followers[int(word.removeprefix(FOLLOWER_PREFIX)) - 1]]
@@ -135,7 +135,7 @@
 
 
 def failover_table(seeds: range, jobs: int) -> Iterator[str]:
-    """Yield the lines of a table: least, median, most in seconds of each fault."""
+    """Yield the lines of a table with the minimum, median and maximum in seconds for each fault."""
     yield f"| {len(seeds)} seeds; s: least, **median**, most | served again | a change acknowledged |"
     yield "| --- | --- | --- |"
     tasks = [(fault, seed) for fault in FAULTS.values() for seed in seeds]
--- a/ashlift/simulation/history.py
+++ b/ashlift/simulation/history.py
@@ -1,6 +1,6 @@
-"""What clients, workers and operators observed, and which machines had faults: all that the checkers judge.
+"""The history of a run: observations of clients, workers and operators, and the faults of machines.
 
-Times are seconds on the clock of the world. The world and its actors append; checkers only read.
+Times are in seconds since the start of the run. The world and its actors append; checkers only read.
 """
 
 import json
@@ -27,13 +27,13 @@
     proxy: str
     ran: bool
     rejection_status: int = 0
-    status: int = 0  # the worker's answer; 0: none, or not recorded
-    seal: str = ""  # of its answer, with a digest of the body
+    status: int = 0  # of the worker's response; 0: none, or not recorded
+    seal: str = ""  # the response's X-Server-Seal and a digest of its body
 
 
 @define(eq=False, slots=True)
 class Request:
-    """One attempt of a client, with an id of its own."""
+    """One attempt of a client, with a unique id."""
 
     id: int
     path: str
@@ -44,24 +44,24 @@
     sent: float
     proxy: str = ""
     proxy_incarnation: int = 0
-    received: float = math.inf  # when the proxy had read it
-    status: int = 0  # 0: no answer
-    cause: str = ""  # of an answer that the proxy gave itself
+    received: float = math.inf  # when the proxy had read the request completely
+    status: int = 0  # 0: no response
+    cause: str = ""  # why the proxy rejected the request itself
     ended: float = math.inf
-    connection_broken: bool = False  # the proxy closed the connection without a complete answer
-    seal: str | None = None  # as the client got it; None: not recorded
-    pool_exhausted_count: int = 0  # how often an attempt at a worker found no connection to use
+    connection_broken: bool = False  # the proxy closed the connection without a complete response
+    seal: str | None = None  # as received by the client; None: not recorded
+    pool_exhausted_count: int = 0  # attempts that failed because the connection limit was reached
     arrivals: list[Arrival] = field(factory=list)
 
     def describe(self) -> str:
-        """The request in a violation's text."""
+        """Return the request as violations name it."""
         key = self.key or "no key"
         return f"request {self.id} {self.path} ({key}) sent {self.sent:.3f} to {self.proxy or '-'}"
 
 
 @define(frozen=True)
 class UnexpectedArrival:
-    """What reached a worker although no client had sent it so."""
+    """A request at a worker that no client has sent in this form."""
 
     at: float
     worker: str
@@ -80,24 +80,24 @@
     started: float
     ended: float = math.inf
     warmups: list[tuple[float, float]] = field(factory=list)  # from, until
-    draining_acknowledged: float = math.inf  # of the heartbeat that says `draining`, or of its end
-    draining_registry: str = ""  # the machine that acknowledged it
+    draining_acknowledged: float = math.inf  # when a heartbeat with the state `draining` was acknowledged
+    draining_registry: str = ""  # the machine of the registry that acknowledged it
     deregistered: float = math.inf  # when its DELETE was acknowledged
 
     def is_warming_up(self, at: float) -> bool:
-        """Whether slow start applied to it at that moment."""
+        """Whether the worker was in slow start at that time."""
         return any(start <= at < end for start, end in self.warmups)
 
 
 def comparable_objects(objects: list[dict[str, Any]]) -> linearizability.Items:
-    """A configuration's objects as values that can be compared."""
+    """Return a configuration's objects in a comparable form."""
     by_key = {f"{item['ObjectType']}/{item['Metadata'].get('Name', '')}": item for item in objects}
     return linearizability.items_of({key: json.dumps(item, sort_keys=True) for key, item in by_key.items()})
 
 
 @define(eq=False, slots=True)
 class ConfigurationChange:
-    """A configuration that an operator sent: `entries` as it is stored, and the `table` built of them."""
+    """A configuration sent by an operator: its stored `entries`, and the routing `table` built from them."""
 
     version: int
     base: int
@@ -113,7 +113,7 @@
     patch: dict[str, Any] | None = None  # sent in place of the whole body
 
     def as_write(self) -> linearizability.ConfigurationWrite:
-        """The change as the linearizability checker takes it."""
+        """Return the change for the linearizability checker."""
         if self.patch is None:
             upserts = comparable_objects(self.body["Objects"])
             return linearizability.ConfigurationWrite(self.base, self.version, upserts)
@@ -122,18 +122,18 @@
         return linearizability.ConfigurationWrite(self.base, self.version, upserts, frozenset(withdrawn))
 
     def as_command(self) -> dict[str, Any]:
-        """The body of the call that asks for it."""
+        """Return the operator command that requests the change."""
         kind, body = ("put", self.body) if self.patch is None else ("patch", self.patch)
         return {"kind": kind, "if_match": f"{self.base:08x}", "body": body}
 
     def describe(self) -> str:
-        """The change in a violation's text."""
+        """Return the change as violations name it."""
         return f"version {self.version} of {self.operator} on {self.base}"
 
 
 @define(eq=False, slots=True)
 class Resend:
-    """One more call of a change that was accepted; `status` 0: no answer."""
+    """A repeated request of an accepted change; `status` 0: no response."""
 
     change: ConfigurationChange
     registry: str
@@ -144,7 +144,7 @@
 
 @define(eq=False, slots=True)
 class Reading:
-    """A GET /config that was answered; `entries` as it is stored, None where that is not recorded."""
+    """A successful GET /config; `entries`: the stored form, None if it was not recorded."""
 
     started: float
     ended: float
@@ -153,11 +153,11 @@
     entries: Mapping[str, Any] | None
 
     def observed(self) -> tuple[int, linearizability.Items]:
-        """What was read, as the linearizability checker takes it."""
+        """Return the version and objects for the linearizability checker."""
         return self.version, comparable_objects(self.body.get("Objects", []))
 
     def evacuated_zones(self) -> frozenset[str] | None:
-        """The zones evacuated then; None: not recorded."""
+        """Return the evacuated zones, None if they were not recorded."""
         if self.entries is None:
             return None
         parts = (key.partition("/") for key in self.entries)
@@ -166,7 +166,7 @@
 
 @define(eq=False, slots=True)
 class EvacuationChange:
-    """An operator evacuates a zone, or (`evacuated` False) ends its evacuation."""
+    """An operator's command to evacuate a zone or, if `evacuated` is False, to end the evacuation."""
 
     zone: str
     evacuated: bool
@@ -176,9 +176,9 @@
 
 @define(eq=False, slots=True)
 class EvacuationCall:
-    """One call of an `EvacuationChange` to one core machine.
+    """One call for an `EvacuationChange` to one core machine.
 
-    It takes effect by `effect_deadline` or never; `ended` is when it was acknowledged.
+    It takes effect by `effect_deadline` or never; `ended`: when it was acknowledged.
     """
 
     zone: str
@@ -191,18 +191,18 @@
 
 @define(eq=False, slots=True)
 class FaultInterval:
-    """When a machine had a fault, or the core was unsettled; an open interval ends at infinity."""
+    """When a machine had a fault or the core was unstable; an open interval ends at infinity."""
 
     started: float
     ended: float = math.inf
 
     def overlaps(self, start: float, end: float) -> bool:
-        """Whether the interval has a moment in common with this span."""
+        """Whether the interval overlaps this span."""
         return self.started <= end and self.ended >= start
 
 
 class History:
-    """Everything that was observed in one run."""
+    """All observations and faults of one run."""
 
     def __init__(self) -> None:
         self.requests: list[Request] = []
@@ -216,7 +216,7 @@
         self.evacuation_calls: list[EvacuationCall] = []
         self.route_edits: dict[str, Any] = {}  # by id, of `ashlift.simulation.route_edits`
         self.faults: dict[str, list[FaultInterval]] = {}  # by machine
-        self.terminations: dict[str, list[float]] = {}  # machine -> when faults started that were a SIGTERM
+        self.terminations: dict[str, list[float]] = {}  # by machine: when it was sent a SIGTERM
         self.core_unstable: list[FaultInterval] = []
         self.final_fault_at = math.inf
         self.end = 0.0
@@ -224,18 +224,18 @@
     def add_request(
         self, path: str, idempotent: bool, key: str, zone: str, region: str, sent: float
     ) -> Request:
-        """Record that a client sends a request, under the next id."""
+        """Record a request that a client sends, with the next id."""
         request = Request(len(self.requests) + 1, path, idempotent, key, zone, region, sent)
         self.requests.append(request)
         return request
 
     def begin_fault(self, machine: str, now: float, termination: bool = False) -> None:
-        """Record that a fault of the machine starts; `termination`: a SIGTERM."""
+        """Record the start of a fault of the machine; `termination`: a SIGTERM."""
         self.faults.setdefault(machine, []).append(FaultInterval(now))
         if termination:
             self.terminations.setdefault(machine, []).append(now)
 
     def end_faults(self, machine: str, now: float) -> None:
-        """Record that all faults of the machine are over."""
+        """Record the end of all faults of the machine."""
         for interval in self.faults.get(machine, ()):
             interval.ended = min(interval.ended, now)
--- a/ashlift/simulation/observer.py
+++ b/ashlift/simulation/observer.py
@@ -1,4 +1,4 @@
-"""What may be told of a simulated run while it goes on."""
+"""Interface for observing a simulated run."""
 
 from typing import Any
 
@@ -6,26 +6,25 @@
 
 
 class Observer:
-    """Told of what happens between processes, and of what becomes durable.
+    """Receives calls between processes and durable writes. The methods of this class do nothing.
 
-    The methods of this class do nothing. Those of a subclass must not draw from the loop's random source, nor
-    change anything that they are shown.
+    Methods of subclasses must not use the loop's random source or modify their arguments.
     """
 
     def called(self, caller: Process, to: str, kind: str, method: str, body: Any) -> None:
         """A process calls the program `kind` on the machine `to`."""
 
     def answered(self, caller: Process, target: Process, method: str, body: Any) -> None:
-        """The called process gives its answer."""
+        """The called process sends its response."""
 
     def received(self, caller: Process, target: Process, method: str) -> None:
-        """The answer has come to the caller."""
+        """The response has reached the caller."""
 
     def stored(self, process: Process) -> None:
-        """The disk of the process's machine holds something else now."""
+        """The content of the disk of the process's machine may have changed."""
 
     def attempted(self, proxy: Process, worker: str, request: int, reused: bool) -> None:
-        """A proxy sends a client's request to a worker, on a connection that it `reused` or on a new one."""
+        """A proxy sends a client's request to a worker, on a `reused` connection or on a new one."""
 
     def replied(self, worker: Process, proxy: Process, request: int, status: int) -> None:
-        """A worker answers an attempt; `status` 0: it breaks the connection instead."""
+        """A worker responds to an attempt; `status` 0: it closes the connection instead."""
--- a/ashlift/simulation/operators.py
+++ b/ashlift/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Operators: they send a command again, unchanged, to any core machine, until there is a clear answer."""
+"""Operators: resend a command unchanged to any core machine until it gets a final status."""
 
 from typing import Any
 
@@ -20,13 +20,13 @@
 MAX_BACKOFF_SECONDS = 1.0
 BACKOFF_FACTOR = 1.5
 READ_RETRY_SECONDS = 0.2
-MAX_REDIRECTS = 2  # that a caller follows
+MAX_REDIRECTS = 2
 REDIRECT_STATUS = 307
 FINAL_STATUSES = (200, 400, 404, 412, 422)
 
 
 class Operator(Process):
-    """One operator, with its own way of asking the core machines."""
+    """An operator, which sends commands to the registries in random order."""
 
     def __init__(
         self, loop: EventLoop, net: Network, machine: Machine, history: History, registries: list[str]
@@ -36,7 +36,7 @@
         self.registries = registries
 
     def on_start(self) -> None:
-        """Wait to be asked for something."""
+        """Do nothing until a command is requested."""
 
     def _registry_order(self, first: str | None) -> list[str]:
         shuffled = self.loop.rng.sample(self.registries, len(self.registries))
@@ -45,7 +45,7 @@
     def _send_until_final_status(
         self, command: dict[str, Any], first: str | None, once: bool = False
     ) -> Task:
-        """Returns the status of the clear answer; with `once`, None if the first call got none."""
+        """Returns the final status; with `once`, None if the first call did not get one."""
         backoff = INITIAL_BACKOFF_SECONDS
         registries = self._registry_order(first)
         timeout = CALL_TIMEOUT_SECONDS
@@ -81,7 +81,7 @@
 
     # ---- configurations
     def send_change(self, change: ConfigurationChange, first: str | None = None) -> None:
-        """Send a change from now on, to the registry `first` first."""
+        """Send a change until it gets a final status, to the registry `first` first."""
         change.sent = self.loop.now
         self.history.changes.append(change)
         self.spawn(self._send_change(change, first))
@@ -115,7 +115,7 @@
 
     # ---- evacuations
     def evacuate(self, zone: str, evacuated: bool, first: str | None = None, once: bool = False) -> None:
-        """Evacuate a zone or end its evacuation; `once`: give up after one call."""
+        """Evacuate a zone or end its evacuation; `once`: do not retry."""
         self.spawn(self._evacuate(zone, evacuated, first, once))
 
     def _evacuate(self, zone: str, evacuated: bool, first: str | None, once: bool = False) -> Task:
--- a/ashlift/simulation/plan.py
+++ b/ashlift/simulation/plan.py
@@ -1,15 +1,15 @@
-"""What a world is built of: the plan of a scenario, and what all worlds have in common."""
+"""The plan of a world, and the zones and routes that all worlds have in common."""
 
 from typing import Final
 
 from attrs import define, field, frozen
 
-ZONES: Final = {"z1": "r1", "z2": "r2", "z3": "r3", "z4": "r1", "z5": "r2", "z6": "r3"}  # and their regions
+ZONES: Final = {"z1": "r1", "z2": "r2", "z3": "r3", "z4": "r1", "z5": "r2", "z6": "r3"}  # zone: region
 
 
 @frozen
 class PlannedRoute:
-    """A route of the first configuration."""
+    """A route of the first configuration: its service, and whether its requests are idempotent."""
 
     service: str
     idempotent: bool
@@ -24,11 +24,12 @@
 
 @define
 class Plan:
-    """What is built. The fields' names are the words of scenario files; times are in seconds.
+    """The plan of a world. Field names are words of scenario files; times are in seconds.
 
-    `core`, `edge`: machines; `rate`: requests a second of all clients; `workers`: of each service; `capacity`
-    and `latency`: of a worker; `quota`: a tenant's rate limit; `late` 1: bytes held up by a blocked link
-    arrive whenever it ends; `homes`: home regions of the route `bill`.
+    `core`, `edge`: number of machines; `rate`: requests a second of all clients; `workers`: per service;
+    `capacity` and `latency`: of a worker; `quota`: a tenant's rate limit; `loss`: share of lost messages;
+    `late` 1: messages on a blocked link arrive even after their sender has closed the connection;
+    `homes`: home regions of the route `bill`.
     """
 
     core: int = 5
--- a/ashlift/simulation/registry_methods.py
+++ b/ashlift/simulation/registry_methods.py
@@ -1,10 +1,10 @@
-"""Methods of the registry that stand for HTTP requests of workers, clients and operators."""
+"""Methods of the simulated registry that replace HTTP requests of workers, clients and operators."""
 
 import enum
 
 
 class RegistryMethod(enum.StrEnum):
-    """What the simulator's actors call; on real processes the lab makes HTTP requests of them."""
+    """Registry calls of workers, clients and operators; with real processes the lab sends HTTP requests."""
 
     LOOKUP = "lookup"
     HEARTBEAT = "heartbeat"
--- a/ashlift/simulation/route_edit_service.py
+++ b/ashlift/simulation/route_edit_service.py
@@ -1,4 +1,4 @@
-"""Edits of single routes at a simulated registry, as `ashlift.registry.api` serves them."""
+"""Edits of single routes at a simulated registry, as `ashlift.registry.api` handles them."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 
 
 class RouteEditService:
-    """Answers operators with a status and a value, for one incarnation of a registry."""
+    """Handles edits and decisions for one incarnation of a registry; returns a status and a value."""
 
     def __init__(self, process: Process, registry: Registry, store_client: SimulatedStoreClient) -> None:
         self._process = process
@@ -30,7 +30,7 @@
         return self._process.loop.now + self._process.machine.wall_clock_skew
 
     def edit(self, request: dict[str, Any]) -> Task:
-        """Submit an edit; where no store may have taken it, leave it pending at the stores in reach."""
+        """Submit an edit; if the stores did not decide it, leave it pending at the reachable stores."""
         name = request["name"]
         entries = self._registry.operator_config.values
         edit = decode_request(entries, name, request, self._timestamp(name, {}), self._process.name)
@@ -66,7 +66,7 @@
         return (503, {}) if isinstance(response, Failure) else (response["status"], response)
 
     def _pending_edits(self, added: list[dict[str, Any]]) -> Task:
-        """Leave edits at all stores; returns all pending edits, and the stores that answered."""
+        """Add pending edits at all stores; returns all pending edits, and the stores that responded."""
         ips = dict.fromkeys([self._process.name, *self._store_client.stores()])
         responses = {
             ip: self._process.call(
--- a/ashlift/simulation/route_edits.py
+++ b/ashlift/simulation/route_edits.py
@@ -1,4 +1,4 @@
-"""Operators who edit single routes, and what became of their edits by the map that the stores agreed on."""
+"""Edits of single routes by operators, and their outcomes according to the committed map."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -24,8 +24,8 @@
 class EditRecord:
     """An edit of one route, as its operator knows it.
 
-    `text` is None for a route that is withdrawn; `status` is that of the last answer to the edit or to the
-    operator's decision on it, 0 where there is none yet.
+    `text` is None if the route is removed; `status` is that of the last response to the edit or to the
+    operator's decision on it, 0 before any response.
     """
 
     id: str
@@ -37,7 +37,7 @@
     acknowledged: float = float("inf")
 
     def receive_response(self, response: Any, now: float) -> None:
-        """Note what a registry answered: a status and a value, or a failure."""
+        """Record a registry's response: a status and a value, or a failure."""
         if isinstance(response, tuple):
             self.status = response[0]
             if response[0] == 200 and response[1]["outcome"] == Outcome.APPLIED:
@@ -45,9 +45,9 @@
 
 
 def parse_edit(entries: Mapping[str, Any], words: str) -> tuple[str, dict[str, Any] | None]:
-    """Return a route's name and its new text, None if it is withdrawn.
+    """Return a route's name and its new text, None if the route is removed.
 
-    `hold=bill` sends the route there, `r+NAME=SERVICE` adds one for look-ups, `r-NAME` withdraws one.
+    `hold=bill` changes the service of a route, `r+NAME=SERVICE` adds an idempotent one, `r-NAME` removes one.
     """
     name, _, service = words.removeprefix("r+").removeprefix("r-").partition("=")
     if words.startswith("r-"):
@@ -55,14 +55,14 @@
     text = entries.get(f"Routes/{name}")
     if text is None:
         text = new_route_specification(name, service)
-        del text["Service"]  # it comes last: recorded histories hold the bytes of the edit
+        del text["Service"]  # added last: recorded histories depend on the order of the encoded keys
     return name, {**text, "Service": service}
 
 
 def send_edit(
     operator: Operator, history: History, edit_id: str, words: str, registry: RegistryProcess
 ) -> None:
-    """Read the route at a registry, and ask for another text of it there."""
+    """Read the route at a registry, and send an edit of it to that registry."""
     entries = registry.registry.operator_config.values
     name, text = parse_edit(entries, words)
     record = EditRecord(edit_id, name, text, operator.name, operator.loop.now)
@@ -75,7 +75,7 @@
 def send_decision(
     operator: Operator, history: History, edit_id: str, decision: str, registry: str, overwrite: bool
 ) -> None:
-    """Confirm or reject a pending edit; `overwrite`: also what changed meanwhile."""
+    """Confirm or reject a pending edit; `overwrite`: even if the route has changed since."""
     body = {"id": edit_id, "who": operator.name, "word": decision, "over": overwrite}
     _send(operator, history.route_edits[edit_id], registry, RegistryMethod.DECIDE_EDIT, body)
 
@@ -91,7 +91,7 @@
 
 
 def committed_entries(stores: list[ConfigstoreProcess]) -> Mapping[str, Any]:
-    """Return the newest map known to be committed."""
+    """Return the latest committed map of any store."""
     snapshots = [store.replica.committed_state.snapshot for store in stores if store.replica]
     if not snapshots:
         return {}
@@ -100,7 +100,7 @@
 
 
 def outcome_in(edit_id: str, stores: list[ConfigstoreProcess]) -> str:
-    """Return what the agreed map says of an edit; `waits`, or `unknown` where no store holds it either."""
+    """Return the outcome of an edit in the committed map, `waits` if it is pending, or `unknown`."""
     record = outcome_of(committed_entries(stores), edit_id)
     if record:
         return str(record["outcome"])
@@ -109,9 +109,9 @@
 
 
 def record_outcomes(history: History, entries: Mapping[str, Any]) -> None:
-    """Add to the history the version that each edit made by the agreed map.
+    """Add to the history the version that each applied edit made, according to the committed map.
 
-    An edit that never was in force adds none, so that whatever ran by it is a violation.
+    An edit that was not applied adds none, so that a request that ran because of it is a violation.
     """
     outcomes = {edit_id: outcome_of(entries, edit_id) or {} for edit_id in history.route_edits}
     for edit_id in sorted(outcomes, key=lambda edit_id: str(outcomes[edit_id].get("version"))):
@@ -123,7 +123,7 @@
 def _add_change(history: History, edit: EditRecord, version_text: str) -> None:
     version = int(version_text, 16)
     if any(change.version == version for change in history.changes):
-        return  # the route was as the edit wants it already
+        return  # the edit did not change the route
     older = [change for change in history.changes if not change.rejected_status and change.version < version]
     base = max(older, key=lambda change: change.version, default=None)
     if base is None:
--- a/ashlift/simulation/scenario_player.py
+++ b/ashlift/simulation/scenario_player.py
@@ -104,9 +104,9 @@
 
 @contextmanager
 def _rare_garbage_collection() -> Iterator[None]:
-    usual = gc.get_threshold()
+    previous = gc.get_threshold()
     gc.set_threshold(*GARBAGE_COLLECTION_THRESHOLDS)
     try:
         yield
     finally:
-        gc.set_threshold(*usual)
+        gc.set_threshold(*previous)
--- a/ashlift/simulation/simulated_store_client.py
+++ b/ashlift/simulation/simulated_store_client.py
@@ -1,4 +1,4 @@
-"""How a simulated registry asks the configuration stores, as `ashlift.registry.store_client` does."""
+"""The client of a simulated registry for the configuration stores, as `ashlift.registry.store_client` is."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 class SimulatedStoreClient:
-    """Asks one store after the other, for one incarnation of a registry."""
+    """Sends requests to one store after the other, for one incarnation of a registry."""
 
     def __init__(self, process: Process, registry: Registry) -> None:
         self._process = process
@@ -24,7 +24,7 @@
         self.local_store_hangs = False
 
     def stores(self) -> list[str]:
-        """Return the core machines that have a store, by distance."""
+        """Return the core machines with a store, nearest first."""
         registry = self._registry
         identity = registry.identity
         members = registry.core_members()
@@ -32,17 +32,17 @@
         return [ip for ip in by_distance if ip in members]
 
     def next_remote_store(self) -> str | None:
-        """Return another machine's store, a different one each time."""
+        """Return another machine with a store, in turn; None if there is none."""
         others = [ip for ip in self.stores() if ip != self._process.name]
         self._watch_number += 1
         return others[self._watch_number % len(others)] if others else None
 
     def observe(self, response: Any) -> None:
-        """Note the position that a store's answer to `watch` tells."""
+        """Record the position in a store's response to `watch`."""
         self._position.observe(response)
 
     def submit(self, command: dict[str, Any], sent_since: float | None = None) -> Task:
-        """Submit a command; `sent_since`: it was not sent before, and is void a time-out after."""
+        """Submit a command; `sent_since`: earliest time that it was sent, from which its timeout counts."""
         known_index = self._position.index
         started = self._process.clock() if sent_since is None else sent_since
         deadline = started + COMMAND_TIMEOUT_SECONDS
@@ -59,7 +59,7 @@
         return response
 
     def ask(self, method: str, body: Callable[[], dict[str, Any]], deadline: float) -> Task:
-        """Call the method of one store after the other; `body` is made anew for each call."""
+        """Call the method of one store after the other; `body` returns the request body for each call."""
         process = self._process
         stores = stores_to_try(process.name, self.stores(), self.local_store_hangs)
         request = OperatorRequest(stores, process.clock(), deadline)
@@ -87,7 +87,7 @@
     def _call_with_position(
         self, ip: str, method: str, body: Callable[[], dict[str, Any]], deadline: float
     ) -> Task:
-        """Call once, and again with the store's position if the known one is too old."""
+        """Call once, and retry with the store's current position if the known one has expired."""
         process = self._process
         response = yield process.call(
             ip, configstore_process.KIND, method, body(), deadline - process.clock()
--- a/ashlift/simulation/spread.py
+++ b/ashlift/simulation/spread.py
@@ -1,4 +1,4 @@
-"""The spread of a figure over seeds, as the tables of figures print it."""
+"""Minimum, median and maximum of a measurement over seeds, for tables."""
 
 import math
 import statistics
@@ -8,7 +8,7 @@
 
 @frozen
 class Spread:
-    """Least, median and most of the values; infinite ones stand for what never happened."""
+    """Prints the minimum, median and maximum; infinite values are events that never happened."""
 
     values: list[float]
 
--- a/ashlift/simulation/timed_configstore.py
+++ b/ashlift/simulation/timed_configstore.py
@@ -1,7 +1,7 @@
-"""The store's process with its processor time, and commands that cost little to decide.
+"""A configuration store process that measures its CPU time and decides commands cheaply.
 
-The stores are real replicas. They decide commands by `decide_sample_command`, as the checks of
-`config.operator_config` would take most of the time, and are measured elsewhere.
+The replica is the real one, but decides commands by `decide_sample_command`: the validation in
+`config.operator_config` would dominate the measured time.
 """
 
 import random
@@ -20,18 +20,18 @@
 
 
 class TimedConfigstore(ConfigstoreProcess):
-    """Counts its processor time, and decides sample commands."""
+    """Measures its CPU time, and decides sample commands."""
 
     processor_seconds = 0.0
 
     def on_start(self) -> None:
-        """Start the replica with another way to decide."""
+        """Start the replica with `decide_sample_command`."""
         super().on_start()
         assert self.replica is not None
         self.replica.command_handler = decide_sample_command
 
     def handle_event(self, event: Any) -> None:
-        """Let the replica handle an event, and count the time."""
+        """Let the replica handle an event, and add its CPU time."""
         started = time.process_time()
         super().handle_event(event)
         self.processor_seconds += time.process_time() - started
@@ -39,7 +39,7 @@
 
 @contextmanager
 def payload_times() -> Iterator[list[float]]:
-    """The processor seconds that leaders spend on each payload while it lasts."""
+    """Collect the CPU seconds that leaders spend on each catch-up payload within the context."""
     times: list[float] = []
     next_payload = CatchUp.next_payload
 
@@ -57,7 +57,7 @@
 
 
 def decide_sample_command(entries: Mapping[str, Any], command: OperatorCommand) -> Proposal | ReadOnlyResult:
-    """Set the keys of the command's body, if it builds on the current version."""
+    """Set the keys of the command's body if the command is based on the current version."""
     version = int(entries.get("Version", "0"), 16)
     if command.if_match != version:
         return ReadOnlyResult({"status": 412})
@@ -69,7 +69,7 @@
 
 
 def sample_route(number: int, size: int, rng: random.Random) -> dict[str, Any]:
-    """Return a route of about `size` encoded bytes."""
+    """Return a random route of about `size` encoded bytes."""
     route = {
         "Host": f"h{number % 40}.example",
         "PathPrefix": f"/p{number}/",
--- a/ashlift/simulation/worker.py
+++ b/ashlift/simulation/worker.py
@@ -1,4 +1,4 @@
-"""A worker: slots, a short queue, slow start, heartbeats, draining and crashes."""
+"""A simulated worker: request slots, a short queue, slow start, heartbeats, draining and faults."""
 
 import functools
 import math
@@ -20,15 +20,15 @@
 KIND: Final = "worker"
 QUEUE_PER_SLOT: Final = 2
 CALL_TIMEOUT_SECONDS: Final = 1.0
-RETRY_SECONDS: Final = 0.3  # after heartbeats that no registry acknowledged
-MAX_DRAINING_HEARTBEATS: Final = 12  # without an acknowledgement; it ends all the same then
-DEREGISTER_DELAY_SECONDS: Final = 0.3  # after the time that draining takes
+RETRY_SECONDS: Final = 0.3  # after a heartbeat that no registry acknowledged
+MAX_DRAINING_HEARTBEATS: Final = 12  # without an acknowledgement, before the worker ends anyway
+DEREGISTER_DELAY_SECONDS: Final = 0.3  # after the end of draining
 WARMING_UP_SLOWDOWN: Final = 2
 
 
 @functools.cache
 def worker_response(status: int) -> WorkerResponse:
-    """Return a worker's answer, as far as the router looks at it."""
+    """Return a worker's response with this status, as far as the router reads it."""
     response = WorkerResponse()
     response.status = status
     response.done = True
@@ -38,9 +38,9 @@
 class Worker(Process):
     """One incarnation of a worker; its machine's name is its id.
 
-    After its end its `address` may pass to another worker. The shares are faults of it: of answers that are
-    lost, of requests that fail with 500, and of requests that run and whose connection breaks then.
-    `connection_idle_timeout` is after how many seconds it has silently dropped an idle connection.
+    After its end another worker may take over its `address`. Its faults are the shares of responses that are
+    lost, of requests that fail with 500, and of requests whose connection breaks after they have run.
+    `connection_idle_timeout`: seconds until it drops an idle connection without closing it.
     """
 
     def __init__(
@@ -72,11 +72,11 @@
         self._heartbeat_number = 0
 
     def on_start(self) -> None:
-        """Send heartbeats."""
+        """Start to send heartbeats."""
         self.spawn(self._send_heartbeats())
 
     def warm_up(self, seconds: float) -> None:
-        """Be slow, and say so, for so long from now on."""
+        """Enter slow start for some seconds: respond slowly, and report it in heartbeats."""
         self.warm_at = self.loop.now + seconds
         self.record.warmups.append((self.loop.now, self.warm_at))
 
@@ -93,7 +93,7 @@
 
     # ---- requests
     def receive(self, attempt: WorkerAttempt, remaining: float) -> None:
-        """Run the request, queue it, or reject it; `remaining`: seconds that its proxy waits."""
+        """Run, queue or reject a request; `remaining`: seconds until its proxy times out."""
         if len(self._running) < self.capacity:
             self._run(attempt, remaining)
         elif len(self._queue) < QUEUE_PER_SLOT * self.capacity:
@@ -120,7 +120,7 @@
         self.call_later(duration, self._finish, attempt, 0 if is_lost else status)
 
     def _finish(self, attempt: WorkerAttempt, status: int) -> None:
-        """The request has run; `status` 0: its answer is lost."""
+        """Complete a request that has run; `status` 0: the response is lost."""
         if attempt not in self._running:
             return
         del self._running[attempt]
@@ -133,7 +133,7 @@
         self._start_queued()
 
     def connection_closed(self, attempt: WorkerAttempt) -> None:
-        """The proxy has closed the attempt's connection: stop at once."""
+        """Abort the request: the proxy has closed the attempt's connection."""
         if attempt in self._running:
             del self._running[attempt]
             self._start_queued()
@@ -148,9 +148,9 @@
             else:
                 self._run(attempt, deadline - self.loop.now)
 
-    # ---- what it tells the registries
+    # ---- registration
     def drain(self) -> None:
-        """Leave in order: say so, wait until proxies know, and end."""
+        """Shut down gracefully: report draining, wait until proxies have applied it, deregister and end."""
         self.state = "draining"
         self.spawn(self._leave())
 
@@ -169,7 +169,7 @@
         return self.id, fields
 
     def _send_heartbeat(self, target: str | None) -> Task:
-        """Until one is acknowledged or all registries have failed; returns the target of the next one."""
+        """Send a heartbeat to one registry after the other until one accepts it; returns the next target."""
         registries = [target] if target else []
         registries += self.loop.rng.sample(self.pool.registries, len(self.pool.registries))
         for registry in registries:
--- a/ashlift/simulation/worker_attempts.py
+++ b/ashlift/simulation/worker_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of proxies at workers, on simulated time."""
+"""Attempts of proxies to send requests to workers."""
 
 from typing import TYPE_CHECKING, Protocol
 
@@ -10,17 +10,17 @@
 
 
 class WorkerTransport(Protocol):
-    """How attempts come to workers."""
+    """Carries attempts to workers."""
 
     def send(self, attempt: "WorkerAttempt", reused: bool, connect_timeout: float) -> None:
-        """Send the request on a `reused` connection, or on one that comes up within the timeout."""
+        """Send the request on a `reused` connection, or on a new one with this connect timeout in seconds."""
 
     def close(self, attempt: "WorkerAttempt") -> None:
         """Tell the worker that the proxy has closed the attempt's connection."""
 
 
 class WorkerAttempt:
-    """One attempt under way at a worker. Times are seconds on the clock of the world."""
+    """One attempt in flight to a worker. Times are in seconds since the start of the run."""
 
     __slots__ = (
         "cancelled",
@@ -35,26 +35,26 @@
     )
 
     def __init__(self, proxy_request: "ProxyRequest", worker: WorkerState, remaining: float) -> None:
-        """`remaining`: until the request's deadline."""
+        """`remaining`: seconds until the request's deadline."""
         self.proxy_request = proxy_request
         self.worker = worker
         self.remaining = remaining
         self.proxy_incarnation = proxy_request.proxy.incarnation
         self.started = 0.0
-        self.idle_seconds = 0.0  # that its connection was not used before
+        self.idle_seconds = 0.0  # how long its reused connection was idle
         self.cancelled = False
         self.sent = False
         self.ended = False
 
     @property
     def is_closed(self) -> bool:
-        """Whether its connection is closed at the proxy's end."""
+        """Whether the proxy has closed its connection."""
         if self.cancelled or self.ended:
             return True
         return self.proxy_request.proxy.incarnation != self.proxy_incarnation
 
     def finish(self, outcome: AttemptOutcome, keep_connection: bool = False) -> None:
-        """The outcome has come to the proxy."""
+        """Report the outcome to the proxy, unless the attempt has ended or the proxy has restarted."""
         proxy = self.proxy_request.proxy
         if not self.ended and proxy.incarnation == self.proxy_incarnation:
             self.ended = True
--- a/ashlift/simulation/worker_pool.py
+++ b/ashlift/simulation/worker_pool.py
@@ -1,4 +1,4 @@
-"""All workers of a world, and the way of proxies' attempts to them."""
+"""All workers of a world, and the transport of attempts and responses between proxies and workers."""
 
 from typing import Final
 
@@ -11,14 +11,14 @@
 from ashlift.simulation.worker_attempts import WorkerAttempt
 
 WORKER_PORT: Final = 8080
-RECONNECT_TIMEOUT_SECONDS: Final = 0.25  # once a kept connection is seen to be closed
+RECONNECT_TIMEOUT_SECONDS: Final = 0.25  # connect timeout after an idle connection turned out to be closed
 MIN_REMAINING_SECONDS: Final = 0.001
-RESET_DELAY_SECONDS: Final = 0.001  # from an address that no worker ever had
+RESET_DELAY_SECONDS: Final = 0.001  # from an address without a worker
 MISDIRECTED_STATUS: Final = 421
 
 
 class WorkerPool:
-    """Workers by id and by address. It is the `WorkerTransport` of proxies."""
+    """Workers by id and by address. Implements `WorkerTransport` for proxies."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         warmup_seconds: float,
         address: str | None = None,
     ) -> Worker:
-        """Start a worker, at the address of one that has ended or at a new one."""
+        """Start a worker at the given address, or at a new one."""
         number = self._worker_counts.get(service, 0) + 1
         self._worker_counts[service] = number
         machine = Machine(f"{service}-{number}", zone, region, 0.0, "workers")
@@ -67,19 +67,19 @@
         return worker
 
     def allocate_address(self) -> str:
-        """Return an address that no worker had."""
+        """Return an address that no worker has had."""
         self.address_count += 1
         return f"10.128.0.{self.address_count}:{WORKER_PORT}"
 
     def release_address(self, worker: Worker) -> None:
-        """The worker has ended: nobody listens at its address."""
+        """Free the address of a worker that has ended, unless another worker has taken it over."""
         if self._by_address.get(worker.address) is worker:
             del self._by_address[worker.address]
 
     def record_arrival(
         self, worker: Worker, attempt: WorkerAttempt, ran: bool, rejection_status: int = 0
     ) -> None:
-        """Note in the history that a request has come to a worker."""
+        """Record in the history that a request has reached a worker."""
         proxy_request = attempt.proxy_request
         tenant = proxy_request.admitted.tenant if proxy_request.admitted else None
         arrival = Arrival(
@@ -94,7 +94,7 @@
         proxy_request.request.arrivals.append(arrival)
 
     def send_response(self, worker: Worker, attempt: WorkerAttempt, outcome: AttemptOutcome) -> None:
-        """Carry a worker's answer, or the reset of its connection, to the proxy that asked."""
+        """Send a worker's response, or the reset of its connection, to the proxy."""
         proxy = attempt.proxy_request.proxy
         net = as_simulated(self.net)
         status = outcome.response.status if outcome.response else 0
@@ -111,7 +111,7 @@
 
     # ---- the transport of proxies
     def send(self, attempt: WorkerAttempt, reused: bool, connect_timeout: float) -> None:
-        """Send the request to whoever is at the address that the proxy knows."""
+        """Send the request to the worker at the address that the proxy knows."""
         proxy = attempt.proxy_request.proxy
         record = attempt.worker.record
         net = as_simulated(self.net)
@@ -137,7 +137,7 @@
     def _send_on_kept_connection(self, attempt: WorkerAttempt, target: Worker | None, delay: float) -> None:
         proxy = attempt.proxy_request.proxy
         if target is not None and self.loop.now - target.record.ended > delay:
-            # The proxy has seen meanwhile that the connection is closed.
+            # The proxy has already received the close of the connection.
             self.send(attempt, False, RECONNECT_TIMEOUT_SECONDS)
             return
         attempt.sent = True
@@ -175,7 +175,7 @@
         if attempt.is_closed:
             return
         if not net.is_connected(proxy.machine.link_name, target.machine.link_name):
-            return  # the link was blocked while it was on its way
+            return  # the link was blocked while the request was in transit
         if target.id != worker_id:
             self.record_arrival(target, attempt, False, MISDIRECTED_STATUS)
             response = worker_response(MISDIRECTED_STATUS)
@@ -184,7 +184,7 @@
         target.receive(attempt, max(MIN_REMAINING_SECONDS, attempt.remaining))
 
     def close(self, attempt: WorkerAttempt) -> None:
-        """The proxy has closed the attempt's connection."""
+        """Tell the worker that the proxy has closed the attempt's connection."""
         worker = self.workers.get(attempt.worker.record.id)
         if worker is not None:
             worker.connection_closed(attempt)
--- a/tests/simulation/test_command_scenarios.py
+++ b/tests/simulation/test_command_scenarios.py
@@ -1,4 +1,4 @@
-"""Operator commands by text scenarios of the worst days (orders_*.txt), with every checker."""
+"""Operator commands during faults, in text scenarios (orders_*.txt) with all checkers."""
 
 from pathlib import Path
 
@@ -16,13 +16,13 @@
 }
 
 
-@test("orders: {title}")
+@test("operator commands: {title}")
 def _(title: str = each(*SCENARIOS)) -> None:
-    found = ScenarioPlayer(SCENARIOS[title]).run()
-    assert found is None, str(found)
+    failure = ScenarioPlayer(SCENARIOS[title]).run()
+    assert failure is None, str(failure)
 
 
-@test("orders without their guard, {broken}: found")
-def _(broken: str = each(*COMMAND_MUTANTS)) -> None:
-    with mutated(broken):
-        assert ScenarioPlayer(SCENARIOS[COMMAND_MUTANTS[broken].scenario]).run() is not None
+@test("operator commands with a safeguard removed, {mutant}: violation found")
+def _(mutant: str = each(*COMMAND_MUTANTS)) -> None:
+    with mutated(mutant):
+        assert ScenarioPlayer(SCENARIOS[COMMAND_MUTANTS[mutant].scenario]).run() is not None
--- a/tests/simulation/test_core_scenarios.py
+++ b/tests/simulation/test_core_scenarios.py
@@ -1,4 +1,4 @@
-"""The whole system by text scenarios of the core and of soft state (system_core.txt, system_soft.txt)."""
+"""The whole system in text scenarios of the core and of soft state (system_core.txt, system_soft.txt)."""
 
 from ward import each, test
 
@@ -11,5 +11,5 @@
 
 @test("the whole system: {title}")
 def _(title: str = each(*SCENARIOS)) -> None:
-    found = ScenarioPlayer(SCENARIOS[title]).run()
-    assert found is None, str(found)
+    failure = ScenarioPlayer(SCENARIOS[title]).run()
+    assert failure is None, str(failure)
--- a/tests/simulation/test_home_regions.py
+++ b/tests/simulation/test_home_regions.py
@@ -1,4 +1,4 @@
-"""Home regions while proxies come and go: where the directory sends clients (docs/incidents)."""
+"""Lookups during rolling restarts of proxies send clients only to proxies in the home regions."""
 
 from pathlib import Path
 
@@ -14,8 +14,8 @@
 SEEDS = (1, 2, 3)
 
 
-@test("no client is led out of the home regions: {title}")
+@test("no lookup sends a client outside the home regions: {title}")
 def _(title: str = each(*SCENARIOS)) -> None:
     for seed in SEEDS:
-        found = ScenarioPlayer(SCENARIOS[title], seed).run()
-        assert found is None, f"seed {seed}: {found}"
+        failure = ScenarioPlayer(SCENARIOS[title], seed).run()
+        assert failure is None, f"seed {seed}: {failure}"
--- a/tests/simulation/test_system_scenarios.py
+++ b/tests/simulation/test_system_scenarios.py
@@ -1,4 +1,4 @@
-"""The whole system by text scenarios (system_*.txt) and by random ones, with every checker."""
+"""The whole system in text scenarios (system_*.txt) and random ones, with all checkers."""
 
 from math import inf
 from pathlib import Path
@@ -14,7 +14,7 @@
 from ashlift.simulation.shrinking import shrink
 
 FOLDER = Path(__file__).parent.parent / "scenarios"
-CORE_FILES = ("system_core.txt", "system_soft.txt")  # played by test_core_scenarios.py, in another process
+CORE_FILES = ("system_core.txt", "system_soft.txt")  # run by test_core_scenarios.py, in another process
 FILES = [path for path in sorted(FOLDER.glob("system_*.txt")) if path.name not in CORE_FILES]
 SCENARIOS = {scenario.title: scenario for path in FILES for scenario in read_scenarios(path)}
 OPEN_SCENARIOS = {
@@ -27,50 +27,55 @@
 
 @test("the whole system: {title}")
 def _(title: str = each(*SCENARIOS)) -> None:
-    found = ScenarioPlayer(SCENARIOS[title]).run()
-    assert found is None, str(found)
+    failure = ScenarioPlayer(SCENARIOS[title]).run()
+    assert failure is None, str(failure)
 
 
 @test("not mended yet, with any of four seeds: {title}")
 def _(title: str = each(*OPEN_SCENARIOS)) -> None:
-    wrong = [
-        str(found)
+    failures = [
+        str(failure)
         for seed in (1, 2, 3, 4)
-        if (found := ScenarioPlayer(OPEN_SCENARIOS[title], seed).run()) is not None
+        if (failure := ScenarioPlayer(OPEN_SCENARIOS[title], seed).run()) is not None
     ]
-    assert not wrong, "\n".join(wrong)  # ward breaks off drawing how lists differ
+    assert not failures, "\n".join(failures)  # ward truncates the diff of lists
 
 
-@test("the whole system by chance, seed {seed}")
+@test("the whole system with random faults, seed {seed}")
 def _(seed: int = each(*RANDOM_SEEDS)) -> None:
-    play = ScenarioPlayer(random_scenario(seed), seed)
-    found = play.run()
-    assert found is None, str(found)
-    served = sum(request.status == 200 for request in play.world.history.requests)
-    assert served > 300, "too little ran to tell"
+    player = ScenarioPlayer(random_scenario(seed), seed)
+    failure = player.run()
+    assert failure is None, str(failure)
+    served = sum(request.status == 200 for request in player.world.history.requests)
+    assert served > 300, "too few requests succeeded for the test to be meaningful"
 
 
-@test("worst days by chance, seed {seed}: every trouble of the simulator, in pairs and repeated")
+@test("the whole system with every kind of fault, overlapping and repeated, seed {seed}")
 def _(seed: int = each(3, 111)) -> None:
-    play = ScenarioPlayer(severe_faults.random_scenario(seed), seed)
-    found = play.run()
-    assert found is None, str(found)
-    assert sum(one.acknowledged < inf for one in play.world.history.changes) > 5, "too little was ordered"
+    player = ScenarioPlayer(severe_faults.random_scenario(seed), seed)
+    failure = player.run()
+    assert failure is None, str(failure)
+    assert sum(change.acknowledged < inf for change in player.world.history.changes) > 5, (
+        "too few changes were acknowledged"
+    )
 
 
-@test("the same scene and seed give the same history")
+@test("the same scenario and seed give the same history")
 def _() -> None:
     histories = []
     for _ in range(2):
-        play = ScenarioPlayer(random_scenario(2, until=16.0), 2)
-        play.run()
+        player = ScenarioPlayer(random_scenario(2, until=16.0), 2)
+        player.run()
         histories.append(
-            [(one.sent, one.proxy, one.status, one.ended) for one in play.world.history.requests]
+            [
+                (request.sent, request.proxy, request.status, request.ended)
+                for request in player.world.history.requests
+            ]
         )
     assert histories[0] == histories[1]
 
 
-@test("a failing schedule is shortened to what it needs, and reads back from its text")
+@test("a failing scenario shrinks to the events that it needs, and its text parses back")
 def _() -> None:
     lines = ["until 8", "at 6 load 0.5", "at 6.1 kill proxy edge-1", "at 6.5 expect acked 9", "at 7 load 1"]
     scenario = parse_scenarios("\n".join(["# fails", *lines]))[0]
@@ -81,7 +86,7 @@
         parse_scenarios("# none\nwhatever 3\n")
 
 
-@test("figures: how long an order waits for another leader, and since when all is served again")
+@test("failover figures: seconds until a change is acknowledged, and until service recovers")
 def _() -> None:
     times = measure_failover(["power leader"], 3)
     assert 0.3 < times.acknowledged < 3.0
@@ -93,5 +98,8 @@
     ]
     assert 3.9 < recovery_seconds_after(operations, 10.0) < 4.0
     assert recovery_seconds_after(operations, 12.0) < 2.0
-    lost = [ClientOperation(pattern, one.deadline, served=one.deadline < 14.0) for one in operations]
+    lost = [
+        ClientOperation(pattern, operation.deadline, served=operation.deadline < 14.0)
+        for operation in operations
+    ]
     assert recovery_seconds_after(lost, 10.5) == inf
