--- a/ashlift/lab/system/process_world.py
+++ b/ashlift/lab/system/process_world.py
@@ -99,7 +99,7 @@
         for zone, region in ZONES.items():
             machine = Machine(f"clients-{zone}", zone, region, 0.0, "clients")
             clients = HttpClients(
-                self.loop, self.net, machine, self.history, self.core, self.load_share, access
+                self.loop, self.net, machine, self.history, self.core, self.rate_share, access
             )
             self.client_populations.append(clients)
 
--- a/ashlift/simulation/__main__.py
+++ b/ashlift/simulation/__main__.py
@@ -45,7 +45,7 @@
 
 
 @frozen
-class Play:
+class ScenarioRun:
     """A scenario and the seed to run it with."""
 
     scenario: Scenario
@@ -60,7 +60,7 @@
     if options.figures:
         for line in FIGURE_TABLES[options.figures](_seeds(options), options.jobs):
             print(line, flush=True)
-    failed = [play for play in _plays(options) if not _passes(play, options.shrink)]
+    failed = [run for run in _scenario_runs(options) if not _passes(run, options.shrink)]
     return 1 if failed else 0
 
 
@@ -86,35 +86,35 @@
     return range(first, first + options.seeds)
 
 
-def _plays(options: argparse.Namespace) -> Iterator[Play]:
+def _scenario_runs(options: argparse.Namespace) -> Iterator[ScenarioRun]:
     if options.chance:
         for seed in _seeds(options):
-            yield Play(random_scenario(seed, options.edge, options.until), seed)
+            yield ScenarioRun(random_scenario(seed, options.edge, options.until), seed)
     if options.worst:
         for seed in _seeds(options):
-            yield Play(severe_faults.random_scenario(seed), seed)
+            yield ScenarioRun(severe_faults.random_scenario(seed), seed)
     for path in options.scenes:
         for scenario in read_scenarios(path):
             first = scenario.plan.seed if options.first is None else options.first
             for seed in range(first, first + options.seeds):
-                yield Play(scenario, seed)
+                yield ScenarioRun(scenario, seed)
 
 
-def _passes(play: Play, shorten: bool) -> bool:
+def _passes(run: ScenarioRun, shorten: bool) -> bool:
     """Run the scenario and print its result."""
     started = time.perf_counter()
-    player = ScenarioPlayer(play.scenario, play.seed)
+    player = ScenarioPlayer(run.scenario, run.seed)
     failure = player.run()
     elapsed = time.perf_counter() - started
     verdict = explain(failure) if isinstance(failure, Violation) else failure
     simulated_seconds = player.world.loop.now
     print(
-        f"{play.scenario.title}, seed {play.seed}: {verdict or 'well'} "
+        f"{run.scenario.title}, seed {run.seed}: {verdict or 'well'} "
         f"({simulated_seconds:g} s in {elapsed:.2f} s)",
         flush=True,
     )
     if failure is not None and shorten:
-        print(shrink(play.scenario, play.seed).to_text(), flush=True)
+        print(shrink(run.scenario, run.seed).to_text(), flush=True)
     return failure is None
 
 
--- a/ashlift/simulation/base_world.py
+++ b/ashlift/simulation/base_world.py
@@ -59,7 +59,7 @@
             population.start()
         self.loop.call_later(TRAFFIC_START_SECONDS, self._start_traffic)
 
-    def load_share(self) -> float:
+    def rate_share(self) -> float:
         """Return the share of each request pattern's rate that one client population sends."""
         return self.load / len(self.client_populations)
 
--- a/ashlift/simulation/checkers/configuration_checks.py
+++ b/ashlift/simulation/checkers/configuration_checks.py
@@ -9,7 +9,7 @@
 from ashlift.simulation.checkers.checked_history import CheckedHistory, allows_run, explains_denial
 from ashlift.simulation.checkers.request_checks import DENIAL_STATUSES
 from ashlift.simulation.checkers.violation import Violation
-from ashlift.simulation.history import ConfigurationChange, EvacuationChange, Reading, Request
+from ashlift.simulation.history import ConfigurationChange, ConfigurationRead, EvacuationChange, Request
 from ashlift.simulation.linearizability import (
     ACKNOWLEDGED,
     CONFLICT,
@@ -58,7 +58,7 @@
     for arrival in request.arrivals:
         if arrival.ran:
             versions = [change.version for change in changes if allows_run(change.table, request, arrival)]
-            description = f"ran at {arrival.worker} of {arrival.service} for {arrival.tenant or 'nobody'}"
+            description = f"ran at {arrival.worker} of {arrival.service} for {arrival.tenant or 'no tenant'}"
             yield Observation(request, arrival.at, versions, description, ran=True)
     if request.status in DENIAL_STATUSES:
         versions = [change.version for change in changes if explains_denial(change.table, request)]
@@ -175,7 +175,7 @@
         key=lambda change: change.acknowledged,
     )
     earlier: list[tuple[float, int]] = []
-    for reading in sorted(checked.history.readings, key=lambda reading: reading.started):
+    for reading in sorted(checked.history.configuration_reads, key=lambda reading: reading.started):
         yield from _read_before_acknowledged(checked, reading, acknowledged)
         newest_read = max((version for ended, version in earlier if ended < reading.started), default=0)
         if reading.version < newest_read:
@@ -185,7 +185,7 @@
 
 
 def _read_before_acknowledged(
-    checked: CheckedHistory, reading: Reading, acknowledged: list[ConfigurationChange]
+    checked: CheckedHistory, reading: ConfigurationRead, acknowledged: list[ConfigurationChange]
 ) -> Iterator[Violation]:
     for change in acknowledged:
         if change.acknowledged < reading.started and change.version > reading.version:
@@ -198,7 +198,7 @@
             break
 
 
-def _read_as_never_sent(checked: CheckedHistory, reading: Reading) -> Iterator[Violation]:
+def _read_as_never_sent(checked: CheckedHistory, reading: ConfigurationRead) -> Iterator[Violation]:
     of_version = [change for change in checked.changes if change.version == reading.version]
     equal = [change for change in of_version if dict(reading.body) == change.body]
     if reading.version and not equal:
@@ -209,7 +209,7 @@
 
 
 def check_linearizability(checked: CheckedHistory) -> Iterator[Violation]:
-    """CONFIG: one order of all the operators' calls explains every answer."""
+    """CONFIG: the operators' calls are linearizable."""
     history = checked.history
     calls = [
         Call(
@@ -225,7 +225,7 @@
             observed=reading.observed(),
             evacuated_zones=reading.evacuated_zones(),
         )
-        for reading in history.readings
+        for reading in history.configuration_reads
     ]
     calls += [
         Call(
@@ -264,7 +264,7 @@
 
 def check_evacuations_persisted(checked: CheckedHistory) -> Iterator[Violation]:
     """LOST: acknowledged evacuations are in force, and ended ones are not."""
-    for reading in checked.history.readings:
+    for reading in checked.history.configuration_reads:
         if reading.entries is None:
             continue
         last_by_zone: dict[str, EvacuationChange] = {}
--- a/ashlift/simulation/continuous_operators.py
+++ b/ashlift/simulation/continuous_operators.py
@@ -51,7 +51,7 @@
         """Read the configuration and send a change of it, possibly concurrent with other operators."""
         rng = self.loop.rng
         yield from self._read_configuration(self._first_registry())
-        base = self.history.readings[-1]
+        base = self.history.configuration_reads[-1]
         if not base.version:
             return
         version = base.version + rng.randint(1, MAX_VERSION_STEP)
--- a/ashlift/simulation/history.py
+++ b/ashlift/simulation/history.py
@@ -143,7 +143,7 @@
 
 
 @define(eq=False, slots=True)
-class Reading:
+class ConfigurationRead:
     """A successful GET /config; `entries`: the stored form, None if it was not recorded."""
 
     started: float
@@ -210,7 +210,7 @@
         self.proxy_regions: dict[str, str] = {}  # by the proxy's machine
         self.unexpected_arrivals: list[UnexpectedArrival] = []
         self.changes: list[ConfigurationChange] = []
-        self.readings: list[Reading] = []
+        self.configuration_reads: list[ConfigurationRead] = []
         self.resends: list[Resend] = []
         self.evacuations: list[EvacuationChange] = []
         self.evacuation_calls: list[EvacuationCall] = []
--- a/ashlift/simulation/network.py
+++ b/ashlift/simulation/network.py
@@ -252,7 +252,7 @@
         target = connection.target
         if target.up and target.incarnation == connection.target_incarnation:
             caller = self._call.caller
-            self._network.observer.answered(caller, target, self._call.method, response)
+            self._network.observer.responded(caller, target, self._call.method, response)
             connection.last_answer_at = self._network.loop.now
             self._response = response
             self._network.transmit_response(connection, caller.machine, self._deliver_response)
--- a/ashlift/simulation/observer.py
+++ b/ashlift/simulation/observer.py
@@ -14,7 +14,7 @@
     def called(self, caller: Process, to: str, kind: str, method: str, body: Any) -> None:
         """A process calls the program `kind` on the machine `to`."""
 
-    def answered(self, caller: Process, target: Process, method: str, body: Any) -> None:
+    def responded(self, caller: Process, target: Process, method: str, body: Any) -> None:
         """The called process sends its response."""
 
     def received(self, caller: Process, target: Process, method: str) -> None:
@@ -23,8 +23,8 @@
     def stored(self, process: Process) -> None:
         """The content of the disk of the process's machine may have changed."""
 
-    def attempted(self, proxy: Process, worker: str, request: int, reused: bool) -> None:
+    def attempt_sent(self, proxy: Process, worker: str, request: int, reused: bool) -> None:
         """A proxy sends a client's request to a worker, on a `reused` connection or on a new one."""
 
-    def replied(self, worker: Process, proxy: Process, request: int, status: int) -> None:
+    def worker_responded(self, worker: Process, proxy: Process, request: int, status: int) -> None:
         """A worker responds to an attempt; `status` 0: it closes the connection instead."""
--- a/ashlift/simulation/operators.py
+++ b/ashlift/simulation/operators.py
@@ -6,10 +6,10 @@
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.history import (
     ConfigurationChange,
+    ConfigurationRead,
     EvacuationCall,
     EvacuationChange,
     History,
-    Reading,
 )
 from ashlift.simulation.process import Machine, Network, Process, Task
 from ashlift.simulation.registry_methods import RegistryMethod
@@ -38,16 +38,18 @@
     def on_start(self) -> None:
         """Do nothing until a command is requested."""
 
-    def _registry_order(self, first: str | None) -> list[str]:
+    def _registry_order(self, first_registry: str | None) -> list[str]:
         shuffled = self.loop.rng.sample(self.registries, len(self.registries))
-        return ([first] if first else []) + [name for name in shuffled if name != first]
+        return ([first_registry] if first_registry else []) + [
+            name for name in shuffled if name != first_registry
+        ]
 
     def _send_until_final_status(
-        self, command: dict[str, Any], first: str | None, once: bool = False
+        self, command: dict[str, Any], first_registry: str | None, once: bool = False
     ) -> Task:
         """Returns the final status; with `once`, None if the first call did not get one."""
         backoff = INITIAL_BACKOFF_SECONDS
-        registries = self._registry_order(first)
+        registries = self._registry_order(first_registry)
         timeout = CALL_TIMEOUT_SECONDS
         if isinstance(command["body"], dict):
             timeout += CALL_TIMEOUT_SECONDS_PER_OBJECT * len(command["body"].get("Objects", ()))
@@ -80,26 +82,26 @@
         return response
 
     # ---- configurations
-    def send_change(self, change: ConfigurationChange, first: str | None = None) -> None:
-        """Send a change until it gets a final status, to the registry `first` first."""
+    def send_change(self, change: ConfigurationChange, first_registry: str | None = None) -> None:
+        """Send a change until it gets a final status, to `first_registry` first."""
         change.sent = self.loop.now
         self.history.changes.append(change)
-        self.spawn(self._send_change(change, first))
+        self.spawn(self._send_change(change, first_registry))
 
-    def _send_change(self, change: ConfigurationChange, first: str | None) -> Task:
-        status = yield from self._send_until_final_status(change.as_command(), first)
+    def _send_change(self, change: ConfigurationChange, first_registry: str | None) -> Task:
+        status = yield from self._send_until_final_status(change.as_command(), first_registry)
         change.ended = self.loop.now
         if status == 200:
             change.acknowledged = self.loop.now
         else:
             change.rejected_status = status
 
-    def read_configuration(self, first: str | None = None) -> None:
-        """Read the configuration, from the registry `first` first."""
-        self.spawn(self._read_configuration(first))
+    def read_configuration(self, first_registry: str | None = None) -> None:
+        """Read the configuration, from `first_registry` first."""
+        self.spawn(self._read_configuration(first_registry))
 
-    def _read_configuration(self, first: str | None) -> Task:
-        registries = self._registry_order(first)
+    def _read_configuration(self, first_registry: str | None) -> Task:
+        registries = self._registry_order(first_registry)
         while True:
             started = self.loop.now
             response = yield self.call(
@@ -108,20 +110,24 @@
             if isinstance(response, tuple) and response[0] in (200, 404):
                 body, entries = response[1]
                 version = int(body.get("ConfigVersion", "0"), 16)
-                self.history.readings.append(Reading(started, self.loop.now, version, body, entries))
+                self.history.configuration_reads.append(
+                    ConfigurationRead(started, self.loop.now, version, body, entries)
+                )
                 return
             registries = registries[1:] or self._registry_order(None)
             yield READ_RETRY_SECONDS
 
     # ---- evacuations
-    def evacuate(self, zone: str, evacuated: bool, first: str | None = None, once: bool = False) -> None:
+    def evacuate(
+        self, zone: str, evacuated: bool, first_registry: str | None = None, once: bool = False
+    ) -> None:
         """Evacuate a zone or end its evacuation; `once`: do not retry."""
-        self.spawn(self._evacuate(zone, evacuated, first, once))
+        self.spawn(self._evacuate(zone, evacuated, first_registry, once))
 
-    def _evacuate(self, zone: str, evacuated: bool, first: str | None, once: bool = False) -> Task:
+    def _evacuate(self, zone: str, evacuated: bool, first_registry: str | None, once: bool = False) -> Task:
         evacuation = EvacuationChange(zone, evacuated, self.loop.now)
         self.history.evacuations.append(evacuation)
         command = {"kind": "evacuate" if evacuated else "restore", "if_match": None, "body": zone}
-        status = yield from self._send_until_final_status(command, first, once)
+        status = yield from self._send_until_final_status(command, first_registry, once)
         if status == 200:
             evacuation.acknowledged = self.loop.now
--- a/ashlift/simulation/recorder.py
+++ b/ashlift/simulation/recorder.py
@@ -78,7 +78,7 @@
         place = (caller.name, self._programs.of(caller.kind), to, self._programs.of(kind))
         self.add("calls", caller.loop.now, "call", *place, *self._message(method, body))
 
-    def answered(self, caller: Process, target: Process, method: str, body: Any) -> None:
+    def responded(self, caller: Process, target: Process, method: str, body: Any) -> None:
         """Record an answer; of a failure its text apart, as that is for people."""
         place = (caller.name, self._programs.of(caller.kind), target.name, self._programs.of(target.kind))
         now = caller.loop.now
@@ -96,11 +96,11 @@
         """Record what the disk holds."""
         self._disk(process)
 
-    def attempted(self, proxy: Process, worker: str, request: int, reused: bool) -> None:
+    def attempt_sent(self, proxy: Process, worker: str, request: int, reused: bool) -> None:
         """Record an attempt of a request at a worker."""
         self.add("tries", proxy.loop.now, "request", proxy.name, worker, request, reused)
 
-    def replied(self, worker: Process, proxy: Process, request: int, status: int) -> None:
+    def worker_responded(self, worker: Process, proxy: Process, request: int, status: int) -> None:
         """Record a worker's answer to an attempt."""
         self.add("tries", worker.loop.now, "answer", worker.name, proxy.name, request, status)
 
@@ -176,7 +176,7 @@
                 change.body,
                 change.patch,
             )
-        for reading in history.readings:
+        for reading in history.configuration_reads:
             self.add("operators", "read", reading.started, reading.ended, reading.version, reading.body)
         for again in history.resends:
             self.add(
--- a/ashlift/simulation/shrinking.py
+++ b/ashlift/simulation/shrinking.py
@@ -8,24 +8,24 @@
 from ashlift.simulation.scenario import Scenario
 from ashlift.simulation.scenario_player import ScenarioPlayer
 
-MAX_PLAYS: Final = 200
+MAX_RUNS: Final = 200
 
 
-def shrink(scenario: Scenario, seed: int, max_plays: int = MAX_PLAYS) -> Scenario:
+def shrink(scenario: Scenario, seed: int, max_runs: int = MAX_RUNS) -> Scenario:
     """Return the scenario without events that are not needed to violate the same rule."""
     scenario = evolve(scenario, plan=evolve(scenario.plan, seed=seed))
     failure = _failure_of(scenario)
     if failure is None:
         return scenario
     chunk_size = max(1, len(scenario.events) // 2)
-    plays = 0
-    while plays < max_plays:
+    runs = 0
+    while runs < max_runs:
         index = 0
         shortened = False
-        while index < len(scenario.events) and plays < max_plays:
+        while index < len(scenario.events) and runs < max_runs:
             remaining = scenario.events[:index] + scenario.events[index + chunk_size :]
             candidate = evolve(scenario, events=remaining)
-            plays += 1
+            runs += 1
             if _failure_of(candidate) == failure:
                 scenario = candidate
                 shortened = True
--- a/ashlift/simulation/worker_pool.py
+++ b/ashlift/simulation/worker_pool.py
@@ -98,7 +98,7 @@
         proxy = attempt.proxy_request.proxy
         net = as_simulated(self.net)
         status = outcome.response.status if outcome.response else 0
-        net.observer.replied(worker, proxy, attempt.proxy_request.request.id, status)
+        net.observer.worker_responded(worker, proxy, attempt.proxy_request.request.id, status)
         if attempt.is_closed or not net.is_connected(proxy.machine.link_name, worker.machine.link_name):
             return
         started = attempt.started
@@ -116,7 +116,7 @@
         record = attempt.worker.record
         net = as_simulated(self.net)
         attempt.started = self.loop.now
-        net.observer.attempted(proxy, record.id, attempt.proxy_request.request.id, reused)
+        net.observer.attempt_sent(proxy, record.id, attempt.proxy_request.request.id, reused)
         host, port = record.address
         target = self.workers.get(record.id) if reused else self._by_address.get(f"{host}:{port}")
         destination = target or self.workers.get(record.id)
--- a/ashlift/simulation/world.py
+++ b/ashlift/simulation/world.py
@@ -58,7 +58,7 @@
             machine = Machine(f"clients-{zone}", zone, self.zones[zone], 0.0, "clients")
             self.net.machines[machine.name] = machine
             self.client_populations.append(
-                ClientPopulation(self.loop, self.net, machine, self.history, self.core, self.load_share)
+                ClientPopulation(self.loop, self.net, machine, self.history, self.core, self.rate_share)
             )
         for name in [*self.core, *self.edge]:
             for process in self.net.machines[name].processes.values():
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -21,9 +21,9 @@
 )
 from ashlift.simulation.history import (
     Arrival,
+    ConfigurationRead,
     EvacuationChange,
     History,
-    Reading,
     Request,
     UnexpectedArrival,
     WorkerRecord,
@@ -85,7 +85,9 @@
 
     def add_read(self, at: float, version: int, body: Any = None, **entries: Any) -> None:
         sent = next(change for change in self.history.changes if change.version == version)
-        self.history.readings.append(Reading(at, at + 0.1, version, body or sent.body, entries))
+        self.history.configuration_reads.append(
+            ConfigurationRead(at, at + 0.1, version, body or sent.body, entries)
+        )
 
 
 def duplicate_run(builder: HistoryBuilder, violating: bool) -> None:
