--- a/ashlift/simulation/scenario.py
+++ b/ashlift/simulation/scenario.py
@@ -1,7 +1,7 @@
 """Scenarios: text files with the plan of a world and one event a line.
 
 A file may hold several scenarios; each begins with its title (`# title`). Plan lines set a field of
-`plan.Plan`: `core 5`, `edge 11`, `rate 60`, `homes r1`, `until 20`. Event lines begin with `at` and
+`plan.Plan`, such as `core 5`, `rate 60`, `homes r1` or `until 20`. Event lines begin with `at` and
 the time in seconds. Options in brackets may be left out; `for 2` is a duration in seconds.
 
 MACHINES are names, `*` (all machines that run the programs), `leader`, `others` (all of the core except the
@@ -26,7 +26,7 @@
     disk hang|refuse|well MACHINES [for 2]         writes hang, fail, or work again
     disk slow MACHINES 0.8 [for 2]                 writes take so many seconds longer
     clock core-4 3                                 skew the wall clock by so many seconds
-    closing                                        the faults that follow are the final fault
+    closing                                        start of the final fault, after which RECOVER is checked
 Clients and workers:
     load 3 | hot t1 5              multiply the plan's request rate, or the rate of one tenant
     ask KEY 4 [after 2]            send 4 requests a second with this key, once version 2 is acknowledged
@@ -51,15 +51,15 @@
     version N [at PROXY]           all running proxies, or this one, have this version
     acked N | refused N            all changes of this version were acknowledged, or rejected
     one N                          exactly one of different changes of this version was acknowledged
-    served S                       share of operations that succeeded [*]
-    sure KEY S                     share of all operations with this key that succeeded
+    served S                       at least this share of operations succeeded [*]
+    sure KEY S                     at least this share of all operations with this key succeeded
     swift S                        each command was answered within so many seconds [*]
     crew                           all proxies know the workers that run, and no others
     evacuated z1                   an evacuation of the zone was acknowledged
     leader                         there is a leader that has committed an entry in its term
     idle|busy WORKER               the worker received no requests, or some [*]
-    told ID STATUS                 status of the last response to an edit
-    edit ID in-force|lost|rejected|waits           outcome of an edit
+    told ID STATUS                 the last response to an edit had this status
+    edit ID in-force|lost|rejected|waits           the edit has this outcome
     alike                          all proxies have the committed routes
 """
 
