--- a/ashlift/simulation/checkers/configuration_checks.py
+++ b/ashlift/simulation/checkers/configuration_checks.py
@@ -58,7 +58,7 @@
     for arrival in request.arrivals:
         if arrival.ran:
             versions = [change.version for change in changes if allows_run(change.table, request, arrival)]
-            description = f"ran at {arrival.worker} of {arrival.service} for {arrival.tenant or 'no tenant'}"
+            description = f"ran at {arrival.worker} of {arrival.service} for {arrival.tenant or 'nobody'}"
             yield Observation(request, arrival.at, versions, description, ran=True)
     if request.status in DENIAL_STATUSES:
         versions = [change.version for change in changes if explains_denial(change.table, request)]
--- a/ashlift/simulation/checkers/request_checks.py
+++ b/ashlift/simulation/checkers/request_checks.py
@@ -45,7 +45,7 @@
         if not any(sent <= run.at and allows_run(table, request, run) for sent, table in tables):
             description = (
                 f"{request.describe()} ran at {run.worker} of {run.service} "
-                f"for {run.tenant or 'no tenant'}, which no configuration allowed"
+                f"for {run.tenant or 'nobody'}, which no configuration allowed"
             )
             yield Violation("ROUTE", run.at, description)
 
