--- a/ashlift/simulation/checkers/configuration_checks.py
+++ b/ashlift/simulation/checkers/configuration_checks.py
@@ -42,7 +42,7 @@
     acknowledged = [change for change in checked.possible_changes if change.acknowledged < math.inf]
     for observation in observations:
         if observation.versions:
-            yield from _stale(checked, observation, acknowledged)
+            yield from _outdated_versions(checked, observation, acknowledged)
         elif observation.ran:
             description = (
                 f"{observation.request.describe()} {observation.description}, "
@@ -65,7 +65,7 @@
         yield Observation(request, request.ended, versions, f"got {request.status}", ran=False)
 
 
-def _stale(
+def _outdated_versions(
     checked: CheckedHistory, observation: Observation, acknowledged: list[ConfigurationChange]
 ) -> Iterator[Violation]:
     """All versions that explain the observation are older than a change that the proxy must have applied."""
@@ -77,7 +77,7 @@
         ):
             description = (
                 f"{request.describe()} {observation.description}, "
-                f"which no version newer than {newest_version} allows, "
+                f"which no version newer than {newest_version} explains, "
                 f"but {change.describe()} was acknowledged at {change.acknowledged:.3f}"
             )
             yield Violation("CONFIG", observation.at, description)
@@ -176,15 +176,15 @@
     )
     earlier: list[tuple[float, int]] = []
     for reading in sorted(checked.history.configuration_reads, key=lambda reading: reading.started):
-        yield from _read_before_acknowledged(checked, reading, acknowledged)
+        yield from _outdated_reads(checked, reading, acknowledged)
         newest_read = max((version for ended, version in earlier if ended < reading.started), default=0)
         if reading.version < newest_read:
             yield Violation("CONFIG", reading.ended, f"read version {reading.version} after {newest_read}")
         earlier.append((reading.ended, reading.version))
-        yield from _read_as_never_sent(checked, reading)
+        yield from _altered_or_rejected_read(checked, reading)
 
 
-def _read_before_acknowledged(
+def _outdated_reads(
     checked: CheckedHistory, reading: ConfigurationRead, acknowledged: list[ConfigurationChange]
 ) -> Iterator[Violation]:
     for change in acknowledged:
@@ -198,7 +198,7 @@
             break
 
 
-def _read_as_never_sent(checked: CheckedHistory, reading: ConfigurationRead) -> Iterator[Violation]:
+def _altered_or_rejected_read(checked: CheckedHistory, reading: ConfigurationRead) -> Iterator[Violation]:
     of_version = [change for change in checked.changes if change.version == reading.version]
     equal = [change for change in of_version if dict(reading.body) == change.body]
     if reading.version and not equal:
