--- a/ashlift/simulation/checkers/configuration_checks.py
+++ b/ashlift/simulation/checkers/configuration_checks.py
@@ -1,4 +1,4 @@
-"""Rules for the configuration: it takes effect in time, does not go back, and is never lost."""
+"""Rules for the configuration: changes take effect in time, are never lost, and versions only increase."""
 
 import math
 from collections import defaultdict
@@ -9,7 +9,7 @@
 from ashlift.simulation.checkers.checked_history import CheckedHistory, allows_run, explains_denial
 from ashlift.simulation.checkers.request_checks import DENIAL_STATUSES
 from ashlift.simulation.checkers.violation import Violation
-from ashlift.simulation.history import ConfigurationChange, EvacuationChange, Reading, Request
+from ashlift.simulation.history import ConfigurationChange, ConfigurationRead, EvacuationChange, Request
 from ashlift.simulation.linearizability import (
     ACKNOWLEDGED,
     CONFLICT,
@@ -23,17 +23,17 @@
 
 @frozen
 class Observation:
-    """What a request shows of the configuration in force at its proxy: the versions that explain it."""
+    """Evidence of the configuration in force at a proxy: the versions that explain a request's outcome."""
 
     request: Request
     at: float
     versions: list[int]
     description: str
-    ran: bool  # a worker saw it; otherwise it is a denial
+    ran: bool  # whether a worker ran the request; otherwise the proxy denied it
 
 
 def check_configuration_in_force(checked: CheckedHistory) -> Iterator[Violation]:
-    """CONFIG: no proxy acts on a version that is too old, went back, lost its race or never was in force."""
+    """CONFIG: no proxy acts on a version that is outdated, conflicting, downgraded or was never in force."""
     observations = [
         observation
         for request in checked.history.requests
@@ -42,11 +42,11 @@
     acknowledged = [change for change in checked.possible_changes if change.acknowledged < math.inf]
     for observation in observations:
         if observation.versions:
-            yield from _stale(checked, observation, acknowledged)
+            yield from _outdated_versions(checked, observation, acknowledged)
         elif observation.ran:
             description = (
                 f"{observation.request.describe()} {observation.description}, "
-                "as no version that may be in force says"
+                "which no version that may be in force allows"
             )
             yield Violation("CONFIG", observation.at, description)
     explained = [observation for observation in observations if observation.versions]
@@ -65,25 +65,26 @@
         yield Observation(request, request.ended, versions, f"got {request.status}", ran=False)
 
 
-def _stale(
+def _outdated_versions(
     checked: CheckedHistory, observation: Observation, acknowledged: list[ConfigurationChange]
 ) -> Iterator[Violation]:
-    """What explains the observation is older than a change that the proxy must know."""
+    """All versions that explain the observation are older than a change that the proxy must have applied."""
     request = observation.request
     newest_version = max(observation.versions)
     for change in acknowledged:
-        if newest_version < change.version and checked.must_know(
+        if newest_version < change.version and checked.must_have_applied(
             request.proxy, request.sent, change.acknowledged, checked.bounds.config_apply
         ):
             description = (
-                f"{request.describe()} {observation.description}, as only version {newest_version} says, "
-                f"and {change.describe()} was acknowledged at {change.acknowledged:.3f}"
+                f"{request.describe()} {observation.description}, "
+                f"which no version newer than {newest_version} explains, "
+                f"but {change.describe()} was acknowledged at {change.acknowledged:.3f}"
             )
             yield Violation("CONFIG", observation.at, description)
 
 
 def _downgrades(checked: CheckedHistory, observations: list[Observation]) -> Iterator[Violation]:
-    """An incarnation of a proxy acts on an older version than it did before."""
+    """An incarnation of a proxy acts on an older version than before."""
     effects = _observed_effects(checked, observations)
     for observation in observations:
         request = observation.request
@@ -93,8 +94,8 @@
                 break
             if newest_version < version:
                 description = (
-                    f"{request.describe()} {observation.description}: back from version {version}, "
-                    f"which had an effect there at {effect_at:.3f}, to {newest_version}"
+                    f"{request.describe()} {observation.description}: downgrade from version {version}, "
+                    f"which was in effect there at {effect_at:.3f}, to {newest_version}"
                 )
                 yield Violation("CONFIG", observation.at, description)
                 break
@@ -103,7 +104,7 @@
 def _observed_effects(
     checked: CheckedHistory, observations: list[Observation]
 ) -> dict[tuple[str, int], list[tuple[float, int]]]:
-    """When each incarnation of a proxy acted on which version at least, in the order of time."""
+    """For each incarnation of a proxy: times and the lowest version that it acted on, ordered by time."""
     first_version = checked.possible_changes[0].version if checked.possible_changes else 0
     effects: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(list)
     for observation in observations:
@@ -117,22 +118,22 @@
 
 
 def _conflicting_changes(checked: CheckedHistory) -> Iterator[Violation]:
-    """An invalid change was acknowledged, or two different ones on the same base."""
+    """An invalid change was acknowledged, or two different changes on the same base version."""
     first_on_base: dict[int, ConfigurationChange] = {}
     for change in sorted(checked.changes, key=lambda change: change.acknowledged):
         if math.isinf(change.acknowledged):
             continue
         if not change.valid:
-            description = f"{change.describe()} is invalid and was acknowledged"
+            description = f"{change.describe()} is invalid but was acknowledged"
             yield Violation("CONFIG", change.acknowledged, description)
         other = first_on_base.setdefault(change.base, change)
-        if other is not change and other.as_write() != change.as_write():  # equal ones are resends
+        if other is not change and other.as_write() != change.as_write():  # an equal change is a resend
             description = f"{change.describe()} and {other.describe()}: both acknowledged"
             yield Violation("CONFIG", change.acknowledged, description)
 
 
 def check_revoked_keys(checked: CheckedHistory) -> Iterator[Violation]:
-    """CONFIG, for proxies in touch or not: no request runs with a key that was removed `revoke` s before."""
+    """CONFIG, in contact or not: no request runs with a key whose removal was acknowledged `revoke` s ago."""
     changes_with_key: dict[str, list[ConfigurationChange]] = {}
     for request, run in checked.runs():
         key = request.key
@@ -148,8 +149,8 @@
         ):
             continue
         description = (
-            f"{request.describe()} ran at {run.worker}, and {removal.describe()} without "
-            f"its key was acknowledged at {removal.acknowledged:.3f}"
+            f"{request.describe()} ran at {run.worker}, but {removal.describe()}, which removes its key, "
+            f"was acknowledged at {removal.acknowledged:.3f}"
         )
         yield Violation("CONFIG", run.at, description)
 
@@ -157,7 +158,7 @@
 def _acknowledged_removal(
     checked: CheckedHistory, request: Request, changes_with_key: list[ConfigurationChange]
 ) -> ConfigurationChange | None:
-    """The newest change without the request's key that must be in force since before it was sent."""
+    """The newest change without the request's key that must have been in force when it was sent."""
     limit = request.sent - checked.bounds.revoke
     removals = [
         change
@@ -167,51 +168,53 @@
     return removals[-1] if removals else None
 
 
-def check_readings(checked: CheckedHistory) -> Iterator[Violation]:
-    """CONFIG, LOST: a read is no older than what was acknowledged or read before, and is as it was sent."""
+def check_configuration_reads(checked: CheckedHistory) -> Iterator[Violation]:
+    """CONFIG, LOST: a read returns a version as it was sent, not older than those acknowledged or read."""
     acknowledged = sorted(
         (change for change in checked.possible_changes if change.acknowledged < math.inf),
         key=lambda change: change.acknowledged,
     )
     earlier: list[tuple[float, int]] = []
-    for reading in sorted(checked.history.readings, key=lambda reading: reading.started):
-        yield from _read_before_acknowledged(checked, reading, acknowledged)
+    for reading in sorted(checked.history.configuration_reads, key=lambda reading: reading.started):
+        yield from _outdated_reads(checked, reading, acknowledged)
         newest_read = max((version for ended, version in earlier if ended < reading.started), default=0)
         if reading.version < newest_read:
             yield Violation("CONFIG", reading.ended, f"read version {reading.version} after {newest_read}")
         earlier.append((reading.ended, reading.version))
-        yield from _read_as_never_sent(checked, reading)
+        yield from _altered_or_rejected_read(checked, reading)
 
 
-def _read_before_acknowledged(
-    checked: CheckedHistory, reading: Reading, acknowledged: list[ConfigurationChange]
+def _outdated_reads(
+    checked: CheckedHistory, reading: ConfigurationRead, acknowledged: list[ConfigurationChange]
 ) -> Iterator[Violation]:
     for change in acknowledged:
         if change.acknowledged < reading.started and change.version > reading.version:
-            rule = "LOST" if reading.started > checked.history.closing_fault_at else "CONFIG"
+            rule = "LOST" if reading.started > checked.history.final_fault_at else "CONFIG"
             description = (
-                f"read version {reading.version}, and {change.describe()} "
+                f"read version {reading.version}, but {change.describe()} "
                 f"was acknowledged at {change.acknowledged:.3f}"
             )
             yield Violation(rule, reading.ended, description)
             break
 
 
-def _read_as_never_sent(checked: CheckedHistory, reading: Reading) -> Iterator[Violation]:
+def _altered_or_rejected_read(checked: CheckedHistory, reading: ConfigurationRead) -> Iterator[Violation]:
     of_version = [change for change in checked.changes if change.version == reading.version]
     equal = [change for change in of_version if dict(reading.body) == change.body]
     if reading.version and not equal:
-        description = f"what is read as version {reading.version} is not what was sent"
+        description = f"the content read as version {reading.version} differs from what was sent"
         yield Violation("CONFIG", reading.ended, description)
     if equal and all(change.rejected_status or not change.valid for change in equal):
-        yield Violation("CONFIG", reading.ended, f"{equal[0].describe()} was refused and is in force")
+        yield Violation("CONFIG", reading.ended, f"{equal[0].describe()} was rejected but is in force")
 
 
 def check_linearizability(checked: CheckedHistory) -> Iterator[Violation]:
-    """CONFIG: one order of all the operators' calls explains every answer."""
+    """CONFIG: the operators' calls are linearizable."""
     history = checked.history
     calls = [
-        Call(change.sent, change.ended, change.as_write(), _answer_of(change), operator=change.operator)
+        Call(
+            change.sent, change.ended, change.as_write(), _outcome_of_change(change), operator=change.operator
+        )
         for change in checked.changes
         if change.valid and change.rejected_status in (0, CONFLICT_STATUS)
     ]
@@ -222,7 +225,7 @@
             observed=reading.observed(),
             evacuated_zones=reading.evacuated_zones(),
         )
-        for reading in history.readings
+        for reading in history.configuration_reads
     ]
     calls += [
         Call(
@@ -236,17 +239,19 @@
     ]
     unexplained = find_unexplained_call(calls)
     if unexplained is not None:
-        yield Violation("CONFIG", unexplained.ended, f"no order of all calls explains {unexplained}")
+        yield Violation(
+            "CONFIG", unexplained.ended, f"not linearizable: no order of all calls explains {unexplained}"
+        )
 
 
-def _answer_of(change: ConfigurationChange) -> str | None:
+def _outcome_of_change(change: ConfigurationChange) -> str | None:
     if change.rejected_status:
         return CONFLICT
     return ACKNOWLEDGED if change.acknowledged < math.inf else IN_DOUBT
 
 
 def check_resends(checked: CheckedHistory) -> Iterator[Violation]:
-    """CONFIG: an acknowledged change that is sent again, however late, is not rejected."""
+    """CONFIG: a resend of an acknowledged change is never rejected."""
     for resend in checked.history.resends:
         change = resend.change
         if change.acknowledged < resend.sent and 400 <= resend.status < 500:
@@ -257,9 +262,9 @@
             yield Violation("CONFIG", resend.ended, description)
 
 
-def check_evacuations_kept(checked: CheckedHistory) -> Iterator[Violation]:
-    """LOST: evacuations that were acknowledged are in force, and those that were ended are not."""
-    for reading in checked.history.readings:
+def check_evacuations_persisted(checked: CheckedHistory) -> Iterator[Violation]:
+    """LOST: acknowledged evacuations are in force, and ended ones are not."""
+    for reading in checked.history.configuration_reads:
         if reading.entries is None:
             continue
         last_by_zone: dict[str, EvacuationChange] = {}
@@ -269,7 +274,7 @@
         for zone, last in last_by_zone.items():
             in_force = f"Evacuations/{zone}" in reading.entries
             if last.acknowledged < reading.started and in_force != last.evacuated:
-                state = "is gone" if last.evacuated else "is still in force"
+                state = "is missing" if last.evacuated else "is still in force"
                 description = (
                     f"the evacuation of {zone}, last acknowledged at {last.acknowledged:.3f}, {state}"
                 )
--- a/ashlift/simulation/operators.py
+++ b/ashlift/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Operators: they send a command again, unchanged, to any core machine, until there is a clear answer."""
+"""Operators: resend a command unchanged to any core machine until it gets a final status."""
 
 from typing import Any
 
@@ -6,10 +6,10 @@
 from ashlift.simulation.event_loop import EventLoop
 from ashlift.simulation.history import (
     ConfigurationChange,
+    ConfigurationRead,
     EvacuationCall,
     EvacuationChange,
     History,
-    Reading,
 )
 from ashlift.simulation.process import Machine, Network, Process, Task
 from ashlift.simulation.registry_methods import RegistryMethod
@@ -20,13 +20,13 @@
 MAX_BACKOFF_SECONDS = 1.0
 BACKOFF_FACTOR = 1.5
 READ_RETRY_SECONDS = 0.2
-MAX_REDIRECTS = 2  # that a caller follows
+MAX_REDIRECTS = 2
 REDIRECT_STATUS = 307
 FINAL_STATUSES = (200, 400, 404, 412, 422)
 
 
 class Operator(Process):
-    """One operator, with its own way of asking the core machines."""
+    """An operator, which sends commands to the registries in random order."""
 
     def __init__(
         self, loop: EventLoop, net: Network, machine: Machine, history: History, registries: list[str]
@@ -36,23 +36,27 @@
         self.registries = registries
 
     def on_start(self) -> None:
-        """Wait to be asked for something."""
+        """Do nothing until a command is requested."""
 
-    def _registry_order(self, first: str | None) -> list[str]:
+    def _registry_order(self, first_registry: str | None) -> list[str]:
         shuffled = self.loop.rng.sample(self.registries, len(self.registries))
-        return ([first] if first else []) + [name for name in shuffled if name != first]
-
-    def _send_until_answered(self, command: dict[str, Any], first: str | None, once: bool = False) -> Task:
-        """Returns the status of the clear answer; with `once`, None if the first call got none."""
+        return ([first_registry] if first_registry else []) + [
+            name for name in shuffled if name != first_registry
+        ]
+
+    def _send_until_final_status(
+        self, command: dict[str, Any], first_registry: str | None, once: bool = False
+    ) -> Task:
+        """Returns the final status; with `once`, None if the first call did not get one."""
         backoff = INITIAL_BACKOFF_SECONDS
-        registries = self._registry_order(first)
+        registries = self._registry_order(first_registry)
         timeout = CALL_TIMEOUT_SECONDS
         if isinstance(command["body"], dict):
             timeout += CALL_TIMEOUT_SECONDS_PER_OBJECT * len(command["body"].get("Objects", ()))
         while True:
-            answer = yield from self._send_following_redirects(registries[0], command, timeout)
-            if isinstance(answer, tuple) and answer[0] in FINAL_STATUSES:
-                return answer[0]
+            response = yield from self._send_following_redirects(registries[0], command, timeout)
+            if isinstance(response, tuple) and response[0] in FINAL_STATUSES:
+                return response[0]
             if once:
                 return None
             registries = registries[1:] or self._registry_order(None)
@@ -67,59 +71,63 @@
                 evacuated = command["kind"] == "evacuate"
                 evacuation_call = EvacuationCall(command["body"], evacuated, sent, sent + timeout, self.name)
                 self.history.evacuation_calls.append(evacuation_call)
-            answer = yield self.call(
+            response = yield self.call(
                 registry, registry_process.KIND, RegistryMethod.OPERATOR_COMMAND, command, timeout
             )
-            if evacuation_call is not None and isinstance(answer, tuple) and answer[0] == 200:
+            if evacuation_call is not None and isinstance(response, tuple) and response[0] == 200:
                 evacuation_call.ended = self.loop.now
             timeout -= self.loop.now - sent
-            if not isinstance(answer, tuple) or answer[0] != REDIRECT_STATUS:
+            if not isinstance(response, tuple) or response[0] != REDIRECT_STATUS:
                 break
-        return answer
+        return response
 
     # ---- configurations
-    def send_change(self, change: ConfigurationChange, first: str | None = None) -> None:
-        """Send a change from now on, to the registry `first` first."""
+    def send_change(self, change: ConfigurationChange, first_registry: str | None = None) -> None:
+        """Send a change until it gets a final status, to `first_registry` first."""
         change.sent = self.loop.now
         self.history.changes.append(change)
-        self.spawn(self._send_change(change, first))
+        self.spawn(self._send_change(change, first_registry))
 
-    def _send_change(self, change: ConfigurationChange, first: str | None) -> Task:
-        status = yield from self._send_until_answered(change.as_command(), first)
+    def _send_change(self, change: ConfigurationChange, first_registry: str | None) -> Task:
+        status = yield from self._send_until_final_status(change.as_command(), first_registry)
         change.ended = self.loop.now
         if status == 200:
             change.acknowledged = self.loop.now
         else:
             change.rejected_status = status
 
-    def read_configuration(self, first: str | None = None) -> None:
-        """Read the configuration, from the registry `first` first."""
-        self.spawn(self._read_configuration(first))
+    def read_configuration(self, first_registry: str | None = None) -> None:
+        """Read the configuration, from `first_registry` first."""
+        self.spawn(self._read_configuration(first_registry))
 
-    def _read_configuration(self, first: str | None) -> Task:
-        registries = self._registry_order(first)
+    def _read_configuration(self, first_registry: str | None) -> Task:
+        registries = self._registry_order(first_registry)
         while True:
             started = self.loop.now
-            answer = yield self.call(
+            response = yield self.call(
                 registries[0], registry_process.KIND, RegistryMethod.READ_CONFIG, None, CALL_TIMEOUT_SECONDS
             )
-            if isinstance(answer, tuple) and answer[0] in (200, 404):
-                body, entries = answer[1]
+            if isinstance(response, tuple) and response[0] in (200, 404):
+                body, entries = response[1]
                 version = int(body.get("ConfigVersion", "0"), 16)
-                self.history.readings.append(Reading(started, self.loop.now, version, body, entries))
+                self.history.configuration_reads.append(
+                    ConfigurationRead(started, self.loop.now, version, body, entries)
+                )
                 return
             registries = registries[1:] or self._registry_order(None)
             yield READ_RETRY_SECONDS
 
     # ---- evacuations
-    def evacuate(self, zone: str, evacuated: bool, first: str | None = None, once: bool = False) -> None:
-        """Evacuate a zone or end its evacuation; `once`: give up after one call."""
-        self.spawn(self._evacuate(zone, evacuated, first, once))
+    def evacuate(
+        self, zone: str, evacuated: bool, first_registry: str | None = None, once: bool = False
+    ) -> None:
+        """Evacuate a zone or end its evacuation; `once`: do not retry."""
+        self.spawn(self._evacuate(zone, evacuated, first_registry, once))
 
-    def _evacuate(self, zone: str, evacuated: bool, first: str | None, once: bool = False) -> Task:
+    def _evacuate(self, zone: str, evacuated: bool, first_registry: str | None, once: bool = False) -> Task:
         evacuation = EvacuationChange(zone, evacuated, self.loop.now)
         self.history.evacuations.append(evacuation)
         command = {"kind": "evacuate" if evacuated else "restore", "if_match": None, "body": zone}
-        status = yield from self._send_until_answered(command, first, once)
+        status = yield from self._send_until_final_status(command, first_registry, once)
         if status == 200:
             evacuation.acknowledged = self.loop.now
--- a/ashlift/simulation/route_edit_service.py
+++ b/ashlift/simulation/route_edit_service.py
@@ -1,4 +1,4 @@
-"""Edits of single routes at a simulated registry, as `ashlift.registry.api` serves them."""
+"""Edits of single routes at a simulated registry, as `ashlift.registry.api` handles them."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 
 
 class RouteEditService:
-    """Answers operators with a status and a value, for one incarnation of a registry."""
+    """Handles edits and decisions for one incarnation of a registry; returns a status and a value."""
 
     def __init__(self, process: Process, registry: Registry, store_client: SimulatedStoreClient) -> None:
         self._process = process
@@ -30,17 +30,17 @@
         return self._process.loop.now + self._process.machine.wall_clock_skew
 
     def edit(self, request: dict[str, Any]) -> Task:
-        """Submit an edit; where no store may have taken it, leave it pending at the stores in reach."""
+        """Submit an edit; if the stores did not decide it, leave it pending at the reachable stores."""
         name = request["name"]
         entries = self._registry.operator_config.values
         edit = decode_request(entries, name, request, self._timestamp(name, {}), self._process.name)
         assert isinstance(edit, RouteEdit)
         command = {"kind": "edit", "if_match": None, "body": {"edit": encode_edit(edit)}}
-        answer = yield from self._store_client.submit(command)
-        if not isinstance(answer, Failure):
-            return answer["status"], answer
+        response = yield from self._store_client.submit(command)
+        if not isinstance(response, Failure):
+            return response["status"], response
         pending_edits, _ = yield from self._pending_edits([])
-        may_have_run = answer.reason not in NOT_EXECUTED_REASONS
+        may_have_run = response.reason not in NOT_EXECUTED_REASONS
         pending = prepare_pending(entries, pending_edits, edit, may_have_run)
         if isinstance(pending, RouteChanged):
             return 409, pending.encode()
@@ -62,13 +62,13 @@
         decision["stamp"] = [*self._timestamp(edit.route, pending_edits)]
         version = self._registry.operator_config.values.get("Version")
         command = {"kind": request["word"], "if_match": version, "body": decision}
-        answer = yield from self._store_client.submit(command)
-        return (503, {}) if isinstance(answer, Failure) else (answer["status"], answer)
+        response = yield from self._store_client.submit(command)
+        return (503, {}) if isinstance(response, Failure) else (response["status"], response)
 
     def _pending_edits(self, added: list[dict[str, Any]]) -> Task:
-        """Leave edits at all stores; returns all pending edits, and the stores that answered."""
+        """Add pending edits at all stores; returns all pending edits, and the stores that responded."""
         ips = dict.fromkeys([self._process.name, *self._store_client.stores()])
-        answers = {
+        responses = {
             ip: self._process.call(
                 ip, configstore_process.KIND, "drafts", {"add": added}, PENDING_EDITS_TIMEOUT_SECONDS
             )
@@ -76,11 +76,11 @@
         }
         pending_edits: dict[str, RouteEdit] = {}
         holders = []
-        for ip, future in answers.items():
-            answer = yield future
-            if not isinstance(answer, Failure):
+        for ip, future in responses.items():
+            response = yield future
+            if not isinstance(response, Failure):
                 holders.append(ip)
-                pending_edits = join_edits(pending_edits, decode_edits(answer["edits"]))
+                pending_edits = join_edits(pending_edits, decode_edits(response["edits"]))
         return pending_edits, holders
 
     def _timestamp(self, route: str, pending_edits: dict[str, RouteEdit]) -> HybridTimestamp:
--- a/ashlift/simulation/shrinking.py
+++ b/ashlift/simulation/shrinking.py
@@ -1,4 +1,4 @@
-"""Shortens a scenario that fails, as delta debugging does: leaves out what the failure does not need."""
+"""Shrinks a failing scenario by delta debugging: removes events that the failure does not need."""
 
 from typing import Final
 
@@ -8,24 +8,24 @@
 from ashlift.simulation.scenario import Scenario
 from ashlift.simulation.scenario_player import ScenarioPlayer
 
-MAX_PLAYS: Final = 200
+MAX_RUNS: Final = 200
 
 
-def shrink(scenario: Scenario, seed: int, max_plays: int = MAX_PLAYS) -> Scenario:
-    """Return the scenario without events that are not needed to break the same rule."""
+def shrink(scenario: Scenario, seed: int, max_runs: int = MAX_RUNS) -> Scenario:
+    """Return the scenario without events that are not needed to violate the same rule."""
     scenario = evolve(scenario, plan=evolve(scenario.plan, seed=seed))
     failure = _failure_of(scenario)
     if failure is None:
         return scenario
     chunk_size = max(1, len(scenario.events) // 2)
-    plays = 0
-    while plays < max_plays:
+    runs = 0
+    while runs < max_runs:
         index = 0
         shortened = False
-        while index < len(scenario.events) and plays < max_plays:
+        while index < len(scenario.events) and runs < max_runs:
             remaining = scenario.events[:index] + scenario.events[index + chunk_size :]
             candidate = evolve(scenario, events=remaining)
-            plays += 1
+            runs += 1
             if _failure_of(candidate) == failure:
                 scenario = candidate
                 shortened = True
@@ -38,10 +38,10 @@
 
 
 def _failure_of(scenario: Scenario) -> str | None:
-    """The rule that it breaks, `expect` for an expectation; None: it passes, or makes no sense."""
+    """The violated rule, or `expect` for an expectation; None if it passes or cannot be run."""
     try:
         result = ScenarioPlayer(scenario).run()
-    except (KeyError, ValueError):  # an event needs one that was left out
+    except (KeyError, ValueError):  # an event depends on a removed one
         return None
     if result is None:
         return None
--- a/ashlift/simulation/simulated_store_client.py
+++ b/ashlift/simulation/simulated_store_client.py
@@ -1,4 +1,4 @@
-"""How a simulated registry asks the configuration stores, as `ashlift.registry.store_client` does."""
+"""The client of a simulated registry for the configuration stores, as `ashlift.registry.store_client` is."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,35 +14,35 @@
 
 
 class SimulatedStoreClient:
-    """Asks one store after the other, for one incarnation of a registry."""
+    """Sends requests to one store after the other, for one incarnation of a registry."""
 
     def __init__(self, process: Process, registry: Registry) -> None:
         self._process = process
         self._registry = registry
         self._position = StorePosition()
         self._watch_number = 0
-        self.own_store_hangs = False
+        self.local_store_hangs = False
 
     def stores(self) -> list[str]:
-        """Return the core machines that have a store, by distance."""
+        """Return the core machines with a store, nearest first."""
         registry = self._registry
         identity = registry.identity
         members = registry.core_members()
         by_distance = registry.registries_by_distance(identity.zone, identity.region, self._process.clock())
         return [ip for ip in by_distance if ip in members]
 
-    def next_other_store(self) -> str | None:
-        """Return another machine's store, a different one each time."""
+    def next_remote_store(self) -> str | None:
+        """Return another machine with a store, in turn; None if there is none."""
         others = [ip for ip in self.stores() if ip != self._process.name]
         self._watch_number += 1
         return others[self._watch_number % len(others)] if others else None
 
-    def observe(self, answer: Any) -> None:
-        """Note the position that a store's answer to `watch` tells."""
-        self._position.observe(answer)
+    def observe(self, response: Any) -> None:
+        """Record the position in a store's response to `watch`."""
+        self._position.observe(response)
 
     def submit(self, command: dict[str, Any], sent_since: float | None = None) -> Task:
-        """Submit a command; `sent_since`: it was not sent before, and is void a time-out after."""
+        """Submit a command; `sent_since`: earliest time that it was sent, from which its timeout counts."""
         known_index = self._position.index
         started = self._process.clock() if sent_since is None else sent_since
         deadline = started + COMMAND_TIMEOUT_SECONDS
@@ -59,16 +59,16 @@
         return response
 
     def ask(self, method: str, body: Callable[[], dict[str, Any]], deadline: float) -> Task:
-        """Call the method of one store after the other; `body` is made anew for each call."""
+        """Call the method of one store after the other; `body` returns the request body for each call."""
         process = self._process
-        stores = stores_to_try(process.name, self.stores(), self.own_store_hangs)
+        stores = stores_to_try(process.name, self.stores(), self.local_store_hangs)
         request = OperatorRequest(stores, process.clock(), deadline)
-        answers: list[tuple[str, Any]] = []
+        responses: list[tuple[str, Any]] = []
         wake_up = Future()
 
         def call(ip: str) -> Task:
-            answer = yield from self._call_with_position(ip, method, body, deadline)
-            answers.append((ip, answer))
+            response = yield from self._call_with_position(ip, method, body, deadline)
+            responses.append((ip, response))
             wake_up.set(None)
 
         while wait := request.wait_seconds(process.clock()):
@@ -76,26 +76,28 @@
             if ip is not None:
                 process.spawn(call(ip))
                 continue
-            if not answers:
+            if not responses:
                 wake_up = Future()
                 process.call_later(wait, wake_up.set, None)
                 yield wake_up
-            while answers:
-                request.record_response(*answers.pop(0), process.clock())
+            while responses:
+                request.record_response(*responses.pop(0), process.clock())
         return request.outcome
 
     def _call_with_position(
         self, ip: str, method: str, body: Callable[[], dict[str, Any]], deadline: float
     ) -> Task:
-        """Call once, and again with the store's position if the known one is too old."""
+        """Call once, and retry with the store's current position if the known one has expired."""
         process = self._process
-        answer = yield process.call(ip, configstore_process.KIND, method, body(), deadline - process.clock())
-        if isinstance(answer, Failure) and answer.reason == FailureReason.EXPIRED:
+        response = yield process.call(
+            ip, configstore_process.KIND, method, body(), deadline - process.clock()
+        )
+        if isinstance(response, Failure) and response.reason == FailureReason.EXPIRED:
             remaining = deadline - process.clock()
             self.observe(
                 (yield process.call(ip, configstore_process.KIND, "watch", POSITION_REQUEST, remaining))
             )
-            answer = yield process.call(
+            response = yield process.call(
                 ip, configstore_process.KIND, method, body(), deadline - process.clock()
             )
-        return answer
+        return response
--- a/ashlift/simulation/worker.py
+++ b/ashlift/simulation/worker.py
@@ -1,4 +1,4 @@
-"""A worker: slots, a short queue, slow start, heartbeats, draining and crashes."""
+"""A simulated worker: request slots, a short queue, slow start, heartbeats, draining and faults."""
 
 import functools
 import math
@@ -20,15 +20,15 @@
 KIND: Final = "worker"
 QUEUE_PER_SLOT: Final = 2
 CALL_TIMEOUT_SECONDS: Final = 1.0
-RETRY_SECONDS: Final = 0.3  # after heartbeats that no registry acknowledged
-MAX_DRAINING_HEARTBEATS: Final = 12  # without an acknowledgement; it ends all the same then
-DEREGISTER_DELAY_SECONDS: Final = 0.3  # after the time that draining takes
+RETRY_SECONDS: Final = 0.3  # after a heartbeat that no registry acknowledged
+MAX_DRAINING_HEARTBEATS: Final = 12  # without an acknowledgement, before the worker ends anyway
+DEREGISTER_DELAY_SECONDS: Final = 0.3  # after the end of draining
 WARMING_UP_SLOWDOWN: Final = 2
 
 
 @functools.cache
 def worker_response(status: int) -> WorkerResponse:
-    """Return a worker's answer, as far as the router looks at it."""
+    """Return a worker's response with this status, as far as the router reads it."""
     response = WorkerResponse()
     response.status = status
     response.done = True
@@ -38,9 +38,9 @@
 class Worker(Process):
     """One incarnation of a worker; its machine's name is its id.
 
-    After its end its `address` may pass to another worker. The shares are faults of it: of answers that are
-    lost, of requests that fail with 500, and of requests that run and whose connection breaks then.
-    `connection_idle_timeout` is after how many seconds it has silently dropped an idle connection.
+    After its end another worker may take over its `address`. Its faults are the shares of responses that are
+    lost, of requests that fail with 500, and of requests whose connection breaks after they have run.
+    `connection_idle_timeout`: seconds until it drops an idle connection without closing it.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self.latency = latency
         self.state = "ready"
         self.warm_at = loop.now
-        self.lost_answer_share = 0.0
+        self.lost_response_share = 0.0
         self.failure_share = 0.0
         self.broken_connection_share = 0.0
         self.connection_idle_timeout = math.inf
@@ -72,28 +72,28 @@
         self._heartbeat_number = 0
 
     def on_start(self) -> None:
-        """Send heartbeats."""
+        """Start to send heartbeats."""
         self.spawn(self._send_heartbeats())
 
     def warm_up(self, seconds: float) -> None:
-        """Be slow, and say so, for so long from now on."""
+        """Enter slow start for some seconds: respond slowly, and report it in heartbeats."""
         self.warm_at = self.loop.now + seconds
         self.record.warmups.append((self.loop.now, self.warm_at))
 
     def on_killed(self, silently: bool) -> None:
-        """Proxies see their connections reset."""
+        """Reset the connections of proxies, and release the address."""
         self.record.ended = self.loop.now
         attempts = [*self._running, *(attempt for attempt, _ in self._queue)]
         self._running = {}
         self._queue = deque()
         if not silently:
             for attempt in attempts:
-                self.pool.send_answer(self, attempt, AttemptOutcome(AttemptResult.CONNECTION_LOST))
+                self.pool.send_response(self, attempt, AttemptOutcome(AttemptResult.CONNECTION_LOST))
         self.pool.release_address(self)
 
     # ---- requests
     def receive(self, attempt: WorkerAttempt, remaining: float) -> None:
-        """Run the request, queue it, or reject it; `remaining`: seconds that its proxy waits."""
+        """Run, queue or reject a request; `remaining`: seconds until its proxy times out."""
         if len(self._running) < self.capacity:
             self._run(attempt, remaining)
         elif len(self._queue) < QUEUE_PER_SLOT * self.capacity:
@@ -104,7 +104,7 @@
     def _reject(self, attempt: WorkerAttempt) -> None:
         self.pool.record_arrival(self, attempt, False, 503)
         outcome = AttemptOutcome(AttemptResult.NOT_RUN, worker_response(503))
-        self.pool.send_answer(self, attempt, outcome)
+        self.pool.send_response(self, attempt, outcome)
 
     def _run(self, attempt: WorkerAttempt, remaining: float) -> None:
         rng = self.loop.rng
@@ -116,24 +116,24 @@
             self.call_later(remaining, self._finish, attempt, 504)
             return
         status = 500 if self.failure_share and rng.random() < self.failure_share else 200
-        is_lost = bool(self.lost_answer_share) and rng.random() < self.lost_answer_share
+        is_lost = bool(self.lost_response_share) and rng.random() < self.lost_response_share
         self.call_later(duration, self._finish, attempt, 0 if is_lost else status)
 
     def _finish(self, attempt: WorkerAttempt, status: int) -> None:
-        """The request has run; `status` 0: its answer is lost."""
+        """Complete a request that has run; `status` 0: the response is lost."""
         if attempt not in self._running:
             return
         del self._running[attempt]
         share = self.broken_connection_share
         if status == 200 and share and self.loop.rng.random() < share:
-            self.pool.send_answer(self, attempt, AttemptOutcome(AttemptResult.CONNECTION_LOST))
+            self.pool.send_response(self, attempt, AttemptOutcome(AttemptResult.CONNECTION_LOST))
         elif status:
             outcome = AttemptOutcome(AttemptResult.RESPONSE, worker_response(status), 0.0)
-            self.pool.send_answer(self, attempt, outcome)
+            self.pool.send_response(self, attempt, outcome)
         self._start_queued()
 
     def connection_closed(self, attempt: WorkerAttempt) -> None:
-        """The proxy has closed the attempt's connection: stop at once."""
+        """Abort the request: the proxy has closed the attempt's connection."""
         if attempt in self._running:
             del self._running[attempt]
             self._start_queued()
@@ -148,9 +148,9 @@
             else:
                 self._run(attempt, deadline - self.loop.now)
 
-    # ---- what it tells the registries
+    # ---- registration
     def drain(self) -> None:
-        """Leave in order: say so, wait until proxies know, and end."""
+        """Shut down gracefully: report draining, wait until proxies have applied it, deregister and end."""
         self.state = "draining"
         self.spawn(self._leave())
 
@@ -169,20 +169,20 @@
         return self.id, fields
 
     def _send_heartbeat(self, target: str | None) -> Task:
-        """Until one is acknowledged or all registries have failed; returns the target of the next one."""
+        """Send a heartbeat to one registry after the other until one accepts it; returns the next target."""
         registries = [target] if target else []
         registries += self.loop.rng.sample(self.pool.registries, len(self.pool.registries))
         for registry in registries:
             state = self.state
             body = self._heartbeat()
-            answer = yield self.call(
+            response = yield self.call(
                 registry, registry_process.KIND, RegistryMethod.HEARTBEAT, body, CALL_TIMEOUT_SECONDS
             )
-            if isinstance(answer, tuple) and answer[0] == 200:
+            if isinstance(response, tuple) and response[0] == 200:
                 if state == "draining" and self.record.draining_acknowledged == math.inf:
                     self.record.draining_acknowledged = self.loop.now
                     self.record.draining_registry = registry
-                return answer[1].rpartition(":")[0]
+                return response[1].rpartition(":")[0]
         return None
 
     def _send_heartbeats(self) -> Task:
@@ -209,9 +209,9 @@
 
     def _deregister(self, target: str | None) -> Task:
         for registry in [*([target] if target else []), *self.pool.registries]:
-            answer = yield self.call(
+            response = yield self.call(
                 registry, registry_process.KIND, RegistryMethod.DEREGISTER, self.id, CALL_TIMEOUT_SECONDS
             )
-            if isinstance(answer, tuple) and answer[0] == 200:
+            if isinstance(response, tuple) and response[0] == 200:
                 self.record.deregistered = self.loop.now
                 break
