--- a/ashlift/simulation/explore.py
+++ b/ashlift/simulation/explore.py
@@ -15,7 +15,7 @@
 
 from ashlift.configstore.replica_state import InvariantError
 from ashlift.simulation.explorer_state import ClusterState, ExplorationRules, FaultKind
-from ashlift.simulation.explorer_steps import initial_state, next_event, steps, steps_of
+from ashlift.simulation.explorer_steps import initial_state, next_event, steps, steps_for_event
 from ashlift.simulation.invariant_checker import InvariantViolationError
 
 MESSAGE_FAULTS: Final[dict[FaultKind, int]] = {"lose": 9, "double": 9, "late": 9}
@@ -44,18 +44,27 @@
         budgets={"power": 1}, script=("put 0 a", "put 1 b", "put 2 c"), fault_seconds=0.1
     ),
     "closing 5": ExplorationRules(
-        5, budgets={"power": 2}, script=("put 0 a", "put 1 b", "put 2 c"), fault_seconds=0.1, max_wiped=2
+        5,
+        budgets={"power": 2},
+        script=("put 0 a", "put 1 b", "put 2 c"),
+        fault_seconds=0.1,
+        max_wiped_disks=2,
     ),
     "wiped": ExplorationRules(budgets={**ALL_FAULTS, "power": 9}, script=("put 0 a",), fault_seconds=3.0),
-    "begin": ExplorationRules(budgets={**ALL_FAULTS, "power": 9}, from_first_start=True, fault_seconds=0.6),
+    "begin": ExplorationRules(budgets={**ALL_FAULTS, "power": 9}, from_bootstrap=True, fault_seconds=0.6),
     "begin 5": ExplorationRules(
-        5, budgets=ALL_FAULTS, from_first_start=True, other_seeds=True, fault_seconds=1.5, max_wiped=2
+        5,
+        budgets=ALL_FAULTS,
+        from_bootstrap=True,
+        restart_with_last_seeds=True,
+        fault_seconds=1.5,
+        max_wiped_disks=2,
     ),
     "change 5": ExplorationRules(
-        5, budgets=ALL_FAULTS, script=("put 0 a", "read"), fault_seconds=0.06, max_wiped=2
+        5, budgets=ALL_FAULTS, script=("put 0 a", "read"), fault_seconds=0.06, max_wiped_disks=2
     ),
     "add": ExplorationRules(
-        4, budgets=ALL_FAULTS, held=1, script=("add 4", "put 0 a", "read"), fault_seconds=0.06
+        4, budgets=ALL_FAULTS, held_learners=1, script=("add 4", "put 0 a", "read"), fault_seconds=0.06
     ),
     "remove": ExplorationRules(
         4, budgets=ALL_FAULTS, script=("remove 4", "put 0 a", "read"), fault_seconds=0.06
@@ -64,10 +73,10 @@
         4, budgets=ALL_FAULTS, script=("remove leader", "put 0 a", "read"), fault_seconds=0.08
     ),
     "replace": ExplorationRules(
-        4, budgets=ALL_FAULTS, held=1, script=("replace 2", "add 4", "put 0 a"), fault_seconds=0.1
+        4, budgets=ALL_FAULTS, held_learners=1, script=("replace 2", "add 4", "put 0 a"), fault_seconds=0.1
     ),
     "add+": ExplorationRules(
-        4, budgets={"power": 1}, held=1, script=("add 4", "put 0 a", "put 1 b"), fault_seconds=0.08
+        4, budgets={"power": 1}, held_learners=1, script=("add 4", "put 0 a", "put 1 b"), fault_seconds=0.08
     ),
     "remove+": ExplorationRules(
         4, budgets={"power": 1}, script=("remove 4", "put 0 a", "put 1 b"), fault_seconds=0.08
@@ -83,42 +92,44 @@
 
 
 @define
-class Report:
+class ExplorationReport:
     """What was explored.
 
     `cells`: different states; `again`: how often one was met once more; `ends`: that agreed at last; `cut`:
-    not looked into because of a bound; `deepest`: steps; `wrong`: what was found, and the `way` to it.
+    not looked into because of a bound; `deepest`: steps; `wrong`: what was found, and the `trace` to it.
     """
 
-    cells: int = 0
-    again: int = 0
-    ends: int = 0
-    cut: int = 0
+    state_count: int = 0
+    revisited_count: int = 0
+    finished_count: int = 0
+    skipped_count: int = 0
     deepest: int = 0
     seconds: float = 0.0
-    wrong: str = ""
-    way: tuple[str, ...] = ()
+    violation: str = ""
+    trace: tuple[str, ...] = ()
 
     def __str__(self) -> str:
-        left_out = f", {self.cut} left by the bound" if self.cut else ", all of them"
+        left_out = f", {self.skipped_count} left by the bound" if self.skipped_count else ", all of them"
         return (
-            f"{self.wrong or 'well'}: {self.cells} cells{left_out}, {self.again} met again, "
-            f"{self.ends} ends, {self.deepest} steps deep, {self.seconds:.1f} s"
+            f"{self.violation or 'well'}: {self.state_count} cells{left_out}, {self.revisited_count} met again, "
+            f"{self.finished_count} ends, {self.deepest} steps deep, {self.seconds:.1f} s"
         )
 
 
-Way = tuple["Way", str] | None  # the steps to a state, the newest first
+Trace = tuple["Trace", str] | None  # the steps to a state, the newest first
 
 
 def explore(
-    rules: ExplorationRules, most: int | None = None, cells: int = 100_000, depth: int = 1000
-) -> Report:
+    rules: ExplorationRules, max_faults: int | None = None, max_states: int = 100_000, max_depth: int = 1000
+) -> ExplorationReport:
     """Explore until something is wrong, or about so many states are found.
 
-    `most`: faults in one way, in place of the rules' own; `depth`: steps from the start.
+    `most`: faults in one trace, in place of the rules' own; `depth`: steps from the start.
     """
     started = time.perf_counter()
-    exploration = _Exploration(rules if most is None else evolve(rules, max_faults=most), cells, depth)
+    exploration = _Exploration(
+        rules if max_faults is None else evolve(rules, max_faults=max_faults), max_states, max_depth
+    )
     exploration.run()
     exploration.report.seconds = time.perf_counter() - started
     return exploration.report
@@ -126,71 +137,73 @@
 
 class _Exploration:
     def __init__(self, rules: ExplorationRules, max_states: int, max_depth: int) -> None:
-        self.report = Report()
+        self.report = ExplorationReport()
         self._rules = rules
         self._max_states = max_states
         self._max_depth = max_depth
         self._seen: set[int] = set()
-        self._remaining: deque[tuple[ClusterState, Way, int]] = deque()
+        self._remaining: deque[tuple[ClusterState, Trace, int]] = deque()
 
     def run(self) -> None:
         report = self.report
         try:
             start = initial_state(self._rules)
         except (InvariantViolationError, InvariantError) as error:
-            report.wrong = f"{error}"
-            report.way = ("before any trouble",)
+            report.violation = f"{error}"
+            report.trace = ("before any trouble",)
             return
         self._remaining.append((start, None, 0))
         self._seen.add(start.key())
-        while self._remaining and not report.wrong:
-            state, way, depth = self._remaining.popleft() if self._rules.any_order else self._remaining.pop()
+        while self._remaining and not report.violation:
+            state, trace, depth = (
+                self._remaining.popleft() if self._rules.any_order else self._remaining.pop()
+            )
             report.deepest = max(report.deepest, depth)
             if len(self._seen) >= self._max_states or depth >= self._max_depth:
-                report.cut += 1
+                report.skipped_count += 1
                 continue
-            self._expand(state, way, depth)
-        report.cells += len(self._seen)
+            self._expand(state, trace, depth)
+        report.state_count += len(self._seen)
 
-    def _expand(self, state: ClusterState, way: Way, depth: int) -> None:
+    def _expand(self, state: ClusterState, trace: Trace, depth: int) -> None:
         """Look at all that may come next."""
         description = "the first step"
         try:
-            if not self._rules.any_order and state.is_calm():
+            if not self._rules.any_order and state.is_fault_free():
                 description = "no more trouble"
                 self._run_to_end(state)
                 return
             for description, next_state in steps(state):
                 if self._is_new(next_state):
-                    self._remaining.append((next_state, (way, description), depth + 1))
+                    self._remaining.append((next_state, (trace, description), depth + 1))
         except (InvariantViolationError, InvariantError) as error:
-            self.report.wrong = f"{error}"
-            self.report.way = (*_descriptions(way), f"after: {description}")
+            self.report.violation = f"{error}"
+            self.report.trace = (*_descriptions(trace), f"after: {description}")
 
     def _is_new(self, state: ClusterState) -> bool:
         key = state.key()
         if key in self._seen:
-            self.report.again += 1
+            self.report.revisited_count += 1
             return False
         self._seen.add(key)
         return True
 
     def _run_to_end(self, state: ClusterState) -> None:
         """No fault can come any more: on to the script's end, unless another way has led here."""
-        while not state.has_ended():
+        while not state.is_finished():
             event = next_event(state)
-            _, state = next(steps_of(state, event))
+            _, state = next(steps_for_event(state, event))
             if not isinstance(event, str):
-                self.report.cells += 1
+                self.report.state_count += 1
             elif not self._is_new(state):
                 return
-        self.report.ends += 1
+        self.report.finished_count += 1
 
 
-def _descriptions(way: Way) -> tuple[str, ...]:
+def _descriptions(trace: Trace) -> tuple[str, ...]:
     descriptions = []
-    while way is not None:
-        way, description = way
+    while trace is not None:
+        trace, description = trace
         descriptions.append(description)
     return tuple(reversed(descriptions))
 
@@ -201,13 +214,13 @@
         prog="python -m ashlift.simulation explore", description="The store's replicas."
     )
     parser.add_argument("cases", nargs="*", metavar="CASE", help=f"all if none: {', '.join(CASES)}")
-    parser.add_argument("--most", type=int, default=None, help="faults in one way")
+    parser.add_argument("--most", type=int, default=None, help="faults in one trace")
     parser.add_argument("--cells", type=int, default=100_000, help="about so many different states of each")
     parser.add_argument("--depth", type=int, default=1000, help="steps from the start")
     options = parser.parse_args(arguments)
     failed = 0
     for case in options.cases or CASES:
         report = explore(CASES[case], options.most, options.cells, options.depth)
-        print(f"{case}: {report}", *(f"    {step}" for step in report.way), sep="\n", flush=True)
-        failed += bool(report.wrong)
+        print(f"{case}: {report}", *(f"    {step}" for step in report.trace), sep="\n", flush=True)
+        failed += bool(report.violation)
     return 1 if failed else 0
--- a/ashlift/simulation/explorer_clients.py
+++ b/ashlift/simulation/explorer_clients.py
@@ -25,7 +25,7 @@
 
 CLIENT_TIMEOUT_SECONDS: Final = 1.0
 FENCE_REMAINING_SECONDS: Final = 0.9  # of it, when a registry sends a command on
-HELD_UP_SECONDS: Final = CLIENT_TIMEOUT_SECONDS + 0.1  # a call that arrives after its client gave up
+DELAYED_CALL_SECONDS: Final = CLIENT_TIMEOUT_SECONDS + 0.1  # a call that arrives after its client gave up
 AGREEMENT_SECONDS: Final = 8.0  # within this, once no fault comes any more, all is well again
 AGREEMENT: Final = ("agree", "settled")  # the last of a script: a change is accepted, and read back
 
@@ -43,11 +43,11 @@
         self.invariants = state.invariants
         self._client_calls = dict(state.client_calls)
         self._script = state.script
-        self._asked_at = state.asked_at
-        self._unanswered = list(state.unanswered)
-        self._first_of_line = state.first_of_line
+        self._line_submitted_at = state.line_submitted_at
+        self._unanswered_calls = list(state.unanswered_calls)
+        self._first_call_of_line = state.first_call_of_line
         self._line_answered = state.line_answered
-        self._moments = state.moments
+        self._event_count = state.event_count
 
     def handle_event(self, ip: str, event: Any) -> None:
         """Let the replica of a machine handle an event, if its process runs."""
@@ -80,10 +80,10 @@
             client_calls=tuple(sorted(self._client_calls.items())),
             invariants=self.invariants,
             script=self._script,
-            asked_at=self._asked_at,
-            unanswered=tuple(self._unanswered),
-            moments=self._moments,
-            first_of_line=self._first_of_line,
+            line_submitted_at=self._line_submitted_at,
+            unanswered_calls=tuple(self._unanswered_calls),
+            event_count=self._event_count,
+            first_call_of_line=self._first_call_of_line,
             line_answered=self._line_answered,
         )
 
@@ -92,7 +92,7 @@
         """Ask the next line, once what was asked before is answered or given up."""
         if self.now > self.state.faults_until + AGREEMENT_SECONDS:
             raise InvariantViolationError("no agreement, though nothing befalls anybody any more")
-        if not self._line_answered and self.now < self._asked_at + CLIENT_TIMEOUT_SECONDS:
+        if not self._line_answered and self.now < self._line_submitted_at + CLIENT_TIMEOUT_SECONDS:
             return
         awake = [machine.replica for machine in self.machines.values() if machine.frozen_until <= self.now]
         has_leader = any(
@@ -100,16 +100,16 @@
         )
         is_due = self._script[0] not in AGREEMENT or self.now >= self.state.faults_until
         if has_leader and is_due:
-            self.ask_next_line()
+            self.submit_next_line()
 
-    def ask_next_line(self) -> "ExplorerClients":
+    def submit_next_line(self) -> "ExplorerClients":
         """Ask the script's next line of every replica that believes that it leads."""
         word, *arguments = self._script[0].split()
         if word not in AGREEMENT:
             self._script = self._script[1:]
-        base, names = self._commands_of(word, arguments)
-        self._asked_at = self.now
-        self._first_of_line = self.count
+        base, names = self._commands_for_line(word, arguments)
+        self._line_submitted_at = self.now
+        self._first_call_of_line = self.count
         self._line_answered = False
         if word in ("add", "remove", "replace"):
             self.change_members(MembershipCommand(word, arguments[0]))
@@ -119,20 +119,20 @@
                 case "read" | "settled":
                     self._call(ip, None, ReadRequested)
                 case "zone" | "held":
-                    self._evacuate(ip, arguments[0], held_up=word == "held")
+                    self._evacuate(ip, arguments[0], delayed=word == "held")
                 case _:
                     for name in names:
                         self._put(ip, base, name)
         return self
 
-    def _commands_of(self, word: str, arguments: list[str]) -> tuple[int, list[str]]:
+    def _commands_for_line(self, word: str, arguments: list[str]) -> tuple[int, list[str]]:
         """The base and the names of the commands that a line puts."""
         if word == "put":
             return int(arguments[0]), arguments[1:]
         if word == "again":
             writes = [call.write for _, call in sorted(self._client_calls.items()) if call.write]
             return writes[-1].base, [name for _, name in writes[-1].upserts if isinstance(name, str)]
-        return len(self.invariants.committed_history), [f"z{self._moments}"]
+        return len(self.invariants.committed_history), [f"z{self._event_count}"]
 
     def _believed_leaders(self) -> list[str]:
         return [ip for ip, machine in self.machines.items() if machine.believes_to_lead()]
@@ -156,10 +156,10 @@
         self._deliver(ip, make_event(call.number))
 
     def _begin_call(self, write: ConfigurationWrite | None) -> UnansweredCall:
-        call = UnansweredCall(self.count, write, float(self._moments))
+        call = UnansweredCall(self.count, write, float(self._event_count))
         self.count += 1
-        self._moments += 1
-        self._unanswered.append(call)
+        self._event_count += 1
+        self._unanswered_calls.append(call)
         return call
 
     def _deliver(self, ip: str, event: Any) -> None:
@@ -168,35 +168,35 @@
         else:
             self.handle_event(ip, event)
 
-    def _evacuate(self, ip: str, name: str, held_up: bool) -> None:
+    def _evacuate(self, ip: str, name: str, delayed: bool) -> None:
         """Evacuate the zone (`+`) or restore it, with the token that a registry would give now.
 
-        A `held_up` call takes effect before any call that is begun later, or never.
+        A `delayed` call takes effect before any call that is begun later, or never.
         """
         replica = self.machines[ip].replica
         assert replica is not None
         call = self._begin_call(None)
-        deadline = call.started + 0.5 if held_up else math.inf
+        deadline = call.started + 0.5 if delayed else math.inf
         self._client_calls[call.number] = Call(
             call.started, math.inf, evacuation=(ZONE, name == "+"), effect_deadline=deadline
         )
         index = replica.committed_state.index
         token = FencingToken(*replica.newest_heartbeat_round(), index, FENCE_REMAINING_SECONDS)
         command = CommandSubmitted(call.number, (0, name), token)
-        if held_up:
-            self.post("ask", ip, None, HELD_UP_SECONDS, command)
+        if delayed:
+            self.post("ask", ip, None, DELAYED_CALL_SECONDS, command)
         else:
             self._deliver(ip, command)
 
     # ---- answers
     def answer_client(self, number: int, body: Any) -> None:
         """A client has its answer: check the history of all calls."""
-        call = next(one for one in self._unanswered if one.number == number)
-        self._unanswered.remove(call)
-        is_of_line = number >= self._first_of_line
+        call = next(one for one in self._unanswered_calls if one.number == number)
+        self._unanswered_calls.remove(call)
+        is_of_line = number >= self._first_call_of_line
         self._line_answered = self._line_answered or is_of_line
-        ended = float(self._moments)
-        self._moments += 1
+        ended = float(self._event_count)
+        self._event_count += 1
         if self._record_answer(call, ended, body) and is_of_line:
             self._script = self._script[1:]
         unexplained = find_unexplained_call(self._client_calls.values())
--- a/ashlift/simulation/explorer_state.py
+++ b/ashlift/simulation/explorer_state.py
@@ -39,7 +39,7 @@
 
 MIN_TIMER_INTERVAL_SECONDS: Final = 0.1
 PLAIN_TYPES: Final = (int, str, bytes, bool, type(None))
-UNCHANGED_ATTRIBUTES: Final = frozenset(  # of a replica between two events, or for good
+EXCLUDED_ATTRIBUTES: Final = frozenset(  # of a replica between two events, or for good
     (
         "now",
         "effects",
@@ -82,7 +82,7 @@
 
 @frozen
 class UnansweredCall:
-    """A client's call; `write` is None for a read, `started` counts the moments of clients' calls."""
+    """A client's call; `write` is None for a read, `started` counts the event_count of clients' calls."""
 
     number: int
     write: ConfigurationWrite | None
@@ -146,7 +146,7 @@
     if id(value) in seen:
         return None
     seen.add(id(value))
-    names = [name for name in _attribute_names(value) if name not in UNCHANGED_ATTRIBUTES]
+    names = [name for name in _attribute_names(value) if name not in EXCLUDED_ATTRIBUTES]
     return tuple([fingerprint(getattr(value, name), seen) for name in names])
 
 
@@ -167,7 +167,7 @@
 class MachineState:
     """A machine: its disk, its process if one runs, and how often either began anew.
 
-    `timer_ended_at`: when its timer ended last; `frozen_until`; `clients_first`: what clients ask while it is
+    `timer_fired_at`: when its timer ended last; `frozen_until`; `clients_first`: what clients ask while it is
     frozen is taken before all else.
     """
 
@@ -176,7 +176,7 @@
     replica: Replica | None = None
     incarnation: int = 0
     disk_number: int = 0
-    timer_ended_at: float = -1.0
+    timer_fired_at: float = -1.0
     frozen_until: float = -1.0
     clients_first: bool = False
     _key: Hashable = field(default=None, init=False)
@@ -186,8 +186,8 @@
         if self.replica is None:
             return math.inf
         due = self.replica.next_tick_at()
-        if due <= self.timer_ended_at:
-            due = round(self.timer_ended_at + MIN_TIMER_INTERVAL_SECONDS, 6)
+        if due <= self.timer_fired_at:
+            due = round(self.timer_fired_at + MIN_TIMER_INTERVAL_SECONDS, 6)
         return max(self.frozen_until, due)
 
     def believes_to_lead(self) -> bool:
@@ -198,7 +198,7 @@
         """Machines with the same key go on alike."""
         if self._key is None:
             disk_and_process = [self.vote, self.snapshot, self.replica, self.incarnation, self.disk_number]
-            timing = [self.timer_ended_at, self.frozen_until, self.clients_first]
+            timing = [self.timer_fired_at, self.frozen_until, self.clients_first]
             self._key = fingerprint([*disk_and_process, *timing], set())
         return self._key
 
@@ -257,9 +257,9 @@
     `put BASE NAME...` (at once), `again` (the last one), `read`, `zone +` or `-` (evacuated, restored),
     `add IP`, `remove IP` (or leader), `replace IP`: at all that lead, one after another; `held +`: a call
     that its client gives up and that arrives after that. `fault_seconds`: in which faults come; then the
-    cluster must agree (`AGREEMENT`). `from_first_start`: else from a leader with all members voting.
-    `other_seeds`: a process that starts again is told the last machines as seeds. `held`: the last of the
-    members were taken off, and have learnt all since. `max_wiped`: disks lost at a time, their members
+    cluster must agree (`AGREEMENT`). `from_bootstrap`: else from a leader with all members voting.
+    `restart_with_last_seeds`: a process that starts again is told the last machines as seeds. `held_learners`: the last of the
+    members were taken off, and have learnt all since. `max_wiped_disks`: disks lost at a time, their members
     learners.
     """
 
@@ -269,11 +269,11 @@
     max_faults: int = 1
     script: tuple[str, ...] = ()
     fault_seconds: float = 0.1
-    from_first_start: bool = False
-    other_seeds: bool = False
+    from_bootstrap: bool = False
+    restart_with_last_seeds: bool = False
     any_order: bool = False
-    held: int = 0
-    max_wiped: int = 1
+    held_learners: int = 0
+    max_wiped_disks: int = 1
 
 
 @frozen(eq=False)
@@ -292,11 +292,11 @@
     invariants: InvariantChecker = InvariantChecker()
     script: tuple[str, ...] = ()
     faults_until: float = 0.0
-    asked_at: float = -math.inf  # when the script's last line was asked
-    unanswered: tuple[UnansweredCall, ...] = ()
-    first_of_line: int = 0  # the number from which on calls are of that line
+    line_submitted_at: float = -math.inf  # when the script's last line was asked
+    unanswered_calls: tuple[UnansweredCall, ...] = ()
+    first_call_of_line: int = 0  # the number from which on calls are of that line
     line_answered: bool = True  # one call of that line is answered: the script goes on
-    moments: int = 0  # clients' calls begun and ended so far: their history goes by these
+    event_count: int = 0  # clients' calls begun and ended so far: their history goes by these
 
     def key(self) -> int:
         """States with the same key go on alike; of 64 bits, so a clash is not to be expected."""
@@ -306,17 +306,17 @@
         if any_order:
             messages.sort(key=hash)
         machines = tuple(machine.key() for machine in self.machines.values())
-        unanswered = tuple((call.write, call.started) for call in self.unanswered)
+        unanswered_calls = tuple((call.write, call.started) for call in self.unanswered_calls)
         calls = tuple(call for _, call in self.client_calls)
-        clients = (calls, self.script, self.asked_at, unanswered, self.line_answered)
+        clients = (calls, self.script, self.line_submitted_at, unanswered_calls, self.line_answered)
         faults = (self.faults_until, self.faults_left, tuple(self.budgets.values()))
         return hash((round(self.now, 6), machines, tuple(messages), self.invariants, clients, faults))
 
-    def has_ended(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether all is agreed on, and who was frozen has heard its clients."""
         return not self.script and all(message.kind != "ask" for message in self.messages)
 
-    def is_calm(self) -> bool:
+    def is_fault_free(self) -> bool:
         """Whether no fault can come any more."""
         return not self.faults_left or self.now >= self.faults_until
 
--- a/ashlift/simulation/explorer_steps.py
+++ b/ashlift/simulation/explorer_steps.py
@@ -16,12 +16,12 @@
     MachineState,
     PendingMessage,
 )
-from ashlift.simulation.explorer_transition import WRITE_FATES, Transition
+from ashlift.simulation.explorer_transition import WRITE_FAULTS, Transition
 from ashlift.simulation.invariant_checker import InvariantViolationError
 
 MAX_PREPARATION_SECONDS: Final = 30.0  # within this all are members
 MESSAGE_KINDS: Final = ("call", "answer")
-LATE_SECONDS: Final = {"behind": 0.002, "later": 0.3, "too late": CALL_TIMEOUT_SECONDS + 0.1}
+MESSAGE_DELAY_SECONDS: Final = {"behind": 0.002, "later": 0.3, "too late": CALL_TIMEOUT_SECONDS + 0.1}
 
 Step = tuple[str, ClusterState]  # what happens, and what comes of it
 
@@ -35,20 +35,20 @@
     for number, ip in enumerate(ips):
         transition.post("start", ip, None, 0.01 * number, True)
     state = transition.finish()
-    while not rules.from_first_start and not _all_vote(state):
-        state = _advance(state)
-    for ip in ips[len(ips) - rules.held :]:
+    while not rules.from_bootstrap and not _all_vote(state):
+        state = _next_state(state)
+    for ip in ips[len(ips) - rules.held_learners :]:
         state = Transition(state).change_members(MembershipCommand("remove", ip)).finish()
-        while not _is_held(state, ip):
-            state = _advance(state)
+        while not _is_held_learner(state, ip):
+            state = _next_state(state)
     if rules.any_order:
-        state = _restart_all(state)
+        state = _restart_all_processes(state)
     script = rules.script if rules.any_order else (*rules.script, *AGREEMENT)
     faults_until = state.now + rules.fault_seconds
     return evolve(state, faults_left=rules.max_faults, script=tuple(script), faults_until=faults_until)
 
 
-def _restart_all(state: ClusterState) -> ClusterState:
+def _restart_all_processes(state: ClusterState) -> ClusterState:
     transition = Transition(state)
     for ip in state.machines:
         transition.kill(ip)
@@ -58,10 +58,10 @@
     return transition.finish()
 
 
-def _advance(state: ClusterState) -> ClusterState:
+def _next_state(state: ClusterState) -> ClusterState:
     if state.now > MAX_PREPARATION_SECONDS:
         raise InvariantViolationError("it does not come to its beginning")
-    return next(steps_of(state, next_event(state)))[1]
+    return next(steps_for_event(state, next_event(state)))[1]
 
 
 def _all_vote(state: ClusterState) -> bool:
@@ -75,7 +75,7 @@
     return len(positions) == 1 and (0, 0) not in positions
 
 
-def _is_held(state: ClusterState, ip: str) -> bool:
+def _is_held_learner(state: ClusterState, ip: str) -> bool:
     """It was taken off, has learnt all from the start, and all know it."""
     replica = state.machines[ip].replica
     if replica is None or not replica.vote.is_voter:
@@ -101,30 +101,30 @@
     if state.rules.any_order:
         yield from _steps_in_any_order(state)
     else:
-        yield from steps_of(state, next_event(state))
-    if not state.is_calm():
+        yield from steps_for_event(state, next_event(state))
+    if not state.is_fault_free():
         yield from _message_faults(state)
         yield from _machine_faults(state)
 
 
-def steps_of(state: ClusterState, event: PendingMessage | str) -> Iterator[Step]:
-    """Yield a message or a timer as it should go, then with each fate of each write that it leads to."""
+def steps_for_event(state: ClusterState, event: PendingMessage | str) -> Iterator[Step]:
+    """Yield a message or a timer as it should go, then with each write_fault of each write that it leads to."""
     transition = Transition(state)
-    transition.take(event)
+    transition.process_event(event)
     description = str(event) if isinstance(event, PendingMessage) else f"the timer of {event} ends"
     yield description, transition.finish()
-    if state.is_calm():
+    if state.is_fault_free():
         return
     for number, write in enumerate(transition.writes):
-        for fate in WRITE_FATES:
-            faulty = _spend(state, "refuse" if fate == "refused" else "crash")
-            if faulty is None or (fate == "half" and None in (write.vote, write.snapshot)):
+        for write_fault in WRITE_FAULTS:
+            faulty = _with_fault_used(state, "refuse" if write_fault == "refused" else "crash")
+            if faulty is None or (write_fault == "half" and None in (write.vote, write.snapshot)):
                 continue
-            other = Transition(faulty, number, fate)
-            other.take(event)
+            other = Transition(faulty, number, write_fault)
+            other.process_event(event)
             outcome = other.finish()
-            if outcome.learner_count() <= state.rules.max_wiped:
-                yield f"{description}; its write {number + 1}: {fate}", outcome
+            if outcome.learner_count() <= state.rules.max_wiped_disks:
+                yield f"{description}; its write {number + 1}: {write_fault}", outcome
 
 
 def _steps_in_any_order(state: ClusterState) -> Iterator[Step]:
@@ -134,16 +134,16 @@
         key = message.key(True, state.pending_calls)
         if key not in seen:
             seen.add(key)
-            yield from steps_of(state, message)
+            yield from steps_for_event(state, message)
     for ip, machine in state.machines.items():
-        if machine.replica and (faulty := _spend(state, "timer")):
-            yield from steps_of(faulty, ip)
+        if machine.replica and (faulty := _with_fault_used(state, "timer")):
+            yield from steps_for_event(faulty, ip)
     if state.script and any(machine.believes_to_lead() for machine in state.machines.values()):
-        yield f"asked: {state.script[0]}", Transition(state).ask_next_line().finish()
+        yield f"asked: {state.script[0]}", Transition(state).submit_next_line().finish()
 
 
 # ---- faults
-def _spend(state: ClusterState, kind: FaultKind) -> ClusterState | None:
+def _with_fault_used(state: ClusterState, kind: FaultKind) -> ClusterState | None:
     """The state with one fault less to come; None where this kind may come no more."""
     if not state.budgets.get(kind) or not state.faults_left:
         return None
@@ -154,24 +154,27 @@
 def _message_faults(state: ClusterState) -> Iterator[Step]:
     """The next message is lost, doubled or late; in any order each one may be doubled."""
     if state.rules.any_order:
-        if faulty := _spend(state, "double"):
+        if faulty := _with_fault_used(state, "double"):
             for message in state.messages:
                 if message.kind in MESSAGE_KINDS:
                     yield f"doubled: {message}", _with_message(faulty, message, message.due)
         return
     event = next_event(state)
     if isinstance(event, PendingMessage) and event.kind in MESSAGE_KINDS:
-        yield from _faults_of_next(state, event)
+        yield from _next_message_faults(state, event)
 
 
-def _faults_of_next(state: ClusterState, message: PendingMessage) -> Iterator[Step]:
+def _next_message_faults(state: ClusterState, message: PendingMessage) -> Iterator[Step]:
     others = tuple(other for other in state.messages if other is not message)
-    if faulty := _spend(state, "lose"):
+    if faulty := _with_fault_used(state, "lose"):
         yield f"lost: {message}", evolve(faulty, messages=others)
-    if faulty := _spend(state, "double"):
-        yield f"doubled: {message}", _with_message(faulty, message, message.due + LATE_SECONDS["later"])
-    for how, delay in LATE_SECONDS.items():
-        if faulty := _spend(state, "late"):
+    if faulty := _with_fault_used(state, "double"):
+        yield (
+            f"doubled: {message}",
+            _with_message(faulty, message, message.due + MESSAGE_DELAY_SECONDS["later"]),
+        )
+    for how, delay in MESSAGE_DELAY_SECONDS.items():
+        if faulty := _with_fault_used(state, "late"):
             without = evolve(faulty, messages=others)
             yield f"{how}: {message}", _with_message(without, message, message.due + delay)
 
@@ -182,16 +185,16 @@
 
 
 def _machine_faults(state: ClusterState) -> Iterator[Step]:
-    may_wipe = state.learner_count() < state.rules.max_wiped
+    may_wipe = state.learner_count() < state.rules.max_wiped_disks
     for ip, machine in state.machines.items():
         yield from _process_faults(state, ip, machine)
-        if may_wipe and (faulty := _spend(state, "wipe")):
+        if may_wipe and (faulty := _with_fault_used(state, "wipe")):
             yield f"{ip} loses its disk", Transition(faulty).wipe(ip).finish()
         replica = machine.replica
         is_waiting = replica and not replica.leader_role and machine.frozen_until <= state.now
-        if is_waiting and (faulty := _spend(state, "early")):
-            yield f"the timer of {ip} ends early", Transition(faulty).end_timer_early(ip).finish()
-        if may_wipe and (faulty := _spend(state, "power")):
+        if is_waiting and (faulty := _with_fault_used(state, "early")):
+            yield f"the timer of {ip} ends early", Transition(faulty).fire_timer_early(ip).finish()
+        if may_wipe and (faulty := _with_fault_used(state, "power")):
             transition = Transition(faulty).wipe(ip)
             for other in state.machines:
                 transition.kill(other)
@@ -201,9 +204,9 @@
 def _process_faults(state: ClusterState, ip: str, machine: MachineState) -> Iterator[Step]:
     if machine.replica is None:
         return
-    if faulty := _spend(state, "crash"):
+    if faulty := _with_fault_used(state, "crash"):
         yield f"{ip} is killed", Transition(faulty).kill(ip).finish()
-    if faulty := _spend(state, "freeze"):
+    if faulty := _with_fault_used(state, "freeze"):
         for clients_first in (False, True):
             then = ", then hears its clients first" if clients_first else ""
             yield f"{ip} is frozen{then}", Transition(faulty).freeze(ip, clients_first).finish()
--- a/ashlift/simulation/explorer_transition.py
+++ b/ashlift/simulation/explorer_transition.py
@@ -37,27 +37,27 @@
 LINK_DELAY_SECONDS: Final = 0.004  # of a message, when nothing befalls it
 FREEZE_SECONDS: Final = 1.6  # long enough for another to lead meanwhile
 RESTART_SECONDS: Final = 0.3  # a process that is gone comes back after so long
-WRITE_FATES: Final = ("refused", "missing", "half", "there")  # all but the first: the process is gone
+WRITE_FAULTS: Final = ("refused", "missing", "half", "there")  # all but the first: the process is gone
 WRITTEN: Final = "kept"
 
 
 class Transition(ExplorerClients):
-    """One step under way. `failing_write` is the number of the write that meets the `fate`, -1: none."""
+    """One step under way. `faulty_write` is the number of the write that meets the `write_fault`, -1: none."""
 
-    def __init__(self, state: ClusterState, failing_write: int = -1, fate: str = "") -> None:
+    def __init__(self, state: ClusterState, faulty_write: int = -1, write_fault: str = "") -> None:
         super().__init__(state)
-        self._failing_write = failing_write
-        self._fate = fate
+        self._faulty_write = faulty_write
+        self._write_fault = write_fault
         self._copied: set[str] = set()  # machines that this step has changed
         self.writes: list[PersistState] = []
 
     # ---- what happens
-    def take(self, event: PendingMessage | str) -> None:
+    def process_event(self, event: PendingMessage | str) -> None:
         """Let a message come, or the timer of a machine end."""
         if isinstance(event, str):
             self.now = max(self.now, self.machines[event].timer_due())
-            self._own_replica(event)
-            self._change(event, timer_ended_at=self.now)
+            self._mutable_replica(event)
+            self._update_machine(event, timer_fired_at=self.now)
             self.handle_event(event, ClockTicked())
             return
         self.messages.remove(event)
@@ -73,9 +73,9 @@
                 request = RequestReceived(reference, reference.method, event.body)
                 self.handle_event(event.to, request)
             case _:
-                self._take_answer(event)
+                self._process_answer(event)
 
-    def _take_answer(self, message: PendingMessage) -> None:
+    def _process_answer(self, message: PendingMessage) -> None:
         """An answer or the time-out of a call: the first of both counts."""
         reference: CallReference = message.reference
         is_same_process = self.machines[message.to].incarnation == reference.caller_incarnation
@@ -98,7 +98,7 @@
             return
         rules = self.state.rules
         ips = list(self.machines)
-        has_other_seeds = rules.other_seeds and not bootstrap
+        has_other_seeds = rules.restart_with_last_seeds and not bootstrap
         seeds = ips[-rules.seeds :] if has_other_seeds else ips[: rules.seeds]
         incarnation = machine.incarnation + 1
         replica = Replica(
@@ -110,13 +110,13 @@
             decide_history_command,
             FixedRandom(int(ip), incarnation),
         )
-        self._change(ip, replica=replica, incarnation=incarnation)
+        self._update_machine(ip, replica=replica, incarnation=incarnation)
         self._perform(ip, replica, replica.start(self.now))
 
     def kill(self, ip: str) -> "Transition":
         """End the process of a machine; it is started again later."""
         if self.machines[ip].replica is not None:
-            self._change(ip, replica=None, frozen_until=-1.0)
+            self._update_machine(ip, replica=None, frozen_until=-1.0)
             self.pending_calls -= {
                 message.reference.number
                 for message in self.messages
@@ -131,22 +131,22 @@
     def wipe(self, ip: str) -> "Transition":
         """End the process of a machine, and put an empty disk in place of its own."""
         self.kill(ip)
-        self._change(ip, vote=None, snapshot=None, disk_number=self.machines[ip].disk_number + 1)
+        self._update_machine(ip, vote=None, snapshot=None, disk_number=self.machines[ip].disk_number + 1)
         return self
 
     def freeze(self, ip: str, clients_first: bool) -> "Transition":
         """Freeze the process of a machine for a while."""
         until = round(self.now + FREEZE_SECONDS, 6)
-        self._change(ip, frozen_until=until, clients_first=clients_first)
+        self._update_machine(ip, frozen_until=until, clients_first=clients_first)
         self.messages = [
             evolve(message, due=max(message.due, until)) if message.to == ip else message
             for message in self.messages
         ]
         return self
 
-    def end_timer_early(self, ip: str) -> "Transition":
+    def fire_timer_early(self, ip: str) -> "Transition":
         """Let the election timer of a machine end now."""
-        replica = self._own_replica(ip)
+        replica = self._mutable_replica(ip)
         assert replica is not None
         replica.election.deadline = self.now
         self.handle_event(ip, ClockTicked())
@@ -155,17 +155,17 @@
     # ---- replicas and their effects
     def handle_event(self, ip: str, event: Any) -> None:
         """Let the replica of a machine handle an event, if its process runs."""
-        replica = self._own_replica(ip)
+        replica = self._mutable_replica(ip)
         if replica is not None:
             self._perform(ip, replica, replica.handle(self.now, event))
 
-    def _own_replica(self, ip: str) -> Replica | None:
+    def _mutable_replica(self, ip: str) -> Replica | None:
         """The replica of a machine, as a copy that this step may change."""
         if ip not in self._copied and self.machines[ip].replica is not None:
-            self._change(ip, replica=self.copy_of_replica(ip))
+            self._update_machine(ip, replica=self.copy_of_replica(ip))
         return self.machines[ip].replica
 
-    def _change(self, ip: str, **changes: Any) -> None:
+    def _update_machine(self, ip: str, **changes: Any) -> None:
         self._copied.add(ip)
         self.machines[ip] = evolve(self.machines[ip], **changes)
 
@@ -204,14 +204,14 @@
                 self.invariants = self.invariants.record_leader(term, replica, incarnation)
 
     def _write(self, ip: str, write: PersistState) -> str:
-        """Do a write with its fate; returns that."""
+        """Do a write with its write_fault; returns that."""
         self.writes.append(write)
-        outcome = self._fate if len(self.writes) - 1 == self._failing_write else WRITTEN
+        outcome = self._write_fault if len(self.writes) - 1 == self._faulty_write else WRITTEN
         if write.snapshot is not None and outcome in (WRITTEN, "half", "there"):
-            self._change(ip, snapshot=write.snapshot)
+            self._update_machine(ip, snapshot=write.snapshot)
         if write.vote is not None and outcome in (WRITTEN, "there"):
-            self._change(ip, vote=write.vote)
-        if outcome in WRITE_FATES[1:]:
+            self._update_machine(ip, vote=write.vote)
+        if outcome in WRITE_FAULTS[1:]:
             self.kill(ip)
         return outcome
 
--- a/tests/configstore/test_membership.py
+++ b/tests/configstore/test_membership.py
@@ -110,9 +110,9 @@
 @test("explorer: one fault at every step of a membership change: {case}")
 def _(case: str = each("add+", "remove+")) -> None:
     report = explore(CASES[case])
-    assert not report.wrong, "\n".join([report.wrong, *report.way])
-    assert not report.cut, str(report)
-    assert report.ends > 50, str(report)
+    assert not report.violation, "\n".join([report.violation, *report.trace])
+    assert not report.skipped_count, str(report)
+    assert report.finished_count > 50, str(report)
 
 
 @test("M1 to M4 hold in long runs of {members} replicas with membership changes")
--- a/tests/simulation/test_explore.py
+++ b/tests/simulation/test_explore.py
@@ -12,9 +12,9 @@
 @test("explored, one trouble at every step: {case}")
 def _(case: str = each("change", "closing", "leaders")) -> None:
     report = explore(CASES[case])
-    assert not report.wrong, "\n".join([report.wrong, *report.way])
-    assert not report.cut, str(report)
-    assert report.ends > 50, str(report)
+    assert not report.violation, "\n".join([report.violation, *report.trace])
+    assert not report.skipped_count, str(report)
+    assert report.finished_count > 50, str(report)
 
 
 BROKEN = {
@@ -29,21 +29,21 @@
 @test("explored, {broken}: found")
 def _(broken: str = each(*BROKEN)) -> None:
     with mutated(broken):
-        assert explore(CASES[BROKEN[broken]]).wrong
+        assert explore(CASES[BROKEN[broken]]).violation
 
 
 @test("explored, a call that arrives late, and resends, as far as 1,000 cells")
 def _() -> None:
-    report = explore(CASES["late"], cells=1000)
-    assert not report.wrong, "\n".join([report.wrong, *report.way])
-    assert report.cells >= 1000
+    report = explore(CASES["late"], max_states=1000)
+    assert not report.violation, "\n".join([report.violation, *report.trace])
+    assert report.state_count >= 1000
 
 
 @test("explored, any order of an election's messages")
 def _() -> None:
-    report = explore(CASES["order"], 1, cells=1500)
-    assert not report.wrong, "\n".join([report.wrong, *report.way])
-    assert report.cells >= 1500
+    report = explore(CASES["order"], 1, max_states=1500)
+    assert not report.violation, "\n".join([report.violation, *report.trace])
+    assert report.state_count >= 1500
 
 
 @test("a member's copy goes on by itself, and a cell is not changed by its steps")
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -304,17 +304,17 @@
         yield
 
 
-def main(max_faults: int, max_cells: int, names: list[str]) -> None:
+def main(max_faults: int, max_states: int, names: list[str]) -> None:
     """Print for each which case of the explorer finds it."""
     for name in names or MUTANTS:
         outcome = "not found"
         with mutated(name):
             for case, rules in CASES.items():
                 report = explore(
-                    rules, min(max_faults, rules.max_faults) if rules.any_order else max_faults, max_cells
+                    rules, min(max_faults, rules.max_faults) if rules.any_order else max_faults, max_states
                 )
-                if report.wrong:
-                    outcome = f"{case}, {report.cells} cells: {report.wrong[:100]}"
+                if report.violation:
+                    outcome = f"{case}, {report.state_count} cells: {report.violation[:100]}"
                     break
         print(f"{name}: {outcome}", flush=True)
 
