--- a/ashlift/simulation/explore.py
+++ b/ashlift/simulation/explore.py
@@ -1,9 +1,9 @@
-"""Explores what a few real replicas of the store can come to, and checks every step.
+"""Explicit-state model checker for a few real replicas of the configuration store.
 
-In two ways. *A fault at every step*: all goes on in order, but up to `max_faults` faults come, each at any
-step of a span; then the cluster must agree on a change and read it back. *Any order*: any message that is
-out and any timer may be next, layer by layer. States that go on alike are explored once. What the bounds
-leave out is counted.
+By default events happen in order of time, up to `max_faults` faults are injected, each at any step within
+`fault_seconds`, and afterwards the cluster must accept a put and read it back. With `any_order`, any pending
+message or timer may be next, and the search is breadth-first. Equivalent states are explored once; states
+beyond the bounds are counted. Invariants and linearizability are checked at every step.
 """
 
 import argparse
@@ -93,10 +93,14 @@
 
 @define
 class ExplorationReport:
-    """What was explored.
-
-    `cells`: different states; `again`: how often one was met once more; `ends`: that agreed at last; `cut`:
-    not looked into because of a bound; `deepest`: steps; `wrong`: what was found, and the `trace` to it.
+    """Result of an exploration.
+
+    state_count: number of distinct states.
+    revisited_count: how often a known state was reached again.
+    finished_count: number of paths that completed their script.
+    skipped_count: number of states that were not expanded because of a bound.
+    deepest: largest number of steps from the initial state.
+    violation, trace: the violation found, if any, and the steps that led to it.
     """
 
     state_count: int = 0
@@ -109,22 +113,23 @@
     trace: tuple[str, ...] = ()
 
     def __str__(self) -> str:
-        left_out = f", {self.skipped_count} left by the bound" if self.skipped_count else ", all of them"
+        bound = f"{self.skipped_count} skipped at a bound" if self.skipped_count else "complete"
         return (
-            f"{self.violation or 'well'}: {self.state_count} cells{left_out}, {self.revisited_count} met again, "
-            f"{self.finished_count} ends, {self.deepest} steps deep, {self.seconds:.1f} s"
+            f"{self.violation or 'no violation'}: {self.state_count} states, {bound}, "
+            f"{self.revisited_count} revisited, {self.finished_count} paths finished, "
+            f"{self.deepest} steps deep, {self.seconds:.1f} s"
         )
 
 
-Trace = tuple["Trace", str] | None  # the steps to a state, the newest first
+Trace = tuple["Trace", str] | None  # steps to a state, the latest first
 
 
 def explore(
     rules: ExplorationRules, max_faults: int | None = None, max_states: int = 100_000, max_depth: int = 1000
 ) -> ExplorationReport:
-    """Explore until something is wrong, or about so many states are found.
+    """Explore until an invariant is violated, all states are known or `max_states` is reached.
 
-    `most`: faults in one trace, in place of the rules' own; `depth`: steps from the start.
+    `max_faults` overrides the limit of the rules; `max_depth` limits the steps from the initial state.
     """
     started = time.perf_counter()
     exploration = _Exploration(
@@ -150,7 +155,7 @@
             start = initial_state(self._rules)
         except (InvariantViolationError, InvariantError) as error:
             report.violation = f"{error}"
-            report.trace = ("before any trouble",)
+            report.trace = ("before the first fault",)
             return
         self._remaining.append((start, None, 0))
         self._seen.add(start.key())
@@ -166,11 +171,11 @@
         report.state_count += len(self._seen)
 
     def _expand(self, state: ClusterState, trace: Trace, depth: int) -> None:
-        """Look at all that may come next."""
+        """Check and queue all successors of a state."""
         description = "the first step"
         try:
             if not self._rules.any_order and state.is_fault_free():
-                description = "no more trouble"
+                description = "no more faults"
                 self._run_to_end(state)
                 return
             for description, next_state in steps(state):
@@ -189,7 +194,7 @@
         return True
 
     def _run_to_end(self, state: ClusterState) -> None:
-        """No fault can come any more: on to the script's end, unless another way has led here."""
+        """Run to the end of the script without faults, unless another path has reached the same state."""
         while not state.is_finished():
             event = next_event(state)
             _, state = next(steps_for_event(state, event))
@@ -211,12 +216,17 @@
 def main(arguments: list[str]) -> int:
     """Run the command; returns its exit status."""
     parser = argparse.ArgumentParser(
-        prog="python -m ashlift.simulation explore", description="The store's replicas."
+        prog="python -m ashlift.simulation explore",
+        description="Explore all states of a few replicas of the configuration store.",
+    )
+    parser.add_argument("cases", nargs="*", metavar="CASE", help=f"default: all of {', '.join(CASES)}")
+    parser.add_argument("--most", type=int, default=None, help="maximum number of faults on one path")
+    parser.add_argument(
+        "--cells", type=int, default=100_000, help="approximate maximum of distinct states of each case"
+    )
+    parser.add_argument(
+        "--depth", type=int, default=1000, help="maximum number of steps from the initial state"
     )
-    parser.add_argument("cases", nargs="*", metavar="CASE", help=f"all if none: {', '.join(CASES)}")
-    parser.add_argument("--most", type=int, default=None, help="faults in one trace")
-    parser.add_argument("--cells", type=int, default=100_000, help="about so many different states of each")
-    parser.add_argument("--depth", type=int, default=1000, help="steps from the start")
     options = parser.parse_args(arguments)
     failed = 0
     for case in options.cases or CASES:
--- a/ashlift/simulation/explorer_clients.py
+++ b/ashlift/simulation/explorer_clients.py
@@ -1,4 +1,4 @@
-"""Clients of an explored cluster: the lines of its script, and the history of their calls."""
+"""Clients of an explored cluster: they run the script and record the history of their calls."""
 
 import math
 from collections.abc import Callable
@@ -24,14 +24,14 @@
 )
 
 CLIENT_TIMEOUT_SECONDS: Final = 1.0
-FENCE_REMAINING_SECONDS: Final = 0.9  # of it, when a registry sends a command on
-DELAYED_CALL_SECONDS: Final = CLIENT_TIMEOUT_SECONDS + 0.1  # a call that arrives after its client gave up
-AGREEMENT_SECONDS: Final = 8.0  # within this, once no fault comes any more, all is well again
-AGREEMENT: Final = ("agree", "settled")  # the last of a script: a change is accepted, and read back
+FENCE_REMAINING_SECONDS: Final = 0.9  # left of the timeout when a registry forwards a command
+DELAYED_CALL_SECONDS: Final = CLIENT_TIMEOUT_SECONDS + 0.1  # arrives after its client gave up
+AGREEMENT_SECONDS: Final = 8.0  # from the last fault until the cluster must have recovered
+AGREEMENT: Final = ("agree", "settled")  # ends each script: a put is accepted, and a read returns
 
 
 class ExplorerClients:
-    """What clients ask in one step, and the parts of the state that the step changes."""
+    """Client calls of one step, and a mutable copy of the state that the step changes."""
 
     def __init__(self, state: ClusterState) -> None:
         self.state = state
@@ -50,16 +50,16 @@
         self._event_count = state.event_count
 
     def handle_event(self, ip: str, event: Any) -> None:
-        """Let the replica of a machine handle an event, if its process runs."""
+        """Pass an event to the replica of a machine, if its process is running."""
         raise NotImplementedError
 
     def copy_of_replica(self, ip: str) -> Replica:
-        """Return a copy of a machine's replica that may be changed."""
+        """Return a copy of a machine's replica that may be mutated."""
         replica: Replica = copy_replica(self.machines[ip].replica, {})
         return replica
 
     def post(self, kind: str, to: str, reference: Any, delay: float, body: Any = None) -> None:
-        """Let a message come to a machine after the delay, and not while it is frozen."""
+        """Schedule a message for a machine after the delay, but not before its process is thawed."""
         machine = self.machines[to]
         due = max(round(self.now + delay, 6), machine.frozen_until)
         order = -self.count if kind == "ask" and machine.clients_first else self.count
@@ -89,21 +89,23 @@
 
     # ---- the script
     def _continue_script(self) -> None:
-        """Ask the next line, once what was asked before is answered or given up."""
+        """Submit the next line once the previous one was answered or has timed out."""
         if self.now > self.state.faults_until + AGREEMENT_SECONDS:
-            raise InvariantViolationError("no agreement, though nothing befalls anybody any more")
+            raise InvariantViolationError(
+                f"no put and read succeeded within {AGREEMENT_SECONDS:g} s after the last fault"
+            )
         if not self._line_answered and self.now < self._line_submitted_at + CLIENT_TIMEOUT_SECONDS:
             return
-        awake = [machine.replica for machine in self.machines.values() if machine.frozen_until <= self.now]
+        running = [machine.replica for machine in self.machines.values() if machine.frozen_until <= self.now]
         has_leader = any(
-            replica and replica.leader_role and replica.leader_role.commit_index for replica in awake
+            replica and replica.leader_role and replica.leader_role.commit_index for replica in running
         )
         is_due = self._script[0] not in AGREEMENT or self.now >= self.state.faults_until
         if has_leader and is_due:
             self.submit_next_line()
 
     def submit_next_line(self) -> "ExplorerClients":
-        """Ask the script's next line of every replica that believes that it leads."""
+        """Submit the script's next line to every replica that believes that it leads."""
         word, *arguments = self._script[0].split()
         if word not in AGREEMENT:
             self._script = self._script[1:]
@@ -126,7 +128,7 @@
         return self
 
     def _commands_for_line(self, word: str, arguments: list[str]) -> tuple[int, list[str]]:
-        """The base and the names of the commands that a line puts."""
+        """Return the base and the names of the commands that a line puts."""
         if word == "put":
             return int(arguments[0]), arguments[1:]
         if word == "again":
@@ -139,7 +141,7 @@
 
     # ---- calls
     def change_members(self, command: MembershipCommand) -> "ExplorerClients":
-        """Submit a change of members to every replica that believes that it leads."""
+        """Submit a membership change to every replica that believes that it leads."""
         for ip in self._believed_leaders():
             target = command._replace(ip=ip if command.ip == "leader" else command.ip)
             self._call(ip, None, lambda number, target=target: CommandSubmitted(number, target))  # type: ignore[misc]
@@ -169,9 +171,10 @@
             self.handle_event(ip, event)
 
     def _evacuate(self, ip: str, name: str, delayed: bool) -> None:
-        """Evacuate the zone (`+`) or restore it, with the token that a registry would give now.
+        """Evacuate the zone (`+`) or restore it, with the fencing token that a registry would issue now.
 
-        A `delayed` call takes effect before any call that is begun later, or never.
+        The token of a `delayed` call has expired when it arrives, so it may take effect only before any call
+        that starts later.
         """
         replica = self.machines[ip].replica
         assert replica is not None
@@ -190,7 +193,7 @@
 
     # ---- answers
     def answer_client(self, number: int, body: Any) -> None:
-        """A client has its answer: check the history of all calls."""
+        """Record the answer to a client call and check that the history is linearizable."""
         call = next(one for one in self._unanswered_calls if one.number == number)
         self._unanswered_calls.remove(call)
         is_of_line = number >= self._first_call_of_line
@@ -202,10 +205,10 @@
         unexplained = find_unexplained_call(self._client_calls.values())
         if unexplained is not None:
             calls = [*map(str, self._client_calls.values())]
-            raise InvariantViolationError(f"no order of all calls explains {unexplained}: {calls}")
+            raise InvariantViolationError(f"history is not linearizable at {unexplained}: {calls}")
 
     def _record_answer(self, call: UnansweredCall, ended: float, body: Any) -> bool:
-        """Whether the answer is the agreement that the script waits for."""
+        """Record the answer; returns whether it completes the current line of `AGREEMENT`."""
         number = call.number
         if isinstance(body, Snapshot):
             self._record_read(call, ended, body)
--- a/ashlift/simulation/explorer_state.py
+++ b/ashlift/simulation/explorer_state.py
@@ -1,9 +1,9 @@
-"""A few real replicas of the store as one value: machines, messages on their way, clients' calls.
+"""Immutable state of a small explored cluster: replicas, disks, messages in flight and client calls.
 
-A `ClusterState` is never changed; a step (`simulation.explorer_transition`) gives a new one that shares what
-did not change. Writes are done within the event that asks for them: a replica with a write under way takes
-nothing else, so any other order of the others' events comes to the same. Times are seconds; all steady clocks
-are one.
+A step (`simulation.explorer_transition`) creates a new `ClusterState` that shares all unchanged parts with
+the previous one. A durable write completes within the event that requests it: a replica accepts no other
+event while it waits for its disk, so interleaving the events of other replicas would lead to the same states.
+Times are in seconds, and all machines share one monotonic clock.
 """
 
 import math
@@ -39,7 +39,8 @@
 
 MIN_TIMER_INTERVAL_SECONDS: Final = 0.1
 PLAIN_TYPES: Final = (int, str, bytes, bool, type(None))
-EXCLUDED_ATTRIBUTES: Final = frozenset(  # of a replica between two events, or for good
+# Attributes of a replica that are constant, or have no effect once an event has been handled.
+EXCLUDED_ATTRIBUTES: Final = frozenset(
     (
         "now",
         "effects",
@@ -82,7 +83,11 @@
 
 @frozen
 class UnansweredCall:
-    """A client's call; `write` is None for a read, `started` counts the event_count of clients' calls."""
+    """A client call without an answer.
+
+    `write` is None for any call other than a put. `started` is a logical time: the number of starts and ends
+    of client calls before this one.
+    """
 
     number: int
     write: ConfigurationWrite | None
@@ -90,7 +95,7 @@
 
 
 class FixedRandom(random.Random):
-    """Draws alike in all incarnations of one replica: the explorer chooses when timers end, not chance."""
+    """Deterministic stand-in for a random generator: timers fire when the explorer decides, not at random."""
 
     def __init__(self, number: int, incarnation: int) -> None:
         super().__init__(0)
@@ -98,11 +103,11 @@
         self._bits = number * 10_000 + incarnation * 1000
 
     def uniform(self, a: float, b: float) -> float:
-        """Return the same place between the bounds each time."""
+        """Return a value at a fixed position between the bounds, which depends on the replica only."""
         return a + (b - a) * self._share
 
     def getrandbits(self, _count: int, /) -> int:
-        """Return the same bits each time."""
+        """Return a fixed number that identifies the replica and its incarnation."""
         return self._bits
 
 
@@ -113,7 +118,10 @@
 
 
 def copy_replica(value: Any, copies: dict[int, Any]) -> Any:
-    """Return a copy of all that a replica changes in place; the rest is shared. `copies`: by id."""
+    """Return a copy of all objects that a replica mutates in place; immutable ones are shared.
+
+    `copies` maps the id of each object that was copied already to its copy.
+    """
     kind = type(value)
     if kind in MUTABLE_TYPES:
         if id(value) not in copies:
@@ -129,7 +137,10 @@
 
 
 def fingerprint(value: Any, seen: set[int]) -> Any:
-    """Return what tells two replicas or two messages apart: equal values for those that go on alike."""
+    """Return a value that is equal for replicas, or messages, with the same future behaviour.
+
+    `seen` holds the ids of the mutable objects visited so far; a repeated or cyclic reference becomes None.
+    """
     kind = type(value)
     if kind in PLAIN_TYPES:
         return value
@@ -165,10 +176,10 @@
 
 @define(eq=False)
 class MachineState:
-    """A machine: its disk, its process if one runs, and how often either began anew.
+    """A machine with its disk, its process if one is running, and the number of both so far.
 
-    `timer_fired_at`: when its timer ended last; `frozen_until`; `clients_first`: what clients ask while it is
-    frozen is taken before all else.
+    `timer_fired_at` is when its timer fired last. Until `frozen_until` the process handles no event. With
+    `clients_first`, client requests that arrive meanwhile are handled before all other messages.
     """
 
     vote: PersistentVote | None = None
@@ -182,7 +193,7 @@
     _key: Hashable = field(default=None, init=False)
 
     def timer_due(self) -> float:
-        """When its timer ends; as in the program, it is not asked again without a pause."""
+        """When its timer fires next, at least `MIN_TIMER_INTERVAL_SECONDS` after the last time."""
         if self.replica is None:
             return math.inf
         due = self.replica.next_tick_at()
@@ -191,11 +202,11 @@
         return max(self.frozen_until, due)
 
     def believes_to_lead(self) -> bool:
-        """Whether its replica has the leader's role."""
+        """Whether its replica is in the leader role; its term may have been superseded."""
         return self.replica is not None and self.replica.leader_role is not None
 
     def key(self) -> Hashable:
-        """Machines with the same key go on alike."""
+        """Return a key that is equal for machines with the same future behaviour."""
         if self._key is None:
             disk_and_process = [self.vote, self.snapshot, self.replica, self.incarnation, self.disk_number]
             timing = [self.timer_fired_at, self.frozen_until, self.clients_first]
@@ -204,7 +215,7 @@
 
 
 class CallReference(NamedTuple):
-    """A call between replicas, as its messages carry it."""
+    """Identifies a call between replicas in its request, its answer and its timeout."""
 
     number: int
     caller: str
@@ -216,9 +227,11 @@
 
 @define(eq=False)
 class PendingMessage:
-    """What is to come to a machine: a call, an answer, a call's time-out, a start, or a client's request.
+    """An event scheduled for a machine.
 
-    `kind` is call, answer, timeout, start or ask; `reference` is that of the call.
+    `kind` is `call`, `answer`, `timeout` (of a call), `start` (of the process) or `ask` (a client request).
+    `reference` identifies the call and is None for `start` and `ask`. Messages due at the same time are
+    delivered by `order`.
     """
 
     due: float
@@ -230,7 +243,7 @@
     _key: Hashable = field(default=None, init=False)
 
     def key(self, any_order: bool, pending_calls: frozenset[int]) -> Hashable:
-        """What tells it from another, but for its number; its time does not count in `any_order`."""
+        """Return a key that ignores the message's number and, in `any_order` mode, its due time."""
         if self._key is None:
             due = 0.0 if any_order else self.due
             reference = () if self.reference is None else tuple(self.reference[1:])
@@ -242,25 +255,29 @@
         if self.kind == "start":
             return f"{self.to} starts"
         if self.kind == "ask":
-            return f"{self.to} is asked"
+            return f"client request to {self.to}"
         reference = self.reference
-        way = f"{reference.caller} -> {self.to}" if self.kind == "call" else f"{self.to} hears"
-        return f"{self.kind} {reference.number} {reference.method} {way}"
+        route = f"{reference.caller} -> {self.to}" if self.kind == "call" else f"to {self.to}"
+        return f"{self.kind} {reference.number} {reference.method} {route}"
 
 
 @frozen
 class ExplorationRules:
-    """What is explored.
-
-    `budgets`: how often each kind of fault may come; `max_faults`: how often all together. `any_order`: no
-    leader at first, messages come in any order or never, and the end of a timer is a fault too. `script`:
-    `put BASE NAME...` (at once), `again` (the last one), `read`, `zone +` or `-` (evacuated, restored),
-    `add IP`, `remove IP` (or leader), `replace IP`: at all that lead, one after another; `held +`: a call
-    that its client gives up and that arrives after that. `fault_seconds`: in which faults come; then the
-    cluster must agree (`AGREEMENT`). `from_bootstrap`: else from a leader with all members voting.
-    `restart_with_last_seeds`: a process that starts again is told the last machines as seeds. `held_learners`: the last of the
-    members were taken off, and have learnt all since. `max_wiped_disks`: disks lost at a time, their members
-    learners.
+    """Cluster size, faults and client calls of one exploration.
+
+    members, seeds: number of machines, and how many of them are seeds.
+    budgets: maximum number of faults of each kind on one path.
+    max_faults: maximum number of faults of all kinds on one path.
+    script: lines of client calls, each sent to every replica that believes that it leads: `put BASE NAME...`
+        (concurrent puts), `again` (resends the last put), `read`, `zone +` and `zone -` (evacuate, restore),
+        `add IP`, `remove IP`, `replace IP` (`leader` stands for the replica itself), `held +` (an evacuation
+        that arrives after its client has given up).
+    fault_seconds: span in which faults are injected; afterwards the cluster must recover (`AGREEMENT`).
+    from_bootstrap: start with the first start of all machines instead of a leader with all members voting.
+    restart_with_last_seeds: restarted processes get the last machines as seeds instead of the first.
+    any_order: start without a leader; messages arrive in any order or never, and each timer is a fault.
+    held_learners: number of members, from the last, that were removed and have caught up as learners.
+    max_wiped_disks: maximum number of machines at a time whose disk was lost and that do not vote yet.
     """
 
     members: int = 3
@@ -278,28 +295,38 @@
 
 @frozen(eq=False)
 class ClusterState:
-    """All machines and messages at one moment, and what clients know."""
+    """All machines, messages and client calls at one point in time.
+
+    budgets, faults_left: faults that may still be injected, by kind and in total.
+    count: number of messages and client calls so far, from which their numbers are drawn.
+    pending_calls: numbers of the calls between replicas that wait for an answer.
+    client_calls: history of the client calls by their number, for the linearizability check.
+    script, line_submitted_at: lines that are left, and when the current one was submitted last.
+    first_call_of_line: number of the first call of the current line.
+    line_answered: whether a call of the current line was answered, so that the script may continue.
+    event_count: starts and ends of client calls so far, the logical time of their history.
+    """
 
     rules: ExplorationRules
     now: float
     machines: dict[str, MachineState]
-    budgets: dict[FaultKind, int]  # left
+    budgets: dict[FaultKind, int]
     faults_left: int
     messages: tuple[PendingMessage, ...] = ()
-    count: int = 0  # of messages and calls so far: their numbers
+    count: int = 0
     pending_calls: frozenset[int] = frozenset()
     client_calls: tuple[tuple[int, Call], ...] = ()
     invariants: InvariantChecker = InvariantChecker()
     script: tuple[str, ...] = ()
     faults_until: float = 0.0
-    line_submitted_at: float = -math.inf  # when the script's last line was asked
+    line_submitted_at: float = -math.inf
     unanswered_calls: tuple[UnansweredCall, ...] = ()
-    first_call_of_line: int = 0  # the number from which on calls are of that line
-    line_answered: bool = True  # one call of that line is answered: the script goes on
-    event_count: int = 0  # clients' calls begun and ended so far: their history goes by these
+    first_call_of_line: int = 0
+    line_answered: bool = True
+    event_count: int = 0
 
     def key(self) -> int:
-        """States with the same key go on alike; of 64 bits, so a clash is not to be expected."""
+        """Return a 64-bit hash that is equal for states with the same future; collisions are negligible."""
         any_order = self.rules.any_order
         ordered = sorted(self.messages, key=lambda message: (message.due, message.order))
         messages = [message.key(any_order, self.pending_calls) for message in ordered]
@@ -313,15 +340,15 @@
         return hash((round(self.now, 6), machines, tuple(messages), self.invariants, clients, faults))
 
     def is_finished(self) -> bool:
-        """Whether all is agreed on, and who was frozen has heard its clients."""
+        """Whether the script is complete and no client request is still waiting to be delivered."""
         return not self.script and all(message.kind != "ask" for message in self.messages)
 
     def is_fault_free(self) -> bool:
-        """Whether no fault can come any more."""
+        """Whether no more faults are injected."""
         return not self.faults_left or self.now >= self.faults_until
 
     def learner_count(self) -> int:
-        """Return the members by the newest map on a disk whose disks do not vote."""
+        """Return how many voters of the newest stored map are learners by their own disk."""
         snapshots = [machine.snapshot for machine in self.machines.values() if machine.snapshot]
         newest = max(snapshots, key=lambda snapshot: snapshot.term_index, default=None)
         members = [ip for ip in self.machines if newest and VOTER_PREFIX + ip in newest.entries.map]
--- a/ashlift/simulation/explorer_steps.py
+++ b/ashlift/simulation/explorer_steps.py
@@ -1,4 +1,4 @@
-"""What may happen next in an explored cluster: the next message or timer, and each fault of it."""
+"""Enumerates the successors of a cluster state: the next message or timer, and every fault that may occur."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -19,16 +19,16 @@
 from ashlift.simulation.explorer_transition import WRITE_FAULTS, Transition
 from ashlift.simulation.invariant_checker import InvariantViolationError
 
-MAX_PREPARATION_SECONDS: Final = 30.0  # within this all are members
+MAX_PREPARATION_SECONDS: Final = 30.0  # until all machines are members
 MESSAGE_KINDS: Final = ("call", "answer")
 MESSAGE_DELAY_SECONDS: Final = {"behind": 0.002, "later": 0.3, "too late": CALL_TIMEOUT_SECONDS + 0.1}
 
-Step = tuple[str, ClusterState]  # what happens, and what comes of it
+Step = tuple[str, ClusterState]  # description of the step, and the state after it
 
 
-# ---- the state from which all is explored
+# ---- initial state
 def initial_state(rules: ExplorationRules) -> ClusterState:
-    """Return the state from which `rules` are explored."""
+    """Return the state in which the exploration by `rules` starts."""
     ips = [str(number) for number in range(1, rules.members + 1)]
     machines = {ip: MachineState() for ip in ips}
     transition = Transition(ClusterState(rules, 0.0, machines, dict(rules.budgets), 0))
@@ -60,12 +60,14 @@
 
 def _next_state(state: ClusterState) -> ClusterState:
     if state.now > MAX_PREPARATION_SECONDS:
-        raise InvariantViolationError("it does not come to its beginning")
+        raise InvariantViolationError(
+            f"cluster not ready for exploration within {MAX_PREPARATION_SECONDS:g} s"
+        )
     return next(steps_for_event(state, next_event(state)))[1]
 
 
 def _all_vote(state: ClusterState) -> bool:
-    """A leader has committed, all are members and vote, and all know it."""
+    """Whether all machines are voters and have the same committed position."""
     positions = set()
     for machine in state.machines.values():
         replica = machine.replica
@@ -76,7 +78,7 @@
 
 
 def _is_held_learner(state: ClusterState, ip: str) -> bool:
-    """It was taken off, has learnt all from the start, and all know it."""
+    """Whether the removed member is a learner, and all machines hold the same committed position."""
     replica = state.machines[ip].replica
     if replica is None or not replica.vote.is_voter:
         return False
@@ -88,16 +90,16 @@
     return LEARNER_PREFIX + ip in replica.snapshot.entries.map
 
 
-# ---- what comes next
+# ---- successors
 def next_event(state: ClusterState) -> PendingMessage | str:
-    """Return the next thing by time: a message, or the machine whose timer ends."""
+    """Return what happens next in order of time: a message, or the machine whose timer fires."""
     timer_due, ip = min((machine.timer_due(), ip) for ip, machine in state.machines.items())
     message = min(state.messages, key=lambda message: (message.due, message.order), default=None)
     return message if message is not None and message.due <= timer_due else ip
 
 
 def steps(state: ClusterState) -> Iterator[Step]:
-    """Yield all that may happen next. Raises InvariantViolationError or InvariantError."""
+    """Yield all successors. Raises InvariantViolationError or InvariantError."""
     if state.rules.any_order:
         yield from _steps_in_any_order(state)
     else:
@@ -108,10 +110,10 @@
 
 
 def steps_for_event(state: ClusterState, event: PendingMessage | str) -> Iterator[Step]:
-    """Yield a message or a timer as it should go, then with each write_fault of each write that it leads to."""
+    """Yield the step for a message or timer, first without a fault, then with each fault of each write."""
     transition = Transition(state)
     transition.process_event(event)
-    description = str(event) if isinstance(event, PendingMessage) else f"the timer of {event} ends"
+    description = str(event) if isinstance(event, PendingMessage) else f"timer of {event} fires"
     yield description, transition.finish()
     if state.is_fault_free():
         return
@@ -128,7 +130,7 @@
 
 
 def _steps_in_any_order(state: ClusterState) -> Iterator[Step]:
-    """Any message that is out, any timer; a message that never comes is lost."""
+    """Yield the delivery of each pending message, each timer and the next line of the script."""
     seen = set()
     for message in state.messages:
         key = message.key(True, state.pending_calls)
@@ -139,12 +141,12 @@
         if machine.replica and (faulty := _with_fault_used(state, "timer")):
             yield from steps_for_event(faulty, ip)
     if state.script and any(machine.believes_to_lead() for machine in state.machines.values()):
-        yield f"asked: {state.script[0]}", Transition(state).submit_next_line().finish()
+        yield f"client sends: {state.script[0]}", Transition(state).submit_next_line().finish()
 
 
 # ---- faults
 def _with_fault_used(state: ClusterState, kind: FaultKind) -> ClusterState | None:
-    """The state with one fault less to come; None where this kind may come no more."""
+    """Return the state with one fault charged to the budgets, or None if this kind is used up."""
     if not state.budgets.get(kind) or not state.faults_left:
         return None
     budgets = {**state.budgets, kind: state.budgets[kind] - 1}
@@ -152,12 +154,12 @@
 
 
 def _message_faults(state: ClusterState) -> Iterator[Step]:
-    """The next message is lost, doubled or late; in any order each one may be doubled."""
+    """Yield the faults of the next message; in `any_order` mode the duplication of each message."""
     if state.rules.any_order:
         if faulty := _with_fault_used(state, "double"):
             for message in state.messages:
                 if message.kind in MESSAGE_KINDS:
-                    yield f"doubled: {message}", _with_message(faulty, message, message.due)
+                    yield f"duplicated: {message}", _with_message(faulty, message, message.due)
         return
     event = next_event(state)
     if isinstance(event, PendingMessage) and event.kind in MESSAGE_KINDS:
@@ -170,7 +172,7 @@
         yield f"lost: {message}", evolve(faulty, messages=others)
     if faulty := _with_fault_used(state, "double"):
         yield (
-            f"doubled: {message}",
+            f"duplicated: {message}",
             _with_message(faulty, message, message.due + MESSAGE_DELAY_SECONDS["later"]),
         )
     for how, delay in MESSAGE_DELAY_SECONDS.items():
@@ -193,12 +195,12 @@
         replica = machine.replica
         is_waiting = replica and not replica.leader_role and machine.frozen_until <= state.now
         if is_waiting and (faulty := _with_fault_used(state, "early")):
-            yield f"the timer of {ip} ends early", Transition(faulty).fire_timer_early(ip).finish()
+            yield f"timer of {ip} fires early", Transition(faulty).fire_timer_early(ip).finish()
         if may_wipe and (faulty := _with_fault_used(state, "power")):
             transition = Transition(faulty).wipe(ip)
             for other in state.machines:
                 transition.kill(other)
-            yield f"{ip} loses its disk, all others their power", transition.finish()
+            yield f"{ip} loses its disk, all others lose power", transition.finish()
 
 
 def _process_faults(state: ClusterState, ip: str, machine: MachineState) -> Iterator[Step]:
@@ -208,5 +210,5 @@
         yield f"{ip} is killed", Transition(faulty).kill(ip).finish()
     if faulty := _with_fault_used(state, "freeze"):
         for clients_first in (False, True):
-            then = ", then hears its clients first" if clients_first else ""
-            yield f"{ip} is frozen{then}", Transition(faulty).freeze(ip, clients_first).finish()
+            suffix = ", then handles client requests first" if clients_first else ""
+            yield f"{ip} is frozen{suffix}", Transition(faulty).freeze(ip, clients_first).finish()
--- a/ashlift/simulation/explorer_transition.py
+++ b/ashlift/simulation/explorer_transition.py
@@ -1,7 +1,7 @@
-"""One step of an explored cluster: a real replica takes an event, and its effects are done.
+"""One step of an explored cluster: a real replica handles an event, and its effects are applied.
 
-A `Transition` is changed in place until `finish`. What may befall a write gives a state each
-(`simulation.explorer_steps`).
+A `Transition` is mutable until `finish` returns the new state. `simulation.explorer_steps` repeats it
+with each fault of each durable write.
 """
 
 from collections import deque
@@ -34,26 +34,28 @@
 )
 from ashlift.simulation.invariant_checker import decide_history_command
 
-LINK_DELAY_SECONDS: Final = 0.004  # of a message, when nothing befalls it
-FREEZE_SECONDS: Final = 1.6  # long enough for another to lead meanwhile
-RESTART_SECONDS: Final = 0.3  # a process that is gone comes back after so long
-WRITE_FAULTS: Final = ("refused", "missing", "half", "there")  # all but the first: the process is gone
+LINK_DELAY_SECONDS: Final = 0.004  # of a message without a fault
+FREEZE_SECONDS: Final = 1.6  # long enough for the election of another leader
+RESTART_SECONDS: Final = 0.3  # from the end of a process until its next start
+# Faults of a write: the disk reports an error, or the process crashes with nothing written, with only the
+# snapshot written, or with both the snapshot and the vote written.
+WRITE_FAULTS: Final = ("refused", "missing", "half", "there")
 WRITTEN: Final = "kept"
 
 
 class Transition(ExplorerClients):
-    """One step under way. `faulty_write` is the number of the write that meets the `write_fault`, -1: none."""
+    """One step in progress. Write number `faulty_write` fails with `write_fault`; -1: none fails."""
 
     def __init__(self, state: ClusterState, faulty_write: int = -1, write_fault: str = "") -> None:
         super().__init__(state)
         self._faulty_write = faulty_write
         self._write_fault = write_fault
-        self._copied: set[str] = set()  # machines that this step has changed
+        self._copied: set[str] = set()  # machines whose state is this step's own copy
         self.writes: list[PersistState] = []
 
-    # ---- what happens
+    # ---- events and faults
     def process_event(self, event: PendingMessage | str) -> None:
-        """Let a message come, or the timer of a machine end."""
+        """Deliver a message, or fire the timer of the machine named by `event`."""
         if isinstance(event, str):
             self.now = max(self.now, self.machines[event].timer_due())
             self._mutable_replica(event)
@@ -76,7 +78,7 @@
                 self._process_answer(event)
 
     def _process_answer(self, message: PendingMessage) -> None:
-        """An answer or the time-out of a call: the first of both counts."""
+        """Deliver the answer or the timeout of a call, whichever comes first; ignore the other."""
         reference: CallReference = message.reference
         is_same_process = self.machines[message.to].incarnation == reference.caller_incarnation
         if reference.number not in self.pending_calls or not is_same_process:
@@ -92,7 +94,7 @@
         self.handle_event(message.to, response)
 
     def start(self, ip: str, bootstrap: bool = False) -> None:
-        """Start the process of a machine, unless it runs."""
+        """Start the process of a machine unless it is running."""
         machine = self.machines[ip]
         if machine.replica is not None:
             return
@@ -114,7 +116,7 @@
         self._perform(ip, replica, replica.start(self.now))
 
     def kill(self, ip: str) -> "Transition":
-        """End the process of a machine; it is started again later."""
+        """Kill the process of a machine and schedule its restart."""
         if self.machines[ip].replica is not None:
             self._update_machine(ip, replica=None, frozen_until=-1.0)
             self.pending_calls -= {
@@ -129,13 +131,13 @@
         return self
 
     def wipe(self, ip: str) -> "Transition":
-        """End the process of a machine, and put an empty disk in place of its own."""
+        """Kill the process of a machine and replace its disk with an empty one."""
         self.kill(ip)
         self._update_machine(ip, vote=None, snapshot=None, disk_number=self.machines[ip].disk_number + 1)
         return self
 
     def freeze(self, ip: str, clients_first: bool) -> "Transition":
-        """Freeze the process of a machine for a while."""
+        """Freeze the process of a machine for `FREEZE_SECONDS`; delay what is due to it until then."""
         until = round(self.now + FREEZE_SECONDS, 6)
         self._update_machine(ip, frozen_until=until, clients_first=clients_first)
         self.messages = [
@@ -145,7 +147,7 @@
         return self
 
     def fire_timer_early(self, ip: str) -> "Transition":
-        """Let the election timer of a machine end now."""
+        """Fire the election timer of a machine now."""
         replica = self._mutable_replica(ip)
         assert replica is not None
         replica.election.deadline = self.now
@@ -154,13 +156,13 @@
 
     # ---- replicas and their effects
     def handle_event(self, ip: str, event: Any) -> None:
-        """Let the replica of a machine handle an event, if its process runs."""
+        """Pass an event to the replica of a machine, if its process is running."""
         replica = self._mutable_replica(ip)
         if replica is not None:
             self._perform(ip, replica, replica.handle(self.now, event))
 
     def _mutable_replica(self, ip: str) -> Replica | None:
-        """The replica of a machine, as a copy that this step may change."""
+        """Return the replica of a machine as a copy that this step may mutate."""
         if ip not in self._copied and self.machines[ip].replica is not None:
             self._update_machine(ip, replica=self.copy_of_replica(ip))
         return self.machines[ip].replica
@@ -172,7 +174,9 @@
     def _perform(self, ip: str, replica: Replica, effects: list[Any]) -> None:
         remaining = deque(effects)
         while remaining:
-            if replica.leader_role is not None:  # before a write that it may not outlive
+            if (
+                replica.leader_role is not None
+            ):  # checked before each effect: a failing write may end the process
                 disks = [(other, one.vote, one.snapshot) for other, one in self.machines.items()]
                 self.invariants = self.invariants.check_commit(replica, disks)
             effect = remaining.popleft()
@@ -204,7 +208,7 @@
                 self.invariants = self.invariants.record_leader(term, replica, incarnation)
 
     def _write(self, ip: str, write: PersistState) -> str:
-        """Do a write with its write_fault; returns that."""
+        """Store the state, or fail with the write fault; returns the outcome."""
         self.writes.append(write)
         outcome = self._write_fault if len(self.writes) - 1 == self._faulty_write else WRITTEN
         if write.snapshot is not None and outcome in (WRITTEN, "half", "there"):
@@ -225,7 +229,7 @@
             (request.peer, request.context),
         )
         self.pending_calls.add(self.count)
-        if not self.state.rules.any_order:  # where nothing is known of time, nobody gives up
+        if not self.state.rules.any_order:  # calls time out only when time is simulated
             failure = Failure(FailureReason.OUTCOME_UNKNOWN)
             self.post("timeout", ip, reference, CALL_TIMEOUT_SECONDS, failure)
         self.post("call", request.peer, reference, LINK_DELAY_SECONDS, request.body)
