--- a/ashlift/simulation/random_replica_worlds.py
+++ b/ashlift/simulation/random_replica_worlds.py
@@ -17,7 +17,7 @@
 MAX_VOTERS: Final = 13
 FIRST_FAULT_SECONDS: Final = 5
 SETTLE_SECONDS: Final = 20
-MEMBERS_AGREED_SECONDS: Final = 40.0  # within this, once all is well, all machines that are there vote
+MEMBERSHIP_CONVERGENCE_SECONDS: Final = 40.0  # after the last fault
 
 
 def run_random_world(members: int, seed: int, seconds: float = 40.0, turnover: float = 0.0) -> ReplicaWorld:
@@ -51,7 +51,7 @@
             (3, self._isolate),
             (2, self._toggle_disk_failure),
             (2, lambda ip, _other: self._world.shut_down(ip)),
-            (2, self._closing_fault),
+            (2, self._power_loss_after_put),
             (5, self._resend_unacknowledged),
             (3, self._set_disk_delay),
         ]
@@ -67,16 +67,18 @@
             if self._turnover and rng.random() < self._turnover:
                 change_membership(world, rng)
             ip, other = rng.sample(world.ips, 2)
-            self._may_wipe = self._may_lose_disk()
+            self._may_wipe = self._may_wipe_disk()
             fault = rng.choices(faults, weights)[0]
             fault(ip, other)
         world.settle(SETTLE_SECONDS)
-        if self._turnover and not world.run(MEMBERS_AGREED_SECONDS, lambda: members_agreed(world)):
+        if self._turnover and not world.run(
+            MEMBERSHIP_CONVERGENCE_SECONDS, lambda: membership_converged(world)
+        ):
             entries = sorted(world.newest_entries())[-30:]
             raise InvariantViolationError(f"members do not come to what is wanted: {entries}")
         return world
 
-    def _may_lose_disk(self) -> bool:
+    def _may_wipe_disk(self) -> bool:
         if self._turnover:
             return self._world.expendable_voters() > 0
         return self._world.learner_count() < (self._world.voter_count() - 1) // 2
@@ -111,14 +113,14 @@
     def _set_disk_delay(self, ip: str, _other: str) -> None:
         self._world.nodes[ip].disk_delay = self._rng.choice([0.0, 0.1, 0.5])
 
-    def _closing_fault(self, ip: str, _other: str) -> None:
+    def _power_loss_after_put(self, ip: str, _other: str) -> None:
         """Right after a change, one disk is lost and all machines lose power."""
         world = self._world
         leader = world.leader()
         if leader:
             world.put(leader)
             world.run(self._rng.uniform(0, 0.06))
-            if self._may_lose_disk():
+            if self._may_wipe_disk():
                 world.wipe(self._rng.choice([leader, ip]))
         for machine in world.ips:
             world.kill(machine)
@@ -143,7 +145,7 @@
     match rng.choices(range(7), [5, 1, 3, 2, 2, 2, 2])[0]:
         case 0 if world.expendable_voters() > 0 and len(world.ips) < MAX_MACHINES:
             # A machine is replaced by one at another address.
-            world.lose(ip)
+            world.lose_machine(ip)
             world.run(rng.uniform(0, 3))
             world.add_machine()
         case 1 if len(voters) < MAX_VOTERS and len(world.ips) < MAX_MACHINES:
@@ -156,7 +158,7 @@
         case 4 if held:
             world.change_members("add", rng.choice(held))
         case 5 if lost:
-            world.bring_back(rng.choice(lost))
+            world.restore_machine(rng.choice(lost))
         case 6 if world.expendable_voters() > 0 and world.nodes[ip].lost_disk[0] is not None:
             world.kill(ip)
             world.run(1.0)
@@ -169,7 +171,7 @@
     return [ip for ip in addresses_under(entries, LEARNER_PREFIX) if entries[LEARNER_PREFIX + ip].get("held")]
 
 
-def members_agreed(world: ReplicaWorld) -> bool:
+def membership_converged(world: ReplicaWorld) -> bool:
     """Whether all machines that are there vote, or were taken off; of an even number none is lost."""
     entries = world.newest_entries()
     voters = addresses_under(entries, VOTER_PREFIX)
@@ -183,7 +185,7 @@
 
 
 @define
-class Totals:
+class WorldTotals:
     """What the worlds of one size came to."""
 
     calls: int = 0
@@ -193,8 +195,8 @@
     failed: int = 0
 
 
-def _run_worlds(size: int, seeds: range, turnover: float) -> Totals:
-    totals = Totals()
+def _run_worlds(size: int, seeds: range, turnover: float) -> WorldTotals:
+    totals = WorldTotals()
     for seed in seeds:
         try:
             world = run_random_world(size, seed, turnover=turnover)
--- a/ashlift/simulation/replica_host.py
+++ b/ashlift/simulation/replica_host.py
@@ -41,7 +41,7 @@
 RESTART_SECONDS: Final = 0.5  # after a handover
 
 
-class Fate(enum.Enum):
+class MessageFault(enum.Enum):
     """What happens to one message."""
 
     DROPPED = enum.auto()
@@ -49,7 +49,7 @@
     LATE = enum.auto()
 
 
-FateOfMessage = Callable[[str, str, str], Fate | None]  # sender, receiver, kind
+MessageFaultFunction = Callable[[str, str, str], MessageFault | None]  # sender, receiver, kind
 
 
 class ReplicaHost:
@@ -64,8 +64,8 @@
         self.step = 0
         self.nodes: dict[str, ReplicaNode] = {}
         self.blocked_links: set[tuple[str, str]] = set()  # from, to
-        self.at_step: dict[int, Callable[[], None]] = {}  # what to do before that step
-        self.fate: FateOfMessage | None = None
+        self.actions_by_step: dict[int, Callable[[], None]] = {}  # what to do before that step
+        self.message_fault: MessageFaultFunction | None = None
         self.invariants = InvariantChecker()
         self.voter_changes = 0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
@@ -87,8 +87,8 @@
                 return True
             self.now, _, action = heapq.heappop(self._heap)
             self.step += 1
-            if self.step in self.at_step:
-                self.at_step.pop(self.step)()
+            if self.step in self.actions_by_step:
+                self.actions_by_step.pop(self.step)()
             action()
         self.now = end
         return until is not None and until()
@@ -101,7 +101,7 @@
     def kill(self, ip: str) -> None:
         """End the process. A write under way is done, not begun, or half done: the state without the vote."""
         node = self.nodes[ip]
-        write, node.write = node.write, None
+        write, node.pending_write = node.pending_write, None
         node.replica = None
         if write is not None:
             written_parts = self.rng.randrange(3)
@@ -157,15 +157,15 @@
 
     # ---- disks
     def _start_write(self, node: ReplicaNode, write: PersistState) -> None:
-        node.write = write
+        node.pending_write = write
         seconds = self.rng.uniform(*DISK_WRITE_SECONDS) + node.disk_delay
         self.call_later(seconds, functools.partial(self._finish_write, node, node.incarnation))
 
     def _finish_write(self, node: ReplicaNode, incarnation: int) -> None:
-        write = node.write
+        write = node.pending_write
         if node.incarnation != incarnation or write is None:
             return
-        node.write = None
+        node.pending_write = None
         if node.disk_fails:
             if write.snapshot is not None and self.rng.random() < 0.5:
                 node.snapshot = write.snapshot
@@ -181,14 +181,14 @@
             SLOW_LINK_FACTOR if self.rng.random() < self.slow_rate else 1
         )
 
-    def _carry(self, sender: str, receiver: str, kind: str, deliver: Callable[[], None]) -> None:
+    def _transmit(self, sender: str, receiver: str, kind: str, deliver: Callable[[], None]) -> None:
         if (sender, receiver) in self.blocked_links or self.rng.random() < self.loss_rate:
             return
-        fate = self.fate(sender, receiver, kind) if self.fate else None
-        if fate is Fate.DROPPED:
+        fault = self.message_fault(sender, receiver, kind) if self.message_fault else None
+        if fault is MessageFault.DROPPED:
             return
-        self.call_later(self._delay() + (LATE_SECONDS if fate is Fate.LATE else 0.0), deliver)
-        if fate is Fate.DUPLICATED or self.rng.random() < self.duplicate_rate:
+        self.call_later(self._delay() + (LATE_SECONDS if fault is MessageFault.LATE else 0.0), deliver)
+        if fault is MessageFault.DUPLICATED or self.rng.random() < self.duplicate_rate:
             self.call_later(self._delay() * DUPLICATE_DELAY_FACTOR, deliver)
 
     def _send_request(self, node: ReplicaNode, request: SendRequest) -> None:
@@ -207,7 +207,7 @@
             reason = FailureReason.OUTCOME_UNKNOWN if target.replica else FailureReason.UNREACHABLE
             self._finish_call(node, call, request, sent_at, Failure(reason))
 
-        self._carry(node.ip, request.peer, request.method, arrive)
+        self._transmit(node.ip, request.peer, request.method, arrive)
         self.call_later(CALL_TIMEOUT_SECONDS, time_out)
 
     def _send_reply(self, node: ReplicaNode, reply: SendReply) -> None:
@@ -216,7 +216,7 @@
         if isinstance(decoded, VoteRequest) and isinstance(reply.body, list):
             self._record_vote(node, decoded, reply.body)
         caller = self.nodes[call[0]]
-        self._carry(
+        self._transmit(
             node.ip,
             caller.ip,
             "answer",
--- a/ashlift/simulation/replica_node.py
+++ b/ashlift/simulation/replica_node.py
@@ -64,7 +64,7 @@
         self.incarnation = 0  # of the process
         self.disk_number = 0
         self.clock_offset = 0.0
-        self.write: PersistState | None = None  # under way
+        self.pending_write: PersistState | None = None  # under way
         self.frozen_events: list[Any] | None = None  # that came while it is frozen; None: it is not
         self.disk_fails = False
         self.disk_delay = 0.0  # more of a write, in seconds
--- a/ashlift/simulation/replica_world.py
+++ b/ashlift/simulation/replica_world.py
@@ -100,12 +100,12 @@
         node.vote, node.snapshot = node.lost_disk
         node.disk_number += 1
 
-    def lose(self, ip: str) -> None:
-        """Take a machine away with its disk, until `bring_back`."""
+    def lose_machine(self, ip: str) -> None:
+        """Take a machine away with its disk, until `restore_machine`."""
         self.kill(ip)
         self.nodes[ip].lost = True
 
-    def bring_back(self, ip: str) -> None:
+    def restore_machine(self, ip: str) -> None:
         """Start a lost machine, with its disk."""
         self.nodes[ip].lost = False
         self.start(ip)
@@ -130,7 +130,7 @@
         self.loss_rate = 0.0
         self.duplicate_rate = 0.0
         self.slow_rate = 0.0
-        self.fate = None
+        self.message_fault = None
         for ip, node in self.nodes.items():
             node.disk_fails = False
             node.disk_delay = 0.0
--- a/tests/configstore/test_replication_scenarios.py
+++ b/tests/configstore/test_replication_scenarios.py
@@ -7,7 +7,7 @@
 from ward import each, test
 
 from ashlift.simulation.random_replica_worlds import run_random_world
-from ashlift.simulation.replica_host import Fate
+from ashlift.simulation.replica_host import MessageFault
 from ashlift.simulation.replica_world import ReplicaWorld
 from tests.support.replica_scenarios import ReplicaScenarioPlayer, read_scenarios
 
@@ -65,7 +65,7 @@
             else:
                 getattr(world, fault)(ip)
 
-        world.at_step[step] = inject_fault
+        world.actions_by_step[step] = inject_fault
         world.run(2.0)
         world.settle()
 
@@ -81,7 +81,7 @@
             for other in world.ips:
                 world.kill(other)
 
-        world.at_step[step] = inject_fault
+        world.actions_by_step[step] = inject_fault
         world.run(0.3)
         world.settle()
 
@@ -91,7 +91,7 @@
         assert all_vote() or world.run(5, all_vote)
 
 
-def fates_in_turn(fates: Iterable[Fate | None]) -> Callable[[str, str, str], Fate | None]:
+def fates_in_turn(fates: Iterable[MessageFault | None]) -> Callable[[str, str, str], MessageFault | None]:
     """Assign the given fates to the next messages of any sender."""
     remaining = iter(fates)
     return lambda sender, receiver, kind: next(remaining, None)
@@ -99,11 +99,13 @@
 
 @test("I1 I2 I3: the first messages of an election and a commit lost, duplicated or late, in all ways")
 def _() -> None:
-    every = itertools.product((None, Fate.DROPPED, Fate.DUPLICATED, Fate.LATE), repeat=4)
+    every = itertools.product(
+        (None, MessageFault.DROPPED, MessageFault.DUPLICATED, MessageFault.LATE), repeat=4
+    )
     for fates, leader_is_lost in itertools.product(every, (False, True)):
         world = start_world(3, 7)
         leader = world.leader()
-        world.fate = fates_in_turn(fates)
+        world.message_fault = fates_in_turn(fates)
         if leader_is_lost:
             world.kill(str(leader))
         world.run(1.6)
--- a/tests/support/replica_scenarios.py
+++ b/tests/support/replica_scenarios.py
@@ -138,8 +138,8 @@
         """A fault, or its end."""
         world = self.world
         faults = {
-            "lose": world.lose,
-            "back": world.bring_back,
+            "lose": world.lose_machine,
+            "back": world.restore_machine,
             "old": world.restore_lost_disk,
             "leave": world.shut_down,
         }
