--- a/ashlift/simulation/random_replica_worlds.py
+++ b/ashlift/simulation/random_replica_worlds.py
@@ -1,4 +1,4 @@
-"""Random worlds of the store's replicas: long runs of faults, and of members that change."""
+"""Long simulations of the store's replicas with random faults and membership changes."""
 
 import argparse
 import random
@@ -21,16 +21,16 @@
 
 
 def run_random_world(members: int, seed: int, seconds: float = 40.0, turnover: float = 0.0) -> ReplicaWorld:
-    """Run a world with random faults and check it, with a minority of learners at a time at most.
+    """Run a world with random faults and check it; at most a minority are learners at a time.
 
-    `turnover`: the share of steps in which members change; then the members must agree in the end, too.
-    Raises InvariantViolationError or InvariantError.
+    `turnover` is the share of steps with a membership change; if positive, the membership must converge at
+    the end. Raises InvariantViolationError or InvariantError.
     """
     return _RandomRun(members, seed, turnover).run(seconds)
 
 
 class _RandomRun:
-    """One run. The order of the draws is part of what a seed means."""
+    """One run. A seed is reproducible only while the order of the random draws stays the same."""
 
     def __init__(self, members: int, seed: int, turnover: float) -> None:
         self._rng = rng = random.Random(seed * 7 + members)
@@ -57,7 +57,7 @@
         ]
 
     def run(self, seconds: float) -> ReplicaWorld:
-        """Let one fault after the other happen, and settle."""
+        """Inject faults and client calls until `seconds`, then wait for recovery and check."""
         world = self._world
         rng = self._rng
         weights, faults = zip(*self._faults, strict=True)
@@ -75,7 +75,9 @@
             MEMBERSHIP_CONVERGENCE_SECONDS, lambda: membership_converged(world)
         ):
             entries = sorted(world.newest_entries())[-30:]
-            raise InvariantViolationError(f"members do not come to what is wanted: {entries}")
+            raise InvariantViolationError(
+                f"membership has not converged within {MEMBERSHIP_CONVERGENCE_SECONDS:g} s: {entries}"
+            )
         return world
 
     def _may_wipe_disk(self) -> bool:
@@ -85,7 +87,7 @@
 
     # ---- faults of a machine and of its link to another one
     def _call_leaders(self, call: Callable[[str], Any]) -> None:
-        """Call all that lead, and a few others."""
+        """Call all replicas that believe that they lead, and a few others."""
         for ip in self._world.ips:
             replica = self._world.nodes[ip].replica
             if replica and (replica.leader_role or self._rng.random() < 0.1):
@@ -114,7 +116,7 @@
         self._world.nodes[ip].disk_delay = self._rng.choice([0.0, 0.1, 0.5])
 
     def _power_loss_after_put(self, ip: str, _other: str) -> None:
-        """Right after a change, one disk is lost and all machines lose power."""
+        """Shortly after a put, wipe one disk and cut the power of all machines."""
         world = self._world
         leader = world.leader()
         if leader:
@@ -128,14 +130,14 @@
             world.heal()
 
     def _resend_unacknowledged(self, _ip: str, _other: str) -> None:
-        """Puts that were not acknowledged come again, anywhere."""
+        """Resend the latest unacknowledged puts to random machines."""
         puts = [call for call in self._world.client_calls if call.kind == "put" and not call.succeeded]
         for put in puts[-3:]:
             self._world.put(self._rng.choice(self._world.ips), put.base, put.name)
 
 
 def change_membership(world: ReplicaWorld, rng: random.Random) -> None:
-    """Let one random change of who belongs to the system happen."""
+    """Make one random membership change."""
     leader = world.leader()
     entries = world.newest_entries()
     voters = addresses_under(entries, VOTER_PREFIX)
@@ -144,7 +146,7 @@
     ip = rng.choice(voters)
     match rng.choices(range(7), [5, 1, 3, 2, 2, 2, 2])[0]:
         case 0 if world.expendable_voters() > 0 and len(world.ips) < MAX_MACHINES:
-            # A machine is replaced by one at another address.
+            # Replace a machine by one at another address.
             world.lose_machine(ip)
             world.run(rng.uniform(0, 3))
             world.add_machine()
@@ -167,12 +169,12 @@
 
 
 def _held_learners(entries: Any) -> list[str]:
-    """The learners that were taken off by an order, and wait for another one."""
+    """Return the learners that an operator removed, and that do not become voters by themselves."""
     return [ip for ip in addresses_under(entries, LEARNER_PREFIX) if entries[LEARNER_PREFIX + ip].get("held")]
 
 
 def membership_converged(world: ReplicaWorld) -> bool:
-    """Whether all machines that are there vote, or were taken off; of an even number none is lost."""
+    """Whether every machine in service votes or was removed, and no voter of an even number is lost."""
     entries = world.newest_entries()
     voters = addresses_under(entries, VOTER_PREFIX)
     lost_voters = [ip for ip in voters if world.nodes[ip].lost]
@@ -186,7 +188,7 @@
 
 @define
 class WorldTotals:
-    """What the worlds of one size came to."""
+    """Totals over the worlds of one size."""
 
     calls: int = 0
     commands: int = 0
@@ -214,11 +216,11 @@
 def main(arguments: list[str]) -> int:
     """Run the command; returns its exit status."""
     parser = argparse.ArgumentParser(
-        prog="python -m ashlift.simulation members", description="Random worlds."
+        prog="python -m ashlift.simulation members", description="Simulate replicas with random faults."
     )
     parser.add_argument("sizes", nargs="+", type=int, metavar="MEMBERS")
-    parser.add_argument("--seeds", type=int, default=10, help="how many worlds of each size")
-    parser.add_argument("--turnover", type=float, default=0.0, help="how often in a step members change")
+    parser.add_argument("--seeds", type=int, default=10, help="number of worlds of each size")
+    parser.add_argument("--turnover", type=float, default=0.0, help="share of steps with a membership change")
     parser.add_argument("--first", type=int, default=1, help="the first seed")
     options = parser.parse_args(arguments)
     seeds = range(options.first, options.first + options.seeds)
--- a/ashlift/simulation/replica_host.py
+++ b/ashlift/simulation/replica_host.py
@@ -1,7 +1,7 @@
-"""Replicas of the store on simulated time: their events, durable writes and messages.
+"""Runs replicas of the configuration store in simulated time: their events, durable writes and messages.
 
-Links lose, duplicate, delay and reorder messages, and are blocked one way or both ways. The order of the
-draws from `rng` is part of what a seed means. All times are in seconds.
+Links lose, duplicate, delay and reorder messages, and can be blocked in one or both directions. A seed is
+reproducible only while the order of the draws from `rng` stays the same. All times are in seconds.
 """
 
 import enum
@@ -38,11 +38,11 @@
 SLOW_LINK_FACTOR: Final = 30
 LATE_SECONDS: Final = 0.6
 DUPLICATE_DELAY_FACTOR: Final = 3
-RESTART_SECONDS: Final = 0.5  # after a handover
+RESTART_SECONDS: Final = 0.5  # from the end of a leadership handover to the next start
 
 
 class MessageFault(enum.Enum):
-    """What happens to one message."""
+    """A fault of one message."""
 
     DROPPED = enum.auto()
     DUPLICATED = enum.auto()
@@ -63,8 +63,8 @@
         self.now = 0.0
         self.step = 0
         self.nodes: dict[str, ReplicaNode] = {}
-        self.blocked_links: set[tuple[str, str]] = set()  # from, to
-        self.actions_by_step: dict[int, Callable[[], None]] = {}  # what to do before that step
+        self.blocked_links: set[tuple[str, str]] = set()  # (sender, receiver)
+        self.actions_by_step: dict[int, Callable[[], None]] = {}  # run before that step
         self.message_fault: MessageFaultFunction | None = None
         self.invariants = InvariantChecker()
         self.voter_changes = 0
@@ -75,12 +75,12 @@
 
     # ---- time
     def call_later(self, delay: float, action: Callable[[], None]) -> None:
-        """Run the action after the delay."""
+        """Schedule the action after the delay."""
         self._sequence += 1
         heapq.heappush(self._heap, (self.now + delay, self._sequence, action))
 
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
-        """Run for so long, or until the condition holds; returns whether it does."""
+        """Run for `seconds`, or until the condition holds; returns whether it holds."""
         end = self.now + seconds
         while self._heap and self._heap[0][0] <= end:
             if until is not None and until():
@@ -95,11 +95,11 @@
 
     # ---- processes
     def start(self, ip: str) -> None:
-        """Start the process of a machine, unless it runs or the machine is lost."""
+        """Start the process of a machine unless it is running or the machine is lost."""
         raise NotImplementedError
 
     def kill(self, ip: str) -> None:
-        """End the process. A write under way is done, not begun, or half done: the state without the vote."""
+        """Kill the process. Of a pending write, nothing, only the snapshot or all of it is stored."""
         node = self.nodes[ip]
         write, node.pending_write = node.pending_write, None
         node.replica = None
@@ -111,11 +111,11 @@
                 node.vote = write.vote
 
     def clock(self, node: ReplicaNode) -> float:
-        """Return the time of the node's steady clock."""
+        """Return the time of the node's monotonic clock."""
         return self.now + node.clock_offset
 
     def tick(self, node: ReplicaNode, incarnation: int) -> None:
-        """Tell the replica the time, again and again."""
+        """Send the replica a clock tick, and schedule the next one."""
         if node.incarnation != incarnation or node.replica is None:
             return
         if node.frozen_events is None:
@@ -126,7 +126,7 @@
             self.call_later(delay, lambda: self.tick(node, incarnation))
 
     def handle_event(self, node: ReplicaNode, incarnation: int, event: Any) -> None:
-        """Let the replica handle an event, or keep it while the process is frozen."""
+        """Pass an event to the replica, or queue it while the process is frozen."""
         if node.incarnation != incarnation or node.replica is None:
             return
         if node.frozen_events is not None:
@@ -135,7 +135,7 @@
         self.perform(node, node.replica.handle(self.clock(node), event))
 
     def perform(self, node: ReplicaNode, effects: list[Any]) -> None:
-        """Perform the effects of a replica, and check its invariants."""
+        """Apply the effects of a replica and check its invariants."""
         for effect in effects:
             match effect:
                 case SendRequest():
@@ -226,7 +226,7 @@
     def _finish_call(
         self, caller: ReplicaNode, call: tuple[str, int, int], request: SendRequest, sent_at: float, body: Any
     ) -> None:
-        """The first answer has come, or the time-out."""
+        """Deliver the first answer or the timeout of a call, whichever comes first; ignore all others."""
         if call in self._pending_calls:
             self._pending_calls.discard(call)
             response = ResponseReceived(request.peer, request.method, sent_at, request.context, body)
@@ -234,7 +234,7 @@
 
     def _answer_client(self, call: ClientCall, body: Any) -> None:
         if call.answer is not None:
-            raise AssertionError("answered twice")
+            raise AssertionError(f"{call.kind} call of {call.started:.3f} s was answered twice")
         call.ended = self.now
         call.answer = history_of(body) if isinstance(body, Snapshot) else body
 
--- a/ashlift/simulation/replica_node.py
+++ b/ashlift/simulation/replica_node.py
@@ -1,4 +1,4 @@
-"""A machine with one replica of the store, and the calls of clients: parts of a `ReplicaWorld`."""
+"""A simulated machine with one replica of the configuration store, and a client call to it."""
 
 import math
 from typing import Any
@@ -11,10 +11,10 @@
 
 
 class ClientCall:
-    """A client's call: `kind` is put, read or members; `started` and `ended` are seconds of the world."""
+    """A client call; `kind` is put, read or members, `started` and `ended` are in simulated seconds."""
 
     def __init__(self, kind: str, started: float, base: int = 0, name: str = "") -> None:
-        """`base`, `name`: of a put, see `decide_history_command`."""
+        """`base` and `name` are those of a put, see `decide_history_command`."""
         self.kind = kind
         self.started = started
         self.base = base
@@ -24,11 +24,11 @@
 
     @property
     def succeeded(self) -> bool:
-        """Whether a put or a change of members was acknowledged."""
+        """Whether a put or a membership change was acknowledged."""
         return isinstance(self.answer, dict) and self.answer["status"] == 200
 
     def as_call(self) -> Call | None:
-        """The call as the linearizability checker takes it; None where it tells nothing."""
+        """Return the call for the linearizability checker, or None if it constrains nothing."""
         match self.kind:
             case "read":
                 return self._as_read()
@@ -49,12 +49,19 @@
             answer = ACKNOWLEDGED if self.succeeded else CONFLICT
             return Call(self.started, self.ended, write, answer, operator=self.name)
         if isinstance(self.answer, Failure) and self.answer.reason == FailureReason.UNAVAILABLE:
-            return None  # it was never begun
+            return None  # rejected before it was proposed
         return Call(self.started, math.inf, write, operator=self.name)
 
 
 class ReplicaNode:
-    """A machine: its disk, its process if one runs, and faults of both."""
+    """A machine with its disk, its process if one is running, and the faults of both.
+
+    frozen_events: events that arrived while the process is frozen; None while it is not.
+    disk_delay: additional duration of each write, in seconds.
+    seeds: seeds in its settings; if empty, the first machines.
+    lost: the machine does not start again.
+    lost_disk: contents of the disk when it was lost last.
+    """
 
     def __init__(self, ip: str) -> None:
         self.ip = ip
@@ -64,13 +71,10 @@
         self.incarnation = 0  # of the process
         self.disk_number = 0
         self.clock_offset = 0.0
-        self.pending_write: PersistState | None = None  # under way
-        self.frozen_events: list[Any] | None = None  # that came while it is frozen; None: it is not
+        self.pending_write: PersistState | None = None
+        self.frozen_events: list[Any] | None = None
         self.disk_fails = False
-        self.disk_delay = 0.0  # more of a write, in seconds
-        self.seeds: list[str] = []  # as its settings name them; none: the first machines
-        self.lost = False  # the machine does not start again
-        self.lost_disk: tuple[PersistentVote | None, Snapshot | None] = (
-            None,
-            None,
-        )  # as it was when it was lost
+        self.disk_delay = 0.0
+        self.seeds: list[str] = []
+        self.lost = False
+        self.lost_disk: tuple[PersistentVote | None, Snapshot | None] = (None, None)
--- a/ashlift/simulation/replica_world.py
+++ b/ashlift/simulation/replica_world.py
@@ -1,7 +1,7 @@
-"""A world of replicas of the store: machines that fail, change and come back, and clients.
+"""Simulates replicas of the configuration store on machines that fail and are replaced, with clients.
 
-Every world checks the invariants of docs/design/store.md: I1, I2, I3, I7 and I8 at every event
-(`simulation.invariant_checker`), I4, I5 and I6 at its end by the history of all calls
+The invariants of docs/design/store.md are checked: I1, I2, I3, I7 and I8 after every event
+(`simulation.invariant_checker`), I4, I5 and I6 at the end of a run, by the history of all calls
 (`simulation.linearizability`).
 """
 
@@ -24,7 +24,7 @@
 
 
 class ReplicaWorld(ReplicaHost):
-    """Replicas on machines `1`, `2`, ...; the first of them are the seeds."""
+    """Replicas on machines `1`, `2`, ...; the first `MAX_SEEDS` of them are the seeds."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         duplicate_rate: float = 0.0,
         slow_rate: float = 0.0,
     ) -> None:
-        """The rates are of messages that are lost, duplicated, and much slower than others."""
+        """`loss_rate`, `duplicate_rate`, `slow_rate`: shares of messages with that fault."""
         super().__init__(seed, loss_rate, duplicate_rate, slow_rate)
         self.ips = [str(number) for number in range(1, members + 1)]
         self.seeds = self.ips[:MAX_SEEDS]
@@ -50,7 +50,7 @@
 
     # ---- processes and machines
     def start(self, ip: str) -> None:
-        """Start the process of a machine, unless it runs or the machine is lost."""
+        """Start the process of a machine unless it is running or the machine is lost."""
         self._start(ip, bootstrap=False)
 
     def _start(self, ip: str, bootstrap: bool) -> None:
@@ -60,7 +60,7 @@
         node.incarnation += 1
         node.frozen_events = None
         node.disk_fails = False
-        node.clock_offset = self.rng.uniform(0, MAX_CLOCK_OFFSET_SECONDS)  # the steady clock begins anew
+        node.clock_offset = self.rng.uniform(0, MAX_CLOCK_OFFSET_SECONDS)  # a new monotonic clock
         seeds = node.seeds or self.seeds
         node.replica = Replica(
             ip, seeds, bootstrap, node.vote, node.snapshot, decide_history_command, self.rng
@@ -69,7 +69,7 @@
         self.tick(node, node.incarnation)
 
     def shut_down(self, ip: str) -> None:
-        """SIGTERM: the replica hands leadership over, ends, and is started again."""
+        """Stop as on SIGTERM: the replica hands over leadership, exits and is restarted."""
         self._submit(ip, ShutdownRequested())
 
     def freeze(self, ip: str) -> None:
@@ -77,14 +77,14 @@
         self.nodes[ip].frozen_events = self.nodes[ip].frozen_events or []
 
     def thaw(self, ip: str) -> None:
-        """Let the process handle what has come meanwhile."""
+        """Resume the process; it handles the events that arrived meanwhile."""
         node = self.nodes[ip]
         frozen_events, node.frozen_events = node.frozen_events or [], None
         for event in frozen_events:
             self.handle_event(node, node.incarnation, event)
 
     def wipe(self, ip: str) -> None:
-        """Kill the process and put an empty disk in place of the machine's."""
+        """Kill the process and replace the disk with an empty one."""
         self.kill(ip)
         node = self.nodes[ip]
         if node.snapshot is not None:
@@ -94,24 +94,24 @@
         node.disk_number += 1
 
     def restore_lost_disk(self, ip: str) -> None:
-        """Kill the process and put the disk that was lost last into the machine again."""
+        """Kill the process and put back the disk that was lost last."""
         self.kill(ip)
         node = self.nodes[ip]
         node.vote, node.snapshot = node.lost_disk
         node.disk_number += 1
 
     def lose_machine(self, ip: str) -> None:
-        """Take a machine away with its disk, until `restore_machine`."""
+        """Take a machine and its disk out of service until `restore_machine`."""
         self.kill(ip)
         self.nodes[ip].lost = True
 
     def restore_machine(self, ip: str) -> None:
-        """Start a lost machine, with its disk."""
+        """Start a lost machine with the disk it had."""
         self.nodes[ip].lost = False
         self.start(ip)
 
     def add_machine(self) -> str:
-        """Start a new machine at a new address; returns that."""
+        """Start a new machine at a new address; returns the address."""
         ip = str(len(self.ips) + 1)
         self.ips.append(ip)
         self.nodes[ip] = ReplicaNode(ip)
@@ -121,11 +121,11 @@
 
     # ---- links
     def block(self, sender: str, receiver: str) -> None:
-        """Let nothing through in this direction."""
+        """Block all messages from `sender` to `receiver`."""
         self.blocked_links.add((sender, receiver))
 
     def heal(self) -> None:
-        """End all faults: all machines run, and the links are sound."""
+        """End all faults and start all machines that are not lost."""
         self.blocked_links.clear()
         self.loss_rate = 0.0
         self.duplicate_rate = 0.0
@@ -138,36 +138,36 @@
                 self.thaw(ip)
             self.start(ip)
 
-    # ---- looking at disks and replicas
+    # ---- state of disks and replicas
     def newest_entries(self) -> Any:
-        """Return the newest map on a disk."""
+        """Return the newest map on any disk."""
         snapshots = [node.snapshot for node in self.nodes.values() if node.snapshot]
         return max(snapshots, key=lambda snapshot: snapshot.term_index).entries.map
 
     def voter_count(self) -> int:
-        """Return the number of voters by the newest map on a disk, 0 where there is none."""
+        """Return the number of voters in the newest map on any disk, 0 if there is none."""
         if not any(node.snapshot for node in self.nodes.values()):
             return 0
         return sum(key.startswith(VOTER_PREFIX) for key in self.newest_entries())
 
     def learner_count(self) -> int:
-        """Return the number of machines whose disk does not vote."""
+        """Return the number of machines that are learners by their disk."""
         return sum(node.vote is None or not node.vote.is_voter for node in self.nodes.values())
 
     def expendable_voters(self) -> int:
-        """Return how many voters may still be lost, even if a change of members is under way."""
+        """Return how many voters may fail without loss of a quorum, even while a voter is being added."""
         entries = self.newest_entries()
         voters = addresses_under(entries, VOTER_PREFIX)
         votes = {ip: self.nodes[ip].vote for ip in voters if not self.nodes[ip].lost}
-        counting = [
+        effective_voters = [
             ip
             for ip, vote in votes.items()
             if vote and vote.is_voter and incarnation_matches(entries, ip, vote.incarnation)
         ]
-        return len(counting) - quorum(len(voters) + 1)
+        return len(effective_voters) - quorum(len(voters) + 1)
 
     def leader(self) -> str | None:
-        """Return a machine whose replica believes that it leads; of several the one of the newest term."""
+        """Return the machine whose replica is the leader of the highest term, if any."""
         leaders = [
             (node.replica.leader_role.term, ip)
             for ip, node in self.nodes.items()
@@ -177,7 +177,7 @@
 
     # ---- clients
     def put(self, ip: str, base: int | None = None, name: str = "") -> ClientCall:
-        """Submit a command, on the longest committed history or on `base`."""
+        """Submit a command based on the longest committed history, or on `base`."""
         base = len(self.committed_history) if base is None else base
         call = ClientCall("put", self.now, base, name or f"c{len(self.client_calls)}")
         self.client_calls.append(call)
@@ -192,7 +192,7 @@
         return call
 
     def change_members(self, action: str, ip: str) -> ClientCall:
-        """Submit a change of members to the leader."""
+        """Submit a membership change to the leader."""
         call = ClientCall("members", self.now)
         leader = self.leader() or self.ips[0]
         self.client_calls.append(call)
@@ -203,16 +203,16 @@
         node = self.nodes[ip]
         self.handle_event(node, node.incarnation, event)
 
-    # ---- the verdict
+    # ---- final checks
     def check_linearizability(self) -> None:
-        """I4, I5, I6: raises InvariantViolationError where no order of all calls explains them."""
+        """Check I4, I5 and I6. Raises InvariantViolationError if the history is not linearizable."""
         calls = [call for client_call in self.client_calls if (call := client_call.as_call()) is not None]
         unexplained = find_unexplained_call(calls)
         if unexplained is not None:
-            raise InvariantViolationError(f"I4 I5 I6: no order of all calls explains {unexplained}")
+            raise InvariantViolationError(f"I4 I5 I6: history is not linearizable at {unexplained}")
 
     def settle(self, seconds: float = SETTLE_SECONDS) -> None:
-        """End all faults, wait for a leader that commits, read back, and check all calls."""
+        """End all faults, wait until a put and a read succeed, and check the history of all calls."""
         self.heal()
         started = self.now
         while self.now < started + seconds:
@@ -227,4 +227,4 @@
             if put.succeeded and isinstance(read.answer, list):
                 self.check_linearizability()
                 return
-        raise InvariantViolationError("no agreement though all are well")
+        raise InvariantViolationError(f"no put and read succeeded within {seconds:g} s without faults")
