--- a/ashlift/simulation/narrow_network.py
+++ b/ashlift/simulation/bandwidth_limited_network.py
@@ -11,13 +11,13 @@
 CALL_OVERHEAD_BYTES: Final = 40  # of a call besides its payload, about
 
 
-class NarrowNetwork(SimulatedNetwork):
+class BandwidthLimitedNetwork(SimulatedNetwork):
     """Links with a width: the bytes of a machine queue, each way."""
 
     def __init__(self, loop: EventLoop) -> None:
         super().__init__(loop)
         self.bytes_per_second: dict[str, float] = {}  # by machine
-        self.far_delay: dict[str, float] = {}  # by machine, in addition, each way
+        self.extra_delay: dict[str, float] = {}  # by machine, in addition, each way
         self.sent_payloads: dict[str, list[int]] = {}  # bytes of each payload, by the machine that gets it
         self._free_at: dict[tuple[str, bool], float] = {}  # by machine and direction
         self._message_bytes = CALL_OVERHEAD_BYTES
@@ -30,8 +30,8 @@
             if rate:
                 start = max(sent_at, self._free_at.get((name, is_outgoing), 0.0))
                 sent_at = self._free_at[name, is_outgoing] = start + self._message_bytes / rate
-        far = self.far_delay.get(source.name, 0.0) + self.far_delay.get(destination.name, 0.0)
-        return sent_at - self.loop.now + far + super().delay(source, destination)
+        extra_delay = self.extra_delay.get(source.name, 0.0) + self.extra_delay.get(destination.name, 0.0)
+        return sent_at - self.loop.now + extra_delay + super().delay(source, destination)
 
     def _send(self, call: RpcCall, connection: Connection, timeout: float, future: Future) -> None:
         self._message_bytes = CALL_OVERHEAD_BYTES
--- a/ashlift/simulation/catch_up_figures.py
+++ b/ashlift/simulation/catch_up_figures.py
@@ -74,12 +74,12 @@
 
 def _row(name: str, results: list[CatchUpResult]) -> str:
     spreads = [
-        Spread([result.level_after for result in results]),
+        Spread([result.caught_up_after for result in results]),
         Spread([result.worst_lag for result in results]),
         Spread([result.sent_bytes / 1000 for result in results]),
         Spread([float(result.sent_calls) for result in results]),
         Spread([result.leader_ms for result in results]),
     ]
     acknowledged = sum(result.acknowledged_after for result in results)
-    wanted = sum(result.wanted_after for result in results)
-    return f"| {name} | {' | '.join(map(str, spreads))} | {acknowledged} of {wanted} |"
+    expected = sum(result.expected_after for result in results)
+    return f"| {name} | {' | '.join(map(str, spreads))} | {acknowledged} of {expected} |"
--- a/ashlift/simulation/catch_up_world.py
+++ b/ashlift/simulation/catch_up_world.py
@@ -1,4 +1,4 @@
-"""A world of the store's processes on links of a stated width: one is away while changes go on, and returns.
+"""Measures how a store that was powered off catches up while changes continue, on links of limited bandwidth.
 
 Only acknowledged changes count. All times are in seconds.
 """
@@ -12,14 +12,14 @@
 from ashlift.configstore.replica import Replica
 from ashlift.errors import Failure, FailureReason
 from ashlift.simulation import configstore_process
+from ashlift.simulation.bandwidth_limited_network import BandwidthLimitedNetwork
 from ashlift.simulation.event_loop import EventLoop
-from ashlift.simulation.narrow_network import NarrowNetwork
 from ashlift.simulation.plan import ZONES
 from ashlift.simulation.process import Machine, Process, Task
 from ashlift.simulation.timed_configstore import TimedConfigstore, payload_times, sample_route
 
-MAX_LEVEL_LAG_SECONDS: Final = 0.5  # a store is level that holds whatever was committed before this
-LEVEL_FOR_GOOD_SECONDS: Final = 1.0  # at the end of the observation
+MAX_CAUGHT_UP_LAG_SECONDS: Final = 0.5  # of a store that counts as caught up
+CAUGHT_UP_STABLE_SECONDS: Final = 1.0  # without a larger lag until the end of the measurement
 CLIENT_TIMEOUT_SECONDS: Final = 5.0
 CLIENT_RETRY_SECONDS: Final = 0.05
 CORE_LINK_BYTES_PER_SECOND: Final = 100e6 / 8
@@ -33,12 +33,18 @@
 
 @frozen
 class CatchUpCase:
-    """What is measured.
-
-    `changes` are sent while the store is away, at `rate_before` a second, and at `rate` a second for
-    `observed_seconds` once it is back. `routes_per_change`: routes that a change sets; `route_bytes`: of one;
-    `link_mbit`: its machine's link; `disk`: as it comes back; `leader_restarts`: once meanwhile;
-    `region_delay`: one way between regions; `extra_delay`: so much more to and from the machine.
+    """Parameters of one measurement.
+
+    core: number of stores.
+    routes, route_bytes: number of routes, and the size of each.
+    changes, rate_before: changes made while the store is powered off, and their rate per second.
+    rate, observed_seconds: rate of the changes after its return, and how long it is observed.
+    routes_per_change: routes that one change sets.
+    disk: state of its disk on its return.
+    link_mbit: bandwidth of its link in Mbit/s.
+    leader_restarts: whether the leader restarts while the store is powered off.
+    region_delay: one-way delay between regions.
+    extra_delay: additional one-way delay to and from the store.
     """
 
     core: int = 5
@@ -59,21 +65,21 @@
 
 @frozen
 class CatchUpResult:
-    """What was measured.
+    """Result of one measurement.
 
-    `level_after`: from the start of its process until the store is level for good and votes, infinite where
+    `caught_up_after`: from the start of its process until the store is level for good and votes, infinite where
     that did not come; `worst_lag`: at most after that; `sent_bytes`, `sent_calls`: of payloads to it from its
     return on; `leader_ms`: processor time of the leader for each change from then on, `payload_ms` of it for
     what all others are sent.
     """
 
-    level_after: float
+    caught_up_after: float
     worst_lag: float
     sent_bytes: int
     sent_calls: int
-    acknowledged_away: int
+    acknowledged_while_down: int
     acknowledged_after: int
-    wanted_after: int
+    expected_after: int
     leader_ms: float
     payload_ms: float
 
@@ -84,7 +90,7 @@
     def __init__(self, case: CatchUpCase) -> None:
         self.case = case
         self.loop = EventLoop(case.seed)
-        self.net = NarrowNetwork(self.loop)
+        self.net = BandwidthLimitedNetwork(self.loop)
         self.net.region_delay = case.region_delay
         self.names = [f"core-{number + 1}" for number in range(case.core)]
         zones = list(ZONES)
@@ -210,12 +216,12 @@
         case = self.case
         name = self._prepare()
         count_before = len(self.acknowledged_at)
-        self._take_away(name)
-        acknowledged_away = len(self.acknowledged_at) - count_before
+        self._power_off(name)
+        acknowledged_while_down = len(self.acknowledged_at) - count_before
         self.send_changes(case.rate)
         self.run(1.0)
-        self._bring_back(name)
-        return self._observe(name, acknowledged_away)
+        self._power_on(name)
+        return self._observe(name, acknowledged_while_down)
 
     def _prepare(self) -> str:
         """All stores vote and hold the routes; returns the one to be away, far from the leader."""
@@ -233,7 +239,7 @@
         replica = self._leader_replica()
         return len(replica.voters(replica.committed_state.snapshot)) if replica else 0
 
-    def _take_away(self, name: str) -> None:
+    def _power_off(self, name: str) -> None:
         """The store's machine has no power while the changes come."""
         case = self.case
         machine = self.net.machines[name]
@@ -263,20 +269,20 @@
         self.store(leader).kill()
         self.loop.call_later(1.0, self.store(leader).start)
 
-    def _bring_back(self, name: str) -> None:
+    def _power_on(self, name: str) -> None:
         case = self.case
         self.net.machines[name].powered = True
         self.net.bytes_per_second[name] = case.link_mbit * 1e6 / 8
-        self.net.far_delay[name] = case.extra_delay
+        self.net.extra_delay[name] = case.extra_delay
         self.net.sent_payloads.clear()
 
-    def _observe(self, name: str, acknowledged_away: int) -> CatchUpResult:
+    def _observe(self, name: str, acknowledged_while_down: int) -> CatchUpResult:
         case = self.case
         leader = self.leader()
         assert leader is not None
         processor_before = self.store(leader).processor_seconds
         count_before = len(self.acknowledged_at)
-        started = not_level_at = self.loop.now
+        started = last_behind_at = self.loop.now
         worst_lag = 0.0
         self.store(name).start()
         with payload_times() as payload_seconds:
@@ -284,21 +290,21 @@
                 self.run(STEP_SECONDS)
                 lag = self.lag(name)
                 worst_lag = max(worst_lag, lag)
-                if lag > MAX_LEVEL_LAG_SECONDS or not self.votes(name):
-                    not_level_at = self.loop.now
+                if lag > MAX_CAUGHT_UP_LAG_SECONDS or not self.votes(name):
+                    last_behind_at = self.loop.now
                     worst_lag = 0.0
-        is_level = self.loop.now - not_level_at > LEVEL_FOR_GOOD_SECONDS
+        is_caught_up = self.loop.now - last_behind_at > CAUGHT_UP_STABLE_SECONDS
         acknowledged_after = len(self.acknowledged_at) - count_before
         payloads = self.net.sent_payloads.get(name, [])
         leader_seconds = self.store(leader).processor_seconds - processor_before
         return CatchUpResult(
-            level_after=not_level_at - started if is_level else math.inf,
+            caught_up_after=last_behind_at - started if is_caught_up else math.inf,
             worst_lag=worst_lag,
             sent_bytes=sum(payloads),
             sent_calls=len(payloads),
-            acknowledged_away=acknowledged_away,
+            acknowledged_while_down=acknowledged_while_down,
             acknowledged_after=acknowledged_after,
-            wanted_after=round(case.rate * case.observed_seconds),
+            expected_after=round(case.rate * case.observed_seconds),
             leader_ms=1000 * leader_seconds / max(1, acknowledged_after),
             payload_ms=1000 * sum(payload_seconds) / max(1, acknowledged_after),
         )
--- a/ashlift/simulation/recorder.py
+++ b/ashlift/simulation/recorder.py
@@ -27,22 +27,22 @@
 Summary = dict[str, dict[str, int | str]]  # section -> `count` of its entries, and their `sha256`
 
 
-def values_of(body: Any) -> Any:
+def without_keys(body: Any) -> Any:
     """The values of a body without the keys of its mappings."""
     if isinstance(body, Mapping):
-        return [values_of(value) for value in body.values()]
+        return [without_keys(value) for value in body.values()]
     if isinstance(body, list | tuple):
-        return [values_of(value) for value in body]
+        return [without_keys(value) for value in body]
     return body
 
 
-class Numbers:
+class NameNumbers:
     """Numbers names in the order of their first use."""
 
     def __init__(self) -> None:
         self._known: dict[str, int] = {}
 
-    def of(self, name: str) -> int:
+    def number_of(self, name: str) -> int:
         """The name's number, from 0 on."""
         return self._known.setdefault(name, len(self._known))
 
@@ -54,8 +54,8 @@
         self._dump = dump
         self._counts = dict.fromkeys(SECTIONS, 0)
         self._digests = {section: hashlib.sha256() for section in SECTIONS}
-        self._programs = Numbers()
-        self._methods = Numbers()
+        self._programs = NameNumbers()
+        self._methods = NameNumbers()
 
     def add(self, section: str, *entry: Any) -> None:
         """One more entry of a section, of values that cbor2 encodes."""
@@ -75,12 +75,17 @@
     # ---- what the simulator tells while it plays
     def called(self, caller: Process, to: str, kind: str, method: str, body: Any) -> None:
         """Record a call with its body."""
-        place = (caller.name, self._programs.of(caller.kind), to, self._programs.of(kind))
+        place = (caller.name, self._programs.number_of(caller.kind), to, self._programs.number_of(kind))
         self.add("calls", caller.loop.now, "call", *place, *self._message(method, body))
 
     def answered(self, caller: Process, target: Process, method: str, body: Any) -> None:
         """Record an answer; of a failure its text apart, as that is for people."""
-        place = (caller.name, self._programs.of(caller.kind), target.name, self._programs.of(target.kind))
+        place = (
+            caller.name,
+            self._programs.number_of(caller.kind),
+            target.name,
+            self._programs.number_of(target.kind),
+        )
         now = caller.loop.now
         if isinstance(body, Failure):
             self.add("calls", now, "fault", *place, self._method(method), body.reason)
@@ -105,10 +110,10 @@
         self.add("tries", worker.loop.now, "answer", worker.name, proxy.name, request, status)
 
     def _method(self, method: str) -> str | int:
-        return method if method in WIRE_METHODS else self._methods.of(method)
+        return method if method in WIRE_METHODS else self._methods.number_of(method)
 
     def _message(self, method: str, body: Any) -> tuple[Any, Any]:
-        return self._method(method), body if method in WIRE_METHODS else values_of(body)
+        return self._method(method), body if method in WIRE_METHODS else without_keys(body)
 
     def _disk(self, process: Process) -> None:
         """What a store's disk holds now: its vote, and of its map the term, index and digest."""
--- a/ashlift/simulation/recording.py
+++ b/ashlift/simulation/recording.py
@@ -35,12 +35,12 @@
 RECORD: Final = ROOT / "tests" / "simulation" / "recorded_histories.json"
 SCENARIO_FILES: Final = ("open_*.txt", "orders_*.txt", "system_*.txt")
 HASH_SEED: Final = "0"
-CHANCE_DAYS: Final = 20
-WORST_DAYS: Final = 20
+RANDOM_FAULT_PLAYS: Final = 20
+SEVERE_FAULT_PLAYS: Final = 20
 
 
 @define(frozen=True)
-class Source:
+class RecordedPlay:
     """One play of the record by its name, with the seed and the scenario that are played."""
 
     name: str
@@ -48,31 +48,31 @@
     seed: int | None = None
 
 
-def _scenario_at(path: Path, number: int) -> Callable[[], Scenario]:
+def _scenario_from_file(path: Path, number: int) -> Callable[[], Scenario]:
     return lambda: read_scenarios(path)[number]
 
 
-def sources(scenarios: Path = SCENARIOS) -> Iterator[Source]:
+def recorded_plays(scenarios: Path = SCENARIOS) -> Iterator[RecordedPlay]:
     """All plays of the record in their order: random faults, worst days, and the scenarios of files."""
-    for seed in range(1, CHANCE_DAYS + 1):
-        yield Source(f"chance {seed}", lambda seed=seed: random_faults.random_scenario(seed), seed)  # type: ignore[misc]
-    for seed in range(1, WORST_DAYS + 1):
-        yield Source(f"worst {seed}", lambda seed=seed: worst_days.random_scenario(seed), seed)  # type: ignore[misc]
+    for seed in range(1, RANDOM_FAULT_PLAYS + 1):
+        yield RecordedPlay(f"chance {seed}", lambda seed=seed: random_faults.random_scenario(seed), seed)  # type: ignore[misc]
+    for seed in range(1, SEVERE_FAULT_PLAYS + 1):
+        yield RecordedPlay(f"worst {seed}", lambda seed=seed: worst_days.random_scenario(seed), seed)  # type: ignore[misc]
     for pattern in SCENARIO_FILES:
         for path in sorted(scenarios.glob(pattern)):
             for number in range(len(read_scenarios(path))):
-                yield Source(f"{path.stem} {number + 1}", _scenario_at(path, number))
+                yield RecordedPlay(f"{path.stem} {number + 1}", _scenario_from_file(path, number))
 
 
-def part_of(names: list[str], count: int) -> list[str]:
+def evenly_spaced(names: list[str], count: int) -> list[str]:
     """So many of them, spread evenly."""
     step = len(names) / max(1, min(count, len(names)))
     return [names[int(number * step)] for number in range(min(count, len(names)))]
 
 
 def record_play(name: str, dump: TextIO | None = None) -> Summary:
-    """Play one of `sources` by its name, and digest what happens."""
-    source = next(one for one in sources() if one.name == name)
+    """Play one of `recorded_plays` by its name, and digest what happens."""
+    play = next(one for one in recorded_plays() if one.name == name)
     recorder = Recorder(dump)
 
     def observed_world(plan: Plan) -> World:
@@ -80,7 +80,7 @@
         as_simulated(world.net).observer = recorder
         return world
 
-    player = ScenarioPlayer(source.scenario(), source.seed, observed_world)
+    player = ScenarioPlayer(play.scenario(), play.seed, observed_world)
     failure = player.run()
     recorder.ended(player, failure is None)
     return recorder.summary()
@@ -160,9 +160,9 @@
         "--dump", type=Path, metavar="FILE", help="write one play's entries there, a line each"
     )
     options = parser.parse_args(arguments)
-    names = options.play or [source.name for source in sources()]
+    names = options.play or [play.name for play in recorded_plays()]
     if options.part is not None:
-        names = part_of(names, options.part)
+        names = evenly_spaced(names, options.part)
     if options.dump is not None:
         with options.dump.open("w") as dump:
             record_play(names[0], dump)
--- a/ashlift/simulation/repair_figures.py
+++ b/ashlift/simulation/repair_figures.py
@@ -70,7 +70,7 @@
         _cut_off(player, machine)
     else:
         world.power_off([machine], WIPED_SECONDS, wipe=True)
-    return _await_level(world, machine)
+    return _await_caught_up(world, machine)
 
 
 def _cut_off(player: ScenarioPlayer, machine: str) -> None:
@@ -84,7 +84,7 @@
     world.unblock_links()
 
 
-def _await_level(world: World, machine: str) -> Repair:
+def _await_caught_up(world: World, machine: str) -> Repair:
     counter = AppendCounter(world, machine)
     returned_at = math.inf
     end = world.loop.now + MAX_REPAIR_SECONDS
--- a/tests/configstore/test_catch_up.py
+++ b/tests/configstore/test_catch_up.py
@@ -19,7 +19,7 @@
 from ashlift.configstore.ranged_map import RangedMap
 from ashlift.configstore.replica_io import CommandSubmitted
 from ashlift.configstore.timing import PAYLOAD_CHUNK_BYTES
-from ashlift.simulation.catch_up_world import MAX_LEVEL_LAG_SECONDS, CatchUpCase, measure_catch_up
+from ashlift.simulation.catch_up_world import MAX_CAUGHT_UP_LAG_SECONDS, CatchUpCase, measure_catch_up
 from tests.support.mutants import mutated
 from tests.support.replica_driver import (
     append_request,
@@ -155,10 +155,10 @@
     changes: int = each(60, 60, 60, 250),
 ) -> None:
     result = measure_catch_up(CatchUpCase(**{**FAR, "disk": disk, "changes": changes}))
-    assert result.acknowledged_away == changes, "not all changes were accepted"
-    assert result.acknowledged_after > 0.7 * result.wanted_after, "too few changes were accepted under load"
-    assert result.level_after < (0.8 if disk == "disk" else 2.8)
-    assert result.worst_lag <= MAX_LEVEL_LAG_SECONDS
+    assert result.acknowledged_while_down == changes, "not all changes were accepted"
+    assert result.acknowledged_after > 0.7 * result.expected_after, "too few changes were accepted under load"
+    assert result.caught_up_after < (0.8 if disk == "disk" else 2.8)
+    assert result.worst_lag <= MAX_CAUGHT_UP_LAG_SECONDS
 
 
 @test("catch-up: over a 2 Mbit/s link with changes of 100 routes, and after a change of leader")
@@ -168,9 +168,9 @@
     ),
 ) -> None:
     result = measure_catch_up(CatchUpCase(**{**FAR, **conditions, "changes": 30}))
-    assert result.acknowledged_away == 30
-    assert result.acknowledged_after > 0.7 * result.wanted_after
-    assert result.level_after < 1.5, str(result)
+    assert result.acknowledged_while_down == 30
+    assert result.acknowledged_after > 0.7 * result.expected_after
+    assert result.caught_up_after < 1.5, str(result)
 
 
 @test("catch-up: the bytes sent grow with the differences, not with the time away")
@@ -262,4 +262,4 @@
 def _() -> None:
     with mutated("promoted only with the newest"):
         result = measure_catch_up(CatchUpCase(**{**FAR, "disk": "wiped"}))
-    assert result.level_after == float("inf"), str(result)
+    assert result.caught_up_after == float("inf"), str(result)
--- a/tests/simulation/test_recorded_histories.py
+++ b/tests/simulation/test_recorded_histories.py
@@ -23,7 +23,7 @@
 
 @test("each play that there is has been recorded, with entries in every section that always has some")
 def _() -> None:
-    assert list(RECORDED) == [source.name for source in recording.sources()]
+    assert list(RECORDED) == [play.name for play in recording.recorded_plays()]
     for summary in RECORDED.values():
         assert list(summary) == list(recorder.SECTIONS)
         for section in ("calls", "disks", "tries", "requests", "operators", "workers", "machines", "end"):
@@ -49,7 +49,7 @@
             digest_recorder.add("calls", *entry)
         digests.append(digest_recorder.summary()["calls"]["sha256"])
     assert len(set(digests)) == 3
-    assert recorder.values_of({"a": [1, {"b": 2}], "c": (3,)}) == [[1, [2]], [3]]
+    assert recorder.without_keys({"a": [1, {"b": 2}], "c": (3,)}) == [[1, [2]], [3]]
 
 
 @test("a dump has a line for each entry, with its section first")
@@ -67,5 +67,5 @@
 @test("a part is spread over all plays")
 def _() -> None:
     names = [str(number) for number in range(10)]
-    assert recording.part_of(names, 3) == ["0", "3", "6"]
-    assert recording.part_of(names, 20) == names
+    assert recording.evenly_spaced(names, 3) == ["0", "3", "6"]
+    assert recording.evenly_spaced(names, 20) == names
