--- a/ashlift/simulation/bandwidth_limited_network.py
+++ b/ashlift/simulation/bandwidth_limited_network.py
@@ -1,4 +1,4 @@
-"""A simulated network whose links have a width. All times are in seconds."""
+"""A simulated network with links of limited bandwidth. All times are in seconds."""
 
 from typing import Final
 
@@ -8,22 +8,22 @@
 from ashlift.simulation.network import SimulatedNetwork
 from ashlift.simulation.process import Connection, Machine, RpcCall
 
-CALL_OVERHEAD_BYTES: Final = 40  # of a call besides its payload, about
+CALL_OVERHEAD_BYTES: Final = 40  # approximate size of a call without its payload
 
 
 class BandwidthLimitedNetwork(SimulatedNetwork):
-    """Links with a width: the bytes of a machine queue, each way."""
+    """Queues the bytes that a machine sends, and those that it receives, at the bandwidth of its link."""
 
     def __init__(self, loop: EventLoop) -> None:
         super().__init__(loop)
         self.bytes_per_second: dict[str, float] = {}  # by machine
-        self.extra_delay: dict[str, float] = {}  # by machine, in addition, each way
-        self.sent_payloads: dict[str, list[int]] = {}  # bytes of each payload, by the machine that gets it
-        self._free_at: dict[tuple[str, bool], float] = {}  # by machine and direction
+        self.extra_delay: dict[str, float] = {}  # by machine, one way
+        self.sent_payloads: dict[str, list[int]] = {}  # bytes of each payload, by receiver
+        self._free_at: dict[tuple[str, bool], float] = {}  # by machine and whether outgoing
         self._message_bytes = CALL_OVERHEAD_BYTES
 
     def delay(self, source: Machine, destination: Machine) -> float:
-        """Draw the time that a message takes, its wait for those before it included."""
+        """Return the delay of a message, including its wait for queued messages."""
         sent_at = self.loop.now
         for name, is_outgoing in ((source.name, True), (destination.name, False)):
             rate = self.bytes_per_second.get(name)
--- a/ashlift/simulation/catch_up_figures.py
+++ b/ashlift/simulation/catch_up_figures.py
@@ -1,4 +1,4 @@
-"""Figures of catch-up while changes go on: how long a store that was away takes to be level, and its cost."""
+"""Table of how long a restarted store takes to catch up while changes continue, and what it costs."""
 
 from collections.abc import Iterator
 from multiprocessing import Pool
@@ -25,7 +25,7 @@
 RATES: Final = (1.0, 10.0, 20.0)
 FAR_SECONDS: Final = 0.04
 
-# What is measured; the store is in another region than the leader.
+# Settings of the case of each row; the measured store is in another region than the leader.
 ROWS: Final[dict[str, dict[str, Any]]] = {
     f"{disk}, 500 changes away; {rate:g} a second": {"disk": disk, "rate": rate}
     for disk in (INTACT_DISK, EMPTY_DISK, TORN_DISK)
@@ -62,7 +62,7 @@
 
 
 def catch_up_table(seeds: range, jobs: int) -> Iterator[str]:
-    """Yield the lines of a table: least, median, most of each column."""
+    """Yield the lines of a Markdown table with the minimum, median and maximum of each column."""
     yield f"| {len(seeds)} seeds; least, **median**, most | {' | '.join(COLUMNS)} |"
     yield "| --- | --- | --- | --- | --- | --- | --- |"
     cases = [CatchUpCase(**{**settings, "seed": seed}) for settings in ROWS.values() for seed in seeds]
--- a/ashlift/simulation/catch_up_world.py
+++ b/ashlift/simulation/catch_up_world.py
@@ -67,10 +67,14 @@
 class CatchUpResult:
     """Result of one measurement.
 
-    `caught_up_after`: from the start of its process until the store is level for good and votes, infinite where
-    that did not come; `worst_lag`: at most after that; `sent_bytes`, `sent_calls`: of payloads to it from its
-    return on; `leader_ms`: processor time of the leader for each change from then on, `payload_ms` of it for
-    what all others are sent.
+    caught_up_after: seconds from the start of its process until the store votes and stays caught up; infinite
+        if it never does.
+    worst_lag: largest lag after that, in seconds.
+    sent_bytes, sent_calls: bytes and number of the payloads sent to it after its return.
+    acknowledged_while_down, acknowledged_after: changes acknowledged before and after its return.
+    expected_after: changes that the rate calls for after its return.
+    leader_ms: processor time of the leader for each change after its return.
+    payload_ms: processor time spent on making payloads for each change after its return.
     """
 
     caught_up_after: float
@@ -85,7 +89,7 @@
 
 
 class CatchUpWorld:
-    """The stores of one case, and a client that sends changes."""
+    """The stores of one case, and a client that makes changes."""
 
     def __init__(self, case: CatchUpCase) -> None:
         self.case = case
@@ -102,7 +106,7 @@
         self._client.up = True
         self._version = 0
         self.acknowledged_at: list[float] = []
-        self._commits: list[tuple[float, int]] = []  # when the leader first said that an index is committed
+        self._commits: list[tuple[float, int]] = []  # (time, index) as first seen at the leader
         self._sender_number = 0
         for name in self.names:
             self.store(name).start()
@@ -113,7 +117,7 @@
         self.net.bytes_per_second[name] = CORE_LINK_BYTES_PER_SECOND
         TimedConfigstore(self.loop, self.net, machine, lambda: self.names[:3])
 
-    # ---- looking
+    # ---- state
     def store(self, name: str) -> TimedConfigstore:
         """Return the store on a machine."""
         process = self.net.machines[name].processes[configstore_process.KIND]
@@ -121,7 +125,7 @@
         return process
 
     def leader(self) -> str | None:
-        """Return the machine whose replica leads and has committed in the newest term."""
+        """Return the leader of the highest term that has committed in its term, if any."""
         leaders = [
             (replica.leader_role.term, name)
             for name in self.names
@@ -136,12 +140,12 @@
         return self.store(leader).replica if leader else None
 
     def votes(self, name: str) -> bool:
-        """Whether the store on a machine runs and votes."""
+        """Whether the store on a machine is running and is a voter."""
         replica = self.store(name).replica
         return replica is not None and replica.vote.is_voter
 
     def lag(self, name: str) -> float:
-        """Return the seconds since the first commit that a store does not know to be one."""
+        """Return the age in seconds of the oldest commit that a store does not know to be committed."""
         replica = self.store(name).replica
         index = replica.committed_state.index if replica and self.votes(name) else 0
         unknown = [at for at, committed in reversed(self._commits[-RECENT_COMMITS:]) if committed > index]
@@ -149,7 +153,7 @@
 
     # ---- time
     def run(self, seconds: float) -> None:
-        """Run in short steps, and note each commit."""
+        """Run in short steps, and record the time of each commit."""
         end = self.loop.now + seconds
         while self.loop.now < end - 1e-9:
             self.loop.run(min(end, self.loop.now + STEP_SECONDS))
@@ -159,15 +163,15 @@
                 self._commits.append((self.loop.now, index))
 
     def run_until(self, condition: Callable[[], Any], max_seconds: float) -> None:
-        """Run until the condition holds. Raises AssertionError where it does not: nothing can be measured."""
+        """Run until the condition holds; raises AssertionError if it does not within `max_seconds`."""
         end = self.loop.now + max_seconds
         while not condition():
-            assert self.loop.now < end, f"not within {max_seconds:g} s: {self.case}"
+            assert self.loop.now < end, f"condition not met within {max_seconds:g} s: {self.case}"
             self.run(STEP_SECONDS)
 
     # ---- changes
     def _put(self, entries: dict[str, Any]) -> Task:
-        """Send it until it is acknowledged; after a call in doubt a 412 says that it was accepted."""
+        """Retry a change until it is acknowledged; a 412 means that an earlier attempt was accepted."""
         while True:
             name = self.leader() or self.names[0]
             replica = self.store(name).replica
@@ -184,7 +188,7 @@
             yield CLIENT_RETRY_SECONDS
 
     def _next_change(self) -> dict[str, Any]:
-        """Routes that are drawn anew each time."""
+        """Return a change of randomly chosen consecutive routes."""
         case = self.case
         first = self.loop.rng.randrange(max(1, case.routes - case.routes_per_change))
         numbers = range(first, first + case.routes_per_change)
@@ -195,7 +199,7 @@
         return {f"Routes/route-{number}": sample_route(number, size, self.loop.rng) for number in numbers}
 
     def send_changes(self, rate: float, count: int | None = None) -> None:
-        """Send so many changes a second, until `count` are acknowledged or this is called again."""
+        """Send `rate` changes a second until `count` are acknowledged or this is called again."""
         self._sender_number += 1
         sender_number = self._sender_number
         last = math.inf if count is None else len(self.acknowledged_at) + count
@@ -210,9 +214,9 @@
         if rate:
             self._client.spawn(send())
 
-    # ---- the case
+    # ---- measurement
     def measure(self) -> CatchUpResult:
-        """Let one store be away while changes are made, and measure its return."""
+        """Power off one store while changes are made, and measure how it catches up."""
         case = self.case
         name = self._prepare()
         count_before = len(self.acknowledged_at)
@@ -224,7 +228,7 @@
         return self._observe(name, acknowledged_while_down)
 
     def _prepare(self) -> str:
-        """All stores vote and hold the routes; returns the one to be away, far from the leader."""
+        """Wait until all stores vote and hold the routes; returns one outside the leader's region."""
         case = self.case
         self.run_until(lambda: self.leader() and self._voter_count() == case.core, START_SECONDS)
         self._client.spawn(self._put({**self._sample_routes(range(case.routes)), "Services/s": {}}))
@@ -240,7 +244,7 @@
         return len(replica.voters(replica.committed_state.snapshot)) if replica else 0
 
     def _power_off(self, name: str) -> None:
-        """The store's machine has no power while the changes come."""
+        """Power off the store's machine, alter its disk as the case says, and make the changes."""
         case = self.case
         machine = self.net.machines[name]
         self.store(name).kill(silently=True)
@@ -311,5 +315,5 @@
 
 
 def measure_catch_up(case: CatchUpCase) -> CatchUpResult:
-    """Play a case and measure it."""
+    """Simulate and measure a case."""
     return CatchUpWorld(case).measure()
--- a/ashlift/simulation/fault_recorder.py
+++ b/ashlift/simulation/fault_recorder.py
@@ -1,7 +1,7 @@
-"""Records in the history which machines have a fault, and when the core is unsettled.
+"""Records in the history which machines have a fault, and when the core machines are unstable.
 
-The users' rules bind a machine that is in touch: without a fault for a while, with links to a core that is
-settled. `FaultRecorder` notes both, of a simulated world or of one of processes.
+Most checks apply only to a machine without recent faults that is connected to a stable core. A
+`FaultRecorder` records both, for simulated worlds and for worlds of real processes.
 """
 
 import math
@@ -11,13 +11,13 @@
 
 
 class FaultRecorder(ABC):
-    """Owns the history of a world, which says what runs and what is connected."""
+    """Keeps the history of a world; subclasses report which machines are running and connected."""
 
     def __init__(self, core: list[str], edge: list[str]) -> None:
         self.history = History()
         self.core = core
         self.edge = edge
-        self._cut_off: set[str] = set()  # edge machines that do not reach all of the core's majority
+        self._cut_off: set[str] = set()  # edge machines not connected to all of the core's majority
 
     @abstractmethod
     def now(self) -> float:
@@ -25,26 +25,26 @@
 
     @abstractmethod
     def is_running(self, machine: str) -> bool:
-        """Whether the machine has power and all its programs run."""
+        """Whether the machine has power and all its processes are running."""
 
     @abstractmethod
     def is_connected(self, one: str, other: str) -> bool:
         """Whether the link between two machines is open in both directions."""
 
     def begin_fault(self, machine: str, termination: bool = False) -> None:
-        """A fault of the machine starts; `termination`: a SIGTERM, which excuses less."""
+        """Record the start of a fault; `termination` marks a SIGTERM."""
         self.history.begin_fault(machine, self.now(), termination)
         if machine in self.core:
             self.core_changed()
 
     def end_faults(self, machine: str) -> None:
-        """All faults of the machine are over."""
+        """Record the end of all faults of the machine."""
         self.history.end_faults(machine, self.now())
         if machine in self.core:
             self.core_changed()
 
     def core_changed(self) -> None:
-        """The core is unsettled now, and stays so while it has no connected majority."""
+        """Record that the core is unstable now, and for as long as it has no connected majority."""
         now = self.now()
         intervals = self.history.core_unsettled
         if intervals and math.isinf(intervals[-1].ended):
@@ -52,7 +52,7 @@
         intervals.append(FaultInterval(now, now if self._connected_majority() else math.inf))
 
     def _connected_majority(self) -> set[str]:
-        """The running core machines that reach more than half of the core, if there are such."""
+        """Return the running core machines connected to one of them, if they are a majority of the core."""
         running = [name for name in self.core if self.is_running(name)]
         for name in running:
             group = {other for other in running if other == name or self.is_connected(name, other)}
@@ -61,7 +61,7 @@
         return set()
 
     def links_changed(self, machines: set[str], blocked: set[str]) -> None:
-        """Links of these machines were blocked or unblocked; `blocked`: all machines with a blocked link."""
+        """Record that links of `machines` changed; `blocked` holds all machines with a blocked link."""
         now = self.now()
         if machines & {*self.core}:
             self.core_changed()
--- a/ashlift/simulation/invariant_checker.py
+++ b/ashlift/simulation/invariant_checker.py
@@ -1,8 +1,8 @@
-"""The invariants of the configuration store's replicas (docs/design/store.md), checked after every event.
+"""Checks the invariants of the configuration store's replicas (docs/design/store.md) after every event.
 
-`simulation.replica_host` (random worlds) and `simulation.explore` tell an `InvariantChecker` what
-they see. It is a value: each check returns the checker that knows more. The replicas decide commands by
-`decide_history_command`, so that the committed map tells its whole history.
+`simulation.replica_host` and `simulation.explore` report elections, votes and replica states to an
+`InvariantChecker`. It is immutable: each check returns an updated checker. Replicas decide commands by
+`decide_history_command`, so that the committed map contains its whole history.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,9 +15,9 @@
 from ashlift.configstore.proposals import Proposal, ReadOnlyResult
 from ashlift.configstore.replica import Replica
 
-ZONE: Final = "zone"  # the one zone that is evacuated
+ZONE: Final = "zone"  # the only zone that is evacuated
 HISTORY: Final = "history"
-ROTATING_KEYS: Final = 5  # of the map, besides its history
+ROTATING_KEYS: Final = 5  # keys of the map besides its history, set and removed in turn
 
 
 class InvariantViolationError(AssertionError):
@@ -27,8 +27,8 @@
 def decide_history_command(entries: Any, command: Any) -> Proposal | ReadOnlyResult:
     """Decide a command `(base, name)`.
 
-    It is appended to a history of exactly `base` commands. `+` and `-` evacuate the one zone and restore it,
-    whatever the history is.
+    The name is appended if the history has exactly `base` commands. The names `+` and `-` evacuate and
+    restore the zone regardless of the history.
     """
     base, name = command
     if name in ("+", "-"):
@@ -47,12 +47,12 @@
 
 
 def history_of(snapshot: Snapshot) -> list[str]:
-    """Return the names of all commands that made this snapshot."""
+    """Return the names of all commands applied to this snapshot."""
     return list(snapshot.entries.map.get(HISTORY, []))
 
 
 class Leadership(NamedTuple):
-    """An incarnation of a process led a term."""
+    """The leader of a term, by the incarnation of its process."""
 
     term: int
     replica: str
@@ -60,7 +60,7 @@
 
 
 class GrantedVote(NamedTuple):
-    """A replica voted for a candidate; `disk` counts the disks of its machine."""
+    """A vote of a replica for a candidate; `disk` is the number of the machine's disk."""
 
     voter: str
     disk: int
@@ -71,10 +71,11 @@
 
 @frozen
 class InvariantChecker:
-    """What replicas have done so far.
+    """Observations of all replicas so far.
 
-    `committed_history` is the longest one anywhere, `committed_at` when each of its commands was first
-    committed; `membership` is the newest committed map's position, and who votes by it.
+    `committed_history` is the longest committed history of any replica, `committed_at` when each of its
+    commands was first seen as committed. `membership` is the position of the newest committed map, and its
+    voters.
     """
 
     leaderships: frozenset[Leadership] = frozenset()
@@ -84,7 +85,7 @@
     membership: tuple[TermIndex, tuple[str, ...]] = ((0, 0), ())
 
     def record_leader(self, term: int, replica: Replica, incarnation: int) -> "InvariantChecker":
-        """I1, M3: an incarnation of a process was elected."""
+        """Check I1 and M3 when a replica was elected."""
         entries = replica.snapshot.entries.map
         granted = {
             (vote.voter, vote.incarnation)
@@ -96,7 +97,7 @@
         electors = {voter for voter, disk in granted if incarnation_matches(entries, voter, disk)}
         if len(electors) < quorum(len(voters)):
             raise InvariantViolationError(
-                f"M3: {replica.ip} is elected in term {term} by {sorted(electors)} of {voters}"
+                f"M3: {replica.ip} elected in term {term} without a quorum: {sorted(electors)} of {voters}"
             )
         leadership = Leadership(term, replica.ip, incarnation)
         if any(other.term == term and other != leadership for other in self.leaderships):
@@ -106,9 +107,9 @@
     def record_vote(
         self, voter: str, disk: int, term: int, candidate: str, stored: PersistentVote | None
     ) -> "InvariantChecker":
-        """I2: a replica votes for a candidate, with this on its disk."""
+        """Check I2 when a replica grants a vote; `stored` is what its disk holds."""
         if any(vote[:3] == (voter, disk, term) and vote.candidate != candidate for vote in self.votes):
-            raise InvariantViolationError(f"I2: {voter} votes a second time in term {term}")
+            raise InvariantViolationError(f"I2: {voter} voted for two candidates in term {term}")
         if stored is None or not stored.is_voter or stored.term < term:
             raise InvariantViolationError(f"I2: the vote of {voter} in term {term} is not durable")
         vote = GrantedVote(voter, disk, term, candidate, stored.incarnation)
@@ -117,12 +118,14 @@
     def check_replica(
         self, now: float, replica: Replica, clock_offset: float, stored: PersistentVote | None
     ) -> "InvariantChecker":
-        """I3, I7, I8, M4: after each event of a replica, whose clock is `now + clock_offset`."""
+        """Check I3, I7, I8 and M4 after an event of a replica, whose clock shows `now + clock_offset`."""
         _check_leader_votes(replica, stored)
         history = tuple(history_of(replica.committed_state.snapshot))
         common = min(len(history), len(self.committed_history))
         if history[:common] != self.committed_history[:common]:
-            raise InvariantViolationError(f"I3: {replica.ip} has {history} beside {self.committed_history}")
+            raise InvariantViolationError(
+                f"I3: history {history} of {replica.ip} diverges from {self.committed_history}"
+            )
         checker = self
         if len(history) > len(self.committed_history):
             new_count = len(history) - len(self.committed_history)
@@ -132,14 +135,14 @@
         required = sum(at < confirmed_at for at in checker.committed_at)
         if len(history) < required:
             raise InvariantViolationError(
-                f"I7: {replica.ip} is confirmed fresh at {confirmed_at:.3f} with {len(history)} of {required}"
+                f"I7: {replica.ip} fresh at {confirmed_at:.3f} s with {len(history)} of {required} commands"
             )
         return checker
 
     def check_commit(
         self, replica: Replica, disks: Iterable[tuple[str, PersistentVote | None, Snapshot | None]]
     ) -> "InvariantChecker":
-        """M1, M2: after each event of a replica, if it leads, with what all disks hold then."""
+        """Check M1 and M2 after an event of a leader, with the contents of all disks."""
         committed = replica.committed_state.snapshot
         newest, voters_before = self.membership
         if replica.leader_role is None or committed.term_index <= newest:
@@ -147,28 +150,32 @@
         entries = committed.entries.map
         voters = tuple(addresses_under(entries, VOTER_PREFIX))
         if voters_before and len({*voters} ^ {*voters_before}) > 1:
-            raise InvariantViolationError(f"M1: {voters} vote after {voters_before}")
+            raise InvariantViolationError(
+                f"M1: more than one voter changed at once: {voters_before} to {voters}"
+            )
         if min(len(voters_before), 2) > len(voters):
-            raise InvariantViolationError(f"M1: {voters} are too few after {voters_before}")
+            raise InvariantViolationError(f"M1: too few voters left: {voters_before} to {voters}")
         holders = [
             ip
             for ip, vote, snapshot in disks
             if ip in voters and _holds(entries, ip, vote, snapshot, committed.term_index)
         ]
         if len(holders) < quorum(len(voters)):
-            raise InvariantViolationError(f"M2: {committed.term_index} is committed by {holders} of {voters}")
+            raise InvariantViolationError(
+                f"M2: {committed.term_index} was committed without a quorum: {holders} of {voters}"
+            )
         return evolve(self, membership=(committed.term_index, voters))
 
 
 def _check_leader_votes(replica: Replica, stored: PersistentVote | None) -> None:
-    """I8, M4: whoever leads is a voter, by its disk and by the map that it proposed last."""
+    """Check I8 and M4: a leader is a voter by its disk and by the map that it proposed last."""
     role = replica.leader_role
     if role is None:
         return
     if not (replica.vote.is_voter and stored is not None and stored.is_voter):
-        raise InvariantViolationError(f"I8: {replica.ip} leads, and is a learner")
+        raise InvariantViolationError(f"I8: leader {replica.ip} is a learner")
     if not incarnation_matches(role.proposed.entries.map, replica.ip, replica.vote.incarnation):
-        raise InvariantViolationError(f"M4: {replica.ip} leads, and is no voter")
+        raise InvariantViolationError(f"M4: leader {replica.ip} is not a voter of its proposed map")
 
 
 def _holds(
@@ -178,7 +185,10 @@
     snapshot: Snapshot | None,
     term_index: TermIndex,
 ) -> bool:
-    """Whether a voter's disk holds a committed map; one that was lost after it had may stand for it."""
+    """Whether a voter's disk holds a committed map.
+
+    A wiped disk counts as well: it may have held the map before.
+    """
     if vote is None or not vote.is_voter:
         return True
     if not incarnation_matches(entries, ip, vote.incarnation):
--- a/ashlift/simulation/linearizability.py
+++ b/ashlift/simulation/linearizability.py
@@ -1,11 +1,10 @@
-"""Linearizability of the operators' calls: whether one order of all of them explains every answer.
+"""Linearizability checker for the operators' calls to the configuration store.
 
-After Wing and Gong, "Testing and verifying concurrent objects" (1993): calls are placed one by one, each
-between its start and its end, and what was tried is remembered by the calls placed and the register. A call
-in doubt may take effect at any time from its start on, or never; one with an `effect_deadline` by then or
-never.
+Follows Wing and Gong, "Testing and verifying concurrent objects" (1993): a depth-first search places calls
+one by one, each between its start and its end, and memoizes pairs of placed calls and register. A call with
+an unknown outcome may take effect at any time from its start until its `effect_deadline`, or never.
 
-The module is pure. All times are of one clock, in seconds.
+The module has no side effects. All times are in seconds of a single clock.
 """
 
 import math
@@ -16,9 +15,7 @@
 from attrs import evolve, frozen
 
 ACKNOWLEDGED: Final = "acknowledged"  # 200
-CONFLICT: Final = (
-    "conflict"  # 412; calls that were rejected with any other status are left out of the history
-)
+CONFLICT: Final = "conflict"  # 412; calls rejected with another status are not part of the history
 IN_DOUBT: Final = None
 
 MAX_PLACEMENTS: Final = 1_000_000
@@ -27,15 +24,15 @@
 
 
 def items_of(content: Mapping[str, Any]) -> Items:
-    """The entries of a mapping as a value that can be hashed and compared."""
+    """Return the entries of a mapping as a hashable value."""
     return frozenset(content.items())
 
 
 @frozen(cache_hash=True)
 class ConfigurationWrite:
-    """What a PUT or PATCH asks for; equal ones are resends of one call.
+    """The content of a PUT or PATCH; equal writes are resends of the same call.
 
-    `removed_keys` of a PATCH are the keys that it withdraws; None stands for a PUT, which replaces all.
+    `removed_keys` are the keys that a PATCH removes; None stands for a PUT, which replaces the content.
     """
 
     base: int
@@ -46,9 +43,9 @@
 
 @frozen(cache_hash=True)
 class Register:
-    """The configuration in force, and what decides the answers to resent writes.
+    """State of the configuration, and the writes that determine the answers to resends.
 
-    `rejected` are writes that got a conflict although the version that they build on may still come.
+    `rejected` are writes that got a conflict while their base version was still in the future.
     """
 
     version: int = 0
@@ -58,7 +55,7 @@
     evacuated_zones: frozenset[str] = frozenset()
 
     def apply(self, write: ConfigurationWrite) -> "Register":
-        """Return the register after this write took effect."""
+        """Return the register after this write."""
         content = write.upserts
         if write.removed_keys is not None:
             overwritten = write.removed_keys | {key for key, _ in write.upserts}
@@ -66,7 +63,7 @@
         return evolve(self, version=write.version, content=content, applied=self.applied | {write})
 
     def evacuate(self, zone: str, evacuated: bool) -> "Register":
-        """Return the register after a zone was evacuated, or its evacuation was ended."""
+        """Return the register after the evacuation of a zone, or after its end."""
         if (zone in self.evacuated_zones) == evacuated:
             return self
         zones = self.evacuated_zones | {zone} if evacuated else self.evacuated_zones - {zone}
@@ -77,12 +74,13 @@
 class Call:
     """One call of an operator: a `write`, an `evacuation` or its end, or, with neither, a read.
 
-    `evacuation` is the zone, and whether it is evacuated from then on. A read `observed` a version with its
-    items and the `evacuated_zones` (None: not recorded); reads without an answer are left out of the history.
+    `evacuation` is the zone and whether it is evacuated afterwards. `observed` is the version and the items
+    that a read returned, `evacuated_zones` the zones that it returned as evacuated (None: not recorded).
+    Reads without an answer are not part of the history.
     """
 
     started: float
-    ended: float  # infinite: in doubt
+    ended: float  # infinite if the outcome is unknown
     write: ConfigurationWrite | None = None
     answer: str | None = IN_DOUBT
     observed: tuple[int, Items] = (0, frozenset())
@@ -106,9 +104,9 @@
     def apply_to(
         self, register: Register, resent_rejected: frozenset[ConfigurationWrite] = frozenset()
     ) -> Register | None:
-        """Return the register after this call, if it took effect now; None: its answer would be wrong.
+        """Return the register after this call takes effect, or None if that contradicts its answer.
 
-        `resent_rejected` are writes that were rejected in one call, and that other calls ask for too.
+        `resent_rejected` are the writes that one call got rejected and other calls repeat.
         """
         if self.evacuation is not None:
             return register.evacuate(*self.evacuation)
@@ -135,23 +133,23 @@
         if applicable:
             return None
         if write.base <= register.version or write not in resent_rejected:
-            return register  # a base that has passed can never be the newest again
+            return register  # versions only grow, so its base cannot become current again
         return evolve(register, rejected=register.rejected | {write})
 
 
 def find_unexplained_call(calls: Iterable[Call], max_placements: int = MAX_PLACEMENTS) -> Call | None:
-    """Return None if some order explains all calls, else the call at which the longest order fails.
+    """Return None if the history is linearizable, else the call at which the longest partial order ends.
 
-    Raises OverflowError once more than `max_placements` were tried.
+    Raises OverflowError after `max_placements` placements.
     """
     return _Search(calls, max_placements).run()
 
 
-Placement = tuple[int, Register]  # a bit for each call that is placed, and the register after them
+Placement = tuple[int, Register]  # bit set of the placed calls, and the register after them
 
 
 class _Search:
-    """Depth-first search for an order of all calls that have ended."""
+    """Depth-first search for a linearization that contains all calls with a known outcome."""
 
     def __init__(self, calls: Iterable[Call], max_placements: int) -> None:
         self._calls = sorted(calls, key=lambda call: (call.started, call.ended))
@@ -178,7 +176,7 @@
         return failing
 
     def _extend(self, placed: int, register: Register, candidates: list[int]) -> None:
-        """Push every placement that has one call more."""
+        """Push every placement with one more call."""
         earliest_deadline = min(
             (self._calls[number].effect_deadline for number in candidates), default=math.inf
         )
@@ -189,7 +187,7 @@
                 continue
             placement = (placed | 1 << number, register_after)
             if register_after == register and call.started <= earliest_deadline:
-                # It changes nothing and fits here: no order is lost by placing it now.
+                # It does not change the register, so no order is lost by placing it first.
                 self._stack.append(placement)
                 break
             if placement not in self._tried:
@@ -198,14 +196,16 @@
 
     def _remember(self, placement: Placement) -> None:
         if len(self._tried) >= self._max_placements:
-            raise OverflowError(f"{self._max_placements} placements tried for {len(self._calls)} calls")
+            raise OverflowError(
+                f"no result after {self._max_placements} placements of {len(self._calls)} calls"
+            )
         self._tried.add(placement)
 
     def _candidates(self, placed: int) -> Iterator[int]:
-        """The calls that may come next.
+        """Return the calls that may be placed next.
 
-        They started before any of those not placed has ended, and their `effect_deadline` is not before the
-        start of what is placed already.
+        Such a call started before every other unplaced call ended, and its `effect_deadline` is not before
+        the start of any placed call.
         """
         earliest_end = math.inf
         newest_start = self._calls[placed.bit_length() - 1].started if placed else 0.0
@@ -228,7 +228,7 @@
 
 
 def _resent_rejected_writes(calls: list[Call]) -> frozenset[ConfigurationWrite]:
-    """Writes that were rejected in one call, and that other calls ask for too."""
+    """Return the writes that one call got rejected and other calls repeat."""
     rejected = {call.write for call in calls if call.answer == CONFLICT}
     counts = Counter(call.write for call in calls if call.write)
     return frozenset(write for write, count in counts.items() if count > 1 and write in rejected)
--- a/ashlift/simulation/recorder.py
+++ b/ashlift/simulation/recorder.py
@@ -1,6 +1,6 @@
-"""Digests of what happens in one play of a scenario: the sections of a recorded history.
+"""Computes digests of all observable events of one simulated scenario, grouped in sections.
 
-Recorded are values only, never the names of classes, attributes or programs: these may change.
+Only values are recorded, never the names of classes, attributes or programs, so that these can be renamed.
 """
 
 import hashlib
@@ -17,18 +17,18 @@
 from ashlift.simulation.process import Process
 from ashlift.simulation.scenario_player import ScenarioPlayer
 
-# Methods whose names and bodies go over a wire as they are. All others stand for HTTP requests, in the
-# simulator alone: the keys of their bodies are left out, and their names are numbered by their first use.
+# Methods whose names and bodies are part of a wire protocol. All others represent HTTP requests and exist
+# only in the simulator: their names are replaced by numbers, and the keys of their bodies are left out.
 WIRE_METHODS: Final = frozenset(
     ["append", "drafts", "join", "pull", "read", "request_vote", "submit", "succeed", "swap", "watch"]
 )
 SECTIONS: Final = ("calls", "faults", "disks", "tries", "requests", "operators", "workers", "machines", "end")
 
-Summary = dict[str, dict[str, int | str]]  # section -> `count` of its entries, and their `sha256`
+Summary = dict[str, dict[str, int | str]]  # section -> `count` and `sha256` of its entries
 
 
 def without_keys(body: Any) -> Any:
-    """The values of a body without the keys of its mappings."""
+    """Return the values of a body without the keys of its mappings."""
     if isinstance(body, Mapping):
         return [without_keys(value) for value in body.values()]
     if isinstance(body, list | tuple):
@@ -43,12 +43,12 @@
         self._known: dict[str, int] = {}
 
     def number_of(self, name: str) -> int:
-        """The name's number, from 0 on."""
+        """Return the number of the name, starting with 0."""
         return self._known.setdefault(name, len(self._known))
 
 
 class Recorder(Observer):
-    """Digests of what happens in one play, a section each; `dump` gets every entry as a line of text."""
+    """Updates a digest for each section; each entry is also written to `dump` as a line of text."""
 
     def __init__(self, dump: TextIO | None = None) -> None:
         self._dump = dump
@@ -58,7 +58,7 @@
         self._methods = NameNumbers()
 
     def add(self, section: str, *entry: Any) -> None:
-        """One more entry of a section, of values that cbor2 encodes."""
+        """Add an entry of values that cbor2 can encode to a section."""
         data = cbor2.dumps(entry)
         self._counts[section] += 1
         self._digests[section].update(len(data).to_bytes(4, "big") + data)
@@ -66,20 +66,20 @@
             print(section, hashlib.sha256(data).hexdigest()[:12], *entry, file=self._dump)
 
     def summary(self) -> Summary:
-        """The digests of all sections, as the record keeps them."""
+        """Return the digests of all sections."""
         return {
             section: {"count": self._counts[section], "sha256": self._digests[section].hexdigest()}
             for section in SECTIONS
         }
 
-    # ---- what the simulator tells while it plays
+    # ---- events during the simulation
     def called(self, caller: Process, to: str, kind: str, method: str, body: Any) -> None:
         """Record a call with its body."""
         place = (caller.name, self._programs.number_of(caller.kind), to, self._programs.number_of(kind))
         self.add("calls", caller.loop.now, "call", *place, *self._message(method, body))
 
     def answered(self, caller: Process, target: Process, method: str, body: Any) -> None:
-        """Record an answer; of a failure its text apart, as that is for people."""
+        """Record an answer; the detail of a failure goes to a section of its own."""
         place = (
             caller.name,
             self._programs.number_of(caller.kind),
@@ -94,15 +94,15 @@
             self.add("calls", now, "answer", *place, *self._message(method, body))
 
     def received(self, caller: Process, target: Process, method: str) -> None:
-        """Record when an answer came."""
+        """Record the arrival of an answer."""
         self.add("calls", caller.loop.now, "received", caller.name, target.name, self._method(method))
 
     def stored(self, process: Process) -> None:
-        """Record what the disk holds."""
+        """Record the contents of the disk."""
         self._disk(process)
 
     def attempted(self, proxy: Process, worker: str, request: int, reused: bool) -> None:
-        """Record an attempt of a request at a worker."""
+        """Record an attempt to have a worker serve a request."""
         self.add("tries", proxy.loop.now, "request", proxy.name, worker, request, reused)
 
     def replied(self, worker: Process, proxy: Process, request: int, status: int) -> None:
@@ -116,7 +116,7 @@
         return self._method(method), body if method in WIRE_METHODS else without_keys(body)
 
     def _disk(self, process: Process) -> None:
-        """What a store's disk holds now: its vote, and of its map the term, index and digest."""
+        """Record the contents of a store's disk: its vote, and the term, index and digest of its map."""
         disk = process.machine.disk
         vote = disk.get("vote")
         state = disk.get("state")
@@ -129,9 +129,9 @@
             position,
         )
 
-    # ---- what is known once it has ended
+    # ---- the history at the end
     def ended(self, player: ScenarioPlayer, passed: bool) -> None:
-        """Take the player's history; `passed`: all its expectations and rules held."""
+        """Record the player's history, and whether all expectations and checks passed."""
         world = player.world
         self._requests(world.history)
         self._operators(world.history)
--- a/ashlift/simulation/recording.py
+++ b/ashlift/simulation/recording.py
@@ -1,13 +1,13 @@
-"""Digests of what the simulator plays, which every later tree must repeat: `... ashlift.simulation record`.
+"""Records digests of simulated histories, and compares them with a previous recording.
 
-The same scene and seed give the same history, so a change that is to change nothing must repeat all of it:
-the bytes of each call between processes and of its answer, what each client and operator sees, what becomes
-durable on each disk. Recorded are values only, never the names of classes, attributes or programs: these may
-change. Some messages list a set in the order of its hashes, so all is played with `PYTHONHASHSEED=0`.
+`python -m ashlift.simulation record` is a regression check for refactorings. The same scenario and seed give
+the same history: the bytes of each call between processes and of its answer, what each client and operator
+sees, and what is stored on each disk. Some messages list a set in its hash order, so plays run with
+`PYTHONHASHSEED=0`.
 
-`record` writes the record anew; `record --check` compares with it, and names of each play that differs the
-first section that does. `record --play NAME --dump FILE` writes what happens in one play as lines of text, so
-that those of two trees can be compared. `--part COUNT` takes so many plays, spread over all of them.
+`record` writes a new recording. `record --check` compares with the recording, and prints the first section
+that differs for each play. `record --play NAME --dump FILE` writes the entries of one play as text, to
+compare two versions of the code. `--part COUNT` selects that many plays, evenly spaced.
 """
 
 import argparse
@@ -41,7 +41,7 @@
 
 @define(frozen=True)
 class RecordedPlay:
-    """One play of the record by its name, with the seed and the scenario that are played."""
+    """A simulation that is recorded: its name, scenario and seed."""
 
     name: str
     scenario: Callable[[], Scenario]
@@ -53,7 +53,7 @@
 
 
 def recorded_plays(scenarios: Path = SCENARIOS) -> Iterator[RecordedPlay]:
-    """All plays of the record in their order: random faults, worst days, and the scenarios of files."""
+    """Yield all plays in their order: random faults, severe faults, and the scenarios of files."""
     for seed in range(1, RANDOM_FAULT_PLAYS + 1):
         yield RecordedPlay(f"chance {seed}", lambda seed=seed: random_faults.random_scenario(seed), seed)  # type: ignore[misc]
     for seed in range(1, SEVERE_FAULT_PLAYS + 1):
@@ -65,13 +65,13 @@
 
 
 def evenly_spaced(names: list[str], count: int) -> list[str]:
-    """So many of them, spread evenly."""
+    """Return `count` of the names, evenly spaced."""
     step = len(names) / max(1, min(count, len(names)))
     return [names[int(number * step)] for number in range(min(count, len(names)))]
 
 
 def record_play(name: str, dump: TextIO | None = None) -> Summary:
-    """Play one of `recorded_plays` by its name, and digest what happens."""
+    """Simulate the play with this name and return its digests."""
     play = next(one for one in recorded_plays() if one.name == name)
     recorder = Recorder(dump)
 
@@ -91,7 +91,7 @@
 
 
 def record_plays(names: list[str], jobs: int = 1) -> Iterator[tuple[str, Summary]]:
-    """The plays of these names in their order, `jobs` processes at a time."""
+    """Yield the digests of the named plays in their order, computed by `jobs` processes."""
     if jobs == 1:
         yield from map(_named_record, names)
         return
@@ -100,7 +100,7 @@
 
 
 def difference(old: Summary, new: Summary) -> str:
-    """The first section that differs, in the order of `SECTIONS`; "" where all are equal."""
+    """Describe the first section that differs, in the order of `SECTIONS`; "" if none does."""
     for section in SECTIONS:
         if old[section] != new[section]:
             before = old[section]["count"]
@@ -112,13 +112,13 @@
 
 
 def read_record(path: Path = RECORD) -> dict[str, Summary]:
-    """The plays' digests by their names."""
+    """Return the recorded digests by the name of the play."""
     record: dict[str, Summary] = json.loads(path.read_text())
     return record
 
 
 def _write(path: Path, record: dict[str, Summary]) -> None:
-    """A line each section, so that a difference between two records shows where it is."""
+    """Write one line for each section, so that a diff of two recordings shows which differ."""
     plays = []
     for name, summary in record.items():
         lines = [f"    {json.dumps(section)}: {json.dumps(digest)}" for section, digest in summary.items()]
@@ -127,7 +127,7 @@
 
 
 def _check(names: list[str], jobs: int, path: Path) -> int:
-    """Compare with the record; the exit status."""
+    """Compare with the recording; returns the exit status."""
     recorded = read_record(path)
     failed = 0
     for name, summary in record_plays(names, jobs):
@@ -140,7 +140,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """The command, in a process of its own where the order of hashes is not the one of the record."""
+    """Run the command, in a child process unless `PYTHONHASHSEED` is set as required."""
     if os.environ.get("PYTHONHASHSEED") == HASH_SEED:
         return _main(arguments)
     command = [sys.executable, "-m", __package__, "record", *arguments]
@@ -149,15 +149,15 @@
 
 def _main(arguments: list[str]) -> int:
     parser = argparse.ArgumentParser(
-        prog=f"python -m {__package__} record", description="Record what is played."
+        prog=f"python -m {__package__} record", description="Record digests of simulated histories."
     )
-    parser.add_argument("--check", action="store_true", help="compare with the record, and write nothing")
-    parser.add_argument("--part", type=int, metavar="COUNT", help="so many plays, spread over all")
-    parser.add_argument("--play", action="append", metavar="NAME", help="these plays only")
-    parser.add_argument("--jobs", type=int, default=1, help="processes that play")
-    parser.add_argument("--record", type=Path, default=RECORD, metavar="FILE", help="the record")
+    parser.add_argument("--check", action="store_true", help="compare with the recording, and write nothing")
+    parser.add_argument("--part", type=int, metavar="COUNT", help="number of plays, evenly spaced")
+    parser.add_argument("--play", action="append", metavar="NAME", help="only this play; may be repeated")
+    parser.add_argument("--jobs", type=int, default=1, help="number of processes")
+    parser.add_argument("--record", type=Path, default=RECORD, metavar="FILE", help="file of the recording")
     parser.add_argument(
-        "--dump", type=Path, metavar="FILE", help="write one play's entries there, a line each"
+        "--dump", type=Path, metavar="FILE", help="write the entries of one play to this file, a line each"
     )
     options = parser.parse_args(arguments)
     names = options.play or [play.name for play in recorded_plays()]
--- a/ashlift/simulation/repair_figures.py
+++ b/ashlift/simulation/repair_figures.py
@@ -1,4 +1,4 @@
-"""Figures of repair on simulated time, over seeds: how a store's replica that was away catches up."""
+"""Table of how long a replica takes to recover in simulated time after a lost disk or a network partition."""
 
 import math
 from collections.abc import Iterator
@@ -20,7 +20,7 @@
 CONFIGURED_SECONDS: Final = 3.0  # when the routes are sent
 EARLIEST_FAULT_SECONDS: Final = 7.0
 WIPED_SECONDS: Final = 1.0
-CHANGE_INTERVAL_SECONDS: Final = 0.5  # between an operator's changes during a long cut
+CHANGE_INTERVAL_SECONDS: Final = 0.5  # between an operator's changes during a partition
 FIRST_CHANGED_VERSION: Final = 3
 CHANGES_DURING_CUT: Final = 40
 MAX_REPAIR_SECONDS: Final = 30.0
@@ -31,7 +31,7 @@
 
 @frozen
 class Repair:
-    """Seconds from a replica's return until it is level and votes, and what it was sent till then."""
+    """Seconds from a replica's return until it has caught up and votes, and the payloads sent to it."""
 
     seconds: float
     kilobytes: float
@@ -39,7 +39,7 @@
 
 
 class AppendCounter:
-    """Counts the calls of `append` with a payload to one machine, and the payloads' bytes."""
+    """Counts the `append` calls with a payload to one machine, and the bytes of their payloads."""
 
     def __init__(self, world: World, machine: str) -> None:
         self.calls = 0
@@ -58,7 +58,7 @@
 
 
 def measure_repair(core: int, routes: int, cut: bool, seed: int) -> Repair:
-    """Play the loss of a replica's disk, or a cut with changes meanwhile, until it is level again."""
+    """Simulate the loss of a replica's disk, or with `cut` a partition, until it has caught up."""
     plan = Plan(core=core, edge=2, rate=0.0, seed=seed, until=EARLIEST_FAULT_SECONDS)
     player = ScenarioPlayer(Scenario("figures", plan, ()), seed)
     world = player.world
@@ -74,7 +74,7 @@
 
 
 def _cut_off(player: ScenarioPlayer, machine: str) -> None:
-    """Cut the machine off while an operator sends changes, and heal the cut."""
+    """Partition the machine from the core while an operator makes changes, then heal the partition."""
     world = player.world
     player.perform(["cut", machine, "|", *(name for name in world.core if name != machine)])
     for version in range(FIRST_CHANGED_VERSION, FIRST_CHANGED_VERSION + CHANGES_DURING_CUT):
@@ -105,7 +105,7 @@
 
 
 def repair_table(seeds: range, jobs: int) -> Iterator[str]:
-    """Yield the lines of a table: least, median, most of each size and fault."""
+    """Yield the lines of a Markdown table with the minimum, median and maximum for each size and fault."""
     yield f"| {len(seeds)} seeds; least, **median**, most | s | kB sent to it | calls with them |"
     yield "| --- | --- | --- | --- |"
     for core, routes in SIZES:
