--- a/tests/simulation/test_explore.py
+++ b/tests/simulation/test_explore.py
@@ -1,4 +1,4 @@
-"""The store's members explored: nothing is wrong within small bounds, and each broken line is found."""
+"""The explorer finds no violation in the replicas within small bounds, and finds every mutant."""
 
 from attrs import evolve
 from ward import each, test
@@ -9,7 +9,7 @@
 from tests.support.mutants import mutated
 
 
-@test("explored, one trouble at every step: {case}")
+@test("explorer: no violation with one fault at every step: {case}")
 def _(case: str = each("change", "closing", "leaders")) -> None:
     report = explore(CASES[case])
     assert not report.violation, "\n".join([report.violation, *report.trace])
@@ -17,7 +17,7 @@
     assert report.finished_count > 50, str(report)
 
 
-BROKEN = {
+CASE_BY_MUTANT = {
     "elected by one": "change",
     "committed by one": "closing",
     "read before a commit of the term": "closing",
@@ -26,27 +26,27 @@
 }
 
 
-@test("explored, {broken}: found")
-def _(broken: str = each(*BROKEN)) -> None:
-    with mutated(broken):
-        assert explore(CASES[BROKEN[broken]]).violation
+@test("explorer: mutant found: {mutant}")
+def _(mutant: str = each(*CASE_BY_MUTANT)) -> None:
+    with mutated(mutant):
+        assert explore(CASES[CASE_BY_MUTANT[mutant]]).violation
 
 
-@test("explored, a call that arrives late, and resends, as far as 1,000 cells")
+@test("explorer: no violation with a delayed call and resends within 1,000 states")
 def _() -> None:
     report = explore(CASES["late"], max_states=1000)
     assert not report.violation, "\n".join([report.violation, *report.trace])
     assert report.state_count >= 1000
 
 
-@test("explored, any order of an election's messages")
+@test("explorer: no violation with the messages of an election in any order")
 def _() -> None:
     report = explore(CASES["order"], 1, max_states=1500)
     assert not report.violation, "\n".join([report.violation, *report.trace])
     assert report.state_count >= 1500
 
 
-@test("a member's copy goes on by itself, and a cell is not changed by its steps")
+@test("explorer: a copied replica is equal to the original, and steps do not modify their state")
 def _() -> None:
     state = evolve(initial_state(CASES["change"]), faults_left=0)
     for _ in range(20):
--- a/tests/simulation/test_recorded_histories.py
+++ b/tests/simulation/test_recorded_histories.py
@@ -1,4 +1,4 @@
-"""What the simulator plays is what it played when it was recorded, and what a record can tell apart."""
+"""The simulator repeats the recorded histories, and recordings tell different histories apart."""
 
 import subprocess
 import sys
@@ -9,19 +9,19 @@
 
 from ashlift.simulation import recorder, recording
 
-PLAYS = 6  # of all, spread evenly: under 40 s of one core
+CHECKED_PLAYS = 6  # evenly spaced
 RECORDED = recording.read_record()
 
 
-@test("some of the recorded plays come out as recorded")
+@test("recorded histories: a sample of the plays is as recorded")
 def _() -> None:
-    command = [sys.executable, "-m", "ashlift.simulation", "record", "--check", "--part", str(PLAYS)]
+    command = [sys.executable, "-m", "ashlift.simulation", "record", "--check", "--part", str(CHECKED_PLAYS)]
     done = subprocess.run(command, capture_output=True, text=True)
     assert done.returncode == 0, done.stdout + done.stderr
-    assert f"{PLAYS} of {PLAYS} plays as recorded" in done.stdout
+    assert f"{CHECKED_PLAYS} of {CHECKED_PLAYS} plays as recorded" in done.stdout
 
 
-@test("each play that there is has been recorded, with entries in every section that always has some")
+@test("recorded histories: every play is recorded, with entries in each section that is never empty")
 def _() -> None:
     assert list(RECORDED) == [play.name for play in recording.recorded_plays()]
     for summary in RECORDED.values():
@@ -30,7 +30,7 @@
             assert int(summary[section]["count"]) > 0
 
 
-@test("a difference is named by the first section that differs")
+@test("recorded histories: a difference names the first section that differs")
 def _() -> None:
     old = RECORDED["chance 1"]
     assert recording.difference(old, deepcopy(old)) == ""
@@ -40,7 +40,7 @@
     assert recording.difference(old, new).startswith("disks: ")
 
 
-@test("an entry tells values and their order apart, and not the names of methods that no wire carries")
+@test("recorded histories: digests depend on values and their order, not on the keys of bodies")
 def _() -> None:
     digests = []
     for entries in ([1, 2.0], [2.0, 1]), ([1, 2.5], [2.0, 1]), ([2.0, 1], [1, 2.0]):
@@ -52,7 +52,7 @@
     assert recorder.without_keys({"a": [1, {"b": 2}], "c": (3,)}) == [[1, [2]], [3]]
 
 
-@test("a dump has a line for each entry, with its section first")
+@test("recorded histories: a dump has a line for each entry, starting with its section")
 def _() -> None:
     dump = StringIO()
     digest_recorder = recorder.Recorder(dump)
@@ -64,7 +64,7 @@
     assert digest_recorder.summary()["tries"]["count"] == digest_recorder.summary()["end"]["count"] == 1
 
 
-@test("a part is spread over all plays")
+@test("recorded histories: a part is evenly spaced over all plays")
 def _() -> None:
     names = [str(number) for number in range(10)]
     assert recording.evenly_spaced(names, 3) == ["0", "3", "6"]
