--- a/ashlift/simulation/bandwidth_limited_network.py
+++ b/ashlift/simulation/bandwidth_limited_network.py
@@ -17,7 +17,7 @@
     def __init__(self, loop: EventLoop) -> None:
         super().__init__(loop)
         self.bytes_per_second: dict[str, float] = {}  # by machine
-        self.extra_delay: dict[str, float] = {}  # by machine, one way
+        self.link_delay: dict[str, float] = {}  # by machine, one way, besides `extra_delay`
         self.sent_payloads: dict[str, list[int]] = {}  # bytes of each payload, by receiver
         self._free_at: dict[tuple[str, bool], float] = {}  # by machine and whether outgoing
         self._message_bytes = CALL_OVERHEAD_BYTES
@@ -30,8 +30,8 @@
             if rate:
                 start = max(sent_at, self._free_at.get((name, is_outgoing), 0.0))
                 sent_at = self._free_at[name, is_outgoing] = start + self._message_bytes / rate
-        extra_delay = self.extra_delay.get(source.name, 0.0) + self.extra_delay.get(destination.name, 0.0)
-        return sent_at - self.loop.now + extra_delay + super().delay(source, destination)
+        link_delay = self.link_delay.get(source.name, 0.0) + self.link_delay.get(destination.name, 0.0)
+        return sent_at - self.loop.now + link_delay + super().delay(source, destination)
 
     def _send(self, call: RpcCall, connection: Connection, timeout: float, future: Future) -> None:
         self._message_bytes = CALL_OVERHEAD_BYTES
--- a/ashlift/simulation/catch_up_world.py
+++ b/ashlift/simulation/catch_up_world.py
@@ -277,7 +277,7 @@
         case = self.case
         self.net.machines[name].powered = True
         self.net.bytes_per_second[name] = case.link_mbit * 1e6 / 8
-        self.net.extra_delay[name] = case.extra_delay
+        self.net.link_delay[name] = case.extra_delay
         self.net.sent_payloads.clear()
 
     def _observe(self, name: str, acknowledged_while_down: int) -> CatchUpResult:
