--- a/ashlift/simulation/narrow_network.py
+++ b/ashlift/simulation/bandwidth_limited_network.py
@@ -1,4 +1,4 @@
-"""A simulated network whose links have a width. All times are in seconds."""
+"""A simulated network with links of limited bandwidth. All times are in seconds."""
 
 from typing import Final
 
@@ -8,30 +8,30 @@
 from ashlift.simulation.network import SimulatedNetwork
 from ashlift.simulation.process import Connection, Machine, RpcCall
 
-CALL_OVERHEAD_BYTES: Final = 40  # of a call besides its payload, about
+CALL_OVERHEAD_BYTES: Final = 40  # approximate size of a call without its payload
 
 
-class NarrowNetwork(SimulatedNetwork):
-    """Links with a width: the bytes of a machine queue, each way."""
+class BandwidthLimitedNetwork(SimulatedNetwork):
+    """Queues the bytes that a machine sends, and those that it receives, at the bandwidth of its link."""
 
     def __init__(self, loop: EventLoop) -> None:
         super().__init__(loop)
         self.bytes_per_second: dict[str, float] = {}  # by machine
-        self.far_delay: dict[str, float] = {}  # by machine, in addition, each way
-        self.sent_payloads: dict[str, list[int]] = {}  # bytes of each payload, by the machine that gets it
-        self._free_at: dict[tuple[str, bool], float] = {}  # by machine and direction
+        self.link_delay: dict[str, float] = {}  # by machine, one way, besides `extra_delay`
+        self.sent_payloads: dict[str, list[int]] = {}  # bytes of each payload, by receiver
+        self._free_at: dict[tuple[str, bool], float] = {}  # by machine and whether outgoing
         self._message_bytes = CALL_OVERHEAD_BYTES
 
     def delay(self, source: Machine, destination: Machine) -> float:
-        """Draw the time that a message takes, its wait for those before it included."""
+        """Return the delay of a message, including its wait for queued messages."""
         sent_at = self.loop.now
         for name, is_outgoing in ((source.name, True), (destination.name, False)):
             rate = self.bytes_per_second.get(name)
             if rate:
                 start = max(sent_at, self._free_at.get((name, is_outgoing), 0.0))
                 sent_at = self._free_at[name, is_outgoing] = start + self._message_bytes / rate
-        far = self.far_delay.get(source.name, 0.0) + self.far_delay.get(destination.name, 0.0)
-        return sent_at - self.loop.now + far + super().delay(source, destination)
+        link_delay = self.link_delay.get(source.name, 0.0) + self.link_delay.get(destination.name, 0.0)
+        return sent_at - self.loop.now + link_delay + super().delay(source, destination)
 
     def _send(self, call: RpcCall, connection: Connection, timeout: float, future: Future) -> None:
         self._message_bytes = CALL_OVERHEAD_BYTES
--- a/ashlift/simulation/explorer_transition.py
+++ b/ashlift/simulation/explorer_transition.py
@@ -1,7 +1,7 @@
-"""One step of an explored cluster: a real replica takes an event, and its effects are done.
+"""One step of an explored cluster: a real replica handles an event, and its effects are applied.
 
-A `Transition` is changed in place until `finish`. What may befall a write gives a state each
-(`simulation.explorer_steps`).
+A `Transition` is mutable until `finish` returns the new state. `simulation.explorer_steps` repeats it
+with each fault of each durable write.
 """
 
 from collections import deque
@@ -34,30 +34,32 @@
 )
 from ashlift.simulation.invariant_checker import decide_history_command
 
-LINK_DELAY_SECONDS: Final = 0.004  # of a message, when nothing befalls it
-FREEZE_SECONDS: Final = 1.6  # long enough for another to lead meanwhile
-RESTART_SECONDS: Final = 0.3  # a process that is gone comes back after so long
-WRITE_FATES: Final = ("refused", "missing", "half", "there")  # all but the first: the process is gone
+LINK_DELAY_SECONDS: Final = 0.004  # of a message without a fault
+FREEZE_SECONDS: Final = 1.6  # long enough for the election of another leader
+RESTART_SECONDS: Final = 0.3  # from the end of a process until its next start
+# Faults of a write: the disk reports an error, or the process crashes with nothing written, with only the
+# snapshot written, or with both the snapshot and the vote written.
+WRITE_FAULTS: Final = ("refused", "missing", "half", "there")
 WRITTEN: Final = "kept"
 
 
 class Transition(ExplorerClients):
-    """One step under way. `failing_write` is the number of the write that meets the `fate`, -1: none."""
+    """One step in progress. Write number `faulty_write` fails with `write_fault`; -1: none fails."""
 
-    def __init__(self, state: ClusterState, failing_write: int = -1, fate: str = "") -> None:
+    def __init__(self, state: ClusterState, faulty_write: int = -1, write_fault: str = "") -> None:
         super().__init__(state)
-        self._failing_write = failing_write
-        self._fate = fate
-        self._copied: set[str] = set()  # machines that this step has changed
+        self._faulty_write = faulty_write
+        self._write_fault = write_fault
+        self._copied: set[str] = set()  # machines whose state is this step's own copy
         self.writes: list[PersistState] = []
 
-    # ---- what happens
-    def take(self, event: PendingMessage | str) -> None:
-        """Let a message come, or the timer of a machine end."""
+    # ---- events and faults
+    def process_event(self, event: PendingMessage | str) -> None:
+        """Deliver a message, or fire the timer of the machine named by `event`."""
         if isinstance(event, str):
             self.now = max(self.now, self.machines[event].timer_due())
-            self._own_replica(event)
-            self._change(event, timer_ended_at=self.now)
+            self._mutable_replica(event)
+            self._update_machine(event, timer_fired_at=self.now)
             self.handle_event(event, ClockTicked())
             return
         self.messages.remove(event)
@@ -73,10 +75,10 @@
                 request = RequestReceived(reference, reference.method, event.body)
                 self.handle_event(event.to, request)
             case _:
-                self._take_answer(event)
+                self._process_answer(event)
 
-    def _take_answer(self, message: PendingMessage) -> None:
-        """An answer or the time-out of a call: the first of both counts."""
+    def _process_answer(self, message: PendingMessage) -> None:
+        """Deliver the answer or the timeout of a call, whichever comes first; ignore the other."""
         reference: CallReference = message.reference
         is_same_process = self.machines[message.to].incarnation == reference.caller_incarnation
         if reference.number not in self.pending_calls or not is_same_process:
@@ -92,13 +94,13 @@
         self.handle_event(message.to, response)
 
     def start(self, ip: str, bootstrap: bool = False) -> None:
-        """Start the process of a machine, unless it runs."""
+        """Start the process of a machine unless it is running."""
         machine = self.machines[ip]
         if machine.replica is not None:
             return
         rules = self.state.rules
         ips = list(self.machines)
-        has_other_seeds = rules.other_seeds and not bootstrap
+        has_other_seeds = rules.restart_with_last_seeds and not bootstrap
         seeds = ips[-rules.seeds :] if has_other_seeds else ips[: rules.seeds]
         incarnation = machine.incarnation + 1
         replica = Replica(
@@ -110,13 +112,13 @@
             decide_history_command,
             FixedRandom(int(ip), incarnation),
         )
-        self._change(ip, replica=replica, incarnation=incarnation)
+        self._update_machine(ip, replica=replica, incarnation=incarnation)
         self._perform(ip, replica, replica.start(self.now))
 
     def kill(self, ip: str) -> "Transition":
-        """End the process of a machine; it is started again later."""
+        """Kill the process of a machine and schedule its restart."""
         if self.machines[ip].replica is not None:
-            self._change(ip, replica=None, frozen_until=-1.0)
+            self._update_machine(ip, replica=None, frozen_until=-1.0)
             self.pending_calls -= {
                 message.reference.number
                 for message in self.messages
@@ -129,24 +131,24 @@
         return self
 
     def wipe(self, ip: str) -> "Transition":
-        """End the process of a machine, and put an empty disk in place of its own."""
+        """Kill the process of a machine and replace its disk with an empty one."""
         self.kill(ip)
-        self._change(ip, vote=None, snapshot=None, disk_number=self.machines[ip].disk_number + 1)
+        self._update_machine(ip, vote=None, snapshot=None, disk_number=self.machines[ip].disk_number + 1)
         return self
 
     def freeze(self, ip: str, clients_first: bool) -> "Transition":
-        """Freeze the process of a machine for a while."""
+        """Freeze the process of a machine for `FREEZE_SECONDS`; delay what is due to it until then."""
         until = round(self.now + FREEZE_SECONDS, 6)
-        self._change(ip, frozen_until=until, clients_first=clients_first)
+        self._update_machine(ip, frozen_until=until, clients_first=clients_first)
         self.messages = [
             evolve(message, due=max(message.due, until)) if message.to == ip else message
             for message in self.messages
         ]
         return self
 
-    def end_timer_early(self, ip: str) -> "Transition":
-        """Let the election timer of a machine end now."""
-        replica = self._own_replica(ip)
+    def fire_timer_early(self, ip: str) -> "Transition":
+        """Fire the election timer of a machine now."""
+        replica = self._mutable_replica(ip)
         assert replica is not None
         replica.election.deadline = self.now
         self.handle_event(ip, ClockTicked())
@@ -154,25 +156,27 @@
 
     # ---- replicas and their effects
     def handle_event(self, ip: str, event: Any) -> None:
-        """Let the replica of a machine handle an event, if its process runs."""
-        replica = self._own_replica(ip)
+        """Pass an event to the replica of a machine, if its process is running."""
+        replica = self._mutable_replica(ip)
         if replica is not None:
             self._perform(ip, replica, replica.handle(self.now, event))
 
-    def _own_replica(self, ip: str) -> Replica | None:
-        """The replica of a machine, as a copy that this step may change."""
+    def _mutable_replica(self, ip: str) -> Replica | None:
+        """Return the replica of a machine as a copy that this step may mutate."""
         if ip not in self._copied and self.machines[ip].replica is not None:
-            self._change(ip, replica=self.copy_of_replica(ip))
+            self._update_machine(ip, replica=self.copy_of_replica(ip))
         return self.machines[ip].replica
 
-    def _change(self, ip: str, **changes: Any) -> None:
+    def _update_machine(self, ip: str, **changes: Any) -> None:
         self._copied.add(ip)
         self.machines[ip] = evolve(self.machines[ip], **changes)
 
     def _perform(self, ip: str, replica: Replica, effects: list[Any]) -> None:
         remaining = deque(effects)
         while remaining:
-            if replica.leader_role is not None:  # before a write that it may not outlive
+            if (
+                replica.leader_role is not None
+            ):  # checked before each effect: a failing write may end the process
                 disks = [(other, one.vote, one.snapshot) for other, one in self.machines.items()]
                 self.invariants = self.invariants.check_commit(replica, disks)
             effect = remaining.popleft()
@@ -204,14 +208,14 @@
                 self.invariants = self.invariants.record_leader(term, replica, incarnation)
 
     def _write(self, ip: str, write: PersistState) -> str:
-        """Do a write with its fate; returns that."""
+        """Store the state, or fail with the write fault; returns the outcome."""
         self.writes.append(write)
-        outcome = self._fate if len(self.writes) - 1 == self._failing_write else WRITTEN
+        outcome = self._write_fault if len(self.writes) - 1 == self._faulty_write else WRITTEN
         if write.snapshot is not None and outcome in (WRITTEN, "half", "there"):
-            self._change(ip, snapshot=write.snapshot)
+            self._update_machine(ip, snapshot=write.snapshot)
         if write.vote is not None and outcome in (WRITTEN, "there"):
-            self._change(ip, vote=write.vote)
-        if outcome in WRITE_FATES[1:]:
+            self._update_machine(ip, vote=write.vote)
+        if outcome in WRITE_FAULTS[1:]:
             self.kill(ip)
         return outcome
 
@@ -225,7 +229,7 @@
             (request.peer, request.context),
         )
         self.pending_calls.add(self.count)
-        if not self.state.rules.any_order:  # where nothing is known of time, nobody gives up
+        if not self.state.rules.any_order:  # calls time out only when time is simulated
             failure = Failure(FailureReason.OUTCOME_UNKNOWN)
             self.post("timeout", ip, reference, CALL_TIMEOUT_SECONDS, failure)
         self.post("call", request.peer, reference, LINK_DELAY_SECONDS, request.body)
--- a/ashlift/simulation/replica_host.py
+++ b/ashlift/simulation/replica_host.py
@@ -1,7 +1,7 @@
-"""Replicas of the store on simulated time: their events, durable writes and messages.
+"""Runs replicas of the configuration store in simulated time: their events, durable writes and messages.
 
-Links lose, duplicate, delay and reorder messages, and are blocked one way or both ways. The order of the
-draws from `rng` is part of what a seed means. All times are in seconds.
+Links lose, duplicate, delay and reorder messages, and can be blocked in one or both directions. A seed is
+reproducible only while the order of the draws from `rng` stays the same. All times are in seconds.
 """
 
 import enum
@@ -38,18 +38,18 @@
 SLOW_LINK_FACTOR: Final = 30
 LATE_SECONDS: Final = 0.6
 DUPLICATE_DELAY_FACTOR: Final = 3
-RESTART_SECONDS: Final = 0.5  # after a handover
+RESTART_SECONDS: Final = 0.5  # from the end of a leadership handover to the next start
 
 
-class Fate(enum.Enum):
-    """What happens to one message."""
+class MessageFault(enum.Enum):
+    """A fault of one message."""
 
     DROPPED = enum.auto()
     DUPLICATED = enum.auto()
     LATE = enum.auto()
 
 
-FateOfMessage = Callable[[str, str, str], Fate | None]  # sender, receiver, kind
+MessageFaultFunction = Callable[[str, str, str], MessageFault | None]  # sender, receiver, kind
 
 
 class ReplicaHost:
@@ -63,9 +63,9 @@
         self.now = 0.0
         self.step = 0
         self.nodes: dict[str, ReplicaNode] = {}
-        self.blocked_links: set[tuple[str, str]] = set()  # from, to
-        self.at_step: dict[int, Callable[[], None]] = {}  # what to do before that step
-        self.fate: FateOfMessage | None = None
+        self.blocked_links: set[tuple[str, str]] = set()  # (sender, receiver)
+        self.actions_by_step: dict[int, Callable[[], None]] = {}  # run before that step
+        self.message_fault: MessageFaultFunction | None = None
         self.invariants = InvariantChecker()
         self.voter_changes = 0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
@@ -75,33 +75,33 @@
 
     # ---- time
     def call_later(self, delay: float, action: Callable[[], None]) -> None:
-        """Run the action after the delay."""
+        """Schedule the action after the delay."""
         self._sequence += 1
         heapq.heappush(self._heap, (self.now + delay, self._sequence, action))
 
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
-        """Run for so long, or until the condition holds; returns whether it does."""
+        """Run for `seconds`, or until the condition holds; returns whether it holds."""
         end = self.now + seconds
         while self._heap and self._heap[0][0] <= end:
             if until is not None and until():
                 return True
             self.now, _, action = heapq.heappop(self._heap)
             self.step += 1
-            if self.step in self.at_step:
-                self.at_step.pop(self.step)()
+            if self.step in self.actions_by_step:
+                self.actions_by_step.pop(self.step)()
             action()
         self.now = end
         return until is not None and until()
 
     # ---- processes
     def start(self, ip: str) -> None:
-        """Start the process of a machine, unless it runs or the machine is lost."""
+        """Start the process of a machine unless it is running or the machine is lost."""
         raise NotImplementedError
 
     def kill(self, ip: str) -> None:
-        """End the process. A write under way is done, not begun, or half done: the state without the vote."""
+        """Kill the process. Of a pending write, nothing, only the snapshot or all of it is stored."""
         node = self.nodes[ip]
-        write, node.write = node.write, None
+        write, node.pending_write = node.pending_write, None
         node.replica = None
         if write is not None:
             written_parts = self.rng.randrange(3)
@@ -111,11 +111,11 @@
                 node.vote = write.vote
 
     def clock(self, node: ReplicaNode) -> float:
-        """Return the time of the node's steady clock."""
+        """Return the time of the node's monotonic clock."""
         return self.now + node.clock_offset
 
     def tick(self, node: ReplicaNode, incarnation: int) -> None:
-        """Tell the replica the time, again and again."""
+        """Send the replica a clock tick, and schedule the next one."""
         if node.incarnation != incarnation or node.replica is None:
             return
         if node.frozen_events is None:
@@ -126,7 +126,7 @@
             self.call_later(delay, lambda: self.tick(node, incarnation))
 
     def handle_event(self, node: ReplicaNode, incarnation: int, event: Any) -> None:
-        """Let the replica handle an event, or keep it while the process is frozen."""
+        """Pass an event to the replica, or queue it while the process is frozen."""
         if node.incarnation != incarnation or node.replica is None:
             return
         if node.frozen_events is not None:
@@ -135,7 +135,7 @@
         self.perform(node, node.replica.handle(self.clock(node), event))
 
     def perform(self, node: ReplicaNode, effects: list[Any]) -> None:
-        """Perform the effects of a replica, and check its invariants."""
+        """Apply the effects of a replica and check its invariants."""
         for effect in effects:
             match effect:
                 case SendRequest():
@@ -157,15 +157,15 @@
 
     # ---- disks
     def _start_write(self, node: ReplicaNode, write: PersistState) -> None:
-        node.write = write
+        node.pending_write = write
         seconds = self.rng.uniform(*DISK_WRITE_SECONDS) + node.disk_delay
         self.call_later(seconds, functools.partial(self._finish_write, node, node.incarnation))
 
     def _finish_write(self, node: ReplicaNode, incarnation: int) -> None:
-        write = node.write
+        write = node.pending_write
         if node.incarnation != incarnation or write is None:
             return
-        node.write = None
+        node.pending_write = None
         if node.disk_fails:
             if write.snapshot is not None and self.rng.random() < 0.5:
                 node.snapshot = write.snapshot
@@ -181,14 +181,14 @@
             SLOW_LINK_FACTOR if self.rng.random() < self.slow_rate else 1
         )
 
-    def _carry(self, sender: str, receiver: str, kind: str, deliver: Callable[[], None]) -> None:
+    def _transmit(self, sender: str, receiver: str, kind: str, deliver: Callable[[], None]) -> None:
         if (sender, receiver) in self.blocked_links or self.rng.random() < self.loss_rate:
             return
-        fate = self.fate(sender, receiver, kind) if self.fate else None
-        if fate is Fate.DROPPED:
+        fault = self.message_fault(sender, receiver, kind) if self.message_fault else None
+        if fault is MessageFault.DROPPED:
             return
-        self.call_later(self._delay() + (LATE_SECONDS if fate is Fate.LATE else 0.0), deliver)
-        if fate is Fate.DUPLICATED or self.rng.random() < self.duplicate_rate:
+        self.call_later(self._delay() + (LATE_SECONDS if fault is MessageFault.LATE else 0.0), deliver)
+        if fault is MessageFault.DUPLICATED or self.rng.random() < self.duplicate_rate:
             self.call_later(self._delay() * DUPLICATE_DELAY_FACTOR, deliver)
 
     def _send_request(self, node: ReplicaNode, request: SendRequest) -> None:
@@ -207,7 +207,7 @@
             reason = FailureReason.OUTCOME_UNKNOWN if target.replica else FailureReason.UNREACHABLE
             self._finish_call(node, call, request, sent_at, Failure(reason))
 
-        self._carry(node.ip, request.peer, request.method, arrive)
+        self._transmit(node.ip, request.peer, request.method, arrive)
         self.call_later(CALL_TIMEOUT_SECONDS, time_out)
 
     def _send_reply(self, node: ReplicaNode, reply: SendReply) -> None:
@@ -216,7 +216,7 @@
         if isinstance(decoded, VoteRequest) and isinstance(reply.body, list):
             self._record_vote(node, decoded, reply.body)
         caller = self.nodes[call[0]]
-        self._carry(
+        self._transmit(
             node.ip,
             caller.ip,
             "answer",
@@ -226,7 +226,7 @@
     def _finish_call(
         self, caller: ReplicaNode, call: tuple[str, int, int], request: SendRequest, sent_at: float, body: Any
     ) -> None:
-        """The first answer has come, or the time-out."""
+        """Deliver the first answer or the timeout of a call, whichever comes first; ignore all others."""
         if call in self._pending_calls:
             self._pending_calls.discard(call)
             response = ResponseReceived(request.peer, request.method, sent_at, request.context, body)
@@ -234,7 +234,7 @@
 
     def _answer_client(self, call: ClientCall, body: Any) -> None:
         if call.answer is not None:
-            raise AssertionError("answered twice")
+            raise AssertionError(f"{call.kind} call of {call.started:.3f} s was answered twice")
         call.ended = self.now
         call.answer = history_of(body) if isinstance(body, Snapshot) else body
 
