--- a/ashlift/simulation/explorer_clients.py
+++ b/ashlift/simulation/explorer_clients.py
@@ -26,7 +26,7 @@
 CLIENT_TIMEOUT_SECONDS: Final = 1.0
 FENCE_REMAINING_SECONDS: Final = 0.9  # left of the timeout when a registry forwards a command
 DELAYED_CALL_SECONDS: Final = CLIENT_TIMEOUT_SECONDS + 0.1  # arrives after its client gave up
-AGREEMENT_SECONDS: Final = 8.0  # from the last fault until the cluster must have recovered
+AGREEMENT_SECONDS: Final = 8.0  # for the cluster to recover, from the end of the faults
 AGREEMENT: Final = ("agree", "settled")  # ends each script: a put is accepted, and a read returns
 
 
@@ -92,7 +92,7 @@
         """Submit the next line once the previous one was answered or has timed out."""
         if self.now > self.state.faults_until + AGREEMENT_SECONDS:
             raise InvariantViolationError(
-                f"no put and read succeeded within {AGREEMENT_SECONDS:g} s after the last fault"
+                f"no put and read succeeded within {AGREEMENT_SECONDS:g} s after the end of the faults"
             )
         if not self._line_answered and self.now < self._line_submitted_at + CLIENT_TIMEOUT_SECONDS:
             return
@@ -214,8 +214,8 @@
             self._record_read(call, ended, body)
             return self._script[:1] == AGREEMENT[1:]
         if isinstance(body, Failure):
-            was_not_begun = body.reason in (FailureReason.UNAVAILABLE, FailureReason.EXPIRED)
-            if number in self._client_calls and was_not_begun:
+            was_not_proposed = body.reason in (FailureReason.UNAVAILABLE, FailureReason.EXPIRED)
+            if number in self._client_calls and was_not_proposed:
                 del self._client_calls[number]
             return False
         if number in self._client_calls and self._client_calls[number].evacuation:
--- a/ashlift/simulation/explorer_transition.py
+++ b/ashlift/simulation/explorer_transition.py
@@ -174,9 +174,8 @@
     def _perform(self, ip: str, replica: Replica, effects: list[Any]) -> None:
         remaining = deque(effects)
         while remaining:
-            if (
-                replica.leader_role is not None
-            ):  # checked before each effect: a failing write may end the process
+            # Checked before each effect, as a failing write may end the process.
+            if replica.leader_role is not None:
                 disks = [(other, one.vote, one.snapshot) for other, one in self.machines.items()]
                 self.invariants = self.invariants.check_commit(replica, disks)
             effect = remaining.popleft()
--- a/ashlift/simulation/invariant_checker.py
+++ b/ashlift/simulation/invariant_checker.py
@@ -158,7 +158,7 @@
         holders = [
             ip
             for ip, vote, snapshot in disks
-            if ip in voters and _holds(entries, ip, vote, snapshot, committed.term_index)
+            if ip in voters and _holds_committed_map(entries, ip, vote, snapshot, committed.term_index)
         ]
         if len(holders) < quorum(len(voters)):
             raise InvariantViolationError(
@@ -178,7 +178,7 @@
         raise InvariantViolationError(f"M4: leader {replica.ip} is not a voter of its proposed map")
 
 
-def _holds(
+def _holds_committed_map(
     entries: Mapping[str, Any],
     ip: str,
     vote: PersistentVote | None,
