--- a/ashlift/lab/system/__init__.py
+++ b/ashlift/lab/system/__init__.py
@@ -1,1 +1,1 @@
-"""The whole system as processes on loopback, under the scenarios and checkers of `ashlift.simulation`."""
+"""Runs the whole system as processes on loopback, with the scenarios and checkers of `ashlift.simulation`."""
--- a/ashlift/lab/system/accepted_requests.py
+++ b/ashlift/lab/system/accepted_requests.py
@@ -1,7 +1,7 @@
-"""Whether requests were answered that a proxy had to answer because it still accepted them. Pure.
+"""Checks that a proxy answered every request that arrived while it still accepted requests. Pure.
 
-The rule LOST counts a request only once it was passed on, or kept for a while. A client has lost its request
-all the same where the proxy closes a connection on which it lies unread.
+The rule LOST counts a request only once it was forwarded or queued for a while. It misses a request that is
+still unread when the proxy closes the connection; the rule here counts that one too.
 """
 
 import math
@@ -13,27 +13,27 @@
 from ashlift.simulation.history import History, Request
 
 VERDICT_NAME: Final = "ACCEPTED"
-MARGIN_SECONDS: Final = 0.02  # between what clients and the proxy take for the moment of a SIGTERM
+MARGIN_SECONDS: Final = 0.02  # clients and the proxy disagree slightly on the time of a SIGTERM
 MAX_NAMED_REQUESTS: Final = 3
 
 
 def unanswered_requests(history: History, grace: float) -> Iterator[Request]:
-    """Requests that were written in time, and whose connection a healthy proxy closed without an answer.
+    """Yield requests sent in time whose connection a healthy proxy closed without an answer.
 
-    `grace`: `Grace`, in seconds.
+    `grace`: the setting `Grace`, in seconds.
     """
     for request in history.requests:
         if not request.connection_broken or math.isinf(request.received):
             continue
-        if _proxy_had_a_fault(history, request) or _worker_broke_off(history, request):
+        if _had_other_fault(history, request) or _worker_ended(history, request):
             continue
-        told_at = _told_to_end_at(history, request, grace)
-        if told_at is None or request.received < told_at + accept_seconds(grace) - MARGIN_SECONDS:
+        shutdown_at = _shutdown_time(history, request, grace)
+        if shutdown_at is None or request.received < shutdown_at + accept_seconds(grace) - MARGIN_SECONDS:
             yield request
 
 
 def accepted_verdict(history: History, grace: float) -> Verdict:
-    """The verdict on all requests of a run."""
+    """Return the verdict on all requests of a run."""
     unanswered = list(unanswered_requests(history, grace))
     if not unanswered:
         return Verdict(VERDICT_NAME, True, "every request that a proxy accepted was answered")
@@ -43,10 +43,10 @@
     return Verdict(VERDICT_NAME, False, f"{len(unanswered)} were not answered: {named}")
 
 
-def _told_to_end_at(history: History, request: Request, grace: float) -> float | None:
-    """When the proxy was told to end that had to read the request; None: it was not.
+def _shutdown_time(history: History, request: Request, grace: float) -> float | None:
+    """Return when the proxy of the request began to shut down, None if it did not.
 
-    A further SIGTERM changes nothing: the time that counts is that of the first one in `Grace`.
+    Later SIGTERMs within `grace` of the first one have no effect.
     """
     first: float | None = None
     for at in history.terminations.get(request.proxy, ()):
@@ -55,8 +55,8 @@
     return first
 
 
-def _proxy_had_a_fault(history: History, request: Request) -> bool:
-    """Whether it had another fault than to be told to end."""
+def _had_other_fault(history: History, request: Request) -> bool:
+    """Whether the proxy had a fault other than a SIGTERM during the request."""
     terminations = history.terminations.get(request.proxy, ())
     return any(
         interval.overlaps(request.sent, request.ended) and interval.started not in terminations
@@ -64,5 +64,5 @@
     )
 
 
-def _worker_broke_off(history: History, request: Request) -> bool:
+def _worker_ended(history: History, request: Request) -> bool:
     return any(history.workers[arrival.worker].ended <= request.ended for arrival in request.arrivals)
--- a/ashlift/lab/system/commands.py
+++ b/ashlift/lab/system/commands.py
@@ -1,4 +1,4 @@
-"""The commands `ashlift lab system` and `ashlift lab sim`: play scenarios and print verdicts."""
+"""The commands `ashlift lab system` and `ashlift lab sim`: run scenarios and print verdicts."""
 
 import sys
 import time
@@ -16,10 +16,10 @@
 from ashlift.simulation import shrinking
 from ashlift.simulation.scenario import Scenario, ScenarioEvent, read_scenarios
 
-MAX_LAG_SECONDS: Final = 0.5  # later than this, what a scenario expects by a time says little
+MAX_LAG_SECONDS: Final = 0.5  # with more lag, deadlines in a scenario are unreliable
 TIME_FORMAT: Final = "%Y-%m-%dT%H:%M:%S"
-STOPPED_STATUS: Final = 130  # as a shell has it for SIGINT
-CLEARED_COLUMNS: Final = 50  # of the line of progress that an event's line replaces
+STOPPED_STATUS: Final = 130  # the shell convention for SIGINT: 128 + 2
+PROGRESS_LINE_COLUMNS: Final = 50  # overwritten when an event is printed
 
 
 def read_scenario_file(path: Path) -> list[Scenario]:
@@ -31,7 +31,7 @@
 
 
 def summarize(verdicts: list[Verdict]) -> str:
-    """Return one line for the end of a run: how many verdicts held, and the names of those that did not."""
+    """Return the last line of a run: how many verdicts passed, and the names of those that failed."""
     broken = [verdict.name for verdict in verdicts if not verdict.ok]
     text = f"held: {len(verdicts) - len(broken)} of {len(verdicts)} verdicts"
     return f"{text}; broken: {', '.join(broken)}" if broken else text
@@ -45,12 +45,12 @@
     report_file: Path | None,
     keep_files: bool,
 ) -> int:
-    """Play each scenario of a file on real processes and return the exit status.
+    """Run each scenario of a file on real processes and return the exit status.
 
-    `seed`: in place of the scenarios' own; `until`: seconds of each that are played; `report_file`: where the
-    last run's report goes. Raises ClickException for a scenario that cannot be played.
+    `seed` overrides the seeds of the scenarios; `until` ends each scenario after that many seconds;
+    `report_file` receives the report of the last run. Raises ClickException for an unsupported scenario.
     """
-    scenarios = _playable_scenarios(scenario_file, until)
+    scenarios = _read_supported_scenarios(scenario_file, until)
     results = Results(results_file)
     all_ok = True
     for scenario in scenarios:
@@ -72,7 +72,7 @@
     return 0 if all_ok else 1
 
 
-def _playable_scenarios(scenario_file: Path, until: float | None) -> list[Scenario]:
+def _read_supported_scenarios(scenario_file: Path, until: float | None) -> list[Scenario]:
     scenarios = read_scenario_file(scenario_file)
     if until is not None:
         scenarios = [scenario.shortened(until) for scenario in scenarios]
@@ -97,7 +97,7 @@
 
 
 def _print_event(event: ScenarioEvent) -> None:
-    click.echo(f"\r  {event}{' ' * CLEARED_COLUMNS}", err=True)
+    click.echo(f"\r  {event}{' ' * PROGRESS_LINE_COLUMNS}", err=True)
 
 
 def _print_and_save(run: PlayedRun, results: Results, results_file: Path, began: str) -> int:
@@ -107,8 +107,8 @@
         click.echo(verdict.line())
     if run.max_lag > MAX_LAG_SECONDS:
         click.echo(
-            f"the machine is full: this process came {run.max_lag:.2f} s late, and what the scene "
-            "expects by a time may have failed for that"
+            f"the machine is overloaded: the lab process lagged by up to {run.max_lag:.2f} s, so "
+            "expectations with a deadline may have failed for that reason"
         )
     number = run.save(results, current_commit(), began, "processes")
     click.echo(f"run {number} in {results_file}, {run.duration:.1f} s")
@@ -119,9 +119,9 @@
 def run_simulated(
     scenario_file: Path, seed_count: int, first_seed: int | None, results_file: Path | None, shrink: bool
 ) -> int:
-    """Play each scenario of a file on simulated time with several seeds and return the exit status.
+    """Run each scenario of a file on simulated time with several seeds and return the exit status.
 
-    `first_seed`: in place of the scenarios' own; `results_file`: where runs are saved; `shrink`: print a
+    `first_seed` overrides the seeds of the scenarios; runs are saved to `results_file`; `shrink` prints a
     shorter scenario for each run that fails.
     """
     results = Results(results_file) if results_file else None
--- a/ashlift/lab/system/kept_connections.py
+++ b/ashlift/lab/system/connection_pool.py
@@ -1,6 +1,6 @@
-"""Connections of clients that are kept open and used again until their proxy ends them.
+"""A pool of keep-alive connections, reused until the proxy closes them.
 
-Programs that end must not lose what arrives on such connections, so the lab's clients have many of them.
+A proxy that shuts down must not lose requests on keep-alive connections; the clients of the lab test this.
 """
 
 import time
@@ -12,14 +12,14 @@
 
 from ashlift.errors import Failure
 from ashlift.gatekeeper.net.replies import Reply
-from ashlift.lab.system.http_exchange import Address, connect, converse
+from ashlift.lab.system.http_exchange import Address, connect, exchange_on
 from ashlift.rpc.sockets import has_unread_input
 
 MAX_IDLE_PER_ADDRESS: Final = 8
 
 
-class KeptConnections:
-    """Idle connections by address; one is used by one exchange at a time."""
+class ConnectionPool:
+    """Idle connections by address; a connection serves one exchange at a time."""
 
     def __init__(self) -> None:
         self._idle: defaultdict[Address, list[socket.socket]] = defaultdict(list)
@@ -31,26 +31,27 @@
         timeout: float,
         connect_timeout: float,
         on_sent: Callable[[], None],
-        use_kept: bool,
+        reuse: bool,
     ) -> Reply | Failure:
         """Send a request and return its answer, as `http_exchange.exchange` does.
 
-        `use_kept`: on an idle connection, if there is one. The connection is kept if the answer allows it.
+        `reuse`: use an idle connection if there is one. The connection is returned to the pool if the answer
+        allows keep-alive.
         """
         deadline = time.monotonic() + timeout
-        sock = self._take(address) if use_kept else None
+        sock = self._take_idle(address) if reuse else None
         connection = sock or connect(address, min(timeout, connect_timeout))
         if isinstance(connection, Failure):
             return connection
-        answer = converse(connection, request, deadline, on_sent)
+        answer = exchange_on(connection, request, deadline, on_sent)
         if isinstance(answer, Reply) and answer.keep and len(self._idle[address]) < MAX_IDLE_PER_ADDRESS:
             self._idle[address].append(connection)
         else:
             connection.close()
         return answer
 
-    def _take(self, address: Address) -> socket.socket | None:
-        """The connection that was used last and whose peer has not closed it."""
+    def _take_idle(self, address: Address) -> socket.socket | None:
+        """Return the most recently used connection that its peer has not closed, None if there is none."""
         idle = self._idle[address]
         while idle:
             sock = idle.pop()
--- a/ashlift/lab/system/control_calls.py
+++ b/ashlift/lab/system/control_calls.py
@@ -1,7 +1,7 @@
-"""Calls of workers, clients and operators to core machines, as HTTP/1.1.
+"""Carries the calls of workers, clients and operators to core machines over HTTP/1.1.
 
-`encode_call` and `decode_answer` alone know both forms: that of the simulator's roles (method and body) and
-that of the HTTP protocol. `HttpNetwork` carries the calls.
+`encode_call` and `decode_answer` translate between the calls of the simulator's roles (method and body) and
+the HTTP protocol. `HttpNetwork` sends the calls.
 """
 
 import json
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class HttpCall:
-    """A request to a core machine; `value`: its body as JSON, None for no body; `headers`: `_` for `-`."""
+    """A request to a core machine; `value`: the JSON body or None; names of `headers` have `_` for `-`."""
 
     method: str
     target: str
@@ -40,12 +40,12 @@
 
     @property
     def body(self) -> bytes:
-        """The bytes of the body."""
+        """The encoded body."""
         return b"" if self.value is None else json.dumps(self.value).encode()
 
 
 def encode_call(method: str, body: Any) -> HttpCall:
-    """Return the request for a call of a simulated role. Raises ValueError for a method it never calls."""
+    """Return the request for a call of a simulated role. Raises ValueError for an unknown method."""
     match method:
         case RegistryMethod.LOOKUP:
             zone, region = body
@@ -87,13 +87,13 @@
 
 
 def decode_answer(method: str, answer: Reply, names: dict[str, str]) -> Any:
-    """Return (status, value) as the simulated roles expect it; `names`: of machines by their IP."""
+    """Return (status, value) as the simulated roles expect it; `names`: machine names by IP."""
     try:
         value = json.loads(b"".join(answer.parts) or b"null")
     except ValueError:
         return Failure(FailureReason.OUTCOME_UNKNOWN, "no JSON")
     if method == RegistryMethod.READ_CONFIG:
-        # The answer names no evacuations.
+        # The answer does not include evacuations.
         return answer.status, (value if answer.status == OK_STATUS else {}, None)
     if answer.status != OK_STATUS:
         return answer.status, value
@@ -106,7 +106,7 @@
 
 
 class HttpNetwork:
-    """The `Network` of workers, clients and operators: their calls go to core machines over HTTP."""
+    """The `Network` of workers, clients and operators, which sends their calls over HTTP."""
 
     def __init__(self, machines: list[LabMachine]) -> None:
         self.machines: dict[str, Machine] = {}
@@ -114,13 +114,13 @@
         self._ips = {machine.name: machine.ip for machine in machines}
 
     def call(self, call: RpcCall) -> Future:
-        """Begin an exchange on a connection of its own; the future becomes the answer or a Failure."""
+        """Start an exchange on a new connection; the future resolves to the answer or a Failure."""
         future = Future()
         gevent.spawn(lambda: future.set(self._exchange(call)))
         return future
 
     def reset_connections(self, process: Process) -> None:
-        """Do nothing: the kernel resets the connections of a process that has ended."""
+        """Do nothing: the kernel resets the connections of a process that exits."""
 
     def _exchange(self, call: RpcCall) -> Any:
         http_call = encode_call(call.method, call.body)
--- a/ashlift/lab/system/http_clients.py
+++ b/ashlift/lab/system/http_clients.py
@@ -1,4 +1,4 @@
-"""Clients on real sockets. What they ask, and when, is `ashlift.simulation.clients.ClientPopulation`."""
+"""Clients on real sockets; `ashlift.simulation.clients.ClientPopulation` decides what they send and when."""
 
 from collections.abc import Callable, Mapping
 from typing import Final
@@ -8,8 +8,8 @@
 
 from ashlift.errors import Failure, FailureReason
 from ashlift.gatekeeper.net.replies import Reply
+from ashlift.lab.system.connection_pool import ConnectionPool
 from ashlift.lab.system.http_exchange import TIMED_OUT, request_head
-from ashlift.lab.system.kept_connections import KeptConnections
 from ashlift.lab.system.machine_layout import FRONT_PORT
 from ashlift.lab.system.request_content import answer_fingerprint, content_of
 from ashlift.simulation.clients import CONNECT_TIMEOUT_SECONDS, ClientOperation, ClientPopulation
@@ -17,22 +17,22 @@
 from ashlift.simulation.history import HOST, History, Request
 from ashlift.simulation.process import Machine, Network
 
-MAX_REQUESTS: Final = 20_000  # of a run; beyond these nothing is sent
+MAX_REQUESTS: Final = 20_000  # of a run; further requests are not sent
 MIN_TIMEOUT_SECONDS: Final = 0.001
-KEPT_SHARE: Final = 0.7  # of requests that go on a connection used before, if there is one
-# What is sent to a proxy that was told to end, whether /lookup names it or not: spread over its last seconds,
-# and most of it around the moment at which it stops accepting connections.
-REQUESTS_BEFORE_END: Final = 3
-REQUESTS_AROUND_END: Final = 12
-AROUND_END_SECONDS: Final = (-0.06, 0.08)
+REUSE_PROBABILITY: Final = 0.7  # that a request uses an idle connection, if there is one
+# Requests to a proxy that is shutting down, sent even if /lookup no longer lists it: spread over the time in
+# which it accepts connections, with most of them around the end of that time.
+REQUESTS_WHILE_ACCEPTING: Final = 3
+REQUESTS_AROUND_CLOSE: Final = 12
+CLOSE_OFFSET_SECONDS: Final = (-0.06, 0.08)
 
 
 @attrs.frozen
 class ProxyAccess:
     """What clients need to reach proxies.
 
-    `ips`: of proxies by name; `sent_requests`: of all clients by attempt id, where each request is added
-    before it is sent; `incarnation`: of a proxy now.
+    `ips`: by proxy name; `sent_requests`: requests of all clients by attempt id, added before they
+    are sent; `incarnation`: returns the current incarnation of a proxy.
     """
 
     ips: Mapping[str, str]
@@ -41,7 +41,7 @@
 
 
 class HttpClients(ClientPopulation):
-    """The clients of one zone; a greenlet a request. Connections are kept, and used again."""
+    """The clients of one zone. Each request runs in a greenlet; connections are pooled."""
 
     def __init__(
         self,
@@ -55,19 +55,19 @@
     ) -> None:
         super().__init__(loop, net, machine, history, registries, rate_share)
         self._access = access
-        self._connections = KeptConnections()
+        self._connections = ConnectionPool()
 
-    def meet_end_of(self, proxy: str, accept_seconds: float) -> None:
-        """A proxy was told to end: go on asking it. `accept_seconds`: for which it accepts connections."""
+    def send_during_shutdown(self, proxy: str, accept_seconds: float) -> None:
+        """Keep sending to a proxy that shuts down. `accept_seconds`: how long it accepts connections."""
         rng = self.loop.rng
-        for _ in range(REQUESTS_BEFORE_END):
-            self.loop.call_later(rng.uniform(0.0, accept_seconds), self._ask_proxy, proxy)
-        for _ in range(REQUESTS_AROUND_END):
-            delay = accept_seconds + rng.uniform(*AROUND_END_SECONDS)
-            self.loop.call_later(max(0.0, delay), self._ask_proxy, proxy)
-
-    def _ask_proxy(self, proxy: str) -> None:
-        """Send a request of any pattern to this proxy."""
+        for _ in range(REQUESTS_WHILE_ACCEPTING):
+            self.loop.call_later(rng.uniform(0.0, accept_seconds), self._send_to_proxy, proxy)
+        for _ in range(REQUESTS_AROUND_CLOSE):
+            delay = accept_seconds + rng.uniform(*CLOSE_OFFSET_SECONDS)
+            self.loop.call_later(max(0.0, delay), self._send_to_proxy, proxy)
+
+    def _send_to_proxy(self, proxy: str) -> None:
+        """Send a request of a random pattern to this proxy."""
         if not self.patterns:
             return
         now = self.loop.now
@@ -81,11 +81,11 @@
         self.send_request(operation, request)
 
     def close_connections(self) -> None:
-        """Close the connections that are kept."""
+        """Close all idle connections."""
         self._connections.close()
 
     def send_request(self, operation: ClientOperation, request: Request) -> None:
-        """Begin to send the request to its proxy."""
+        """Start sending the request to its proxy."""
         if len(self._access.sent_requests) < MAX_REQUESTS:
             gevent.spawn(self._exchange, operation, request)
 
@@ -109,9 +109,9 @@
             request.received = self.loop.now
 
         address = (self._access.ips[request.proxy], FRONT_PORT)
-        use_kept = self.loop.rng.random() < KEPT_SHARE
+        reuse = self.loop.rng.random() < REUSE_PROBABILITY
         answer = self._connections.exchange(
-            address, head + content.body, timeout, CONNECT_TIMEOUT_SECONDS, record_received, use_kept
+            address, head + content.body, timeout, CONNECT_TIMEOUT_SECONDS, record_received, reuse
         )
         if isinstance(answer, Failure):
             self._handle_failure(operation, request, answer)
--- a/ashlift/lab/system/http_exchange.py
+++ b/ashlift/lab/system/http_exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 exchange, on a connection of its own or on one that is kept."""
+"""An HTTP/1.1 exchange, on a new or on an existing connection."""
 
 import time
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 Address = tuple[str, int]
 MIN_TIMEOUT_SECONDS: Final = 0.001
 RECEIVE_BYTES: Final = 65536
-TIMED_OUT: Final = "late"  # the detail of a Failure
+TIMED_OUT: Final = "late"  # detail of a Failure
 CLOSED: Final = "closed"
 
 
@@ -24,18 +24,18 @@
     on_sent: Callable[[], None] | None = None,
     connect_timeout: float | None = None,
 ) -> Reply | Failure:
-    """Send a request and return its answer; `on_sent` is called once all is written.
+    """Send a request on a new connection and return its answer; `on_sent` is called once it is written.
 
-    `timeout`: seconds for the whole exchange; `connect_timeout`: of these to connect. Failures: UNREACHABLE,
-    there was no connection; OUTCOME_UNKNOWN with detail TIMED_OUT; OUTCOME_UNKNOWN with another detail, the
-    connection ended without a complete answer.
+    `timeout`: seconds for the whole exchange; `connect_timeout`: seconds to connect. Failures: UNREACHABLE if
+    the connection could not be opened; OUTCOME_UNKNOWN with detail TIMED_OUT after a timeout; OUTCOME_UNKNOWN
+    with another detail if the connection ended without a complete answer.
     """
     deadline = time.monotonic() + timeout
     sock = connect(address, min(timeout, connect_timeout or timeout))
     if isinstance(sock, Failure):
         return sock
     try:
-        return converse(sock, head + body, deadline, on_sent)
+        return exchange_on(sock, head + body, deadline, on_sent)
     finally:
         sock.close()
 
@@ -50,12 +50,12 @@
     return sock
 
 
-def converse(
+def exchange_on(
     sock: socket.socket, request: bytes, deadline: float, on_sent: Callable[[], None] | None = None
 ) -> Reply | Failure:
-    """Send a request on a connection and return its answer, or the Failure OUTCOME_UNKNOWN.
+    """Send a request on an open connection and return its answer, or the Failure OUTCOME_UNKNOWN.
 
-    `deadline`: of the monotonic clock.
+    `deadline`: on the monotonic clock.
     """
     try:
         sock.settimeout(_remaining(deadline))
@@ -85,7 +85,7 @@
 
 
 def request_head(method: str, target: str, host: str, body: bytes, **headers: str) -> bytes:
-    """Return the head of a request; the names of `headers` have `_` for `-`."""
+    """Return the head of a request; names of `headers` have `_` for `-`."""
     lines = [f"{method} {target} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     if body or method in ("PUT", "PATCH", "POST"):
--- a/ashlift/lab/system/machine_connectivity.py
+++ b/ashlift/lab/system/machine_connectivity.py
@@ -1,7 +1,7 @@
 """The links between machines of a run, and which of them are blocked.
 
-Each link passes through a fault-injecting proxy (`TcpFaultProxy`), which holds back the bytes of a blocked
-direction: neither end is notified, as where packets are lost.
+Each link passes through a fault-injecting proxy (`TcpFaultProxy`), which buffers the bytes of a blocked
+direction. Neither end is notified, as with packet loss.
 """
 
 import math
@@ -12,11 +12,11 @@
 from ashlift.lab.system.machine_layout import LabMachine, machine_links
 from ashlift.lab.tcp_fault_proxy import TcpFaultProxy
 
-HELD: Final = LinkState(LinkStateKind.HOLD)
+HOLD_STATE: Final = LinkState(LinkStateKind.HOLD)
 
 
 class MachineConnectivity:
-    """Owns the proxies. A pair of machines stands for the direction from the first to the second."""
+    """Owns the proxies of all links. Each pair of machine names is a direction: (source, target)."""
 
     def __init__(self) -> None:
         self._blocked: set[tuple[str, str]] = set()
@@ -24,7 +24,7 @@
         self._links: list[TcpFaultProxy] = []
 
     def open_links(self, machines: list[LabMachine]) -> None:
-        """Listen for all links. Raises OSError where an address cannot be had."""
+        """Start a proxy for each link. Raises OSError if an address cannot be bound."""
         for seed, link in enumerate(machine_links(machines)):
             proxy = TcpFaultProxy(
                 link.caller, link.callee, link.target_address, self._schedule, seed, link.listen_address
@@ -32,7 +32,7 @@
             self._links.append(proxy)
 
     def begin(self, started: float) -> None:
-        """Count the time of the schedule from a reading of the monotonic clock."""
+        """Set the start of the schedule, a reading of the monotonic clock."""
         for link in self._links:
             link.begin(started)
 
@@ -46,7 +46,7 @@
         return (one, other) not in self._blocked and (other, one) not in self._blocked
 
     def machines_with_blocked_link(self) -> set[str]:
-        """Names of machines with a link of which a direction is blocked."""
+        """Return the machines that have a link with a blocked direction."""
         return {name for pair in self._blocked for name in pair}
 
     def block(self, sources: Iterable[str], targets: Iterable[str], both: bool) -> None:
@@ -62,9 +62,9 @@
         self._apply()
 
     def unblock(self, sources: list[str] | None, targets: list[str] | None) -> set[str]:
-        """Unblock the links between two groups, or all where `sources` is None.
+        """Unblock the links between two groups, or all links if `sources` is None.
 
-        Returns the names of the machines of those links.
+        Returns the names of the machines on those links.
         """
         pairs = {(source, target) for source in sources or () for target in targets or ()}
         unblocked = {
@@ -76,5 +76,5 @@
 
     def _apply(self) -> None:
         directions = frozenset(Direction(source, target) for source, target in self._blocked)
-        # In place: every link asks this schedule.
-        self._schedule.faults[:] = [LinkFault(directions, 0.0, math.inf, HELD)] if directions else []
+        # Changed in place, since all links share the schedule.
+        self._schedule.faults[:] = [LinkFault(directions, 0.0, math.inf, HOLD_STATE)] if directions else []
--- a/ashlift/lab/system/machine_layout.py
+++ b/ashlift/lab/system/machine_layout.py
@@ -1,9 +1,9 @@
-"""Addresses and ports of a run's machines, and the links between them. Pure: nothing is opened.
+"""Addresses and ports of the machines of a run, and the links between them. Pure: opens no sockets.
 
-Every machine has a loopback address of its own, 127.NETWORK.ROLE.NUMBER, and its programs bind to it. The
-external ports are the same on every machine. The internal ones are not: each machine calls others at the
-ports of its own `InternalPortRange`. So a call that comes to a core machine's address at another machine's
-ports comes from that machine, and a fault-injecting proxy that listens there is on the link of these two.
+Each machine has its own loopback address, 127.NETWORK.ROLE.NUMBER, to which its programs bind. External ports
+are the same on every machine. Internal ports differ: a machine calls others on the ports of its own
+`InternalPortRange`. The destination port of a call therefore identifies the caller, and a fault-injecting
+proxy that listens on that port of the callee's address carries exactly the link between the two machines.
 """
 
 from collections.abc import Iterator
@@ -21,7 +21,7 @@
 WORKER_PORT: Final = 8080
 FIRST_INTERNAL_PORT: Final = 7600  # of the first machine
 INTERNAL_PORTS_PER_MACHINE: Final = 16
-STORE_PORT_OFFSET: Final = 0  # in the range of internal ports
+STORE_PORT_OFFSET: Final = 0  # within the range of internal ports
 REGISTRY_PORT_OFFSET: Final = 1
 MAX_MACHINES: Final = 200
 
@@ -44,12 +44,12 @@
 
     @property
     def store_port(self) -> int:
-        """Where its configuration store listens for RPC."""
+        """The port on which its configuration store listens for RPC."""
         return self.first_internal_port + STORE_PORT_OFFSET
 
     @property
     def internal_ports(self) -> list[int]:
-        """The first and the last internal port."""
+        """The first and the last port of its internal range."""
         return [self.first_internal_port, self.first_internal_port + INTERNAL_PORTS_PER_MACHINE - 1]
 
 
@@ -64,12 +64,12 @@
 
 
 def lay_out_machines(plan: Plan, network: int) -> list[LabMachine]:
-    """Return all machines, core first, spread over the zones in turn.
+    """Return all machines, core machines first, assigned to the zones round-robin.
 
-    `network`: the second number of their addresses. Raises ValueError where there are more than MAX_MACHINES.
+    `network`: second octet of their addresses. Raises ValueError for more than MAX_MACHINES.
     """
     if plan.core + plan.edge > MAX_MACHINES:
-        raise ValueError(f"{plan.core + plan.edge} machines, and {MAX_MACHINES} is the most")
+        raise ValueError(f"{plan.core + plan.edge} machines exceed the maximum of {MAX_MACHINES}")
     zones = list(ZONES)
     machines: list[LabMachine] = []
     for role, (kind, count) in enumerate(((CORE, plan.core), (EDGE, plan.edge)), 1):
@@ -82,7 +82,7 @@
 
 
 def machine_links(machines: list[LabMachine]) -> Iterator[MachineLink]:
-    """Yield a link from every machine to every other core machine's registry, and from core to its store."""
+    """Yield the links to each core machine: from all others to its registry, from core to its store."""
     for caller in machines:
         offsets = (STORE_PORT_OFFSET, REGISTRY_PORT_OFFSET) if caller.is_core else (REGISTRY_PORT_OFFSET,)
         for callee in machines:
--- a/ashlift/lab/system/machine_settings.py
+++ b/ashlift/lab/system/machine_settings.py
@@ -1,4 +1,4 @@
-"""The settings files (TOML) of a run's machines, as `ashlift.config.settings` reads them. Pure."""
+"""Settings files (TOML) for the machines of a run, in the format of `ashlift.config.settings`. Pure."""
 
 from collections.abc import Mapping
 
@@ -19,9 +19,9 @@
 
 @attrs.frozen
 class ClusterSettings:
-    """What the settings of all machines have in common.
+    """Settings that all machines share.
 
-    `seeds`: names of core machines; `zones`: with their regions; `heartbeat_interval`: seconds.
+    `seeds`: names of core machines; `zones`: region by zone; `heartbeat_interval`: seconds.
     """
 
     machines: list[LabMachine]
@@ -31,9 +31,9 @@
     heartbeat_interval: float = HEARTBEAT_SECONDS
 
     def to_toml(self, machine: LabMachine, data_directory: str, bootstrap: bool) -> str:
-        """Return the settings of a machine's programs.
+        """Return the settings file of a machine.
 
-        `data_directory`: of a core machine; `bootstrap`: at the first start of the whole cluster only.
+        `data_directory`: for core machines only; `bootstrap`: true only for the first start of the cluster.
         """
         lines = [f"{key} = {_to_toml(value)}" for key, value in self._top_level(machine, bootstrap).items()]
         if machine.is_core:
--- a/ashlift/lab/system/process_world.py
+++ b/ashlift/lab/system/process_world.py
@@ -1,7 +1,7 @@
-"""A world of real processes, in which `ashlift.simulation.scenario_player.ScenarioPlayer` plays scenarios.
+"""A world of real processes, on which `ashlift.simulation.scenario_player.ScenarioPlayer` runs scenarios.
 
 The programs of the checkout run as processes on loopback. Workers, clients and operators are the simulator's
-roles in this process, on real time and real sockets. `supported_scenarios` says what cannot be played here.
+roles, run in this process on real time and real sockets. `supported_scenarios` lists what is unsupported.
 """
 
 import contextlib
@@ -33,7 +33,7 @@
 from ashlift.simulation.process import Machine
 from ashlift.simulation.worker_pool import WorkerPool
 
-# The programs that the words of scenarios stand for.
+# Programs by the name of their group in scenarios.
 PROGRAMS: Final = {
     "configstore": ["configstore"],
     "registry": ["registry"],
@@ -41,23 +41,23 @@
     "core": ["configstore", "registry"],
     "all": ["configstore", "registry", "proxy"],
 }
-START_TIMEOUT_SECONDS: Final = 30.0  # for all programs to listen
+START_TIMEOUT_SECONDS: Final = 30.0  # until all programs listen
 TERMINATION_POLL_SECONDS: Final = 0.1
 PROGRESS_SECONDS: Final = 0.5
-STALL_SHARE: Final = 0.5  # of proxies that are told to end
+STALL_PROBABILITY: Final = 0.5  # for each proxy that is terminated
 STALL_SECONDS: Final = 0.1
-FIRST_NETWORK: Final = 20  # the second number of addresses
+FIRST_NETWORK: Final = 20  # second octet of the loopback addresses
 NETWORK_COUNT: Final = 200
 
 
 class ProcessWorld(BaseWorld):
-    """`begin` starts everything and returns when all programs listen; `stop` ends all that was started.
+    """`begin` starts everything and returns when all programs listen; `stop` ends everything it started.
 
-    `events`: what happened to programs, machines and links.
+    `events`: starts, ends and faults of programs, machines and links.
     """
 
     def __init__(self, plan: Plan, on_progress: Callable[[str], None] | None = None) -> None:
-        # By process, so that two runs at the same time have different addresses.
+        # Derived from the process id, so that concurrent runs use different addresses.
         self._network_number = FIRST_NETWORK + os.getpid() % NETWORK_COUNT
         self.machines = {machine.name: machine for machine in lay_out_machines(plan, self._network_number)}
         self.real_time_loop = RealTimeLoop(plan.seed)
@@ -81,7 +81,7 @@
         self._add_clients()
 
     def new_worker_pool(self) -> WorkerPool:
-        """Return the servers of this world's workers."""
+        """Return the worker servers of this world."""
         self._worker_servers = WorkerServers(
             self.loop,
             self.net,
@@ -106,11 +106,11 @@
     def _proxy_incarnation(self, machine: str) -> int:
         return self._programs[machine, "proxy"].incarnation
 
-    # ---- begin and end
+    # ---- start and stop
     def begin(self) -> None:
-        """Start everything, and the time of the run.
+        """Start everything, then the clock of the run.
 
-        Raises OSError where an address cannot be had, RuntimeError where a program does not come up.
+        Raises OSError if an address cannot be bound, RuntimeError if a program does not start to listen.
         """
         self._connectivity.open_links(list(self.machines.values()))
         for machine in self.machines.values():
@@ -124,7 +124,7 @@
         self.real_time_loop.begin()
         self._connectivity.begin(self.real_time_loop.started)
         for machine in self.machines.values():
-            # A program that starts again joins the cluster and does not bootstrap another.
+            # A restarted program must join the cluster, not bootstrap a second one.
             self._write_settings(machine, bootstrap=False)
         self.populate()
 
@@ -140,7 +140,7 @@
             program.wait_until_listening((machine.ip, ports[kind]), deadline)
 
     def program_problems(self) -> list[str]:
-        """What programs have done that they must never do, by their logs, their ends and their metrics."""
+        """Broken invariants and abnormal exits of programs, found in logs, exit statuses and metrics."""
         problems = list(violations_in_logs(self._directory.log_paths()))
         for program in self._programs.values():
             name = f"{program.kind}@{program.machine}"
@@ -172,7 +172,7 @@
         self._directory.remove()
 
     def run(self, until: float) -> None:
-        """Wait until that second of the run. Raises RuntimeError where an action has failed."""
+        """Wait until that second of the run. Raises RuntimeError if a scheduled action has failed."""
         loop = self.real_time_loop
         while True:
             remaining = until - loop.now
@@ -194,21 +194,21 @@
             f"refused {rejected}"
         )
 
-    # ---- what the registries say of themselves
+    # ---- status of the registries
     def versions(self) -> dict[str, int]:
-        """Return the version of the configuration at each running core machine."""
+        """Return the configuration version at each running core machine."""
         return self._registry_status.versions(self._running_core())
 
     def known_workers(self) -> dict[str, dict[str, bool]]:
-        """Return the workers that each running core machine knows, and whether they are ready."""
+        """Return the workers known to each running core machine, and whether they are ready."""
         return self._registry_status.known_workers(self._running_core())
 
     def leader(self) -> str | None:
-        """Return the core machine that leads the store."""
+        """Return the core machine that is the leader of the configuration store."""
         return self._registry_status.leader(self._running_core())
 
     def has_leader(self) -> bool:
-        """Whether a running registry knows a leader of the store."""
+        """Whether a running registry knows the leader of the configuration store."""
         return self.leader() is not None
 
     def _running_core(self) -> list[str]:
@@ -230,7 +230,7 @@
         return [self._programs[key] for key in keys if key in self._programs]
 
     def kill(self, kind: str, names: list[str], seconds: float = RESTART_SECONDS) -> None:
-        """Kill programs of these machines; they start again after `seconds`."""
+        """Kill programs of these machines; they are restarted after `seconds`."""
         for program in self._selected(kind, names):
             if program.is_running:
                 self.begin_fault(program.machine)
@@ -245,32 +245,32 @@
             self.end_faults(program.machine)
 
     def terminate(self, kind: str, names: list[str]) -> None:
-        """Send SIGTERM to programs of these machines; they start again after their end."""
+        """Send SIGTERM to programs of these machines; they are restarted after they exit."""
         for program in self._selected(kind, names):
             if program.is_running:
                 self.begin_fault(program.machine, termination=True)
                 program.signal(signal.SIGTERM)
                 self._record(program.machine, f"{program.kind} told to end")
                 if program.kind == "proxy":
-                    self._meet_end_of(program.machine)
-                self._restart_after_end(program)
+                    self._load_during_shutdown(program.machine)
+                self._restart_after_exit(program)
 
-    def _meet_end_of(self, proxy: str) -> None:
-        """Have the clients of its region, who may be led there by any host, ask a proxy that ends.
+    def _load_during_shutdown(self, proxy: str) -> None:
+        """Have the clients of its region send requests to a proxy that is shutting down.
 
-        At times it stands still while it would stop accepting, as on a busy machine: it then finds at once
-        that the time has come, and all that has arrived meanwhile.
+        With STALL_PROBABILITY the proxy is suspended around the moment at which it stops accepting, as on a
+        busy machine: when resumed it finds the deadline passed and new connections in its backlog.
         """
         accepting = accept_seconds(self.bounds.grace)
         for clients in self.client_populations:
             if clients.machine.region == self.machines[proxy].region:
-                cast(HttpClients, clients).meet_end_of(proxy, accepting)
+                cast(HttpClients, clients).send_during_shutdown(proxy, accepting)
         program = self._programs[proxy, "proxy"]
-        if self.loop.rng.random() < STALL_SHARE:
+        if self.loop.rng.random() < STALL_PROBABILITY:
             self.loop.call_later(accepting - STALL_SECONDS / 2, self._stall, program, program.incarnation)
 
     def _stall(self, program: Program, incarnation: int) -> None:
-        """Let a program stand still for a moment. That is no fault: a full machine does it, too."""
+        """Suspend a program for STALL_SECONDS. Not recorded as a fault: a busy machine does the same."""
         if program.incarnation == incarnation and program.is_running and not program.is_frozen:
             program.signal(signal.SIGSTOP)
             self.loop.call_later(STALL_SECONDS, self._end_stall, program, incarnation)
@@ -280,14 +280,14 @@
         if program.incarnation == incarnation and not program.is_frozen:
             program.signal(signal.SIGCONT)
 
-    def _restart_after_end(self, program: Program) -> None:
+    def _restart_after_exit(self, program: Program) -> None:
         if program.is_running:
-            self.loop.call_later(TERMINATION_POLL_SECONDS, self._restart_after_end, program)
+            self.loop.call_later(TERMINATION_POLL_SECONDS, self._restart_after_exit, program)
         else:
             self.loop.call_later(RESTART_SECONDS, self._restart, program)
 
     def freeze(self, kind: str, names: list[str], seconds: float) -> None:
-        """Stop programs of these machines from running for `seconds`."""
+        """Suspend programs of these machines for `seconds`."""
         for program in self._selected(kind, names):
             if program.is_running and not program.is_frozen:
                 program.freeze()
@@ -302,7 +302,7 @@
             self.end_faults(program.machine)
 
     def power_off(self, names: list[str], seconds: float | None = None, wipe: bool = False) -> None:
-        """End all programs of these machines; `wipe`: their disks are lost; `seconds`: until `power_on`."""
+        """Kill all programs of these machines; `wipe` erases their disks; `seconds`: until `power_on`."""
         for name in names:
             self.begin_fault(name)
             self._has_power[name] = False
@@ -328,12 +328,12 @@
         return self._connectivity.is_connected(one, other)
 
     def block_links(self, ones: list[str], others: list[str], both: bool = True) -> None:
-        """Block the links between two groups of machines; without `both` only from `ones` to `others`."""
+        """Block the links between two groups of machines, only from `ones` to `others` unless `both`."""
         self._connectivity.block(ones, others, both)
         self._record_links({*ones, *others}, "cut")
 
     def unblock_links(self, ones: list[str] | None = None, others: list[str] | None = None) -> None:
-        """Unblock the links between two groups of machines, or all."""
+        """Unblock the links between two groups of machines, or all links."""
         self._record_links(self._connectivity.unblock(ones, others), "joined")
 
     def _record_links(self, machines: set[str], text: str) -> None:
@@ -342,7 +342,7 @@
         self.links_changed(machines, self._connectivity.machines_with_blocked_link())
 
     def apply_seeds(self) -> None:
-        """Write the seeds as they are now into all settings, and have all programs read them."""
+        """Write the current seeds into all settings files and make all programs reload them."""
         for machine in self.machines.values():
             self._write_settings(machine, bootstrap=False)
             for program in self._selected("all", [machine.name]):
--- a/ashlift/lab/system/program_health.py
+++ b/ashlift/lab/system/program_health.py
@@ -1,4 +1,4 @@
-"""Whether the programs of a run kept their invariants: by their metrics, their logs and how they ended."""
+"""Checks that the programs of a run kept their invariants, by metrics, logs and exit statuses."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -20,7 +20,7 @@
 
 
 def read_metrics(address: tuple[str, int]) -> str | Failure:
-    """The metrics that a program shows."""
+    """Return the metrics that a program exposes, as text."""
     head = request_head("GET", METRICS_PATH, address[0], b"")
     answer = exchange(address, head, b"", METRICS_TIMEOUT_SECONDS)
     if isinstance(answer, Failure):
@@ -29,7 +29,7 @@
 
 
 def violations_in_metrics(name: str, text: str) -> Iterator[str]:
-    """What the metrics of the program `name` count of broken invariants."""
+    """Yield a line for each invariant whose violations the metrics of program `name` count."""
     counts = VIOLATION_COUNT.findall(text)
     if not counts:
         yield f"{name}: its metrics show no invariants"
@@ -39,7 +39,7 @@
 
 
 def violations_in_logs(paths: Iterable[Path]) -> Iterator[str]:
-    """Events of broken invariants, and ends by an unhandled error."""
+    """Yield the log lines that report a broken invariant or an unhandled error."""
     for path in sorted(paths):
         for line in path.read_text(errors="replace").splitlines():
             if VIOLATION_LINE.search(line):
@@ -47,7 +47,7 @@
 
 
 def health_verdict(problems: list[str]) -> Verdict:
-    """The verdict on all programs of a run."""
+    """Return the verdict on all programs of a run."""
     named = "; ".join(problems[:MAX_NAMED_PROBLEMS])
     text = f"{len(problems)} found: {named}" if problems else "every program kept its invariants and its life"
     return Verdict(VERDICT_NAME, not problems, text)
--- a/ashlift/lab/system/programs.py
+++ b/ashlift/lab/system/programs.py
@@ -1,4 +1,4 @@
-"""The programs of a run: each one process that the lab starts, signals and ends by its id."""
+"""The programs of a run, each a process that the lab starts, signals and ends by its process id."""
 
 import contextlib
 import os
@@ -14,16 +14,16 @@
 from ashlift.invariants import FATAL_INVARIANTS_VARIABLE
 from ashlift.metrics_server import METRICS_OPTION
 
-CHECKOUT: Final = Path(__file__).resolve().parents[3]  # the programs run its code
+CHECKOUT: Final = Path(__file__).resolve().parents[3]  # the programs run from this checkout
 STOP_TIMEOUT_SECONDS: Final = 2.0
 LISTEN_PROBE_SECONDS: Final = 1.0
 LISTEN_POLL_SECONDS: Final = 0.05
 LOG_TAIL_CHARACTERS: Final = 600
-METRICS_PORTS: Final = {"proxy": 9101, "registry": 9102}  # of each machine, by the kind of program
+METRICS_PORTS: Final = {"proxy": 9101, "registry": 9102}  # by kind of program, the same on each machine
 
 
 class Program:
-    """`configstore`, `registry` or `proxy` on a machine; `incarnation` counts its starts."""
+    """A `configstore`, `registry` or `proxy` on a machine; `incarnation` counts its starts."""
 
     def __init__(self, machine: str, kind: str, settings: Path, log: Path) -> None:
         self.machine = machine
@@ -34,34 +34,34 @@
         self._log = log
         self._process: subprocess.Popen[bytes] | None = None
         self._is_starting = False
-        self._is_over = False  # the run: it does not start again
+        self._is_shut_down = False  # the run has ended: no more starts
 
     @property
     def is_running(self) -> bool:
-        """Whether its process has not ended; a frozen one has not."""
+        """Whether its process exists; true also while it is frozen."""
         return self._process is not None and self._process.poll() is None
 
     @property
     def failure_status(self) -> int | None:
-        """The status with which its process ended by itself, unless it ended well or by a signal."""
+        """The exit status of its process if that exited by itself with a failure."""
         status = self._process.poll() if self._process is not None else None
         return status if status is not None and status > 0 else None
 
     @property
     def pid(self) -> int | None:
-        """The id of its process while that runs."""
+        """The id of its process while it runs."""
         return self._process.pid if self._process is not None and self.is_running else None
 
     def start(self) -> None:
-        """Start a process, unless one runs; its output is added to the log."""
-        if self.is_running or self._is_starting or self._is_over:
-            return  # a start waits for its process: another greenlet may come here meanwhile
+        """Start a process unless one is running; its output is appended to the log."""
+        if self.is_running or self._is_starting or self._is_shut_down:
+            return  # starting yields, so another greenlet may call this meanwhile
         self._is_starting = True
         try:
             self._start_process()
         finally:
             self._is_starting = False
-            if self._is_over:
+            if self._is_shut_down:
                 self.kill()
 
     def _start_process(self) -> None:
@@ -78,15 +78,15 @@
                 stderr=log,
                 cwd=CHECKOUT,
                 stdin=subprocess.DEVNULL,
-                # Ctrl-C is for the lab alone, which ends the programs.
+                # Ctrl-C must reach only the lab, which then ends the programs.
                 start_new_session=True,
             )
 
     def wait_until_listening(self, address: tuple[str, int], deadline: float) -> None:
-        """Return when it listens there.
+        """Return when the program listens at `address`.
 
-        Raises RuntimeError with the end of its log where it has ended, or does not listen by `deadline` (of
-        the monotonic clock).
+        Raises RuntimeError with the end of its log if it has exited or does not listen by `deadline` (on the
+        monotonic clock).
         """
         while True:
             try:
@@ -100,36 +100,36 @@
                 return
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if its process runs."""
+        """Send a signal if its process is running."""
         if self._process is not None and self.is_running:
             with contextlib.suppress(OSError):
                 self._process.send_signal(number)
 
     def kill(self) -> None:
-        """Kill it, and return when its process has ended: until then its sockets are open."""
+        """Kill its process and wait for the exit, after which its sockets are closed."""
         self.signal(signal.SIGKILL)
         if self._process is not None:
             self._process.wait()
 
     def freeze(self) -> None:
-        """Stop it from running (SIGSTOP)."""
+        """Suspend its process (SIGSTOP)."""
         self.signal(signal.SIGSTOP)
         self.is_frozen = True
 
     def unfreeze(self) -> None:
-        """Let it run again (SIGCONT)."""
+        """Resume its process (SIGCONT)."""
         self.signal(signal.SIGCONT)
         self.is_frozen = False
 
     def terminate(self) -> None:
-        """Ask it to end, also where it is frozen, and let no restart that is due start it again."""
-        self._is_over = True
+        """Signal its process to exit, even if frozen, and prevent pending restarts."""
+        self._is_shut_down = True
         self.signal(signal.SIGCONT)
-        # A proxy drains on SIGTERM, for as long as `Bounds` say: too long for the end of a run.
+        # On SIGTERM a proxy drains for up to the time in `Bounds`, too long for the end of a run.
         self.signal(signal.SIGKILL if self.kind == "proxy" else signal.SIGTERM)
 
     def wait_or_kill(self) -> None:
-        """Wait for the end of its process for STOP_TIMEOUT_SECONDS, then kill it."""
+        """Wait up to STOP_TIMEOUT_SECONDS for its process to exit, then kill it."""
         if self._process is None:
             return
         try:
@@ -138,14 +138,14 @@
             self.kill()
 
     def log_tail(self) -> str:
-        """Return the end of its log."""
+        """Return the last LOG_TAIL_CHARACTERS of its log."""
         with contextlib.suppress(OSError):
             return self._log.read_text(errors="replace")[-LOG_TAIL_CHARACTERS:]
         return ""
 
 
 def stop_programs(programs: list[Program]) -> None:
-    """End all programs; returns when their processes have ended."""
+    """Stop all programs and wait until their processes have exited."""
     for program in programs:
         program.terminate()
     for program in programs:
--- a/ashlift/lab/system/real_time_loop.py
+++ b/ashlift/lab/system/real_time_loop.py
@@ -1,6 +1,6 @@
-"""The event loop of a run on processes: the interface of the simulator's `EventLoop`, on real time.
+"""An event loop on real time, with the interface of the simulator's `EventLoop`.
 
-The same tasks (heartbeats, lookups, operators' commands) run on both, but here time passes by itself.
+The roles of the simulator (workers, clients, operators) run on either loop.
 """
 
 import random
@@ -17,10 +17,10 @@
 
 
 class RealTimeLoop:
-    """Seconds since `begin`, and actions that run later, each in a greenlet.
+    """Runs actions after a delay, each in a greenlet; `now` is in seconds since `begin`.
 
-    `failures`: tracebacks of actions that raised, which the run reports at its end; `max_lag`: the most
-    seconds that this process was late to do anything.
+    `failures`: tracebacks of actions that raised; `max_lag`: longest delay of a timer beyond its due time, in
+    seconds.
     """
 
     def __init__(self, seed: int) -> None:
@@ -31,7 +31,7 @@
         self.started = time.monotonic()
 
     def begin(self) -> None:
-        """Count the time from now on."""
+        """Start the clock and the measurement of lag."""
         self.started = time.monotonic()
         gevent.spawn(self._measure_lag)
 
@@ -47,13 +47,13 @@
         return time.monotonic() - self.started
 
     def call_later(self, delay: float, action: Callable[..., None], *args: Any) -> None:
-        """Run an action after `delay` seconds, unless the loop is stopped by then."""
+        """Run an action after `delay` seconds unless the loop is stopped by then."""
         gevent.spawn_later(max(0.0, delay), self._run, action, args)
 
     def call_process_later(
         self, process: Process, delay: float, action: Callable[..., None], *args: Any
     ) -> None:
-        """As `call_later`, in a simulated process: not after its end."""
+        """Like `call_later`, but skip the action if the simulated process has ended or restarted."""
         incarnation = process.incarnation
 
         def run_in_same_incarnation() -> None:
--- a/ashlift/lab/system/registry_status.py
+++ b/ashlift/lab/system/registry_status.py
@@ -1,4 +1,4 @@
-"""What the registries of a run say of themselves at GET /status."""
+"""Reads the status of the registries of a run from GET /status."""
 
 import json
 from collections.abc import Iterable
@@ -12,14 +12,14 @@
 
 
 class RegistryStatus:
-    """Asks core machines; `ips`: of machines by name. A registry that does not answer says nothing."""
+    """Queries core machines; `ips`: by machine name. A registry that does not answer has an empty status."""
 
     def __init__(self, ips: dict[str, str]) -> None:
         self._ips = ips
         self._names = {ip: name for name, ip in ips.items()}
 
     def versions(self, machines: Iterable[str]) -> dict[str, int]:
-        """Return the version of the configuration that each registry has, 0 for none."""
+        """Return the configuration version of each registry, 0 if it has none."""
         versions: dict[str, int] = {}
         for name in machines:
             version = self._read(name).get("version") or 0
@@ -27,14 +27,14 @@
         return versions
 
     def known_workers(self, machines: Iterable[str]) -> dict[str, dict[str, bool]]:
-        """Return the workers that each registry knows, and whether they are ready."""
+        """Return the workers known to each registry, and whether they are ready."""
         return {
             name: {worker["id"]: worker["state"] == "ready" for worker in self._read(name).get("workers", ())}
             for name in machines
         }
 
     def leader(self, machines: Iterable[str]) -> str | None:
-        """Return the leader of the newest term that a registry knows."""
+        """Return the leader of the newest term known to any of the registries."""
         statuses = [self._read(name) for name in machines]
         with_leader = [status for status in statuses if status.get("leader")]
         newest = max(with_leader, key=lambda status: status.get("term") or 0, default=None)
--- a/ashlift/lab/system/request_content.py
+++ b/ashlift/lab/system/request_content.py
@@ -1,4 +1,4 @@
-"""What the clients' requests and the workers' answers hold, so that each end can check what came. Pure."""
+"""Contents of requests and answers that let each end verify what it receives. Pure."""
 
 import hashlib
 from typing import Final, NamedTuple
@@ -11,7 +11,7 @@
 
 
 class RequestContent(NamedTuple):
-    """What a request must still be when it comes to a worker."""
+    """The parts of a request that must reach the worker unchanged."""
 
     method: bytes
     target: bytes
@@ -19,14 +19,14 @@
 
 
 def content_of(request: Request) -> RequestContent:
-    """Return what the clients send for a request: a GET where it is idempotent, else a POST with a body."""
+    """Return what clients send: a GET for an idempotent request, otherwise a POST with a body."""
     if request.idempotent:
         return RequestContent(b"GET", request.path.encode(), b"")
     return RequestContent(b"POST", request.path.encode(), f"request {request.id}".encode())
 
 
 def answer_seal(worker_id: str, attempt_id: str, arrival_number: int) -> str:
-    """Return the text in an answer that no other answer has."""
+    """Return the seal of an answer, unique to that answer."""
     text = f"{worker_id}.{attempt_id}.{arrival_number}"
     return hashlib.sha256(text.encode()).hexdigest()[:SEAL_CHARACTERS]
 
@@ -37,5 +37,5 @@
 
 
 def answer_fingerprint(seal: str, body: bytes) -> str:
-    """Return what must be equal at the worker and at the client: the seal, and a digest of the body."""
+    """Return the seal and a digest of the body, which worker and client must agree on."""
     return f"{seal}.{hashlib.sha256(body).hexdigest()[:DIGEST_CHARACTERS]}"
--- a/ashlift/lab/system/run_directory.py
+++ b/ashlift/lab/system/run_directory.py
@@ -9,25 +9,25 @@
 
 
 class RunDirectory:
-    """Owns a new temporary directory, until `remove`."""
+    """Creates a temporary directory, deleted by `remove`."""
 
     def __init__(self) -> None:
         self.path = Path(tempfile.mkdtemp(prefix="ashlift-system-"))
 
     def settings_path(self, machine: LabMachine) -> Path:
-        """Where the machine's settings are."""
+        """Return the path of the settings file of a machine."""
         return self.path / f"{machine.name}.toml"
 
     def log_path(self, machine: LabMachine, program: str) -> Path:
-        """Where a program's output goes."""
+        """Return the path of the log of a program."""
         return self.path / f"{program}@{machine.name}.log"
 
     def log_paths(self) -> list[Path]:
-        """All logs that there are."""
+        """Return the paths of all logs, sorted."""
         return sorted(self.path.glob("*.log"))
 
     def write_settings(self, machine: LabMachine, settings: ClusterSettings, bootstrap: bool) -> None:
-        """Replace the machine's settings file in one step, and create its disk where it has none."""
+        """Replace the settings file of a machine atomically, and create its disk directory if missing."""
         disk = self._disk_path(machine)
         if machine.is_core:
             disk.mkdir(exist_ok=True)
@@ -37,11 +37,11 @@
         new_path.replace(path)
 
     def wipe_disk(self, machine: LabMachine) -> None:
-        """Remove the machine's disk with all that is on it."""
+        """Delete the disk directory of a machine."""
         shutil.rmtree(self._disk_path(machine), ignore_errors=True)
 
     def remove(self) -> None:
-        """Remove the directory with all that is in it."""
+        """Delete the whole directory."""
         shutil.rmtree(self.path, ignore_errors=True)
 
     def _disk_path(self, machine: LabMachine) -> Path:
--- a/ashlift/lab/system/runs.py
+++ b/ashlift/lab/system/runs.py
@@ -1,4 +1,4 @@
-"""Plays scenarios of the whole system, on simulated time or on processes, and saves what came of them."""
+"""Runs scenarios of the whole system, on simulated time or on processes, and saves the results."""
 
 import contextlib
 import signal
@@ -23,14 +23,14 @@
 
 
 class StoppedError(Exception):
-    """SIGTERM or SIGINT has come; the text is the signal's name."""
+    """SIGTERM or SIGINT was received; the text is the name of the signal."""
 
 
 @define
 class PlayedRun:
-    """What came of one run.
+    """The result of one run.
 
-    `duration`: seconds of real time; `max_lag`: the most seconds that the lab's process was late.
+    `duration`: seconds of real time; `max_lag`: longest lag of the lab process, in seconds.
     """
 
     scenario: Scenario
@@ -43,7 +43,7 @@
 
     @property
     def is_ok(self) -> bool:
-        """Whether every verdict is good."""
+        """Whether all verdicts passed."""
         return all(verdict.ok for verdict in self.verdicts)
 
     def save(self, results: Results, commit: str, began: str, kind: str) -> int:
@@ -62,7 +62,7 @@
 
 
 def play_simulated(scenario: Scenario, seed: int) -> PlayedRun:
-    """Play a scenario on simulated time."""
+    """Run a scenario on simulated time."""
     began = time.perf_counter()
     events: list[RunEvent] = []
 
@@ -84,7 +84,7 @@
 
 @contextlib.contextmanager
 def _stopped_by_signals() -> Iterator[None]:
-    """Within, SIGTERM and SIGINT raise StoppedError wherever the caller waits, so that it can clean up."""
+    """Raise StoppedError in the calling greenlet on SIGTERM and SIGINT, so that it can clean up."""
     main = gevent.getcurrent()
     handlers: list[Any] = [
         gevent.signal_handler(number, main.throw, StoppedError(number.name))
@@ -104,10 +104,10 @@
     on_event: Callable[[ScenarioEvent], None],
     keep_files: bool = False,
 ) -> PlayedRun:
-    """Play a scenario on processes; `keep_files`: the directory of settings, disks and logs stays.
+    """Run a scenario on processes; `keep_files`: keep the directory of settings, disks and logs.
 
-    Raises StoppedError on a signal, RuntimeError or OSError where it cannot be played. All processes are
-    ended then too.
+    Raises StoppedError on a signal, RuntimeError or OSError if the scenario cannot be run. All processes are
+    stopped in any case.
     """
     began = time.perf_counter()
     world = ProcessWorld(evolve(scenario.plan, seed=seed), on_progress)
--- a/ashlift/lab/system/saved_runs.py
+++ b/ashlift/lab/system/saved_runs.py
@@ -1,6 +1,6 @@
-"""Runs of the whole system, simulated or on processes, as the lab saves and reports runs. Pure.
+"""Converts runs of the whole system, simulated or on processes, to the lab's history format. Pure.
 
-The texts of events and faults are what reports show; they are stored as they are.
+The texts of events and faults are stored and shown in reports unchanged.
 """
 
 import math
@@ -18,17 +18,17 @@
 from ashlift.simulation.scenario_player import FailedExpectation
 
 MILLISECONDS: Final = 1000.0  # in a second
-MIN_FAULT_SECONDS: Final = 0.1  # a shorter fault is no span that can be drawn
-MAX_REQUEST_SECONDS: Final = 3.0  # a client's time-out: what was sent later before the end may be open
+MIN_FAULT_SECONDS: Final = 0.1  # shorter faults are too narrow to draw
+MAX_REQUEST_SECONDS: Final = 3.0  # client timeout: requests sent within it before the end may be open
 PLAN_NAME: Final = "system"
 UNSETTLED_CORE: Final = "core unsettled"
 
 
 @attrs.frozen(order=True)
 class RunEvent:
-    """Something that happened to, or was done by, a machine, a worker or the operator.
+    """An event of a machine or worker, or an action of the operator.
 
-    `at`: seconds since the beginning of the run.
+    `at`: seconds since the start of the run.
     """
 
     at: float
@@ -37,9 +37,9 @@
 
 
 def to_lab_history(history: History, events: list[RunEvent], rate: float) -> LabHistory:
-    """Return the history with a job for each request, and with faults and events as reports draw them.
+    """Return a lab history with a job for each request, and the faults and events for reports.
 
-    `events`: what befell the run's programs; `rate`: requests a second.
+    `events`: of programs, machines and links; `rate`: requests per second.
     """
     lab_history = LabHistory(plans={PLAN_NAME: QuotaPlan(PLAN_NAME, rate, 0.0)})
     for request in history.requests:
@@ -66,7 +66,7 @@
 
 
 def _faults(history: History) -> Iterator[RecordedFault]:
-    """Faults of the same span, to a tenth of a second, are one."""
+    """Yield the faults, merging those with the same start and end to a tenth of a second."""
     machines_by_span: dict[tuple[float, float], list[str]] = {}
     for machine, intervals in [*sorted(history.faults.items()), (UNSETTLED_CORE, history.core_unsettled)]:
         for interval in intervals:
@@ -83,7 +83,7 @@
 
 
 def operator_and_worker_events(history: History) -> list[RunEvent]:
-    """Return what the operator and the workers did."""
+    """Return the actions of the operator and of the workers."""
     events: list[RunEvent] = []
     for change in history.changes:
         events.append(RunEvent(change.sent, "operator", f"version {change.version} sent"))
@@ -103,7 +103,7 @@
 def rule_verdicts(
     violations: dict[str, Violation | None], failed_expectation: FailedExpectation | None
 ) -> list[Verdict]:
-    """Return a verdict for each rule, and one for the scenario's expectations."""
+    """Return a verdict for each rule, and one for the expectations of the scenario."""
     verdicts = []
     for rule, violation in violations.items():
         text = RULE_TEXTS[rule] if violation is None else f"{violation} ({RULE_TEXTS[rule]})"
--- a/ashlift/lab/system/soak.py
+++ b/ashlift/lab/system/soak.py
@@ -1,4 +1,4 @@
-"""The soak: real processes and sockets under random, overlapping faults, for many seeds."""
+"""The soak test: runs the system on processes under random, overlapping faults, for many seeds."""
 
 import sys
 import time
@@ -11,14 +11,13 @@
 from ashlift.simulation.history import History
 from ashlift.simulation.scenario import Scenario, ScenarioEvent
 
-STOPPED_STATUS = 130  # as a shell has it for SIGINT
+STOPPED_STATUS = 130  # the shell convention for SIGINT: 128 + 2
 
 
 def run_soak(first_seed: int, seed_count: int, proxies: int, seconds: float, keep_failed: Path | None) -> int:
-    """Play the seeds one after the other, a line for each, and return the exit status.
+    """Run the seeds one after the other, print a line for each, and return the exit status.
 
-    `keep_failed`: where the scenarios of seeds that failed are written. Raises ClickException for what cannot
-    be played.
+    `keep_failed`: directory for the scenarios of failed seeds. Raises ClickException if a seed cannot be run.
     """
     failed: list[int] = []
     for seed in range(first_seed, first_seed + seed_count):
@@ -47,7 +46,8 @@
     broken = [verdict for verdict in run.verdicts if not verdict.ok]
     click.echo(
         f"seed {seed}: {'broken' if broken else 'held'}; "
-        f"{len(run.history.requests)} requests, {served} served, {_crossed(run.history)} met a close unread, "
+        f"{len(run.history.requests)} requests, {served} served, "
+        f"{_closed_unread_count(run.history)} closed unread, "
         f"{len(scenario.events)} events, up to {max_concurrent_faults(scenario)} faults at once, "
         f"{time.monotonic() - began:.0f} s, at most {run.max_lag:.2f} s late"
     )
@@ -57,8 +57,8 @@
     return not broken
 
 
-def _crossed(history: History) -> int:
-    """Requests whose connection was closed before anything of them was passed on, by whatever trouble."""
+def _closed_unread_count(history: History) -> int:
+    """Return how many requests were on a connection that closed before they reached a worker."""
     return sum(request.connection_broken and not request.arrivals for request in history.requests)
 
 
--- a/ashlift/lab/system/soak_scenario.py
+++ b/ashlift/lab/system/soak_scenario.py
@@ -1,7 +1,7 @@
-"""Scenarios of the soak, drawn from a seed: overlapping faults of all kinds that processes can have. Pure.
+"""Generates the scenarios of the soak test from a seed: overlapping faults of all supported kinds. Pure.
 
-To the random faults of the simulator come rolling restarts of proxies that overlap, and workers whose answers
-are lost. Home regions are always set, so that a region without ready proxies shows where clients are led.
+They extend the simulator's random faults by overlapping rolling restarts of proxies and by workers that lose
+answers. Home regions are always set, so that lookups from a region without ready proxies are exercised.
 """
 
 import random
@@ -16,24 +16,24 @@
 from ashlift.simulation.scenario import Scenario, ScenarioEvent
 
 MIN_SECONDS: Final = FIRST_EVENT_SECONDS + CALM_SECONDS + 4.0
-ROLLING_RESTARTS: Final = 2  # that overlap
+ROLLING_RESTARTS: Final = 2  # overlapping
 RELOADS: Final = 3  # SIGHUP to every program
-BASE_RATE: Final = 30.0  # requests a second
+BASE_RATE: Final = 30.0  # requests per second
 RATE_PER_PROXY: Final = 0.5
 QUOTA: Final = 200.0
 HOMES: Final = (["r1"], ["r1", "r2"])
-LOST_ANSWER_SHARES: Final = (0.2, 0.5)
+LOST_ANSWER_PROBABILITIES: Final = (0.2, 0.5)
 SERVICES: Final = ("fleet", "desk", "bill")
-DEFAULT_FAULT_SECONDS: Final = 4.0  # that a fault without a duration of its own counts
+DEFAULT_FAULT_SECONDS: Final = 4.0  # assumed for a fault without a duration
 FAULT_WORDS: Final = frozenset(
     {"kill", "freeze", "term", "power", "wipe", "cut", "oneway", "sick", "break", "crash"}
 )
 
 
 def soak_scenario(seed: int, proxies: int, seconds: float) -> Scenario:
-    """Return the scenario of a seed. Raises ValueError where `seconds` leave no time for faults."""
+    """Return the scenario of a seed. Raises ValueError if `seconds` leaves no time for faults."""
     if seconds < MIN_SECONDS:
-        raise ValueError(f"{seconds:g} s: {MIN_SECONDS:g} s is the least")
+        raise ValueError(f"{seconds:g} s: the minimum is {MIN_SECONDS:g} s")
     drawn = random_scenario(seed, proxies, seconds)
     rng = random.Random(f"soak {seed}")
     plan = evolve(drawn.plan, rate=BASE_RATE + RATE_PER_PROXY * proxies, quota=QUOTA, homes=rng.choice(HOMES))
@@ -50,7 +50,7 @@
 
 
 def max_concurrent_faults(scenario: Scenario) -> int:
-    """How many faults of the scenario are under way at the same moment."""
+    """Return the maximum number of faults of the scenario that are active at the same time."""
     spans = [
         (event.at, event.at + _duration(event)) for event in scenario.events if event.words[0] in FAULT_WORDS
     ]
@@ -67,7 +67,7 @@
 
 
 def _rolling_restarts(rng: random.Random, plan: Plan, calm_at: float) -> Iterator[ScenarioEvent]:
-    """Each restarts proxies in an order of its own; all begin while the first is under way."""
+    """Yield restarts of all proxies in random orders; each series starts while the first is in progress."""
     names = [f"edge-{number + 1}" for number in range(plan.edge)]
     for _ in range(ROLLING_RESTARTS):
         at = FIRST_EVENT_SECONDS + rng.uniform(0.0, 2.0)
@@ -79,7 +79,7 @@
 
 
 def _core_restarts(rng: random.Random, plan: Plan, calm_at: float) -> Iterator[ScenarioEvent]:
-    """A registry or a store at a time is told to end, each machine once, in half of the seeds."""
+    """In half of the seeds, yield a termination of a registry or store on each core machine in turn."""
     if rng.random() < 0.5:
         return
     at = FIRST_EVENT_SECONDS + rng.uniform(0.0, 2.0)
@@ -91,7 +91,7 @@
 
 
 def _reloads(rng: random.Random, plan: Plan, calm_at: float) -> Iterator[ScenarioEvent]:
-    """The seeds change: all settings files are written anew, and all programs get SIGHUP."""
+    """Yield changes of the seed nodes: all settings files are rewritten, and all programs get SIGHUP."""
     core = [f"core-{number + 1}" for number in range(plan.core)]
     for _ in range(RELOADS):
         at = rng.uniform(FIRST_EVENT_SECONDS, calm_at)
@@ -99,11 +99,11 @@
 
 
 def _lost_answers(rng: random.Random, plan: Plan, calm_at: float) -> Iterator[ScenarioEvent]:
-    """A worker of each service loses answers that it has worked for, or breaks connections; then no more."""
+    """Yield, for each service, a worker that loses answers or breaks connections until `calm_at`."""
     for service in SERVICES:
         worker = f"{service}-{rng.randint(1, plan.workers)}"
         fault = rng.choice(("sick", "break"))
-        share = rng.choice(LOST_ANSWER_SHARES)
+        share = rng.choice(LOST_ANSWER_PROBABILITIES)
         at = rng.uniform(FIRST_EVENT_SECONDS, calm_at)
         yield ScenarioEvent(round(at, 2), (fault, worker, f"{share:g}"))
         yield ScenarioEvent(round(calm_at, 2), (fault, worker, "0"))
--- a/ashlift/lab/system/worker_connections.py
+++ b/ashlift/lab/system/worker_connections.py
@@ -1,8 +1,8 @@
-"""Connections to stand-ins for workers: requests are parsed, checked against what clients sent, and answered.
+"""HTTP connections to simulated workers: parses requests, checks them against those sent, and answers.
 
-What a worker does with a request is `ashlift.simulation.worker.Worker`. Every arrival goes into the history
-by the request's `X-Attempt-Id`. An id that no client sent, or another method, path or body than the client's,
-is recorded as unexpected.
+`ashlift.simulation.worker.Worker` decides the outcome of a request. Every arrival is recorded in the history
+under its `X-Attempt-Id`. An unknown id, or a method, path or body that differs from the client's, is recorded
+as an unexpected arrival.
 """
 
 from collections import deque
@@ -28,13 +28,13 @@
 
 RECEIVE_BYTES: Final = 65536
 HEALTH_TARGET: Final = b"/health"
-DEFAULT_TIME_REMAINING_SECONDS: Final = 30.0  # where a request does not say how long its client waits
+DEFAULT_TIME_REMAINING_SECONDS: Final = 30.0  # for a request without X-Time-Remaining
 MISDIRECTED_STATUS: Final = 421
 NOT_EXECUTED_HEADERS: Final = {"X-Not-Executed": "1"}
 
 
 class ServedRequest:
-    """One request at a worker; it stands in for the simulator's `WorkerAttempt`."""
+    """A request at a worker, passed to it in place of the simulator's `WorkerAttempt`."""
 
     def __init__(
         self, connection: "WorkerConnection", request: Request, tenant: str, attempt_id: str
@@ -56,13 +56,13 @@
 
 
 class WorkerConnection:
-    """One connection to a worker: one request at a time, others wait. Its greenlet is the server's."""
+    """A connection to a worker, served by a greenlet of its server; pipelined requests are queued."""
 
     def __init__(self, servers: "WorkerServers", worker: Worker, sock: Any) -> None:
         self._servers = servers
         self._worker = worker
         self._sock = sock
-        self._waiting: deque[ParsedRequest] = deque()
+        self._queued: deque[ParsedRequest] = deque()
         self._current: ServedRequest | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
@@ -70,11 +70,11 @@
         self._headers: dict[str, str] = {}
 
     def run(self) -> None:
-        """Serve requests until the connection ends."""
+        """Serve requests until the connection is closed."""
         try:
             while data := self._sock.recv(RECEIVE_BYTES):
                 self._parser.feed_data(data)
-                self._start_waiting()
+                self._start_queued()
         except (OSError, httptools.HttpParserError, httptools.HttpParserUpgrade):
             pass
         self.close()
@@ -82,7 +82,7 @@
     def close(self) -> None:
         """Close the connection; the worker stops the current request."""
         self._sock.close()
-        self._servers.forget_connection(self._worker, self)
+        self._servers.remove_connection(self._worker, self)
         if self._current is not None:
             self._current.is_closed = True
             self._worker.connection_closed(cast(WorkerAttempt, self._current))
@@ -90,32 +90,32 @@
 
     # ---- callbacks of the parser
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Reset the state of the parser callbacks for a new request."""
         self._target = b""
         self._body = b""
         self._headers = {}
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target has come."""
+        """Append a part of the target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header has come."""
+        """Add a header."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1").strip()
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body has come."""
+        """Append a part of the body."""
         self._body += data
 
     def on_message_complete(self) -> None:
-        """The request is complete."""
+        """Queue the complete request."""
         content = RequestContent(self._parser.get_method(), self._target, self._body)
-        self._waiting.append(ParsedRequest(content, self._headers))
+        self._queued.append(ParsedRequest(content, self._headers))
 
     # ---- requests
-    def _start_waiting(self) -> None:
-        while self._waiting and self._current is None:
-            self._start(self._waiting.popleft())
+    def _start_queued(self) -> None:
+        while self._queued and self._current is None:
+            self._start(self._queued.popleft())
 
     def _start(self, parsed: ParsedRequest) -> None:
         if parsed.content.target == HEALTH_TARGET:
@@ -133,9 +133,9 @@
             return
         served = ServedRequest(self, request, parsed.headers.get("x-tenant", ""), attempt_id)
         self._current = served
-        self._hand_to_worker(served, parsed.headers)
+        self._dispatch(served, parsed.headers)
 
-    def _hand_to_worker(self, served: ServedRequest, headers: dict[str, str]) -> None:
+    def _dispatch(self, served: ServedRequest, headers: dict[str, str]) -> None:
         worker = self._worker
         attempt = cast(WorkerAttempt, served)
         if headers.get("x-target-instance", worker.id) != worker.id:
@@ -152,7 +152,7 @@
         self._servers.history.unexpected_arrivals.append(arrival)
 
     def answer(self, served: ServedRequest, status: int, ran: bool) -> None:
-        """Send the worker's answer, unless the request has ended; `ran`: the worker has run it."""
+        """Send the answer of the worker unless the request has ended; `ran`: the worker has executed it."""
         if served.is_closed or served is not self._current:
             return
         self._current = None
@@ -169,7 +169,7 @@
             served.arrival.status = status
             served.arrival.seal = answer_fingerprint(seal, body)
         self._write(status, body, headers)
-        self._start_waiting()
+        self._start_queued()
 
     def _write(self, status: int, body: bytes, headers: dict[str, str]) -> None:
         is_draining = self._worker.state != "ready"
--- a/ashlift/lab/system/worker_servers.py
+++ b/ashlift/lab/system/worker_servers.py
@@ -1,4 +1,4 @@
-"""The servers of stand-ins for workers, each at a loopback address of its own."""
+"""Servers of simulated workers, each on its own loopback address."""
 
 from typing import Any, Final, cast
 
@@ -15,12 +15,12 @@
 from ashlift.simulation.worker_attempts import WorkerAttempt
 from ashlift.simulation.worker_pool import WorkerPool
 
-FIRST_WORKER_ROLE: Final = 10  # the third number of the first addresses
+FIRST_WORKER_ROLE: Final = 10  # third octet of the first addresses
 ADDRESSES_PER_ROLE: Final = 250
 
 
 class WorkerServers(WorkerPool):
-    """All workers with their sockets; `sent_requests`: of all clients by attempt id."""
+    """All workers with their sockets; `sent_requests`: requests of all clients by attempt id."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         drain_seconds: float,
         network_number: int,
     ) -> None:
-        """`network_number`: the second number of all addresses."""
+        """`network_number`: second octet of all addresses."""
         super().__init__(loop, net, history, registries, heartbeat_interval, drain_seconds)
         self.sent_requests: dict[str, Request] = {}
         self._network_number = network_number
@@ -40,7 +40,7 @@
         self._servers: dict[str, StreamServer] = {}
 
     def allocate_address(self) -> str:
-        """Return an address that no worker had."""
+        """Return an address that no worker has used."""
         self.address_count += 1
         role, number = divmod(self.address_count, ADDRESSES_PER_ROLE)
         return f"127.{self._network_number}.{FIRST_WORKER_ROLE + role}.{number + 1}:{WORKER_PORT}"
@@ -55,7 +55,7 @@
         warmup_seconds: float,
         address: str | None = None,
     ) -> Worker:
-        """Start a worker and listen at its address. Raises OSError where that cannot be had."""
+        """Start a worker and listen at its address. Raises OSError if that cannot be bound."""
         worker = super().add(service, zone, region, capacity, latency, warmup_seconds, address)
         connections: set[WorkerConnection] = set()
         self._connections[worker.id] = connections
@@ -71,12 +71,12 @@
         server.start()
         return worker
 
-    def forget_connection(self, worker: Worker, connection: WorkerConnection) -> None:
-        """The connection is closed."""
+    def remove_connection(self, worker: Worker, connection: WorkerConnection) -> None:
+        """Remove a closed connection."""
         self._connections.get(worker.id, set()).discard(connection)
 
     def release_address(self, worker: Worker) -> None:
-        """The worker has ended: close its server and its connections."""
+        """Close the server and the connections of a worker that has ended."""
         super().release_address(worker)
         server = self._servers.pop(worker.id, None)
         if server is not None:
@@ -87,7 +87,7 @@
     def record_arrival(
         self, worker: Worker, attempt: WorkerAttempt, ran: bool, rejection_status: int = 0
     ) -> None:
-        """Note in the history that a request has come to a worker."""
+        """Record in the history that a request has arrived at a worker."""
         served = cast(ServedRequest, attempt)
         request = served.request
         arrival = Arrival(
@@ -98,11 +98,11 @@
 
     def send_answer(
         self,
-        worker: Worker,  # noqa: ARG002  (the connection knows it)
+        worker: Worker,  # noqa: ARG002  (part of the interface)
         attempt: WorkerAttempt,
         outcome: AttemptOutcome,
     ) -> None:
-        """Write a worker's answer, or close the connection where that is lost."""
+        """Write the answer of a worker, or close the connection if the outcome is a lost connection."""
         served = cast(ServedRequest, attempt)
         if outcome.result is AttemptResult.CONNECTION_LOST or outcome.response is None:
             gevent.spawn(served.connection.close)
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -11,7 +11,7 @@
 from ashlift.errors import Failure
 from ashlift.invariants import monitor
 from ashlift.lab.system.accepted_requests import accepted_verdict, unanswered_requests
-from ashlift.lab.system.kept_connections import KeptConnections
+from ashlift.lab.system.connection_pool import ConnectionPool
 from ashlift.lab.system.program_health import health_verdict, violations_in_logs, violations_in_metrics
 from ashlift.lab.system.soak_scenario import max_concurrent_faults, soak_scenario
 from ashlift.lab.system.supported_scenarios import unsupported_parts
@@ -100,11 +100,11 @@
     closing = [b""]
     server = StreamServer(("127.0.0.1", 0), serve)
     server.start()
-    connections = KeptConnections()
+    connections = ConnectionPool()
     address = ("127.0.0.1", server.server_port or 0)
 
-    def ask(use_kept: bool) -> int:
-        answer = connections.exchange(address, b"GET / HTTP/1.1\r\n\r\n", 5.0, 5.0, lambda: None, use_kept)
+    def ask(reuse: bool) -> int:
+        answer = connections.exchange(address, b"GET / HTTP/1.1\r\n\r\n", 5.0, 5.0, lambda: None, reuse)
         assert not isinstance(answer, Failure)
         return len(served)
 
