--- a/ashlift/lab/__init__.py
+++ b/ashlift/lab/__init__.py
@@ -1,5 +1,5 @@
-"""ashlift lab: several gatekeepers or the whole system as processes, faults on their links, and checkers.
+"""ashlift lab: runs gatekeepers or the whole system as processes, with fault injection and checkers.
 
-Never imported by the daemons. `history` holds what a run recorded, `checker` its invariants; `system` plays
-the simulator's scenarios on processes.
+Never imported by the daemons. `history` reads the recording of a run, `checker` verifies its invariants, and
+`system` runs the scenarios of the simulator on processes.
 """
--- a/ashlift/lab/charts.py
+++ b/ashlift/lab/charts.py
@@ -1,7 +1,7 @@
 """Charts of a saved run, drawn by matplotlib in black and grey with line styles and hatching.
 
-They read without colour: the load against the quota, each gatekeeper over time, what happened to machines and
-workers, and latency by percentile. matplotlib is loaded when the first chart is drawn.
+They show admitted jobs against the quota, each gatekeeper over time, events of machines and workers, and
+latency by percentile. matplotlib is imported when the first chart is drawn.
 """
 
 import base64
@@ -27,14 +27,14 @@
     "thawed": "^",
 }
 OTHER_EVENT_MARKER: Final = "*"
-LEGEND_HEADROOM: Final = 1.5  # a factor of the highest value
+LEGEND_HEADROOM: Final = 1.5  # factor of the highest value
 DOTS_PER_INCH: Final = 90
-LABEL_OFFSETS: Final = (3, -9)  # points; in turn, so that labels of events do not overlap
+LABEL_OFFSETS: Final = (3, -9)  # points, alternating so that labels do not overlap
 
 
 @attrs.frozen
 class Chart:
-    """A chart as PNG in base64."""
+    """A chart as a base64-encoded PNG."""
 
     title: str
     png: str
@@ -64,7 +64,7 @@
 
 def _shade_faults(axes: Any, faults: list[RecordedFault]) -> None:
     for number, fault in enumerate(faults):
-        # Of runs of the whole system the faults are of machines: their directions have no target.
+        # In runs of the whole system faults are of machines, with directions that have no target.
         is_of_links = all(direction.partition(">")[2] for direction in fault.directions)
         axes.axvspan(
             fault.started_ms / 1000,
@@ -143,7 +143,7 @@
 
 
 def _events_chart(events: list[ProcessEvent]) -> Chart:
-    """A row for each machine, worker or operator, with its events by their texts."""
+    """Draw a row of labelled events for each machine, worker and operator."""
     from matplotlib import pyplot
 
     by_subject: dict[str, list[ProcessEvent]] = defaultdict(list)
@@ -166,7 +166,7 @@
     axes.set_yticks(range(len(names)), names)
     axes.set_ylim(-0.7, len(names) - 0.3)
     axes.set_xlabel("s of the run")
-    return _finish("What befell the system", figure)
+    return _finish("System events", figure)
 
 
 def _latency_chart(summary: RunSummary) -> Chart:
--- a/ashlift/lab/checker.py
+++ b/ashlift/lab/checker.py
@@ -1,19 +1,14 @@
-"""Invariants over a whole history, each with one verdict; a violation of any fails the run.
-
-In the manner of an invariant checker over a recorded history (as Jepsen's checkers read theirs): nothing here
-looks at time as it passes, only at what was recorded.
-
-- `one_answer`: every job sent has one final answer. None at all is a violation, except for a job whose
-  gatekeeper was killed while it was open: those are counted by gatekeeper, since its client saw the
-  connection end. Two answers, or an answer to a job never sent, are violations.
-- `advice`: every rejection (429) says when to come back (`Retry-After`).
-- `quota`: per firm, the units served, placed at the time they were sent, against a token bucket of the
-  plan's rate and burst. The excess is the most by which any stretch of time exceeds `burst + rate x length`
-  (Lindley's recursion over the bucket); it may reach the bound that the design states for the run's faults,
-  given as `allowed` units, and no more.
-- `crossed`: every fault of the scenario was met: in one of its directions the proxy refused, dropped, reset,
-  delayed, duplicated or reordered something. A fault that no traffic met proves nothing, so the run fails
-  rather than pass unseen.
+"""Checks invariants over the recorded history of a run, with a verdict for each; any violation fails the run.
+
+- `one_answer`: every job has exactly one answer. A job without an answer is a violation unless its gatekeeper
+  was killed while the job was open; those jobs are only counted, as their clients saw the connection end. Two
+  answers, or an answer to a job that was never sent, are violations.
+- `advice`: every rejection (429) has a `Retry-After` header.
+- `quota`: the units served to each firm, by the time of sending, conform to a token bucket with the rate and
+  burst of its plan. The excess is the maximum over all intervals of the units beyond `burst + rate x length`
+  (computed by Lindley's recursion); it must not exceed `allowed` units, the bound for the faults of the run.
+- `crossed`: every fault of the scenario affected traffic: in one of its directions the proxy refused,
+  dropped, reset, delayed, held, duplicated or reordered something. A fault without traffic tests nothing.
 """
 
 from collections import defaultdict
@@ -27,25 +22,25 @@
 SERVED_STATUS: Final = 200
 MAX_NAMED_JOBS: Final = 3
 MAX_NAMED_DIRECTIONS: Final = 4
-# What a fault-injecting proxy counts of a fault.
+# Actions of a fault-injecting proxy that count as an effect of a fault.
 FAULT_COUNTS: Final = ("refused", "dropped", "reset", "delayed", "held", "duplicated", "reordered")
 
 
 @attrs.frozen
 class Verdict:
-    """Whether an invariant holds, with the figures behind it."""
+    """Whether an invariant holds, with supporting figures."""
 
     name: str
     ok: bool
     text: str
 
     def line(self) -> str:
-        """Return the verdict as it is printed."""
+        """Return the verdict as one line of output."""
         return f"{'PASS' if self.ok else 'FAIL'} {self.name}: {self.text}"
 
 
 def check_one_answer(history: History) -> Verdict:
-    """Check that every job has one final answer."""
+    """Check that every job has exactly one answer."""
     doubled = [job.id for job in history.jobs.values() if len(job.answers) > 1]
     open_at_kill: dict[str, int] = defaultdict(int)
     lost = []
@@ -70,8 +65,8 @@
     return Verdict("one_answer", not problems, "; ".join([text, *problems]))
 
 
-def check_retry_advice(history: History) -> Verdict:
-    """Check that every rejection says when to come back."""
+def check_retry_after(history: History) -> Verdict:
+    """Check that every rejection has a `Retry-After` header."""
     rejections = [
         (job.id, answer.retry_after)
         for job in history.jobs.values()
@@ -86,8 +81,8 @@
 
 
 def quota_excess(history: History) -> dict[str, float]:
-    """Return the units served beyond each firm's token bucket, at most over any stretch of the run."""
-    served: dict[str, list[tuple[float, float]]] = defaultdict(list)  # ms and units
+    """Return for each firm the maximum units served beyond its token bucket over any interval."""
+    served: dict[str, list[tuple[float, float]]] = defaultdict(list)  # time sent in ms, units
     plans: dict[str, str] = {}
     for job in history.jobs.values():
         plans[job.firm] = job.plan
@@ -96,7 +91,7 @@
     worst: dict[str, float] = {}
     for firm, items in served.items():
         plan = history.plans[plans[firm]]
-        # Two greenlets of the load driver may have recorded jobs in another order than that of their times.
+        # Greenlets of the load driver may record jobs out of order.
         items.sort()
         level = plan.burst
         previous_ms = items[0][0]
@@ -110,7 +105,7 @@
 
 
 def check_quota(history: History, allowed: float) -> Verdict:
-    """Check that no firm was served more than `allowed` units beyond its bucket."""
+    """Check that no firm was served more than `allowed` units beyond its token bucket."""
     worst = quota_excess(history)
     firm = max(worst, key=worst.__getitem__, default=None)
     excess = worst[firm] if firm is not None else 0.0
@@ -122,9 +117,9 @@
     return Verdict("quota", over == 0, text)
 
 
-def check_faults_met(history: History) -> Verdict:
-    """Check that some traffic met each fault."""
-    met: list[tuple[str, int]] = []
+def check_faults_exercised(history: History) -> Verdict:
+    """Check that each fault affected traffic."""
+    exercised: list[tuple[str, int]] = []
     for fault in history.faults:
         directions = fault.directions
         count = sum(
@@ -134,19 +129,19 @@
         )
         many = len(directions) > MAX_NAMED_DIRECTIONS
         named = f"{len(directions)} ways" if many else ",".join(directions)
-        met.append((f"{fault.text} {named}", count))
-    unmet = [name for name, count in met if not count]
-    text = "; ".join(f"{name}: {count} met" for name, count in met) or "no faults"
-    if unmet:
-        text += f"; never met: {unmet}"
-    return Verdict("crossed", not unmet, text)
+        exercised.append((f"{fault.text} {named}", count))
+    unexercised = [name for name, count in exercised if not count]
+    text = "; ".join(f"{name}: {count} met" for name, count in exercised) or "no faults"
+    if unexercised:
+        text += f"; never met: {unexercised}"
+    return Verdict("crossed", not unexercised, text)
 
 
 def check_history(history: History, allowed: float = 0.0) -> list[Verdict]:
-    """Return the verdicts of all invariants, in a fixed order; `allowed`: units beyond a firm's bucket."""
+    """Return the verdicts of all invariants in a fixed order; `allowed`: as for `check_quota`."""
     return [
         check_one_answer(history),
-        check_retry_advice(history),
+        check_retry_after(history),
         check_quota(history, allowed),
-        check_faults_met(history),
+        check_faults_exercised(history),
     ]
--- a/ashlift/lab/fault_proxy.py
+++ b/ashlift/lab/fault_proxy.py
@@ -1,8 +1,8 @@
-"""What the lab's fault-injecting proxies for TCP and UDP share.
+"""The common part of the fault-injecting proxies for TCP and UDP.
 
-A proxy is on one link between two processes of a run: the near end, which sends first, is given the proxy's
-address in place of the far end's. Loopback addresses only. `counts` say, by direction and action (`g1>counter
-refused`), what the proxy did; they go into the run's history as faults seen, not as verdicts.
+A proxy serves one link between two processes of a run: the caller, which sends first, is configured with the
+proxy's address in place of the callee's. Loopback addresses only. `counts` holds the number of actions of the
+proxy by direction and action (`g1>counter refused`); they are recorded in the history of the run.
 """
 
 import random
@@ -18,27 +18,27 @@
 
 
 def require_loopback(address: Address) -> Address:
-    """Return the address. Raises ValueError where it is not on loopback."""
+    """Return the address. Raises ValueError if it is not on loopback."""
     if not address[0].startswith("127."):
         raise ValueError(f"address: {address[0]} is not a loopback address")
     return address
 
 
 class FaultProxy:
-    """The two directions of a link, the far end's address, and the schedule with its clock."""
+    """The two directions of a link, the address of the callee, and the schedule with its clock."""
 
     def __init__(
         self,
-        near: str,
-        far: str,
+        caller: str,
+        callee: str,
         target: Address,
         schedule: FaultSchedule,
         seed: int,
         clock: Callable[[], float],
     ) -> None:
-        """`target`: where the far end listens; `seed`: of delays; `clock`: seconds."""
-        self.outward = Direction(near, far)
-        self.backward = Direction(far, near)
+        """`target`: address of the callee; `seed`: for random delays; `clock`: returns seconds."""
+        self.to_callee = Direction(caller, callee)
+        self.to_caller = Direction(callee, caller)
         self.counts: Counter[str] = Counter()
         self._target = require_loopback(target)
         self._schedule = schedule
@@ -47,11 +47,11 @@
         self._began = clock()
 
     def begin(self, at: float) -> None:
-        """Count the schedule's time from a reading of the clock: the start of the run."""
+        """Set the start of the schedule, a reading of the clock."""
         self._began = at
 
     def now_ms(self) -> float:
-        """Return the schedule's time: milliseconds since the run began."""
+        """Return the milliseconds since the start of the schedule."""
         return (self._clock() - self._began) * 1000
 
     def _state(self, direction: Direction) -> LinkState:
--- a/ashlift/lab/gatekeeper_process.py
+++ b/ashlift/lab/gatekeeper_process.py
@@ -1,4 +1,4 @@
-"""A gatekeeper process of a lab run: started, signalled and ended by its id."""
+"""A gatekeeper process of a lab run, started, signalled and ended by its process id."""
 
 import contextlib
 import json
@@ -15,7 +15,7 @@
 
 from ashlift.lab.git_commit import CHECKOUT
 
-START_TIMEOUT_SECONDS: Final = 20.0  # to say where it listens
+START_TIMEOUT_SECONDS: Final = 20.0  # until it logs its listening address
 STOP_TIMEOUT_SECONDS: Final = 3.0
 LISTEN_POLL_SECONDS: Final = 0.05
 MAX_SOCKETS: Final = 256
@@ -24,11 +24,11 @@
 
 
 class LabError(RuntimeError):
-    """A run that could not be made; the text names the part."""
+    """A run that failed to start; the text names the process."""
 
 
 class GatekeeperProcess:
-    """Owns the process, its configuration file and its log; `address` is where it serves."""
+    """Owns the process, its configuration file and its log; `address`: where it listens."""
 
     def __init__(self, name: str, directory: Path) -> None:
         self.name = name
@@ -40,11 +40,11 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether its process has not ended."""
+        """Whether its process is running."""
         return self._process is not None and self._process.poll() is None
 
     def configure(self, seed: int, machine_list: Address, counter: Address, settings: dict[str, Any]) -> None:
-        """Write its configuration, with a port that nothing holds now."""
+        """Write its configuration file, with a free port."""
         config = {
             "name": self.name,
             "listen": f"127.0.0.1:{_free_port()}",
@@ -57,7 +57,7 @@
         self._config_path.write_text(json.dumps(config))
 
     def start(self) -> None:
-        """Start a process; its output is added to the log."""
+        """Start a process; its output is appended to the log."""
         environment = {**os.environ, "GW_CONFIG": str(self._config_path), "TMPDIR": str(self._directory)}
         with open(self._log_path, "ab") as log:
             self._process = subprocess.Popen(
@@ -69,11 +69,11 @@
             )
 
     def listen_count(self) -> int:
-        """Return how often its log says that it listens."""
+        """Return how many times its log reports that it listens."""
         return self._log_path.read_text(errors="replace").count(" listens on ")
 
     def wait_until_listening(self, previous_count: int = 0) -> None:
-        """Return when its log says so once more than `previous_count` times. Raises LabError."""
+        """Wait until its log reports this more than `previous_count` times. Raises LabError."""
         deadline = time.monotonic() + START_TIMEOUT_SECONDS
         while time.monotonic() < deadline:
             log = self._log_path.read_text(errors="replace")
@@ -91,25 +91,25 @@
         )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if its process still runs."""
+        """Send a signal if its process is running."""
         if self._process is not None:
             with contextlib.suppress(OSError):
                 self._process.send_signal(number)
 
     def kill(self) -> None:
-        """Kill it, and return when its process has ended: until then its kernel accepts connections."""
+        """Kill its process and wait for the exit, until which the kernel still accepts connections."""
         self.signal(signal.SIGKILL)
         if self._process is not None:
             self._process.wait()
 
     def terminate(self) -> None:
-        """Ask it to end, also where it is paused."""
+        """Send SIGTERM to its process, resuming it first if it is paused."""
         if self.is_running:
             self.signal(signal.SIGCONT)
             self.signal(signal.SIGTERM)
 
     def wait_or_kill(self) -> None:
-        """Wait for the end of its process for STOP_TIMEOUT_SECONDS, then kill it."""
+        """Wait up to STOP_TIMEOUT_SECONDS for its process to exit, then kill it."""
         if self._process is None:
             return
         try:
@@ -120,7 +120,7 @@
 
 
 def _free_port() -> int:
-    """Return a port that nothing holds now; the gatekeeper binds it a moment later (it takes no port 0)."""
+    """Return a free port for the gatekeeper, which does not support listening on port 0."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
--- a/ashlift/lab/gatekeeper_settings.py
+++ b/ashlift/lab/gatekeeper_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings of a lab run's gatekeepers. Pure."""
+"""Settings for the gatekeepers of a lab run. Pure."""
 
 from typing import Any, Final
 
@@ -7,11 +7,11 @@
 CATEGORY: Final = "availability-check"
 PLAN: Final = "basic"
 ZONE: Final = "memphis-dc"
-GIVE_UP_MS: Final = 2000.0
+CLIENT_TIMEOUT_MS: Final = 2000.0
 
 
 def gatekeeper_settings(scenario: Scenario, number: int) -> dict[str, Any]:
-    """Return the settings of one gatekeeper; `number`: from 0."""
+    """Return the settings of a gatekeeper; `number` counts from 0."""
     return {
         "Categories": [_category()],
         "Discovery": "automatic",
@@ -45,7 +45,7 @@
     return {
         "Name": CATEGORY,
         "Effect": "pure",
-        "GiveUpMs": GIVE_UP_MS,
+        "GiveUpMs": CLIENT_TIMEOUT_MS,
         "TargetMs": 600.0,
         "LateShare": 0.0,
         "Value": 3.0,
--- a/ashlift/lab/git_commit.py
+++ b/ashlift/lab/git_commit.py
@@ -1,4 +1,4 @@
-"""The commit of the checkout, which is saved with each run."""
+"""Finds the commit of the checkout, which is saved with each run."""
 
 from pathlib import Path
 from typing import Final
@@ -11,7 +11,7 @@
 
 
 def current_commit() -> str:
-    """Return the commit, short, with `+` where the checkout has changes; UNKNOWN outside git."""
+    """Return the abbreviated commit, with `+` if the checkout has changes; UNKNOWN without git."""
     try:
         described = subprocess.run(
             ["git", "describe", "--always", "--dirty=+"],
--- a/ashlift/lab/history.py
+++ b/ashlift/lab/history.py
@@ -1,16 +1,16 @@
-"""What a lab run recorded: one JSON object a line, in the order in which the load driver saw it.
+"""Reads the recorded history of a lab run: one JSON object per line, in the order of recording.
 
-Shapes (times `t` in ms of the run, units as the platform's `X-Units`):
+Formats (`t` is in ms since the start of the run, units are those of the platform's `X-Units`):
 
-    {"kind": "plan", "name": "basic", "rate": 20.0, "burst": 40.0}            quota: units a second, and burst
+    {"kind": "plan", "name": "basic", "rate": 20.0, "burst": 40.0}            units per second, and units
     {"kind": "asked", "t": 12.5, "job": "j1", "firm": "f1", "plan": "basic", "units": 1, "gatekeeper": "g1"}
     {"kind": "answered", "t": 14.0, "job": "j1", "status": 200, "retry_after": null}
-    {"kind": "killed", "t": 900.0, "gatekeeper": "g1"}                        a process that got SIGKILL
+    {"kind": "killed", "t": 900.0, "gatekeeper": "g1"}                        a process received SIGKILL
     {"kind": "process", "t": 950.0, "gatekeeper": "g1", "what": "restarted"}   or paused, resumed, terminated
     {"kind": "fault", "t": 500.0, "until": 3500.0, "what": "cut", "ways": ["g1>counter", "counter>g1"]}
-    {"kind": "seen", "way": "g1>counter", "what": "refused", "count": 3}    what the proxy did, at the end
+    {"kind": "seen", "way": "g1>counter", "what": "refused", "count": 3}    written at the end of the run
 
-A line that cannot be right raises `HistoryError` naming its line number and key; nothing after it is guessed.
+An invalid line raises `HistoryError` with its line number and key, and ends the reading.
 """
 
 import json
@@ -24,12 +24,12 @@
 
 
 class HistoryError(ValueError):
-    """A line of a history that cannot be read; the text is `LINE: KEY: problem`."""
+    """An invalid line of a history; the text is `LINE: KEY: problem`."""
 
 
 @attrs.frozen
 class QuotaPlan:
-    """A quota: `rate` in units a second, `burst` in units."""
+    """A quota: `rate` in units per second, `burst` in units."""
 
     name: str
     rate: float
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class Answer:
-    """An answer to a job; `retry_after`: seconds, None where it gave none."""
+    """An answer to a job; `retry_after`: seconds, None without the header."""
 
     at_ms: float
     status: int
@@ -47,7 +47,7 @@
 
 @attrs.define
 class Job:
-    """A request of the load driver, and its answers in the order recorded."""
+    """A request of the load driver, with its answers in the order of recording."""
 
     id: str
     firm: str
@@ -70,7 +70,7 @@
 
 @attrs.frozen
 class ProcessEvent:
-    """Something that happened to a process, or to another `subject` of a run of the whole system."""
+    """An event of a process, or of another `subject` in a run of the whole system."""
 
     at_ms: float
     subject: str
@@ -79,7 +79,7 @@
 
 @attrs.frozen
 class StrayAnswer:
-    """An answer to a job that was never sent, with the number of its line."""
+    """An answer to a job that was never sent; `line`: its line number in the history."""
 
     line: int
     job: str
@@ -87,20 +87,20 @@
 
 @attrs.define
 class History:
-    """A whole run."""
+    """The parsed history of a run."""
 
     plans: dict[str, QuotaPlan] = attrs.Factory(dict)
     jobs: dict[str, Job] = attrs.Factory(dict)
-    killed_at_ms: dict[str, float] = attrs.Factory(dict)  # by gatekeeper, of its first kill
+    killed_at_ms: dict[str, float] = attrs.Factory(dict)  # time of the first kill, by gatekeeper
     faults: list[RecordedFault] = attrs.Factory(list)
-    proxy_counts: dict[tuple[str, str], int] = attrs.Factory(dict)  # by direction and what was done
+    proxy_counts: dict[tuple[str, str], int] = attrs.Factory(dict)  # by direction and action
     process_events: list[ProcessEvent] = attrs.Factory(list)
     stray_answers: list[StrayAnswer] = attrs.Factory(list)
 
 
 @attrs.frozen
 class _Row:
-    """One line's object, whose values are checked as they are read."""
+    """The object of a line, whose values are validated on access."""
 
     line: int
     values: dict[str, Any]
@@ -120,12 +120,12 @@
     def _value(self, key: str, kind: type | tuple[type, ...]) -> Any:
         value = self.values.get(key)
         if not isinstance(value, kind) or isinstance(value, bool):
-            raise self.error(key, f"wants {getattr(kind, '__name__', 'a number')}, has {value!r}")
+            raise self.error(key, f"expected {getattr(kind, '__name__', 'a number')}, got {value!r}")
         return value
 
 
 def read_history(lines: Iterable[str]) -> History:
-    """Read a history from its lines, without the blank ones. Raises HistoryError."""
+    """Parse the lines of a history, ignoring blank ones. Raises HistoryError."""
     history = History()
     for number, line in enumerate(lines, 1):
         if line.strip():
@@ -150,7 +150,7 @@
         return
     at_ms = row.number("t")
     if kind not in TIMED_ROWS:
-        raise row.error("kind", f"{kind!r} is none of plan, asked, answered, killed, process, fault, seen")
+        raise row.error("kind", f"{kind!r} is not one of plan, asked, answered, killed, process, fault, seen")
     TIMED_ROWS[kind](history, row, at_ms)
 
 
@@ -168,10 +168,10 @@
 def _add_job(history: History, row: _Row, at_ms: float) -> None:
     job = row.text("job")
     if job in history.jobs:
-        raise row.error("job", f"{job!r} was asked before")
+        raise row.error("job", f"duplicate job {job!r}")
     plan = row.text("plan")
     if plan not in history.plans:
-        raise row.error("plan", f"{plan!r} is no plan named before it")
+        raise row.error("plan", f"no earlier line defines plan {plan!r}")
     firm = row.text("firm")
     history.jobs[job] = Job(job, firm, plan, row.number("units"), row.text("gatekeeper"), at_ms)
 
@@ -183,7 +183,7 @@
     if retry_after is not None:
         is_number = isinstance(retry_after, NUMBER) and not isinstance(retry_after, bool)
         if not is_number or retry_after < 0:
-            raise row.error("retry_after", f"wants seconds or null, has {retry_after!r}")
+            raise row.error("retry_after", f"expected seconds or null, got {retry_after!r}")
         retry_after = float(retry_after)
     if job in history.jobs:
         history.jobs[job].answers.append(Answer(at_ms, status, retry_after))
@@ -198,7 +198,7 @@
 def _add_process_event(history: History, row: _Row, at_ms: float) -> None:
     text = row.text("what")
     if text not in PROCESS_EVENTS:
-        raise row.error("what", f"{text!r} is none of paused, resumed, restarted, terminated")
+        raise row.error("what", f"{text!r} is not one of paused, resumed, restarted, terminated")
     history.process_events.append(ProcessEvent(at_ms, row.text("gatekeeper"), text))
 
 
@@ -206,7 +206,7 @@
     ended_ms = row.number("until")
     directions = row.values.get("ways", [])
     if not isinstance(directions, list) or not all(isinstance(text, str) for text in directions):
-        raise row.error("ways", f"wants a list of ways as text, has {directions!r}")
+        raise row.error("ways", f"expected a list of strings, got {directions!r}")
     history.faults.append(RecordedFault(at_ms, ended_ms, row.text("what"), tuple(directions)))
 
 
--- a/ashlift/lab/report.py
+++ b/ashlift/lab/report.py
@@ -1,4 +1,4 @@
-"""One self-contained HTML page of a saved run: its verdicts, charts (PNG within the page) and scenario."""
+"""Renders a saved run as a self-contained HTML page: verdicts, charts (inline PNG) and scenario."""
 
 import html
 from typing import Final
@@ -14,7 +14,7 @@
 
 
 def render_report(results: Results, run: int) -> str:
-    """Return the page of a run. Raises ResultsError where it is not saved there."""
+    """Return the page of a run. Raises ResultsError if the run is not in `results`."""
     summary = results.summary(run)
     detail = results.detail(run)
     rows = "".join(_verdict_row(verdict) for verdict in detail.verdicts)
--- a/ashlift/lab/results.py
+++ b/ashlift/lab/results.py
@@ -1,14 +1,14 @@
-"""Lab runs saved in SQLite: what ran, its verdicts, figures by second, and latency as HDR histograms.
+"""Stores lab runs in SQLite: description, verdicts, counts per second, and latency as HDR histograms.
 
-`hdrhistogram` is loaded only here. Tables (times in ms of the run, latency in microseconds):
+Only this module imports `hdrhistogram`. Tables (times in ms of the run, latency in microseconds):
 
     runs(id, name, began, git, seed, scenario, verdicts, ok, latency, allows)
-        latency: an encoded HdrHistogram; allows: jobs a second that the quotas allow over all firms
+        latency: an encoded HdrHistogram; allows: jobs per second that the quotas of all firms allow together
     seconds(run, second, gatekeeper, asked, admitted, refused, unanswered)
     faults(run, begin, until, what, ways)
     processes(run, t, gatekeeper, what)
 
-A run is stored whole in one transaction or not at all.
+Each run is stored in a single transaction.
 """
 
 import json
@@ -22,7 +22,7 @@
 from ashlift.lab.checker import Verdict
 from ashlift.lab.history import History, ProcessEvent, RecordedFault
 
-MAX_LATENCY_MICROSECONDS: Final = 60_000_000  # nothing is answered later
+MAX_LATENCY_MICROSECONDS: Final = 60_000_000  # beyond any timeout of the load driver
 SIGNIFICANT_DIGITS: Final = 3
 KILLED: Final = "killed"
 
@@ -37,15 +37,15 @@
 
 
 class ResultsError(LookupError):
-    """A run that the results do not hold."""
+    """The run is not in the results."""
 
 
 @attrs.frozen
 class RunDescription:
-    """What is saved of a run beside its history and verdicts.
+    """The metadata of a run, saved with its history and verdicts.
 
-    `began`: the time of day; `scenario`: its text; `allowed_rate`: jobs a second that the quotas allow over
-    all firms, 0 for no quotas.
+    `began`: wall-clock time; `scenario`: its text; `allowed_rate`: jobs per second that the quotas of all
+    firms allow together, 0 for no quotas.
     """
 
     name: str
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class RunSummary:
-    """One run as `list` and `compare` show it; jobs are counted by their first answer."""
+    """A run as shown by `list` and `compare`; jobs are counted by their first answer."""
 
     id: int
     name: str
@@ -75,11 +75,11 @@
 
     @property
     def admitted_share(self) -> float:
-        """The part of the jobs that was admitted; 0 where there were none."""
+        """The ratio of admitted jobs to all jobs, 0 without jobs."""
         return self.admitted / self.sent if self.sent else 0.0
 
     def percentile_ms(self, percentile: float) -> float:
-        """Return a percentile of the latency of answered jobs."""
+        """Return a latency percentile of answered jobs."""
         return float(self.latency.get_value_at_percentile(percentile)) / 1000
 
 
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class RunDetail:
-    """Everything else that is saved of one run."""
+    """The saved data of a run that its summary does not include."""
 
     scenario: str
     verdicts: list[Verdict]
@@ -107,7 +107,7 @@
 
 
 def latency_histogram(history: History) -> HdrHistogram:
-    """Return the time from each answered job to its first answer, in microseconds."""
+    """Return the latencies of answered jobs, from sending to the first answer, in microseconds."""
     histogram = HdrHistogram(1, MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS)
     for job in history.jobs.values():
         if job.answers:
@@ -117,7 +117,7 @@
 
 
 def count_seconds(history: History) -> list[SecondCounts]:
-    """Return the counts of each second and gatekeeper that has any, in order."""
+    """Return the counts for each second and gatekeeper with jobs, in order."""
     counts: dict[tuple[int, str], SecondCounts] = {}
     for job in history.jobs.values():
         second = int(job.sent_at_ms // 1000)
@@ -133,18 +133,18 @@
 
 
 class Results:
-    """One SQLite file of runs."""
+    """A SQLite file of runs."""
 
     def __init__(self, path: Path) -> None:
         self._database = sqlite3.connect(path)
         self._database.executescript(SCHEMA)
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the database."""
         self._database.close()
 
     def store(self, history: History, verdicts: list[Verdict], description: RunDescription) -> int:
-        """Save one run and return its number."""
+        """Save a run and return its number."""
         with self._database:
             run = self._insert_run(history, verdicts, description)
             self._insert_rows(run, history)
@@ -194,7 +194,7 @@
         return [run for (run,) in self._database.execute("select id from runs order by id")]
 
     def summary(self, run: int) -> RunSummary:
-        """Return a run's summary. Raises ResultsError where it is not saved here."""
+        """Return the summary of a run. Raises ResultsError if it is not saved here."""
         row = self._database.execute(
             "select id, name, began, git, seed, ok, latency, allows from runs where id = ?", (run,)
         ).fetchone()
@@ -210,7 +210,7 @@
         return RunSummary(number, name, began, commit, seed, ok == 1, decoded, allowed_rate, *counts)
 
     def detail(self, run: int) -> RunDetail:
-        """Return everything else of a run. Raises ResultsError where it is not saved here."""
+        """Return the details of a run. Raises ResultsError if it is not saved here."""
         self.summary(run)
         query = self._database.execute
         scenario, verdicts = query("select scenario, verdicts from runs where id = ?", (run,)).fetchone()
--- a/ashlift/lab/run.py
+++ b/ashlift/lab/run.py
@@ -1,11 +1,11 @@
-"""A lab run: gatekeeper processes, stand-ins, a fault-injecting proxy on every link, load, and its history.
+"""Executes a lab run: gatekeeper processes, stand-ins, fault-injecting proxies, load, and the history.
 
-Every process that a run starts is ended by its id, also when the run is interrupted. The bounds of a run are
-in `ashlift.lab.scenario`.
+Every process that a run starts is ended by its process id, also when the run is interrupted.
+`ashlift.lab.scenario` limits the size of a run.
 
-Each gatekeeper has links of its own to every end that it talks to, so that a fault can split any pair:
-`gK>counter` to the counter, `gK>list` to a machine list that names its own links to the nodes, `gK>nJ` to
-each node.
+Each gatekeeper has its own link to every endpoint that it calls, so that a fault can separate any pair:
+`gK>counter` to the counter, `gK>nJ` to each node, and `gK>list` to its own machine list, which contains the
+addresses of its links to the nodes.
 """
 
 import signal
@@ -26,7 +26,7 @@
 
 
 class Run:
-    """Starts, drives and ends one scenario; its history is written as JSON lines to `stream`."""
+    """Runs one scenario and writes its history as JSON lines to `stream`."""
 
     def __init__(self, scenario: Scenario, stream: TextIO, on_progress: Progress | None = None) -> None:
         self.directory = Path(tempfile.mkdtemp(prefix="ashlift-lab-"))
@@ -39,7 +39,7 @@
         self._machine_lists: list[MachineListServer] = []
 
     def play(self) -> None:
-        """Play the scenario to its end. Raises LabError where a gatekeeper does not come up."""
+        """Run the scenario to its end. Raises LabError if a gatekeeper does not start."""
         nodes = [ExecuteNode(self._scenario.work_ms) for _ in range(self._scenario.nodes)]
         counter = CounterServer()
         self._writer.plan(self._scenario)
@@ -74,10 +74,10 @@
         gatekeeper.start()
         self._gatekeepers.append(gatekeeper)
 
-    def _open_link(self, gatekeeper: int, far: str, target: Address) -> Address:
-        """Return the address at which the gatekeeper reaches the far end."""
+    def _open_link(self, gatekeeper: int, callee: str, target: Address) -> Address:
+        """Open a link and return the address at which the gatekeeper reaches the callee."""
         seed = self._scenario.seed * 1000 + len(self._links)
-        link = TcpFaultProxy(f"g{gatekeeper}", far, target, self._schedule, seed)
+        link = TcpFaultProxy(f"g{gatekeeper}", callee, target, self._schedule, seed)
         self._links.append(link)
         return link.address
 
--- a/ashlift/lab/run_comparison.py
+++ b/ashlift/lab/run_comparison.py
@@ -1,4 +1,4 @@
-"""Two groups of saved runs side by side: one run each, or several of other seeds with their spread. Pure."""
+"""Compares two groups of saved runs: a single run each, or several seeds with their spread. Pure."""
 
 from collections.abc import Callable, Sequence
 from statistics import median
@@ -21,7 +21,7 @@
 def compare_runs(first: Sequence[RunSummary], second: Sequence[RunSummary]) -> list[str]:
     """Return a line for each measure, with the ratio of the second group's median to the first's.
 
-    `apart`: every run of one group lies beyond every one of the other, which chance does with few runs too.
+    `apart` marks groups whose ranges do not overlap, which may be due to chance if there are few runs.
     """
     has_spread = len(first) > 1 or len(second) > 1
     lines = [f"{'':12} {_group_name(first):>28} {_group_name(second):>28}  B/A"]
--- a/ashlift/lab/scenario.py
+++ b/ashlift/lab/scenario.py
@@ -1,4 +1,4 @@
-"""A lab scenario: what runs, what load it gets, and what fails when. Pure: no clock, no socket.
+"""Lab scenarios: the processes, the load, and the faults over time. Pure: no clock, no sockets.
 
 `ashlift.lab.scenario_file` reads scenarios from files.
 """
@@ -16,11 +16,11 @@
 
 
 class ScenarioError(ValueError):
-    """A scenario that cannot be run; the text is `[FILE:LINE:COLUMN: ]key: problem`."""
+    """An invalid scenario; the text is `[FILE:LINE:COLUMN: ]key: problem`."""
 
 
 class ProcessActionKind(enum.StrEnum):
-    """What is done to a gatekeeper's process; the values are the words of scenario files."""
+    """An action on the process of a gatekeeper; the values are the words of scenario files."""
 
     KILL = "kill"
     TERMINATE = "term"
@@ -29,23 +29,23 @@
 
 
 class ProcessAction(NamedTuple):
-    """Something that is done to a gatekeeper's process at a second of the run."""
+    """An action on the process of a gatekeeper; `second`: since the start of the run."""
 
     second: float
     kind: ProcessActionKind
     gatekeeper: int
 
 
-# A dataclass whose fields stay as they are: its `repr` is saved with runs that the command line describes.
+# The `repr` of this dataclass is stored with runs started from options: keep the names of its fields.
 @dataclass(frozen=True)
 class Scenario:
-    """What is run. Gatekeepers and nodes are numbered from 0; times are seconds of the run.
+    """A lab scenario. Gatekeepers and nodes are numbered from 0; times are in seconds of the run.
 
-    `rate`: jobs a second of each firm over all gatekeepers, which rises evenly to `ramp_to` at the end where
-    that is given; `quota`, `burst`: units a second and units of each firm's plan; `work_ms`: a node's time
-    for a job; `kills`, `restarts`, `terms`: gatekeeper and second; `pauses`, `counter_cuts`: gatekeeper,
-    start and end; `faults`: on links; `allowed`: units beyond a firm's bucket that the checker lets pass,
-    twice the burst where it is None.
+    `rate`: jobs per second of each firm over all gatekeepers, rising linearly to `ramp_to` if set;
+    `quota`, `burst`: units per second and units of the plan of each firm; `work_ms`: service time of a node;
+    `kills`, `restarts`, `terms`: gatekeeper and second; `pauses`, `counter_cuts`: gatekeeper, start and end;
+    `faults`: on links; `allowed`: units beyond the bucket of a firm that the checker permits, twice the burst
+    if None.
     """
 
     gatekeepers: int = 3
@@ -76,20 +76,20 @@
         timed = (*self.kills, *self.restarts, *self.pauses, *self.counter_cuts, *self.terms)
         if any(not 0 <= gatekeeper < self.gatekeepers for gatekeeper, *_ in timed):
             raise ScenarioError("kills, restarts, pauses, counter_cuts, terms: no such gatekeeper")
-        ends = set(self.link_ends())
+        endpoints = set(self.link_endpoints())
         for fault in self.faults:
             for direction in fault.directions:
-                if direction.source not in ends or direction.target not in ends:
-                    raise ScenarioError(f"faults: {direction}: no such end in this scenario")
+                if direction.source not in endpoints or direction.target not in endpoints:
+                    raise ScenarioError(f"faults: {direction}: no such endpoint in this scenario")
 
-    def link_ends(self) -> list[str]:
-        """Return the names of all ends of links: gatekeepers, nodes, the counter and the machine list."""
+    def link_endpoints(self) -> list[str]:
+        """Return the names of all link endpoints: gatekeepers, nodes, the counter and the machine list."""
         gatekeepers = [f"g{number}" for number in range(self.gatekeepers)]
         nodes = [f"n{number}" for number in range(self.nodes)]
         return [*gatekeepers, *nodes, "counter", "list"]
 
     def all_faults(self) -> list[LinkFault]:
-        """Return the faults on links, the counter cuts of the command line first."""
+        """Return the faults on links, with the counter cuts first."""
         counter_cuts = [
             LinkFault(
                 frozenset({Direction(f"g{number}", "counter"), Direction("counter", f"g{number}")}),
@@ -102,7 +102,7 @@
         return [*counter_cuts, *self.faults]
 
     def process_actions(self) -> list[ProcessAction]:
-        """Return what is done to processes, in the order of time; pauses end by themselves."""
+        """Return the actions on processes in order of time, without the ends of pauses."""
         actions = [ProcessAction(second, ProcessActionKind.KILL, number) for number, second in self.kills]
         for number, second in self.terms:
             actions.append(ProcessAction(second, ProcessActionKind.TERMINATE, number))
@@ -113,11 +113,11 @@
         return sorted(actions)
 
     def max_rate(self) -> float:
-        """Return the highest rate of the run, in jobs a second of each firm."""
+        """Return the maximum rate during the run, in jobs per second of each firm."""
         return max(self.rate, self.ramp_to or 0.0)
 
     def rate_at(self, second: float) -> float:
-        """Return the jobs a second of each firm at a second of the run."""
+        """Return the rate at a second of the run, in jobs per second of each firm."""
         if self.ramp_to is None:
             return self.rate
         return self.rate + (self.ramp_to - self.rate) * min(1.0, second / self.seconds)
--- a/ashlift/lab/scenario_file.py
+++ b/ashlift/lab/scenario_file.py
@@ -1,19 +1,18 @@
-"""Reads a scenario from a file: one S-expression, by the gatekeeper's own reader. Pure.
+"""Reads a scenario from a file that holds one S-expression, with the gatekeeper's parser. Pure.
 
-An error is `FILE:LINE:COLUMN: key: problem`, like a settings file's. Times are seconds, or with a unit
-(`500ms`, `3s`); a bare number is seconds. Ends are `g0`..`gN-1` (gatekeepers), `n0`..`nM-1` (execute nodes),
-`counter` and `list` (each gatekeeper's machine list); `n0-n3` names a range, and `rest` in a partition is
-every end that no other side names. Faults are read after everything else, so their place in the file is
-free.
+Errors are `FILE:LINE:COLUMN: key: problem`, as for settings files. Times have a unit (`500ms`, `3s`) or are
+in seconds. Endpoints are `g0`..`gN-1` (gatekeepers), `n0`..`nM-1` (execute nodes), `counter` and `list` (the
+machine list of each gatekeeper); `n0-n3` is a range, and `rest` in a partition is every endpoint that no
+other side contains. Faults are read last, so they may stand anywhere in the file.
 
     (scenario
       (name partition-five) (seed 7) (seconds 12)
       (gatekeepers 5) (nodes 12) (work 2ms)
       (firms 4) (rate 20) (quota 10) (burst 20) (allowed 40)
-      (arrivals (ramp 10 30))                  ; or poisson: `rate` jobs a second each firm, all the run
+      (arrivals (ramp 10 30))                  ; or poisson: constant `rate` of jobs per second for each firm
       (faults
         (partition 3s 7s (g0 g1 n0-n3) rest)    ; every direction between sides is cut
-        (drop 1s 2s g2 counter)                 ; g2>counter only: the counter hears nothing of g2
+        (drop 1s 2s g2 counter)                 ; g2>counter only: the counter receives nothing from g2
         (cut 1s 2s g3 list) (delay 2s 4s g4 counter 20ms 5ms) (duplicate 0s 1s g0 n1)
         (kill g1 8s) (term g2 9s) (restart g1 9s) (pause g3 4s 6s)))
 """
@@ -44,8 +43,8 @@
     "burst": float,
     "allowed": float,
 }
-TIME_KEYS: Final = {"seconds": 1.0, "work": 1000.0}  # with the factor from seconds to the field's unit
-FIELD_NAMES: Final = {"work": "work_ms"}  # of keys that are named otherwise
+TIME_KEYS: Final = {"seconds": 1.0, "work": 1000.0}  # factor from seconds to the unit of the field
+FIELD_NAMES: Final = {"work": "work_ms"}  # by key, if they differ
 ACTION_FIELDS: Final = {"kill": "kills", "term": "terms", "restart": "restarts", "pause": "pauses"}
 LINK_FAULT_KEYS: Final = ("cut", "drop", "delay", "duplicate", "reorder")
 MIN_LINK_FAULT_ARGUMENTS: Final = 4
@@ -56,7 +55,7 @@
 
 @dataclass
 class _Contents:
-    """What a file says, gathered before a Scenario is made of it."""
+    """The parsed entries of a file, from which a Scenario is built."""
 
     values: dict[str, object] = field(default_factory=dict)
     faults: list[LinkFault] = field(default_factory=list)
@@ -64,7 +63,7 @@
 
 
 def load_scenario(text: str, name: str = "scenario") -> Scenario:
-    """Return the scenario of a file's text. Raises ScenarioError with `name`, line, column and key."""
+    """Parse the text of a scenario file. Raises ScenarioError with `name`, line, column and key."""
     top = read(text)
     if isinstance(top, SyntaxFault):
         raise ScenarioError(top.tell(name))
@@ -76,7 +75,7 @@
 
 def _scenario(top: Items) -> Scenario:
     if not top.items or not isinstance(top.items[0], Word) or top.items[0].text != "scenario":
-        raise _error(top.spot, "", "wants (scenario ...)")
+        raise _error(top.spot, "", "expected (scenario ...)")
     contents = _Contents()
     faults: list[Item] = []
     for item in top.items[1:]:
@@ -87,9 +86,9 @@
             _read_entry(contents, key, arguments, item.spot)
     if "gatekeepers" not in contents.values:
         raise _error(top.spot, "gatekeepers", "is missing")
-    ends = _build(top.spot, contents).link_ends()
+    endpoints = _build(top.spot, contents).link_endpoints()
     for fault in faults:
-        _read_fault(contents, fault, ends)
+        _read_fault(contents, fault, endpoints)
     return _build(top.spot, contents)
 
 
@@ -106,7 +105,7 @@
         _read_arrivals(contents, arguments, spot)
     elif key in NUMBER_KEYS or key in TIME_KEYS or key == "name":
         if len(arguments) != 1 or not isinstance(arguments[0], Word):
-            raise _error(spot, key, "wants one value")
+            raise _error(spot, key, "expected one value")
         contents.values[FIELD_NAMES.get(key, key)] = _value(key, arguments[0])
     else:
         raise _error(spot, key, "no such key in a scenario")
@@ -120,17 +119,17 @@
     try:
         number = NUMBER_KEYS[key](word.text)
     except ValueError:
-        raise _error(word.spot, key, f"wants a number, has {word.text!r}") from None
+        raise _error(word.spot, key, f"expected a number, got {word.text!r}") from None
     if number < 0:
-        raise _error(word.spot, key, "wants 0 or more")
+        raise _error(word.spot, key, "must not be negative")
     return number
 
 
 def _seconds(item: Item, key: str) -> float:
-    """Return `3s`, `500ms` or `2.5` in seconds."""
+    """Return a time such as `3s`, `500ms` or `2.5` in seconds."""
     match = re.fullmatch(r"(\d+(?:\.\d+)?)(ms|s)?", item.text) if isinstance(item, Word) else None
     if match is None:
-        raise _error(item.spot, key, "wants a time: 3s, 500ms or 2.5")
+        raise _error(item.spot, key, "expected a time: 3s, 500ms or 2.5")
     return float(match[1]) / (1000.0 if match[2] == "ms" else 1.0)
 
 
@@ -144,112 +143,112 @@
             contents.values["rate"] = _value("rate", _require_word(rates[0]))
             contents.values["ramp_to"] = _value("rate", _require_word(rates[1]))
             return
-    raise _error(spot, "arrivals", "wants poisson or (ramp FROM TO), in jobs a second each firm")
+    raise _error(spot, "arrivals", "expected poisson or (ramp FROM TO), in jobs per second for each firm")
 
 
 # ---- faults
-def _read_fault(contents: _Contents, item: Item, ends: list[str]) -> None:
+def _read_fault(contents: _Contents, item: Item, endpoints: list[str]) -> None:
     key, arguments = _entry(item)
-    where = f"faults.{key}"
+    key_path = f"faults.{key}"
     if key in ACTION_FIELDS:
-        action = _process_action(key, arguments, item.spot, ends)
+        action = _process_action(key, arguments, item.spot, endpoints)
         contents.actions.setdefault(ACTION_FIELDS[key], []).append(action)
         return
     if key != "partition" and key not in LINK_FAULT_KEYS:
         known = "partition, cut, drop, delay, duplicate, reorder, kill, term, restart, pause"
-        raise _error(item.spot, where, f"no such fault: {known}")
+        raise _error(item.spot, key_path, f"no such fault; known are {known}")
     if len(arguments) < MIN_LINK_FAULT_ARGUMENTS:
-        raise _error(item.spot, where, "wants FROM UNTIL and what it is between")
-    started_ms = _seconds(arguments[0], where) * 1000
-    ended_ms = _seconds(arguments[1], where) * 1000
+        raise _error(item.spot, key_path, "expected FROM UNTIL and the endpoints")
+    started_ms = _seconds(arguments[0], key_path) * 1000
+    ended_ms = _seconds(arguments[1], key_path) * 1000
     try:
         if key == "partition":
-            fault = partition_fault(_sides(arguments[2:], where, ends), started_ms, ended_ms)
+            fault = partition_fault(_sides(arguments[2:], key_path, endpoints), started_ms, ended_ms)
         else:
-            directions = _directions(key, arguments, where, ends)
+            directions = _directions(key, arguments, key_path, endpoints)
             state = _link_state(key, arguments, item.spot)
             fault = LinkFault(directions, started_ms, ended_ms, state)
     except LinkFaultError as error:
-        raise _error(item.spot, where, str(error)) from None
+        raise _error(item.spot, key_path, str(error)) from None
     contents.faults.append(fault)
 
 
-def _process_action(key: str, arguments: list[Item], spot: Spot, ends: list[str]) -> tuple[float, ...]:
-    """Return the gatekeeper and its times."""
-    where = f"faults.{key}"
+def _process_action(key: str, arguments: list[Item], spot: Spot, endpoints: list[str]) -> tuple[float, ...]:
+    """Return the number of the gatekeeper, followed by the times of the action."""
+    key_path = f"faults.{key}"
     if len(arguments) != (3 if key == "pause" else 2):
-        raise _error(spot, where, "wants G AT" + (" UNTIL" if key == "pause" else ""))
-    gatekeeper = _gatekeeper(arguments[0], where, ends)
-    return (gatekeeper, *(_seconds(argument, where) for argument in arguments[1:]))
+        raise _error(spot, key_path, "expected G AT" + (" UNTIL" if key == "pause" else ""))
+    gatekeeper = _gatekeeper(arguments[0], key_path, endpoints)
+    return (gatekeeper, *(_seconds(argument, key_path) for argument in arguments[1:]))
 
 
-def _directions(key: str, arguments: list[Item], where: str, ends: list[str]) -> frozenset[Direction]:
-    source = _end(arguments[2], where, ends)
-    target = _end(arguments[3], where, ends)
+def _directions(key: str, arguments: list[Item], key_path: str, endpoints: list[str]) -> frozenset[Direction]:
+    source = _endpoint(arguments[2], key_path, endpoints)
+    target = _endpoint(arguments[3], key_path, endpoints)
     if key == "drop":
         return frozenset({Direction(source, target)})
     return frozenset({Direction(source, target), Direction(target, source)})
 
 
 def _link_state(key: str, arguments: list[Item], spot: Spot) -> LinkState:
-    where = f"faults.{key}"
+    key_path = f"faults.{key}"
     if key == "delay":
         if len(arguments) not in (5, 6):
-            raise _error(spot, where, "wants FROM UNTIL A B MS [JITTER]")
-        jitter_ms = _seconds(arguments[5], where) * 1000 if len(arguments) == 6 else 0.0
-        return LinkState(LinkStateKind.DELAY, _seconds(arguments[4], where) * 1000, jitter_ms)
+            raise _error(spot, key_path, "expected FROM UNTIL A B MS [JITTER]")
+        jitter_ms = _seconds(arguments[5], key_path) * 1000 if len(arguments) == 6 else 0.0
+        return LinkState(LinkStateKind.DELAY, _seconds(arguments[4], key_path) * 1000, jitter_ms)
     if len(arguments) != MIN_LINK_FAULT_ARGUMENTS:
-        raise _error(spot, where, "wants FROM UNTIL A B")
+        raise _error(spot, key_path, "expected FROM UNTIL A B")
     return LinkState(LinkStateKind(key))
 
 
-def _sides(arguments: list[Item], where: str, ends: list[str]) -> list[set[str]]:
+def _sides(arguments: list[Item], key_path: str, endpoints: list[str]) -> list[set[str]]:
     sides: list[set[str]] = []
     has_rest = False
     for argument in arguments:
         if isinstance(argument, Word) and argument.text == "rest":
             has_rest = True
         elif isinstance(argument, Items):
-            sides.append(_side(argument, where, ends))
+            sides.append(_side(argument, key_path, endpoints))
         else:
-            raise _error(argument.spot, where, "a side is (END ...) or rest")
+            raise _error(argument.spot, key_path, "expected (END ...) or rest")
     if has_rest:
-        sides.append(set(ends) - set().union(*sides))
+        sides.append(set(endpoints) - set().union(*sides))
     if len(sides) < MIN_SIDES:
-        raise _error(arguments[0].spot, where, "wants two sides at least")
+        raise _error(arguments[0].spot, key_path, "expected at least two sides")
     return sides
 
 
-def _side(side: Items, where: str, ends: list[str]) -> set[str]:
+def _side(side: Items, key_path: str, endpoints: list[str]) -> set[str]:
     names: set[str] = set()
     for item in side.items:
-        for name in _expand_range(_require_word(item), where):
-            names.add(_end(Word(name, False, item.spot), where, ends))
+        for name in _expand_range(_require_word(item), key_path):
+            names.add(_endpoint(Word(name, False, item.spot), key_path, endpoints))
     return names
 
 
-def _expand_range(word: Word, where: str) -> list[str]:
+def _expand_range(word: Word, key_path: str) -> list[str]:
     match = re.fullmatch(r"([gn])(\d+)-\1?(\d+)", word.text)
     if match is None:
         return [word.text]
     first = int(match[2])
     last = int(match[3])
     if first > last:
-        raise _error(word.spot, where, f"{word.text}: a range runs upwards")
+        raise _error(word.spot, key_path, f"{word.text}: a range must be ascending")
     return [f"{match[1]}{number}" for number in range(first, last + 1)]
 
 
-def _end(item: Item, where: str, ends: list[str]) -> str:
+def _endpoint(item: Item, key_path: str, endpoints: list[str]) -> str:
     word = _require_word(item)
-    if word.text not in ends:
-        raise _error(word.spot, where, f"{word.text}: no such end in this scenario")
+    if word.text not in endpoints:
+        raise _error(word.spot, key_path, f"{word.text}: no such endpoint in this scenario")
     return word.text
 
 
-def _gatekeeper(item: Item, where: str, ends: list[str]) -> int:
-    match = re.fullmatch(r"g(\d+)", _end(item, where, ends))
+def _gatekeeper(item: Item, key_path: str, endpoints: list[str]) -> int:
+    match = re.fullmatch(r"g(\d+)", _endpoint(item, key_path, endpoints))
     if match is None:
-        raise _error(item.spot, where, "wants a gatekeeper: g0, g1, ...")
+        raise _error(item.spot, key_path, "expected a gatekeeper: g0, g1, ...")
     return int(match[1])
 
 
@@ -257,13 +256,13 @@
 def _entry(item: Item) -> tuple[str, list[Item]]:
     """Return the key and the arguments of `(key value ...)`."""
     if not isinstance(item, Items) or not item.items or not isinstance(item.items[0], Word):
-        raise _error(item.spot, "", "wants (key value ...)")
+        raise _error(item.spot, "", "expected (key value ...)")
     return item.items[0].text, list(item.items[1:])
 
 
 def _require_word(item: Item) -> Word:
     if not isinstance(item, Word):
-        raise _error(item.spot, "", "wants a word here, not a list")
+        raise _error(item.spot, "", "expected a word, not a list")
     return item
 
 
--- a/ashlift/lab/stand_ins.py
+++ b/ashlift/lab/stand_ins.py
@@ -1,7 +1,7 @@
-"""Stand-ins for what the gatekeepers reach in a lab run: the counter, the machine list, execute nodes.
+"""Stand-ins for the services that gatekeepers call: the counter, the machine list and execute nodes.
 
-Each implements the published protocol of the part that it stands for, as the gatekeeper's adapters read it.
-All listen on 127.0.0.1 at a port of the kernel's choosing (`address`), in the lab's own process.
+Each implements the protocol of its service as the gatekeeper's adapters expect it, in the lab process. All
+listen on 127.0.0.1 at an ephemeral port (`address`).
 """
 
 import contextlib
@@ -19,7 +19,7 @@
 
 
 class StandIn:
-    """A server with a greenlet for each connection; subclasses serve one."""
+    """A server with a greenlet for each connection; subclasses implement `_serve`."""
 
     def __init__(self) -> None:
         self._server = StreamServer(ANY_LOOPBACK_PORT, self._serve)
@@ -30,12 +30,12 @@
         raise NotImplementedError
 
     def stop(self) -> None:
-        """Stop listening, and end the connections at once."""
+        """Stop listening and close all connections immediately."""
         self._server.stop(0)
 
 
 class CounterServer(StandIn):
-    """The platform's text counter: `bump NAME AMOUNT EXPIRE_MS` is answered by `ok TOTAL`, one line each."""
+    """The platform's text counter: each line `bump NAME AMOUNT EXPIRE_MS` is answered `ok TOTAL`."""
 
     def __init__(self) -> None:
         self.totals: dict[str, float] = {}
@@ -56,12 +56,11 @@
 class MachineListServer(StandIn):
     """The machine list: `GET /discovery/hosts?stream=1&index=N` gets a chunked stream of JSON lines.
 
-    The first line is the whole list; an empty one follows every KEEP_ALIVE_SECONDS, so that the watcher knows
-    that the stream is alive.
+    The first line is the whole list; an empty line every KEEP_ALIVE_SECONDS keeps the stream alive.
     """
 
     def __init__(self, nodes: dict[str, Address]) -> None:
-        """`nodes`: addresses of execute nodes by name."""
+        """`nodes`: addresses of execute nodes, by name."""
         self._nodes = nodes
         super().__init__()
 
@@ -98,7 +97,7 @@
 
 
 class ExecuteNode(StandIn):
-    """An execute node, which answers every job with 200 after `work_ms` and keeps connections alive."""
+    """An execute node that answers every job with 200 after `work_ms` and keeps connections alive."""
 
     def __init__(self, work_ms: float = 2.0) -> None:
         self.work_ms = work_ms
--- a/ashlift/lab/udp_fault_proxy.py
+++ b/ashlift/lab/udp_fault_proxy.py
@@ -1,4 +1,4 @@
-"""A fault-injecting proxy for datagrams on loopback, each of which asks the schedule for its direction."""
+"""A fault-injecting proxy for UDP on loopback; the schedule gives the state for each datagram."""
 
 import contextlib
 import time
@@ -18,53 +18,53 @@
 
 
 class UdpFaultProxy(FaultProxy):
-    """The near end sends to `address`; what the far end answers goes to whoever sent last."""
+    """The caller sends to `address`; datagrams of the callee are forwarded to the last sender."""
 
     def __init__(
         self,
-        near: str,
-        far: str,
+        caller: str,
+        callee: str,
         target: Address,
         schedule: FaultSchedule,
         seed: int,
         listen: Address = ANY_LOOPBACK_PORT,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Receive at `listen`, of which `address` says the port. Raises OSError where that cannot be had."""
-        super().__init__(near, far, target, schedule, seed, clock)
-        self._near_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._near_socket.bind(require_loopback(listen))
-        self._far_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._far_socket.bind(ANY_LOOPBACK_PORT)
-        self.address: Address = self._near_socket.getsockname()
+        """Receive at `listen`; `address` has the port in use. Raises OSError if it cannot be bound."""
+        super().__init__(caller, callee, target, schedule, seed, clock)
+        self._caller_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self._caller_socket.bind(require_loopback(listen))
+        self._callee_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self._callee_socket.bind(ANY_LOOPBACK_PORT)
+        self.address: Address = self._caller_socket.getsockname()
         self._last_sender: Address | None = None
-        self._delayed_until_next: dict[Direction, bytes] = {}
+        self._reorder_buffer: dict[Direction, bytes] = {}
         self._greenlets = [
-            gevent.spawn(self._relay_outward),
-            gevent.spawn(self._relay_backward),
+            gevent.spawn(self._relay_to_callee),
+            gevent.spawn(self._relay_to_caller),
         ]
 
     def close(self) -> None:
-        """Stop receiving."""
+        """Stop receiving and close the sockets."""
         gevent.killall(self._greenlets)
-        self._near_socket.close()
-        self._far_socket.close()
+        self._caller_socket.close()
+        self._callee_socket.close()
 
-    def _relay_outward(self) -> None:
+    def _relay_to_callee(self) -> None:
         while True:
             try:
-                data, self._last_sender = self._near_socket.recvfrom(RECEIVE_BYTES)
+                data, self._last_sender = self._caller_socket.recvfrom(RECEIVE_BYTES)
             except OSError:
                 return
-            self._forward(data, self.outward, self._far_socket, self._target)
+            self._forward(data, self.to_callee, self._callee_socket, self._target)
 
-    def _relay_backward(self) -> None:
+    def _relay_to_caller(self) -> None:
         while True:
             try:
-                data, _ = self._far_socket.recvfrom(RECEIVE_BYTES)
+                data, _ = self._callee_socket.recvfrom(RECEIVE_BYTES)
             except OSError:
                 return
-            self._forward(data, self.backward, self._near_socket, self._last_sender)
+            self._forward(data, self.to_caller, self._caller_socket, self._last_sender)
 
     def _forward(
         self, data: bytes, direction: Direction, sink: socket.socket, destination: Address | None
@@ -80,9 +80,9 @@
             datagrams = [data, data]
             self._count(direction, "duplicated")
         elif state.kind is LinkStateKind.REORDER:
-            earlier = self._delayed_until_next.pop(direction, None)
+            earlier = self._reorder_buffer.pop(direction, None)
             if earlier is None:
-                self._delayed_until_next[direction] = data
+                self._reorder_buffer[direction] = data
                 return
             datagrams = [data, earlier]
             self._count(direction, "reordered")
--- a/tests/gatekeeper/test_lab_scenario_file.py
+++ b/tests/gatekeeper/test_lab_scenario_file.py
@@ -1,4 +1,4 @@
-"""The lab's scenario files are read, and what is wrong in them is named with its place and key."""
+"""Parsing of scenario files of the lab, and its errors with position and key."""
 
 import re
 from pathlib import Path
@@ -17,7 +17,7 @@
     split, drop, delay = scenario.faults
     assert Direction("g0", "counter") in split.directions
     assert Direction("n5", "g1") in split.directions
-    # Ends of the same side.
+    # Endpoints on the same side.
     assert Direction("g0", "n3") not in split.directions
     assert Direction("g2", "g3") not in split.directions
     assert drop.directions == {Direction("g2", "counter")}
@@ -33,14 +33,17 @@
     ("text", "message"),
     [
         ("(scenario (gatekeepers 2)\n  (speed 3))", "s:2:3: speed: no such key"),
-        ("(scenario (gatekeepers 2) (seconds 3x))", "s:1:36: seconds: wants a time"),
-        ("(scenario (gatekeepers 2) (faults (cut 1s 2s g0 g7)))", "s:1:49: faults.cut: g7: no such end"),
+        ("(scenario (gatekeepers 2) (seconds 3x))", "s:1:36: seconds: expected a time"),
+        ("(scenario (gatekeepers 2) (faults (cut 1s 2s g0 g7)))", "s:1:49: faults.cut: g7: no such endpoint"),
         (
             "(scenario (gatekeepers 2) (faults (partition 1 2 (g0 n3-n1) rest)))",
-            "s:1:54: faults.partition: n3-n1: a range runs upwards",
+            "s:1:54: faults.partition: n3-n1: a range must be ascending",
+        ),
+        ("(scenario (gatekeepers 2) (faults (kill g0)))", "s:1:35: faults.kill: expected G AT"),
+        (
+            "(scenario (gatekeepers 2) (faults (restart g2 1s)))",
+            "s:1:44: faults.restart: g2: no such endpoint",
         ),
-        ("(scenario (gatekeepers 2) (faults (kill g0)))", "s:1:35: faults.kill: wants G AT"),
-        ("(scenario (gatekeepers 2) (faults (restart g2 1s)))", "s:1:44: faults.restart: g2: no such end"),
         ("(scenario (seed 1))", "s:1:1: gatekeepers: is missing"),
         ("(scenario (gatekeepers 2)", "s:1:26: the file ends within a list"),
     ],
