--- a/tests/gatekeeper/test_lab_checker.py
+++ b/tests/gatekeeper/test_lab_checker.py
@@ -1,4 +1,4 @@
-"""The lab's checker finds violations planted in recorded histories, and passes the clean one."""
+"""The checker of the lab detects violations inserted into histories, and passes a valid one."""
 
 import json
 from pathlib import Path
@@ -32,7 +32,7 @@
 
 
 def clean_history() -> list[Row]:
-    """Ten jobs a second for two seconds from a burst of five, all in the bucket; a rejection with advice."""
+    """Twenty jobs at ten per second, all within the quota, and a rejection with Retry-After."""
     rows = [PLAN]
     for number in range(20):
         rows.append(job_sent(f"j{number}", 100.0 * number))
@@ -56,11 +56,11 @@
     lost = [row for row in clean_history() if row != job_answered("j7", 703.0)]
     assert violated(lost) == {"one_answer"}
     assert violated([*clean_history(), job_answered("nobody", 5.0)]) == {"one_answer"}
-    without_advice = [*clean_history(), job_sent("x", 2100.0), job_answered("x", 2101.0, 429)]
-    assert violated(without_advice) == {"advice"}
+    without_retry_after = [*clean_history(), job_sent("x", 2100.0), job_answered("x", 2101.0, 429)]
+    assert violated(without_retry_after) == {"advice"}
     burst = [job_sent(f"b{number}", 1500.0, units=2) for number in range(4)]
     burst += [job_answered(f"b{number}", 1502.0) for number in range(4)]
-    # 8 units at once, where the bucket holds 4.
+    # 8 units at once, while the bucket holds 4.
     assert violated([*clean_history(), *burst]) == {"quota"}
     assert violated([*clean_history(), *burst], allowed=8.0) == set()
     out_of_order = [PLAN, job_sent("late", 900.0), job_answered("late", 901.0), *clean_history()[1:]]
--- a/tests/gatekeeper/test_lab_demo.py
+++ b/tests/gatekeeper/test_lab_demo.py
@@ -1,4 +1,4 @@
-"""`make demo` plays its scenario on real processes, and prints what held and where the report is."""
+"""`make demo` runs its scenario on real processes and prints the verdicts and the path of the report."""
 
 import os
 import re
@@ -10,7 +10,7 @@
 from ashlift.simulation.scenario import read_scenarios
 
 ROOT = Path(__file__).resolve().parents[2]
-# Of the scenario: a configuration is acknowledged and expected in force, and a proxy is killed.
+# Long enough for a configuration to be acknowledged and take effect, and for a proxy to be killed.
 UNTIL_SECONDS = 10.5
 TIMEOUT_SECONDS = 60  # for the command, which takes about 20 s
 
@@ -25,7 +25,7 @@
         try:
             output, errors = demo.communicate(timeout=TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired:
-            # The lab ends its own processes on SIGTERM.
+            # On SIGTERM the lab stops the processes that it started.
             os.killpg(demo.pid, signal.SIGTERM)
             output, errors = demo.communicate()
     assert demo.returncode == 0, output + errors
--- a/tests/gatekeeper/test_lab_fault_proxies.py
+++ b/tests/gatekeeper/test_lab_fault_proxies.py
@@ -1,4 +1,4 @@
-"""Schedules of link faults, and the lab's proxies for TCP and UDP that follow them."""
+"""Schedules of link faults, and the fault-injecting proxies for TCP and UDP."""
 
 import contextlib
 
@@ -39,7 +39,7 @@
     assert schedule.state(Direction("g2", "g1"), 1000.0).kind is LinkStateKind.CUT
     # The later fault wins.
     assert schedule.state(Direction("g1", "g2"), 2550.0) == delay
-    # g3 hears nothing of g2, and g2 still hears g3.
+    # g3 receives nothing from g2, while g2 still receives from g3.
     assert schedule.state(Direction("g2", "g3"), 2000.0).kind is LinkStateKind.DROP
     assert schedule.state(Direction("g3", "g2"), 2000.0) == PASS
     assert schedule.state(Direction("g1", "g3"), 4000.0).kind is LinkStateKind.PASS
@@ -49,7 +49,7 @@
 
 
 def start_echo_server() -> tuple[socket.socket, list[bytes]]:
-    """The server's socket, and what it receives."""
+    """Return the socket of an echo server, and the list of data it has received."""
     received: list[bytes] = []
     server = socket.socket()
     server.bind(("127.0.0.1", 0))
@@ -73,8 +73,8 @@
 def test_the_tcp_proxy_passes_drops_one_way_and_cuts_as_the_schedule_says() -> None:
     server, received = start_echo_server()
     clock = [0.0]
-    # From 0.5 s requests are delayed by 5 to 10 ms; from 1 s answers are dropped (the far end hears the near
-    # one, not the other way); from 2 s, a cut.
+    # From 0.5 s requests are delayed by 5 to 10 ms; from 1 s answers are dropped, but not requests; from 2 s
+    # both directions are cut.
     slow = fault("g1", "counter", 500.0, 1000.0, LinkState(LinkStateKind.DELAY, 5.0, 5.0))
     drop = one_way_fault("counter", "g1", 1000.0, 2000.0)
     cut = partition_fault([{"g1"}, {"counter"}], 2000.0, FOREVER_MS)
@@ -112,7 +112,7 @@
         assert send_and_receive(client, b"one") == b"one"
         clock[0] = 1.5
         client.sendall(b"two")
-        # A new connection is accepted, and goes on to the far end after the hold.
+        # A new connection is accepted, and forwarded to the callee after the hold.
         with socket.create_connection(proxy.address) as late:
             late.sendall(b"new")
             while not proxy.waiting_count:
@@ -128,8 +128,8 @@
 
 
 def test_datagrams_are_dropped_one_way_duplicated_and_reordered_as_the_schedule_says() -> None:
-    far = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    far.bind(("127.0.0.1", 0))
+    callee = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    callee.bind(("127.0.0.1", 0))
     clock = [0.0]
     schedule = FaultSchedule(
         [
@@ -138,21 +138,21 @@
             one_way_fault("g2", "g1", 0.0, FOREVER_MS),
         ]
     )
-    proxy = UdpFaultProxy("g1", "g2", far.getsockname(), schedule, seed=3, clock=lambda: clock[0])
-    near = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    proxy = UdpFaultProxy("g1", "g2", callee.getsockname(), schedule, seed=3, clock=lambda: clock[0])
+    caller = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     received = []
     with gevent.Timeout(TIMEOUT_SECONDS):
-        near.sendto(b"a", proxy.address)
-        received.append(far.recvfrom(64))
-        # g1 hears nothing of g2.
-        far.sendto(b"answer", received[0][1])
+        caller.sendto(b"a", proxy.address)
+        received.append(callee.recvfrom(64))
+        # g1 receives nothing from g2.
+        callee.sendto(b"answer", received[0][1])
         clock[0] = 1.5
-        near.sendto(b"b", proxy.address)
-        received += [far.recvfrom(64), far.recvfrom(64)]
+        caller.sendto(b"b", proxy.address)
+        received += [callee.recvfrom(64), callee.recvfrom(64)]
         clock[0] = 2.5
-        near.sendto(b"c", proxy.address)
-        near.sendto(b"d", proxy.address)
-        received += [far.recvfrom(64), far.recvfrom(64)]
+        caller.sendto(b"c", proxy.address)
+        caller.sendto(b"d", proxy.address)
+        received += [callee.recvfrom(64), callee.recvfrom(64)]
         while not proxy.counts["g2>g1 dropped"]:
             gevent.sleep(POLL_SECONDS)
     assert [data for data, _ in received] == [b"a", b"b", b"b", b"d", b"c"]
--- a/tests/gatekeeper/test_lab_runs.py
+++ b/tests/gatekeeper/test_lab_runs.py
@@ -1,4 +1,4 @@
-"""The lab's runs with real gatekeeper processes: faults of processes and links, and runs that are saved."""
+"""Lab runs with real gatekeeper processes: faults of processes and links, and saved results."""
 
 import io
 import re
@@ -20,8 +20,8 @@
 
 
 def test_three_gatekeeper_processes_killed_restarted_paused_and_cut_keep_one_answer_a_job() -> None:
-    """What was open at the killed one is reported by name; the paused one answers all it took once it goes
-    on; the restarted one serves again; the cut from the counter is met."""
+    """Jobs open at the kill are reported for that gatekeeper; the paused one answers its jobs once resumed;
+    the restarted one serves again; the cut from the counter affects traffic."""
     stream = io.StringIO()
     scenario = Scenario(
         3,
@@ -39,7 +39,7 @@
     verdicts = {verdict.name: verdict for verdict in check_history(history, allowed=40.0)}
     assert all(verdict.ok for verdict in verdicts.values()), [v.line() for v in verdicts.values()]
     assert re.search(r"open at a kill: g1 [1-9]", verdicts["one_answer"].text)
-    # The cut from the counter was met.
+    # The cut from the counter affected traffic.
     assert "cut counter>g2,g2>counter" in verdicts["crossed"].text
     assert [event.text for event in history.process_events] == ["paused", "resumed", "restarted"]
     restarted_ms = history.process_events[-1].at_ms
@@ -55,8 +55,8 @@
 
 
 def test_a_run_from_a_file_splits_a_gatekeeper_from_nodes_and_is_saved_and_reported(tmp_path: Path) -> None:
-    """Two real gatekeepers: g0 and n0 are split from the rest for a second; the split is met on the links to
-    the nodes; the run is saved with its verdicts, and is listed, shown, compared and reported."""
+    """g0 and n0 are partitioned from the rest for a second, which affects the links to the nodes; the saved
+    run is listed, shown, compared and reported."""
     scenario_file = tmp_path / "split.sexp"
     scenario_file.write_text(SPLIT_SCENARIO)
     database = tmp_path / "r.sqlite"
--- a/tests/lab/test_control_calls.py
+++ b/tests/lab/test_control_calls.py
@@ -1,4 +1,4 @@
-"""How the lab's workers and operators call core machines. No process starts."""
+"""Encoding of calls to core machines as HTTP requests. Starts no processes."""
 
 import json
 
@@ -11,7 +11,7 @@
 from ashlift.simulation.registry_methods import RegistryMethod
 
 
-@test("the lab's workers and operator send requests of the HTTP protocol")
+@test("calls of workers and operators are encoded as HTTP requests")
 def _() -> None:
     fields = {
         "service": "fleet",
--- a/tests/lab/test_machine_layout.py
+++ b/tests/lab/test_machine_layout.py
@@ -1,4 +1,4 @@
-"""Addresses, links and settings files of the lab's machines. No process starts."""
+"""Addresses, links and settings files of the machines of a run. Starts no processes."""
 
 from ward import test
 
--- a/tests/lab/test_programs.py
+++ b/tests/lab/test_programs.py
@@ -1,4 +1,4 @@
-"""The programs of a run, as the lab starts and ends them."""
+"""Concurrent starts and stops of the programs of a run."""
 
 import tempfile
 from pathlib import Path
@@ -12,13 +12,13 @@
 from tests.support.patching import replaced
 
 
-@test("a program that two greenlets start at once is started once: none is left behind at the end")
+@test("concurrent starts of a program start one process, which is stopped at the end")
 def _() -> None:
     with tempfile.TemporaryDirectory() as folder:
         popen = subprocess.Popen
 
         def slow_popen(*arguments: Any, **options: Any) -> Any:
-            gevent.sleep(0.05)  # as a start that waits for its process
+            gevent.sleep(0.05)  # yields, so that another greenlet may run
             return popen(*arguments, **options)
 
         program = Program("edge-1", "proxy", Path(folder) / "none.toml", Path(folder) / "log")
@@ -31,7 +31,7 @@
         assert not program.is_running
 
 
-@test("a restart that is under way or due when the run ends leaves no program behind")
+@test("a restart in progress or pending when the run ends leaves no process running")
 def _() -> None:
     with tempfile.TemporaryDirectory() as folder:
         popen = subprocess.Popen
--- a/tests/lab/test_saved_runs.py
+++ b/tests/lab/test_saved_runs.py
@@ -1,4 +1,4 @@
-"""How runs of the whole system are saved and compared. No process starts."""
+"""Saving and comparing runs of the whole system. Starts no processes."""
 
 import tempfile
 from pathlib import Path
@@ -18,7 +18,7 @@
 DEMO = Path(__file__).parents[2] / "scenarios" / "system-demo.txt"
 
 
-@test("the demo scenario holds on simulated time, and is saved as the lab saves runs")
+@test("the demo scenario passes on simulated time and is converted to a lab history")
 def _() -> None:
     player = ScenarioPlayer(read_scenarios(DEMO)[0], 1)
     assert player.run() is None
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,4 +1,4 @@
-"""What the soak draws, and what it finds in programs' metrics and logs. No process starts."""
+"""Scenarios and checks of the soak test, and the pool of connections. Starts no processes."""
 
 import tempfile
 from pathlib import Path
@@ -23,7 +23,7 @@
 SECONDS = 30.0
 
 
-@test("every seed of the soak can be played, has home regions, and at least two faults at the same time")
+@test("every soak scenario is supported, has home regions and at least two concurrent faults")
 def _() -> None:
     words: set[str] = set()
     for seed in SEEDS:
@@ -39,7 +39,7 @@
         soak_scenario(1, 9, 10.0)
 
 
-@test("a broken invariant is found in metrics and in logs, and so are metrics without any")
+@test("broken invariants are found in metrics and logs, and metrics without invariants are reported")
 def _() -> None:
     metrics = MetricsRegistry()
     metrics.add(INVARIANT_VIOLATIONS, lambda: {**monitor.violations, "attempt_region": 2})
@@ -56,14 +56,14 @@
 
 
 def broken_request(history: History, sent: float) -> Request:
-    """A request to edge-1 whose connection ends 0.1 s later, without an answer."""
+    """Add a request to edge-1 whose connection is closed after 0.1 s without an answer."""
     request = history.add_request("/look/x", True, "t1-a", "z1", "r1", sent)
     request.proxy = "edge-1"
     request.received, request.ended, request.connection_broken = sent + 0.01, sent + 0.1, True
     return request
 
 
-@test("a request that is lost while its proxy accepts breaks ACCEPTED; one after it, or in a fault, does not")
+@test("a request lost while its proxy accepts violates ACCEPTED; one lost later or in a fault does not")
 def _() -> None:
     history = History()
     history.begin_fault("edge-1", 10.0, termination=True)
@@ -72,14 +72,14 @@
     assert list(unanswered_requests(history, 6.0)) == [calm, early]
     assert not accepted_verdict(history, 6.0).ok
     assert late.describe() not in accepted_verdict(history, 6.0).text
-    history.begin_fault("edge-1", 11.0, termination=True)  # told again: nothing changes
+    history.begin_fault("edge-1", 11.0, termination=True)  # a second SIGTERM has no effect
     assert list(unanswered_requests(history, 6.0)) == [calm, early]
     early.connection_broken = False
     history.begin_fault("edge-1", 9.05)
     assert accepted_verdict(history, 6.0).ok
 
 
-@test("programs are told to end, and to read their settings again, in series that overlap")
+@test("soak scenarios terminate every kind of program, and reload settings three times")
 def _() -> None:
     words = [event.words for seed in SEEDS for event in soak_scenario(seed, 9, SECONDS).events]
     ended = {kind for word, kind, *_ in (each for each in words if len(each) > 1) if word == "term"}
@@ -88,7 +88,7 @@
     assert len(reloads) == 3 * len(SEEDS)
 
 
-@test("a connection is used again unless its peer has closed it or said that it will")
+@test("a connection is reused unless its peer has closed it or sent Connection: close")
 def _() -> None:
     served: list[socket.socket] = []
 
--- a/tests/lab/test_supported_scenarios.py
+++ b/tests/lab/test_supported_scenarios.py
@@ -1,4 +1,4 @@
-"""Which scenarios can be played on processes. No process starts."""
+"""Checks for scenarios that cannot be run on processes. Starts no processes."""
 
 from pathlib import Path
 
