--- a/ashlift/lab/gatekeeper_process.py
+++ b/ashlift/lab/gatekeeper_process.py
@@ -73,7 +73,10 @@
         return self._log_path.read_text(errors="replace").count(" listens on ")
 
     def wait_until_listening(self, previous_count: int = 0) -> None:
-        """Wait until its log reports this more than `previous_count` times. Raises LabError."""
+        """Wait until its log has reported a listening address more than `previous_count` times.
+
+        Raises LabError if it exits first, or after START_TIMEOUT_SECONDS.
+        """
         deadline = time.monotonic() + START_TIMEOUT_SECONDS
         while time.monotonic() < deadline:
             log = self._log_path.read_text(errors="replace")
--- a/ashlift/lab/system/commands.py
+++ b/ashlift/lab/system/commands.py
@@ -23,7 +23,7 @@
 
 
 def read_scenario_file(path: Path) -> list[Scenario]:
-    """Return the scenarios of a file. Raises ClickException where it cannot be read."""
+    """Return the scenarios of a file. Raises ClickException if it cannot be read."""
     try:
         return read_scenarios(path)
     except (OSError, ValueError, IndexError) as error:
--- a/ashlift/lab/system/soak_scenario.py
+++ b/ashlift/lab/system/soak_scenario.py
@@ -103,7 +103,7 @@
     for service in SERVICES:
         worker = f"{service}-{rng.randint(1, plan.workers)}"
         fault = rng.choice(("sick", "break"))
-        share = rng.choice(LOST_ANSWER_PROBABILITIES)
+        probability = rng.choice(LOST_ANSWER_PROBABILITIES)
         at = rng.uniform(FIRST_EVENT_SECONDS, calm_at)
-        yield ScenarioEvent(round(at, 2), (fault, worker, f"{share:g}"))
+        yield ScenarioEvent(round(at, 2), (fault, worker, f"{probability:g}"))
         yield ScenarioEvent(round(calm_at, 2), (fault, worker, "0"))
