--- a/tests/configstore/test_stored_data.py
+++ b/tests/configstore/test_stored_data.py
@@ -15,7 +15,7 @@
 from ashlift.configstore.stored_names import PENDING_EDIT_STORAGE
 from ashlift.route_reconciliation.edit_codec import encode_edit
 from tests.support import stored_data
-from tests.support.stored_data import INTACT, TORN, Stored, Values
+from tests.support.stored_data import INTACT, TORN, StoredState, Values
 
 ARCHIVE = Path(__file__).parent / "stored_by_147a987.zip"
 NEWEST = {INTACT: stored_data.writes()[-1], TORN: stored_data.writes()[-2]}
@@ -33,12 +33,12 @@
     return PendingEditStorage(storage, lambda: (0, {}), lambda *_, **__: None)
 
 
-def request(stored: Stored) -> PersistState:
+def request(stored: StoredState) -> PersistState:
     """The effect with which a replica persists this state."""
     return PersistState(PersistentVote(*stored.vote), Snapshot(stored.term_index, RangedMap(stored.objects)))
 
 
-def persist(folder: str, stored: Iterable[Stored]) -> None:
+def persist(folder: str, stored: Iterable[StoredState]) -> None:
     storage = ReplicaStorage(folder)
     for state in stored:
         assert storage.persist(request(state)) is None
@@ -93,7 +93,7 @@
     storage = ReplicaStorage(str(folder / disk))
     storage.read()
     objects = {**NEWEST[disk].objects, "Routes/one-more": {"Service": "service-1"}}
-    following = Stored((10, "10.0.0.3", True, 5), (10, 58), objects)
+    following = StoredState((10, "10.0.0.3", True, 5), (10, 58), objects)
     assert storage.persist(request(following)) is None
     expected = PersistentVote(*following.vote), following.term_index, following.objects
     assert read_values(folder / disk) == expected
--- a/tests/support/census.py
+++ b/tests/support/census.py
@@ -1,12 +1,12 @@
-"""A census of the tests: the title of each, and how many assertions it makes.
+"""A census of the tests: lists each test with its number of assertions.
 
-`python -m tests.support.census [FOLDER...]` prints a line of file, title and assertions for each test. Of
-ward the title is the text of `@test`, of pytest the function's name. Assertions outside of tests, in what
-several tests share, are counted under the title `-` of their file. `--root DIR` counts another tree.
+`python -m tests.support.census [FOLDER...]` prints a line of file, title and assertion count for each test.
+The title is the text of `@test` for ward, and the function's name for pytest. Assertions in shared helpers
+are counted under the title `-` of their file. `--root DIR` reads another source tree.
 
-`--compare FILE` compares the tests with an earlier census: it prints the titles that are gone and those with
-fewer assertions, and the exit status is 1 if there are any. `census-renamed.tsv` beside the tests says which
-titles have others now: lines of the old title and the new one, `#` begins a comment.
+`--compare FILE` compares the tests with an earlier census: it prints titles that are missing or have fewer
+assertions, and exits with status 1 if there are any. `census-renamed.tsv` in the tests folder maps renamed
+titles: each line has the old title, a tab and the new title; `#` begins a comment.
 """
 
 import argparse
@@ -19,14 +19,14 @@
 
 TESTS: Final = Path(__file__).parents[1]
 RENAMED: Final = TESTS / "census-renamed.tsv"
-SHARED: Final = "-"  # the title of assertions outside of tests
-RAISES: Final = ("raises", "warns")  # `with raises(...)` asserts too
+SHARED: Final = "-"  # title for assertions outside tests
+RAISES: Final = ("raises", "warns")  # `with raises(...)` counts as an assertion
 
 Function = ast.FunctionDef | ast.AsyncFunctionDef
 
 
 class Row(NamedTuple):
-    """One test, or what a file's tests share."""
+    """The assertion count of one test, or of a file's code outside tests."""
 
     file: str
     title: str
@@ -37,7 +37,7 @@
 
 
 def _called(node: ast.AST) -> str:
-    """The name of what a call calls; "" for anything else."""
+    """The name of the called function or method; "" if the node is not a call by name."""
     if not isinstance(node, ast.Call):
         return ""
     called = node.func
@@ -51,12 +51,12 @@
 
 
 def assertions(node: ast.AST) -> int:
-    """The assertions in a piece of code: `assert`, and what must raise."""
+    """Count `assert` statements and `raises` or `warns` calls below a node."""
     return sum(isinstance(one, ast.Assert) or _called(one) in RAISES for one in ast.walk(node))
 
 
 def title_of(function: Function) -> str | None:
-    """The title of a test; None for a function that is none."""
+    """The title of a test; None if the function is not a test."""
     for decorator in function.decorator_list:
         if _called(decorator) == "test" and isinstance(decorator, ast.Call):
             first = decorator.args[0]
@@ -74,7 +74,7 @@
 
 
 def counted(source: str, file: str) -> list[Row]:
-    """The rows of one file, in the order of its tests."""
+    """The rows of one file, in source order."""
     tree = ast.parse(source)
     found = sorted(_tests(tree), key=lambda test: test[1].lineno)
     rows = [Row(file, title, assertions(node)) for title, node in found]
@@ -83,19 +83,19 @@
 
 
 def census(root: Path, folders: Iterable[str]) -> list[Row]:
-    """The rows of all files below some folders of a tree."""
+    """The rows of all Python files below these folders of a source tree."""
     paths = sorted(path for folder in folders for path in (root / folder).rglob("*.py"))
     return [row for path in paths for row in counted(path.read_text(), path.relative_to(root).as_posix())]
 
 
 def read_rows(text: str) -> list[Row]:
-    """An earlier census as it was printed."""
+    """Parse the printed form of a census."""
     parts = [line.split("\t") for line in text.splitlines() if line]
     return [Row(file, title, int(number)) for file, title, number in parts]
 
 
 def read_renamed(text: str) -> dict[str, str]:
-    """Old titles and new ones; raises ValueError for another line, or an old title that comes twice."""
+    """New titles by old title; raises ValueError for a malformed line or a duplicate old title."""
     renamed: dict[str, str] = {}
     for line in text.splitlines():
         if line and not line.startswith("#"):
@@ -107,7 +107,7 @@
 
 
 def _by_title(rows: Iterable[Row], renamed: dict[str, str]) -> dict[str, list[Row]]:
-    """The tests of each title, those with most assertions first."""
+    """The tests by title, sorted by descending number of assertions."""
     found = defaultdict[str, list[Row]](list)
     for row in rows:
         if row.title != SHARED:
@@ -120,7 +120,7 @@
 
 
 def losses(old: list[Row], new: list[Row], renamed: dict[str, str]) -> Iterator[str]:
-    """What an earlier census has and the newer one has not."""
+    """Messages for tests and assertions of the old census that the new one lacks."""
     now = _by_title(new, {})
     for title, before in _by_title(old, renamed).items():
         after = now.get(title, [])
@@ -135,13 +135,13 @@
 
 
 def summary(rows: list[Row]) -> str:
-    """How many tests there are, and assertions."""
+    """The numbers of tests and assertions."""
     tests = sum(row.title != SHARED for row in rows)
     return f"{tests} tests, {sum(row.assertions for row in rows)} assertions"
 
 
 def main(arguments: list[str]) -> int:
-    """The command; its exit status."""
+    """Run the command and return its exit status."""
     parser = argparse.ArgumentParser(prog="python -m tests.support.census", description="Count the tests.")
     parser.add_argument("folders", nargs="*", default=["tests"], metavar="FOLDER")
     parser.add_argument("--root", type=Path, default=TESTS.parent, metavar="DIR", help="of the tree")
--- a/tests/support/config_play.py
+++ b/tests/support/config_play.py
@@ -1,14 +1,16 @@
-"""Plays a scenario of configurations: requests in turn, the outcome of each, and what must hold after each.
+"""Runs configuration scenarios: requests in order, the expected outcome of each, and checks after each.
 
 A scenario is a text file:
-  put|patch IF_MATCH VERSION       a request; the lines under it, indented, are its objects:
-      KIND NAME KEY=JSON...        an object (`-` = no name)
-      gone KIND NAME               a name to withdraw
-  raw put|patch IF_MATCH JSON      a request with this very body
-  taken | stale | invalid WORDS    its outcome; WORDS: in the detail
-  route HOST PATH NAME|none        key KEY NAME|none        objects NAME...
-After every request: nothing given was changed, what was accepted reads back as it was sent, a routing table
-that was updated equals one that is made anew.
+  put|patch IF_MATCH VERSION       a request; the indented lines after it are its objects:
+      KIND NAME KEY=JSON...        an object (`-`: without a name)
+      gone KIND NAME               an object to withdraw
+  raw put|patch IF_MATCH JSON      a request with a literal body
+  taken | stale | invalid WORDS    the expected outcome (`taken`: accepted); WORDS must occur in the detail
+  route HOST PATH NAME|none        the route found for host and path
+  key KEY NAME|none                the tenant with this API key
+  objects NAME...                  the names of all exported objects
+After every request it is checked that the arguments were not modified, that an accepted configuration is
+exported as it was sent, and that the incrementally updated routing table equals a newly built one.
 """
 
 import json
@@ -25,7 +27,7 @@
 
 
 class ConfigPlay:
-    """A stored map and its routing table, through one request after the other."""
+    """A stored map and its routing table, to which requests are applied in order."""
 
     def __init__(self) -> None:
         self.entries: Json = dict(FOREIGN_ENTRIES)
@@ -34,7 +36,7 @@
     def call(self, kind: str, if_match: str, body: Any) -> ConfigChange | Failure:
         given = json.dumps([self.entries, body])
         outcome = apply_change(self.entries, kind, if_match, body)
-        assert json.dumps([self.entries, body]) == given, "what was given was changed"
+        assert json.dumps([self.entries, body]) == given, "apply_change modified its arguments"
         if isinstance(outcome, Failure):
             assert outcome.reason in ("stale", "invalid"), outcome
             assert outcome.detail, outcome
@@ -66,13 +68,13 @@
 
 
 def _in_order(config_object: Json) -> Json:
-    """With its Specification last, as it is exported."""
+    """The object with its Specification last, the order of an export."""
     other_fields = {key: item for key, item in config_object.items() if key != "Specification"}
     return {**other_fields, "Specification": config_object["Specification"]}
 
 
 def play(name: str) -> int:
-    """Play the scenario; returns how many expectations it checked."""
+    """Run the scenario and return the number of expectations checked."""
     config = ConfigPlay()
     outcome: ConfigChange | Failure | None = None
     checked = 0
@@ -113,7 +115,7 @@
 
 
 def _body(kind: str, version: str, lines: list[str]) -> Json:
-    """The body of a put or patch, from the indented lines under it."""
+    """The body of a put or patch, built from the indented lines after it."""
     objects: list[Json] = []
     withdrawn: Json = {}
     for line in lines:
--- a/tests/support/fault_proxy.py
+++ b/tests/support/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback between a client and a server: it injects faults at any byte."""
+"""A TCP proxy on loopback between a client and a server that injects faults at a chosen byte offset."""
 
 import struct
 from contextlib import suppress
@@ -14,7 +14,7 @@
 
 HOST: Final = "127.0.0.1"
 RECEIVE_BYTES: Final = 65536
-RESETTING_LINGER: Final = struct.pack("ii", 1, 0)  # SO_LINGER: close with a reset
+RESETTING_LINGER: Final = struct.pack("ii", 1, 0)  # SO_LINGER on with timeout 0: close() sends RST
 
 # directions
 TO_SERVER: Final = "to the server"
@@ -23,34 +23,36 @@
 # kinds of faults
 CLOSE: Final = "closed"  # both sides are closed
 RESET: Final = "reset"  # both sides are reset
-STALL: Final = "stalled"  # nothing more until `end_faults`, then the rest
-STALL_AND_RESET: Final = "stalled and reset"  # nothing more, and a reset at `end_faults`
-DUPLICATE: Final = "duplicated"  # the bytes since the fault was injected come once more
-REPEAT: Final = "repeated"  # what is received with the byte, from there on, comes once more
+STALL: Final = "stalled"  # forwarding pauses until `end_faults`
+STALL_AND_RESET: Final = (
+    "stalled and reset"  # later bytes are discarded; both sides are reset at `end_faults`
+)
+DUPLICATE: Final = "duplicated"  # all bytes since the fault was injected are sent again
+REPEAT: Final = "repeated"  # the rest of the received chunk is sent twice
 FAULT_KINDS: Final = (CLOSE, RESET, STALL, STALL_AND_RESET, DUPLICATE)
 
 
 @dataclass
 class Fault:
-    """A fault that has not struck yet: after `remaining_bytes` more in that direction."""
+    """A pending fault, which triggers after `remaining_bytes` more bytes in that direction."""
 
     direction: str
     remaining_bytes: int
     kind: str
-    seen: bytes = b""  # since it was injected
+    seen: bytes = b""  # forwarded since the fault was injected
 
 
 class FaultProxy:
-    """Forwards bytes between whoever connects to `address` and the server.
+    """Forwards bytes between clients that connect to `address` and the server.
 
-    A fault strikes the connection that is the next to forward so many bytes.
+    A fault triggers on the connection that forwards the byte at its offset, counted over all connections.
     """
 
     def __init__(self, server_address: Address) -> None:
         self.server_address = server_address
         self.pending_faults: dict[str, Fault] = {}  # by direction
-        self.fault_count = 0  # faults that have struck
-        self.fault_struck = Event()  # one has, and the bytes before it have been forwarded
+        self.fault_count = 0  # faults that have triggered
+        self.fault_struck = Event()  # set once the bytes before the fault have been forwarded
         self.forwarded_bytes = {TO_SERVER: 0, TO_CLIENT: 0}
         self.connection_count = 0
         self._faults_ended = Event()
@@ -65,7 +67,7 @@
         self.pending_faults[direction] = Fault(direction, after_bytes, kind)
 
     def end_faults(self) -> None:
-        """No fault from now on; stalled bytes are forwarded."""
+        """Cancel pending faults and end stalls; stalled bytes are forwarded."""
         self.pending_faults.clear()
         self._faults_ended.set()
 
@@ -113,7 +115,7 @@
             _reset(target)
 
     def _strike(self, fault: Fault, data: bytes, source: socket.socket, target: socket.socket) -> bytes:
-        """What is still to be forwarded. Raises OSError where the connection is over."""
+        """Apply the fault and return the bytes left to forward. Raises OSError if it ends the connection."""
         before = data[: fault.remaining_bytes]
         after = data[fault.remaining_bytes :]
         target.sendall(before)
--- a/tests/support/http_requests.py
+++ b/tests/support/http_requests.py
@@ -1,4 +1,4 @@
-"""Requests of the registry's HTTP API as its server would hand them to a resource."""
+"""Requests to the registry's HTTP API in the form in which its server passes them to a resource."""
 
 import time
 
@@ -6,5 +6,5 @@
 
 
 def http_request(method: str, path: str, body: bytes = b"", **headers: str) -> HttpRequest:
-    """A request that was written just now."""
+    """A request received at the current time."""
     return HttpRequest(method, path, {}, headers, body, time.monotonic())
--- a/tests/support/known_failures.py
+++ b/tests/support/known_failures.py
@@ -1,11 +1,12 @@
-"""Which tests may fail in CI: those named in KNOWN-RED.txt, and no others.
-
-A line there is `TEST | CAUSE | ISSUE`, TEST as the reports name it: of ward
-`tests/PACKAGE/test_X.py: title` (with its number if it has several cases alike), of pytest
-`tests/gatekeeper/test_y.py: name`.
-`python -m tests.support.known_failures LIST REPORTS` judges what a run has left in the folder REPORTS:
-`*.tsv`, lines of outcome and test (written by the hook below, which ward calls), and `*.xml` of pytest;
-`exits`: a command's exit status and its test file.
+"""Checks test results against KNOWN-RED.txt, which lists the only tests that may fail in CI.
+
+Each line of the list is `TEST | CAUSE | ISSUE`. TEST is the name in the reports:
+`tests/PACKAGE/test_X.py: title` for ward (followed by the number of the case if the test is parametrized),
+`tests/gatekeeper/test_y.py: name` for pytest.
+
+`python -m tests.support.known_failures LIST REPORTS` checks the reports in the folder REPORTS:
+`*.tsv` has lines of outcome and test, written by the ward hook below; `*.xml` are JUnit reports of pytest;
+`exits` has the exit status of each command and its test file.
 """
 
 import os
@@ -19,7 +20,7 @@
 
 MOST = 3
 PASSED, FAILED = "passed", "failed"
-REPORT = "WARD_REPORT"  # names the file that the hook writes
+REPORT = "WARD_REPORT"  # environment variable: the path of the report that the hook writes
 
 
 @hook
@@ -31,7 +32,7 @@
 
 
 def named(test: Any) -> str:
-    """Of a ward test."""
+    """The name of a ward test in reports."""
     file = Path(test.path)
     number = f" [{test.param_meta.instance_index + 1}]" if test.param_meta.group_size > 1 else ""
     place = file.relative_to(Path.cwd()) if file.is_relative_to(Path.cwd()) else file
@@ -39,7 +40,7 @@
 
 
 def from_pytest(text: str) -> dict[str, bool]:
-    """Test -> whether it passed, of a junit file."""
+    """Whether each test of a JUnit report passed, by test name."""
     found = dict[str, bool]()
     for one in ElementTree.fromstring(text).iter("testcase"):
         file = one.get("classname", "").replace(".", "/") + ".py"
@@ -87,7 +88,7 @@
 
 
 def broken_off(exits: str, results: dict[str, bool]) -> list[str]:
-    """Files whose run failed though no test of theirs is reported as failed, or that reported no test."""
+    """Messages for test files that reported no test, or whose command failed without a failed test."""
     found = []
     for line in exits.splitlines():
         status, _, file = line.partition("\t")
--- a/tests/support/mutants.py
+++ b/tests/support/mutants.py
@@ -1,6 +1,6 @@
-"""Single lines of the replica core and of the handling of commands, changed so that a test must find it.
+"""Mutants of the replica core and of command handling, each of which a test must detect.
 
-`python -m tests.support.mutants MAX_FAULTS MAX_CELLS [NAME...]` looks for each in all cases of the explorer.
+`python -m tests.support.mutants MAX_FAULTS MAX_CELLS [NAME...]` runs mutants in all cases of the explorer.
 """
 
 import sys
@@ -27,9 +27,9 @@
 
 
 class Mutant(NamedTuple):
-    """A line of a function, or of a method of a class, and what stands there instead.
+    """A piece of a function's or method's source and its replacement.
 
-    `scenario`: the title of the scenario that must find it.
+    `scenario`: the title of the scenario that must detect the mutant.
     """
 
     owner: Any
@@ -39,7 +39,7 @@
     scenario: str = ""
 
 
-# These break an invariant of docs/design/store.md: the explorer must find them, or a test named there.
+# These violate an invariant of docs/design/store.md; the explorer or a test named there must detect them.
 MUTANTS: Final[dict[str, Mutant]] = {
     "elected by one": Mutant(Election, "_count_votes", "quorum(len(attempt.voters))", "1"),
     "committed by one": Mutant(ProposalQueue, "commit_if_replicated", "quorum(len(voters))", "1"),
@@ -213,7 +213,7 @@
     ),
     "two proposals at a time": Mutant(ProposalQueue, "advance", "not self.in_flight and ", ""),
 }
-# These break no invariant: a replica that was away does not catch up (test_catch_up).
+# These violate no invariant, but a replica that was down does not catch up (test_catch_up).
 CATCH_UP_MUTANTS: Final[dict[str, Mutant]] = {
     "promoted only with the newest": Mutant(
         Replication,
@@ -231,7 +231,7 @@
 EIGHT_OPERATORS = (
     "eight operators on one base all the time, answers lost before and after the commit, resends anywhere"
 )
-# These execute commands that come late, or twice: the scenario named must find them.
+# These execute late or duplicate commands; the named scenario must detect them.
 COMMAND_MUTANTS: Final[dict[str, Mutant]] = {
     "an order of any age is begun": Mutant(
         ProposalQueue,
@@ -298,14 +298,14 @@
 
 @contextmanager
 def mutated(name: str) -> Iterator[None]:
-    """Run with that line changed."""
+    """Apply the mutant within the context."""
     mutant = {**MUTANTS, **CATCH_UP_MUTANTS, **COMMAND_MUTANTS}[name]
     with mutated_function(getattr(mutant.owner, mutant.function), mutant.old, mutant.new):
         yield
 
 
 def main(max_faults: int, max_cells: int, names: list[str]) -> None:
-    """Print for each which case of the explorer finds it."""
+    """Print for each mutant the case of the explorer that detects it."""
     for name in names or MUTANTS:
         outcome = "not found"
         with mutated(name):
--- a/tests/support/mutation.py
+++ b/tests/support/mutation.py
@@ -1,4 +1,4 @@
-"""Mutation testing: a line of the program is changed, and a test must notice."""
+"""Mutation testing: replaces a piece of a function's source, after which a check must fail."""
 
 import inspect
 import textwrap
@@ -11,14 +11,16 @@
 
 @contextmanager
 def mutated_function(function: Callable[..., Any], old: str, new: str) -> Iterator[None]:
-    """Run a function or method with `new` in place of `old`, which its source has exactly once."""
+    """Replace `old`, which must occur exactly once in the function's source, by `new` within the context."""
     source = textwrap.dedent(inspect.getsource(function))
-    assert source.count(old) == 1, f"{function.__qualname__}: the line is not there any more"
+    assert source.count(old) == 1, (
+        f"{function.__qualname__}: its source does not contain {old!r} exactly once"
+    )
     names: dict[str, Any] = {}
     code = compile(source.replace(old, new), inspect.getfile(function), "exec")
     exec(code, function.__globals__, names)
     mutant = names[function.__name__]
-    mutant = getattr(mutant, "__func__", mutant)  # of a static method
+    mutant = getattr(mutant, "__func__", mutant)  # a static method
     original_code = function.__code__
     original_defaults = function.__defaults__
     function.__code__ = mutant.__code__
@@ -31,7 +33,7 @@
 
 
 def is_detected(check: Callable[[], None]) -> bool:
-    """Whether the check fails; hypothesis raises FlakyFailure where the same steps do not fail each time."""
+    """Whether the check fails. Hypothesis raises FlakyFailure if a failure does not reproduce on replay."""
     try:
         check()
     except (AssertionError, FlakyFailure):
--- a/tests/support/patching.py
+++ b/tests/support/patching.py
@@ -1,4 +1,4 @@
-"""Names of a module replaced while a test runs."""
+"""Temporary replacement of module attributes."""
 
 import contextlib
 from collections.abc import Iterator
@@ -7,7 +7,7 @@
 
 @contextlib.contextmanager
 def replaced(module: Any, **names: Any) -> Iterator[None]:
-    """Let these names of the module stand for other values."""
+    """Set attributes of the module within the context and restore them afterwards."""
     before = {name: vars(module)[name] for name in names}
     vars(module).update(names)
     try:
--- a/tests/support/proxy_history.py
+++ b/tests/support/proxy_history.py
@@ -1,4 +1,4 @@
-"""Requests of clients, and a checker of what clients received against what workers ran."""
+"""Records client requests and worker executions, and checks the responses against them."""
 
 import hashlib
 import zlib
@@ -8,12 +8,12 @@
 
 from ashlift.proxy.request_reader import ClientRequest
 
-NOT_RUN_STATUSES = (408, 421, 429, 503)  # they promise that the request has not run
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # these guarantee that the request was not executed
 
 
 @dataclass
 class Request:
-    """A client's request and its response. `extra_head`: more lines of the head; `status` 0: no response."""
+    """A client's request and its response. `extra_head`: further header lines; `status` 0: no response."""
 
     id: str
     method: str
@@ -28,7 +28,7 @@
     response_body: bytes = b""
 
     def to_bytes(self) -> bytes:
-        """The request on the wire."""
+        """The encoded HTTP request."""
         lines = [
             f"{self.method} {self.path} HTTP/1.1",
             "Host: h.example",
@@ -46,7 +46,7 @@
 
 
 def server_seal(request_id: str, body: bytes) -> str:
-    """The seal of a worker's response with this body."""
+    """The X-Server-Seal header of a worker's response with this body."""
     return f"{request_id}.{zlib.crc32(body):08x}"
 
 
@@ -56,9 +56,9 @@
 
 
 class History:
-    """What clients sent and received, and how often workers ran each request.
+    """What clients sent and received, and how often workers executed each request.
 
-    `unexpected`: requests that a worker received, and bytes that a client received, that nobody had sent so.
+    `unexpected`: altered or unsent requests at workers, and unrequested bytes at clients.
     """
 
     def __init__(self) -> None:
@@ -67,7 +67,7 @@
         self.unexpected: list[str] = []
 
     def new_request(self, path: str, idempotent: bool, body: bytes = b"", **more: Any) -> Request:
-        """A request with the next id."""
+        """Create a request with the next id."""
         request_id = f"{len(self.requests) + 1:08x}"
         method = "POST" if body else "GET"
         request = Request(request_id, method, path, body, idempotent, **more)
@@ -75,7 +75,7 @@
         return request
 
     def record_run(self, received: ClientRequest) -> None:
-        """A worker runs a request."""
+        """Record that a worker executes a request."""
         request_id = received.header(b"x-attempt-id").decode()
         self.runs[request_id] += 1
         sent = self.requests.get(request_id)
@@ -84,7 +84,7 @@
             self.unexpected.append(f"a worker ran {content!r:.100} with id {request_id}")
 
     def check(self) -> None:
-        """Every response is that of its request, and nothing ran twice that must not."""
+        """Check that responses match their requests and that no non-idempotent request ran twice."""
         assert not self.unexpected, self.unexpected
         for request in self.requests.values():
             if 200 <= request.status < 300:
@@ -95,12 +95,16 @@
     def _check_success(self, request: Request) -> None:
         headers = request.response_headers
         body = request.response_body
-        assert headers.get("x-attempt-id") == request.id, f"another's response: {request!r:.300}"
-        assert headers.get("x-server-seal") == server_seal(request.id, body), f"seal: {request!r:.300}"
-        assert body == expected_body(request.id, request.body), f"another's body: {request!r:.300}"
-        assert self.runs[request.id], f"no worker ran it: {request!r:.300}"
+        assert headers.get("x-attempt-id") == request.id, f"response to another request: {request!r:.300}"
+        assert headers.get("x-server-seal") == server_seal(request.id, body), (
+            f"wrong X-Server-Seal: {request!r:.300}"
+        )
+        assert body == expected_body(request.id, request.body), f"body of another response: {request!r:.300}"
+        assert self.runs[request.id], f"success, but no worker executed it: {request!r:.300}"
 
     def _check_runs(self, request: Request) -> None:
         runs = self.runs[request.id]
-        assert runs <= 1, f"ran {runs} times: {request!r:.300}"
-        assert not runs or request.status not in NOT_RUN_STATUSES, f"ran, and was rejected: {request!r:.300}"
+        assert runs <= 1, f"non-idempotent request executed {runs} times: {request!r:.300}"
+        assert not runs or request.status not in NOT_RUN_STATUSES, (
+            f"executed, but rejected with {request.status}: {request!r:.300}"
+        )
--- a/tests/support/proxy_site.py
+++ b/tests/support/proxy_site.py
@@ -1,6 +1,6 @@
 """A real proxy on loopback between clients and stub workers, with fault proxies between it and the workers.
 
-Server, request handler, router and connection pool are the program's own; the cluster's state is set by hand.
+Server, request handler, router and connection pool are the production code; the test sets the cluster state.
 """
 
 import itertools
@@ -37,12 +37,12 @@
 from tests.support.stub_workers import StubWorkers
 
 BODY = b"a body that must come whole"
-# What comes twice in the middle of a request or an answer, nobody can see: HTTP has no check.
+# No duplication within a message: HTTP has no checksum, so neither side can detect it.
 FAULTS = [
     *((kind, way) for way in (TO_SERVER, TO_CLIENT) for kind in (CLOSE, RESET, STALL, STALL_AND_RESET)),
     (REPEAT, TO_CLIENT),
 ]
-SITE_NUMBERS = itertools.count(1)  # an address may pass to a worker of another site
+SITE_NUMBERS = itertools.count(1)  # keeps worker ids unique: the kernel may reuse an address for another site
 SETTINGS = """
 NodeName = "edge-1"
 Ip = "127.0.0.1"
@@ -59,16 +59,16 @@
 
 
 class ProxyUnderTest:
-    """A proxy whose cluster view is set by hand.
+    """A proxy whose cluster view is set by the test.
 
-    `routes`: of each name, the addresses of its workers by ID. /look/NAME/ is idempotent, /hold/NAME/ not.
+    `routes`: worker addresses by route name and worker ID. /look/NAME/ is idempotent, /hold/NAME/ is not.
     """
 
     def __init__(self, routes: dict[str, dict[str, Address]]) -> None:
         settings = parse_settings(SETTINGS, "trial")
         assert isinstance(settings, Settings), settings
         self.router = RequestRouter(settings, random.Random(1), time.monotonic())
-        # A process that stands still on a busy machine must not take its own pause for an unreachable worker.
+        # A pause of this process on a busy machine must not be mistaken for an unreachable worker.
         self.router.connect_timeout = lambda worker: ENOUGH_SECONDS  # type: ignore[method-assign]
         self.request_handler = RequestHandler(self.router)
         self.server = ProxyServer(self.request_handler, ClientLimits)
@@ -82,7 +82,7 @@
         self.set_workers(routes)
 
     def set_workers(self, routes: dict[str, dict[str, Address]]) -> None:
-        """The registries report these workers, and no others."""
+        """Apply a registry response that lists exactly these workers."""
         self.version += 1
         self._known_routes = routes
         records: dict[str, Any] = {"g/edge-1": {"ready": True}}
@@ -112,19 +112,19 @@
         self.router.apply_change(now, change)
 
     def set_home_regions(self, route: str, regions: list[str]) -> None:
-        """The operator has given a route these home regions."""
+        """Set the home regions of a route in the operator's configuration."""
         self._configuration[f"Routes/{route}"]["HomeRegions"] = regions
         self._configuration_version += 1
         self._configuration["Version"] = f"{self._configuration_version:08x}"
         self.set_workers(self._known_routes)
 
     def idle_connections(self) -> Iterator[WorkerConnection]:
-        """The kept connections to workers."""
+        """The idle connections to workers in the pool."""
         for connections in self.request_handler.connection_pool._idle.values():
             yield from connections
 
     def close(self) -> None:
-        """End all connections."""
+        """Stop accepting and close all connections."""
         self.server.stop_accepting()
         for connection in list(self.server.connections):
             with suppress(OSError):
@@ -152,7 +152,7 @@
 
 
 class ProxySite:
-    """One proxy and its workers, each behind a fault proxy of its own; routes are numbered from 0."""
+    """One proxy and its workers, each behind its own fault proxy; routes are numbered from 0."""
 
     def __init__(self, routes: int = 1, workers_per_route: int = 1) -> None:
         self.history = History()
@@ -169,7 +169,7 @@
         self.proxy = ProxyUnderTest(self.routes)
 
     def send(self, route: int = 0, idempotent: bool = False, body: bytes = BODY, **more: Any) -> Request:
-        """A request on a connection of its own."""
+        """Send a request on a new connection and read its response."""
         client = StubClient(self.history, self.proxy.address)
         path = f"/{'look' if idempotent else 'hold'}/{route}/x"
         request = self.history.new_request(path, idempotent, body, **more)
@@ -178,7 +178,7 @@
         return request
 
     def close(self) -> None:
-        """Check the history, and end everything."""
+        """Check the history, then close proxy, fault proxies and workers."""
         self.history.check()
         self.proxy.close()
         for fault_proxy in self.fault_proxies.values():
--- a/tests/support/rate_limiter_scenarios.py
+++ b/tests/support/rate_limiter_scenarios.py
@@ -1,11 +1,12 @@
-"""Scenarios of the rate limiter, read from text files: settings and events.
+"""Rate limiter scenarios, read from text files: settings and events.
 
-A scenario is a text file, a line a key and its numbers:
-  proxies N | registries N (3) | quota RATE BURST | usual_rate R | seconds S | skew A (0: proxies get alike)
-  batch N (requests at once, at most) | wave SHARE PERIOD_S (of the usual rate)
+Each line of a scenario has a key and its numbers (times in seconds):
+  proxies N | registries N (default 3) | quota RATE BURST | usual_rate R | seconds S
+  skew A (variance of the proxies' traffic weights; 0: equal) | batch N (most simultaneous requests)
+  wave SHARE PERIOD_S (sinusoidal variation of the usual rate)
   overload AT FOR FACTOR | isolate AT FOR PROXIES | kill AT DOWNTIME_S SHARE | set_quota AT RATE BURST
-  partition AT FOR REGISTRIES (so many are cut from the others) | outage AT FOR (no registry; all start anew)
-  seeds N | expect WORST DECLINED [LEAST_ADMITTED]
+  partition AT FOR REGISTRIES (number separated from the others)
+  outage AT FOR (no registry answers, then all restart) | seeds N | expect WORST DECLINED [LEAST_ADMITTED]
 """
 
 from pathlib import Path
@@ -15,7 +16,7 @@
 
 
 class Overload(NamedTuple):
-    """Clients ask `factor` times the usual rate."""
+    """Clients send requests at `factor` times the usual rate."""
 
     at: float
     seconds: float
@@ -23,7 +24,7 @@
 
 
 class Isolation(NamedTuple):
-    """Some proxies reach no registry."""
+    """`proxies` randomly chosen proxies cannot reach any registry."""
 
     at: float
     seconds: float
@@ -31,7 +32,7 @@
 
 
 class Kill(NamedTuple):
-    """A share of the proxies is killed, each for about `downtime_seconds`."""
+    """A share of the proxies is killed; each restarts after about `downtime_seconds`."""
 
     at: float
     downtime_seconds: float
@@ -39,7 +40,7 @@
 
 
 class QuotaChange(NamedTuple):
-    """The operator sets another quota."""
+    """The operator changes the quota."""
 
     at: float
     rate: float
@@ -47,7 +48,7 @@
 
 
 class Partition(NamedTuple):
-    """The first `registries` are cut from the others."""
+    """A network partition separates the first `registries` from the others."""
 
     at: float
     seconds: float
@@ -58,7 +59,7 @@
 
 
 class Outage(NamedTuple):
-    """No registry answers; then all start with empty totals."""
+    """No registry answers; afterwards all restart with empty totals."""
 
     at: float
     seconds: float
@@ -76,7 +77,7 @@
 
 
 class Scenario:
-    """The settings of a scenario by key, and its events in the order of the file."""
+    """The settings of a scenario by key, and its events in file order."""
 
     def __init__(self, name: str) -> None:
         lines = [line.split("#")[0].split() for line in (SCENARIOS / name).read_text().splitlines()]
--- a/tests/support/rate_limiter_simulation.py
+++ b/tests/support/rate_limiter_simulation.py
@@ -1,4 +1,4 @@
-"""Simulates the rate limiters of all proxies, the registries that add up, and clients, for one scenario."""
+"""Simulates one scenario: clients, the rate limiters of all proxies, and the registries that sum usage."""
 
 import math
 import random
@@ -20,14 +20,14 @@
 TICK_SECONDS = 0.02
 PULL_SECONDS = 0.25
 SESSION_LEASE_SECONDS = 2.0
-FENCING_SECONDS = 5.0  # without a proof of the configuration, after which a proxy admits nothing
-WARM_UP_SECONDS = 2.0  # in which proxies find each other
-AFTERMATH_SECONDS = 3.0  # after an overload, which is not calm yet
+FENCING_SECONDS = 5.0  # a proxy admits nothing if its configuration is unconfirmed for longer
+WARM_UP_SECONDS = 2.0  # until the proxies know each other
+AFTERMATH_SECONDS = 3.0  # time after an overload that is not counted as calm
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """The settings of the rule QUOTA."""
+    """The bounds of the QUOTA rule."""
 
     quota_window: float = 5.0
     quota_overrun: float = 0.1
@@ -36,27 +36,27 @@
 
 @dataclass
 class Proxy:
-    """One incarnation of a proxy, and what it expects to hear of."""
+    """One incarnation of a proxy, with its pending report and the totals that it knows."""
 
     limiter: RateLimiter
-    weight: float  # of the clients' requests
+    weight: float  # relative share of the clients' requests
     pull_at: float
     reported: UsageByTenant = field(default_factory=dict)
     known_totals: dict[str, UsageByTenant] = field(default_factory=dict)
     down_until: float = -1.0
     isolated_until: float = -1.0
-    configuration_at: float = -math.inf  # when it last had a proof
+    configuration_at: float = -math.inf  # when its configuration was last confirmed
     session_at: float = -math.inf  # when its session was last renewed
 
 
 @dataclass
 class Result:
-    """Figures of one run."""
+    """Results of one run."""
 
-    worst: float  # requests admitted in the fullest window, over what the rule allows
-    declined: float  # share of the requests while calm
-    overload_admitted: float  # rate admitted in overload, over the quota's rate
-    onset_admitted: float  # the same in its first second
+    worst: float  # most requests admitted in a sliding window, relative to the rule's limit
+    declined: float  # share of requests declined in calm periods
+    overload_admitted: float  # rate admitted during overload, relative to the quota rate
+    onset_admitted: float  # the same in the first second of an overload
 
 
 def _poisson(rng: random.Random, mean: float) -> int:
@@ -80,7 +80,7 @@
         self._rate, self._burst = scenario.settings["quota"]
         skew = scenario.value("skew")
         registries = int(scenario.value("registries", 3))
-        # Totals by source, as each registry knows them.
+        # Usage totals by source, as known to each registry.
         self._registries = self._empty_registries(registries, 0)
         self._incarnation = 0  # of the registries
         self._exchange_at = [self._rng.random() * PULL_SECONDS for _ in range(registries)]
@@ -148,7 +148,7 @@
                 for proxy in self._proxies:
                     proxy.limiter.set_quota(TENANT, self._rate, self._burst)
             case Overload() | Partition():
-                pass  # looked up by time
+                pass  # queried by time where they apply
 
     def _restart_proxy(self, now: float, proxy: Proxy, downtime_seconds: float) -> None:
         successor = self._start_proxy(now, proxy.weight)
@@ -167,12 +167,12 @@
                 continue
             self._exchange_at[number] = now + PULL_SECONDS + 0.04 * self._rng.random()
             for other, other_totals in enumerate(self._registries):
-                if not self._are_parted(now, number, other):
+                if not self._are_partitioned(now, number, other):
                     source = f"p{other}#{self._incarnation}"
                     totals[source] = dict(other_totals[source])
 
     def _pull(self, now: float, number: int, proxy: Proxy) -> None:
-        """Take the answer to the last call and make the next one, whose report is added at once."""
+        """Process the response to the last pull and send the next, whose report is applied immediately."""
         index = number % len(self._registries)
         totals, source = self._registries[index], f"p{index}#{self._incarnation}"
         proxy.limiter.confirm_counts(proxy.reported)
@@ -194,15 +194,15 @@
         proxy.pull_at = now + PULL_SECONDS + 0.02 + 0.03 * self._rng.random()
 
     def _knows_session(self, now: float, number: int, other: int) -> bool:
-        """Whether the membership that a proxy sees has another one."""
-        parted = self._are_parted(now, number, other)
-        if parted and self._are_parted(now - FENCING_SECONDS, number, other):
-            return False  # its source was dropped
+        """Whether the membership that one proxy receives contains the other."""
+        partitioned = self._are_partitioned(now, number, other)
+        if partitioned and self._are_partitioned(now - FENCING_SECONDS, number, other):
+            return False  # the registry has dropped the source of the other proxy
         renewed_at = max(self._outage_until, self._proxies[other].session_at)
-        return parted or now - renewed_at <= SESSION_LEASE_SECONDS
+        return partitioned or now - renewed_at <= SESSION_LEASE_SECONDS
 
-    def _are_parted(self, now: float, number: int, other: int) -> bool:
-        """Whether a partition of the core lies between the registries of two proxies."""
+    def _are_partitioned(self, now: float, number: int, other: int) -> bool:
+        """Whether a partition separates the registries of two proxies."""
         registries = len(self._registries)
         return any(
             (number % registries < event.registries) != (other % registries < event.registries)
@@ -211,7 +211,7 @@
         )
 
     def _is_fenced(self, now: float, number: int, proxy: Proxy) -> bool:
-        """Whether a proxy has had no proof from a majority of the core for too long."""
+        """Whether no majority of the core has confirmed the proxy's configuration for FENCING_SECONDS."""
         registries = len(self._registries)
         in_minority = any(
             event.at + FENCING_SECONDS <= now < event.at + event.seconds
@@ -273,7 +273,7 @@
         return now > WARM_UP_SECONDS
 
     def _worst_window(self) -> float:
-        """The fullest sliding window, over what the rule allows; a new quota begins anew."""
+        """Most requests admitted in a window since the last quota change, relative to the limit."""
         bounds = Bounds()
         allowed = self._rate * bounds.quota_window + self._burst
         allowed = allowed * (1 + bounds.quota_overrun) + bounds.quota_slack
--- a/tests/support/registry_scenarios.py
+++ b/tests/support/registry_scenarios.py
@@ -1,20 +1,20 @@
-"""Scenarios of registries and proxies on simulated time, as in `tests/scenarios/registry_*.txt`.
+"""Runs scenarios of registries and proxies in simulated time (`tests/scenarios/registry_*.txt`).
 
-Registries replicate each other's records, proxies pull with their real cluster view. A line is one of:
+Registries replicate each other's records; proxies pull with the real cluster view. The commands are:
 
-start NAME ZONE REGION     a registry (again: a new incarnation); all are core members; its IP is its name
+start NAME ZONE REGION     start a core registry whose IP is NAME (again: a new incarnation)
 stop NAME | partition A B | heal A B | freeze NAME | thaw NAME
-proxy NAME ZONE REGION AT [unready]    a proxy that pulls from the registry AT; `stop_proxy NAME` ends it
-usage PROXY TENANT TOTAL DECLINED      what its next pull reports; `resend PROXY`: its last pull once more
-heartbeat AT ID seq=N [state=draining] [warm=S]    `late` after it: it must be ignored
+proxy NAME ZONE REGION AT [unready]    a proxy that pulls from registry AT, until `stop_proxy NAME`
+usage PROXY TENANT TOTAL DECLINED      usage in its next pull; `resend PROXY` repeats its last pull
+heartbeat AT ID seq=N [state=draining] [warm=S]    with `late`: it must be ignored as out of order
 deregister AT ID
-config AT INDEX AGE KEY=VALUE...       a store's answer to `watch`; KEY= removes the key
-homes AT INDEX AGE HOST=REGION,...|HOST=any|TENANT=REGION     the same with a route a host; no dot: a tenant
-run SECONDS                            steps of 10 ms, pulls and swaps every 50 ms, ticks every 250 ms
-check PROXY worker ID ready|draining|tombstone|none     what a proxy believes
+config AT INDEX AGE KEY=VALUE...       a store's response to `watch`; KEY= removes the key
+homes AT INDEX AGE HOST=REGION,...|HOST=any|TENANT=REGION     the same: a route per HOST, which has a dot
+run SECONDS                            steps of 10 ms; pulls and swaps each 50 ms, ticks each 250 ms
+check PROXY worker ID ready|draining|tombstone|none     the worker in the cluster view
 check PROXY usage TENANT TOTAL DECLINED
 check AT lookup HOST ZONE REGION FRONT... | unavailable
-check AT response PROXY snapshot|delta|nothing     what the registry would send of the configuration
+check AT response PROXY snapshot|delta|nothing     the form of the configuration it would send
 check AT lease_age SECONDS|none
 check AT isolated yes|no
 check AT uptime SECONDS
@@ -41,7 +41,7 @@
 
 
 class SimulatedProxy:
-    """A proxy that pulls from one registry; `usage` is what its next pull reports."""
+    """A proxy that pulls from one registry; `usage` is reported by its next pull."""
 
     def __init__(self, name: str, zone: str, region: str) -> None:
         self.name = name
@@ -58,7 +58,7 @@
         self.usage: dict[str, list[int]] = {}
 
     def next_body(self) -> dict[str, Any]:
-        """The body of its next pull, with what is to be reported."""
+        """The body of the next pull, with the pending usage report."""
         self.report_number += 1
         self.body["adds"] = {"number": self.report_number, "counts": self.usage}
         self.usage = {}
@@ -66,7 +66,7 @@
 
 
 class RegistryScenario:
-    """Registries and proxies by name, the partitions between them, and the time; a method a command."""
+    """Registries and proxies by name, partitions and simulated time; each command is a method."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -186,7 +186,9 @@
         replicas = registry.peers.replicas
         not_alive = {name: replicas[name].source.version for name in replicas.keys() - set(answer["alive"])}
         is_answered_again = registry.has_updates_for(not_alive | proxy.cluster.versions())
-        assert not is_answered_again, "would be answered at once, on and on"
+        assert not is_answered_again, (
+            "the next pull would be answered immediately although nothing has changed"
+        )
 
     def check(self, name: str, what: str, *words: str) -> None:
         getattr(self, f"_check_{what}")(name, *words)
--- a/tests/support/replica_scenarios.py
+++ b/tests/support/replica_scenarios.py
@@ -1,24 +1,25 @@
-"""Plays text scenarios on replicas of the store (`simulation.replica_world`).
+"""Runs text scenarios on replicas of the store (`simulation.replica_world`).
 
-One line an event; WHO: numbers, `leader`, `others`, `all`.
+One event per line; WHO: replica numbers, `leader`, `others` or `all`.
 
     # title of the next scenario
-    members 5                     started for the first time; three of them are the seeds
-    run 3                         simulated time goes on, s
-    put a -> 200                  at the leader, on top of all that is known; `on N` another base, `at N` a
-                                  replica; 412, doubt (no response), unready (not begun), none
-    read -> a b                   at the leader, or `at N`; the history, or `none`, or `unready`
-    kill WHO, wipe WHO, start WHO, freeze WHO, thaw WHO, leave WHO, break WHO (the disk refuses)
-    cut A B, oneway A B, join     links: none both ways, none from A to B, all
-    leader in 2                   one that has committed in its term, within so many s
-    learners 0                    how many disks do not count
-    lose WHO, back WHO            the machine is gone; it comes back, with its disk
-    new                           a machine at a new address, with the next number
-    old WHO                       the disk that was lost last is put back
-    order remove 3 -> 200         of the members, at the leader; replace, add; 409, unready, none
-    voters 1 2 3 in 12            exactly these vote, by the newest map on a disk, within so many s
-    term same                     nobody has been elected since the last such line
-    settle                        all well again: agreement, then all invariants
+    members 5                     first start of the replicas; three of them are seeds
+    run 3                         advance simulated time, in seconds
+    put a -> 200                  a write at the leader, based on the newest version; `on N`: another base
+                                  version, `at N`: another replica; or 412, doubt (no response),
+                                  unready (not executed), none
+    read -> a b                   a read at the leader, or `at N`; the history, `none` or `unready`
+    kill WHO, wipe WHO, start WHO, freeze WHO, thaw WHO, leave WHO, break WHO (disk writes fail)
+    cut A B, oneway A B, join     block the links both ways, or from A to B only; unblock all
+    leader in 2                   a leader has committed in its term within this many seconds
+    learners 0                    the number of learners
+    lose WHO, back WHO            the machine is lost; it returns with its disk
+    new                           add a machine at a new address, with the next number
+    old WHO                       restore the disk that was lost last
+    order remove 3 -> 200         a membership change at the leader: remove, replace, add; 409, unready, none
+    voters 1 2 3 in 12            within this many seconds, the newest map on a disk has these voters
+    term same                     there was no election since the last such line
+    settle                        end all faults, wait for agreement and check all invariants
 """
 
 from pathlib import Path
@@ -30,11 +31,11 @@
 from ashlift.simulation.replica_world import ReplicaWorld
 
 ANSWER_TIMEOUT_SECONDS: Final = 1.0
-FAILURE_WORDS: Final = {"unanswered": "doubt"}  # in scenarios; other failures have their own names
+FAILURE_WORDS: Final = {"unanswered": "doubt"}  # words in scenarios; other failures use their reason
 
 
 def read_scenarios(path: Path) -> list[tuple[str, list[str]]]:
-    """Title and lines of each scenario of a file."""
+    """Title and lines of each scenario in a file."""
     scenarios: list[tuple[str, list[str]]] = []
     for line in path.read_text().splitlines():
         if line.startswith("# "):
@@ -45,7 +46,7 @@
 
 
 def answer_word(call: ClientCall) -> str:
-    """A client's answer as a scenario's line has it."""
+    """The word for a call's result in scenarios."""
     answer: Any = call.answer
     match answer:
         case None:
@@ -59,7 +60,7 @@
 
 
 class ReplicaScenarioPlayer:
-    """Plays the lines of one scenario, one after another."""
+    """Runs the lines of one scenario in order."""
 
     def __init__(self, seed: int = 1) -> None:
         self.seed = seed
@@ -67,13 +68,13 @@
         self.world = ReplicaWorld(1, seed)
 
     def has_committed_leader(self) -> bool:
-        """Whether a replica leads that has committed in its term."""
+        """Whether there is a leader that has committed in its term."""
         ip = self.world.leader()
         replica = self.world.nodes[ip].replica if ip else None
         return bool(replica and replica.leader_role and replica.leader_role.commit_index)
 
     def addresses(self, words: list[str]) -> list[str]:
-        """The replicas that WHO names."""
+        """The addresses of the replicas that WHO selects."""
         leader = self.world.leader()
         groups = {
             "all": self.world.ips,
@@ -83,7 +84,7 @@
         return [ip for word in words for ip in groups.get(word, [word])]
 
     def play(self, line: str) -> None:
-        """Raises AssertionError where the line's expectation does not hold."""
+        """Run a line; raises AssertionError if its expectation does not hold."""
         text, _, expected = (part.strip() for part in line.partition("->"))
         word, *arguments = text.split()
         match word:
@@ -99,7 +100,7 @@
                 self._inject(word, arguments, text)
 
     def _submit(self, word: str, arguments: list[str]) -> ClientCall:
-        """A client's request; `on` and `at` say on which base, and at which replica."""
+        """Submit a client's request; `on` selects the base version, `at` the replica."""
         if word == "order":
             return self.world.change_members(arguments[0], self.addresses(arguments[1:])[0])
         name = arguments[0] if word == "put" else ""
@@ -111,7 +112,7 @@
         return self.world.put(ip, int(options["on"]) if "on" in options else None, name)
 
     def _run(self, word: str, arguments: list[str], text: str) -> None:
-        """Simulated time goes on, or something is expected."""
+        """Advance simulated time, or check an expectation."""
         world = self.world
         match word:
             case "run":
@@ -135,7 +136,7 @@
                 assert world.learner_count() == int(arguments[0]), f"{text}: {world.learner_count()}"
 
     def _inject(self, word: str, arguments: list[str], text: str) -> None:
-        """A fault, or its end."""
+        """Inject or end a fault."""
         world = self.world
         faults = {
             "lose": world.lose,
@@ -172,7 +173,7 @@
 
 
 def membership_table(*lines: str) -> list[dict[str, Any]]:
-    """The leader's table after these lines of a scenario."""
+    """The leader's membership table after these lines of a scenario."""
     player = ReplicaScenarioPlayer(1)
     for line in lines:
         player.play(line)
--- a/tests/support/request_router_scenarios.py
+++ b/tests/support/request_router_scenarios.py
@@ -1,16 +1,16 @@
-"""Plays text scenarios on the request router: one line an event, with what must come of it behind `->`.
+"""Runs text scenarios on the request router: one event per line, with the expected result after `->`.
 
 # title of the next scenario
-after 1.5                        the steady clock goes on, s
-update age=0.1 w1:board:z1 ...   the response of a registry: age of its configuration (or `none`), all workers
+after 1.5                        advance the monotonic clock, in seconds
+update age=0.1 w1:board:z1 ...   a registry response: age of its configuration (or `none`), all workers
                                  (`name:service:zone`, with `:warming=2` or `:draining`),
                                  `evacuated=ZONE`, `proxies=N`, `without=ENTRY` of the configuration,
                                  `homes=ENTRY:REGION`
-peer_load w1 20                  so many requests of other proxies are in flight at w1
-request A /look/ k1 -> admitted  a request named A arrives; `-> 503 unready` where it is rejected
-reconsider A -> admitted         a request that was `unsure`: there is an update, or its time is up
-choose A -> w1|w2                its (next) attempt goes to one of these; `-> 504 unanswered` where it ends
-end A connection_lost -> retry   its last attempt ends: response:STATUS, not_run, connect_failed,
+peer_load w1 20                  the number of requests of other proxies in flight at w1
+request A /look/ k1 -> admitted  a request named A arrives; `-> 503 unready` if it is rejected
+reconsider A -> admitted         admit a request again that was `unsure`, after an update or its deadline
+choose A -> w1|w2                the worker of its next attempt; `-> 504 unanswered` if there is none
+end A connection_lost -> retry   its latest attempt ends: response:STATUS, not_run, connect_failed,
                                  connection_lost, timed_out; `final` or `retry`
 """
 
@@ -81,7 +81,7 @@
 
 
 class RequestRouterScenario:
-    """One scenario: a router without a configuration at the start."""
+    """One scenario, which starts with a router that has no configuration."""
 
     def __init__(self) -> None:
         settings = parse_settings(SETTINGS, "scenario")
@@ -94,7 +94,7 @@
         self.chosen: dict[str, WorkerState] = {}
 
     def line(self, text: str) -> None:
-        """Play one line and check what comes of it."""
+        """Run one line and check its result."""
         event, _, expected = (part.strip() for part in text.partition("->"))
         verb, *arguments = event.split()
         result = getattr(self, f"do_{verb}")(*arguments)
@@ -174,7 +174,7 @@
 
 
 def worker_record(text: str) -> dict[str, Any]:
-    """The record of a worker written `name:service:zone`, with options."""
+    """The record of a worker given as `name:service:zone`, with options."""
     _, service, zone, *options = text.split(":")
     warming = [float(option.removeprefix("warming=")) for option in options if option.startswith("warming=")]
     return {
--- a/tests/support/route_edit_strategies.py
+++ b/tests/support/route_edit_strategies.py
@@ -1,4 +1,4 @@
-"""What hypothesis draws of edits of routes."""
+"""Hypothesis strategies for route edits."""
 
 from hypothesis import settings
 from hypothesis import strategies as some
--- a/tests/support/route_edits.py
+++ b/tests/support/route_edits.py
@@ -1,4 +1,4 @@
-"""Configurations with two routes, edits of them, and commands about these as the leader decides them."""
+"""A configuration with two routes, edits of its routes, and the leader's commands on such edits."""
 
 from collections.abc import Iterable, Sequence
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 def configuration_of(version: int, routes: Map) -> Map:
-    """A whole configuration with these routes by name."""
+    """A complete configuration with these routes by name."""
     services: list[tuple[str, str, Any]] = [("Services", name, {}) for name in ("a", "b", "c")]
     objects = [
         {"ObjectType": kind, "Metadata": {"Name": name}, "Specification": specification}
@@ -27,7 +27,7 @@
 
 
 def entries_of(body: Map) -> Map:
-    """The entries that a configuration has in the map."""
+    """The map entries of a configuration."""
     entries = operator_config.load_configuration(body)
     assert isinstance(entries, dict)
     return entries
@@ -40,7 +40,7 @@
 def make_edit(
     route_name: str, specification: Any, wall_ms: int, automatic: bool = True, node: str = "n"
 ) -> RouteEdit:
-    """An edit made on BASE."""
+    """An edit based on BASE."""
     return RouteEdit(
         id=f"{route_name}-{wall_ms}-{node}",
         route=route_name,
@@ -55,7 +55,7 @@
 
 
 def decide(entries: Map, kind: str, body: Any, if_match: str | None = None) -> CommandResult:
-    """What the leader decides about a command of that kind."""
+    """The leader's result for a command of this kind."""
     match kind:
         case "edit":
             return merging.decide_edit(entries, body)
@@ -69,12 +69,12 @@
 
 
 def applied(entries: Map, result: CommandResult) -> Map:
-    """The map after a command."""
+    """The map with a command's result applied."""
     return {key: value for key, value in entries.items() if key not in result.removed} | result.changed
 
 
 def execute(entries: Map, kind: str, body: Any, if_match: str | None = None) -> tuple[Map, Any]:
-    """The map after a command, a valid configuration still, and its answer."""
+    """The map after a command, checked to be a valid configuration, and the command's response."""
     result = decide(entries, kind, body, if_match)
     after = applied(entries, result)
     assert not isinstance(
@@ -84,7 +84,7 @@
 
 
 def merged(entries: Map, batches: Iterable[Sequence[RouteEdit]]) -> Map:
-    """The map after batches in their order; what is pending comes again with the next, as stores send it."""
+    """The map after merging batches in order; as stores do, each merge sends all earlier edits again."""
     known: list[RouteEdit] = []
     for batch in batches:
         known += batch
--- a/tests/support/rpc_peers.py
+++ b/tests/support/rpc_peers.py
@@ -1,4 +1,4 @@
-"""Peers for tests of RPC on real sockets: one that counts what it executed, one that does not read."""
+"""RPC peers on real sockets: one that counts executions, and one that delays reading."""
 
 from collections import Counter
 from typing import Any
@@ -13,9 +13,9 @@
 from ashlift.rpc.server import serve
 
 HOST = "127.0.0.1"
-SHORT_SECONDS = 0.03  # for a call that nobody answers
-LONG_SECONDS = 5.0  # for one that is answered, on a busy machine: never waited for
-OVERDUE = AssertionError("it should have come long ago")
+SHORT_SECONDS = 0.03  # for calls that are expected to time out
+LONG_SECONDS = 5.0  # for calls that are answered; generous, for slow machines
+OVERDUE = AssertionError(f"no result within {LONG_SECONDS} s")
 
 
 def address_of(server: StreamServer) -> Address:
@@ -23,11 +23,11 @@
 
 
 class Peer:
-    """A process that answers requests, and how often it executed each over all its incarnations."""
+    """An RPC server that counts executions of each request, also across restarts."""
 
     def __init__(self) -> None:
         self.executions: Counter[int] = Counter()  # by token
-        self.may_answer = Event()  # what the method `late` waits for
+        self.may_answer = Event()  # the method `late` waits for this
         self._handlers = {"echo": self._echo, "late": self._late, "refuse": self._refuse}
         self._server = serve((HOST, 0), self._handlers)
         self.address = address_of(self._server)
@@ -53,7 +53,7 @@
 
 
 class CallHistory:
-    """Calls to a Peer with their outcomes. Each has a token, which its response repeats."""
+    """Calls to a Peer with their outcomes. Each carries a unique token, which its response echoes."""
 
     def __init__(self, peer: Peer, client: RpcClient) -> None:
         self.peer = peer
@@ -70,7 +70,7 @@
         return result
 
     def check(self) -> None:
-        """No request was executed twice, and each outcome is true."""
+        """Check that no request was executed twice and that each outcome matches the peer's executions."""
         for method, token, padding, result in self._calls:
             call = f"{method} {token}"
             executions = self.peer.executions[token]
@@ -88,7 +88,7 @@
 
 
 class SilentPeer:
-    """Accepts connections and reads only once `may_read` is set; keeps what it receives by connection."""
+    """Accepts connections but reads only once `may_read` is set; `received`: the bytes by connection."""
 
     def __init__(self) -> None:
         self.received: list[bytearray] = []
--- a/tests/support/simulated_disk.py
+++ b/tests/support/simulated_disk.py
@@ -1,4 +1,4 @@
-"""Disks for tests of `SnapshotStorage`: ones that lose their power, that are full, and that do not sync."""
+"""Simulated disks for tests of `SnapshotStorage`: power loss, a full disk, and no-op syncs."""
 
 import errno
 import itertools
@@ -12,20 +12,20 @@
 
 
 class PowerLostError(Exception):
-    """The machine has lost its power, or the process was killed."""
+    """The simulated machine has lost power, or its process was killed."""
 
 
 class PowerLossDisk:
-    """A folder with what syncs made durable of it; the power is lost after so many syncs."""
+    """Tracks which contents of a folder are synced; power is lost after `remaining_syncs` syncs."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.remaining_syncs = UNLIMITED
         self.synced_files: dict[str, bytes] = {}
-        self.synced_folder: dict[str, bytes] = {}  # the files as the folder's last sync found them
+        self.synced_folder: dict[str, bytes] = {}  # the files at the last sync of the folder
 
     def sync(self, path: str) -> None:
-        """Stands in for `snapshot_storage._sync`."""
+        """Replaces `snapshot_storage._sync`."""
         if self.remaining_syncs == 0:
             raise PowerLostError
         self.remaining_syncs -= 1
@@ -35,7 +35,7 @@
             self.synced_files[os.path.basename(path)] = Path(path).read_bytes()
 
     def restore_power(self, files: dict[str, bytes | None]) -> None:
-        """The folder with what a loss of power has left of it."""
+        """Restart after a power loss that left the folder with these files."""
         shutil.rmtree(self.folder)
         self.folder.mkdir()
         for name, content in files.items():
@@ -44,7 +44,7 @@
         self.remaining_syncs = UNLIMITED
 
     def states_after_power_loss(self) -> Iterator[dict[str, bytes | None]]:
-        """Every state that a loss of power may leave: later writes there, missing or torn."""
+        """Every state that a power loss may leave: unsynced writes are present, missing or torn."""
         written = self._files()
         choices = []
         for name in sorted(written.keys() | self.synced_folder):
@@ -66,13 +66,13 @@
 
 
 class FullDisk:
-    """Stands in for `io` under `dbm.dumb`: after so many writes the disk takes half of one, and no more."""
+    """Replaces `io` in `dbm.dumb`: after `remaining_writes` writes, one is torn and later ones fail."""
 
     def __init__(self, remaining_writes: int) -> None:
         self.remaining_writes = remaining_writes
 
     def open(self, *args: Any, **named: Any) -> Any:
-        """A file whose writes are counted."""
+        """Open a file whose writes count towards the limit."""
         file = open(*args, **named)  # noqa: SIM115
         write = file.write
 
@@ -88,5 +88,5 @@
 
 
 def open_without_sync(path: str) -> None:
-    """A sync that opens what it is to sync, and does not wait for this machine's disk."""
+    """A no-op sync that still fails if the path does not exist."""
     os.close(os.open(path, os.O_RDONLY))
--- a/tests/support/stored_data.py
+++ b/tests/support/stored_data.py
@@ -1,8 +1,8 @@
-"""A configuration store's disk as the code of commit 147a987 wrote it: the values on it, and how it was made.
+"""The data directory of a configuration store as written by commit 147a987: its values, and how to create it.
 
-`python -m tests.support.stored_data TREE FILE` writes the disk with the code in TREE, a checkout of 147a987,
-and packs its files into FILE. On the disk are votes and snapshots, and edits that wait, each in both of its
-generations; in the folder `torn` the newest snapshot is cut off, as a loss of power may leave it.
+`python -m tests.support.stored_data TREE FILE` writes the directory with the code in TREE, a checkout of
+147a987, and archives its files in FILE. It contains votes, snapshots and pending edits, each in both of its
+generations. In the folder `torn` the newest snapshot is truncated, as after a power loss.
 """
 
 import argparse
@@ -17,12 +17,12 @@
 
 INTACT: Final = "whole"
 TORN: Final = "torn"
-EPOCH: Final = (1980, 1, 1, 0, 0, 0)  # of all files in the archive: alike whenever it is made
+EPOCH: Final = (1980, 1, 1, 0, 0, 0)  # modification time of all files, so that the archive is reproducible
 Values = dict[str, Any]
 
 
-class Stored(NamedTuple):
-    """One write of a replica: its vote, and the snapshot with its term and index."""
+class StoredState(NamedTuple):
+    """One write of a replica: its vote, and a snapshot with term and index."""
 
     vote: tuple[int, str | None, bool, int]
     term_index: tuple[int, int]
@@ -43,7 +43,7 @@
 
 
 def _objects(count: int, version: int) -> Values:
-    """So many objects of all kinds, some of them with values of every type that is stored."""
+    """`count` objects of all kinds, which include values of every type that is stored."""
     chance = random.Random(count)
     found: Values = {"Version": f"{version:08x}"}
     for number in range(count // 3):
@@ -72,20 +72,20 @@
     return {name: value for name, value in objects.items() if name not in names}
 
 
-def writes() -> list[Stored]:
-    """What a replica writes one after the other: the newest last."""
+def writes() -> list[StoredState]:
+    """The successive writes of a replica, newest last."""
     later = {**_objects(240, 7), "Routes/added": _route("added", "service-1", True)}
     return [
-        Stored((3, None, False, 11), (3, 40), _objects(60, 6)),
-        Stored((4, "10.0.0.2", True, 2**47 + 5), (4, 41), _objects(240, 7)),
-        Stored(
+        StoredState((3, None, False, 11), (3, 40), _objects(60, 6)),
+        StoredState((4, "10.0.0.2", True, 2**47 + 5), (4, 41), _objects(240, 7)),
+        StoredState(
             (9, "10.0.0.1", True, 2**47 + 5), (9, 57), _without(later, "Tenants/tenant-5", "Evacuations/z2")
         ),
     ]
 
 
 def edits() -> list[Values]:
-    """Edits that wait, as a registry sends them to its store."""
+    """Pending edits, as a registry sends them to its store."""
     text = _route("route-1", "service-9", True)
     usual = {"base": text, "version": "00000007", "who": "operator-A", "where": "10.0.0.1", "auto": True}
     return [
@@ -120,19 +120,19 @@
 
 
 class Code(NamedTuple):
-    """What of a tree writes a disk: a replica's writes in a folder, and calls that add edits there."""
+    """The functions of a source tree that write a data directory."""
 
-    persist: Callable[[str, Iterable[Stored]], None]
+    persist: Callable[[str, Iterable[StoredState]], None]
     add_edits: Callable[[str, list[list[Values]]], None]
 
 
 def code_of_147a987(tree: Path) -> Code:
-    """The code in a checkout of that commit."""
+    """The functions of a checkout of commit 147a987."""
     sys.path.insert(0, str(tree))
     daemon, interface, ranges = (import_module(f"vise.{name}") for name in ("daemon", "interface", "ranges"))
     drafts, shelf = import_module("vise.drafts"), import_module("vise.shelf")
 
-    def persist(folder: str, stored: Iterable[Stored]) -> None:
+    def persist(folder: str, stored: Iterable[StoredState]) -> None:
         disk = daemon.Disk(folder)
         for one in stored:
             state = interface.State(one.term_index, ranges.RangedMap(one.objects))
@@ -149,28 +149,28 @@
 
 
 def write(folder: Path, code: Code) -> None:
-    """Write both disks below `folder`."""
+    """Write both data directories below `folder`."""
     for name in (INTACT, TORN):
         code.persist(str(folder / name), writes())
         code.add_edits(str(folder / name), [edits()[:1], edits()[1:]])
-    newest = folder / TORN / "map-b.dat"  # the third write: generations take turns, `b` is the first
+    newest = folder / TORN / "map-b.dat"  # the third write: files alternate, starting with `b`
     newest.write_bytes(newest.read_bytes()[: newest.stat().st_size // 2])
 
 
 def files(folder: Path) -> dict[str, bytes]:
-    """All files below a folder by their names relative to it."""
+    """The contents of all files below a folder by relative path."""
     paths = sorted(path for path in folder.rglob("*") if path.is_file())
     return {path.relative_to(folder).as_posix(): path.read_bytes() for path in paths}
 
 
 def packed(path: Path) -> dict[str, bytes]:
-    """The files of an archive."""
+    """The contents of the files in an archive by path."""
     with zipfile.ZipFile(path) as archive:
         return {name: archive.read(name) for name in archive.namelist()}
 
 
 def unpack(path: Path, folder: Path) -> None:
-    """Lay the files of an archive out in a folder."""
+    """Extract an archive into a folder."""
     with zipfile.ZipFile(path) as archive:
         archive.extractall(folder)
 
@@ -183,7 +183,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """The command; its exit status."""
+    """Run the command and return its exit status."""
     parser = argparse.ArgumentParser(prog="python -m tests.support.stored_data", description="Write a disk.")
     parser.add_argument("tree", type=Path, help="a checkout of 147a987")
     parser.add_argument("file", type=Path, help="the archive to write")
--- a/tests/support/stub_client.py
+++ b/tests/support/stub_client.py
@@ -1,4 +1,4 @@
-"""A client's connection to the proxy under test."""
+"""A client connection to the proxy under test."""
 
 from collections.abc import Iterable
 from contextlib import suppress
@@ -9,12 +9,12 @@
 from ashlift.rpc.addresses import Address
 from tests.support.proxy_history import History, Request
 
-ENOUGH_SECONDS = 5.0  # for a response, on a busy machine; nothing waits for it to pass
+ENOUGH_SECONDS = 5.0  # generous, for slow machines; no test waits for it to expire
 TIMED_OUT = AssertionError("no response in time")
 
 
 class StubClient:
-    """One connection to the proxy. `expected_responses`: to requests sent and not answered yet."""
+    """One connection to the proxy. `expected_responses`: number of requests sent and not yet answered."""
 
     def __init__(self, history: History, address: Address) -> None:
         self.history = history
@@ -24,7 +24,7 @@
         self._received = b""
 
     def send(self, *requests: Request, cuts: Iterable[int] = ()) -> None:
-        """Send requests, one behind the other, and read their responses.
+        """Send pipelined requests and read their responses.
 
         `cuts`: offsets at which the bytes are split into several writes.
         """
@@ -42,7 +42,7 @@
             self.read_response(request)
 
     def _receive(self) -> bool:
-        """Whether more bytes have come."""
+        """Wait for more bytes; False if the connection has ended."""
         if self.ended:
             return False
         try:
@@ -55,7 +55,7 @@
         return bool(data)
 
     def read_response(self, request: Request) -> None:
-        """Take the response to a request, if it comes complete."""
+        """Read the response to a request; if it ends early, the request stays unchanged."""
         while b"\r\n\r\n" not in self._received:
             if not self._receive():
                 return
@@ -76,12 +76,12 @@
             self.close()
 
     def hang_up(self) -> None:
-        """Close the connection under whoever still reads from it."""
+        """Shut the connection down while another greenlet may be reading from it."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
-        """Close the connection; bytes that no request has asked for are noted."""
+        """Close the connection; received bytes that belong to no request are recorded as unexpected."""
         self.ended = True
         self.sock.close()
         if self._received and not self.expected_responses:
--- a/tests/support/stub_workers.py
+++ b/tests/support/stub_workers.py
@@ -1,4 +1,4 @@
-"""Stub workers on loopback: each behaves as a test says."""
+"""Stub workers on loopback, each with a behaviour that the test selects."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,7 +12,7 @@
 from tests.support.proxy_history import History, expected_body, server_seal
 
 LARGE_BYTES = 12 << 20  # more than the kernel buffers for a peer that does not read
-# What a worker does with a request. Those that begin with "not" have not run it.
+# What a worker does with a request. Behaviours that begin with "not" do not execute it.
 BEHAVIOURS = (
     "well",
     "not: full",
@@ -37,10 +37,10 @@
 
 
 class StubWorkers:
-    """All stub workers at one address; `id_prefix`: what their ids begin with.
+    """All stub workers, which share one address and the `id_prefix` of their ids.
 
-    Each is known by the id that a request names, and does not run what is meant for others. `behaviours`: by
-    worker id. `reused_connections`: requests that came on a connection used before.
+    The X-Target-Instance header selects the worker; requests for other ids are rejected as misdirected.
+    `behaviours`: by worker id. `reused_connections`: the number of requests on a connection used before.
     """
 
     def __init__(self, history: History, id_prefix: str) -> None:
@@ -79,7 +79,7 @@
             sock.close()
 
     def _serve(self, sock: socket.socket, request: ClientRequest, served: int) -> bytes:
-        """Respond to a request; what is to be sent before the next response. OSError: the connection ends."""
+        """Respond to a request; return bytes to send before the next. OSError ends the connection."""
         worker_id = request.header(b"x-target-instance").decode()
         behaviour = "not: meant"
         if worker_id.startswith(self.id_prefix):
@@ -115,14 +115,14 @@
 
 
 def worker_response(status: int, attempt_id: str, body: bytes, *lines: str) -> bytes:
-    """The bytes of a response with further header lines; a success has its seal."""
+    """An encoded response with further header lines; a status 200 has an X-Server-Seal header."""
     head = [f"HTTP/1.1 {status} Said", f"X-Attempt-Id: {attempt_id}", *lines, f"Content-Length: {len(body)}"]
     if status == 200:
         head.insert(1, f"X-Server-Seal: {server_seal(attempt_id, body)}")
     return "\r\n".join(head).encode() + b"\r\n\r\n" + body
 
 
-# The bytes of each behaviour, made of the request's id, a complete response, and its body.
+# The response of each behaviour, built from the request id, a complete response, and its body.
 RESPONSES: dict[str, Callable[[str, bytes, bytes], bytes]] = {
     "well": lambda _id, response, _body: response,
     "not: full": lambda attempt_id, _response, _body: worker_response(
@@ -142,7 +142,7 @@
     ),
     "a false promise": lambda attempt_id, _response, _body: worker_response(503, attempt_id, b""),
 }
-# The same, and then the connection ends.
+# Behaviours that close the connection after the response.
 ENDING_RESPONSES: dict[str, Callable[[str, bytes, bytes], bytes]] = {
     "closing": lambda attempt_id, _response, body: worker_response(
         200, attempt_id, body, "Connection: close"
--- a/tests/support/unread_input.py
+++ b/tests/support/unread_input.py
@@ -1,4 +1,4 @@
-"""What tests of a server's end send and read: bytes that it has not looked at, and all until the end."""
+"""Socket helpers for tests of connection shutdown: unread input, and reading until the peer closes."""
 
 import socket as blocking_socket
 
@@ -8,12 +8,12 @@
 
 
 def send_unread(sock: socket.socket, data: bytes) -> None:
-    """Send without a switch of greenlets: the bytes lie in the kernel, and no server here reads them."""
+    """Send without yielding to other greenlets, so that no server in this process reads the bytes yet."""
     blocking_socket.socket.sendall(sock._sock, data)  # type: ignore[attr-defined]
 
 
 def read_to_end(sock: socket.socket) -> bytes:
-    """All that the peer sends until it closes the connection."""
+    """Read until the peer closes the connection."""
     received = b""
     while data := sock.recv(RECEIVE_BYTES):
         received += data
--- a/tests/support/wire_samples.py
+++ b/tests/support/wire_samples.py
@@ -1,9 +1,9 @@
-"""What the three programs say on the wire: raw answers of a registry, a store and a proxy to fixed calls.
+"""Records the raw responses of a registry, a store and a proxy to a fixed sequence of requests.
 
-The programs run as processes on loopback, one of each, with a worker that stands in; nothing here uses their
-code. `python -m tests.support.wire_samples before TREE FILE` records the answers of commit 147a987, of which
-TREE is a checkout. What differs from run to run (ages, names of lives, the loopback net) is masked, and the
-keys of answers between processes are sorted: their order is the one in which the changes were heard of.
+The programs run as processes on loopback, one of each, with a stub worker; this module uses none of their
+code. `python -m tests.support.wire_samples before TREE FILE` records the responses of commit 147a987, with
+TREE a checkout of it. Values that vary between runs (ages, incarnations, the loopback network) are masked.
+Keys of RPC responses are sorted, because their order depends on the order in which changes arrived.
 """
 
 import argparse
@@ -27,10 +27,10 @@
 
 ROOT: Final = Path(__file__).parents[2]
 PROGRAMS: Final = ("ashlift.configstore", "ashlift.registry", "ashlift.proxy")
-PROGRAMS_BEFORE: Final = ("vise", "pegboard", "lathe")
-LOW_PORT: Final = 7600  # of the store's calls; the registry's come to the next
+PROGRAMS_OF_147A987: Final = ("vise", "pegboard", "lathe")
+LOW_PORT: Final = 7600  # the store's RPC port; the registry uses the next
 CONTROL, FRONT, READINESS, WORKER = 8200, 8206, 8201, 8080
-PATIENCE_S: Final = 20.0  # for the programs to come up, on a busy machine
+STARTUP_TIMEOUT_S: Final = 20.0  # generous, for slow machines
 HEAD: Final = struct.Struct(">II")
 Address = tuple[str, int]
 Samples = dict[str, str]
@@ -89,7 +89,7 @@
 
 
 class Worker:
-    """A worker that stands in: keeps what comes, and answers as the path says (`/look/500`)."""
+    """A stub worker that records requests and responds with the status in the path (`/look/500`)."""
 
     def __init__(self, address: Address) -> None:
         self.requests: list[bytes] = []
@@ -120,12 +120,12 @@
         return head + b"Content-Length: 11\r\n\r\nhello there"
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Accept no more connections."""
         self._server.close()
 
 
 def read_message(sock: socket.socket) -> bytes:
-    """One HTTP message with a Content-Length or no body; what came so far where the connection ends."""
+    """Read one HTTP message with a Content-Length or no body; if the connection ends, the bytes received."""
     data = b""
     while b"\r\n\r\n" not in data:
         more = sock.recv(65536)
@@ -140,7 +140,7 @@
 
 
 def exchange(address: Address, data: bytes) -> bytes:
-    """All bytes that come back until the other side closes."""
+    """Send bytes and read until the peer closes the connection."""
     with socket.create_connection(address, timeout=10.0) as sock:
         sock.sendall(data)
         found = b""
@@ -150,7 +150,7 @@
 
 
 def http(address: Address, line: str, body: bytes = b"", **headers: str) -> bytes:
-    """The answer to one HTTP request, after which the connection is to close."""
+    """The response to one HTTP request on a connection of its own."""
     all_headers = {"Host": "app.example", "Connection": "close", **headers}
     if body and "Transfer_Encoding" not in headers:
         all_headers["Content-Length"] = str(len(body))
@@ -162,7 +162,7 @@
 
 
 def call(address: Address, method: str, body: Any) -> Any:
-    """The answer to one call between processes: a frame as it is read, without its head."""
+    """The decoded body of the response to one RPC."""
     data = cbor2.dumps([1, method, body])
     with socket.create_connection(address, timeout=10.0) as sock:
         sock.sendall(HEAD.pack(len(data), zlib.crc32(data, zlib.crc32(b"call"))) + data)
@@ -177,21 +177,19 @@
     return cbor2.loads(value)
 
 
-VARYING: Final = (
-    "age|at_ms|born|heard|held|life|ran|round|run|silent|stamp|unheard|warm"  # keys of ages and the like
-)
+VARYING_KEYS: Final = "age|at_ms|born|heard|held|life|ran|round|run|silent|stamp|unheard|warm"
 MASKS: Final = (
     (re.compile(r"127\.\d+\."), "127.N."),
     (re.compile(r"-1#[0-9a-f]{8}"), "-1#LIFE"),
-    (re.compile(rf'("(?:{VARYING})": ?)(?:\[[^]]*\]|[^],}}]+)'), r"\1MASKED"),
-    (re.compile(r'("version": ?)\d+'), r"\1MASKED"),  # of a source: how often it has changed
+    (re.compile(rf'("(?:{VARYING_KEYS})": ?)(?:\[[^]]*\]|[^],}}]+)'), r"\1MASKED"),
+    (re.compile(r'("version": ?)\d+'), r"\1MASKED"),  # of a source: its number of changes
     (re.compile(r"(X-Time-Remaining: )\d+"), r"\1MASKED"),
     (re.compile(r"(Retry-After: )\d+\.\d{3}"), r"\1MASKED"),
 )
 
 
 def masked(text: str) -> str:
-    """The text without what differs from run to run; the length of a body goes with what it counts."""
+    """The text with varying values masked, and then also the Content-Length."""
     found = text
     for pattern, instead in MASKS:
         found = pattern.sub(instead, found)
@@ -199,7 +197,7 @@
 
 
 def _free_net() -> int:
-    """The second number of addresses at which nobody listens; all have three digits, so lengths are alike."""
+    """The second octet of an unused loopback network; three digits, so that message lengths do not vary."""
     for number in range(150):
         net = 100 + (os.getpid() + number) % 150
         with suppress(OSError), ExitStack() as stack:
@@ -210,11 +208,11 @@
             ):
                 stack.enter_context(socket.create_server(address))
             return net
-    raise OSError("no loopback net is free")
+    raise OSError("no unused loopback network in 127.100.0.0 to 127.249.0.0")
 
 
 class System:
-    """The three programs and the worker, on addresses of one loopback net."""
+    """The three programs and the stub worker, on addresses of one loopback network."""
 
     def __init__(self, tree: Path, programs: tuple[str, str, str], folder: Path) -> None:
         net = _free_net()
@@ -227,7 +225,7 @@
 
     @contextmanager
     def running(self) -> Iterator["Worker"]:
-        """The programs up for a while; gives the worker."""
+        """Run the programs within the context; yields the stub worker."""
         with ExitStack() as stack:
             worker = Worker((self.worker_ip, WORKER))
             stack.callback(worker.close)
@@ -239,7 +237,7 @@
         ip = self.core if kind == "core" else self.edge
         path = self._folder / f"{kind}.toml"
         path.write_text(_settings(kind, ip, self.core, self._folder / "data"))
-        usual = {"PYTHONHASHSEED": "0", "PYTHONDONTWRITEBYTECODE": "1"}  # some answers list sets
+        usual = {"PYTHONHASHSEED": "0", "PYTHONDONTWRITEBYTECODE": "1"}  # a fixed order of sets in responses
         env = {**os.environ, **usual, "ASHLIFT_SETTINGS": str(path)}
         with (self._folder / f"{program}.log").open("wb") as log:
             command = [sys.executable, "-m", program]
@@ -251,9 +249,9 @@
     process.wait()
 
 
-def until(found: Callable[[], bytes], wanted: bytes) -> bytes:
-    """Ask until the answer contains what is wanted."""
-    end = time.monotonic() + PATIENCE_S
+def wait_until(found: Callable[[], bytes], wanted: bytes) -> bytes:
+    """Repeat a request until the response contains `wanted`; raises TimeoutError after STARTUP_TIMEOUT_S."""
+    end = time.monotonic() + STARTUP_TIMEOUT_S
     answer = b""
     while time.monotonic() < end:
         try:
@@ -263,7 +261,7 @@
         if wanted in answer:
             return answer
         time.sleep(0.1)
-    raise TimeoutError(f"{wanted!r} is not in {answer!r}")
+    raise TimeoutError(f"{wanted!r} is not in the response within {STARTUP_TIMEOUT_S} s: {answer!r}")
 
 
 def _object(kind: str, name: str, **specification: Any) -> dict[str, Any]:
@@ -276,7 +274,7 @@
 
 
 def configuration(version: int, *more: dict[str, Any]) -> bytes:
-    """A whole configuration as an operator sends it."""
+    """A complete configuration as an operator sends it."""
     objects = [
         _route("look", Anonymous=True),
         _route("hold", Anonymous=False),
@@ -324,7 +322,7 @@
 
 
 class Recording:
-    """The answers by the names of the calls."""
+    """The responses by request title."""
 
     def __init__(self, system: System, worker: Worker) -> None:
         self._system, self._worker = system, worker
@@ -337,9 +335,9 @@
         self._keep(f"registry: {line} {name}".strip(), http(self._system.registry, line, body, **headers))
 
     def _order(self, line: str, body: bytes = b"", name: str = "", **headers: str) -> None:
-        """An order of an operator, sent again while the answer says so (307, 503): a busy machine may."""
+        """An operator's command, repeated while the response is 307 or 503 (possible on a busy machine)."""
         registry = self._system.registry
-        end, answer = time.monotonic() + PATIENCE_S, b""
+        end, answer = time.monotonic() + STARTUP_TIMEOUT_S, b""
         while time.monotonic() < end:
             answer = http(registry, line, body, **headers)
             if answer.split(b" ", 2)[1] not in (b"307", b"503"):
@@ -352,7 +350,7 @@
         self.samples[f"{what}: {method} {name}".strip()] = masked(answer)
 
     def _client(self, line: str, body: bytes = b"", name: str = "", **headers: str) -> None:
-        """A client's request; the worker's part of it, if it comes there, is kept too."""
+        """A client's request; also records the request that the proxy forwards to the worker, if any."""
         number = len(self._worker.requests)
         title = f"proxy: {line} {name}".strip()
         request_headers = {"X-Attempt-Id": f"a{len(self.samples)}", **headers}
@@ -361,17 +359,19 @@
         self._keep(f"{title}, at the worker", forwarded)
 
     def run(self) -> Samples:
-        """All calls in their order."""
+        """Send all requests in order and return the samples."""
         registry = self._system.registry
-        until(lambda: http(registry, "GET /config"), b" 404 ")
+        wait_until(lambda: http(registry, "GET /config"), b" 404 ")
         self._configurations()
         self._workers()
         self._routes()
         self._wrong_requests()
-        until(lambda: http(self._system.readiness, "GET /readiness"), b" 200 ")
-        until(lambda: http(registry, LOOKUP), f":{FRONT}".encode())
+        wait_until(lambda: http(self._system.readiness, "GET /readiness"), b" 200 ")
+        wait_until(lambda: http(registry, LOOKUP), f":{FRONT}".encode())
         self._calls()
-        until(lambda: http(self._system.front, "GET /look/200", X_Attempt_Id=f"{time.monotonic()}"), b" 200 ")
+        wait_until(
+            lambda: http(self._system.front, "GET /look/200", X_Attempt_Id=f"{time.monotonic()}"), b" 200 "
+        )
         self._clients()
         self._edits()
         return self.samples
@@ -442,7 +442,7 @@
         edit = {"id": "e1", "who": "A", "text": {**text, "MaxAttempts": 3}, "base": text}
         self._order("POST /routes/more", json.dumps(edit).encode(), "in force")
         self._order("POST /routes/more", json.dumps({**edit, "id": "e2"}).encode(), "on an old text")
-        until(lambda: http(self._system.registry, "GET /routes/more"), b'"version":"00000003"')
+        wait_until(lambda: http(self._system.registry, "GET /routes/more"), b'"version":"00000003"')
         waits = {**WAITING_EDIT, "text": {**text, "MaxAttempts": 1}, "base": {**text, "MaxAttempts": 3}}
         self._call(self._system.store, "store", "drafts", {"add": [waits]}, "with an edit")
         self._order("GET /proposals", name="with one")
@@ -450,7 +450,7 @@
         rejection = json.dumps({"word": "reject", "who": "B", "version": "00000003"}).encode()
         self._order("POST /proposals/e3", rejection.replace(b"00000003", b"00000002"), "on an old version")
         self._order("POST /proposals/e3", rejection, "rejected")
-        until(lambda: http(self._system.registry, "GET /routes/more"), b'"outcome":"rejected"')
+        wait_until(lambda: http(self._system.registry, "GET /routes/more"), b'"outcome":"rejected"')
         self._order("POST /proposals/e3", rejection, "rejected again")
         self._order("GET /config", name="at the end")
 
@@ -476,7 +476,7 @@
 
 
 def recorded(tree: Path = ROOT, programs: tuple[str, str, str] = PROGRAMS) -> Samples:
-    """The answers of a tree's programs."""
+    """Record the responses of the programs in a source tree."""
     with tempfile.TemporaryDirectory() as name:
         system = System(tree, programs, Path(name))
         with system.running() as worker:
@@ -484,15 +484,17 @@
 
 
 def main(arguments: list[str]) -> int:
-    """The command; its exit status."""
+    """Run the command and return its exit status."""
     parser = argparse.ArgumentParser(
         prog="python -m tests.support.wire_samples", description="Record answers."
     )
-    parser.add_argument("which", choices=["before", "now"], help="147a987, or a tree of today's layout")
+    parser.add_argument(
+        "which", choices=["before", "now"], help="commit 147a987, or the current package layout"
+    )
     parser.add_argument("tree", type=Path, help="the checkout")
     parser.add_argument("file", type=Path, help="the record to write")
     options = parser.parse_args(arguments)
-    samples = recorded(options.tree.resolve(), PROGRAMS_BEFORE if options.which == "before" else PROGRAMS)
+    samples = recorded(options.tree.resolve(), PROGRAMS_OF_147A987 if options.which == "before" else PROGRAMS)
     options.file.write_text(json.dumps(samples, indent=1) + "\n")
     return 0
 
