--- a/tests/proxy/test_responses.py
+++ b/tests/proxy/test_responses.py
@@ -45,22 +45,28 @@
     site = ProxySite(workers_per_route=2)
     for worker_id in site.routes["0"]:
         site.workers.behaviours[worker_id] = behaviour
-    remaining_ms = 150 if behaviour in ("mute", "not: another's id") else 3000  # these two time out
+    remaining_ms = 150 if behaviour in ("no response", "not: another's id") else 3000  # these two time out
     non_idempotent = [site.send(remaining_ms=remaining_ms) for _ in range(2)]
     idempotent = [site.send(idempotent=True, remaining_ms=remaining_ms) for _ in range(2)]
     site.close()
     statuses = {one.status for one in non_idempotent + idempotent}
-    if behaviour in ("well", "a second answer at once", "continue first", "closing", "noise behind"):
+    if behaviour in (
+        "success",
+        "duplicate response at once",
+        "100 continue first",
+        "connection close",
+        "invalid bytes after the response",
+    ):
         assert statuses == {200}
-    elif behaviour == "a second answer later":
+    elif behaviour == "duplicate response later":
         assert {one.status for one in idempotent} == {200}
         assert {one.status for one in non_idempotent} <= {200, 504}
-    elif behaviour == "not: full":
+    elif behaviour == "not: overloaded":
         assert statuses == {503}
         assert not site.history.runs
-    elif behaviour == "fails":
+    elif behaviour == "server error":
         assert statuses == {500}
-    elif behaviour == "not: resets when kept":
+    elif behaviour == "not: resets reused connections":
         assert statuses <= {200, 504}
     else:
         assert statuses <= {502, 504}
@@ -181,7 +187,7 @@
     requests = [site.history.new_request("/hold/0/x", False, BODY) for _ in range(6)]
     client.send(*requests)
     assert [one.status for one in requests] == [200] * 6
-    site.workers.behaviours = dict.fromkeys(site.routes["0"], "mute")
+    site.workers.behaviours = dict.fromkeys(site.routes["0"], "no response")
     late = [site.history.new_request("/hold/0/x", False, BODY) for _ in range(4)]
     site.workers.on_request = lambda _: client.hang_up()
     client.send(*late)
@@ -228,7 +234,7 @@
     site = ProxySite()
     client = StubClient(site.history, site.proxy.address)
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-    site.workers.behaviours = dict.fromkeys(site.routes["0"], "large")
+    site.workers.behaviours = dict.fromkeys(site.routes["0"], "large body")
     requests = [site.history.new_request("/look/0/x", True, BODY) for _ in range(2)]
     write_timeout = client_connection.WRITE_TIMEOUT_SECONDS
     client_connection.WRITE_TIMEOUT_SECONDS = 0.1  # type: ignore[misc]
@@ -358,7 +364,7 @@
 def check_dropped_connections() -> None:
     """Workers reset idle connections: after one reset, non-idempotent requests do not reuse any."""
     site = ProxySite()
-    site.workers.behaviours = dict.fromkeys(site.routes["0"], "not: resets when kept")
+    site.workers.behaviours = dict.fromkeys(site.routes["0"], "not: resets reused connections")
     assert site.send().status == 200
     age_connections(site)
     # On a busy machine a reset takes longer than the limit.
@@ -403,25 +409,25 @@
         RequestRouter._may_retry,
         "not request.retry_forbidden",
         "True",
-        check_behaviour("ran and resets"),
+        check_behaviour("executes and resets"),
     ),
     "attempt id of a response not compared": (
         ConnectionPool._read_response,
         "response.header(ATTEMPT_ID_HEADER) == attempt_id",
         "True",
-        check_behaviour("a second answer later"),
+        check_behaviour("duplicate response later"),
     ),
     "503 although the request may have run": (
         RequestRouter.final_rejection,
         "request.may_have_run or request.attempts_in_flight",
         "False",
-        check_behaviour("ran and resets"),
+        check_behaviour("executes and resets"),
     ),
     "worker's own 503 relayed": (
         WorkerResponse.is_valid,
         "or self.status in NOT_RUN_STATUSES",
         "",
-        check_behaviour("a false promise"),
+        check_behaviour("503 after execution"),
     ),
     "response without X-Server-Seal relayed": (
         WorkerResponse.is_valid,
@@ -434,7 +440,7 @@
         "    return None\n            response.feed",
         "    response.status, response.done = response.code, True\n"
         "                break\n            response.feed",
-        check_behaviour("short"),
+        check_behaviour("truncated body"),
     ),
     "connection reused after an early response": (
         ConnectionPool._send,
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -179,7 +179,7 @@
 def _() -> None:
     with proxy_site() as site:
         worker_id = next(iter(site.routes["0"]))
-        site.workers.behaviours[worker_id] = "mute"
+        site.workers.behaviours[worker_id] = "no response"
         client = StubClient(site.history, site.proxy.address)
         request = site.history.new_request("/hold/0/x", False, b"a body")
         client.sock.sendall(request.to_bytes())
@@ -219,7 +219,7 @@
 def _() -> None:
     with proxy_site() as site, replaced(client_connection, WRITE_TIMEOUT_SECONDS=0.2):
         worker_id = next(iter(site.routes["0"]))
-        site.workers.behaviours[worker_id] = "large"
+        site.workers.behaviours[worker_id] = "large body"
         client = StubClient(site.history, site.proxy.address)
         client.sock.sendall(new_request(site).to_bytes())
         received, started_at = 0, blocking_time.monotonic()
--- a/tests/support/stub_workers.py
+++ b/tests/support/stub_workers.py
@@ -14,24 +14,24 @@
 LARGE_BYTES = 12 << 20  # more than the kernel buffers for a peer that does not read
 # What a worker does with a request. Behaviours that begin with "not" do not execute it.
 BEHAVIOURS = (
-    "well",
-    "not: full",
-    "fails",
-    "a second answer at once",
-    "a second answer later",
-    "continue first",
-    "closing",
-    "no length",
-    "short",
-    "mute",
-    "noise",
-    "noise behind",
+    "success",
+    "not: overloaded",
+    "server error",
+    "duplicate response at once",
+    "duplicate response later",
+    "100 continue first",
+    "connection close",
+    "no content length",
+    "truncated body",
+    "no response",
+    "invalid response",
+    "invalid bytes after the response",
     "no seal",
-    "encoded",
-    "a false promise",
-    "not: hangs up",
-    "ran and resets",
-    "not: resets when kept",
+    "content encoding",
+    "503 after execution",
+    "not: closes the connection",
+    "executes and resets",
+    "not: resets reused connections",
     "not: another's id",
 )
 
@@ -81,11 +81,11 @@
     def _serve(self, sock: socket.socket, request: ClientRequest, served: int) -> bytes:
         """Respond to a request; return bytes to send before the next. OSError ends the connection."""
         worker_id = request.header(b"x-target-instance").decode()
-        behaviour = "not: meant"
+        behaviour = "not: misdirected"
         if worker_id.startswith(self.id_prefix):
-            behaviour = self.behaviours.get(worker_id, "well")
-        if behaviour == "not: resets when kept" and not served:
-            behaviour = "well"
+            behaviour = self.behaviours.get(worker_id, "success")
+        if behaviour == "not: resets reused connections" and not served:
+            behaviour = "success"
         self.on_request(request)
         if not behaviour.startswith("not"):
             self.history.record_run(request)
@@ -102,15 +102,15 @@
             sock.sendall(RESPONSES[behaviour](request_id, response, body))
             return b""
         match behaviour:
-            case "a second answer later":
+            case "duplicate response later":
                 sock.sendall(response)
                 return response
-            case "mute":
+            case "no response":
                 sock.recv(1)
-            case "ran and resets" | "not: resets when kept":
+            case "executes and resets" | "not: resets reused connections":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESETTING_LINGER)
             case _:
-                assert behaviour == "not: hangs up", behaviour
+                assert behaviour == "not: closes the connection", behaviour
         raise OSError
 
 
@@ -124,29 +124,31 @@
 
 # The response of each behaviour, built from the request id, a complete response, and its body.
 RESPONSES: dict[str, Callable[[str, bytes, bytes], bytes]] = {
-    "well": lambda _id, response, _body: response,
-    "not: full": lambda attempt_id, _response, _body: worker_response(
+    "success": lambda _id, response, _body: response,
+    "not: overloaded": lambda attempt_id, _response, _body: worker_response(
         503, attempt_id, b"", "X-Not-Executed: 1"
     ),
-    "not: meant": lambda attempt_id, _response, _body: worker_response(421, attempt_id, b""),
+    "not: misdirected": lambda attempt_id, _response, _body: worker_response(421, attempt_id, b""),
     "not: another's id": lambda _id, _response, _body: worker_response(503, "0", b"", "X-Not-Executed: 1"),
-    "fails": lambda attempt_id, _response, _body: worker_response(500, attempt_id, b"failed"),
-    "a second answer at once": lambda _id, response, _body: response + response,
-    "continue first": lambda _id, response, _body: b"HTTP/1.1 100 Continue\r\n\r\n" + response,
-    "large": lambda attempt_id, _response, body: worker_response(200, attempt_id, body + bytes(LARGE_BYTES)),
-    "noise": lambda _id, _response, _body: b"\x00\x01 no answer \r\n\r\n",
-    "noise behind": lambda _id, response, _body: response + b"HTTP/1.1 20",
+    "server error": lambda attempt_id, _response, _body: worker_response(500, attempt_id, b"failed"),
+    "duplicate response at once": lambda _id, response, _body: response + response,
+    "100 continue first": lambda _id, response, _body: b"HTTP/1.1 100 Continue\r\n\r\n" + response,
+    "large body": lambda attempt_id, _response, body: worker_response(
+        200, attempt_id, body + bytes(LARGE_BYTES)
+    ),
+    "invalid response": lambda _id, _response, _body: b"\x00\x01 no answer \r\n\r\n",
+    "invalid bytes after the response": lambda _id, response, _body: response + b"HTTP/1.1 20",
     "no seal": lambda _id, response, _body: response.replace(b"X-Server-Seal", b"X-Other"),
-    "encoded": lambda attempt_id, _response, body: worker_response(
+    "content encoding": lambda attempt_id, _response, body: worker_response(
         200, attempt_id, body, "Content-Encoding: gzip"
     ),
-    "a false promise": lambda attempt_id, _response, _body: worker_response(503, attempt_id, b""),
+    "503 after execution": lambda attempt_id, _response, _body: worker_response(503, attempt_id, b""),
 }
 # Behaviours that close the connection after the response.
 ENDING_RESPONSES: dict[str, Callable[[str, bytes, bytes], bytes]] = {
-    "closing": lambda attempt_id, _response, body: worker_response(
+    "connection close": lambda attempt_id, _response, body: worker_response(
         200, attempt_id, body, "Connection: close"
     ),
-    "no length": lambda _id, response, _body: response.replace(b"Content-Length", b"X-Length"),
-    "short": lambda _id, response, _body: response[:-3],
+    "no content length": lambda _id, response, _body: response.replace(b"Content-Length", b"X-Length"),
+    "truncated body": lambda _id, response, _body: response[:-3],
 }
