--- a/benchmarks/bodies/__main__.py
+++ b/benchmarks/bodies/__main__.py
@@ -1,7 +1,7 @@
 """Measures streamed bodies: `python -m benchmarks.bodies [--megabytes 1000] [--rounds 5] [--only PART ...]`.
 
-Prints a table, and all figures as JSON on the last line; exits with 1 where a bound that is promised does not
-hold. Peers are processes of their own on loopback. Takes some two minutes; not part of CI.
+Prints a table, and all figures as JSON on the last line; exits with status 1 if a guaranteed bound does not
+hold. Clients and servers are separate processes on loopback. Takes about two minutes; not part of CI.
 """
 
 import argparse
@@ -13,7 +13,7 @@
 from typing import Any, Final
 
 from benchmarks.bodies.peers import start_node
-from benchmarks.bodies.small_requests import measure_beside_bulk, measure_slow_readers
+from benchmarks.bodies.small_requests import measure_slow_readers, measure_with_downloads
 from benchmarks.bodies.stalls import measure_stalls
 from benchmarks.bodies.throughput import measure_throughput
 from benchmarks.bodies.unequal_speeds import measure_unequal_speeds
@@ -27,7 +27,7 @@
 
 
 def measure_parts(parts: list[str], body_bytes: int, rounds: int) -> Figures:
-    """The figures of each part, in the order of `PARTS`."""
+    """Measure the selected parts, in the order of `PARTS`."""
     node = start_node()
     try:
         node_address = node.read_address()
@@ -37,7 +37,7 @@
             "slow": lambda: measure_slow_readers(node_address, SLOW_READERS),
             "stalls": lambda: measure_stalls(node_address),
             "small": lambda: {
-                f"node {seconds * 1000:g} ms": measure_beside_bulk(node_address, BULK_STREAMS, seconds)
+                f"node {seconds * 1000:g} ms": measure_with_downloads(node_address, BULK_STREAMS, seconds)
                 for seconds in NODE_DELAYS_SECONDS
             },
         }
@@ -47,7 +47,7 @@
 
 
 def flatten(figures: Figures, path: str = "") -> dict[str, Any]:
-    """The figures by their path in the tree."""
+    """The figures by the path of their names."""
     flat: dict[str, Any] = {}
     for name, value in figures.items():
         value_path = f"{path} {name}".strip()
@@ -56,7 +56,7 @@
 
 
 def main() -> int:
-    """Measure and print; returns the exit status."""
+    """Run the benchmark and return the exit status."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.bodies", description=__doc__)
     parser.add_argument("--megabytes", type=int, default=1000)
     parser.add_argument("--rounds", type=int, default=5)
--- a/benchmarks/bodies/bulk_client.py
+++ b/benchmarks/bodies/bulk_client.py
@@ -1,4 +1,4 @@
-"""Clients that read or send one long body. They use plain sockets: clients are not what is measured."""
+"""Clients that read or send one long body. Plain sockets keep the cost of the client low."""
 
 import socket
 import time
@@ -9,14 +9,14 @@
 from benchmarks.bodies.http_heads import encode_request_head, receive_response_head
 from benchmarks.bodies.transfer_pace import MAX_STEP_BYTES, PAYLOAD, TransferPace
 
-TIMEOUT_SECONDS: Final = 30  # ends a measurement that would never end
-SMALL_SEGMENT_BYTES: Final = 536  # the 64 KiB of loopback would hide progress
+TIMEOUT_SECONDS: Final = 30  # per socket operation
+SMALL_SEGMENT_BYTES: Final = 536  # loopback segments of 64 KiB would make progress too coarse
 STREAM_PATH: Final = "/availability-report/x"
 
 
 @frozen
 class TransferResult:
-    """The status of the response, the bytes of the body that were moved, and the time that it took."""
+    """The response status, the body bytes transferred, and the duration."""
 
     status: int
     moved_bytes: int
@@ -24,7 +24,7 @@
 
 
 def connect(address: str, receive_window: int = 0) -> socket.socket:
-    """A connection; `receive_window` bounds what the kernel holds unread, as on a path with a slow end."""
+    """Open a connection; `receive_window` limits the unread bytes in the kernel, as for a slow receiver."""
     host, _, port = address.rpartition(":")
     connection = socket.socket()
     connection.settimeout(TIMEOUT_SECONDS)
@@ -39,7 +39,7 @@
 def download(
     address: str, body_bytes: int, bytes_per_second: float, receive_window: int, query: str = ""
 ) -> TransferResult:
-    """Request a long body and read it at a rate (0: without bound); `query` is for the node."""
+    """Request a long body and read it at a rate (0: unlimited); `query` is passed to the node."""
     started_at = time.monotonic()
     pace = TransferPace(bytes_per_second)
     buffer = memoryview(bytearray(MAX_STEP_BYTES))
@@ -56,7 +56,7 @@
 
 
 def upload(address: str, body_bytes: int, bytes_per_second: float, query: str = "") -> TransferResult:
-    """Send a long body at a rate (0: without bound) and read the response."""
+    """Send a long body at a rate (0: unlimited) and read the response."""
     started_at = time.monotonic()
     pace = TransferPace(bytes_per_second)
     with connect(address) as connection:
--- a/benchmarks/bodies/byte_relay.py
+++ b/benchmarks/bodies/byte_relay.py
@@ -1,4 +1,4 @@
-"""The baseline: passes bytes both ways and looks at none of them, that is, what gevent itself moves."""
+"""The baseline: a TCP relay that forwards bytes unparsed, which shows the throughput of gevent itself."""
 
 import gevent
 from gevent import socket
@@ -7,14 +7,14 @@
 
 
 class ByteRelay:
-    """Connects each client to a target of its own connection."""
+    """Forwards each client connection to the target on a new connection."""
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
         self._target = (host, int(port))
 
     def serve(self, client: socket.socket, _address: object) -> None:
-        """Pass bytes both ways until both sides have ended."""
+        """Forward bytes in both directions until both sides have ended."""
         with socket.create_connection(self._target) as server:
             for connection in (client, server):
                 connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/benchmarks/bodies/gatekeeper_process.py
+++ b/benchmarks/bodies/gatekeeper_process.py
@@ -1,4 +1,4 @@
-"""The gatekeeper in service as a process, before one node, with streaming on."""
+"""Runs the gatekeeper as a process in front of one node, with streaming enabled."""
 
 import json
 import socket
@@ -14,7 +14,7 @@
 from benchmarks.child_process import ChildProcess, MemoryFigure
 
 BUFFER_BYTES: Final = 8 << 20  # buffer-bytes of the settings below
-SPARE_BYTES: Final = 16 << 20  # that memory may grow by beyond them
+SPARE_BYTES: Final = 16 << 20  # tolerated memory growth beyond the buffers
 MAX_GROWTH_BYTES: Final = BUFFER_BYTES + SPARE_BYTES
 MEBIBYTE: Final = 1 << 20
 RESPONSE_HEAD_SECONDS: Final = 3.0  # `head` of the settings below
@@ -23,7 +23,7 @@
  (streaming (enabled true) (buffer-bytes 8MiB) (stream-buffer-bytes 256KiB) (most-streams 200)
   (class availability-report (head 3s) (stall 2s) (longest 4GiB))))"""
 CATEGORIES: Final = ("availability-check", "availability-report")
-_PLAN: Final[dict[str, Any]] = {  # its quota is no bound here
+_PLAN: Final[dict[str, Any]] = {  # without a quota
     "Name": "basic",
     "QuotaRate": 0,
     "MostAtOnce": 0,
@@ -67,19 +67,19 @@
 
 @frozen
 class Gatekeeper:
-    """A gatekeeper that runs, and its address."""
+    """A running gatekeeper and its address."""
 
     process: ChildProcess
     address: str
 
     def peak_growth_bytes(self, memory_before: int) -> int:
-        """By how much its memory has grown at most."""
+        """The growth of peak memory since `memory_before`."""
         return self.process.memory_bytes(MemoryFigure.PEAK) - memory_before
 
 
 @contextmanager
 def running_gatekeeper(node_address: str) -> Iterator[Gatekeeper]:
-    """A gatekeeper before a node; it is ended with the context."""
+    """Run a gatekeeper in front of a node; it is stopped when the context ends."""
     with tempfile.TemporaryDirectory() as folder:
         config_path = Path(folder, "config.json")
         settings_path = Path(folder, "own.sexp")
@@ -103,7 +103,7 @@
 
 
 def _platform_config(node_address: str) -> dict[str, Any]:
-    """What the platform gives one gatekeeper."""
+    """The configuration that the platform passes to a gatekeeper."""
     node = {"instanceId": "n1", "hostPort": node_address, "lifecycle": "ready"}
     return {
         "settings": _SETTINGS,
@@ -121,6 +121,6 @@
 
 
 def _discard_log(process: ChildProcess) -> None:
-    """Read the log to its end: a full pipe would stop the gatekeeper."""
+    """Read and discard the log, because a full pipe would block the gatekeeper."""
     for _ in process.log_lines():
         pass
--- a/benchmarks/bodies/http_heads.py
+++ b/benchmarks/bodies/http_heads.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP messages as the platform forms them, written and read without the parser that is measured."""
+"""Encodes and parses HTTP heads in the platform's format, independently of the measured parser."""
 
 import itertools
 import os
@@ -13,7 +13,7 @@
 
 @frozen
 class MessageHead:
-    """The first line of a message, its headers in lower case, and the bytes that arrived behind them."""
+    """The first line of a message, its headers in lower case, and the body bytes received with them."""
 
     first_line: str
     headers: dict[str, str]
@@ -47,7 +47,7 @@
 
 
 def receive_head(connection: Any) -> MessageHead | None:
-    """Read a head from a socket, of gevent or not; None if the connection ends before its end."""
+    """Read a head from a plain or gevent socket; None if the connection ends before it is complete."""
     data = b""
     while END_OF_HEAD not in data:
         received = connection.recv(RECEIVE_BYTES)
@@ -61,7 +61,7 @@
 
 
 def receive_response_head(connection: Any) -> MessageHead:
-    """Read the head of a response; raises ConnectionError if the connection ends before its end."""
+    """Read the head of a response; raises ConnectionError if the connection ends before it is complete."""
     head = receive_head(connection)
     if head is None:
         raise ConnectionError("the connection ended within the head of a response")
--- a/benchmarks/bodies/node.py
+++ b/benchmarks/bodies/node.py
@@ -1,8 +1,8 @@
-"""The execute node behind the gatekeeper: it reads bodies and sends long ones, at rates that the query names.
+"""The execute node behind the gatekeeper: reads and sends bodies at rates given in the query.
 
-Keys of the query: `bytes`, the length of the response's body; `rate` and `take`, bytes a second to send and
-to read; `delay`, seconds before the response; `stall`, `head` or the number of bytes after which nothing
-follows.
+Keys of the query: `bytes`, the length of the response body; `rate` and `take`, the rates of sending and
+reading in bytes per second; `delay`, seconds before the response; `stall`, `head` (before the head) or the
+number of body bytes after which the node stops sending.
 """
 
 from typing import Final
@@ -30,13 +30,13 @@
                 return
             _send_response(connection, query)
     except OSError:
-        pass  # the client closed the connection, as some measurements do
+        pass  # some measurements close the connection early
 
 
 def _receive_body(
     connection: socket.socket, request: MessageHead, bytes_per_second: float, buffer: memoryview
 ) -> bool:
-    """Read the body of a request; returns False if the connection ends before its end."""
+    """Read the body of a request; returns False if the connection ends before it is complete."""
     pace = TransferPace(bytes_per_second)
     remaining_bytes = request.content_length - len(request.rest)
     while remaining_bytes > 0:
@@ -67,7 +67,7 @@
 
 
 def _pause(pace: TransferPace, moved_bytes: int) -> None:
-    """Keep the pace; without a bound the loop never waits here, as a busy server would not."""
+    """Wait until the next bytes are due; with an unlimited rate this does not yield to other greenlets."""
     seconds = pace.seconds_until_next(moved_bytes)
     if seconds:
         gevent.sleep(seconds)
--- a/benchmarks/bodies/peers.py
+++ b/benchmarks/bodies/peers.py
@@ -1,9 +1,9 @@
-"""Peers of the measurement, each a process of its own.
+"""The clients and servers of the measurements, each a separate process.
 
     python -m benchmarks.bodies.peers node | relay TARGET
     python -m benchmarks.bodies.peers down ADDRESS BYTES RATE WINDOW [QUERY] | up ADDRESS BYTES RATE [QUERY]
 
-Servers print their address and run until they are ended; clients print their `TransferResult` as JSON.
+Servers print their address and run until stopped; clients print their `TransferResult` as JSON.
 """
 
 import json
@@ -25,7 +25,7 @@
 
 
 class ClientProcess:
-    """A bulk client that runs in a process of its own."""
+    """A bulk client in a separate process."""
 
     def __init__(self, *arguments: object) -> None:
         command = [sys.executable, "-m", MODULE, *map(str, arguments)]
@@ -33,16 +33,16 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process is running."""
         return self._process.poll() is None
 
     def result(self) -> TransferResult:
-        """Wait for its end."""
+        """Wait for the process to end and return its result."""
         output, _ = self._process.communicate()
         return TransferResult(**json.loads(output.strip().splitlines()[-1]))
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process."""
         self._process.kill()
         self._process.wait()
 
@@ -67,7 +67,7 @@
 
 
 def start_relay(target: str) -> ChildProcess:
-    """Start a relay before a target."""
+    """Start a relay in front of a target."""
     return ChildProcess(MODULE, "relay", target)
 
 
--- a/benchmarks/bodies/small_requests.py
+++ b/benchmarks/bodies/small_requests.py
@@ -1,4 +1,4 @@
-"""Measures latencies of small requests beside slow readers and beside bulk downloads."""
+"""Measures the latency of small requests concurrent with slow readers and with bulk downloads."""
 
 import threading
 import time
@@ -27,7 +27,7 @@
 
 
 def measure_slow_readers(node_address: str, count: int) -> dict[str, Any]:
-    """Slow readers, as many as there may be, with small requests and one fast download beside them."""
+    """Run small requests and one fast download concurrently with `count` slow readers."""
     with running_gatekeeper(node_address) as gatekeeper:
         address = gatekeeper.address
         memory_before = gatekeeper.process.memory_bytes()
@@ -49,21 +49,21 @@
     }
 
 
-def measure_beside_bulk(node_address: str, streams: int, node_seconds: float) -> dict[str, Any]:
-    """Small requests without and with bulk downloads beside them."""
+def measure_with_downloads(node_address: str, streams: int, node_seconds: float) -> dict[str, Any]:
+    """Run small requests without and with concurrent bulk downloads."""
     with running_gatekeeper(node_address) as gatekeeper:
         address = gatekeeper.address
 
         def measure() -> list[float]:
             return measure_latencies(address, REQUESTS_PER_CLIENT, node_seconds)
 
-        latencies_alone = _run_concurrently(CONCURRENT_CLIENTS, measure)
+        latencies_without_bulk = _run_concurrently(CONCURRENT_CLIENTS, measure)
         downloads = [start_download(address, BULK_BYTES) for _ in range(streams)]
         time.sleep(BULK_STABILIZE_SECONDS)
-        latencies_beside = _run_concurrently(CONCURRENT_CLIENTS, measure)
+        latencies_with_bulk = _run_concurrently(CONCURRENT_CLIENTS, measure)
         _kill_all(downloads)
-    alone = percentiles(latencies_alone)
-    beside = percentiles(latencies_beside)
+    alone = percentiles(latencies_without_bulk)
+    beside = percentiles(latencies_with_bulk)
     return {
         "streams": streams,
         "node_ms": 1000 * node_seconds,
@@ -75,7 +75,7 @@
 
 
 def measure_latencies(address: str, requests: int, node_seconds: float) -> list[float]:
-    """Milliseconds of small requests, one after the other on one connection."""
+    """Latencies in milliseconds of sequential small requests on one connection."""
     latencies = []
     with connect(address) as connection:
         for _ in range(requests):
@@ -102,7 +102,7 @@
 
 
 def _run_concurrently(threads: int, measure: Callable[[], list[float]]) -> list[float]:
-    """The values of the same measurement in so many threads."""
+    """Run the measurement in several threads and return all values."""
     values: list[float] = []
     running = [threading.Thread(target=lambda: values.extend(measure())) for _ in range(threads)]
     for thread in running:
--- a/benchmarks/bodies/stalls.py
+++ b/benchmarks/bodies/stalls.py
@@ -1,4 +1,4 @@
-"""Measures peers that stall: each transfer ends in a response or a reset, within its limit and a second."""
+"""Measures stalled transfers: each must end with a response or a reset within its limit plus one second."""
 
 import time
 from typing import Any, Final
@@ -13,12 +13,12 @@
 SENT_UPLOAD_BYTES: Final = 9999
 UNREAD_BODY_BYTES: Final = 64 << 20
 UNREAD_WINDOW_BYTES: Final = 4096
-UNREAD_SECONDS: Final = 2.9  # longer than the limit of a stall
+UNREAD_SECONDS: Final = 2.9  # longer than STALL_SECONDS
 REQUEST_TIMEOUT_STATUS: Final = 408
 
 
 def measure_stalls(node_address: str) -> dict[str, Any]:
-    """How long each stalled transfer took to end, and whether it ended as it should."""
+    """The duration of each stalled transfer, and whether it ended as required."""
     with running_gatekeeper(node_address) as gatekeeper:
         address = gatekeeper.address
         return {
--- a/benchmarks/bodies/throughput.py
+++ b/benchmarks/bodies/throughput.py
@@ -1,4 +1,4 @@
-"""Measures the throughput of long bodies both ways, beside a bare relay in the same run, in turn."""
+"""Measures the throughput of downloads and uploads, alternating with a plain relay in the same run."""
 
 import statistics
 from collections import defaultdict
@@ -8,7 +8,7 @@
 from benchmarks.bodies.peers import start_download, start_relay, start_upload
 from benchmarks.child_process import ChildProcess
 
-MIN_RATIO: Final = 0.7  # to the relay, at the median
+MIN_RATIO: Final = 0.7  # median ratio to the throughput of the relay
 RELAY: Final = "relay"
 GATEKEEPER: Final = "ashlift"
 DOWN: Final = "down"
@@ -18,7 +18,7 @@
 
 
 def measure_throughput(node_address: str, body_bytes: int, rounds: int) -> dict[str, Any]:
-    """Least, median and most of GB/s and of processor time a GB, and whether the ratio holds."""
+    """Minimum, median and maximum of GB/s and of CPU seconds per GB, and whether the ratio holds."""
     relay = start_relay(node_address)
     relay_address = relay.read_address()
     figures: Figures = defaultdict(list)
--- a/benchmarks/bodies/transfer_pace.py
+++ b/benchmarks/bodies/transfer_pace.py
@@ -1,4 +1,4 @@
-"""How peers of the measurement move bytes at a rate: in small steps, twenty a second."""
+"""Rate limiting of transfers: bytes are moved in small steps, twenty per second."""
 
 import time
 from typing import Final
@@ -10,7 +10,7 @@
 
 
 class TransferPace:
-    """The pace of one transfer that starts now; a rate of 0 bytes a second is without bound."""
+    """Limits the rate of one transfer, which starts at construction; a rate of 0 is unlimited."""
 
     def __init__(self, bytes_per_second: float) -> None:
         self.moved_bytes = 0
@@ -18,14 +18,14 @@
         self._started_at = time.monotonic()
 
     def step_bytes(self, remaining_bytes: int) -> int:
-        """How many bytes to move next."""
+        """The number of bytes to move next."""
         if self._bytes_per_second <= 0:
             return min(remaining_bytes, MAX_STEP_BYTES)
         paced_bytes = max(MIN_STEP_BYTES, int(self._bytes_per_second / STEPS_PER_SECOND))
         return min(remaining_bytes, MAX_STEP_BYTES, paced_bytes)
 
     def seconds_until_next(self, moved_bytes: int) -> float:
-        """Count bytes that were moved; returns how long to wait before the next ones."""
+        """Count moved bytes and return the seconds to wait before the next step."""
         self.moved_bytes += moved_bytes
         if self._bytes_per_second <= 0:
             return 0.0
--- a/benchmarks/bodies/unequal_speeds.py
+++ b/benchmarks/bodies/unequal_speeds.py
@@ -1,4 +1,4 @@
-"""Measures memory while long bodies pass between peers of unequal speed, each way round."""
+"""Measures memory while long bodies are transferred between a fast and a slow peer, in all combinations."""
 
 from collections.abc import Callable
 from typing import Any, Final
@@ -10,7 +10,7 @@
 
 
 def measure_unequal_speeds(node_address: str, body_bytes: int) -> dict[str, Any]:
-    """Time and growth of each transfer, and whether every byte arrived within the bound of memory."""
+    """Duration and memory growth of each transfer, and whether it completed within the memory bound."""
     slow = body_bytes / SLOW_TRANSFER_SECONDS
     record = {}
     with running_gatekeeper(node_address) as gatekeeper:
--- a/benchmarks/relay/__init__.py
+++ b/benchmarks/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Processor time of a request at the proxy, beside a bare relay: `python -m benchmarks.relay`."""
+"""CPU time per request of the proxy, compared with a plain HTTP relay: `python -m benchmarks.relay`."""
--- a/benchmarks/relay/__main__.py
+++ b/benchmarks/relay/__main__.py
@@ -1,12 +1,12 @@
-"""Processor time of a served request, the proxy against a bare relay: `python -m benchmarks.relay --help`.
-
-Both forward small requests (a GET with the users' headers, a response of 600 bytes) from eight kept
-connections of clients to one worker over kept connections, on loopback, with the same httptools and gevent
-sockets. The relay reads and writes complete messages and decides nothing. The proxy is the real server,
-request handler and router: route, tenant with a quota, rate limiter, retry budget, choice of a worker,
-checked response. Its updates come from its own process four times a second, in place of pulls. Processor time
-is user and system time of the process in between, over the requests served. Prints a table; takes some ten
-seconds; not part of CI.
+"""CPU time per request of the proxy, compared with a plain HTTP relay: `python -m benchmarks.relay --help`.
+
+Both forward small requests (a GET with the usual headers, a response of 600 bytes) on loopback, from eight
+persistent client connections to one worker over persistent connections, with the same httptools and gevent
+sockets. The relay forwards complete messages unchanged. The proxy is the production server, request handler
+and router, with routes, a tenant quota, rate limiter, retry budget, load balancing and response checks. A
+greenlet in its process updates it four times a second, in place of pulls from a registry. CPU time is the
+user and system time of the process per request served. Prints a table; takes about ten seconds; not part of
+CI.
 """
 
 import argparse
@@ -25,13 +25,13 @@
 MODULE: Final = "benchmarks.relay"
 RELAY: Final = "relay"
 PROXY: Final = "proxy"
-WARM_UP_REQUESTS: Final = 500  # open the connections and fill the caches
+WARM_UP_REQUESTS: Final = 500  # to open connections and fill caches
 CLIENT_TIMEOUT_SECONDS: Final = 120
 
 
 @frozen
 class MeasuredServer:
-    """A relay or proxy and the address that it serves."""
+    """A relay or proxy process and its listening address."""
 
     process: ChildProcess
     address: str
@@ -39,14 +39,14 @@
 
 @frozen
 class RoundFigures:
-    """What one round gave: microseconds of processor time a request, requests a second."""
+    """The results of one round; CPU time is per request."""
 
     cpu_microseconds: float
     requests_per_second: float
 
 
 def measure_round(server: MeasuredServer, requests: int) -> RoundFigures:
-    """Send so many requests; exits the program if not all of them are served."""
+    """Send `requests` requests; exits the program if any of them is not served."""
     cpu_before = server.process.cpu_seconds()
     command = [sys.executable, "-m", MODULE, "client", server.address, str(requests)]
     completed = subprocess.run(
@@ -54,13 +54,13 @@
     )
     served, seconds = completed.stdout.split()
     if int(served) != requests:
-        raise SystemExit(f"{served} of {requests} served")
+        raise SystemExit(f"only {served} of {requests} requests were served")
     cpu_seconds = server.process.cpu_seconds() - cpu_before
     return RoundFigures(1e6 * cpu_seconds / requests, requests / float(seconds))
 
 
 def measure_rounds(rounds: int, requests: int) -> dict[str, list[RoundFigures]]:
-    """The figures of the relay and of the proxy, measured in turn."""
+    """Measure the relay and the proxy alternately."""
     worker = ChildProcess(MODULE, "worker")
     processes = [worker]
     try:
@@ -82,7 +82,7 @@
 
 
 def print_figures(figures: dict[str, list[RoundFigures]]) -> None:
-    """Print least, median and most of both, and of their ratio."""
+    """Print minimum, median and maximum of both, and of their ratio."""
     for name, rounds in figures.items():
         cpu = [measured.cpu_microseconds for measured in rounds]
         rate = statistics.median(measured.requests_per_second for measured in rounds)
@@ -98,7 +98,7 @@
 
 
 def main() -> int:
-    """Measure and print; returns the exit status."""
+    """Run the benchmark and return the exit status."""
     parser = argparse.ArgumentParser(prog=f"python -m {MODULE}", description=__doc__)
     parser.add_argument("--requests", type=int, default=4000)
     parser.add_argument("--rounds", type=int, default=5)
--- a/benchmarks/relay/client.py
+++ b/benchmarks/relay/client.py
@@ -1,4 +1,4 @@
-"""The clients of a round: a process that sends requests over some connections and waits for each response."""
+"""The client process of a round: sends requests on several connections, one at a time on each."""
 
 import time
 from typing import Final
@@ -6,7 +6,7 @@
 import gevent
 from gevent import socket
 
-from benchmarks.relay.http_message import HttpMessage, disable_delay, parse_address
+from benchmarks.relay.http_message import HttpMessage, disable_nagle, parse_address
 
 CONNECTIONS: Final = 8
 REQUEST: Final = (
@@ -16,14 +16,14 @@
 
 
 def send_requests(address: str, requests: int) -> None:
-    """Send so many requests; print how many were served, and the seconds that it took."""
+    """Send `requests` requests; print the number served and the elapsed seconds."""
     numbers = iter(range(1, requests + 1))
     served = 0
 
-    def send_in_turn() -> None:
+    def send_sequentially() -> None:
         nonlocal served
         connection = socket.create_connection(parse_address(address))
-        disable_delay(connection)
+        disable_nagle(connection)
         for number in numbers:
             connection.sendall(REQUEST % number)
             response = HttpMessage(is_response=True)
@@ -33,5 +33,5 @@
             served += is_ok and response.attempt_id == b"%016x" % number
 
     started_at = time.monotonic()
-    gevent.joinall([gevent.spawn(send_in_turn) for _ in range(CONNECTIONS)], raise_error=True)
+    gevent.joinall([gevent.spawn(send_sequentially) for _ in range(CONNECTIONS)], raise_error=True)
     print(served, time.monotonic() - started_at, flush=True)
--- a/benchmarks/relay/http_message.py
+++ b/benchmarks/relay/http_message.py
@@ -1,4 +1,4 @@
-"""Complete HTTP messages, read from a gevent socket with the parser that the proxy uses."""
+"""Reads complete HTTP messages from a gevent socket with the parser that the proxy uses."""
 
 from typing import Any, Final
 
@@ -10,7 +10,7 @@
 
 
 class HttpMessage:
-    """One complete request or response; `raw`: its bytes as they arrived."""
+    """One complete request or response; `raw`: the received bytes."""
 
     def __init__(self, *, is_response: bool) -> None:
         self.attempt_id = b""
@@ -29,7 +29,7 @@
         self._is_complete = True
 
     def read(self, connection: socket.socket) -> bool:
-        """Read until it is complete; returns False if the connection ends before."""
+        """Read until the message is complete; returns False if the connection ends first."""
         while not self._is_complete:
             data = connection.recv(RECEIVE_BYTES)
             if not data:
@@ -39,12 +39,12 @@
         return True
 
 
-def disable_delay(connection: socket.socket) -> None:
-    """Let small writes leave at once."""
+def disable_nagle(connection: socket.socket) -> None:
+    """Disable Nagle's algorithm, so that small writes are sent immediately."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """The host and port of `HOST:PORT`."""
+    """Parse `HOST:PORT`."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/benchmarks/relay/measured_proxy.py
+++ b/benchmarks/relay/measured_proxy.py
@@ -1,4 +1,4 @@
-"""The measured proxy: the real server, request handler and router; its updates come from its own process."""
+"""The measured proxy: the production server, request handler and router, updated from within the process."""
 
 import gc
 import random
@@ -47,13 +47,13 @@
 
 
 def serve_proxy(worker_address: str) -> None:
-    """Print the proxy's address and serve until the process is ended."""
+    """Print the proxy's address and serve until the process is stopped."""
     settings = parse_settings(SETTINGS, "bench")
     assert isinstance(settings, Settings), settings
     router = RequestRouter(settings, random.Random(1), time.monotonic())
     server = ProxyServer(RequestHandler(router), ClientLimits)
-    gevent.spawn(RegistryStandIn(router, worker_address).run)
-    gevent.sleep(0)  # the first update, before the first request
+    gevent.spawn(StubRegistry(router, worker_address).run)
+    gevent.sleep(0)  # apply the first update before accepting requests
     server.listen(ANY_LOOPBACK_PORT)
     listener = server._server
     assert listener is not None
@@ -62,8 +62,8 @@
     gevent.sleep(MAX_RUN_SECONDS)
 
 
-class RegistryStandIn:
-    """Gives a router the updates that pulls from a registry would bring, and takes its usage counts."""
+class StubRegistry:
+    """Replaces pulls from a registry: updates a router and collects its usage counts."""
 
     def __init__(self, router: RequestRouter, worker_address: str) -> None:
         self._router = router
@@ -73,7 +73,7 @@
         self._rejected_total = 0
 
     def run(self) -> None:
-        """Update the router without end."""
+        """Update the router periodically."""
         while True:
             self._update(time.monotonic())
             gevent.sleep(UPDATE_INTERVAL_SECONDS)
@@ -97,7 +97,7 @@
         )
 
     def _response(self) -> dict[str, Any]:
-        """A response to a pull, as it travels; the first one is complete."""
+        """A pull response in wire format; the first one is a full snapshot."""
         is_first = self._version == 1
         configuration = {
             "version": 1,
