--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,5 +1,5 @@
-"""What control costs by the size of the cluster: `python -m benchmarks.scale`, docs/CAPACITY.md.
+"""The cost of the control plane by cluster size: `python -m benchmarks.scale`, docs/CAPACITY.md.
 
-`cores`: the programs' pure parts at sizes up to the one designed for, in one process. `run`: the real
-programs on loopback before simulated proxies and workers. `page`: tables and charts of the page from both.
+`cores`: the code without I/O, in one process, at sizes up to the design size. `run`: the real programs on
+loopback with simulated proxies and workers. `page`: the tables and charts of the page, from both.
 """
--- a/benchmarks/scale/capacity_page.py
+++ b/benchmarks/scale/capacity_page.py
@@ -1,6 +1,6 @@
-"""Fills the generated tables of docs/CAPACITY.md from docs/capacity/scale.json. Nothing is measured here.
+"""Fills the generated tables of docs/CAPACITY.md from docs/capacity/scale.json, without measuring.
 
-A table stands in the page between `<!-- scale: NAME -->` and `<!-- end -->`.
+Each table of the page is between `<!-- scale: NAME -->` and `<!-- end -->`.
 """
 
 import re
@@ -26,7 +26,7 @@
 
 
 def write_page(recorded: Json, docs: Path) -> None:
-    """Regenerate the tables and charts of the page in the folder of the docs."""
+    """Regenerate the tables and charts of the page in the `docs` folder."""
     page = docs / "CAPACITY.md"
     page.write_text(fill_page(page.read_text(), build_tables(recorded)))
     if "cores" in recorded:
@@ -34,7 +34,7 @@
 
 
 def build_tables(recorded: Json) -> dict[str, str]:
-    """Name -> Markdown, for the parts that were measured."""
+    """The Markdown tables by name, for the recorded parts."""
     tables = {"measured": _provenance_list(recorded)}
     if "cores" in recorded:
         figures = RecordedFigures(recorded["cores"])
@@ -52,7 +52,7 @@
 
 
 def fill_page(page: str, tables: dict[str, str]) -> str:
-    """The page with its generated tables replaced. Raises ValueError if it has a section without a table."""
+    """Replace the generated tables of a page. Raises ValueError if a section of the page has no table."""
     unknown = {match.group(2) for match in _GENERATED_SECTION.finditer(page)} - set(tables)
     if unknown:
         raise ValueError(f"no table {', '.join(sorted(unknown))}")
@@ -62,7 +62,7 @@
 
 
 def _provenance_list(recorded: Json) -> str:
-    """When, with which sources and on what machine each part was measured."""
+    """A list of the time, sources and machine of each recorded part."""
     measured_parts = [(name, recorded[name]) for name in PARTS if recorded.get(name)]
     return format_list(
         [
--- a/benchmarks/scale/charts.py
+++ b/benchmarks/scale/charts.py
@@ -13,8 +13,8 @@
 
 
 def draw_charts(recorded: Json, path: Path) -> None:
-    """Write both charts, side by side, as one SVG that is the same for the same record."""
-    import matplotlib  # not installed in CI, which draws nothing
+    """Write both charts, side by side, as one SVG; the output is reproducible."""
+    import matplotlib  # not installed in CI, which draws no charts
 
     matplotlib.use("Agg")
     matplotlib.rcParams["svg.hashsalt"] = "scale"
@@ -29,7 +29,7 @@
 
 
 def _draw_estimates(axes: Any, figures: RecordedFigures) -> None:
-    """Estimated costs in multiples of their limits, by size."""
+    """Plot estimated costs relative to their limits, by size."""
     estimator = CostEstimator(figures)
     for value_at, maximum, label in (
         (estimator.proxy_cpu_cores, MAX_PROXY_CPU_CORES, "gatekeeper's processor"),
@@ -51,7 +51,7 @@
 
 
 def _draw_registry_cpu(axes: Any, recorded: Json) -> None:
-    """Measured CPU of one registry by size, a curve for each share of the requests in proportion."""
+    """Plot the measured CPU of one registry by size, with a curve for each request rate factor."""
     points_by_rate: dict[float, list[tuple[int, float]]] = defaultdict(list)
     runs = recorded_runs(recorded, FEW_OBJECTS) if "run" in recorded else ()
     for run in runs:
--- a/benchmarks/scale/cluster.py
+++ b/benchmarks/scale/cluster.py
@@ -1,6 +1,6 @@
 """The cluster of a run: core machines and real proxies on loopback, and processes that simulate the rest.
 
-Whatever is started here is ended here, by its process id.
+Each started process is stopped by its process id.
 """
 
 import os
@@ -31,7 +31,7 @@
 LOW_PORT: Final = 7600  # the lowest internal port of each machine
 SEEDS: Final = 3
 HEARTBEAT_SECONDS: Final = 1.5
-MAX_HEARTBEATS_PER_SECOND: Final = 2000.0  # of all workers: with more of these, the interval is stretched
+MAX_HEARTBEATS_PER_SECOND: Final = 2000.0  # of all workers; beyond it, the heartbeat interval is extended
 WORKERS_PER_CONNECTION: Final = 50
 START_TIMEOUT_SECONDS: Final = 30.0
 LISTEN_PROBE_SECONDS: Final = 1.0
@@ -42,9 +42,9 @@
 
 
 class Cluster:
-    """The processes of one run; `stop` ends all of them.
+    """The processes of one run; `stop` stops all of them.
 
-    `size`: as it is run, which the run reduces to the configuration that the store takes.
+    `size`: the run reduces it to the largest configuration that the store accepts.
     """
 
     def __init__(self, size: ClusterSize, options: RunOptions) -> None:
@@ -62,16 +62,16 @@
 
     @property
     def simulated_proxies(self) -> int:
-        """How many proxies are simulated ones."""
+        """The number of simulated proxies."""
         return self.size.proxies - self.options.real_proxies
 
     @property
     def _regions_by_zone(self) -> dict[str, str]:
-        # A region for each core machine, so that all of these serve equally many proxies.
+        # One region per core machine, so that each serves the same number of proxies.
         return regions_by_zone(self.options.core_machines)
 
     def write_settings(self, is_first_start: bool) -> None:
-        """Write the settings of all machines, for the first start of the store or for later ones."""
+        """Write the settings of all machines, for the first start of the store or for a restart."""
         machines = [*self.core_machines, *self._edge_machines]
         settings = ClusterSettings(
             machines,
@@ -88,7 +88,7 @@
             new_file.replace(self._settings_path(machine))
 
     def start_programs(self, role: Role) -> None:
-        """Start all programs of a role; returns when they listen."""
+        """Start all programs of a role and wait until they listen."""
         machines = self._edge_machines if role is Role.PROXY else self.core_machines
         for machine in machines:
             log = self._folder / f"{role.value}@{machine.name}.log"
@@ -103,7 +103,7 @@
         return [self._programs[machine.name, role] for role in (Role.CONFIGSTORE, Role.REGISTRY)]
 
     def start_simulation(self, tenants: int) -> None:
-        """Start all simulated proxies and workers; requests will be those of so many tenants."""
+        """Start all simulated proxies and workers; requests belong to `tenants` tenants."""
         if self.size.workers:
             self.worker_host = HostProcess(self._folder / "workers.log")
             self.worker_host.execute(self._start_workers_command())
@@ -116,14 +116,14 @@
             host.execute(self._start_proxies_command(number, tenants))
 
     def stop(self) -> None:
-        """End all processes and remove their files."""
+        """Stop all processes and remove their files."""
         for host in self._hosts():
             host.stop()
         stop_programs(list(self._programs.values()))
         shutil.rmtree(self._folder, ignore_errors=True)
 
     def put_configuration(self, size: ClusterSize) -> Json:
-        """Replace the configuration by one of a size; returns the record of the call."""
+        """Replace the configuration by one of this size; returns the record of the call."""
         body = build_configuration(size, self._version + 1)
         started_at = time.monotonic()
         response = self._send_config("PUT", body)
@@ -140,24 +140,24 @@
         return self._send_config("PATCH", build_route_change(self.size, self._version + 1))
 
     def config_index(self) -> int:
-        """The index of the newest configuration that the registries know."""
+        """The index of the newest configuration known to the registries."""
         return int(self._operator.read_status().get("index", 0))
 
     def leader_ip(self) -> str:
-        """The address of the store's leader, empty if there is none."""
+        """The address of the store's leader; empty if there is none."""
         return str(self._operator.read_status().get("leader") or "")
 
     def ready_proxies(self) -> int:
-        """How many proxies are ready by the registries' status, real ones too."""
+        """The number of ready proxies, real and simulated, in the registries' status."""
         proxies = self._operator.read_status().get("gatekeepers", ())
         return sum(bool(proxy["ready"]) for proxy in proxies)
 
     def figures(self) -> HostFigures:
-        """The figures of all that is simulated."""
+        """The total figures of the simulated proxies and workers."""
         return total_figures(self._hosts())
 
     def roles_by_pid(self) -> dict[int, Role]:
-        """All processes that run now."""
+        """The roles of all running processes by process id."""
         roles = {
             program.pid: role for (_, role), program in self._programs.items() if program.pid is not None
         }
@@ -167,7 +167,7 @@
         return roles
 
     def _machines(self, kind: str, third_octet: int, count: int) -> list[LabMachine]:
-        second_octet = 20 + os.getpid() % 200  # runs side by side have addresses of their own
+        second_octet = 20 + os.getpid() % 200  # separate addresses for concurrent runs
         regions = self._regions_by_zone
         zones = list(regions)
         machines = []
@@ -181,7 +181,7 @@
         return self._folder / f"{machine.name}.toml"
 
     def _wait_until_listening(self, machine: LabMachine, role: Role) -> None:
-        """Raises RuntimeError if the program ends or does not listen in time."""
+        """Raises RuntimeError if the program exits or does not listen within START_TIMEOUT_SECONDS."""
         program = self._programs[machine.name, role]
         deadline = time.monotonic() + START_TIMEOUT_SECONDS
         while True:
@@ -191,7 +191,7 @@
                 return
             except OSError:
                 if not program.is_running or time.monotonic() > deadline:
-                    message = f"{role.value}@{machine.name} does not listen: {program.log_tail()}"
+                    message = f"{role.value}@{machine.name} is not listening: {program.log_tail()}"
                     raise RuntimeError(message) from None
                 gevent.sleep(LISTEN_POLL_SECONDS)
 
--- a/benchmarks/scale/comparison.py
+++ b/benchmarks/scale/comparison.py
@@ -1,4 +1,4 @@
-"""Compares simulated proxies with real ones, each alone in a run of its own."""
+"""Compares simulated proxies with real ones, each kind in a separate run."""
 
 from typing import Any, Final
 
@@ -11,11 +11,11 @@
 
 Json = dict[str, Any]
 COMPARED_KEYS: Final = ("segments_s", "sent_s", "received_s")
-MAX_OBJECTS: Final = 50  # of each kind
+MAX_OBJECTS: Final = 50  # per kind
 
 
 def compare_proxies(proxies: int, options: RunOptions, report_progress: ReportProgress) -> Json:
-    """The pulls of one proxy, real and simulated, in an idle window at the same size; the record of both."""
+    """Record the pulls of a real and of a simulated proxy in an idle window at the same cluster size."""
     real = _measure_one_proxy(proxies, proxies, options, report_progress)
     simulated = _measure_one_proxy(proxies, 0, options, report_progress)
     ratio = {key: round(simulated[key] / real[key], 4) if real[key] else None for key in COMPARED_KEYS}
@@ -41,7 +41,7 @@
     window = run["windows"][0] if run.get("windows") else {}
     processes = window.get(role.value, {})
     pulls = processes.get("kinds", {}).get(RequestKind.PULL.value, {})
-    # Figures are those of a mean process: a real proxy, or a process that holds many simulated ones.
+    # Figures are means per process; a process has one real proxy or many simulated ones.
     proxies_per_process = 1.0 if real_proxies else proxies / processes.get("processes", 1)
     return {
         **{key: round(pulls.get(key, 0.0) / proxies_per_process, 4) for key in COMPARED_KEYS},
--- a/benchmarks/scale/connection_traffic.py
+++ b/benchmarks/scale/connection_traffic.py
@@ -1,8 +1,8 @@
-"""Reads from `ss` what the connections of our processes have carried, by kind of request.
+"""Reads the traffic of the benchmark's connections from `ss`, by kind of request.
 
-Requests are counted by data segments sent: each frame and each heartbeat is one write, and one segment where
-it is shorter than 64 KB (loopback). Bytes are those of the connections' contents, without headers of TCP and
-IP; what a connection carried that was closed between two readings is not in them.
+Requests are counted as data segments sent: each frame and each heartbeat is one write, which is one segment
+if it is shorter than 64 KB (loopback). Bytes are payload, without TCP and IP headers. The traffic of
+connections that were closed between two readings is not included.
 """
 
 import re
@@ -16,7 +16,7 @@
 
 from benchmarks.scale.process_usage import socket_inodes
 
-REGISTRY_PORT_OFFSET: Final = 1  # of the registry's RPC port, from the lowest internal port
+REGISTRY_PORT_OFFSET: Final = 1  # the registry's RPC port relative to the lowest internal port
 DEFAULT_CONTROL_PORT: Final = 8200
 RESPONSE_SUFFIX: Final = " answered"
 _CONNECTION_LINE: Final = re.compile(
@@ -25,7 +25,7 @@
 
 
 class Role(Enum):
-    """What a process of a run is; the values are keys of docs/capacity/scale.json."""
+    """The role of a process in a run; the values are keys of docs/capacity/scale.json."""
 
     CONFIGSTORE = "configstore"
     REGISTRY = "registry"
@@ -35,7 +35,7 @@
 
 
 class RequestKind(Enum):
-    """What a connection carries; the values are keys of docs/capacity/scale.json."""
+    """The kind of requests on a connection; the values are keys of docs/capacity/scale.json."""
 
     PULL = "pull"
     SWAP = "swap"
@@ -47,7 +47,7 @@
 
 @attrs.define
 class Traffic:
-    """What one process' connections of one kind have carried."""
+    """The traffic of one process on connections of one kind."""
 
     connections: int = 0
     bytes_sent: int = 0
@@ -55,7 +55,7 @@
     segments_sent: int = 0
 
     def add_connection(self, bytes_sent: int, bytes_received: int, segments_sent: int) -> None:
-        """Add what one connection has carried."""
+        """Add the traffic of one connection."""
         self.connections += 1
         self.bytes_sent += bytes_sent
         self.bytes_received += bytes_received
@@ -74,13 +74,13 @@
         return int(match.group(1)) if match else 0
 
 
-TrafficByKind = dict[str, Traffic]  # the side that responds has `KIND answered`
+TrafficByKind = dict[str, Traffic]  # the server side has the key `KIND answered`
 
 
 def read_traffic(
     roles: Mapping[int, Role], low_port: int, control_port: int = DEFAULT_CONTROL_PORT
 ) -> dict[int, TrafficByKind]:
-    """What the open connections of processes have carried, by process id; empty where there is no `ss`."""
+    """The traffic of the processes' open connections, by process id; empty if `ss` is not available."""
     if shutil.which("ss") is None:
         return {}
     completed = subprocess.run(
@@ -124,7 +124,7 @@
 
 def _parse_connections(ss_output: str, pid_by_inode: Mapping[int, int]) -> Iterator[_Connection]:
     for line in ss_output.splitlines():
-        # With `state established`, `ss` leaves the state out.
+        # With `state established`, `ss` omits the state column.
         match = _CONNECTION_LINE.match(line if line.startswith("ESTAB") else f"ESTAB {line}")
         if match and int(match["inode"]) in pid_by_inode:
             pid = pid_by_inode[int(match["inode"])]
--- a/benchmarks/scale/estimates.py
+++ b/benchmarks/scale/estimates.py
@@ -1,4 +1,4 @@
-"""Estimates what control costs each process at a size, from the recorded figures of that size. Pure."""
+"""Estimates the control plane cost of each process at a size from the recorded figures of that size."""
 
 from typing import Final
 
@@ -7,10 +7,10 @@
 from benchmarks.scale.sizes import CORE_MACHINES
 from benchmarks.scale.tenant_distribution import expected_distinct_tenants
 
-PULLS_PER_SECOND: Final = 3.4  # of one proxy, as the runs show where no pull is late
+PULLS_PER_SECOND: Final = 3.4  # of one proxy, without late pulls
 HEARTBEAT_SECONDS: Final = 1.5
-CLIENTS_PER_PROXY: Final = 12  # as on the grown sites
-LOOKUPS_PER_CLIENT_SECOND: Final = 1.0  # the `Ttl` of a look-up is 1 s
+CLIENTS_PER_PROXY: Final = 12  # as on the large test sites
+LOOKUPS_PER_CLIENT_SECOND: Final = 1.0  # the `Ttl` of a lookup is 1 s
 CONNECTIONS_PER_WORKER_AND_PROXY: Final = 2.0
 FILES_PER_PULLING_PROXY: Final = 2
 
@@ -18,14 +18,14 @@
 class CostEstimator:
     """Costs at a size (a number of proxies, everything else in proportion).
 
-    CPU costs are in cores, that is seconds of processor time a second.
+    CPU costs are in cores: seconds of CPU time per second.
     """
 
     def __init__(self, figures: RecordedFigures) -> None:
         self.figures = figures
 
     def usage_entries_per_pull(self, size: int) -> float:
-        """Usage totals in one response: the tenants of each registry's requests since the last pull."""
+        """Usage totals in one response: the distinct tenants at each registry since the last pull."""
         cluster = self.figures.cluster_size(size)
         requests_per_registry = cluster.request_rate / PULLS_PER_SECOND / CORE_MACHINES
         return CORE_MACHINES * expected_distinct_tenants(cluster.tenants, requests_per_registry)
@@ -38,12 +38,12 @@
         return PULLS_PER_SECOND * pull_ms / 1000
 
     def proxy_memory_mb(self, size: int) -> float:
-        """Memory of one proxy for its view of the cluster."""
+        """Memory of one proxy for its cluster view."""
         names = [name for name in self.figures.names() if name.startswith(figure_names.PROXY_MEMORY_PREFIX)]
         return sum(self.figures.median(name, size) for name in names)
 
     def proxy_bytes_per_second(self, size: int) -> float:
-        """Bytes of one proxy's pulls, both ways."""
+        """Bytes per second of one proxy's pulls, in both directions."""
         request_bytes = self.figures.median(figure_names.PULL_IN_BYTES, size)
         by_entries = self.figures.line_by_entries(figure_names.ANSWER_WITH_SUMS_BYTES, size)
         return PULLS_PER_SECOND * (request_bytes + by_entries.value_at(self.usage_entries_per_pull(size)))
@@ -59,22 +59,22 @@
         return pulls_per_second * pull_ms / 1000 + self.heartbeats_cpu_cores(size)
 
     def heartbeats_cpu_cores(self, size: int) -> float:
-        """CPU of one registry for heartbeats alone."""
+        """CPU of one registry for heartbeats."""
         workers_per_registry = self.figures.cluster_size(size).workers / CORE_MACHINES
         heartbeats_per_second = workers_per_registry / HEARTBEAT_SECONDS
         return heartbeats_per_second * self.figures.median(figure_names.HEARTBEAT_MS, size) / 1000
 
     def lookups_cpu_cores(self, size: int) -> float:
-        """CPU of one registry for clients' look-ups, each of which collects the core machines."""
+        """CPU of one registry for clients' lookups, each of which collects the core machines."""
         lookups_per_second = CLIENTS_PER_PROXY * size / CORE_MACHINES * LOOKUPS_PER_CLIENT_SECOND
         return lookups_per_second * self.figures.median(figure_names.CORE_MEMBERS_MS, size) / 1000
 
     def first_responses_seconds(self, size: int) -> float:
-        """Time of one registry until all its proxies have a full response, when all start at once."""
+        """Time until one registry has sent a full response to all its proxies, if they start at once."""
         return size / CORE_MACHINES * self.figures.median(figure_names.FIRST_ANSWER_MS, size) / 1000
 
     def worker_connections(self, size: int) -> float:
-        """Connections that one worker has with proxies."""
+        """Connections from proxies to one worker."""
         return CONNECTIONS_PER_WORKER_AND_PROXY * size
 
     def core_machine_files(self, size: int) -> float:
--- a/benchmarks/scale/figure_names.py
+++ b/benchmarks/scale/figure_names.py
@@ -1,7 +1,7 @@
-"""Names of figures that one module records and another reads: keys of docs/capacity/scale.json.
+"""Names of figures that are recorded and read by different modules: keys of docs/capacity/scale.json.
 
-The names stay as recorded runs have them: a gatekeeper is a proxy, a beat a heartbeat, a sum a tenant's usage
-total, "the members" are the core machines. A name with `@` has the number of entries behind it.
+The names match existing records: a gatekeeper is a proxy, a beat a heartbeat, a sum a tenant's usage total,
+and "the members" are the core machines. `@` in a name is followed by the number of entries.
 """
 
 from typing import Final
@@ -31,12 +31,12 @@
 
 
 def with_entries(name: str, entries: int | str) -> str:
-    """The name of a figure for a message of so many entries."""
+    """The name of a figure for a message with `entries` entries."""
     return f"{name}{ENTRIES_SEPARATOR}{entries}"
 
 
 def is_by_entries(name: str) -> bool:
-    """Whether the figure is one of several for different numbers of entries."""
+    """Whether the name contains a number of entries."""
     return "@" in name
 
 
--- a/benchmarks/scale/figure_tables.py
+++ b/benchmarks/scale/figure_tables.py
@@ -1,4 +1,4 @@
-"""Tables of docs/CAPACITY.md from the part `cores` of docs/capacity/scale.json. Pure."""
+"""Tables of docs/CAPACITY.md from the part `cores` of docs/capacity/scale.json."""
 
 import math
 from typing import Final
@@ -9,7 +9,7 @@
 from benchmarks.scale.markdown import format_number, format_table
 from benchmarks.scale.recorded_figures import RecordedFigures
 
-# The count that a figure grows with, by the beginning of its name: the first match counts, "" is no growth.
+# The count that a figure grows with, by prefix of its name. The first match applies; "": no growth.
 COUNT_KEY_BY_PREFIX: Final = (
     ("registry: pull in", ""),
     ("client:", "gatekeepers"),
@@ -23,7 +23,7 @@
     ("registry: answer, nothing new, bytes", ""),
     ("", "tenants"),
 )
-# Figures by the number of entries in a message, and what the page calls an entry.
+# Figures by the number of entries in a message, and the unit of an entry on the page.
 FIGURES_BY_ENTRIES: Final = (
     (figure_names.TAKING_A_PULL_MS, "counts told"),
     (figure_names.ANSWER_WITH_SUMS_MS, "entries"),
@@ -42,7 +42,7 @@
 
 
 def entries_table(figures: RecordedFigures) -> str:
-    """What grows with the number of entries in one message."""
+    """The figures that grow with the number of entries in one message."""
     rows = []
     for name, unit in FIGURES_BY_ENTRIES:
         for size in _sizes_by_entries(figures, name):
@@ -52,7 +52,7 @@
 
 
 def limits_table(figures: RecordedFigures) -> str:
-    """The limits of the design in the order in which a growing cluster reaches them."""
+    """The design limits in the order in which a growing cluster reaches them."""
     sized_limits = [
         (figures.proxies_at_limit(limit.value_at, limit.maximum), limit) for limit in design_limits(figures)
     ]
--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -1,4 +1,4 @@
-"""Measures processor time and memory of actions in this process; keeps the figures by name."""
+"""Measures CPU time and memory of actions in this process and records the figures by name."""
 
 import gc
 import os
@@ -11,20 +11,20 @@
 
 
 class FigureRecorder:
-    """The figures of one size. Times are milliseconds of processor time."""
+    """The figures of one size. Times are milliseconds of CPU time."""
 
     def __init__(self, repeats: int = DEFAULT_REPEATS) -> None:
         self.repeats = repeats
         self.values_by_name: dict[str, list[float]] = {}
 
     def record(self, name: str, value: float) -> None:
-        """Add a value of the figure of this name."""
+        """Add a value of a figure."""
         self.values_by_name.setdefault(name, []).append(value)
 
     def record_cpu_ms(
         self, name: str, action: Callable[[], Result], repeats: int | None = None, runs_per_repeat: int = 1
     ) -> Result:
-        """Record the processor time of one run of `action` for each repeat; returns its last result."""
+        """Record the mean CPU time of a run of `action` for each repeat; returns the last result."""
         result: Result
         for _ in range(repeats or self.repeats):
             started_at = time.process_time()
@@ -34,7 +34,7 @@
         return result
 
     def record_memory_growth(self, name: str, action: Callable[[], Result]) -> Result:
-        """Record by how many MB the process grew in `action`; returns its result."""
+        """Record the memory growth during `action` in MB; returns its result."""
         before = resident_memory_mb()
         result = action()
         self.record(name, max(0.0, resident_memory_mb() - before))
@@ -42,7 +42,7 @@
 
 
 def resident_memory_mb() -> float:
-    """The memory that this process holds, after a garbage collection."""
+    """The resident memory of this process after a garbage collection."""
     gc.collect()
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
--- a/benchmarks/scale/host_messages.py
+++ b/benchmarks/scale/host_messages.py
@@ -1,6 +1,6 @@
-"""Commands to a process of simulated proxies or workers, and its responses: a line of JSON each.
+"""Commands to a process of simulated proxies or workers and their responses, each one line of JSON.
 
-Times are those of the machine's monotonic clock, the same in all processes.
+Times are readings of the monotonic clock, which all processes of the machine share.
 """
 
 import json
@@ -46,14 +46,14 @@
 
 @attrs.frozen
 class SetRequestRate:
-    """From now on each simulated proxy counts so many requests a second."""
+    """Set the number of requests per second that each simulated proxy counts."""
 
     requests_per_second: float
 
 
 @attrs.frozen
 class SetRestartRate:
-    """From now on so many simulated workers a second crash and start again."""
+    """Set the number of simulated workers per second that crash and restart."""
 
     restarts_per_second: float
 
@@ -65,29 +65,29 @@
 
 @attrs.frozen
 class ReadArrivalTimes:
-    """Read when each simulated proxy had a version of the configuration, or a later one."""
+    """Read when each simulated proxy received this or a later version of the configuration."""
 
     version: int
 
 
 @attrs.frozen
 class Done:
-    """A command without a result has been carried out."""
+    """A command without a result has completed."""
 
 
 @attrs.frozen
 class ArrivalTimes:
-    """When each simulated proxy had the version; `NOT_ARRIVED`: it has not."""
+    """When each simulated proxy received the version, or `NOT_ARRIVED`."""
 
     times: list[float]
 
 
 @attrs.frozen
 class HostFigures:
-    """Counters since the start and states now, of all simulated proxies and workers of one process.
+    """Counters since the start and current states of all simulated proxies and workers of one process.
 
-    `longest_pull_seconds`: since the last `SetRequestRate`. `ready_after_seconds`: of each proxy that became
-    ready. `confirmation_age_seconds`: of the proxy whose configuration was confirmed the longest ago.
+    `longest_pull_seconds`: since the last `SetRequestRate`. `ready_after_seconds`: start times of the ready
+    proxies. `confirmation_age_seconds`: the largest age of a proxy's last configuration confirmation.
     """
 
     pulls: int = 0
@@ -120,23 +120,23 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """The line of a command."""
+    """Encode a command as a line."""
     fields = attrs.asdict(command)
     return json.dumps({_TYPE_KEY: type(command).__name__, **fields}).encode() + b"\n"
 
 
 def decode_command(line: bytes) -> Command:
-    """The command of a line that `encode_command` wrote."""
+    """Decode a line written by `encode_command`."""
     fields = json.loads(line)
     command: Command = _COMMANDS_BY_NAME[fields.pop(_TYPE_KEY)](**fields)
     return command
 
 
 def encode_response(response: Response) -> str:
-    """The line of a response, without its end."""
+    """Encode a response as a line without its newline."""
     return json.dumps(attrs.asdict(response))
 
 
 def decode_response(line: bytes, response_type: type[Message]) -> Message:
-    """The response to a command whose responses have this type."""
+    """Decode a response of this type."""
     return response_type(**json.loads(line))
--- a/benchmarks/scale/host_process.py
+++ b/benchmarks/scale/host_process.py
@@ -1,4 +1,4 @@
-"""A process of simulated proxies or workers, seen from the run that starts it, commands it and ends it."""
+"""Starts, controls and stops a process of simulated proxies or workers."""
 
 import contextlib
 import sys
@@ -25,7 +25,7 @@
 
 
 class HostProcess:
-    """One process of `benchmarks.scale.simulation_host`; its errors are added to a log."""
+    """One process of `benchmarks.scale.simulation_host`; its standard error is appended to a log."""
 
     def __init__(self, log: Path) -> None:
         with open(log, "ab") as errors:
@@ -35,7 +35,7 @@
                 stdout=subprocess.PIPE,
                 stderr=errors,
                 cwd=CHECKOUT,
-                # Ctrl-C is for the run alone, which ends its processes.
+                # Ctrl-C must reach only the run, which stops its processes.
                 start_new_session=True,
             )
 
@@ -45,19 +45,19 @@
         return int(self._process.pid)
 
     def execute(self, command: Command) -> None:
-        """Send a command without a result and wait until it has been carried out."""
+        """Send a command without a result and wait for its completion."""
         self._request(command, Done)
 
     def read_figures(self) -> HostFigures:
-        """The figures of all that is simulated there."""
+        """Read the figures of the simulated proxies and workers in the process."""
         return self._request(ReadFigures(), HostFigures)
 
     def read_arrival_times(self, version: int) -> list[float]:
-        """When each simulated proxy had a version of the configuration, or a later one."""
+        """Read when each simulated proxy received this or a later version of the configuration."""
         return self._request(ReadArrivalTimes(version), ArrivalTimes).times
 
     def stop(self) -> None:
-        """End the process: by the end of its input, by a signal if it does not end by that."""
+        """Stop the process by closing its input, or with SIGKILL after a timeout."""
         if self._process.stdin is not None:
             with contextlib.suppress(OSError):
                 self._process.stdin.close()
@@ -68,7 +68,7 @@
             self._process.wait()
 
     def _request(self, command: Command, response_type: type[Message]) -> Message:
-        """Raises RuntimeError if the process has ended."""
+        """Send a command and read its response; raises RuntimeError if the process has ended."""
         commands = self._process.stdin
         responses = self._process.stdout
         assert commands is not None
@@ -77,12 +77,12 @@
         commands.flush()
         line = responses.readline()
         if not line:
-            raise RuntimeError("a process of simulated proxies or workers has ended")
+            raise RuntimeError(f"simulation host process {self.pid} has ended")
         return decode_response(line, response_type)
 
 
 def total_figures(hosts: list[HostProcess]) -> HostFigures:
-    """The figures of several processes together; those of workers are of the one that has them."""
+    """The figures of several processes as sums or maxima."""
     total = HostFigures()
     for figures in [host.read_figures() for host in hosts]:
         total = evolve(
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -1,4 +1,4 @@
-"""The limits of the design, and what each limited value is at a size. Pure."""
+"""The design limits, and each limited value as a function of the size."""
 
 from collections.abc import Callable
 from typing import Final
@@ -11,17 +11,17 @@
 from benchmarks.scale.recorded_figures import RecordedFigures
 from benchmarks.scale.sizes import MAX_PROXY_BYTES_PER_SECOND, MAX_PROXY_CPU_CORES, MAX_PROXY_MEMORY_MB
 
-PULL_TIMEOUT_SECONDS: Final = 0.85  # the wait for updates and the time-out of `ashlift.proxy.registry_client`
+PULL_TIMEOUT_SECONDS: Final = 0.85  # long-poll wait and timeout in `ashlift.proxy.registry_client`
 MIN_ELECTION_TIMEOUT_MS: Final = 600.0  # of `ashlift.configstore`
-MAX_CORE_MACHINE_FILES: Final = 4096  # of the grown sites
-MAX_WORKER_CONNECTIONS: Final = 560  # of the grown sites
+MAX_CORE_MACHINE_FILES: Final = 4096  # on the large test sites
+MAX_WORKER_CONNECTIONS: Final = 560  # on the large test sites
 MAX_HTTP_BODY_BYTES: Final = 8 << 20  # of `ashlift.registry`
 PROXY_PROGRAM_MB: Final = 35
 
 
 @frozen
 class Limit:
-    """A value that must stay below a maximum; `method`: how the value was obtained, for the page."""
+    """A value that must stay below a maximum; `method`: how it was obtained, as printed on the page."""
 
     title: str
     unit: str
@@ -31,7 +31,7 @@
 
 
 def design_limits(figures: RecordedFigures) -> list[Limit]:
-    """All limits, by the recorded figures."""
+    """All limits, with values from the recorded figures."""
     estimator = CostEstimator(figures)
     return [
         *_proxy_limits(figures, estimator),
--- a/benchmarks/scale/line_fit.py
+++ b/benchmarks/scale/line_fit.py
@@ -1,4 +1,4 @@
-"""Straight lines fitted to measured points, and the spread of repeated measurements. Pure."""
+"""Least-squares lines through measured points, and the spread of repeated measurements."""
 
 import statistics
 from collections.abc import Sequence
@@ -6,14 +6,14 @@
 
 from attrs import frozen
 
-SMALLEST_WEIGHTED_VALUE: Final = 0.01  # x the largest: errors of smaller values are relative to this
+SMALLEST_WEIGHTED_VALUE: Final = 0.01  # relative to the largest value; bounds the weight of small values
 
 
 @frozen
 class FittedLine:
     """`value = intercept + slope * x`.
 
-    `max_error`: of the farthest point, relative to its value; `max_x`: the largest `x` that was measured.
+    `max_error`: the largest error of a point relative to its value; `max_x`: the largest measured `x`.
     """
 
     intercept: float
@@ -26,17 +26,17 @@
         return self.intercept + self.slope * x
 
     def extrapolation_factor(self, x: float) -> float:
-        """`x` in multiples of the largest that was measured: above 1, `value_at(x)` is extrapolated."""
+        """`x` relative to the largest measured one; above 1, `value_at(x)` is extrapolated."""
         return x / self.max_x
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> FittedLine:
-    """Fit a line by least squares of the relative errors, so that small sizes count as much as large ones.
+    """Fit a line by least squares of the relative errors, which weights small and large sizes equally.
 
     Raises ValueError for fewer than two different `x`.
     """
     if len({x for x, _ in points}) < 2:
-        raise ValueError("a line needs points at two different x at least")
+        raise ValueError("fitting a line needs points at two or more different x")
     smallest = SMALLEST_WEIGHTED_VALUE * (max(abs(y) for _, y in points) or 1.0)
     weighted_points = [(1 / max(abs(y), smallest) ** 2, x, y) for x, y in points]
     total_weight = sum(weight for weight, _, _ in weighted_points)
@@ -51,7 +51,7 @@
 
 
 def relative_spread(values: Sequence[float]) -> float:
-    """Half of the distance between the quartiles, relative to the median; 0 where the median is 0."""
+    """Half of the interquartile range relative to the median; 0 if the median is 0."""
     ordered = sorted(values)
     median = statistics.median(ordered)
     lower_quartile = ordered[len(ordered) // 4]
--- a/benchmarks/scale/markdown.py
+++ b/benchmarks/scale/markdown.py
@@ -1,4 +1,4 @@
-"""Numbers and tables in Markdown. Pure."""
+"""Formats numbers, tables and lists in Markdown."""
 
 import math
 from collections.abc import Sequence
--- a/benchmarks/scale/simulation_host.py
+++ b/benchmarks/scale/simulation_host.py
@@ -1,7 +1,7 @@
 """A process of simulated proxies or workers: `python -m benchmarks.scale.simulation_host < commands`.
 
-Started by `benchmarks.scale.host_process`; commands come by standard input, responses leave by standard
-output (`benchmarks.scale.host_messages`).
+Started by `benchmarks.scale.host_process`; reads commands from standard input and writes responses to
+standard output (`benchmarks.scale.host_messages`).
 """
 
 import sys
@@ -28,14 +28,14 @@
 
 
 class SimulationHost:
-    """All that is simulated in this process."""
+    """The simulated proxies and workers of this process."""
 
     def __init__(self) -> None:
         self._proxies = SimulatedProxies()
         self._workers = SimulatedWorkers()
 
     def execute(self, command: Command) -> Response:
-        """Carry out a command."""
+        """Execute a command."""
         match command:
             case ReadFigures():
                 return self._workers.add_figures(self._proxies.add_figures(HostFigures()))
@@ -53,7 +53,7 @@
 
 
 def main() -> None:
-    """Carry out commands until the standard input ends."""
+    """Execute commands until the end of standard input."""
     SharedUnpacker().install()
     host = SimulationHost()
     for line in FileObject(sys.stdin.fileno(), "rb"):
--- a/benchmarks/scale/sizes.py
+++ b/benchmarks/scale/sizes.py
@@ -1,4 +1,4 @@
-"""Sizes of a cluster: the size designed for, smaller ones in proportion, limits of a proxy. Pure."""
+"""Cluster sizes: the design size, proportionally smaller ones, and resource limits of a proxy."""
 
 from typing import Any, Final
 
@@ -7,9 +7,9 @@
 
 @frozen
 class ClusterSize:
-    """How many objects of each kind a cluster has.
+    """The number of objects of each kind in a cluster.
 
-    `request_rate`: requests of all clients together, a second.
+    `request_rate`: requests per second of all clients.
     """
 
     proxies: int
@@ -20,7 +20,7 @@
     request_rate: float
 
     def scaled_to(self, proxies: int) -> "ClusterSize":
-        """The size with so many proxies and everything else in proportion, one of each kind at least."""
+        """The size with `proxies` proxies and all other counts in proportion, at least one of each kind."""
         ratio = proxies / self.proxies
 
         def scaled(count: int) -> int:
@@ -48,7 +48,7 @@
 
     @classmethod
     def from_json(cls, keys: dict[str, Any]) -> "ClusterSize":
-        """The size that `to_json` wrote."""
+        """Parse the output of `to_json`."""
         return cls(
             proxies=keys["gatekeepers"],
             workers=keys["workers"],
@@ -67,22 +67,22 @@
 ZONES: Final = 32
 CORE_MACHINES: Final = 6
 
-# What control may take of the machine of one proxy.
+# Resource limits of the control plane on the machine of one proxy.
 MAX_PROXY_CPU_CORES: Final = 0.015
 MAX_PROXY_MEMORY_MB: Final = 256
 MAX_PROXY_BYTES_PER_SECOND: Final = 21_000
 
 
 def zone_name(number: int) -> str:
-    """The name of a zone."""
+    """The name of the zone with this number."""
     return f"z{number:02d}"
 
 
 def region_name(number: int) -> str:
-    """The name of a region."""
+    """The name of the region with this number."""
     return f"r{number:02d}"
 
 
 def regions_by_zone(regions: int = REGIONS) -> dict[str, str]:
-    """The region of each zone: zones are dealt to the regions in turn."""
+    """The region of each zone; zones are assigned to regions round robin."""
     return {zone_name(number): region_name(number % regions) for number in range(ZONES)}
--- a/benchmarks/scale/tenant_distribution.py
+++ b/benchmarks/scale/tenant_distribution.py
@@ -1,18 +1,18 @@
-"""How requests are distributed over tenants. Pure.
+"""The distribution of requests over tenants.
 
-The tenant of rank `r` sends a share of the requests in proportion to `1 / r`. The distribution is an
-assumption: no figure of the users gives it.
+The assumed distribution is Zipf's: the tenant of rank `r` sends a share of the requests proportional to
+`1 / r`.
 """
 
 import math
 import random
 from typing import Final
 
-RANKS_PER_STEP: Final = 50  # ranks from `r` to `r + r / 50` are taken as equal
+RANKS_PER_STEP: Final = 50  # ranks from `r` to `r + r / 50` are treated as equally frequent
 
 
 def tenant_name(rank: int) -> str:
-    """The name of the tenant of a rank, from 1."""
+    """The name of the tenant with this rank, from 1."""
     return f"t{rank:06d}"
 
 
@@ -22,7 +22,7 @@
 
 
 def count_requests_by_tenant(tenants: int, requests: int, rng: random.Random) -> dict[str, tuple[int, int]]:
-    """Draw the tenants of so many requests: tenant -> admitted and rejected requests, none rejected."""
+    """Draw the tenants of `requests` requests; admitted and rejected counts by tenant, none rejected."""
     counts: dict[str, tuple[int, int]] = {}
     for _ in range(requests):
         name = tenant_name(draw_tenant_rank(tenants, rng))
@@ -32,7 +32,7 @@
 
 
 def expected_distinct_tenants(tenants: int, requests: float) -> float:
-    """The mean number of different tenants among so many requests."""
+    """The expected number of distinct tenants among `requests` requests."""
     total_weight = math.log(tenants + 1)
     expected = 0.0
     low = 1
