--- a/tests/configstore/test_catch_up.py
+++ b/tests/configstore/test_catch_up.py
@@ -145,7 +145,7 @@
 @test("catch-up: a replica that lost its partial update is sent whole ranges, not the same keys again")
 def _() -> None:
     assert payloads_until_caught_up(60) < 40
-    with mutated("taken for there because it was sent"):
+    with mutated("sent range assumed to be received"):
         assert payloads_until_caught_up(60) == 60, "the mutant was not detected"
 
 
@@ -231,10 +231,10 @@
     older = promotions_sent(1, 2, 3)[0]
     assert older[:3] == [KIND_PROMOTION, 77, 2]
     assert promotions_sent(2, 2, 3)[0][3] == older[3] + 1
-    with mutated("promoted with what is not committed"):
+    with mutated("learner promoted with an uncommitted map"):
         assert promotions_sent(1, 0, 1)
         assert promotions_sent(2, 1, 2)
-    with mutated("promoted with what was committed before"):
+    with mutated("learner promoted with an outdated map"):
         assert promotions_sent(0, 0, 1)
         assert promotions_sent(0, 2, 2)
 
@@ -252,14 +252,14 @@
     assert committed_index(2, 5, 5) == committed_index(2, 5, 8) == 5
     assert committed_index(2, 5, 4) == committed_index(1, 3, 3) == 0
     assert committed_index(1, 3, 8) == committed_index(2, 5, 0) == 0
-    with mutated("learnt by index alone"):
+    with mutated("commit recognized by index alone"):
         assert committed_index(1, 3, 8) == 3
-    with mutated("a later state taken for committed"):
+    with mutated("uncommitted state treated as committed"):
         assert committed_index(2, 5, 4) == 5
 
 
 @test("mutant: if only the newest map allowed a promotion, a distant learner would never catch up")
 def _() -> None:
-    with mutated("promoted only with the newest"):
+    with mutated("learner promoted only with the newest map"):
         result = measure_catch_up(CatchUpCase(**{**FAR, "disk": "wiped"}))
     assert result.level_after == float("inf"), str(result)
--- a/tests/configstore/test_membership.py
+++ b/tests/configstore/test_membership.py
@@ -122,10 +122,10 @@
 
 
 RANDOM_RUN_MUTANTS = (
-    "a quorum of the old members",
-    "two proposals at a time",
-    "a learner that counts",
-    "a removed one stands, whoever votes counts",
+    "quorum of the previous voters",
+    "two proposals in flight",
+    "learner counted in the quorum",
+    "removed replica stands for election, votes of non-voters counted",
 )
 
 
@@ -178,9 +178,9 @@
 
 
 ELECTION_MUTANTS = (
-    "an old disk votes",
-    "a removed one stands, whoever votes counts",
-    "a removed one is asked, whoever votes counts",
+    "vote of another incarnation counted",
+    "removed replica stands for election, votes of non-voters counted",
+    "removed replica asked for its vote, votes of non-voters counted",
 )
 
 
--- a/tests/simulation/test_explore.py
+++ b/tests/simulation/test_explore.py
@@ -18,11 +18,11 @@
 
 
 BROKEN = {
-    "elected by one": "change",
-    "committed by one": "closing",
-    "read before a commit of the term": "closing",
-    "confirmed by one": "leaders",
-    "orders have no fence": "late",
+    "elected without a quorum": "change",
+    "committed without a quorum": "closing",
+    "read before the first commit of the term": "closing",
+    "round confirmed without a quorum": "leaders",
+    "fencing token ignored": "late",
 }
 
 
