--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,9 +1,9 @@
 """python -m benchmarks.scale [cores | run | compare | all | page] [--out FILE] [--sizes N,N...] [--quick]
 
-`cores`: pure parts, by size. `run`: processes, everything in proportion until it breaks, then with few
-objects in the configuration up to the target number of proxies. `compare`: simulated proxies beside real
-ones. `all` (the default): the three, some minutes, at most about six cores. Each writes its part into one
-JSON. `page` makes the tables of docs/CAPACITY.md and its charts from that.
+`cores`: code without I/O, by size. `run`: real processes, with everything in proportion until overload, then
+with few objects in the configuration up to the target number of proxies. `compare`: simulated and real
+proxies. `all` (the default): all three; takes some minutes and at most about six cores. Each writes its part
+of one JSON file, from which `page` generates the tables and charts of docs/CAPACITY.md.
 """
 
 import argparse
@@ -20,9 +20,9 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Measure what the arguments ask for; returns the exit status."""
+    """Run the command and return its exit status."""
     options = _parse_options(arguments)
-    # By the exit, `finally` clauses end the processes that were started.
+    # sys.exit runs the `finally` clauses, which stop the started processes.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(SIGTERM_EXIT_STATUS))
     match options.what:
         case "core":
@@ -60,8 +60,8 @@
 
 
 def _measure_parts(options: argparse.Namespace) -> None:
-    """Measure the parts that are asked for, each written as soon as it is there."""
-    from benchmarks.scale import parts  # imports gevent, which `core` must not have in its memory
+    """Measure the selected parts and write each as soon as it is complete."""
+    from benchmarks.scale import parts  # imports gevent, which must not add to the memory measured by `core`
 
     if options.what in ("all", "cores"):
         by_size: dict[str, Any] = parts.measure_cores(options.sizes, options.repeats)
--- a/benchmarks/scale/measurement_window.py
+++ b/benchmarks/scale/measurement_window.py
@@ -1,6 +1,6 @@
-"""What each role's processes used in a stretch of time: the difference between two snapshots.
+"""Resource usage by role in a time window: the difference between two snapshots.
 
-Processor time and bytes are read from outside; pulls and their times are those of the simulated proxies.
+CPU time and bytes are read from the operating system; pulls and their times come from the simulated proxies.
 """
 
 import time
@@ -16,7 +16,7 @@
 from benchmarks.scale.process_usage import ProcessUsage, read_process_usage
 
 Json = dict[str, Any]
-MAX_RECORDED_AGE_SECONDS: Final = 1e6  # stands for "never confirmed", which is infinite
+MAX_RECORDED_AGE_SECONDS: Final = 1e6  # replaces the infinite age of an unconfirmed configuration
 
 
 @attrs.frozen
@@ -31,14 +31,14 @@
 
 
 def take_snapshot(cluster: Cluster) -> Snapshot:
-    """Read the counters of all processes that run now."""
+    """Read the counters of all running processes."""
     roles = cluster.roles_by_pid()
     usage = {pid: read for pid in roles if (read := read_process_usage(pid)) is not None}
     return Snapshot(time.monotonic(), roles, usage, read_traffic(roles, LOW_PORT), cluster.figures())
 
 
 def measure_window(cluster: Cluster) -> Json:
-    """The record of one window of the length in the options, that starts now."""
+    """Measure one window of `window_seconds`, starting now."""
     before = take_snapshot(cluster)
     gevent.sleep(cluster.options.window_seconds)
     return record_difference(before, take_snapshot(cluster))
@@ -63,12 +63,12 @@
 
 
 def recorded_age(figures: HostFigures) -> float:
-    """The age of the oldest confirmation, finite."""
+    """The age of the oldest confirmation, limited to a finite value."""
     return min(figures.confirmation_age_seconds, MAX_RECORDED_AGE_SECONDS)
 
 
 def _record_role(before: Snapshot, after: Snapshot, pids: list[int]) -> Json:
-    """The means of the processes of one role, and the most of one of them."""
+    """Means over the processes of one role, and maxima of single processes."""
     seconds = after.taken_at - before.taken_at
     usage = [after.usage[pid] for pid in pids]
     cpu_seconds = [after.usage[pid].cpu_seconds - before.usage[pid].cpu_seconds for pid in pids]
@@ -84,7 +84,7 @@
 
 
 def _record_traffic(before: Snapshot, after: Snapshot, pids: list[int]) -> Json:
-    """Connections, and bytes and segments a second, of the mean process by kind of request."""
+    """Mean connections, bytes per second and segments per second of a process, by kind of request."""
     seconds = after.taken_at - before.taken_at
     connections: dict[str, int] = defaultdict(int)
     segments_sent: dict[str, int] = defaultdict(int)
@@ -94,7 +94,7 @@
         earlier_traffic = before.traffic.get(pid, {})
         for kind, traffic in after.traffic.get(pid, {}).items():
             earlier = earlier_traffic.get(kind, Traffic())
-            # Below zero where connections were closed in between: what these carried is gone.
+            # Negative if connections were closed in between, as their counters are lost.
             connections[kind] += traffic.connections
             segments_sent[kind] += max(0, traffic.segments_sent - earlier.segments_sent)
             bytes_sent[kind] += max(0, traffic.bytes_sent - earlier.bytes_sent)
@@ -111,7 +111,7 @@
 
 
 def _record_proxies(before: HostFigures, after: HostFigures, seconds: float) -> Json:
-    """Pulls of all simulated proxies together."""
+    """Pulls of all simulated proxies."""
     pulls = after.pulls - before.pulls
     waited_seconds = after.waited_seconds - before.waited_seconds
     return {
@@ -126,7 +126,7 @@
 
 
 def _record_heartbeats(before: HostFigures, after: HostFigures, seconds: float) -> Json:
-    """Heartbeats of all simulated workers together."""
+    """Heartbeats of all simulated workers."""
     failed_heartbeats = after.failed_heartbeats - before.failed_heartbeats
     return {
         "acked_s": round((after.heartbeats - before.heartbeats) / seconds, 1),
--- a/benchmarks/scale/operator_client.py
+++ b/benchmarks/scale/operator_client.py
@@ -1,4 +1,4 @@
-"""Calls of the registries' HTTP API, as an operator makes them."""
+"""An operator's client of the registries' HTTP API."""
 
 import json
 import time
@@ -18,31 +18,31 @@
 MAX_ROUNDS: Final = 20  # over all registries
 MAX_ERROR_CHARACTERS: Final = 160
 MAX_RAW_ERROR_BYTES: Final = 200
-NO_RESPONSE: Final = 0  # in place of an HTTP status
+NO_RESPONSE: Final = 0  # replaces the HTTP status
 SERVICE_UNAVAILABLE: Final = 503
 
 
 @attrs.frozen
 class OperatorResponse:
-    """The status of a response (`NO_RESPONSE` if no registry gave one) and its body."""
+    """The status of a response (`NO_RESPONSE` if no registry responded) and its body."""
 
     status: int
     body: dict[str, Any]
 
     @property
     def error(self) -> str:
-        """Why the request failed, shortened; empty if it did not."""
+        """The error message, truncated; empty for a success."""
         return str(self.body.get("error", ""))[:MAX_ERROR_CHARACTERS]
 
 
 class OperatorClient:
-    """Asks one registry after the other until one gives a definite response."""
+    """Sends requests to the registries in turn until one responds with a status other than 503."""
 
     def __init__(self, registry_ips: Sequence[str]) -> None:
         self._registry_ips = registry_ips
 
     def send_config(self, method: str, body: dict[str, Any], version: int) -> OperatorResponse:
-        """Send a change of the configuration that is at a version."""
+        """Send a change that is based on this version of the configuration."""
         return self._request(method, "/config", body, CHANGE_TIMEOUT_SECONDS, if_match=f"{version:08x}")
 
     def read_status(self) -> dict[str, Any]:
--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -1,6 +1,6 @@
 """The parts of the record, each measured over a range of sizes: `cores`, `compare` and `run`.
 
-Maps are those of docs/capacity/scale.json: size -> what was measured.
+The maps have the form of docs/capacity/scale.json: measurements by size.
 """
 
 import json
@@ -29,7 +29,7 @@
 
 
 def measure_cores(sizes: tuple[int, ...], repeats: int) -> Json:
-    """The pure parts, each size in a process of its own, the largest first."""
+    """Measure the code without I/O, each size in a separate process, largest first."""
 
     def measure_size(size: int) -> Json:
         arguments = ["-m", "benchmarks.scale", "core", "--sizes", str(size), "--repeats", str(repeats)]
@@ -46,12 +46,12 @@
 
 
 def measure_compare(sizes: tuple[int, ...]) -> Json:
-    """Simulated proxies beside real ones."""
+    """Compare simulated proxies with real ones."""
     return {str(size): compare_proxies(size, RunOptions(proxy_hosts=1), _print_progress) for size in sizes}
 
 
 def measure_quick_runs(sizes: tuple[int, ...], _core_machines: int, write: Callable[[Json], None]) -> None:
-    """Runs that are as short as can be and show only that the measurement works."""
+    """Short runs, which only verify that the measurement works."""
     options = RunOptions(
         window_seconds=0.5,
         stabilize_seconds=0.3,
@@ -67,9 +67,9 @@
 
 
 def measure_runs(sizes: tuple[int, ...], core_machines: int, write: Callable[[Json], None]) -> None:
-    """Everything in proportion, then few objects.
+    """Runs with everything in proportion, then runs with few objects.
 
-    `write` is called after each size, so that a run that fails does not lose those before it.
+    `write` is called after each size, so that a failed run does not lose earlier results.
     """
     runs: Json = {IN_PROPORTION: {}, FEW_OBJECTS: {}}
     for size in sizes:
--- a/benchmarks/scale/process_usage.py
+++ b/benchmarks/scale/process_usage.py
@@ -1,4 +1,4 @@
-"""Reads from /proc what a process has used."""
+"""Reads the resource usage of a process from /proc."""
 
 import os
 from pathlib import Path
@@ -7,13 +7,13 @@
 import attrs
 
 _CLOCK_TICKS_PER_SECOND: Final = os.sysconf("SC_CLK_TCK")
-_USER_TICKS_FIELD: Final = 11  # of /proc/PID/stat, counted behind the name of the program
+_USER_TICKS_FIELD: Final = 11  # of /proc/PID/stat, counted after the program name
 _SYSTEM_TICKS_FIELD: Final = 12
 
 
 @attrs.frozen
 class ProcessUsage:
-    """What a process has used: processor time since its start, memory now and at most, open files."""
+    """Resource usage of a process: CPU time since its start, current and peak memory, open files."""
 
     cpu_seconds: float
     memory_mb: float
@@ -22,7 +22,7 @@
 
 
 def read_process_usage(pid: int) -> ProcessUsage | None:
-    """The usage of a process, None if it has ended."""
+    """Read the usage of a process; None if it has ended."""
     folder = Path(f"/proc/{pid}")
     try:
         stat_fields = (folder / "stat").read_text().rpartition(") ")[2].split()
@@ -40,7 +40,7 @@
 
 
 def socket_inodes(pid: int) -> list[int]:
-    """The inodes of a process' sockets; those read so far if it ends meanwhile."""
+    """The inodes of a process's sockets; the list may be partial if the process ends."""
     inodes = []
     try:
         for name in os.listdir(f"/proc/{pid}/fd"):
--- a/benchmarks/scale/proxy_figures.py
+++ b/benchmarks/scale/proxy_figures.py
@@ -1,6 +1,6 @@
-"""Measures the proxy's pure parts: pull responses, updates of the cluster view, the rate limiter.
+"""Measures the proxy's code without I/O: pull responses, updates of the cluster view, the rate limiter.
 
-The request router is the real one; usage totals are fed in, no request comes.
+The request router is the production one; usage totals are generated, and no requests are served.
 """
 
 import itertools
@@ -27,7 +27,7 @@
 from benchmarks.scale.tenant_distribution import draw_tenant_rank, tenant_name
 
 Json = dict[str, Any]
-CHANGED_USAGE_TOTALS: Final = (1000, 3000, 10000)  # of all registries together
+CHANGED_USAGE_TOTALS: Final = (1000, 3000, 10000)  # over all registries
 
 
 def proxy_settings(node_name: str = "edge-0") -> Settings:
@@ -45,7 +45,7 @@
 
 
 class ProxyMeasurement:
-    """Feeds a proxy the responses of a registry and measures it; the steps build on each other."""
+    """Measures a proxy that receives a registry's responses; each step depends on the previous ones."""
 
     def __init__(
         self, size: ClusterSize, registry: Registry, rng: random.Random, recorder: FigureRecorder
@@ -61,7 +61,7 @@
         self._now = NOW + 0.1
 
     def run(self) -> None:
-        """Measure everything."""
+        """Run all measurements."""
         self._record_configuration_size()
         self._measure_first_response()
         self._measure_idle_pull()
@@ -73,7 +73,7 @@
         )
 
     def _pull(self, sources: Json) -> None:
-        """A pull whose response carries updates of some sources."""
+        """A pull whose response contains updates of these sources."""
         self._now += PULL_INTERVAL_SECONDS
         pull = self._client.next_request(self._now)
         assert pull is not None
@@ -81,7 +81,7 @@
         self._client.handle_response(pull, self._now, {**self._full_response, "sources": sources})
 
     def _apply_update(self, source: str, update: Json) -> None:
-        """An update of one source, without the pull that carries it."""
+        """An update of one source, without the pull."""
         response = PullResponse.from_wire({**self._full_response, "sources": {source: update}})
         self.router.apply_change(self._now, self.router.cluster.apply(self._now, self._now, response))
 
@@ -95,7 +95,7 @@
         )
 
     def _measure_first_response(self) -> None:
-        """The parts of the first response, one after the other: configuration, workers, usage totals."""
+        """The parts of the first response in order: configuration, workers, usage totals."""
         configuration = {OPERATOR_SOURCE: self._full_response["sources"][OPERATOR_SOURCE]}
         updates = decompress_sources(self._full_response["sources"])
         self._measure_part(
@@ -103,7 +103,7 @@
             "gatekeeper: memory of the configuration and limits, MB",
             configuration,
         )
-        # All of these stay alive until the end: what is freed would be memory for the next part to grow into.
+        # Keeps all parts referenced: freed memory would be reused and hide the growth of later parts.
         sources = [name for name in updates if name != OPERATOR_SOURCE]
         workers = {name: _without_usage(updates[name]) for name in sources}
         self._measure_part(
@@ -146,7 +146,7 @@
             keys = [f"c/{tenant_name(rank)}" for rank in range(1, changed_tenants + 1)]
 
             def pull_totals(keys: list[str] = keys) -> None:
-                total = int((self._now + PULL_INTERVAL_SECONDS) * 999)  # larger than those before
+                total = int((self._now + PULL_INTERVAL_SECONDS) * 999)  # larger than all earlier totals
                 for name in versions:
                     versions[name] += 1
                 self._pull(
@@ -194,7 +194,7 @@
 
 
 def _delta(version: int, entries: Json) -> Json:
-    """An update of a source, as it travels."""
+    """An update of a source in wire format."""
     return {"version": version, "full": False, "gone": [], "set": entries}
 
 
--- a/benchmarks/scale/pure_parts.py
+++ b/benchmarks/scale/pure_parts.py
@@ -1,7 +1,7 @@
-"""Measures the pure parts of the three programs at one size: processor time, bytes and memory.
+"""Measures the three programs' code without I/O at one size: CPU time, bytes and memory.
 
-Nothing here waits or talks to a socket; sockets, greenlets and the decoding of frames come on top and are
-measured by `run`. Each size is measured in a process of its own, so that the memory is that of the size.
+The additional cost of sockets, greenlets and frame decoding is measured by `run`. Each size is measured in a
+separate process, so that memory of other sizes is not included.
 """
 
 import random
@@ -24,7 +24,7 @@
 def measure_pure_parts(
     proxies: int, target: ClusterSize = TARGET_SIZE, repeats: int = DEFAULT_REPEATS
 ) -> dict[str, Any]:
-    """All figures of the size with so many proxies, under the keys of docs/capacity/scale.json."""
+    """All figures of the size with `proxies` proxies, under the keys of docs/capacity/scale.json."""
     for module in (framing, registry_client):
         _raise_frame_limit(module)
     size = target.scaled_to(proxies)
@@ -43,5 +43,5 @@
 
 
 def _raise_frame_limit(module: ModuleType) -> None:
-    """Let this process encode frames that the programs refuse: the larger sizes need them."""
+    """Raise the frame size limit in this process: frames of larger sizes exceed that of the programs."""
     setattr(module, "MAX_FRAME_BYTES", RAISED_MAX_FRAME_BYTES)  # noqa: B010
--- a/benchmarks/scale/recorded_figures.py
+++ b/benchmarks/scale/recorded_figures.py
@@ -1,4 +1,4 @@
-"""Reads the part `cores` of docs/capacity/scale.json: figures by size, lines through them. Pure."""
+"""Reads the part `cores` of docs/capacity/scale.json: figures by size, and lines fitted to them."""
 
 import statistics
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class RecordedFigures:
-    """The figures of all measured sizes; a size is named by its number of proxies."""
+    """The figures of all measured sizes; a size is identified by its number of proxies."""
 
     def __init__(self, cores_part: dict[str, Any]) -> None:
         by_size = {int(proxies): recorded for proxies, recorded in cores_part["by size"].items()}
@@ -19,11 +19,11 @@
         self.sizes = list(self._by_size)
 
     def names(self) -> list[str]:
-        """The names of the figures that are not by entries, in the order in which they were measured."""
+        """The names of figures without a number of entries, in order of measurement."""
         return [name for name in self._by_size[self.sizes[-1]]["figures"] if not is_by_entries(name)]
 
     def cluster_size(self, size: int) -> ClusterSize:
-        """How many objects of each kind there were."""
+        """The number of objects of each kind."""
         return ClusterSize.from_json(self._by_size[size]["size"])
 
     def median(self, name: str, size: int) -> float:
@@ -35,7 +35,7 @@
         return max(relative_spread(recorded["figures"][name]) for recorded in self._by_size.values())
 
     def line_by(self, name: str, count_key: str) -> FittedLine:
-        """The line of a figure against a count of the sizes: `tenants`, `workers`, and so on."""
+        """The line fitted to a figure by a count of the size, such as `tenants`."""
         return fit_line(
             [
                 (recorded["size"][count_key], self.median(name, size))
@@ -44,15 +44,15 @@
         )
 
     def line_by_entries(self, name: str, size: int) -> FittedLine:
-        """The line of a figure at one size against the number of entries in a message."""
+        """The line fitted to a figure at one size by the number of entries in a message."""
         names = [key for key in self._by_size[size]["figures"] if key.startswith(name + ENTRIES_SEPARATOR)]
         return fit_line([(entries_in(key), self.median(key, size)) for key in names])
 
     def proxies_at_limit(self, value_at: Callable[[int], float], limit: float) -> float | None:
         """The number of proxies, everything in proportion, at which a value reaches its limit.
 
-        Interpolated between measured sizes; below the smallest in proportion to it. None: not reached at the
-        largest size.
+        Interpolated between measured sizes, and proportional below the smallest. None if the largest size
+        does not reach the limit.
         """
         points = [(size, value_at(size)) for size in self.sizes]
         smallest_size, smallest_value = points[0]
--- a/benchmarks/scale/recorded_runs.py
+++ b/benchmarks/scale/recorded_runs.py
@@ -1,6 +1,6 @@
-"""Reads the part `run` of docs/capacity/scale.json: what was measured on real processes. Pure.
+"""Reads the part `run` of docs/capacity/scale.json: measurements of real processes.
 
-A run stays a map of the file, with its keys: windows and events that a run did not come to are missing.
+A run keeps the map and keys of the file; windows and events that the run did not reach are missing.
 """
 
 from collections.abc import Iterator
@@ -23,12 +23,12 @@
 
     @property
     def simulated_proxies(self) -> int:
-        """How many proxies were simulated ones."""
+        """The number of simulated proxies."""
         return int(self.record["size"]["gatekeepers"]) - int(self.record["real"])
 
     @property
     def core_machines(self) -> int:
-        """How many core machines there were."""
+        """The number of core machines."""
         return int(self.record["core"])
 
     @property
@@ -38,23 +38,23 @@
 
     @property
     def idle_window(self) -> Json:
-        """The window without updates, before any event of the run; empty if the run did not come to it."""
+        """The window without updates, before any event; empty if the run did not reach it."""
         first_window: Json = next(iter(self.windows), {})
         return self.record.get("calm") or first_window
 
     def event(self, key: str) -> Json:
-        """What was measured of an event of the run; empty if the run did not come to it."""
+        """The record of an event; empty if the run did not reach it."""
         return self.record.get(key) or {}
 
     def simulated_pull(self, window: Json, key: str) -> float:
-        """A figure of the pulls of one simulated proxy in a window (the record has it a process)."""
+        """A figure of one simulated proxy's pulls in a window; the record has means per process."""
         processes = window["hollow"]["processes"]
         pulls = window["hollow"]["kinds"].get("pull", {})
         return float(pulls.get(key, 0.0) * processes / self.simulated_proxies)
 
 
 def recorded_runs(recorded: Json, kind_prefix: str = "") -> Iterator[RecordedRun]:
-    """The runs of all kinds that begin with a prefix, in the order of the file."""
+    """The runs of all kinds with this prefix, in the order of the file."""
     for kind, by_size in recorded["run"].items():
         if isinstance(by_size, dict) and kind.startswith(kind_prefix):
             for size, record in by_size.items():
--- a/benchmarks/scale/recorder.py
+++ b/benchmarks/scale/recorder.py
@@ -15,7 +15,7 @@
 
 
 def write_part(path: Path, name: str, part: dict[str, Any]) -> None:
-    """Replace one part of the record; the others stay as they are."""
+    """Replace one part of the record and keep the others."""
     record: dict[str, Any] = {"target": TARGET_SIZE.to_json()}
     if path.exists():
         record = json.loads(path.read_text())
--- a/benchmarks/scale/registry_figures.py
+++ b/benchmarks/scale/registry_figures.py
@@ -1,4 +1,4 @@
-"""Measures the registry's pure parts: pulls, exchanges between registries, heartbeats, look-ups."""
+"""Measures the registry's code without I/O: pulls, swaps between registries, heartbeats, lookups."""
 
 import itertools
 import random
@@ -33,15 +33,15 @@
 from benchmarks.scale.sizes import CORE_MACHINES, ZONES, ClusterSize, regions_by_zone, zone_name
 from benchmarks.scale.tenant_distribution import count_requests_by_tenant, tenant_name
 
-UsageCounts = dict[str, tuple[int, int]]  # tenant -> admitted and rejected requests
+UsageCounts = dict[str, tuple[int, int]]  # admitted and rejected requests by tenant
 REQUESTS_PER_PULL: Final = (10, 27, 100, 300)
 PULLS_PER_REPEAT: Final = 30
-CHANGED_USAGE_TOTALS: Final = (1000, 3000, 10000)  # of all registries together
-FIRST_REPORT_SEQUENCE: Final = 10  # above those of the pulls that built the registry
+CHANGED_USAGE_TOTALS: Final = (1000, 3000, 10000)  # over all registries
+FIRST_REPORT_SEQUENCE: Final = 10  # above the sequence numbers used to build the registry
 
 
 class RegistryMeasurement:
-    """Builds a registry of a size and measures it; the steps change the registry and keep their order."""
+    """Builds a registry of a size and measures it; the steps change the registry, so their order is fixed."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self._idle_pull = pull_body(0, known_versions(self.registry), {})
 
     def run(self) -> None:
-        """Measure everything."""
+        """Run all measurements."""
         self._measure_pull_request()
         self._measure_idle_response()
         self._measure_received_counts()
@@ -109,7 +109,7 @@
             )
 
     def _measure_usage_totals(self) -> None:
-        """What changed usage totals cost in responses to proxies and to other registries."""
+        """The cost of changed usage totals in responses to proxies and to other registries."""
         versions_before = known_versions(self.registry)
         for changed_totals in CHANGED_USAGE_TOTALS:
             changed_tenants = min(changed_totals // CORE_MACHINES, self.size.tenants)
@@ -145,7 +145,7 @@
         self.recorder.record("registry: frames that one first answer takes", len(response) / MAX_FRAME_BYTES)
 
     def _measure_workers_and_sessions(self) -> None:
-        """The part of a full response that holds all workers and sessions, without the configuration."""
+        """The workers and sessions in a full response, without the configuration."""
         versions_before = known_versions(self.registry)
         replicas = self.registry.peers.replicas.values()
         for source in [self.registry.local_source, *(replica.source for replica in replicas)]:
@@ -160,7 +160,7 @@
         self.recorder.record("registry: the same compressed, bytes", len(zlib.compress(response, 6)))
 
     def _measure_heartbeats(self) -> None:
-        """Heartbeats and idle responses as they are, and with the core machines' records kept."""
+        """The cost of heartbeats and idle responses, also with the records of the core machines cached."""
         body = encode_heartbeat(self.size, 0)
 
         def receive_heartbeat() -> None:
@@ -174,7 +174,7 @@
         record_cpu_ms(figure_names.HEARTBEAT_MS, receive_heartbeat, runs_per_repeat=20)
         record_cpu_ms(figure_names.CORE_MEMBERS_MS, self.registry.core_members)
         core_members = self.registry.core_members()
-        self.registry.core_members = lambda: core_members  # type: ignore[method-assign]  # a proposal's cost
+        self.registry.core_members = lambda: core_members  # type: ignore[method-assign]  # cached records
         record_cpu_ms("registry: a beat, were the members kept, ms", receive_heartbeat, runs_per_repeat=200)
         record_cpu_ms(
             "registry: answer, nothing new, were the members kept, ms",
@@ -184,7 +184,7 @@
         del self.registry.core_members
 
     def _record_busiest_registry(self) -> None:
-        """How many proxies the busiest registry has, in multiples of an even share."""
+        """The number of proxies at the busiest registry relative to an even distribution."""
         regions = regions_by_zone()
         nearest_registries = [
             self.registry.registries_by_distance(zone, regions[zone], NOW)[0]
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -1,6 +1,6 @@
-"""One run at one size: the programs of a few real machines before simulated proxies and workers.
+"""One run at one size: real core machines and proxies with simulated proxies and workers.
 
-A run goes through its steps in order and records what could not be had under `broken`; the record is that of
+The steps run in order, and failures are recorded under `broken`. The record has the keys of
 docs/capacity/scale.json.
 """
 
@@ -20,7 +20,7 @@
 from benchmarks.scale.sizes import ClusterSize
 
 Json = dict[str, Any]
-MAX_FAILED_PULLS: Final = 0.05  # of all pulls
+MAX_FAILED_PULLS: Final = 0.05  # relative to all pulls
 MAX_CPU_CORES: Final = 0.9  # of one process
 LEADER_TIMEOUT_SECONDS: Final = 30.0
 READY_TIMEOUT_SECONDS: Final = 30.0
@@ -28,13 +28,13 @@
 POLL_SECONDS: Final = 0.1
 RESTART_STABILIZE_SECONDS: Final = 1.0
 CORE_LOSS_SECONDS: Final = 3.0
-SMALLER_TENANT_COUNTS: Final = (2000, 200)  # tried where the store refuses more
-MAX_TENANT_FACTOR: Final = 4  # x the fallback: more tenants are not even tried
+SMALLER_TENANT_COUNTS: Final = (2000, 200)  # tried if the store rejects larger configurations
+MAX_TENANT_FACTOR: Final = 4  # relative to the fallback; more tenants are not tried
 MAX_ERROR_CHARACTERS: Final = 300
 
 
 def run_at_size(size: ClusterSize, options: RunOptions, report_progress: ReportProgress) -> Json:
-    """Run one size from its start to its end; returns the record, also of a run that broke off."""
+    """Run one size; returns the record, which is partial if the run is aborted."""
     if options.max_workers:
         size = attrs.evolve(size, workers=min(size.workers, options.max_workers))
     cluster = Cluster(size, options)
@@ -50,7 +50,7 @@
 
 
 class ScaleRun:
-    """The steps of one run on a cluster that its owner stops."""
+    """The steps of one run; the caller stops the cluster."""
 
     def __init__(self, cluster: Cluster, report_progress: ReportProgress) -> None:
         self.record: Json = {
@@ -66,7 +66,7 @@
         self._report_progress = report_progress
 
     def add_broken(self, description: str) -> None:
-        """Record something that could not be had."""
+        """Record a failure."""
         self.record["broken"].append(description)
 
     def execute(self) -> None:
@@ -95,7 +95,7 @@
         self._cluster.write_settings(is_first_start=False)
 
     def _upload_configuration(self) -> None:
-        """Upload the configuration in proportion, or one with as many tenants as the store takes."""
+        """Upload the proportional configuration, or one with as many tenants as the store accepts."""
         uploads: list[Json] = []
         self.record["puts"] = uploads
         size = self._configured_size()
@@ -110,7 +110,7 @@
         self.record["held"] = self._cluster.size.to_json()
 
     def _configured_size(self) -> ClusterSize:
-        """The size with at most so many objects of each kind as the options allow."""
+        """The size with the counts of objects limited by the options."""
         size = self._cluster.size
         max_objects = self._options.max_objects
         if not max_objects:
@@ -123,7 +123,7 @@
         )
 
     def _tenant_counts(self, wanted: int) -> list[int]:
-        """The numbers of tenants to try, the wanted one first unless it is far too large."""
+        """The numbers of tenants to try; the proportional one is first, unless it is far too large."""
         fallback = self._options.fallback_tenants
         smaller_counts = dict.fromkeys((fallback, *SMALLER_TENANT_COUNTS))
         counts = [count for count in smaller_counts if count < wanted]
@@ -176,7 +176,7 @@
             self.add_broken(f"after the loss {readiness['ready']} of {readiness['wanted']} are ready")
 
     def _measure_request_rates(self) -> None:
-        """Windows at increasing request rates, until one shows that the cluster is overloaded."""
+        """Measure windows at increasing request rates until the cluster is overloaded."""
         windows: list[Json] = []
         self.record["windows"] = windows
         target = self._options.target
@@ -194,7 +194,7 @@
                 break
 
     def _describe_overload(self, window: Json) -> str:
-        """What is overloaded in a window, empty if nothing is."""
+        """The overloaded resource in a window; empty if there is none."""
         proxies = window["gatekeepers"]
         wanted = self.record["start"]["wanted"]
         if proxies["ready"] < wanted or proxies["missed_s"] > MAX_FAILED_PULLS * proxies["pulls_s"]:
@@ -206,7 +206,7 @@
         return ""
 
     def _measure_recovery(self) -> None:
-        """How long it takes without requests until all proxies are ready."""
+        """Measure the time until all proxies are ready, without requests."""
         self._set_request_rate(0.0)
         started_at = time.monotonic()
         readiness = wait_until_ready(self._cluster, started_at, RECOVERY_TIMEOUT_SECONDS)
--- a/benchmarks/scale/run_events.py
+++ b/benchmarks/scale/run_events.py
@@ -1,6 +1,6 @@
-"""Events of a run: the start of all, a change of the configuration, the loss of a core machine.
+"""Events of a run: start-up, a configuration change, the loss of a core machine.
 
-Records are those of docs/capacity/scale.json.
+The records have the keys of docs/capacity/scale.json.
 """
 
 import time
@@ -19,13 +19,13 @@
 STATUS_POLL_SECONDS: Final = 0.5
 ROLLOUT_TIMEOUT_SECONDS: Final = 20.0
 RECOVERY_TIMEOUT_SECONDS: Final = 15.0
-MIN_RECOVERY_SECONDS: Final = 1.0  # after the start: before, proxies still show their state before the loss
+MIN_RECOVERY_SECONDS: Final = 1.0  # until the proxies' figures reflect the loss
 FRESH_AGE_SECONDS: Final = 1.0
 STABILIZE_SECONDS: Final = 1.0
 
 
 def wait_until_ready(cluster: Cluster, started_at: float, timeout: float) -> Json:
-    """Wait for all simulated proxies and workers, without these for the real proxies; returns the record."""
+    """Wait for simulated proxies and workers; without these proxies, for real ones. Returns the record."""
     wanted = cluster.simulated_proxies
     if not wanted:
         _wait_for_real_proxies(cluster, started_at, timeout)
@@ -50,7 +50,7 @@
 
 
 def measure_change(cluster: Cluster) -> Json:
-    """Change one route: when it is acknowledged, and when proxies have it."""
+    """Change one route; record when the change is acknowledged and when proxies receive it."""
     index = cluster.config_index()
     before = take_snapshot(cluster)
     started_at = time.monotonic()
@@ -73,7 +73,7 @@
 
 
 class CoreMachineLoss:
-    """Loses the core machine of the store's leader: kills both programs, starts them again later."""
+    """The loss of the store leader's core machine: kills both programs and restarts them later."""
 
     def __init__(self, cluster: Cluster, seconds: float) -> None:
         self._cluster = cluster
@@ -85,7 +85,7 @@
         self._oldest_age = 0.0
 
     def measure(self) -> Json:
-        """Lose the machine, start it again and wait for all proxies; returns the record."""
+        """Kill and restart the machine's programs and wait for all proxies; returns the record."""
         before = self._cluster.figures()
         killed_at = time.monotonic()
         for program in self._programs:
@@ -105,7 +105,7 @@
         }
 
     def _wait_until_fresh(self, killed_at: float, ready_proxies: int) -> float | None:
-        """Start the programs when it is time; returns when all proxies were fresh, None: not in time."""
+        """Restart the programs when due; returns when all proxies were up to date, None after a timeout."""
         restarted_at: float | None = None
         while True:
             gevent.sleep(POLL_SECONDS)
@@ -126,7 +126,7 @@
                 return None
 
     def _registry_bytes(self) -> Json:
-        """What the registry that was started again has sent and received, by kind of request."""
+        """The traffic of the restarted registry by kind of request."""
         _, registry = self._programs
         traffic = read_traffic(self._cluster.roles_by_pid(), LOW_PORT).get(registry.pid or 0, {})
         return {kind: [carried.bytes_sent, carried.bytes_received] for kind, carried in traffic.items()}
@@ -146,7 +146,7 @@
 
 
 def _wait_for_arrival(cluster: Cluster, version: int) -> list[float]:
-    """Arrival times of a version at all simulated proxies, or at those that had it in time."""
+    """Arrival times of a version at the simulated proxies; late proxies are missing."""
     deadline = time.monotonic() + ROLLOUT_TIMEOUT_SECONDS
     arrival_times: list[float] = []
     while time.monotonic() < deadline:
@@ -163,10 +163,10 @@
 
 
 def _half_time(seconds: list[float]) -> float | None:
-    """When half of all were there, of times in order."""
+    """The time at which half of all had arrived, given sorted times."""
     return round(seconds[len(seconds) // 2], 3) if seconds else None
 
 
 def _last_time(seconds: list[float], wanted: int) -> float | None:
-    """When all were there, of times in order; None if some were not."""
+    """The time at which all had arrived, given sorted times; None if some had not."""
     return round(seconds[-1], 3) if seconds and len(seconds) >= wanted else None
--- a/benchmarks/scale/run_options.py
+++ b/benchmarks/scale/run_options.py
@@ -1,4 +1,4 @@
-"""What a run measures and with how much."""
+"""Options of a run."""
 
 from typing import Final
 
@@ -13,12 +13,12 @@
 class RunOptions:
     """Options of a run.
 
-    `window_seconds`, `stabilize_seconds`: of each measurement and before it. `request_rate_factors`: in
-    multiples of the rate in proportion. `max_objects`: of each kind in the configuration; None: as many as in
-    proportion. `max_workers`: the same of workers. `starts_per_second`: of simulated proxies; 0: all at once.
-    `fallback_tenants`: tried where the store refuses the tenants in proportion. `proxy_hosts`: processes of
-    simulated proxies. `worker_restarts_per_second`: while restarts are measured; 0: they are not.
-    `measure_core_loss`: whether the leader's machine is stopped for a while.
+    `window_seconds`, `stabilize_seconds`: the length of each measurement and the wait before it.
+    `request_rate_factors`: relative to the proportional rate. `max_objects`: limit per kind in the
+    configuration; None: the proportional number. `max_workers`: the same for workers. `starts_per_second`: of
+    simulated proxies; 0: all at once. `fallback_tenants`: tried if the store rejects the proportional number.
+    `proxy_hosts`: processes of simulated proxies. `worker_restarts_per_second`: 0: restarts are not measured.
+    `measure_core_loss`: whether to stop the leader's machine for a while.
     """
 
     window_seconds: float = 4.0
--- a/benchmarks/scale/run_tables.py
+++ b/benchmarks/scale/run_tables.py
@@ -1,4 +1,4 @@
-"""Tables of docs/CAPACITY.md from the parts `run` and `compare` of docs/capacity/scale.json. Pure."""
+"""Tables of docs/CAPACITY.md from the parts `run` and `compare` of docs/capacity/scale.json."""
 
 from typing import Any, Final
 
@@ -8,7 +8,7 @@
 from benchmarks.scale.sizes import CORE_MACHINES, TARGET_SIZE
 
 Json = dict[str, Any]
-NO_CONFIRMATION_AGE_SECONDS: Final = 1e6  # recorded where no configuration was ever confirmed
+NO_CONFIRMATION_AGE_SECONDS: Final = 1e6  # recorded if no configuration was ever confirmed
 PROCESSES_HEAD: Final = (
     "run",
     "gatekeepers",
@@ -64,30 +64,30 @@
 
 
 def processes_table(recorded: Json) -> str:
-    """Few objects: what proxies cost while there is no update, and lines through the registries' costs."""
+    """Few objects: the cost of proxies without updates, and lines fitted to the registries' cost."""
     runs = list(recorded_runs(recorded, FEW_OBJECTS))
     rows = [_processes_row(run) if run.idle_window else _missing_row(run) for run in runs]
     return format_table(PROCESSES_HEAD, rows) + "\n" + format_list(_registry_lines(runs))
 
 
 def events_table(recorded: Json) -> str:
-    """Few objects: a start, a change, workers that restart, a core machine lost."""
+    """Few objects: start-up, a configuration change, worker restarts, the loss of a core machine."""
     return format_table(EVENTS_HEAD, [_events_row(run) for run in recorded_runs(recorded, FEW_OBJECTS)])
 
 
 def rates_table(recorded: Json) -> str:
-    """What tenants' usage totals cost, by size and share of the requests in proportion."""
+    """The cost of tenants' usage totals by size and request rate factor."""
     rows = [_rates_row(run, window) for run in recorded_runs(recorded) for window in run.windows]
     return format_table(RATES_HEAD, rows)
 
 
 def broken_table(recorded: Json) -> str:
-    """What each run could not do."""
+    """The failures of each run."""
     return format_table(BROKEN_HEAD, [_broken_row(run) for run in recorded_runs(recorded)])
 
 
 def compare_table(recorded: Json) -> str:
-    """Pulls of simulated proxies beside those of real ones."""
+    """Pulls of simulated proxies compared with those of real ones."""
     rows = []
     for size, compared in recorded["compare"]["by size"].items():
         rows += _compare_rows(size, compared)
@@ -121,7 +121,7 @@
 
 
 def _registry_lines(runs: list[RecordedRun]) -> list[str]:
-    """The costs of a registry against the number of proxies that it serves."""
+    """The cost of a registry by the number of proxies that it serves."""
     descriptions = []
     idle_runs = [run for run in runs if run.idle_window]
     for key in ("core", "mb", "files"):
@@ -167,7 +167,7 @@
 
 
 def _bytes_per_restart(run: RecordedRun, churn: Json) -> str:
-    """What one proxy receives more for each restart of a worker than while there is no update."""
+    """The bytes that one proxy receives per worker restart, beyond those without updates."""
     if not churn or not run.idle_window:
         return ""
     received_per_second = churn["hollow"]["kinds"]["pull"]["received_s"]
--- a/benchmarks/scale/sample_objects.py
+++ b/benchmarks/scale/sample_objects.py
@@ -1,4 +1,4 @@
-"""What fills a cluster of a size: its configuration, a change of it, and its workers. Pure."""
+"""Sample objects of a cluster of a size: its configuration, a change of it, and its workers."""
 
 import random
 from typing import Any, Final
@@ -15,22 +15,22 @@
 
 
 def route_name(number: int) -> str:
-    """The name of a route."""
+    """The name of the route with this number."""
     return f"r{number:05d}"
 
 
 def service_name(number: int) -> str:
-    """The name of a service."""
+    """The name of the service with this number."""
     return f"s{number:04d}"
 
 
 def worker_address(number: int) -> str:
-    """The address at which a worker would serve: nothing listens there."""
+    """The address of a worker, at which nothing listens."""
     return f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080"
 
 
 def worker_id(number: int, incarnation: int = 0) -> str:
-    """The id under which a worker registers."""
+    """The id of a worker."""
     return f"w{number:05d}-{incarnation:06x}"
 
 
@@ -50,7 +50,7 @@
 
 
 def build_route_change(size: ClusterSize, version: int) -> dict[str, Any]:
-    """The body of `PATCH /config` that changes the time-out of one route."""
+    """The body of `PATCH /config` that changes the timeout of one route."""
     number = version % size.routes
     specification = {**_route(number, size.services), "Timeout": f"{ROUTE_TIMEOUT_MS + version}ms"}
     changed_route = _config_object("Routes", route_name(number), specification)
@@ -107,7 +107,7 @@
 
 
 def _tenant(rank: int) -> dict[str, Any]:
-    rng = random.Random(rank)  # API keys of random letters hardly compress, as those in service
+    rng = random.Random(rank)  # random API keys compress as badly as real ones
     api_keys = ["".join(rng.choices(API_KEY_LETTERS, k=API_KEY_LENGTH)) for _ in range(API_KEYS_PER_TENANT)]
     return {"ApiKeys": api_keys, "Priority": rank % 3, "RatePerS": 70, "BurstSize": 70, "HomeRegions": []}
 
--- a/benchmarks/scale/sample_registry.py
+++ b/benchmarks/scale/sample_registry.py
@@ -1,7 +1,7 @@
-"""A registry of a cluster of a size that knows everything, and the pulls that proxies send to it.
+"""A registry with the records of a whole cluster of a size, and the pulls that proxies send to it.
 
-It is one of `CORE_MACHINES` registries: each worker and each proxy is known by one of them, a tenant's usage
-by all. The other registries exist only as the responses that they would give.
+It is one of `CORE_MACHINES` registries: each worker and each proxy reports to one of them, and the usage of a
+tenant is reported to all. The other registries are represented only by their responses.
 """
 
 import json
@@ -27,14 +27,14 @@
 )
 from benchmarks.scale.tenant_distribution import tenant_name
 
-NOW: Final = 1000.0  # monotonic time of all measurements, s
+NOW: Final = 1000.0  # monotonic time of all measurements in seconds
 PULL_INTERVAL_SECONDS: Final = 0.25
 OWN_IP: Final = "10.9.0.1"
 Json = dict[str, Any]
 
 
 def build_registry(size: ClusterSize, configuration: Mapping[str, Any]) -> Registry:
-    """The first registry, with the records of all and the operator's configuration."""
+    """The first registry, with the records of all registries and the operator's configuration."""
     identity = RegistryIdentity("core-0", "00000000", OWN_IP, zone_name(0), region_name(0), 8200, 1.5)
     registry = Registry(identity, [OWN_IP], regions_by_zone(), NOW - 60)
     records_by_registry = [_records_of_registry(size, number) for number in range(CORE_MACHINES)]
@@ -66,7 +66,7 @@
 def pull_body(
     number: int, known_versions: Mapping[str, int], counts: Mapping[str, Any], sequence: int = 1
 ) -> Json:
-    """The RPC `pull` of a proxy that knows some versions and reports usage counts."""
+    """The body of a proxy's `pull` RPC with its known versions and usage counts."""
     zone = number % ZONES
     return {
         "node": f"edge-{number}",
@@ -86,36 +86,36 @@
 
 
 def proxy_address(number: int) -> str:
-    """The address at which a proxy would take requests: nothing listens there."""
+    """The address of a proxy, at which nothing listens."""
     return f"10.200.{number >> 8}.{number & 255}:8206"
 
 
 def decode_pull(body: Json) -> PullRequest:
-    """The typed request of a pull."""
+    """Decode the body of a pull."""
     request = codec.decode_pull_request(body)
     assert not isinstance(request, Failure), request
     return request
 
 
 def receive_pull(registry: Registry, body: Json) -> None:
-    """Let the registry begin and end a pull, without its response."""
+    """Begin and end a pull at the registry, without its response."""
     registry.sessions.begin_pull(decode_pull(body), NOW)
     registry.sessions.end_pull(body["node"])
 
 
 def pull_response(registry: Registry, body: Json) -> Json:
-    """The registry's response to a pull, as it travels."""
+    """The registry's response to a pull in wire format."""
     return codec.encode_pull_response(registry.pull_response(decode_pull(body), NOW, NOW), NOW)
 
 
 def known_versions(registry: Registry) -> dict[str, int]:
-    """The version vector of a proxy that knows everything."""
+    """The version vector of an up-to-date proxy."""
     versions = {name: source.version for name, source in registry.sources()}
     return {**versions, OPERATOR_SOURCE: registry.operator_config.version}
 
 
 def _records_of_registry(size: ClusterSize, number: int) -> Json:
-    """The records whose source is one registry: its workers, its proxies' sessions and all tenants' usage."""
+    """The records of one registry as a source: its workers, its proxies' sessions and all tenants' usage."""
     records: Json = {}
     for worker in range(number, size.workers, CORE_MACHINES):
         records[f"w/{worker_id(worker)}"] = worker_record(worker, size)
--- a/benchmarks/scale/simulated_proxies.py
+++ b/benchmarks/scale/simulated_proxies.py
@@ -1,8 +1,8 @@
-"""Simulated proxies: the control side of many proxies in one process, on real connections.
+"""Simulated proxies: the control plane side of many proxies in one process, on real connections.
 
-A simulated proxy is the real `RegistryPoller`, `RegistryClient` and `RequestRouter`, so that sessions, pulls,
-usage counts and confirmations are those of a real one. Its cluster view keeps versions and confirmations and
-drops the records, and its rate limiter makes up the requests that it counted. It takes no clients.
+A simulated proxy has the production `RegistryPoller`, `RegistryClient` and `RequestRouter`, so its sessions,
+pulls, usage counts and confirmations equal those of a real one. Its cluster view keeps versions and
+confirmations and drops the records; its rate limiter generates usage counts. It accepts no clients.
 """
 
 import random
@@ -31,23 +31,23 @@
 REGISTRY_CONTROL_PORT: Final = 8200
 PROXY_PORT: Final = 8206
 INTERNAL_PORTS: Final = 16
-MAX_COUNTED_SECONDS: Final = 2.0  # requests of a longer pause are left out
+MAX_COUNTED_SECONDS: Final = 2.0  # requests of longer pauses are not counted
 _EMPTY_ROUTING_TABLE: Final = RoutingTable.from_entries({})
 
 
 class SharedUnpacker:
-    """Unpacks the newest packed update once for all proxies of this process."""
+    """Decompresses the newest update once for all proxies of this process."""
 
     def __init__(self) -> None:
         self._unpack = fragmentation.decompress_update
         self._newest: dict[bytes, Json] = {}
 
     def install(self) -> None:
-        """Let everything in this process unpack through this object."""
+        """Replace decompression in this process by this object."""
         fragmentation.decompress_update = self.unpack
 
     def unpack(self, message: Json) -> Json:
-        """The update that a message carries packed."""
+        """Decompress the update in a message."""
         packed = message["pack"]
         if packed not in self._newest:
             self._newest = {packed: self._unpack(message)}
@@ -55,7 +55,7 @@
 
 
 class SimulatedConfiguration(ConfigurationState):
-    """Keeps the version and the core machines alone.
+    """Keeps only the version and the core machines.
 
     `arrived_at`: when each version arrived.
     """
@@ -65,7 +65,7 @@
         self.arrived_at: dict[int, float] = {}
 
     def apply(self, update: SourceUpdate) -> bool:
-        """Apply an update; never says that the routing table changed."""
+        """Apply an update; never reports a change of the routing table."""
         if update.version <= self.version:
             return False
         self.version = update.version
@@ -82,7 +82,7 @@
 
 
 class SimulatedClusterView(ClusterView):
-    """Keeps versions and confirmations alone; `received_entries` counts what it dropped."""
+    """Keeps only versions and confirmations; `received_entries` counts the dropped records."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -103,14 +103,14 @@
 
 @define
 class RequestLoad:
-    """The requests that each simulated proxy counts; all proxies of a process share one."""
+    """The request rate of each simulated proxy, shared by all proxies of a process."""
 
     tenants: int = 1
     requests_per_second: float = 0.0
 
 
 class SimulatedRateLimiter(RateLimiter):
-    """Counts requests of a load, with tenants by chance."""
+    """Counts generated requests of a load with randomly drawn tenants."""
 
     def __init__(self, rng: random.Random, bounds: Bounds, load: RequestLoad) -> None:
         super().__init__(rng, bounds)
@@ -131,7 +131,7 @@
 
 
 class MeasuredRegistryClient(RegistryClient):
-    """Counts pulls, failed ones, and how long they took."""
+    """Counts pulls, failed pulls and their durations."""
 
     pulls = 0
     failed_pulls = 0
@@ -139,7 +139,7 @@
     longest_pull_seconds = 0.0
 
     def handle_response(self, pull: PullRequest, now: float, answer: Json | Failure) -> bool:
-        """Count the response, then handle it as a real proxy does."""
+        """Count the response and handle it as a real proxy does."""
         seconds = now - pull.sent_at
         self.pulls += 1
         self.failed_pulls += isinstance(answer, Failure)
@@ -149,7 +149,7 @@
 
 
 class SimulatedProxy:
-    """One simulated proxy. `started_at`, `ready_at`: monotonic times, 0 before."""
+    """One simulated proxy. `started_at`, `ready_at`: monotonic times, 0 if not yet."""
 
     def __init__(self, number: int, command: StartProxies, load: RequestLoad) -> None:
         settings = _proxy_settings(number, command)
@@ -166,12 +166,12 @@
         self.poller._registry_client = self.client
 
     def start(self) -> None:
-        """Begin to pull."""
+        """Start pulling."""
         self.started_at = time.monotonic()
         gevent.spawn(self.poller.run)
 
     def arrival_time(self, version: int) -> float:
-        """When it had a version of the configuration, or a later one."""
+        """When it received this or a later version of the configuration."""
         arrived_at = self.cluster.simulated_configuration.arrived_at
         times = [at for arrived_version, at in arrived_at.items() if arrived_version >= version]
         return min(times, default=NOT_ARRIVED)
@@ -190,7 +190,7 @@
         self._load = RequestLoad()
 
     def start(self, command: StartProxies) -> None:
-        """Create all, and start them at the rate of the command."""
+        """Create all proxies, and start them at the rate of the command."""
         self._load.tenants = command.tenants
         numbers = range(command.first, command.end)
         self._proxies = [SimulatedProxy(number, command, self._load) for number in numbers]
@@ -203,11 +203,11 @@
             proxy.client.longest_pull_seconds = 0.0
 
     def arrival_times(self, version: int) -> list[float]:
-        """When each proxy had a version of the configuration, or a later one."""
+        """When each proxy received this or a later version of the configuration."""
         return [proxy.arrival_time(version) for proxy in self._proxies]
 
     def add_figures(self, figures: HostFigures) -> HostFigures:
-        """The figures with those of the proxies."""
+        """Add the figures of the proxies."""
         now = time.monotonic()
         clients = [proxy.client for proxy in self._proxies]
         ready_proxies = [proxy for proxy in self._proxies if proxy.ready_at]
--- a/benchmarks/scale/simulated_workers.py
+++ b/benchmarks/scale/simulated_workers.py
@@ -1,4 +1,4 @@
-"""Simulated workers: heartbeats of many workers in one process, on shared connections. They serve nothing."""
+"""Simulated workers: send the heartbeats of many workers over shared connections, and serve no requests."""
 
 import json
 import random
@@ -21,9 +21,9 @@
 
 
 class SimulatedWorker:
-    """What one worker reports.
+    """The reported state of one worker.
 
-    `acknowledged_at`: monotonic time of its first acknowledged heartbeat, 0 before.
+    `acknowledged_at`: monotonic time of its first acknowledged heartbeat, 0 if none.
     """
 
     def __init__(self, number: int, command: StartWorkers) -> None:
@@ -33,17 +33,17 @@
         self._zone = command.zones[number % len(command.zones)]
         self._incarnation = 0
         self._sequence = 0
-        self._warm_at = 0.0  # those of the beginning have long been running
+        self._warm_at = 0.0  # workers at the start of a run are warm
 
     def restart(self) -> None:
-        """It has crashed and starts again under another id, warming up."""
+        """Crash and restart with a new id, warming up."""
         self._incarnation += 1
         self._sequence = 0
         self.acknowledged_at = 0.0
         self._warm_at = time.monotonic() + WARMUP_SECONDS
 
     def next_heartbeat(self) -> bytes:
-        """The HTTP request of its next heartbeat."""
+        """The HTTP request of the next heartbeat."""
         self._sequence += 1
         warmup_left_ms = round(1000 * max(0.0, self._warm_at - time.monotonic()))
         address = worker_address(self._number)
@@ -56,7 +56,7 @@
 
 
 class HeartbeatConnection:
-    """Sends the heartbeats of several workers over one connection, one after the other.
+    """Sends the heartbeats of several workers sequentially over one connection.
 
     After a failure it connects to the next registry.
     """
@@ -73,13 +73,13 @@
         self._registry_index = 0
 
     def run(self) -> None:
-        """Send heartbeats without end, evenly spread over the interval."""
+        """Send heartbeats forever, evenly spread over the interval."""
         interval = self._heartbeat_seconds / len(self.workers)
         due_at = time.monotonic() + interval * random.random()
         while True:
             for worker in self.workers:
                 gevent.sleep(max(0.0, due_at - time.monotonic()))
-                # What is late by more than a heartbeat interval is not made up for.
+                # Delays beyond one heartbeat interval are not caught up.
                 due_at = max(due_at + interval, time.monotonic() - self._heartbeat_seconds)
                 while not self._send_heartbeat(worker):
                     self.failed_heartbeats += 1
@@ -125,7 +125,7 @@
         self._restarts: gevent.Greenlet[..., None] | None = None
 
     def start(self, command: StartWorkers) -> None:
-        """Start all workers, dealt to the connections, and these to the registries."""
+        """Start all workers; distribute them over connections, and the connections over registries."""
         workers = [SimulatedWorker(number, command) for number in range(command.first, command.end)]
         registry_ips = command.registry_ips
         for index in range(command.connections):
@@ -140,7 +140,7 @@
             gevent.spawn(connection.run)
 
     def set_restart_rate(self, restarts_per_second: float) -> None:
-        """From now on so many workers a second crash and start again; 0: none."""
+        """Set the number of workers per second that crash and restart."""
         if self._restarts is not None:
             self._restarts.kill()
             self._restarts = None
@@ -148,7 +148,7 @@
             self._restarts = gevent.spawn(self._restart_workers, 1 / restarts_per_second)
 
     def add_figures(self, figures: HostFigures) -> HostFigures:
-        """The figures with those of the workers."""
+        """Add the figures of the workers."""
         acknowledged_at = [worker.acknowledged_at for worker in self._all_workers()]
         return evolve(
             figures,
--- a/benchmarks/scale/store_figures.py
+++ b/benchmarks/scale/store_figures.py
@@ -1,4 +1,4 @@
-"""Measures the configuration store's pure parts and its disk; its replication is measured by `run`."""
+"""Measures the configuration store without network I/O, and its disk; `run` measures replication."""
 
 import itertools
 import json
@@ -28,10 +28,10 @@
 
 
 class StoreMeasurement:
-    """Measures the store of one size, step by step.
+    """Measures the store of one size in several steps.
 
-    It keeps what it measured until it is dropped as a whole: memory that were freed in between would be there
-    for the registry to grow into, whose memory is measured next.
+    It keeps references to all measured objects: memory freed earlier would be reused by the registry, whose
+    memory growth is measured next.
     """
 
     def __init__(self, size: ClusterSize, recorder: FigureRecorder) -> None:
@@ -51,14 +51,14 @@
         self._committed = CommittedState()
 
     def run(self) -> None:
-        """Measure everything besides the PUT."""
+        """Run all measurements except that of the PUT."""
         self.recorder.record_cpu_ms("store: digests of all, first time, ms", self._entries.digest, repeats=1)
         self._measure_patch()
         self._measure_watch()
         self._measure_disk()
 
     def _measure_patch(self) -> None:
-        """A change of one route: checked, applied, and encoded for a follower that lacks it or everything."""
+        """A change of one route: validated, applied, and encoded for a follower as delta and snapshot."""
         change = self.recorder.record_cpu_ms(
             figure_names.PATCH_MS,
             lambda: operator_config.apply_change(
@@ -83,7 +83,7 @@
         )
 
     def _measure_watch(self) -> None:
-        """What a registry that watches is sent."""
+        """The encoded updates for a registry that watches the store."""
         self._committed.advance(Snapshot((TERM, 1), self._entries))
         self._snapshots = [self._snapshot_with_change(number) for number in range(CHANGES)]
         next_snapshot = iter(self._snapshots)
@@ -103,7 +103,7 @@
         with tempfile.TemporaryDirectory() as folder:
             storage = ReplicaStorage(folder)
             indexes = itertools.count(1)
-            for _ in range(2):  # one complete map for each of the two slots
+            for _ in range(2):  # one complete map per slot
                 snapshot = Snapshot((TERM, next(indexes)), self._entries)
                 _measure_persist(storage, snapshot, "store: map to disk, first", self.recorder)
             for changed in self._snapshots:
@@ -117,7 +117,7 @@
 
 
 def measure_store(size: ClusterSize, recorder: FigureRecorder) -> dict[str, Any]:
-    """Measure everything; returns the entries of the configuration of this size."""
+    """Run all measurements; returns the map entries of a configuration of this size."""
     measurement = StoreMeasurement(size, recorder)
     measurement.run()
     return measurement.configuration
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -1,6 +1,6 @@
-"""The scale benchmark (`benchmarks.scale`): its arithmetic, simulated proxies beside real ones, a small run.
+"""The scale benchmark (`benchmarks.scale`): calculations, simulated against real proxies, a small run.
 
-The last test starts real processes and takes some seconds: it is what keeps the run working.
+The last test starts real processes and takes some seconds; it verifies that a run works.
 """
 
 import json
@@ -58,7 +58,7 @@
 )
 
 
-@test("a line through points finds intercept, slope and the farthest point")
+@test("a fitted line has the intercept, slope and largest relative error of its points")
 def _() -> None:
     line = fit_line([(10, 25.0), (20, 45.0), (40, 85.0), (80, 165.0)])
     assert abs(line.intercept - 5) < 1e-6
@@ -72,7 +72,7 @@
     assert relative_spread([2, 2, 2]) == 0
 
 
-@test("where a figure passes its limit lies between the sizes measured")
+@test("the size at which a figure reaches its limit is interpolated between measured sizes")
 def _() -> None:
     figures = {size: {"x": [float(size), size * 1.1, size * 0.9]} for size in (10, 30, 90)}
     recorded = _recorded_figures(figures)
@@ -86,7 +86,7 @@
     assert recorded.proxies_at_limit(value_at, 91) is None
 
 
-@test("a figure is the median of its repeats")
+@test("a recorded figure is the median of its repeats")
 def _() -> None:
     recorded = _recorded_figures({10: {"odd": [3.0, 1.0, 2.0], "even": [4.0, 1.0, 2.0, 3.0]}})
     assert recorded.median("odd", 10) == 2
@@ -98,7 +98,7 @@
     return RecordedFigures({"by size": sizes})
 
 
-@test("sizes are in proportion, and their configuration is one that the store takes")
+@test("sizes are proportional, and the store accepts their configurations")
 def _() -> None:
     size = TARGET_SIZE.scaled_to(17)
     assert (size.workers, size.services, size.routes, size.tenants) == (190, 9, 59, 1200)
@@ -109,14 +109,14 @@
     assert sum(key.startswith("Tenants/") for key in configuration) == 1200
 
 
-@test("how many tenants are among so many requests is what drawing them gives")
+@test("the expected number of distinct tenants equals that of drawn requests")
 def _(requests: int = each(50, 500, 5000)) -> None:
     rng = random.Random(1)
     runs = [len({draw_tenant_rank(3000, rng) for _ in range(requests)}) for _ in range(20)]
     assert abs(expected_distinct_tenants(3000, requests) - sum(runs) / 20) < 0.03 * requests
 
 
-@test("what connections carried is told by process and kind of call")
+@test("traffic of connections is reported by process and kind of request")
 def _() -> None:
     def row(local: str, remote: str, inode: int, sent: int, received: int, segments: int) -> str:
         return (
@@ -158,7 +158,7 @@
 
 
 class _PullingProxy:
-    """A proxy and a registry of its own; records the lengths of requests and responses."""
+    """A proxy with its own registry; records the lengths of requests and responses."""
 
     def __init__(self, router: RequestRouter, client: RegistryClient) -> None:
         self.registry = _registry()
@@ -167,7 +167,7 @@
         self.message_lengths: list[tuple[int, int]] = []
 
     def pull(self, now: float, usage_of_another_proxy: bool) -> None:
-        """One pull, its response 0.25 s later; another proxy's usage may be counted in between."""
+        """One pull with its response 0.25 s later; another proxy may report usage in between."""
         pull = self.client.next_request(now)
         assert pull is not None
         assert pull.registry_ip == "10.9.0.1"
@@ -185,7 +185,7 @@
         assert self.router.is_ready(now + 0.25)
 
 
-@test("a simulated proxy sends what a real one sends, pull after pull, and gets the same responses")
+@test("a simulated proxy sends the same pulls as a real one and gets the same responses")
 def _() -> None:
     command = StartProxies(
         first=0,
@@ -214,7 +214,7 @@
     assert not any(source.workers or source.proxies or source.usage for source in sources)
 
 
-@test("a simulated rate limiter counts as many requests as its load has")
+@test("a simulated rate limiter counts the requests of its load")
 def _() -> None:
     load = RequestLoad(tenants=50, requests_per_second=1000.0)
     limiter = SimulatedRateLimiter(random.Random(3), proxy_settings().bounds, load)
@@ -242,7 +242,7 @@
     assert decode_response(encode_host_response(figures).encode(), HostFigures) == figures
 
 
-@test("a small run gives one JSON, and the page's tables are made from it")
+@test("a small run writes one JSON file, from which the tables of the page are generated")
 def _() -> None:
     with tempfile.TemporaryDirectory() as folder:
         out = Path(folder) / "scale.json"
