--- a/tests/configstore/test_stored_data.py
+++ b/tests/configstore/test_stored_data.py
@@ -62,7 +62,7 @@
 
 @test("stored data: the {disk} disk of 147a987 is read to its newest intact vote, snapshot and edits")
 def _(folder: Path = folder, disk: str = each(INTACT, TORN)) -> None:
-    stored_data.unpack(ARCHIVE, folder)
+    stored_data.extract_archive(ARCHIVE, folder)
     newest = NEWEST[disk]
     vote, term_index, objects = read_values(folder / disk)
     assert vote == PersistentVote(*stored_data.writes()[-1].vote)
@@ -82,14 +82,14 @@
 def _(folder: Path = folder) -> None:
     stored_data.write(folder, stored_data.Code(persist, add_edits))
     written = stored_data.files(folder)
-    before = stored_data.packed(ARCHIVE)
+    before = stored_data.read_archive(ARCHIVE)
     assert list(written) == list(before)
     assert [name for name, data in written.items() if data != before[name]] == []
 
 
 @test("stored data: on the {disk} disk of 147a987 the next write is kept")
 def _(folder: Path = folder, disk: str = each(INTACT, TORN)) -> None:
-    stored_data.unpack(ARCHIVE, folder)
+    stored_data.extract_archive(ARCHIVE, folder)
     storage = ReplicaStorage(str(folder / disk))
     storage.read()
     objects = {**NEWEST[disk].objects, "Routes/one-more": {"Service": "service-1"}}
--- a/tests/support/census.py
+++ b/tests/support/census.py
@@ -73,7 +73,7 @@
                 yield title, node
 
 
-def counted(source: str, file: str) -> list[Row]:
+def count_file(source: str, file: str) -> list[Row]:
     """The rows of one file, in source order."""
     tree = ast.parse(source)
     found = sorted(_tests(tree), key=lambda test: test[1].lineno)
@@ -85,7 +85,7 @@
 def census(root: Path, folders: Iterable[str]) -> list[Row]:
     """The rows of all Python files below these folders of a source tree."""
     paths = sorted(path for folder in folders for path in (root / folder).rglob("*.py"))
-    return [row for path in paths for row in counted(path.read_text(), path.relative_to(root).as_posix())]
+    return [row for path in paths for row in count_file(path.read_text(), path.relative_to(root).as_posix())]
 
 
 def read_rows(text: str) -> list[Row]:
--- a/tests/support/known_failures.py
+++ b/tests/support/known_failures.py
@@ -18,20 +18,20 @@
 
 from ward.hooks import hook
 
-MOST = 3
+MAX_KNOWN_FAILURES = 3
 PASSED, FAILED = "passed", "failed"
-REPORT = "WARD_REPORT"  # environment variable: the path of the report that the hook writes
+REPORT_VARIABLE = "WARD_REPORT"  # environment variable: the path of the report that the hook writes
 
 
 @hook
 def after_session(config: Any, test_results: list[Any], status_code: Any) -> None:
-    path = os.environ.get(REPORT)
+    path = os.environ.get(REPORT_VARIABLE)
     if path:
         outcomes = [(FAILED if one.outcome.will_fail_session else PASSED, one.test) for one in test_results]
-        Path(path).write_text("".join(f"{outcome}\t{named(test)}\n" for outcome, test in outcomes))
+        Path(path).write_text("".join(f"{outcome}\t{report_name(test)}\n" for outcome, test in outcomes))
 
 
-def named(test: Any) -> str:
+def report_name(test: Any) -> str:
     """The name of a ward test in reports."""
     file = Path(test.path)
     number = f" [{test.param_meta.instance_index + 1}]" if test.param_meta.group_size > 1 else ""
@@ -39,7 +39,7 @@
     return f"{place}: {' '.join(test.description.split())}{number}"
 
 
-def from_pytest(text: str) -> dict[str, bool]:
+def read_junit_report(text: str) -> dict[str, bool]:
     """Whether each test of a JUnit report passed, by test name."""
     found = dict[str, bool]()
     for one in ElementTree.fromstring(text).iter("testcase"):
@@ -50,44 +50,44 @@
     return found
 
 
-def judged(listed: Iterable[str], results: dict[str, bool]) -> tuple[bool, list[str]]:
+def check_results(listed: Iterable[str], results: dict[str, bool]) -> tuple[bool, list[str]]:
     """Whether the run passes, and the messages to print."""
     messages = list[str]()
-    good = True
+    passes = True
     known = dict[str, tuple[str, str]]()
     for line in listed:
         if not line.strip() or line.startswith("#"):
             continue
         parts = [part.strip() for part in line.split(" | ")]
         if len(parts) != 3 or not all(parts):
-            good = False
+            passes = False
             messages.append(f"no line of TEST | CAUSE | ISSUE: {line.strip()}")
             continue
         test, cause, issue = parts
         cases = [one for one in results if one.rpartition(" [")[0] == test]
         test = cases[0] if test not in results and len(cases) == 1 else test
         if test in known:
-            good = False
+            passes = False
             messages.append(f"named twice: {test}")
         known[test] = cause, issue
-    if len(known) > MOST:
-        good = False
-        messages.append(f"{len(known)} tests are named, {MOST} at most may be")
+    if len(known) > MAX_KNOWN_FAILURES:
+        passes = False
+        messages.append(f"{len(known)} tests are named, {MAX_KNOWN_FAILURES} at most may be")
     for test, (cause, issue) in known.items():
         if test not in results:
-            good = False
+            passes = False
             messages.append(f"there is no such test: {test}")
         elif results[test]:
             messages.append(f"passes after all, to be taken off the list: {test} ({issue})")
         else:
             messages.append(f"known to fail: {test}: {cause} ({issue})")
     for test in sorted(test for test, passed in results.items() if not passed and test not in known):
-        good = False
+        passes = False
         messages.append(f"failed: {test}")
-    return good, messages
+    return passes, messages
 
 
-def broken_off(exits: str, results: dict[str, bool]) -> list[str]:
+def incomplete_files(exits: str, results: dict[str, bool]) -> list[str]:
     """Messages for test files that reported no test, or whose command failed without a failed test."""
     found = []
     for line in exits.splitlines():
@@ -105,12 +105,12 @@
             outcome, _, test = line.partition("\t")
             results[test] = results.get(test, True) and outcome == PASSED
     for path in sorted(reports.glob("*.xml")):
-        results |= from_pytest(path.read_text())
+        results |= read_junit_report(path.read_text())
     lines = listed.read_text().splitlines() if listed.exists() else []
-    good, messages = judged(lines, results)
-    gone = broken_off((reports / "exits").read_text(), results)
+    passes, messages = check_results(lines, results)
+    gone = incomplete_files((reports / "exits").read_text(), results)
     print(*messages, *gone, f"{len(results)} tests, {sum(results.values())} passed", sep="\n")
-    return 0 if good and not gone else 1
+    return 0 if passes and not gone else 1
 
 
 if __name__ == "__main__":
--- a/tests/support/stored_data.py
+++ b/tests/support/stored_data.py
@@ -163,19 +163,19 @@
     return {path.relative_to(folder).as_posix(): path.read_bytes() for path in paths}
 
 
-def packed(path: Path) -> dict[str, bytes]:
+def read_archive(path: Path) -> dict[str, bytes]:
     """The contents of the files in an archive by path."""
     with zipfile.ZipFile(path) as archive:
         return {name: archive.read(name) for name in archive.namelist()}
 
 
-def unpack(path: Path, folder: Path) -> None:
+def extract_archive(path: Path, folder: Path) -> None:
     """Extract an archive into a folder."""
     with zipfile.ZipFile(path) as archive:
         archive.extractall(folder)
 
 
-def pack(path: Path, found: dict[str, bytes]) -> None:
+def write_archive(path: Path, found: dict[str, bytes]) -> None:
     """Write an archive."""
     with zipfile.ZipFile(path, "w", zipfile.ZIP_DEFLATED, compresslevel=9) as archive:
         for name, data in found.items():
@@ -190,7 +190,7 @@
     options = parser.parse_args(arguments)
     with tempfile.TemporaryDirectory() as name:
         write(Path(name), code_of_147a987(options.tree))
-        pack(options.file, files(Path(name)))
+        write_archive(options.file, files(Path(name)))
     return 0
 
 
--- a/tests/support/wire_samples.py
+++ b/tests/support/wire_samples.py
@@ -188,7 +188,7 @@
 )
 
 
-def masked(text: str) -> str:
+def mask_varying_values(text: str) -> str:
     """The text with varying values masked, and then also the Content-Length."""
     found = text
     for pattern, instead in MASKS:
@@ -329,7 +329,7 @@
         self.samples: Samples = {}
 
     def _keep(self, name: str, answer: bytes) -> None:
-        self.samples[name] = masked(answer.decode("latin-1"))
+        self.samples[name] = mask_varying_values(answer.decode("latin-1"))
 
     def _http(self, line: str, body: bytes = b"", name: str = "", **headers: str) -> None:
         self._keep(f"registry: {line} {name}".strip(), http(self._system.registry, line, body, **headers))
@@ -347,7 +347,7 @@
 
     def _call(self, address: Address, what: str, method: str, body: Any, name: str = "") -> None:
         answer = json.dumps(call(address, method, body), default=bytes.hex, sort_keys=True)
-        self.samples[f"{what}: {method} {name}".strip()] = masked(answer)
+        self.samples[f"{what}: {method} {name}".strip()] = mask_varying_values(answer)
 
     def _client(self, line: str, body: bytes = b"", name: str = "", **headers: str) -> None:
         """A client's request; also records the request that the proxy forwards to the worker, if any."""
@@ -475,7 +475,7 @@
         self._keep("proxy: GET /nowhere", http(self._system.readiness, "GET /nowhere"))
 
 
-def recorded(tree: Path = ROOT, programs: tuple[str, str, str] = PROGRAMS) -> Samples:
+def record_responses(tree: Path = ROOT, programs: tuple[str, str, str] = PROGRAMS) -> Samples:
     """Record the responses of the programs in a source tree."""
     with tempfile.TemporaryDirectory() as name:
         system = System(tree, programs, Path(name))
@@ -494,7 +494,9 @@
     parser.add_argument("tree", type=Path, help="the checkout")
     parser.add_argument("file", type=Path, help="the record to write")
     options = parser.parse_args(arguments)
-    samples = recorded(options.tree.resolve(), PROGRAMS_OF_147A987 if options.which == "before" else PROGRAMS)
+    samples = record_responses(
+        options.tree.resolve(), PROGRAMS_OF_147A987 if options.which == "before" else PROGRAMS
+    )
     options.file.write_text(json.dumps(samples, indent=1) + "\n")
     return 0
 
--- a/tests/test_census.py
+++ b/tests/test_census.py
@@ -4,7 +4,7 @@
 
 from ward import raises, test
 
-from tests.support.census import Row, counted, losses, read_renamed
+from tests.support.census import Row, count_file, losses, read_renamed
 
 SOURCE = dedent('''
     def shared(found):
@@ -28,7 +28,7 @@
 
 @test("census: titles of ward and pytest tests with their assertions, and assertions outside tests")
 def _() -> None:
-    assert counted(SOURCE, "a.py") == [
+    assert count_file(SOURCE, "a.py") == [
         Row("a.py", "a title in two pieces, {case}", 2),
         Row("a.py", "test_in_a_class", 1),
         Row("a.py", "-", 1),
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -8,7 +8,7 @@
 
 from ward import each, test
 
-from tests.support.known_failures import REPORT, broken_off, from_pytest, judged
+from tests.support.known_failures import REPORT_VARIABLE, check_results, incomplete_files, read_junit_report
 
 RESULTS = {
     "tests/test_a.py: one": True,
@@ -61,7 +61,7 @@
         case _:
             results["tests/test_a.py: two [2]"], passes = True, True
             expected = "passes after all, to be taken off the list: tests/test_a.py: two [2] (39)"
-    passed, messages = judged(listed, results)
+    passed, messages = check_results(listed, results)
     assert passed == passes, messages
     assert expected in messages, messages
 
@@ -69,7 +69,7 @@
 @test("known failures: a test file that aborts or reports no test does not pass")
 def _() -> None:
     exits = "1\ttests/test_a.py\n0\ttests/gatekeeper/\n1\ttests/gatekeeper/test_b.py\n0\ttests/test_gone.py\n"
-    messages = broken_off(exits, RESULTS)
+    messages = incomplete_files(exits, RESULTS)
     assert messages == [
         "broke off with 1: tests/gatekeeper/test_b.py",
         "broke off with 0: tests/test_gone.py",
@@ -111,7 +111,7 @@
         (path / "tests").mkdir()
         (path / "tests" / "test_p.py").write_text(PYTEST)
         report, xml = path / "w.tsv", path / "p.xml"
-        environment = {**os.environ, REPORT: str(report), "PYTHONPATH": str(root)}
+        environment = {**os.environ, REPORT_VARIABLE: str(report), "PYTHONPATH": str(root)}
         for asked in (["ward", "--path", "system/test_w.py"], ["pytest", "-q", f"--junitxml={xml}", "tests"]):
             subprocess.run([sys.executable, "-m", *asked], cwd=path, env=environment, capture_output=True)
         assert sorted(report.read_text().splitlines()) == [
@@ -119,7 +119,7 @@
             "passed\tsystem/test_w.py: sum of 1 [1]",
             "passed\tsystem/test_w.py: well",
         ]
-        found = from_pytest(xml.read_text())
+        found = read_junit_report(xml.read_text())
         assert {name.partition(": ")[2]: passed for name, passed in found.items()} == {
             "test_sum[1]": True,
             "test_sum[2]": False,
