--- a/tests/proxy/test_responses.py
+++ b/tests/proxy/test_responses.py
@@ -45,7 +45,9 @@
     site = ProxySite(workers_per_route=2)
     for worker_id in site.routes["0"]:
         site.workers.behaviours[worker_id] = behaviour
-    remaining_ms = 150 if behaviour in ("no response", "not: another's id") else 3000  # these two time out
+    remaining_ms = (
+        150 if behaviour in ("no response", "not: wrong attempt id") else 3000
+    )  # these two time out
     non_idempotent = [site.send(remaining_ms=remaining_ms) for _ in range(2)]
     idempotent = [site.send(idempotent=True, remaining_ms=remaining_ms) for _ in range(2)]
     site.close()
@@ -433,7 +435,7 @@
         WorkerResponse.is_valid,
         "bool(self.header(SERVER_SEAL_HEADER)) and ",
         "",
-        check_behaviour("no seal"),
+        check_behaviour("no server seal"),
     ),
     "truncated response relayed": (
         ConnectionPool._read_response,
--- a/tests/support/stub_workers.py
+++ b/tests/support/stub_workers.py
@@ -26,13 +26,13 @@
     "no response",
     "invalid response",
     "invalid bytes after the response",
-    "no seal",
+    "no server seal",
     "content encoding",
     "503 after execution",
     "not: closes the connection",
     "executes and resets",
     "not: resets reused connections",
-    "not: another's id",
+    "not: wrong attempt id",
 )
 
 
@@ -129,7 +129,9 @@
         503, attempt_id, b"", "X-Not-Executed: 1"
     ),
     "not: misdirected": lambda attempt_id, _response, _body: worker_response(421, attempt_id, b""),
-    "not: another's id": lambda _id, _response, _body: worker_response(503, "0", b"", "X-Not-Executed: 1"),
+    "not: wrong attempt id": lambda _id, _response, _body: worker_response(
+        503, "0", b"", "X-Not-Executed: 1"
+    ),
     "server error": lambda attempt_id, _response, _body: worker_response(500, attempt_id, b"failed"),
     "duplicate response at once": lambda _id, response, _body: response + response,
     "100 continue first": lambda _id, response, _body: b"HTTP/1.1 100 Continue\r\n\r\n" + response,
@@ -138,7 +140,7 @@
     ),
     "invalid response": lambda _id, _response, _body: b"\x00\x01 no answer \r\n\r\n",
     "invalid bytes after the response": lambda _id, response, _body: response + b"HTTP/1.1 20",
-    "no seal": lambda _id, response, _body: response.replace(b"X-Server-Seal", b"X-Other"),
+    "no server seal": lambda _id, response, _body: response.replace(b"X-Server-Seal", b"X-Other"),
     "content encoding": lambda attempt_id, _response, body: worker_response(
         200, attempt_id, body, "Content-Encoding: gzip"
     ),
