--- a/ashlift/configstore/__main__.py
+++ b/ashlift/configstore/__main__.py
@@ -13,9 +13,8 @@
 from ashlift.events import ERROR, SETTINGS_INVALID, STARTED, STOPPING, configure, log_event
 
 PROGRAM = "configstore"  # program name in log records
-DATA_FOLDER = (
-    "vise"  # under DataDirectory; the program's former name, kept so that existing disks stay readable
-)
+# Under DataDirectory. The program's former name, kept so that existing disks stay readable.
+DATA_FOLDER = "vise"
 
 
 def main() -> int:
--- a/ashlift/configstore/election.py
+++ b/ashlift/configstore/election.py
@@ -74,9 +74,8 @@
         timeout = self.replica.random.uniform(*bounds)
         self.deadline = self.replica.now + timeout
         if bounds is RETRY_TIMEOUT_SECONDS:
-            self.deadline += (
-                2 * self.replica.last_write_seconds
-            )  # votes are persisted before they are granted
+            # Votes are persisted before they are granted.
+            self.deadline += 2 * self.replica.last_write_seconds
 
     # ---- own attempts
     def start_pre_vote(self) -> None:
--- a/ashlift/configstore/leader.py
+++ b/ashlift/configstore/leader.py
@@ -36,9 +36,8 @@
         self.command_handler = command_handler
         self.term = replica.vote.term
         self.elected_at = replica.now
-        self.proposed: Snapshot = (
-            replica.snapshot
-        )  # the newest proposed map, not necessarily durable here yet
+        # The newest proposed map, not necessarily durable here yet.
+        self.proposed: Snapshot = replica.snapshot
         self.commit_index = 0  # the newest index committed in this term; 0: none
         self.peers = PeerTable(self)
         self.rounds = HeartbeatRounds(self)
--- a/ashlift/configstore/snapshot_storage.py
+++ b/ashlift/configstore/snapshot_storage.py
@@ -28,10 +28,8 @@
 _DATA_SUFFIX: Final = ".dat"
 _INDEX_SUFFIX: Final = ".dir"
 _DIGEST_BYTES: Final = 16
-_TORN_SLOT_ERRNOS: Final = (
-    errno.ENOENT,
-    errno.EINVAL,
-)  # a lost file name, an index that points beyond the data
+# A lost file name, or an index that points beyond the data.
+_TORN_SLOT_ERRNOS: Final = (errno.ENOENT, errno.EINVAL)
 
 
 class _SlotContent(NamedTuple):
--- a/ashlift/gatekeeper/__main__.py
+++ b/ashlift/gatekeeper/__main__.py
@@ -62,13 +62,10 @@
         self.counter: TextCounter | None = None
         self.ratelimit: RateLimitService | None = None
         port: Counter | None = None
-        rate_limit_server, rate_limit_client = (
-            config.features.ratelimit.server,
-            config.features.ratelimit.client,
-        )
-        if (
-            rate_limit_server.listen or rate_limit_client.address
-        ):  # loaded only if enabled: gRPC takes 20 MB and starts threads
+        rate_limit_server = config.features.ratelimit.server
+        rate_limit_client = config.features.ratelimit.client
+        # Loaded only if enabled: gRPC takes 20 MB and starts threads.
+        if rate_limit_server.listen or rate_limit_client.address:
             from ashlift.gatekeeper.ratelimit.bridge import Bridge
 
             bridge = Bridge()
--- a/ashlift/proxy/request_progress.py
+++ b/ashlift/proxy/request_progress.py
@@ -44,9 +44,8 @@
         self.closed = False
         self._router = router
         self._completed: list[tuple[AttemptT, WorkerState, AttemptOutcome]] = []
-        self._failure: WorkerResponse | None = (
-            None  # the last failure from a worker, used if no other attempt succeeds
-        )
+        # The last failure from a worker, used if no other attempt succeeds.
+        self._failure: WorkerResponse | None = None
 
     @property
     def has_completed(self) -> bool:
--- a/ashlift/registry/api/instances.py
+++ b/ashlift/registry/api/instances.py
@@ -43,9 +43,8 @@
         self._notify_if_changed()
         if not is_accepted:
             return error_response(503, "a call with a higher CallSeq has come", RETRY_AFTER_SECONDS)
-        if self._registry.is_isolated(
-            now
-        ):  # the heartbeat is recorded, but the worker should use another registry
+        # The heartbeat is recorded, but the worker should use another registry.
+        if self._registry.is_isolated(now):
             return error_response(503, "out of reach of the other registries", RETRY_AFTER_SECONDS)
         if record.state is WorkerState.DRAINING and not self._await_confirmation(now):
             return error_response(503, "not confirmed by the other registries", RETRY_AFTER_SECONDS)
--- a/ashlift/registry/operator_request.py
+++ b/ashlift/registry/operator_request.py
@@ -9,9 +9,10 @@
 
 from ashlift.errors import Failure, FailureReason
 
+# The command was not executed and is safe to retry.
 RETRYABLE_REASONS: Final = frozenset(
     (FailureReason.UNREACHABLE, FailureReason.UNAVAILABLE, FailureReason.NOT_FOUND)
-)  # not executed, safe to retry
+)
 NOT_EXECUTED_REASONS: Final = RETRYABLE_REASONS | {FailureReason.EXPIRED}
 HEDGE_DELAY_SECONDS: Final = 0.3  # without a response, before another store is called as well
 RETRY_ROUND_DELAY_SECONDS: Final = 0.2  # after all stores have returned a retryable failure
--- a/ashlift/rpc/server.py
+++ b/ashlift/rpc/server.py
@@ -23,9 +23,8 @@
 
 Handler = Callable[[Any], Any]  # takes a request's body; returns the response's body or a Failure
 ACCEPT_BACKLOG: Final = 256  # connections
-FIRST_REQUEST_GRACE_SECONDS: Final = (
-    0.2  # at shutdown, how long a new connection may wait for its first request
-)
+# How long a new connection may wait for its first request at shutdown.
+FIRST_REQUEST_GRACE_SECONDS: Final = 0.2
 SHUTDOWN_POLL_SECONDS: Final = 0.01
 
 
--- a/ashlift/rpc/sources.py
+++ b/ashlift/rpc/sources.py
@@ -2,6 +2,5 @@
 
 from typing import Final
 
-OPERATOR_SOURCE: Final = (
-    "vise"  # the operator's configuration; the wire protocol keeps the store's former name
-)
+# The operator's configuration. The wire protocol keeps the store's former name.
+OPERATOR_SOURCE: Final = "vise"
--- a/ashlift/simulation/event_arguments.py
+++ b/ashlift/simulation/event_arguments.py
@@ -49,9 +49,8 @@
 
     `*` stands for all machines that run these programs, `others` for all core machines except the leader.
     """
-    leader = (
-        world.leader() if {"leader", "others"} & {*words} else None
-    )  # a world of real processes queries registries
+    # Determined only if needed: a world of real processes queries the registries.
+    leader = world.leader() if {"leader", "others"} & {*words} else None
     with_programs = {
         "proxy": world.edge,
         "configstore": world.core,
--- a/ashlift/traffic/usage_totals.py
+++ b/ashlift/traffic/usage_totals.py
@@ -33,9 +33,8 @@
 # After a tenant's first totals, until the rate of other proxies is known.
 RATE_KNOWN_AFTER_SECONDS: Final = 1.2
 MAX_LATE_PERIOD_SECONDS: Final = 3.0  # covered by the growth of a stalled source, at most
-LATE_PERIOD_END_SECONDS: Final = (
-    1.0  # ago, at which that time ends: late totals are no spike of the last second
-)
+# The late period ends this long ago, so that late totals do not appear as a spike of the last second.
+LATE_PERIOD_END_SECONDS: Final = 1.0
 
 
 class _Reception(NamedTuple):
