--- a/ashlift/gatekeeper/__main__.py
+++ b/ashlift/gatekeeper/__main__.py
@@ -91,29 +91,29 @@
             port = self.counter = TextCounter(
                 config.counter, config.settings.counter_timeout_ms, self.clock, inbox, self.metrics
             )
-        self.life = Lifecycle()
+        self.lifecycle = Lifecycle()
         self.front = Front(
             config.request_schema,
             config.max_client_connections,
             config.max_idle_connections,
-            lambda: self.life.up(self.machines.listed()),
+            lambda: self.lifecycle.up(self.machines.has_machines()),
             self.clock,
             inbox,
             self.metrics,
             self.stream_registry,
         )
         # The management interface, if configured. Manual drains are stored in a file in TMPDIR.
-        self.door = AdminServer(inbox, self.metrics) if config.admin_address is not None else None
+        self.admin_server = AdminServer(inbox, self.metrics) if config.admin_address is not None else None
         folder = Path(tempfile.gettempdir())
-        self.hands = MaintenanceFile(folder / f"ashlift-{config.name}.handouts.json", config.name)
+        self.maintenance_file = MaintenanceFile(folder / f"ashlift-{config.name}.handouts.json", config.name)
         # With an inherited socket, a successor may run at the same time: the processes split the ceilings.
-        self.marks = LivenessFiles(folder, config.name) if config.inherited_fd is not None else None
+        self.liveness_files = LivenessFiles(folder, config.name) if config.inherited_fd is not None else None
         self.operator = AdminHandler(
             config.name,
             classes,
-            self.life,
+            self.lifecycle,
             self.machines,
-            self.hands if self.door is not None else None,
+            self.maintenance_file if self.admin_server is not None else None,
             self.front.standby,
             lambda: dict(self.metrics.counts),
         )
@@ -122,7 +122,7 @@
         self.ratelimit_port = 0
         self.door_address: tuple[str, int] | None = None
         self._listener: gevent.socket.socket | None = None
-        self._door: gevent.socket.socket | None = None
+        self._admin_listener: gevent.socket.socket | None = None
 
     def _create_stream_registry(self) -> "StreamRegistry | None":
         """Create the registry of streams if streaming is enabled; else its modules are not loaded."""
@@ -144,27 +144,27 @@
 
     def start(self) -> tuple[str, int]:
         """Start listening and all greenlets; returns the address, which has the port chosen for port 0."""
-        if self.door is not None:  # manual drains made by earlier processes
-            self.machines.adopt(self.hands.load(), self.clock.now())
+        if self.admin_server is not None:  # manual drains made by earlier processes
+            self.machines.replace_maintenance(self.maintenance_file.load(), self.clock.now())
         if self.config.known_machines.get("instances"):
             self.machines.apply_update(self.config.known_machines | {"reset": True})
         self._listener = self.front.listen(self.config.listen, self.config.inherited_fd)
-        if self.door is not None and self.config.admin_address is not None:
-            self._door = self.door.listen(self.config.admin_address)
-            self.door_address = self._door.getsockname()
+        if self.admin_server is not None and self.config.admin_address is not None:
+            self._admin_listener = self.admin_server.listen(self.config.admin_address)
+            self.door_address = self._admin_listener.getsockname()
         parts = [part for part in (self.owner, self.machines, self.nodes, self.counter) if part is not None]
         self._running = [gevent.spawn(part.run) for part in parts]
         self._running.append(gevent.spawn(self.front.run, self._listener))
-        if self.marks is not None:
+        if self.liveness_files is not None:
             inbox_put = self.owner.inbox.put
             self._running.append(
-                gevent.spawn(self.marks.run, lambda count: inbox_put(ProcessCountChanged(count)))
+                gevent.spawn(self.liveness_files.run, lambda count: inbox_put(ProcessCountChanged(count)))
             )
-        if self.door is not None and self._door is not None:
-            self._running.append(gevent.spawn(self.door.run, self._door))
+        if self.admin_server is not None and self._admin_listener is not None:
+            self._running.append(gevent.spawn(self.admin_server.run, self._admin_listener))
             inbox_put = self.owner.inbox.put
             self._running.append(
-                gevent.spawn(self.hands.run, lambda out: inbox_put(ManualDrainsChanged(out)))
+                gevent.spawn(self.maintenance_file.run, lambda out: inbox_put(ManualDrainsChanged(out)))
             )
         if self.ratelimit is not None:
             self.ratelimit_port = self.ratelimit.listen(self.config.features.ratelimit.server.listen)
@@ -191,7 +191,7 @@
 
     def stop(self, grace_s: float = GRACE_PERIOD_S) -> None:
         """Serve new requests for the grace period, answer those that are open, and stop."""
-        self.life.stopping()
+        self.lifecycle.stopping()
         gevent.sleep(grace_s)
         if self._listener is not None:
             if self.config.inherited_fd is None:  # else the successor accepts them
@@ -209,10 +209,10 @@
         while self.front.open_count and self.clock.now() < end:
             gevent.sleep(0.02)
         gevent.killall(self._running)
-        if self._door is not None:
-            self._door.close()
-        if self.marks is not None:
-            self.marks.remove()
+        if self._admin_listener is not None:
+            self._admin_listener.close()
+        if self.liveness_files is not None:
+            self.liveness_files.remove()
         self.owner.close()
 
 
--- a/ashlift/gatekeeper/net/machine_list.py
+++ b/ashlift/gatekeeper/net/machine_list.py
@@ -52,7 +52,7 @@
         self._watching: gevent.Greenlet[..., None] | None = None
         self._address_changed = Event()
         self.machines: dict[str, Machine] = {}
-        self.hands = MaintenanceSet()
+        self.maintenance = MaintenanceSet()
 
     def ready(self, name: str) -> Machine | None:
         """Return the node if it takes new work."""
@@ -73,14 +73,14 @@
                 self.machines.pop(machine.server.name, None)
             else:
                 self.machines[machine.server.name] = machine
-        self.hands.forget_unlisted(set(self.machines))
+        self.maintenance.forget_unlisted(set(self.machines))
         self._index = index
         self._metrics.add("machine_list.news")
         self._inbox.put(ServerList(tuple(machine.server for machine in entries), complete))
 
     def _with_manual_drain(self, machine: Machine) -> Machine:
         reported = machine.reported or machine.server
-        shown = self.hands.effective(reported)
+        shown = self.maintenance.effective(reported)
         return Machine(machine.address, shown, reported if shown is not reported else None)
 
     def set_maintenance(self, worker: str, entered: bool, now: float) -> list[Server] | None:
@@ -88,23 +88,23 @@
 
         None if the id is neither on the list nor drained.
         """
-        if worker not in self.machines and worker not in self.hands.entered:
+        if worker not in self.machines and worker not in self.maintenance.entered:
             return None
         if entered:
-            self.hands.enter(worker, now)
+            self.maintenance.enter(worker, now)
         else:
-            self.hands.exit(worker, now)
+            self.maintenance.exit(worker, now)
         return self._refresh({worker})
 
-    def adopt(self, entered: dict[str, float], now: float) -> list[Server]:
+    def replace_maintenance(self, entered: dict[str, float], now: float) -> list[Server]:
         """Replace the manual drains by those that another process has stored; returns the changed entries."""
-        drained, returned = self.hands.adopt(entered, now)
+        drained, returned = self.maintenance.adopt(entered, now)
         return self._refresh(drained | returned)
 
     def in_maintenance(self) -> dict[str, float]:
-        return dict(self.hands.entered)
+        return dict(self.maintenance.entered)
 
-    def listed(self) -> bool:
+    def has_machines(self) -> bool:
         return bool(self.machines)
 
     def _refresh(self, workers: set[str]) -> list[Server]:
--- a/ashlift/gatekeeper/operations/admin_handler.py
+++ b/ashlift/gatekeeper/operations/admin_handler.py
@@ -34,13 +34,13 @@
     def set_maintenance(self, worker: str, entered: bool, now: float) -> list[Server] | None:
         """Starts or ends the maintenance of a node; None for an unknown id."""
 
-    def adopt(self, entered: dict[str, float], now: float) -> list[Server]:
-        """Takes over the nodes in maintenance that another process wrote."""
+    def replace_maintenance(self, entered: dict[str, float], now: float) -> list[Server]:
+        """Replaces the nodes in maintenance by those that another process wrote."""
 
     def in_maintenance(self) -> dict[str, float]:
         """Ids and when they entered maintenance (Unix ms)."""
 
-    def listed(self) -> bool:
+    def has_machines(self) -> bool:
         """Whether the list has any node."""
 
 
@@ -71,7 +71,7 @@
         """Returns the response and the changed server entries, which the gateway must get next."""
         match request.kind:
             case RequestKind.STATUS:
-                ready = self.lifecycle.ready(self._rotation.listed())
+                ready = self.lifecycle.ready(self._rotation.has_machines())
                 status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
                 return self._json_response(status, ready=ready, **self._status(gauges)), []
             case RequestKind.METRICS:
@@ -84,8 +84,8 @@
                 return self._change_phase(request.kind is RequestKind.STANDBY), []
 
     def adopt(self, entered: dict[str, float], now: float) -> list[Server]:
-        """Takes over the nodes in maintenance that another process wrote."""
-        return self._rotation.adopt(entered, now)
+        """Replaces the nodes in maintenance by those that another process wrote."""
+        return self._rotation.replace_maintenance(entered, now)
 
     def _set_maintenance(self, request: AdminRequest, now: float) -> tuple[AdminResponse, list[Server]]:
         entered = request.kind is RequestKind.ENTER
--- a/tests/gatekeeper/test_operations.py
+++ b/tests/gatekeeper/test_operations.py
@@ -336,7 +336,7 @@
             assert client.recv(65536).startswith(b"HTTP/1.1 408")
             assert client.recv(1) == b""  # closed
         client.close()
-    assert gate.door is not None and gate.door.open == 0
+    assert gate.admin_server is not None and gate.admin_server.open == 0
     gate.stop(0.0)
     node.server.stop()
 
@@ -369,7 +369,7 @@
     assert send_admin(gate, b"GET /status HTTP/1.1\r\n\r\n")[0] == 200
     idle.close()
     busy.close()
-    gate.life.stopping()
+    gate.lifecycle.stopping()
     assert send_admin(gate, post("/active"))[0] == 409  # standby and active have no effect after SIGTERM
     gate.stop(0.0)
     node.server.stop()
@@ -438,7 +438,7 @@
         while not old.owner._gateway.process_count == new.owner._gateway.process_count == 2:
             gevent.sleep(0.02)
         old.stop(0.0)
-        assert old.marks is not None and not old.marks.path.exists()
+        assert old.liveness_files is not None and not old.liveness_files.path.exists()
         while new.owner._gateway.process_count != 1:  # the old process has removed its file
             gevent.sleep(0.02)
     new.stop(0.0)
