--- a/benchmarks/hunt/campaign_folder.py
+++ b/benchmarks/hunt/campaign_folder.py
@@ -1,4 +1,4 @@
-"""The folder of a campaign: day files, what they hold (`campaign.json`), and the bench's reports and logs."""
+"""The folder of a campaign: day files, their index (`campaign.json`), and the bench's reports and logs."""
 
 import json
 from pathlib import Path
@@ -17,7 +17,7 @@
         self._path = path
 
     def write(self, site_path: Path, seed: int, days: list[CampaignDay]) -> None:
-        """Write the files of drawn days."""
+        """Write the day files and the index."""
         self._path.mkdir(parents=True, exist_ok=True)
         for day in days:
             self.day_path(day.name).write_text(day.to_toml())
@@ -25,7 +25,7 @@
         (self._path / INDEX_FILE).write_text(json.dumps(index, indent=0))
 
     def site_path(self) -> str:
-        """The site file, as it was given."""
+        """The path of the site file, as passed to `write`."""
         return str(self._read_index()["site"])
 
     def read_days(self) -> list[CampaignDay]:
@@ -33,19 +33,19 @@
         return [_day_of_index(day) for day in self._read_index()["days"]]
 
     def day_path(self, name: str) -> Path:
-        """The day file."""
+        """The path of the day file."""
         return self._path / f"{name}.toml"
 
     def report_path(self, name: str) -> Path:
-        """The bench's report of a day, if it came to its end."""
+        """The path of the bench's report; the file exists once the day has finished."""
         return self._path / f"{name}.json"
 
     def log_path(self, name: str) -> Path:
-        """What the bench printed on a day, if it was begun."""
+        """The path of the bench's output; the file exists once the day has started."""
         return self._path / f"{name}.txt"
 
     def read_outcome(self, name: str) -> DayOutcome:
-        """How a day went, by its report."""
+        """The outcome of a day according to its report."""
         path = self.report_path(name)
         if not path.exists():
             return DayOutcome(VOID)
@@ -79,6 +79,6 @@
 
 
 def _event_kind(kind: str) -> str:
-    """The kind of an event of a report; of `closing (KIND ...)` the kind of the closing fault."""
+    """The kind of an event in a report; for `closing (KIND ...)`, the kind of the closing fault."""
     name, _, details = kind.partition(" ")
     return details.strip("()").partition(" ")[0] if name == "closing" else name
